--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,16 +9,33 @@
 //!
 //! | decision | file |
 //! | --- | --- |
-//! | thresholds for each worth level | `thresholds.rs`, `worth_level.rs` |
+//! | thresholds for each worth level | `thresholds.rs` |
+//! | the worth level of a request | `worth_level.rs` |
 //! | clear, gapping or discarding; lapse; gap | `overload_state.rs` |
 //! | which endpoints take work | `membership.rs` |
 //! | the subset | `subset.rs` |
-//! | the endpoint of an attempt | `pick.rs`, `outlier.rs`, `cold_ramp.rs` |
-//! | send, hold or refuse a new request | `admission.rs`, `hold_queue.rs`, `key_order.rs` |
-//! | retry, refuse or fail | `attempt_end.rs`, `retry.rs`, `send.rs` |
+//! | the endpoint of an attempt | `pick.rs` |
+//! | which endpoints are outliers | `outlier.rs` |
+//! | how much traffic a cold endpoint gets | `cold_ramp.rs` |
+//! | send, hold or refuse a new request | `admission.rs` |
+//! | how many requests are held, and in which order they are sent | `hold_queue.rs` |
+//! | what the end of an attempt means | `attempt_end.rs` |
+//! | whether and where a request may be tried again | `retry.rs` |
+//! | the send of an attempt, and the answer where none serves | `send.rs` |
 //! | how long answers take | `answer_time.rs` |
+//! | how many requests arrive | `arrival_rate.rs` |
 //! | probes | `probing.rs` |
 //! | calls of discovery | `discovery_calls.rs` |
+//! | when the host's timer expires next | `timer.rs` |
+//! | what each event sets off, and what new settings change | `instance.rs` |
+//! | which settings are valid | `settings_check.rs` |
+//! | the longest span of time that is computed with | `time.rs` |
+//! | the state of an instance at its start | `balancer.rs` |
+//! | the ids of classes while settings change | `class_table.rs` |
+//! | the places of endpoints in their table | `endpoint_table.rs` |
+//! | the table of open requests | `request_table.rs` |
+//! | the places that attempts take at their endpoints | `in_flight.rs` |
+//! | the counts that operators see | `status.rs` |
 
 mod action;
 mod admission;
