--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -42,7 +42,10 @@
             outcome: Outcome::Served,
             took: Duration::from_millis(20),
             request_ended: true,
-            report: Some(LoadReport { depth: Some(depth), ..LoadReport::default() }),
+            report: Some(LoadReport {
+                depth: Some(depth),
+                ..LoadReport::default()
+            }),
         };
         self.tell(
             &format!("request {id} was served, {depth} requests wait there"),
@@ -60,7 +63,11 @@
             size: 1.0,
             started_at: None,
         };
-        let news = Event::EndpointList { version: 1, kind: ListKind::Changes, entries: [entry].into() };
+        let news = Event::EndpointList {
+            version: 1,
+            kind: ListKind::Changes,
+            entries: [entry].into(),
+        };
         self.tell(&format!("the list says {readiness:?}"), news)
     }
 }
@@ -73,7 +80,10 @@
     ];
     let mut settings = Settings::new("here".into(), classes);
     settings.rules.drain_close = Some(Duration::from_millis(500));
-    let mut host = Host { balancer: Balancer::new(settings, 42)?, now: Timestamp::from_nanos(1_000_000_000) };
+    let mut host = Host {
+        balancer: Balancer::new(settings, 42)?,
+        now: Timestamp::from_nanos(1_000_000_000),
+    };
 
     host.list(Readiness::Up);
     host.request("a", 1); // sent
@@ -82,7 +92,11 @@
     host.served("b", 0.9);
     let mut actions = host.request("c", 0); // throttled: held, with a timer
     let mut timers = 0;
-    while !actions.iter().any(|a| matches!(a, Action::Send { .. } | Action::Refuse { .. })) && timers < 1000 {
+    while !actions
+        .iter()
+        .any(|a| matches!(a, Action::Send { .. } | Action::Refuse { .. }))
+        && timers < 1000
+    {
         // A host keeps its timers in order; here there is one at a time.
         let due = actions.iter().find_map(|a| match a {
             Action::SetTimer { at, token } => Some((*at, *token)),
--- a/lab/src/caller/connection.rs
+++ b/lab/src/caller/connection.rs
@@ -36,7 +36,11 @@
     /// # Errors
     /// There is no socket to be had, or the address cannot be reached.
     pub fn open(address: SocketAddr) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         let is_connecting = match socket.connect(&address.into()) {
@@ -61,7 +65,11 @@
     /// Sends a request, at once or when the connection is up.
     pub fn send(&mut self, request: Vec<u8>) -> Result<(), ConnectionError> {
         self.outgoing = request;
-        if self.is_connecting { Ok(()) } else { self.write() }
+        if self.is_connecting {
+            Ok(())
+        } else {
+            self.write()
+        }
     }
 
     /// Does what the socket is ready for; the answer where its last byte has come. `has_hung_up` tells that the other
@@ -101,7 +109,11 @@
 
     /// Reads until nothing is left. A read that does not fill the buffer was the last, unless the end is there too: the
     /// poller tells of more bytes, and of an end that comes later.
-    fn read(&mut self, buffer: &mut [u8], has_hung_up: bool) -> Result<Option<Answer>, ConnectionError> {
+    fn read(
+        &mut self,
+        buffer: &mut [u8],
+        has_hung_up: bool,
+    ) -> Result<Option<Answer>, ConnectionError> {
         let mut answer = None;
         loop {
             match self.stream.read(buffer) {
@@ -139,7 +151,12 @@
 
 /// An answer after which the connection has ended.
 fn ended(answer: Option<Answer>) -> Option<Option<Answer>> {
-    answer.map(|answer| Some(Answer { keeps_connection: false, ..answer }))
+    answer.map(|answer| {
+        Some(Answer {
+            keeps_connection: false,
+            ..answer
+        })
+    })
 }
 
 fn is_in_progress(error: &io::Error) -> bool {
--- a/lab/src/caller/connection_table.rs
+++ b/lab/src/caller/connection_table.rs
@@ -19,7 +19,10 @@
 
     /// From the number that [`Token::to_u64`] gave.
     pub fn from_u64(number: u64) -> Self {
-        Token { place: number as u32, generation: (number >> u32::BITS) as u32 }
+        Token {
+            place: number as u32,
+            generation: (number >> u32::BITS) as u32,
+        }
     }
 }
 
@@ -62,18 +65,32 @@
 impl ConnectionTable {
     /// An empty table for so many targets.
     pub fn new(targets: usize) -> Self {
-        ConnectionTable { places: Vec::new(), free: Vec::new(), idle: vec![Vec::new(); targets] }
+        ConnectionTable {
+            places: Vec::new(),
+            free: Vec::new(),
+            idle: vec![Vec::new(); targets],
+        }
     }
 
     /// Adds a new connection, which is not idle.
     pub fn insert(&mut self, connection: Connection, target: usize) -> Token {
         let place = self.free.pop().unwrap_or_else(|| {
-            self.places.push(Place { generation: 0, open: None });
+            self.places.push(Place {
+                generation: 0,
+                open: None,
+            });
             (self.places.len() - 1) as u32
         });
         let held = &mut self.places[place as usize];
-        held.open = Some(OpenConnection { connection, target, exchange: None });
-        Token { place, generation: held.generation }
+        held.open = Some(OpenConnection {
+            connection,
+            target,
+            exchange: None,
+        });
+        Token {
+            place,
+            generation: held.generation,
+        }
     }
 
     pub fn get_mut(&mut self, token: Token) -> Option<&mut OpenConnection> {
@@ -83,7 +100,9 @@
     /// Whether a connection still carries the request with this number.
     pub fn carries(&self, token: Token, number: u64) -> bool {
         let place = self.places.get(token.place as usize);
-        let open = place.filter(|place| place.generation == token.generation).and_then(|p| p.open.as_ref());
+        let open = place
+            .filter(|place| place.generation == token.generation)
+            .and_then(|p| p.open.as_ref());
         let exchange = open.and_then(|open| open.exchange);
         exchange.is_some_and(|exchange| exchange.number == number)
     }
--- a/lab/src/caller/event_loop.rs
+++ b/lab/src/caller/event_loop.rs
@@ -97,7 +97,11 @@
     /// When the next request is due or overdue.
     fn next_wake(&mut self) -> Duration {
         let table = &self.table;
-        while self.expiries.peek().is_some_and(|Reverse(e)| !table.carries(e.token, e.number)) {
+        while self
+            .expiries
+            .peek()
+            .is_some_and(|Reverse(e)| !table.carries(e.token, e.number))
+        {
             self.expiries.pop();
         }
         let expiry = self.expiries.peek().map(|Reverse(expiry)| expiry.at);
@@ -108,7 +112,9 @@
     fn send_due(&mut self) {
         loop {
             let now = self.now();
-            let Some(arrival) = self.schedule.take_due(now) else { return };
+            let Some(arrival) = self.schedule.take_due(now) else {
+                return;
+            };
             self.begin(arrival, now);
         }
     }
@@ -146,7 +152,9 @@
         let connection = Connection::open(self.plan.targets[target].address)?;
         self.results[target].connections += 1;
         let token = self.table.insert(connection, target);
-        let Some(open) = self.table.get_mut(token) else { return Ok(token) };
+        let Some(open) = self.table.get_mut(token) else {
+            return Ok(token);
+        };
         if let Err(error) = self.poller.watch(&open.connection, token) {
             self.table.remove(token);
             return Err(error);
@@ -155,13 +163,19 @@
     }
 
     fn send(&mut self, token: Token, exchange: Exchange) {
-        let Some(open) = self.table.get_mut(token) else { return };
+        let Some(open) = self.table.get_mut(token) else {
+            return;
+        };
         open.exchange = Some(exchange);
         let id = self.ids.id(exchange.number);
         let request = self.templates[exchange.target].render(&id);
         let sent = open.connection.send(request);
         let at = exchange.due + self.plan.targets[exchange.target].deadline + GRACE;
-        self.expiries.push(Reverse(Expiry { at, token, number: exchange.number }));
+        self.expiries.push(Reverse(Expiry {
+            at,
+            token,
+            number: exchange.number,
+        }));
         if let Err(error) = sent {
             self.lose_connection(token, &error);
         }
@@ -169,8 +183,13 @@
 
     fn advance(&mut self, readiness: Readiness) {
         let token = readiness.token;
-        let Some(open) = self.table.get_mut(token) else { return };
-        match open.connection.advance(&mut self.buffer, readiness.has_hung_up) {
+        let Some(open) = self.table.get_mut(token) else {
+            return;
+        };
+        match open
+            .connection
+            .advance(&mut self.buffer, readiness.has_hung_up)
+        {
             Ok(None) => {}
             Ok(Some(answer)) => self.take_answer(token, answer),
             Err(error) => self.lose_connection(token, &error),
@@ -195,11 +214,19 @@
 
     /// A request on a kept connection that was closed before the answer's first byte is sent once more.
     fn lose_connection(&mut self, token: Token, error: &ConnectionError) {
-        let Some(lost) = self.table.remove(token) else { return };
-        let Some(exchange) = lost.exchange else { return };
-        let crossed = matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_kept();
+        let Some(lost) = self.table.remove(token) else {
+            return;
+        };
+        let Some(exchange) = lost.exchange else {
+            return;
+        };
+        let crossed =
+            matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_kept();
         if crossed && !exchange.is_repeated {
-            self.send_on_new_connection(Exchange { is_repeated: true, ..exchange });
+            self.send_on_new_connection(Exchange {
+                is_repeated: true,
+                ..exchange
+            });
         } else {
             self.end(exchange, Outcome::Failed);
         }
@@ -207,7 +234,12 @@
 
     fn give_up_overdue(&mut self) {
         let now = self.now();
-        while let Some(Reverse(expiry)) = self.expiries.peek().copied().filter(|Reverse(e)| e.at <= now) {
+        while let Some(Reverse(expiry)) = self
+            .expiries
+            .peek()
+            .copied()
+            .filter(|Reverse(e)| e.at <= now)
+        {
             self.expiries.pop();
             if !self.table.carries(expiry.token, expiry.number) {
                 continue;
--- a/lab/src/caller/poller.rs
+++ b/lab/src/caller/poller.rs
@@ -9,7 +9,8 @@
 use rustix::fd::{AsFd, OwnedFd};
 use rustix::io::Errno;
 use rustix::time::{
-    Itimerspec, TimerfdClockId, TimerfdFlags, TimerfdTimerFlags, Timespec, timerfd_create, timerfd_settime,
+    Itimerspec, TimerfdClockId, TimerfdFlags, TimerfdTimerFlags, Timespec, timerfd_create,
+    timerfd_settime,
 };
 use std::io;
 use std::time::Duration;
@@ -22,7 +23,10 @@
 const SHORTEST_WAIT: Duration = Duration::from_nanos(1);
 /// Longer waits end early.
 const LONGEST_WAIT: Duration = Duration::from_secs(3600);
-const ZERO: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+const ZERO: Timespec = Timespec {
+    tv_sec: 0,
+    tv_nsec: 0,
+};
 
 /// A socket with something to do.
 #[derive(Clone, Copy, Debug)]
@@ -42,19 +46,30 @@
 impl Poller {
     pub fn new() -> io::Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        let timer =
-            timerfd_create(TimerfdClockId::Monotonic, TimerfdFlags::CLOEXEC | TimerfdFlags::NONBLOCK)?;
+        let timer = timerfd_create(
+            TimerfdClockId::Monotonic,
+            TimerfdFlags::CLOEXEC | TimerfdFlags::NONBLOCK,
+        )?;
         // Edge-triggered, the timer need not be read: setting it again clears it.
         let interest = epoll::EventFlags::IN | epoll::EventFlags::ET;
         epoll::add(&epoll, &timer, epoll::EventData::new_u64(TIMER), interest)?;
-        Ok(Poller { epoll, timer, events: Vec::with_capacity(MOST_EVENTS) })
+        Ok(Poller {
+            epoll,
+            timer,
+            events: Vec::with_capacity(MOST_EVENTS),
+        })
     }
 
     /// Watches a socket until it is closed; each change of its state is told once.
     pub fn watch(&self, socket: impl AsFd, token: Token) -> io::Result<()> {
         use epoll::EventFlags as Flags;
         let interest = Flags::IN | Flags::OUT | Flags::RDHUP | Flags::ET;
-        epoll::add(&self.epoll, socket, epoll::EventData::new_u64(token.to_u64()), interest)?;
+        epoll::add(
+            &self.epoll,
+            socket,
+            epoll::EventData::new_u64(token.to_u64()),
+            interest,
+        )?;
         Ok(())
     }
 
@@ -77,8 +92,14 @@
 
     fn set_timer(&self, after: Duration) -> io::Result<()> {
         let after = after.clamp(SHORTEST_WAIT, LONGEST_WAIT);
-        let it_value = Timespec { tv_sec: after.as_secs() as _, tv_nsec: after.subsec_nanos().into() };
-        let once = Itimerspec { it_interval: ZERO, it_value };
+        let it_value = Timespec {
+            tv_sec: after.as_secs() as _,
+            tv_nsec: after.subsec_nanos().into(),
+        };
+        let once = Itimerspec {
+            it_interval: ZERO,
+            it_value,
+        };
         timerfd_settime(&self.timer, TimerfdTimerFlags::empty(), &once)?;
         Ok(())
     }
@@ -88,5 +109,8 @@
     use epoll::EventFlags as Flags;
     let (flags, data) = (event.flags, event.data);
     let has_hung_up = flags.intersects(Flags::RDHUP | Flags::HUP | Flags::ERR);
-    Readiness { token: Token::from_u64(data.u64()), has_hung_up }
+    Readiness {
+        token: Token::from_u64(data.u64()),
+        has_hung_up,
+    }
 }
--- a/lab/src/caller/request.rs
+++ b/lab/src/caller/request.rs
@@ -17,7 +17,10 @@
 
 impl RequestIds {
     pub fn new(seed: u64) -> Self {
-        RequestIds { seed, run: RUNS.fetch_add(1, Ordering::Relaxed) }
+        RequestIds {
+            seed,
+            run: RUNS.fetch_add(1, Ordering::Relaxed),
+        }
     }
 
     /// The id of a request by its number within the run.
@@ -40,7 +43,10 @@
         let deadline = target.deadline.as_secs_f64();
         RequestTemplate {
             before_id: format!("{method} /api HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: "),
-            after_id: format!("\r\nX-Class: {class}\r\nX-Deadline: {deadline:.6}\r\n{}", rest(target)),
+            after_id: format!(
+                "\r\nX-Class: {class}\r\nX-Deadline: {deadline:.6}\r\n{}",
+                rest(target)
+            ),
         }
     }
 
@@ -52,7 +58,10 @@
 /// The end of the head, and the body.
 fn rest(target: &LoadTarget) -> String {
     if target.is_unsafe {
-        format!("Content-Length: {BODY_BYTES}\r\n\r\n{}", "x".repeat(BODY_BYTES))
+        format!(
+            "Content-Length: {BODY_BYTES}\r\n\r\n{}",
+            "x".repeat(BODY_BYTES)
+        )
     } else {
         "\r\n".into()
     }
--- a/lab/src/caller/response.rs
+++ b/lab/src/caller/response.rs
@@ -53,7 +53,10 @@
         let Some(mut body) = self.body.take() else {
             return self.feed_head(bytes);
         };
-        body.missing = body.missing.checked_sub(bytes.len()).ok_or(ResponseError::ExcessBytes)?;
+        body.missing = body
+            .missing
+            .checked_sub(bytes.len())
+            .ok_or(ResponseError::ExcessBytes)?;
         if body.missing == 0 {
             return Ok(Some(body.answer));
         }
@@ -65,7 +68,11 @@
         self.head.extend_from_slice(bytes);
         let Some((head_length, body)) = parse_head(&self.head)? else {
             let is_too_long = self.head.len() > LONGEST_HEAD;
-            return if is_too_long { Err(ResponseError::HeadTooLong) } else { Ok(None) };
+            return if is_too_long {
+                Err(ResponseError::HeadTooLong)
+            } else {
+                Ok(None)
+            };
         };
         let body_bytes = self.head.len() - head_length;
         self.head.clear();
@@ -91,7 +98,10 @@
         }
     }
     let missing = missing.ok_or(ResponseError::NoContentLength)?;
-    let answer = Answer { status: response.code.unwrap_or_default(), keeps_connection };
+    let answer = Answer {
+        status: response.code.unwrap_or_default(),
+        keeps_connection,
+    };
     Ok(Some((length, Body { answer, missing })))
 }
 
--- a/lab/src/caller/schedule.rs
+++ b/lab/src/caller/schedule.rs
@@ -29,9 +29,15 @@
     /// Arrivals at so many targets as there are rates, in calls a second. A rate of zero has none.
     pub fn new(rates: impl IntoIterator<Item = f64>, end: Duration, seed: u64) -> Self {
         let mut seeds = Pcg64Mcg::seed_from_u64(seed);
-        let sources =
-            rates.into_iter().map(|rate| Source::new(rate, Pcg64Mcg::from_rng(&mut seeds))).collect();
-        let mut schedule = Schedule { sources, next: BinaryHeap::new(), end };
+        let sources = rates
+            .into_iter()
+            .map(|rate| Source::new(rate, Pcg64Mcg::from_rng(&mut seeds)))
+            .collect();
+        let mut schedule = Schedule {
+            sources,
+            next: BinaryHeap::new(),
+            end,
+        };
         for target in 0..schedule.sources.len() {
             schedule.draw(target, Duration::ZERO);
         }
@@ -55,7 +61,9 @@
 
     /// Draws the arrival that follows one at this time.
     fn draw(&mut self, target: usize, previous: Duration) {
-        let Some(source) = &mut self.sources[target] else { return };
+        let Some(source) = &mut self.sources[target] else {
+            return;
+        };
         let due = previous.saturating_add(source.gap());
         if due < self.end {
             self.next.push(Reverse((due, target)));
--- a/lab/src/command/check.rs
+++ b/lab/src/command/check.rs
@@ -6,13 +6,19 @@
 
 /// Tells what is wrong with each file, a line for each fault.
 pub(super) fn check(files: &[PathBuf]) -> Result<(), CommandError> {
-    let errors: Vec<_> = files.iter().filter_map(|file| Experiment::load(file).err()).collect();
+    let errors: Vec<_> = files
+        .iter()
+        .filter_map(|file| Experiment::load(file).err())
+        .collect();
     for error in &errors {
         eprintln!("{error}");
     }
     if errors.is_empty() {
         Ok(())
     } else {
-        Err(CommandError::Check { faulty: errors.len(), checked: files.len() })
+        Err(CommandError::Check {
+            faulty: errors.len(),
+            checked: files.len(),
+        })
     }
 }
--- a/lab/src/command/mod.rs
+++ b/lab/src/command/mod.rs
@@ -142,7 +142,11 @@
     /// Does what they ask for.
     pub fn run(&self) -> Result<(), CommandError> {
         match &self.command {
-            Command::Scale { experiments, only, options } => run::scale(experiments, only, options),
+            Command::Scale {
+                experiments,
+                only,
+                options,
+            } => run::scale(experiments, only, options),
             Command::Run { files, options } => run::files(files, options),
             Command::Tier(options) => tier::run(options),
             Command::Check { files } => check::check(files),
--- a/lab/src/command/run.rs
+++ b/lab/src/command/run.rs
@@ -13,12 +13,20 @@
 use tracing::{error, info};
 
 /// Runs the experiments of a folder, or those of them that are named.
-pub(super) fn scale(folder: &Path, only: &[String], options: &RunOptions) -> Result<(), CommandError> {
+pub(super) fn scale(
+    folder: &Path,
+    only: &[String],
+    options: &RunOptions,
+) -> Result<(), CommandError> {
     let mut experiments = Experiment::load_folder(folder)?;
     if experiments.is_empty() {
         return Err(CommandError::NoExperiments(folder.into()));
     }
-    let is_there = |name: &&String| experiments.iter().any(|experiment| experiment.name == **name);
+    let is_there = |name: &&String| {
+        experiments
+            .iter()
+            .any(|experiment| experiment.name == **name)
+    };
     if let Some(unknown) = only.iter().find(|name| !is_there(name)) {
         return Err(CommandError::UnknownName(unknown.clone()));
     }
@@ -30,15 +38,23 @@
 
 /// Runs the experiments of these files.
 pub(super) fn files(files: &[PathBuf], options: &RunOptions) -> Result<(), CommandError> {
-    let experiments = files.iter().map(|file| Experiment::load(file)).collect::<Result<Vec<_>, _>>()?;
+    let experiments = files
+        .iter()
+        .map(|file| Experiment::load(file))
+        .collect::<Result<Vec<_>, _>>()?;
     run_all(&experiments, options)
 }
 
 /// Runs experiments in order. One that fails is reported, and the next is run all the same.
 fn run_all(experiments: &[Experiment], options: &RunOptions) -> Result<(), CommandError> {
-    let context = RunContext { program: program_path(options)? };
+    let context = RunContext {
+        program: program_path(options)?,
+    };
     let mut report = Report {
-        program: options.label.clone().unwrap_or_else(|| options.program.display().to_string()),
+        program: options
+            .label
+            .clone()
+            .unwrap_or_else(|| options.program.display().to_string()),
         processors: thread::available_parallelism().map_or(1, NonZero::get),
         experiments: Vec::new(),
     };
@@ -50,18 +66,26 @@
         report.experiments.push(result);
         report
             .write(&options.output)
-            .map_err(|source| CommandError::Write { folder: options.output.clone(), source })?;
+            .map_err(|source| CommandError::Write {
+                folder: options.output.clone(),
+                source,
+            })?;
     }
     match failed {
         0 => Ok(()),
-        failed => Err(CommandError::Failed { failed, run: experiments.len() }),
+        failed => Err(CommandError::Failed {
+            failed,
+            run: experiments.len(),
+        }),
     }
 }
 
 /// The program by its whole path, so that a sidecar's working directory does not matter.
 fn program_path(options: &RunOptions) -> Result<PathBuf, CommandError> {
-    fs::canonicalize(&options.program)
-        .map_err(|source| CommandError::Program { path: options.program.clone(), source })
+    fs::canonicalize(&options.program).map_err(|source| CommandError::Program {
+        path: options.program.clone(),
+        source,
+    })
 }
 
 /// Runs one experiment; whether it failed is told next to its report.
--- a/lab/src/discovery/connection.rs
+++ b/lab/src/discovery/connection.rs
@@ -26,7 +26,11 @@
 /// Serves a connection that [`prepare`] has readied, until it ends. Dropped earlier, it resets the connection.
 pub(super) async fn serve(mut stream: TcpStream, zone: Rc<ZoneState>, service: Rc<Service>) {
     let mut silence = zone.silent.subscribe();
-    let conversation = Conversation { stream: &mut stream, zone: &zone, service: &service };
+    let conversation = Conversation {
+        stream: &mut stream,
+        zone: &zone,
+        service: &service,
+    };
     tokio::select! {
         biased;
         // The sender lives as long as the zone, so there is no error.
@@ -114,7 +118,8 @@
     async fn list(&mut self) -> io::Result<()> {
         self.service.count(|usage| usage.lists += 1);
         let body = self.service.registry.borrow_mut().whole_list();
-        self.write(protocol::list_head(body.len()).as_bytes()).await?;
+        self.write(protocol::list_head(body.len()).as_bytes())
+            .await?;
         self.write(&body).await
     }
 
@@ -159,7 +164,8 @@
 
     async fn write_heartbeat(&mut self) -> io::Result<()> {
         self.write(protocol::HEARTBEAT).await?;
-        self.service.count(|usage| usage.heartbeat_bytes += protocol::HEARTBEAT.len() as u64);
+        self.service
+            .count(|usage| usage.heartbeat_bytes += protocol::HEARTBEAT.len() as u64);
         Ok(())
     }
 
@@ -180,7 +186,8 @@
             if written == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
             }
-            self.service.count(|usage| usage.bytes_written += written as u64);
+            self.service
+                .count(|usage| usage.bytes_written += written as u64);
             bytes = &bytes[written..];
         }
         Ok(())
--- a/lab/src/discovery/handle.rs
+++ b/lab/src/discovery/handle.rs
@@ -36,7 +36,10 @@
     ) -> io::Result<Self> {
         let time_per_call = time_per_call(options.calls_per_second)?;
         if options.heartbeat.is_zero() {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "no time between empty lines"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "no time between empty lines",
+            ));
         }
         let mut addresses = BTreeMap::new();
         let mut reserved = Vec::new();
@@ -50,14 +53,23 @@
         let (commands, received_commands) = unbounded_channel();
         let (started, has_started) = mpsc::sync_channel(1);
         let run = move || {
-            let zones = reserved.into_iter().map(|(name, address)| Zone::new(name, address)).collect();
+            let zones = reserved
+                .into_iter()
+                .map(|(name, address)| Zone::new(name, address))
+                .collect();
             server::run(received_commands, &started, || {
                 Server::new(&options, time_per_call, zones, endpoints)
             });
         };
         let thread = thread::Builder::new().name("discovery".into()).spawn(run)?;
-        has_started.recv().unwrap_or_else(|_| Err(io::Error::other("the discovery thread ended")))?;
-        Ok(DiscoveryServer { addresses, commands: Some(commands), thread: Some(thread) })
+        has_started
+            .recv()
+            .unwrap_or_else(|_| Err(io::Error::other("the discovery thread ended")))?;
+        Ok(DiscoveryServer {
+            addresses,
+            commands: Some(commands),
+            thread: Some(thread),
+        })
     }
 
     /// Where the sidecars of a zone find it. Addresses stay the same over an outage.
@@ -85,7 +97,10 @@
     /// No calls a second.
     pub fn set_calls_per_second(&self, calls_per_second: f64) -> io::Result<()> {
         let time_per_call = time_per_call(calls_per_second)?;
-        self.ask(|reply| Command::SetTimePerCall { time_per_call, reply });
+        self.ask(|reply| Command::SetTimePerCall {
+            time_per_call,
+            reply,
+        });
         Ok(())
     }
 
@@ -110,9 +125,16 @@
     /// # Panics
     /// The zone was not named at the start.
     pub fn set_silent(&self, zone: &ZoneName, silent: bool) {
-        assert!(self.addresses.contains_key(zone), "discovery has no zone {zone}");
+        assert!(
+            self.addresses.contains_key(zone),
+            "discovery has no zone {zone}"
+        );
         let zone = zone.clone();
-        self.ask(|reply| Command::SetSilent { zone, silent, reply });
+        self.ask(|reply| Command::SetSilent {
+            zone,
+            silent,
+            reply,
+        });
     }
 
     /// What it has done so far.
@@ -128,8 +150,13 @@
     /// Has the service's thread carry out a command and waits for its reply.
     fn ask<T>(&self, command: impl FnOnce(mpsc::SyncSender<T>) -> Command) -> T {
         let (reply, replied) = mpsc::sync_channel(1);
-        let commands = self.commands.as_ref().expect("the service ends only when it is dropped");
-        commands.send(command(reply)).expect("the discovery thread runs");
+        let commands = self
+            .commands
+            .as_ref()
+            .expect("the service ends only when it is dropped");
+        commands
+            .send(command(reply))
+            .expect("the discovery thread runs");
         replied.recv().expect("the discovery thread runs")
     }
 }
@@ -146,7 +173,12 @@
 }
 
 fn time_per_call(calls_per_second: f64) -> io::Result<Duration> {
-    let problem = || io::Error::new(io::ErrorKind::InvalidInput, "no sensible number of calls a second");
+    let problem = || {
+        io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "no sensible number of calls a second",
+        )
+    };
     if calls_per_second.is_nan() || calls_per_second <= 0.0 {
         return Err(problem());
     }
--- a/lab/src/discovery/protocol.rs
+++ b/lab/src/discovery/protocol.rs
@@ -16,7 +16,8 @@
 pub(super) const WATCH_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// The answer to a call that has waited too long.
-pub(super) const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+pub(super) const UNAVAILABLE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 /// The answer to a request for anything but the list.
 pub(super) const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 /// The answer to a request that is not understood, after which the connection is closed.
@@ -89,7 +90,8 @@
         "/v1/endpoints" => call(target.query().unwrap_or_default())?,
         _ => Call::NotFound,
     };
-    let closes = header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case(b"close"));
+    let closes =
+        header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case(b"close"));
     Ok(Request { call, closes })
 }
 
@@ -106,8 +108,12 @@
 }
 
 fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    let mut parameters = query.split('&').filter_map(|parameter| parameter.split_once('='));
-    parameters.find(|(parameter, _)| *parameter == name).map(|(_, value)| value)
+    let mut parameters = query
+        .split('&')
+        .filter_map(|parameter| parameter.split_once('='));
+    parameters
+        .find(|(parameter, _)| *parameter == name)
+        .map(|(_, value)| value)
 }
 
 fn has_body(head: &httparse::Request<'_, '_>) -> bool {
@@ -116,7 +122,10 @@
 }
 
 fn header<'a>(head: &httparse::Request<'_, 'a>, name: &str) -> Option<&'a [u8]> {
-    head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
+    head.headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case(name))
+        .map(|header| header.value)
 }
 
 /// The head of an answer with the whole list.
@@ -133,13 +142,27 @@
 }
 
 /// The whole list as one line.
-pub(super) fn whole_list<'a>(version: u64, endpoints: impl Iterator<Item = &'a EndpointEntry>) -> Vec<u8> {
-    line(&Message { index: version, snapshot: true, endpoints: endpoints.collect() })
+pub(super) fn whole_list<'a>(
+    version: u64,
+    endpoints: impl Iterator<Item = &'a EndpointEntry>,
+) -> Vec<u8> {
+    line(&Message {
+        index: version,
+        snapshot: true,
+        endpoints: endpoints.collect(),
+    })
 }
 
 /// Changes that lead to a version as one line.
-pub(super) fn changes<'a>(version: u64, changed: impl Iterator<Item = &'a EndpointEntry>) -> Vec<u8> {
-    line(&Message { index: version, snapshot: false, endpoints: changed.collect() })
+pub(super) fn changes<'a>(
+    version: u64,
+    changed: impl Iterator<Item = &'a EndpointEntry>,
+) -> Vec<u8> {
+    line(&Message {
+        index: version,
+        snapshot: false,
+        endpoints: changed.collect(),
+    })
 }
 
 fn line(message: &Message<'_>) -> Vec<u8> {
--- a/lab/src/discovery/registry.rs
+++ b/lab/src/discovery/registry.rs
@@ -69,7 +69,10 @@
             self.changes.pop_front();
         }
         self.serialized = Serialized::default();
-        Change { version: self.version, chunk }
+        Change {
+            version: self.version,
+            chunk,
+        }
     }
 
     /// The whole list as the body of an answer.
@@ -85,7 +88,10 @@
     /// The whole list as a chunk of a watch.
     pub(super) fn whole_list_chunk(&mut self) -> Bytes {
         let whole_list = self.whole_list();
-        self.serialized.whole_list_chunk.get_or_insert_with(|| protocol::chunk(&whole_list)).clone()
+        self.serialized
+            .whole_list_chunk
+            .get_or_insert_with(|| protocol::chunk(&whole_list))
+            .clone()
     }
 
     /// The first chunk of a watch: nothing if `since` is the current version, all changes after it as one object, or
--- a/lab/src/discovery/server.rs
+++ b/lab/src/discovery/server.rs
@@ -18,14 +18,34 @@
 
 /// What another thread wants done; the reply comes once it is.
 pub(super) enum Command {
-    Snapshot { reply: SyncSender<(u64, Vec<EndpointEntry>)> },
-    Publish { changes: Vec<EndpointEntry>, reply: SyncSender<u64> },
-    SetTimePerCall { time_per_call: Duration, reply: SyncSender<()> },
-    BeginOutage { reply: SyncSender<()> },
-    EndOutage { reply: SyncSender<io::Result<()>> },
-    SetSilent { zone: ZoneName, silent: bool, reply: SyncSender<()> },
-    Usage { reply: SyncSender<DiscoveryUsage> },
-    WatchesByZone { reply: SyncSender<BTreeMap<ZoneName, u64>> },
+    Snapshot {
+        reply: SyncSender<(u64, Vec<EndpointEntry>)>,
+    },
+    Publish {
+        changes: Vec<EndpointEntry>,
+        reply: SyncSender<u64>,
+    },
+    SetTimePerCall {
+        time_per_call: Duration,
+        reply: SyncSender<()>,
+    },
+    BeginOutage {
+        reply: SyncSender<()>,
+    },
+    EndOutage {
+        reply: SyncSender<io::Result<()>>,
+    },
+    SetSilent {
+        zone: ZoneName,
+        silent: bool,
+        reply: SyncSender<()>,
+    },
+    Usage {
+        reply: SyncSender<DiscoveryUsage>,
+    },
+    WatchesByZone {
+        reply: SyncSender<BTreeMap<ZoneName, u64>>,
+    },
 }
 
 /// The body of the service's thread. It tells whether it has started, and ends with the channel of commands.
@@ -64,11 +84,16 @@
         zones: Vec<Zone>,
         endpoints: Vec<EndpointEntry>,
     ) -> Self {
-        Server { service: Rc::new(Service::new(options, time_per_call, endpoints)), zones }
+        Server {
+            service: Rc::new(Service::new(options, time_per_call, endpoints)),
+            zones,
+        }
     }
 
     fn listen(&mut self) -> io::Result<()> {
-        self.zones.iter_mut().try_for_each(|zone| zone.listen(&self.service))
+        self.zones
+            .iter_mut()
+            .try_for_each(|zone| zone.listen(&self.service))
     }
 
     async fn carry_out_all(&mut self, mut commands: UnboundedReceiver<Command>) {
@@ -85,7 +110,10 @@
                 reply_to(&reply, (registry.version(), registry.endpoints()));
             }
             Command::Publish { changes, reply } => reply_to(&reply, self.service.publish(changes)),
-            Command::SetTimePerCall { time_per_call, reply } => {
+            Command::SetTimePerCall {
+                time_per_call,
+                reply,
+            } => {
                 self.service.set_time_per_call(time_per_call);
                 reply_to(&reply, ());
             }
@@ -94,7 +122,11 @@
                 reply_to(&reply, ());
             }
             Command::EndOutage { reply } => reply_to(&reply, self.listen()),
-            Command::SetSilent { zone, silent, reply } => {
+            Command::SetSilent {
+                zone,
+                silent,
+                reply,
+            } => {
                 if let Some(zone) = self.zones.iter_mut().find(|known| *known.name() == zone) {
                     zone.set_silent(silent).await;
                 }
@@ -121,7 +153,10 @@
     }
 
     fn watches_by_zone(&self) -> BTreeMap<ZoneName, u64> {
-        self.zones.iter().map(|zone| (zone.name().clone(), zone.watches())).collect()
+        self.zones
+            .iter()
+            .map(|zone| (zone.name().clone(), zone.watches()))
+            .collect()
     }
 }
 
--- a/lab/src/discovery/service.rs
+++ b/lab/src/discovery/service.rs
@@ -46,7 +46,11 @@
             heartbeat: options.heartbeat,
             registry: RefCell::new(Registry::new(endpoints, options.remembered_changes)),
             usage: RefCell::default(),
-            turns: RefCell::new(Turns::new(time_per_call, options.longest_wait, Instant::now())),
+            turns: RefCell::new(Turns::new(
+                time_per_call,
+                options.longest_wait,
+                Instant::now(),
+            )),
             waiting: Rc::default(),
             changes: broadcast::Sender::new(CHANGES_IN_FLIGHT),
         }
--- a/lab/src/discovery/turns.rs
+++ b/lab/src/discovery/turns.rs
@@ -27,7 +27,11 @@
 impl Turns {
     /// An empty queue.
     pub(super) fn new(time_per_call: Duration, longest_wait: Duration, now: Instant) -> Self {
-        Turns { time_per_call, longest_wait, next_turn: now }
+        Turns {
+            time_per_call,
+            longest_wait,
+            next_turn: now,
+        }
     }
 
     /// Takes a place in the queue for a call that has just come.
--- a/lab/src/discovery/zone.rs
+++ b/lab/src/discovery/zone.rs
@@ -32,8 +32,14 @@
     /// Takes an address of the system's choice.
     pub(super) fn reserve() -> io::Result<Self> {
         let socket = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-        let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(ReservedAddress { address, _socket: socket })
+        let address = socket
+            .local_addr()?
+            .as_socket()
+            .ok_or(io::ErrorKind::AddrNotAvailable)?;
+        Ok(ReservedAddress {
+            address,
+            _socket: socket,
+        })
     }
 
     /// The address.
@@ -71,8 +77,17 @@
 
 impl Zone {
     pub(super) fn new(name: ZoneName, address: ReservedAddress) -> Self {
-        let state = ZoneState { silent: watch::Sender::new(false), watches: Rc::default() };
-        Zone { name, address, state: Rc::new(state), connections: Rc::default(), listener: None }
+        let state = ZoneState {
+            silent: watch::Sender::new(false),
+            watches: Rc::default(),
+        };
+        Zone {
+            name,
+            address,
+            state: Rc::new(state),
+            connections: Rc::default(),
+            listener: None,
+        }
     }
 
     pub(super) fn name(&self) -> &ZoneName {
@@ -88,7 +103,12 @@
     pub(super) fn listen(&mut self, service: &Rc<Service>) -> io::Result<()> {
         if self.listener.is_none() {
             let listener = self.address.listen()?;
-            let accepting = accept(listener, self.connections.clone(), self.state.clone(), service.clone());
+            let accepting = accept(
+                listener,
+                self.connections.clone(),
+                self.state.clone(),
+                service.clone(),
+            );
             self.listener = Some(spawn_local(accepting));
         }
         Ok(())
@@ -118,7 +138,12 @@
     }
 }
 
-async fn accept(listener: TcpListener, connections: Connections, state: Rc<ZoneState>, service: Rc<Service>) {
+async fn accept(
+    listener: TcpListener,
+    connections: Connections,
+    state: Rc<ZoneState>,
+    service: Rc<Service>,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
--- a/lab/src/endpoint/connection.rs
+++ b/lab/src/endpoint/connection.rs
@@ -34,7 +34,9 @@
         let call_ids = Pcg64::new(random.random(), random.random());
         Self {
             pool: CorePool::new(&state.options, random),
-            downstream: state.next_sidecar.map(|sidecar| Downstream::new(sidecar, call_ids)),
+            downstream: state
+                .next_sidecar
+                .map(|sidecar| Downstream::new(sidecar, call_ids)),
             body: vec![BODY_BYTE; state.options.answer_bytes],
             state,
         }
@@ -42,8 +44,14 @@
 
     /// The load report that an answer carries, where answers carry one.
     fn load_report(&self) -> Option<LoadReport> {
-        let calls = self.downstream.as_ref().map_or(0, Downstream::calls_in_flight);
-        self.state.options.load_reports.then(|| self.pool.load_report(calls))
+        let calls = self
+            .downstream
+            .as_ref()
+            .map_or(0, Downstream::calls_in_flight);
+        self.state
+            .options
+            .load_reports
+            .then(|| self.pool.load_report(calls))
     }
 
     /// The answer to a probe; none if the request is none.
@@ -54,7 +62,11 @@
             _ => return None,
         };
         self.state.counters.probes.increment();
-        Some(if self.state.options.load_reports { answer } else { Answer::NotFound })
+        Some(if self.state.options.load_reports {
+            answer
+        } else {
+            Answer::NotFound
+        })
     }
 
     /// Works on a request that has a core, and calls the next tier where there is one.
@@ -115,7 +127,13 @@
     fn new(stream: TcpStream, endpoint: Rc<RunningEndpoint>) -> Self {
         endpoint.state.counters.connections.increment();
         endpoint.state.counters.connections_open.increment();
-        Self { stream, endpoint, input: BytesMut::new(), output: Vec::new(), resets: true }
+        Self {
+            stream,
+            endpoint,
+            input: BytesMut::new(),
+            output: Vec::new(),
+            resets: true,
+        }
     }
 
     async fn run(&mut self) -> io::Result<Ending> {
@@ -167,7 +185,9 @@
         if !request.has_id {
             return Some(Answer::NotFound);
         }
-        let deadline = request.time_left.and_then(|time_left| Instant::now().checked_add(time_left));
+        let deadline = request
+            .time_left
+            .and_then(|time_left| Instant::now().checked_add(time_left));
         let core = match endpoint.pool.admit() {
             Admission::Core(core) => core,
             Admission::Queued(place) => self.wait_for_core(place).await?,
--- a/lab/src/endpoint/downstream.rs
+++ b/lab/src/endpoint/downstream.rs
@@ -55,14 +55,22 @@
 impl CallError {
     /// Whether the connection had ended before the sidecar began to answer.
     fn is_unanswered(&self) -> bool {
-        matches!(self, CallError::Send(_) | CallError::Response(ResponseError::NoResponse))
+        matches!(
+            self,
+            CallError::Send(_) | CallError::Response(ResponseError::NoResponse)
+        )
     }
 }
 
 impl Downstream {
     /// Calls through this sidecar, with ids from these random numbers.
     pub fn new(sidecar: SocketAddr, ids: Pcg64) -> Self {
-        Self { sidecar, idle: RefCell::default(), in_flight: Cell::new(0), ids: RefCell::new(ids) }
+        Self {
+            sidecar,
+            idle: RefCell::default(),
+            in_flight: Cell::new(0),
+            ids: RefCell::new(ids),
+        }
     }
 
     /// Calls that wait for their answers.
@@ -71,13 +79,23 @@
     }
 
     /// Passes a request on with a new id and what is left of its time; an error unless the answer is 200.
-    pub async fn call(&self, request: &Request, deadline: Option<Instant>) -> Result<(), CallError> {
+    pub async fn call(
+        &self,
+        request: &Request,
+        deadline: Option<Instant>,
+    ) -> Result<(), CallError> {
         let time_left = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
         if time_left.is_some_and(|time_left| time_left.is_zero()) {
             return Err(CallError::NoTimeLeft);
         }
-        let longest = time_left.map_or(LONGEST_CALL, |time_left| time_left.saturating_add(DEADLINE_GRACE));
-        let call = Call { id: self.ids.borrow_mut().random(), request, deadline };
+        let longest = time_left.map_or(LONGEST_CALL, |time_left| {
+            time_left.saturating_add(DEADLINE_GRACE)
+        });
+        let call = Call {
+            id: self.ids.borrow_mut().random(),
+            request,
+            deadline,
+        };
         self.in_flight.set(self.in_flight.get() + 1);
         let response = tokio::time::timeout(longest, self.send(&call)).await;
         self.in_flight.set(self.in_flight.get() - 1);
@@ -100,7 +118,11 @@
         self.send_on(connection, call).await
     }
 
-    async fn send_on(&self, mut connection: CallConnection, call: &Call<'_>) -> Result<Response, CallError> {
+    async fn send_on(
+        &self,
+        mut connection: CallConnection,
+        call: &Call<'_>,
+    ) -> Result<Response, CallError> {
         let response = connection.exchange(call).await?;
         if response.keeps_connection {
             self.keep(connection);
@@ -137,7 +159,13 @@
 impl Call<'_> {
     /// Writes the whole call to the end of the output.
     fn write(&self, output: &mut Vec<u8>) -> io::Result<()> {
-        let Request { method, path, class, body, .. } = self.request;
+        let Request {
+            method,
+            path,
+            class,
+            body,
+            ..
+        } = self.request;
         write!(
             output,
             "{method} {path} HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: {:016x}\r\n",
@@ -170,7 +198,11 @@
     async fn open(sidecar: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(sidecar).await?;
         stream.set_nodelay(true)?;
-        Ok(Self { stream, input: BytesMut::new(), output: Vec::new() })
+        Ok(Self {
+            stream,
+            input: BytesMut::new(),
+            output: Vec::new(),
+        })
     }
 
     async fn exchange(&mut self, call: &Call<'_>) -> Result<Response, CallError> {
--- a/lab/src/endpoint/handle.rs
+++ b/lab/src/endpoint/handle.rs
@@ -34,10 +34,18 @@
     /// No threads could be had.
     pub fn start(threads: usize, seed: u64) -> io::Result<Self> {
         if threads == 0 {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "a host needs a thread"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "a host needs a thread",
+            ));
         }
-        let threads = (0..threads).map(|number| HostThread::start(number, seed)).collect::<Result<_, _>>()?;
-        Ok(Self { threads, endpoints: AtomicU64::new(0) })
+        let threads = (0..threads)
+            .map(|number| HostThread::start(number, seed))
+            .collect::<Result<_, _>>()?;
+        Ok(Self {
+            threads,
+            endpoints: AtomicU64::new(0),
+        })
     }
 
     /// Starts an endpoint. With a `next_sidecar` it answers a request only after a call through that sidecar, with a
@@ -52,11 +60,16 @@
         options: EndpointOptions,
         next_sidecar: Option<SocketAddr>,
     ) -> io::Result<EndpointHandle> {
-        options.check().map_err(|problem| io::Error::new(io::ErrorKind::InvalidInput, problem))?;
+        options
+            .check()
+            .map_err(|problem| io::Error::new(io::ErrorKind::InvalidInput, problem))?;
         let number = self.endpoints.fetch_add(1, Ordering::Relaxed);
         let thread = &self.threads[number as usize % self.threads.len()];
         let state = EndpointState::new(number, name, zone, options, next_sidecar)?;
-        let handle = EndpointHandle { state: Arc::new(state), thread: thread.commands() };
+        let handle = EndpointHandle {
+            state: Arc::new(state),
+            thread: thread.commands(),
+        };
         handle.listen()?;
         Ok(handle)
     }
--- a/lab/src/endpoint/host.rs
+++ b/lab/src/endpoint/host.rs
@@ -19,9 +19,15 @@
 /// What a host's thread is told.
 enum Command {
     /// Run an endpoint on this listener.
-    Run { state: Arc<EndpointState>, listener: TcpListener },
+    Run {
+        state: Arc<EndpointState>,
+        listener: TcpListener,
+    },
     /// Stop an endpoint if it runs, and tell when that is done.
-    Stop { number: u64, stopped: blocking_mpsc::Sender<()> },
+    Stop {
+        number: u64,
+        stopped: blocking_mpsc::Sender<()>,
+    },
     /// End the thread with all its endpoints.
     End,
 }
@@ -55,12 +61,18 @@
 
 impl HostThread {
     pub fn start(number: usize, host_seed: u64) -> io::Result<Self> {
-        let runtime = Builder::new_current_thread().enable_io().enable_time().build()?;
+        let runtime = Builder::new_current_thread()
+            .enable_io()
+            .enable_time()
+            .build()?;
         let (sender, receiver) = mpsc::unbounded_channel();
         let thread = thread::Builder::new()
             .name(format!("endpoints-{number}"))
             .spawn(move || run_thread(&runtime, receiver, host_seed))?;
-        Ok(Self { commands: CommandSender(sender), thread: Some(thread) })
+        Ok(Self {
+            commands: CommandSender(sender),
+            thread: Some(thread),
+        })
     }
 
     pub fn commands(&self) -> CommandSender {
--- a/lab/src/endpoint/message.rs
+++ b/lab/src/endpoint/message.rs
@@ -51,7 +51,11 @@
         let mut head = httparse::Request::new(&mut headers);
         let status = head.parse(buffer).map_err(|_| RequestError::Malformed)?;
         let httparse::Status::Complete(head_length) = status else {
-            return if buffer.len() > MAX_HEAD_BYTES { Err(RequestError::TooLarge) } else { Ok(None) };
+            return if buffer.len() > MAX_HEAD_BYTES {
+                Err(RequestError::TooLarge)
+            } else {
+                Ok(None)
+            };
         };
         let (mut request, body_length) = Self::from_head(&head)?;
         if buffer.len() < head_length + body_length {
@@ -126,16 +130,31 @@
 
 impl Answer {
     /// Writes the whole answer to the end of the output.
-    pub fn write(self, output: &mut Vec<u8>, own_body: &[u8], report: Option<LoadReport>, closes: bool) {
-        let report_text = if self == Answer::Load { report.map(|report| report.to_string()) } else { None };
+    pub fn write(
+        self,
+        output: &mut Vec<u8>,
+        own_body: &[u8],
+        report: Option<LoadReport>,
+        closes: bool,
+    ) {
+        let report_text = if self == Answer::Load {
+            report.map(|report| report.to_string())
+        } else {
+            None
+        };
         let body = match self {
             Answer::Served => own_body,
             Answer::Load => report_text.as_deref().unwrap_or_default().as_bytes(),
             _ => b"",
         };
         const CANNOT_FAIL: &str = "memory can be written to";
-        write!(output, "HTTP/1.1 {}\r\nContent-Length: {}\r\n", self.status(), body.len())
-            .expect(CANNOT_FAIL);
+        write!(
+            output,
+            "HTTP/1.1 {}\r\nContent-Length: {}\r\n",
+            self.status(),
+            body.len()
+        )
+        .expect(CANNOT_FAIL);
         if let Some(report) = report {
             write!(output, "X-Load: {report}\r\n").expect(CANNOT_FAIL);
         }
--- a/lab/src/endpoint/options.rs
+++ b/lab/src/endpoint/options.rs
@@ -63,7 +63,10 @@
         if !(0.0..=1.0).contains(&self.error_share) {
             return Err("error_share must be from 0 to 1");
         }
-        if self.cold_ramp.is_some_and(|ramp| !(ramp.from > 0.0 && ramp.from <= 1.0)) {
+        if self
+            .cold_ramp
+            .is_some_and(|ramp| !(ramp.from > 0.0 && ramp.from <= 1.0))
+        {
             return Err("cold_ramp.from must be above 0 and at most 1");
         }
         let milliseconds = match self.service_time {
--- a/lab/src/endpoint/response.rs
+++ b/lab/src/endpoint/response.rs
@@ -63,7 +63,10 @@
         Framing::UntilClose => reader.skip_all().await,
     }
     let keeps_connection = !head.closes && !matches!(head.framing, Framing::UntilClose);
-    Ok(Response { status: head.status, keeps_connection })
+    Ok(Response {
+        status: head.status,
+        keeps_connection,
+    })
 }
 
 struct ResponseReader<'connection> {
@@ -153,8 +156,11 @@
         return Ok(None);
     };
     let status = parsed.code.unwrap_or_default();
-    let mut head =
-        ResponseHead { status, framing: default_framing(status), closes: parsed.version == Some(0) };
+    let mut head = ResponseHead {
+        status,
+        framing: default_framing(status),
+        closes: parsed.version == Some(0),
+    };
     for header in parsed.headers.iter() {
         if header.name.eq_ignore_ascii_case("content-length") {
             head.framing = Framing::Length(parse_length(header.value)?);
@@ -172,7 +178,8 @@
 /// them is missing.
 fn take_trailers(buffer: &mut BytesMut) -> Result<bool, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let httparse::Status::Complete((length, _)) = httparse::parse_headers(buffer, &mut headers)? else {
+    let httparse::Status::Complete((length, _)) = httparse::parse_headers(buffer, &mut headers)?
+    else {
         return Ok(false);
     };
     buffer.advance(length);
--- a/lab/src/endpoint/state.rs
+++ b/lab/src/endpoint/state.rs
@@ -41,7 +41,11 @@
         next_sidecar: Option<SocketAddr>,
     ) -> io::Result<Self> {
         let (reservation, address) = reserve_address()?;
-        let since_ms = if options.cold_ramp.is_some() { unix_milliseconds() } else { 0 };
+        let since_ms = if options.cold_ramp.is_some() {
+            unix_milliseconds()
+        } else {
+            0
+        };
         Ok(Self {
             number,
             name,
@@ -117,7 +121,9 @@
 }
 
 fn unix_milliseconds() -> u64 {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since_epoch = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
--- a/lab/src/endpoint/work.rs
+++ b/lab/src/endpoint/work.rs
@@ -54,7 +54,10 @@
             permits: Semaphore::new(options.cores as usize),
             queued: Cell::new(0),
             busy: Cell::new(0),
-            utilisation: Cell::new(Utilisation { average: 0.0, at: started }),
+            utilisation: Cell::new(Utilisation {
+                average: 0.0,
+                at: started,
+            }),
             lateness: Cell::new(Duration::ZERO),
             random: RefCell::new(random),
         }
@@ -97,14 +100,17 @@
                 mean_milliseconds * unit_exponential
             }
         };
-        let capacity = self.ramp.map_or(1.0, |ramp| ramp.capacity(self.started.elapsed()));
+        let capacity = self
+            .ramp
+            .map_or(1.0, |ramp| ramp.capacity(self.started.elapsed()));
         Duration::from_secs_f64(milliseconds / 1000.0 / capacity)
     }
 
     /// Accounts for the time since the last change of the number of busy cores.
     fn update_utilisation(&self) {
         let busy_share = f64::from(self.busy.get()) / f64::from(self.cores);
-        self.utilisation.set(self.utilisation.get().advanced(busy_share, Instant::now()));
+        self.utilisation
+            .set(self.utilisation.get().advanced(busy_share, Instant::now()));
     }
 }
 
@@ -127,7 +133,12 @@
 impl<'pool> QueuePlace<'pool> {
     /// Waits for a core; requests get theirs in the order in which they came.
     pub async fn core(self) -> Core<'pool> {
-        let permit = self.pool.permits.acquire().await.expect("the semaphore is never closed");
+        let permit = self
+            .pool
+            .permits
+            .acquire()
+            .await
+            .expect("the semaphore is never closed");
         Core::occupy(self.pool, permit)
     }
 }
@@ -148,7 +159,10 @@
     fn occupy(pool: &'pool CorePool, permit: SemaphorePermit<'pool>) -> Self {
         pool.update_utilisation();
         pool.busy.set(pool.busy.get() + 1);
-        Self { pool, _permit: permit }
+        Self {
+            pool,
+            _permit: permit,
+        }
     }
 
     /// Works on the request. Timers fire at whole milliseconds, always late; the lateness of one work is taken off
@@ -163,7 +177,10 @@
         }
         let begun = Instant::now();
         tokio::time::sleep(planned).await;
-        let late = begun.elapsed().saturating_sub(planned).min(LONGEST_CARRIED_LATENESS);
+        let late = begun
+            .elapsed()
+            .saturating_sub(planned)
+            .min(LONGEST_CARRIED_LATENESS);
         self.pool.lateness.set(self.pool.lateness.get() + late);
     }
 }
@@ -187,7 +204,10 @@
     fn advanced(self, busy_share: f64, now: Instant) -> Self {
         let elapsed = now.saturating_duration_since(self.at);
         let kept = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
-        Self { average: busy_share + (self.average - busy_share) * kept, at: now }
+        Self {
+            average: busy_share + (self.average - busy_share) * kept,
+            at: now,
+        }
     }
 }
 
@@ -201,7 +221,14 @@
 
 impl fmt::Display for LoadReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { in_flight, queued, utilisation } = self;
-        write!(formatter, "TEXT inflight={in_flight}, queue={queued}, util={utilisation:.2}")
+        let Self {
+            in_flight,
+            queued,
+            utilisation,
+        } = self;
+        write!(
+            formatter,
+            "TEXT inflight={in_flight}, queue={queued}, util={utilisation:.2}"
+        )
     }
 }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -256,7 +256,10 @@
 
 /// One line for each fault, each with the file's path.
 fn value_lines(path: &Path, faults: &[ValueFault]) -> String {
-    let lines: Vec<String> = faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect();
+    let lines: Vec<String> = faults
+        .iter()
+        .map(|fault| format!("{}: {fault}", path.display()))
+        .collect();
     lines.join("\n")
 }
 
@@ -267,13 +270,19 @@
     /// It cannot be read or is no experiment, or values make no sense.
     pub fn load(path: &Path) -> Result<Self, ExperimentError> {
         let text = fs::read_to_string(path).map_err(|source| read_error(path, source))?;
-        let experiment: Experiment = toml::from_str(&text)
-            .map_err(|source| ExperimentError::Parse { path: path.into(), source: Box::new(source) })?;
+        let experiment: Experiment =
+            toml::from_str(&text).map_err(|source| ExperimentError::Parse {
+                path: path.into(),
+                source: Box::new(source),
+            })?;
         let faults = check::faults(&experiment);
         if faults.is_empty() {
             Ok(experiment)
         } else {
-            Err(ExperimentError::Values { path: path.into(), faults })
+            Err(ExperimentError::Values {
+                path: path.into(),
+                faults,
+            })
         }
     }
 
@@ -285,7 +294,10 @@
         let mut paths = Vec::new();
         for entry in fs::read_dir(folder).map_err(|source| read_error(folder, source))? {
             let path = entry.map_err(|source| read_error(folder, source))?.path();
-            if path.extension().is_some_and(|extension| extension == "toml") {
+            if path
+                .extension()
+                .is_some_and(|extension| extension == "toml")
+            {
                 paths.push(path);
             }
         }
@@ -295,5 +307,8 @@
 }
 
 fn read_error(path: &Path, source: io::Error) -> ExperimentError {
-    ExperimentError::Read { path: path.into(), source }
+    ExperimentError::Read {
+        path: path.into(),
+        source,
+    }
 }
--- a/lab/src/experiment/check.rs
+++ b/lab/src/experiment/check.rs
@@ -57,13 +57,20 @@
 impl Faults {
     fn require(&mut self, field: &str, holds: bool, problem: impl Into<String>) {
         if !holds {
-            self.0.push(ValueFault { field: field.into(), problem: problem.into() });
+            self.0.push(ValueFault {
+                field: field.into(),
+                problem: problem.into(),
+            });
         }
     }
 
     fn within(&mut self, field: &str, value: impl Into<f64>, bounds: RangeInclusive<f64>) {
         let value = value.into();
-        let problem = format!("is {value}, not from {} to {}", bounds.start(), bounds.end());
+        let problem = format!(
+            "is {value}, not from {} to {}",
+            bounds.start(),
+            bounds.end()
+        );
         self.require(field, bounds.contains(&value), problem);
     }
 
@@ -93,7 +100,11 @@
     fn sizes<T: Copy + Into<f64>>(&mut self, field: &str, sizes: &[T], most: f64) {
         let sizes: Vec<f64> = sizes.iter().map(|size| (*size).into()).collect();
         self.require(field, !sizes.is_empty(), "is empty");
-        self.require(field, sizes.windows(2).all(|pair| pair[0] < pair[1]), "is not increasing");
+        self.require(
+            field,
+            sizes.windows(2).all(|pair| pair[0] < pair[1]),
+            "is not increasing",
+        );
         for size in sizes {
             self.positive(field, size, most);
         }
@@ -103,7 +114,11 @@
 fn added_latency(plan: &AddedLatency, faults: &mut Faults) {
     faults.count("measure.endpoints", plan.endpoints, MOST_ENDPOINTS);
     faults.sizes("measure.rates", &plan.rates, HIGHEST_RATE);
-    faults.within("measure.changes_per_second", plan.changes_per_second, 0.0..=1_000.0);
+    faults.within(
+        "measure.changes_per_second",
+        plan.changes_per_second,
+        0.0..=1_000.0,
+    );
     faults.share("measure.unsafe_share", plan.unsafe_share);
     endpoint_options(&plan.endpoint, faults);
     faults.seconds_or_none("measure.warm_up_seconds", plan.warm_up_seconds);
@@ -112,7 +127,11 @@
 
 fn added_latency_by_depth(plan: &AddedLatencyByDepth, faults: &mut Faults) {
     chain(&plan.depths, plan.endpoints_per_tier, faults);
-    faults.positive("measure.calls_per_second", plan.calls_per_second, HIGHEST_RATE);
+    faults.positive(
+        "measure.calls_per_second",
+        plan.calls_per_second,
+        HIGHEST_RATE,
+    );
     endpoint_options(&plan.endpoint, faults);
     faults.seconds_or_none("measure.warm_up_seconds", plan.warm_up_seconds);
     faults.seconds("measure.seconds", plan.seconds);
@@ -120,7 +139,11 @@
 
 fn retry_amplification(plan: &RetryAmplification, faults: &mut Faults) {
     chain(&plan.depths, plan.endpoints_per_tier, faults);
-    faults.positive("measure.calls_per_second", plan.calls_per_second, HIGHEST_RATE);
+    faults.positive(
+        "measure.calls_per_second",
+        plan.calls_per_second,
+        HIGHEST_RATE,
+    );
     faults.share("measure.error_share", plan.error_share);
     endpoint_options(&plan.endpoint, faults);
     faults.seconds("measure.seconds", plan.seconds);
@@ -129,7 +152,11 @@
 /// Chains in which each endpoint but those of the last tier has a sidecar of its own.
 fn chain(depths: &[u32], endpoints_per_tier: u32, faults: &mut Faults) {
     faults.sizes("measure.depths", depths, MOST_TIERS.into());
-    faults.count("measure.endpoints_per_tier", endpoints_per_tier, MOST_ENDPOINTS);
+    faults.count(
+        "measure.endpoints_per_tier",
+        endpoints_per_tier,
+        MOST_ENDPOINTS,
+    );
     let deepest = depths.iter().copied().max().unwrap_or(0);
     let processes = 1 + u64::from(deepest.saturating_sub(1)) * u64::from(endpoints_per_tier);
     let problem = format!("needs {processes} sidecar processes, more than {MOST_PROCESSES}");
@@ -138,8 +165,16 @@
 
 fn memory(plan: &Memory, faults: &mut Faults) {
     faults.sizes("measure.endpoints", &plan.endpoints, MOST_ENDPOINTS.into());
-    faults.sizes("measure.open_requests", &plan.open_requests, MOST_HELD.into());
-    faults.sizes("measure.caller_connections", &plan.caller_connections, MOST_HELD.into());
+    faults.sizes(
+        "measure.open_requests",
+        &plan.open_requests,
+        MOST_HELD.into(),
+    );
+    faults.sizes(
+        "measure.caller_connections",
+        &plan.caller_connections,
+        MOST_HELD.into(),
+    );
 }
 
 fn control_cost(plan: &ControlCost, faults: &mut Faults) {
@@ -169,11 +204,20 @@
 
 fn failures(plan: &Failures, faults: &mut Faults) {
     topology(&plan.topology, faults);
-    faults.within("measure.calls_per_second", plan.calls_per_second, 0.0..=HIGHEST_RATE);
+    faults.within(
+        "measure.calls_per_second",
+        plan.calls_per_second,
+        0.0..=HIGHEST_RATE,
+    );
     discovery("measure.discovery", &plan.discovery, faults);
     faults.require("measure.faults", !plan.faults.is_empty(), "is empty");
     for (place, fault) in plan.faults.iter().enumerate() {
-        fault_size(&format!("measure.faults.{place}"), fault, plan.topology.endpoints, faults);
+        fault_size(
+            &format!("measure.faults.{place}"),
+            fault,
+            plan.topology.endpoints,
+            faults,
+        );
     }
     faults.seconds("measure.fault_seconds", plan.fault_seconds);
     faults.seconds_or_none("measure.rest_seconds", plan.rest_seconds);
@@ -182,18 +226,33 @@
 fn fleet(plan: &Fleet, faults: &mut Faults) {
     faults.sizes("measure.fleet.sizes", &plan.sizes, MOST_SIDECARS.into());
     faults.count("measure.fleet.endpoints", plan.endpoints, MOST_ENDPOINTS);
-    faults.within("measure.fleet.calls_per_second", plan.calls_per_second, 0.0..=HIGHEST_RATE);
+    faults.within(
+        "measure.fleet.calls_per_second",
+        plan.calls_per_second,
+        0.0..=HIGHEST_RATE,
+    );
     discovery("measure.fleet.discovery", &plan.discovery, faults);
 }
 
 fn discovery(field: &str, capacity: &DiscoveryCapacity, faults: &mut Faults) {
-    faults.positive(&format!("{field}.calls_per_second"), capacity.calls_per_second, HIGHEST_RATE);
-    faults.seconds(&format!("{field}.longest_wait_seconds"), capacity.longest_wait_seconds);
+    faults.positive(
+        &format!("{field}.calls_per_second"),
+        capacity.calls_per_second,
+        HIGHEST_RATE,
+    );
+    faults.seconds(
+        &format!("{field}.longest_wait_seconds"),
+        capacity.longest_wait_seconds,
+    );
 }
 
 fn topology(size: &TopologySize, faults: &mut Faults) {
     faults.count("measure.topology.regions", size.regions, 16);
-    faults.count("measure.topology.zones_per_region", size.zones_per_region, 16);
+    faults.count(
+        "measure.topology.zones_per_region",
+        size.zones_per_region,
+        16,
+    );
     faults.count("measure.topology.racks_per_zone", size.racks_per_zone, 64);
     faults.count("measure.topology.services", size.services, MOST_SIDECARS);
     faults.count("measure.topology.endpoints", size.endpoints, MOST_SIDECARS);
@@ -218,17 +277,24 @@
         faults.share("measure.endpoint.cold_ramp.from", ramp.from);
     }
     let body_fits = options.answer_bytes <= LARGEST_BODY as usize;
-    faults.require("measure.endpoint.answer_bytes", body_fits, format!("is above {LARGEST_BODY}"));
+    faults.require(
+        "measure.endpoint.answer_bytes",
+        body_fits,
+        format!("is above {LARGEST_BODY}"),
+    );
     faults.share("measure.endpoint.error_share", options.error_share);
 }
 
 fn service_time(service_time: ServiceTime, faults: &mut Faults) {
     let (field, milliseconds) = match service_time {
         ServiceTime::None => return,
-        ServiceTime::Fixed { milliseconds } => ("measure.endpoint.service_time.milliseconds", milliseconds),
-        ServiceTime::Exponential { mean_milliseconds } => {
-            ("measure.endpoint.service_time.mean_milliseconds", mean_milliseconds)
+        ServiceTime::Fixed { milliseconds } => {
+            ("measure.endpoint.service_time.milliseconds", milliseconds)
         }
+        ServiceTime::Exponential { mean_milliseconds } => (
+            "measure.endpoint.service_time.mean_milliseconds",
+            mean_milliseconds,
+        ),
     };
     faults.within(field, milliseconds, 0.0..=LONGEST_SERVICE_MILLISECONDS);
 }
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -66,40 +66,75 @@
 
 fn machines_impact(topology: &Topology, count: u32, random: &mut Pcg64) -> Impact {
     let hit = topology.placements.sample(random, count as usize);
-    Impact { endpoints: hit.map(|placement| placement.endpoint.clone()).collect(), ..Impact::default() }
+    Impact {
+        endpoints: hit.map(|placement| placement.endpoint.clone()).collect(),
+        ..Impact::default()
+    }
 }
 
 fn rack_impact(topology: &Topology, random: &mut Pcg64) -> Impact {
-    let Some(rack) = choose(topology.placements.iter().map(|placement| &placement.rack), random) else {
+    let Some(rack) = choose(
+        topology.placements.iter().map(|placement| &placement.rack),
+        random,
+    ) else {
         return Impact::default();
     };
     let endpoints = endpoints_where(topology, |placement| placement.rack == rack);
-    Impact { endpoints, rack: Some(rack), ..Impact::default() }
+    Impact {
+        endpoints,
+        rack: Some(rack),
+        ..Impact::default()
+    }
 }
 
 fn zone_impact(topology: &Topology, random: &mut Pcg64) -> Impact {
-    let Some(zone) = choose(topology.zones.iter(), random) else { return Impact::default() };
+    let Some(zone) = choose(topology.zones.iter(), random) else {
+        return Impact::default();
+    };
     let endpoints = endpoints_where(topology, |placement| placement.zone == zone);
-    Impact { endpoints, silent_zones: vec![zone], ..Impact::default() }
+    Impact {
+        endpoints,
+        silent_zones: vec![zone],
+        ..Impact::default()
+    }
 }
 
 fn region_impact(topology: &Topology, random: &mut Pcg64) -> Impact {
-    let Some(region) = choose(topology.placements.iter().map(|placement| &placement.region), random) else {
+    let Some(region) = choose(
+        topology
+            .placements
+            .iter()
+            .map(|placement| &placement.region),
+        random,
+    ) else {
         return Impact::default();
     };
-    let in_region = topology.placements.iter().filter(|placement| placement.region == region);
+    let in_region = topology
+        .placements
+        .iter()
+        .filter(|placement| placement.region == region);
     let zones: BTreeSet<&ZoneName> = in_region.map(|placement| &placement.zone).collect();
     let silent_zones = zones.into_iter().cloned().collect();
-    Impact { silent_zones, region: Some(region), ..Impact::default() }
+    Impact {
+        silent_zones,
+        region: Some(region),
+        ..Impact::default()
+    }
 }
 
 /// One of these, each with the same chance however often it occurs.
-fn choose<'a, T: Clone + Ord + 'a>(from: impl Iterator<Item = &'a T>, random: &mut Pcg64) -> Option<T> {
+fn choose<'a, T: Clone + Ord + 'a>(
+    from: impl Iterator<Item = &'a T>,
+    random: &mut Pcg64,
+) -> Option<T> {
     let distinct: BTreeSet<&T> = from.collect();
     distinct.into_iter().choose(random).cloned()
 }
 
 fn endpoints_where(topology: &Topology, is_hit: impl Fn(&Placement) -> bool) -> Vec<EndpointName> {
-    let hit = topology.placements.iter().filter(|placement| is_hit(placement));
+    let hit = topology
+        .placements
+        .iter()
+        .filter(|placement| is_hit(placement));
     hit.map(|placement| placement.endpoint.clone()).collect()
 }
--- a/lab/src/limits.rs
+++ b/lab/src/limits.rs
@@ -6,7 +6,13 @@
 /// Raises the soft limit of descriptors to the hard one: fleets and callers hold thousands of sockets.
 pub fn raise_descriptors() {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
-    match setrlimit(Resource::Nofile, Rlimit { current: maximum, maximum }) {
+    match setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: maximum,
+            maximum,
+        },
+    ) {
         Ok(()) => debug!(from = ?current, to = ?maximum, "raised the soft limit of descriptors"),
         Err(error) => warn!(%error, "could not raise the soft limit of descriptors"),
     }
--- a/lab/src/measure/process.rs
+++ b/lab/src/measure/process.rs
@@ -54,7 +54,10 @@
 fn memory(status: &Status) -> io::Result<(u64, u64)> {
     match (status.rssanon, status.vmrss) {
         (Some(anonymous), Some(resident)) => Ok((anonymous * KIBIBYTE, resident * KIBIBYTE)),
-        _ => Err(io::Error::new(io::ErrorKind::NotFound, "the process has ended")),
+        _ => Err(io::Error::new(
+            io::ErrorKind::NotFound,
+            "the process has ended",
+        )),
     }
 }
 
--- a/lab/src/measure/slope.rs
+++ b/lab/src/measure/slope.rs
@@ -33,9 +33,14 @@
         }
         let mean_size = mean(points.iter().map(|point| point.size));
         let mean_value = mean(points.iter().map(|point| point.value));
-        let size_squares: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
-        let products: f64 =
-            points.iter().map(|point| (point.size - mean_size) * (point.value - mean_value)).sum();
+        let size_squares: f64 = points
+            .iter()
+            .map(|point| (point.size - mean_size).powi(2))
+            .sum();
+        let products: f64 = points
+            .iter()
+            .map(|point| (point.size - mean_size) * (point.value - mean_value))
+            .sum();
         let per_unit = products / size_squares;
         let line = Slope {
             intercept: mean_value - per_unit * mean_size,
@@ -61,11 +66,17 @@
 
     /// 1 - R².
     fn unexplained_part(&self, points: &[Point], mean_value: f64) -> f64 {
-        let value_squares: f64 = points.iter().map(|point| (point.value - mean_value).powi(2)).sum();
+        let value_squares: f64 = points
+            .iter()
+            .map(|point| (point.value - mean_value).powi(2))
+            .sum();
         if value_squares == 0.0 {
             return 0.0;
         }
-        let residual_squares: f64 = self.residuals(points).map(|residual| residual.powi(2)).sum();
+        let residual_squares: f64 = self
+            .residuals(points)
+            .map(|residual| residual.powi(2))
+            .sum();
         (residual_squares / value_squares).clamp(0.0, 1.0)
     }
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -84,8 +84,12 @@
 impl ExperimentReport {
     /// This experiment's section of the report.
     pub fn markdown(&self) -> String {
-        let mut text =
-            format!("## {}\n\nSeed {}, {} s.\n", escape(&self.experiment), self.seed, number(self.seconds));
+        let mut text = format!(
+            "## {}\n\nSeed {}, {} s.\n",
+            escape(&self.experiment),
+            self.seed,
+            number(self.seconds)
+        );
         for figure in &self.figures {
             push_figure(&mut text, figure);
         }
@@ -103,7 +107,11 @@
         escape(&figure.unit)
     ));
     for point in &figure.points {
-        text.push_str(&format!("| {} | {} |\n", number(point.size), number(point.value)));
+        text.push_str(&format!(
+            "| {} | {} |\n",
+            number(point.size),
+            number(point.value)
+        ));
     }
     if let Some(note) = &figure.note {
         text.push_str(&format!("\n{note}\n"));
--- a/lab/src/scenario/chain.rs
+++ b/lab/src/scenario/chain.rs
@@ -4,8 +4,8 @@
 use super::context::RunContext;
 use super::findings::ScenarioError;
 use super::single::{
-    CALLER_DEADLINE, Place, add_endpoint, configuration, start_discovery, start_host, start_sidecar,
-    wait_until_ready,
+    CALLER_DEADLINE, Place, add_endpoint, configuration, start_discovery, start_host,
+    start_sidecar, wait_until_ready,
 };
 use crate::discovery::DiscoveryServer;
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
@@ -43,13 +43,23 @@
 
 impl Chain {
     /// Starts a chain from its last tier on, as an endpoint has to know its sidecar, and waits until it is ready.
-    pub(super) fn start(options: &ChainOptions, context: &RunContext) -> Result<Self, ScenarioError> {
-        let mut chain = Chain { tiers: Vec::new(), host: start_host(options.seed)? };
+    pub(super) fn start(
+        options: &ChainOptions,
+        context: &RunContext,
+    ) -> Result<Self, ScenarioError> {
+        let mut chain = Chain {
+            tiers: Vec::new(),
+            host: start_host(options.seed)?,
+        };
         for tier in (0..options.depth).rev() {
             let tier = chain.start_tier(tier, options, context)?;
             chain.tiers.push(tier);
         }
-        chain.tiers.iter().flat_map(|tier| &tier.sidecars).try_for_each(wait_until_ready)?;
+        chain
+            .tiers
+            .iter()
+            .flat_map(|tier| &tier.sidecars)
+            .try_for_each(wait_until_ready)?;
         Ok(chain)
     }
 
@@ -60,23 +70,48 @@
         context: &RunContext,
     ) -> Result<Tier, ScenarioError> {
         let is_last = self.tiers.is_empty();
-        let behaviour = if is_last { options.last_endpoint } else { options.endpoint };
+        let behaviour = if is_last {
+            options.last_endpoint
+        } else {
+            options.endpoint
+        };
         let next_sidecars = self.tiers.last().map_or(&[][..], |next| &next.sidecars);
         let endpoints = (0..options.endpoints_per_tier as usize)
             .map(|number| {
                 let next = next_sidecars.get(number).map(SidecarProcess::address);
-                add_endpoint(&self.host, &format!("endpoint-{tier}-{number}"), behaviour, next)
+                add_endpoint(
+                    &self.host,
+                    &format!("endpoint-{tier}-{number}"),
+                    behaviour,
+                    next,
+                )
             })
             .collect::<Result<Vec<_>, _>>()?;
         let discovery = start_discovery(&endpoints)?;
-        let sidecars = if tier == 0 { 1 } else { options.endpoints_per_tier };
+        let sidecars = if tier == 0 {
+            1
+        } else {
+            options.endpoints_per_tier
+        };
         let sidecars = (0..sidecars)
             .map(|number| {
-                let place = Place { tier, tiers: options.depth, number, sidecars };
-                start_sidecar(&configuration(&discovery, place, CALLER_DEADLINE, options.seed), context)
+                let place = Place {
+                    tier,
+                    tiers: options.depth,
+                    number,
+                    sidecars,
+                };
+                start_sidecar(
+                    &configuration(&discovery, place, CALLER_DEADLINE, options.seed),
+                    context,
+                )
             })
             .collect::<Result<Vec<_>, _>>()?;
-        Ok(Tier { sidecars, _discovery: discovery, endpoints })
+        Ok(Tier {
+            sidecars,
+            _discovery: discovery,
+            endpoints,
+        })
     }
 
     /// Where callers of the first tier connect.
@@ -86,7 +121,11 @@
 
     /// Requests that came to the endpoints of the last tier.
     pub(super) fn last_requests(&self) -> u64 {
-        self.tiers[0].endpoints.iter().map(|endpoint| endpoint.usage().requests).sum()
+        self.tiers[0]
+            .endpoints
+            .iter()
+            .map(|endpoint| endpoint.usage().requests)
+            .sum()
     }
 }
 
--- a/lab/src/scenario/control_cost.rs
+++ b/lab/src/scenario/control_cost.rs
@@ -29,7 +29,11 @@
     error_share: 0.0,
 };
 
-pub(super) fn run(plan: &ControlCost, seed: u64, context: &RunContext) -> Result<Findings, ScenarioError> {
+pub(super) fn run(
+    plan: &ControlCost,
+    seed: u64,
+    context: &RunContext,
+) -> Result<Findings, ScenarioError> {
     let period = Duration::from_secs_f64(plan.seconds);
     let mut findings = Findings::default();
     {
@@ -39,9 +43,15 @@
             thread::sleep(period);
             Ok(())
         })?;
-        findings.figures.extend(idle_figures(plan.endpoints, &idle, period));
-        findings.figures.extend(changes(plan, &single, &idle, period)?);
-        findings.figures.extend(reloads(plan, &single, &idle, period)?);
+        findings
+            .figures
+            .extend(idle_figures(plan.endpoints, &idle, period));
+        findings
+            .figures
+            .extend(changes(plan, &single, &idle, period)?);
+        findings
+            .figures
+            .extend(reloads(plan, &single, &idle, period)?);
     }
     probes(plan, seed, context, period, &mut findings)?;
     Ok(findings)
@@ -63,7 +73,10 @@
         let bytes = single.discovery.usage().bytes_written;
         action()?;
         Ok(Cost {
-            processor_time: single.usage()?.processor_time.saturating_sub(usage.processor_time),
+            processor_time: single
+                .usage()?
+                .processor_time
+                .saturating_sub(usage.processor_time),
             watch_bytes: single.discovery.usage().bytes_written - bytes,
         })
     }
@@ -79,8 +92,19 @@
     }
 }
 
-fn start(endpoints: u32, probes: bool, seed: u64, context: &RunContext) -> Result<Single, ScenarioError> {
-    let options = SingleOptions { endpoints, endpoint: &ENDPOINT, deadline: CALLER_DEADLINE, probes, seed };
+fn start(
+    endpoints: u32,
+    probes: bool,
+    seed: u64,
+    context: &RunContext,
+) -> Result<Single, ScenarioError> {
+    let options = SingleOptions {
+        endpoints,
+        endpoint: &ENDPOINT,
+        deadline: CALLER_DEADLINE,
+        probes,
+        seed,
+    };
     Single::start(&options, context)
 }
 
@@ -89,8 +113,18 @@
     let size = f64::from(endpoints);
     let mut series = Series::over("endpoints");
     let microseconds = idle.processor_time.as_secs_f64() * 1e6;
-    series.add("idle processor time a second", "µs", size, microseconds / seconds);
-    series.add("idle watch a second", "bytes", size, idle.watch_bytes as f64 / seconds);
+    series.add(
+        "idle processor time a second",
+        "µs",
+        size,
+        microseconds / seconds,
+    );
+    series.add(
+        "idle watch a second",
+        "bytes",
+        size,
+        idle.watch_bytes as f64 / seconds,
+    );
     series.with_slopes()
 }
 
@@ -116,18 +150,26 @@
     idle: &Cost,
     period: Duration,
 ) -> Result<Vec<Figure>, ScenarioError> {
-    let mut entries: Vec<EndpointEntry> = single.endpoints.iter().map(EndpointHandle::entry).collect();
+    let mut entries: Vec<EndpointEntry> =
+        single.endpoints.iter().map(EndpointHandle::entry).collect();
     let mut series = Series::over("changes");
     for count in &plan.changes {
         let cost = Cost::over(single, || {
             spread(*count, period, |number| {
                 let place = number % entries.len();
-                single.discovery.publish(vec![toggle_weight(&mut entries[place])]);
+                single
+                    .discovery
+                    .publish(vec![toggle_weight(&mut entries[place])]);
                 Ok(())
             })
         })?;
         let size = f64::from(*count);
-        series.add("processor time for changes", "ms", size, cost.milliseconds_beyond(idle));
+        series.add(
+            "processor time for changes",
+            "ms",
+            size,
+            cost.milliseconds_beyond(idle),
+        );
         series.add("watch for changes", "bytes", size, cost.bytes_beyond(idle));
     }
     Ok(series.with_slopes())
@@ -145,11 +187,23 @@
         let cost = Cost::over(single, || {
             spread(*count, period, |_| {
                 let worth = &mut configuration.classes[0].worth;
-                *worth = if *worth == CHANGED_WORTH { 1.0 } else { CHANGED_WORTH };
-                single.sidecar.reload(&configuration).map_err(ScenarioError::step("reload"))
+                *worth = if *worth == CHANGED_WORTH {
+                    1.0
+                } else {
+                    CHANGED_WORTH
+                };
+                single
+                    .sidecar
+                    .reload(&configuration)
+                    .map_err(ScenarioError::step("reload"))
             })
         })?;
-        series.add("processor time for reloads", "ms", f64::from(*count), cost.milliseconds_beyond(idle));
+        series.add(
+            "processor time for reloads",
+            "ms",
+            f64::from(*count),
+            cost.milliseconds_beyond(idle),
+        );
     }
     series.note(
         "processor time for reloads",
@@ -173,10 +227,25 @@
         let with = call_cost(&probing, *rate, period, seed, &mut findings.problems)?;
         let without = call_cost(&reported, *rate, period, seed, &mut findings.problems)?;
         series.add("probes a call", "1", *rate, with.probes / with.calls);
-        series.add("probes a second", "1", *rate, with.probes / period.as_secs_f64());
-        series.add("processor time a call with probes", "µs", *rate, with.microseconds / with.calls);
+        series.add(
+            "probes a second",
+            "1",
+            *rate,
+            with.probes / period.as_secs_f64(),
+        );
+        series.add(
+            "processor time a call with probes",
+            "µs",
+            *rate,
+            with.microseconds / with.calls,
+        );
         let microseconds = without.microseconds / without.calls;
-        series.add("processor time a call without probes", "µs", *rate, microseconds);
+        series.add(
+            "processor time a call without probes",
+            "µs",
+            *rate,
+            microseconds,
+        );
     }
     findings.figures.extend(series.with_slopes());
     Ok(())
@@ -203,13 +272,22 @@
         is_unsafe: false,
         deadline: CALLER_DEADLINE,
     };
-    let load = LoadPlan { targets: vec![target], warm_up: Duration::ZERO, duration: period, seed };
+    let load = LoadPlan {
+        targets: vec![target],
+        warm_up: Duration::ZERO,
+        duration: period,
+        seed,
+    };
     let probes = single.endpoint_probes();
     let mut calls = 0;
     let cost = Cost::over(single, || {
         for result in caller::run(&load).map_err(ScenarioError::step("run the callers"))? {
             calls += result.sent;
-            let what = if single.configuration.probes { "with probes" } else { "without probes" };
+            let what = if single.configuration.probes {
+                "with probes"
+            } else {
+                "without probes"
+            };
             problems.extend(unserved(&format!("{what} at {rate} calls/s"), &result));
         }
         Ok(())
--- a/lab/src/scenario/depth.rs
+++ b/lab/src/scenario/depth.rs
@@ -29,7 +29,9 @@
         let chain = Chain::start(&options, context)?;
         let straight = start_straight_chain(&chain.host, *depth, &plan.endpoint)?;
         let load = LoadPlan {
-            targets: [straight, chain.address()].map(|to| target(to, plan.calls_per_second)).into(),
+            targets: [straight, chain.address()]
+                .map(|to| target(to, plan.calls_per_second))
+                .into(),
             warm_up: Duration::from_secs_f64(plan.warm_up_seconds),
             duration: Duration::from_secs_f64(plan.seconds),
             seed,
@@ -40,9 +42,15 @@
         };
         add_latencies(&mut series, f64::from(*depth), straight, through);
         problems.extend(unserved(&format!("straight over {depth} tiers"), straight));
-        problems.extend(unserved(&format!("through sidecars over {depth} tiers"), through));
+        problems.extend(unserved(
+            &format!("through sidecars over {depth} tiers"),
+            through,
+        ));
     }
-    Ok(Findings { figures: series.with_slopes(), problems })
+    Ok(Findings {
+        figures: series.with_slopes(),
+        problems,
+    })
 }
 
 fn add_latencies(series: &mut Series, depth: f64, straight: &TargetResult, through: &TargetResult) {
@@ -51,7 +59,12 @@
         let through_ms = quantile_ms(&through.latencies, quantile);
         series.add(&format!("straight {name}"), "ms", depth, straight_ms);
         series.add(&format!("through {name}"), "ms", depth, through_ms);
-        series.add(&format!("added {name}"), "ms", depth, through_ms - straight_ms);
+        series.add(
+            &format!("added {name}"),
+            "ms",
+            depth,
+            through_ms - straight_ms,
+        );
     }
 }
 
@@ -61,7 +74,10 @@
     context: &RunContext,
 ) -> Result<Findings, ScenarioError> {
     let mut series = Series::over("tiers");
-    let failing = EndpointOptions { error_share: plan.error_share, ..plan.endpoint.clone() };
+    let failing = EndpointOptions {
+        error_share: plan.error_share,
+        ..plan.endpoint.clone()
+    };
     for depth in &plan.depths {
         let options = ChainOptions {
             depth: *depth,
@@ -81,10 +97,18 @@
         let calls = results.iter().map(|result| result.sent).sum::<u64>().max(1) as f64;
         let served = results.iter().map(|result| result.served).sum::<u64>() as f64;
         let size = f64::from(*depth);
-        series.add("attempts at the last tier a call", "1", size, chain.last_requests() as f64 / calls);
+        series.add(
+            "attempts at the last tier a call",
+            "1",
+            size,
+            chain.last_requests() as f64 / calls,
+        );
         series.add("served share", "1", size, served / calls);
     }
-    Ok(Findings { figures: series.with_slopes(), problems: Vec::new() })
+    Ok(Findings {
+        figures: series.with_slopes(),
+        problems: Vec::new(),
+    })
 }
 
 fn run_callers(load: &LoadPlan) -> Result<Vec<TargetResult>, ScenarioError> {
--- a/lab/src/scenario/failures.rs
+++ b/lab/src/scenario/failures.rs
@@ -39,23 +39,37 @@
     record(&mut series, 0, &measure_rest(&fleet, rest));
     for (number, fault) in (1..).zip(&plan.faults) {
         let impact = fault.impact(&topology, seed.wrapping_add(number));
-        record(&mut series, number, &measure_fault(&injector, fault, &impact, rest));
+        record(
+            &mut series,
+            number,
+            &measure_fault(&injector, fault, &impact, rest),
+        );
         descriptions.push(format!("{number}: {}", describe(fault, &impact)));
     }
     series.note_all(&format!("{}.", descriptions.join("; ")));
-    Ok(Findings { figures: series.without_slopes(), problems: Vec::new() })
+    Ok(Findings {
+        figures: series.without_slopes(),
+        problems: Vec::new(),
+    })
 }
 
 /// A fleet with one sidecar for each endpoint of the topology, in the endpoint's zone.
 fn fleet_plan(plan: &Failures, topology: &Topology, seed: u64) -> FleetPlan {
     let placements = &topology.placements;
     let entries = (0..).zip(placements).map(|(number, placement)| {
-        endpoint_entry(placement.endpoint.to_string(), placement.zone.clone(), number)
+        endpoint_entry(
+            placement.endpoint.to_string(),
+            placement.zone.clone(),
+            number,
+        )
     });
     FleetPlan {
         zones: topology.zones.clone(),
         endpoints: entries.collect(),
-        sidecar_zones: placements.iter().map(|placement| placement.zone.clone()).collect(),
+        sidecar_zones: placements
+            .iter()
+            .map(|placement| placement.zone.clone())
+            .collect(),
         known: KnownEndpoints::All,
         calls_per_second: plan.calls_per_second,
         lists_are_pushed: true,
@@ -72,14 +86,24 @@
 }
 
 /// What a fault costs from its start until the rest after it is over and the list is current again.
-fn measure_fault(injector: &FaultInjector, fault: &Fault, impact: &Impact, rest: Duration) -> FaultCost {
+fn measure_fault(
+    injector: &FaultInjector,
+    fault: &Fault,
+    impact: &Impact,
+    rest: Duration,
+) -> FaultCost {
     let fleet = injector.fleet;
     let from = fleet.current_second();
     let last_version = injector.inject(fault, impact);
     let ended = Instant::now();
-    let current = fleet.sidecars.wait_for_version(last_version, ended, LONGEST_UNTIL_CURRENT);
+    let current = fleet
+        .sidecars
+        .wait_for_version(last_version, ended, LONGEST_UNTIL_CURRENT);
     thread::sleep(rest.saturating_sub(ended.elapsed()));
-    FaultCost { current: Some(current), ..FaultCost::over(&fleet.seconds_since(from)) }
+    FaultCost {
+        current: Some(current),
+        ..FaultCost::over(&fleet.seconds_since(from))
+    }
 }
 
 fn describe(fault: &Fault, impact: &Impact) -> String {
@@ -88,7 +112,9 @@
         Fault::Machines { .. } => format!("{machines} machines vanish"),
         Fault::Restarts { wave, .. } => format!("{machines} machines restart, {wave} at once"),
         Fault::Rack => format!("a rack with {machines} machines vanishes"),
-        Fault::Zone => format!("a zone with {machines} machines vanishes, its discovery address is silent"),
+        Fault::Zone => {
+            format!("a zone with {machines} machines vanishes, its discovery address is silent")
+        }
         Fault::RegionCut => format!(
             "a region of {} zones is cut off from discovery, but not from the other region's endpoints",
             impact.silent_zones.len()
--- a/lab/src/scenario/failures/cost.rs
+++ b/lab/src/scenario/failures/cost.rs
@@ -34,7 +34,9 @@
     /// What these seconds cost.
     pub fn over(seconds: &[HollowSecond]) -> Self {
         let total = |count: fn(&HollowSecond) -> u64| seconds.iter().map(count).sum();
-        let last_bad = seconds.iter().rposition(|second| share(second) >= RECOVERED_SHARE);
+        let last_bad = seconds
+            .iter()
+            .rposition(|second| share(second) >= RECOVERED_SHARE);
         FaultCost {
             calls: total(|second| second.calls),
             not_served: total(|second| second.not_served),
@@ -72,12 +74,32 @@
     let mut add = |name: &str, unit: &str, value: f64| series.add(name, unit, number, value);
     add("calls", "calls", cost.calls as f64);
     add("calls not served", "calls", cost.not_served as f64);
-    add("calls not served, share", "share", ratio(cost.not_served, cost.calls));
-    add("calls not served, share in the worst second", "share", cost.worst_share);
-    add("until less than 1 in 100 is not served", "s", cost.seconds_until_recovered as f64);
+    add(
+        "calls not served, share",
+        "share",
+        ratio(cost.not_served, cost.calls),
+    );
+    add(
+        "calls not served, share in the worst second",
+        "share",
+        cost.worst_share,
+    );
+    add(
+        "until less than 1 in 100 is not served",
+        "s",
+        cost.seconds_until_recovered as f64,
+    );
     add("attempts", "attempts", cost.attempts as f64);
-    add("attempts beyond one", "a call", further_attempts(cost.attempts, cost.calls));
-    add("attempts beyond one in the worst second", "a call", cost.worst_further_attempts);
+    add(
+        "attempts beyond one",
+        "a call",
+        further_attempts(cost.attempts, cost.calls),
+    );
+    add(
+        "attempts beyond one in the worst second",
+        "a call",
+        cost.worst_further_attempts,
+    );
     if let Some(current) = &cost.current {
         add_arrivals(
             series,
--- a/lab/src/scenario/failures/injection.rs
+++ b/lab/src/scenario/failures/injection.rs
@@ -104,11 +104,14 @@
             EndpointStatus::Serving => now_ms(),
             EndpointStatus::Draining | EndpointStatus::Deleted => 0,
         };
-        let entries = self.numbers(endpoints).into_iter().map(|number| EndpointEntry {
-            status,
-            since_ms,
-            ..self.endpoints[number].clone()
-        });
+        let entries = self
+            .numbers(endpoints)
+            .into_iter()
+            .map(|number| EndpointEntry {
+                status,
+                since_ms,
+                ..self.endpoints[number].clone()
+            });
         self.fleet.discovery.publish(entries.collect())
     }
 
@@ -116,11 +119,16 @@
     fn numbers(&self, endpoints: &[EndpointName]) -> Vec<usize> {
         let names: BTreeSet<&str> = endpoints.iter().map(EndpointName::as_str).collect();
         let places = self.endpoints.iter().enumerate();
-        places.filter(|(_, entry)| names.contains(entry.name.as_str())).map(|(number, _)| number).collect()
+        places
+            .filter(|(_, entry)| names.contains(entry.name.as_str()))
+            .map(|(number, _)| number)
+            .collect()
     }
 }
 
 fn now_ms() -> u64 {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since_epoch = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     since_epoch.as_millis() as u64
 }
--- a/lab/src/scenario/fleet.rs
+++ b/lab/src/scenario/fleet.rs
@@ -99,11 +99,17 @@
     /// # Errors
     /// Something could not be started, or a sidecar did not watch in time.
     pub fn start(self) -> Result<RunningFleet, ScenarioError> {
-        let discovery = DiscoveryServer::start(self.discovery_options(), &self.zones, self.endpoints.clone())
-            .map_err(ScenarioError::step("starting discovery"))?;
+        let discovery = DiscoveryServer::start(
+            self.discovery_options(),
+            &self.zones,
+            self.endpoints.clone(),
+        )
+        .map_err(ScenarioError::step("starting discovery"))?;
         let started = Instant::now();
-        let load =
-            HollowLoad { calls_per_second: self.calls_per_second, mean_service_time: MEAN_SERVICE_TIME };
+        let load = HollowLoad {
+            calls_per_second: self.calls_per_second,
+            mean_service_time: MEAN_SERVICE_TIME,
+        };
         let sidecars = HollowFleet::start_with_rates(
             self.configurations(&discovery),
             load,
@@ -114,13 +120,20 @@
         let watching = sidecars.wait_until_watching(started, START_PATIENCE);
         let size = self.sidecar_zones.len();
         if watching.missing > 0 {
-            let problem = format!("{} of {size} sidecars had no watch in time", watching.missing);
+            let problem = format!(
+                "{} of {size} sidecars had no watch in time",
+                watching.missing
+            );
             return Err(ScenarioError::NotReached(problem));
         }
         discovery
             .set_calls_per_second(self.capacity.calls_per_second)
             .map_err(ScenarioError::step("setting discovery's capacity"))?;
-        Ok(RunningFleet { sidecars, discovery, size })
+        Ok(RunningFleet {
+            sidecars,
+            discovery,
+            size,
+        })
     }
 
     fn discovery_options(&self) -> DiscoveryOptions {
@@ -175,7 +188,11 @@
     pub fn publish_change(&self, number: u32) -> u64 {
         let (_, endpoints) = self.discovery.snapshot();
         let mut entry = endpoints[number as usize % endpoints.len()].clone();
-        entry.weight = if entry.weight == WEIGHT { CHANGED_WEIGHT } else { WEIGHT };
+        entry.weight = if entry.weight == WEIGHT {
+            CHANGED_WEIGHT
+        } else {
+            WEIGHT
+        };
         self.discovery.publish(vec![entry])
     }
 
@@ -208,7 +225,12 @@
 }
 
 fn request_class() -> RequestClass {
-    RequestClass { name: "safe".to_owned(), is_unsafe: false, worth: 1.0, deadline: CALL_DEADLINE }
+    RequestClass {
+        name: "safe".to_owned(),
+        is_unsafe: false,
+        worth: 1.0,
+        deadline: CALL_DEADLINE,
+    }
 }
 
 /// What the mean rate is multiplied by for a sidecar; the multiples of ten sidecars in a row add up to ten.
--- a/lab/src/scenario/fleet/figures.rs
+++ b/lab/src/scenario/fleet/figures.rs
@@ -29,7 +29,12 @@
             series.leave_without_line(&name);
         }
     }
-    series.add(&format!("{what}: missing"), "sidecars", size, arrivals.missing as f64);
+    series.add(
+        &format!("{what}: missing"),
+        "sidecars",
+        size,
+        arrivals.missing as f64,
+    );
 }
 
 /// Adds what discovery was called for each sidecar between two readings of its usage.
@@ -43,7 +48,11 @@
     let counts = [
         ("connections", before.connections, after.connections),
         ("lists", before.lists, after.lists),
-        ("watches opened", before.watches_opened, after.watches_opened),
+        (
+            "watches opened",
+            before.watches_opened,
+            after.watches_opened,
+        ),
         ("calls rejected", before.rejected, after.rejected),
         ("calls abandoned", before.abandoned, after.abandoned),
     ];
--- a/lab/src/scenario/fleet_restart.rs
+++ b/lab/src/scenario/fleet_restart.rs
@@ -9,11 +9,12 @@
 /// The shares of a fleet whose arrival is reported.
 const SHARES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
 /// What the sidecars' configurations hold, and how figures call it.
-const VARIANTS: [(KnownEndpoints, &str); 2] =
-    [(KnownEndpoints::All, "endpoints known"), (KnownEndpoints::None, "none known")];
+const VARIANTS: [(KnownEndpoints, &str); 2] = [
+    (KnownEndpoints::All, "endpoints known"),
+    (KnownEndpoints::None, "none known"),
+];
 /// What keeps sidecars that know endpoints from being ready at once.
-const READY_NOTE: &str =
-    "All decision modules start on two threads of one process, and the time that takes is included.";
+const READY_NOTE: &str = "All decision modules start on two threads of one process, and the time that takes is included.";
 
 pub(super) fn run(plan: &FleetRestart, seed: u64) -> Result<Findings, ScenarioError> {
     let mut series = Series::over("sidecars");
@@ -26,7 +27,10 @@
     for (label, _) in SHARES {
         series.note(&format!("ready, endpoints known: {label}"), READY_NOTE);
     }
-    Ok(Findings { figures: series.with_slopes(), problems: Vec::new() })
+    Ok(Findings {
+        figures: series.with_slopes(),
+        problems: Vec::new(),
+    })
 }
 
 /// Restarts all sidecars at once and waits until all are ready and watch.
@@ -42,7 +46,27 @@
     let watching = fleet.sidecars.wait_until_watching(restarted, longest);
     let after = fleet.discovery.usage();
 
-    add_arrivals(series, &format!("ready, {label}"), &SHARES, size, &ready, longest);
-    add_arrivals(series, &format!("watching, {label}"), &SHARES, size, &watching, longest);
-    add_discovery_calls(series, &format!("until all watch, {label}"), size, &before, &after);
+    add_arrivals(
+        series,
+        &format!("ready, {label}"),
+        &SHARES,
+        size,
+        &ready,
+        longest,
+    );
+    add_arrivals(
+        series,
+        &format!("watching, {label}"),
+        &SHARES,
+        size,
+        &watching,
+        longest,
+    );
+    add_discovery_calls(
+        series,
+        &format!("until all watch, {label}"),
+        size,
+        &before,
+        &after,
+    );
 }
--- a/lab/src/scenario/held.rs
+++ b/lab/src/scenario/held.rs
@@ -22,7 +22,11 @@
 impl HeldConnections {
     /// None yet.
     pub(super) fn new(address: SocketAddr, deadline: Duration) -> Self {
-        HeldConnections { address, deadline, connections: Vec::new() }
+        HeldConnections {
+            address,
+            deadline,
+            connections: Vec::new(),
+        }
     }
 
     /// Opens connections until there are so many, each with a request that is unsafe to repeat and whose answer is not
@@ -59,7 +63,11 @@
     fn request(&self, method: &str, class: &str) -> String {
         let number = self.connections.len();
         let deadline = self.deadline.as_secs_f64();
-        let length = if method == "POST" { "Content-Length: 0\r\n" } else { "" };
+        let length = if method == "POST" {
+            "Content-Length: 0\r\n"
+        } else {
+            ""
+        };
         format!(
             "{method} /api HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: {number:016x}\r\n\
              X-Class: {class}\r\nX-Deadline: {deadline:.3}\r\n{length}\r\n"
@@ -94,9 +102,17 @@
         return Ok(None);
     };
     if response.code != Some(200) {
-        return Err(io::Error::other(format!("answered {}", response.code.unwrap_or_default())));
+        return Err(io::Error::other(format!(
+            "answered {}",
+            response.code.unwrap_or_default()
+        )));
     }
-    let length = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
+    let length = response
+        .headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case("content-length"));
     let length = length.and_then(|header| str::from_utf8(header.value).ok()?.parse::<usize>().ok());
-    length.map(|length| Some(head + length)).ok_or_else(|| io::Error::other("the answer tells no length"))
+    length
+        .map(|length| Some(head + length))
+        .ok_or_else(|| io::Error::other("the answer tells no length"))
 }
--- a/lab/src/scenario/latency.rs
+++ b/lab/src/scenario/latency.rs
@@ -19,7 +19,11 @@
 /// The weight that a change gives an endpoint, in turn with its own.
 const CHANGED_WEIGHT: f64 = 0.9;
 
-pub(super) fn run(plan: &AddedLatency, seed: u64, context: &RunContext) -> Result<Findings, ScenarioError> {
+pub(super) fn run(
+    plan: &AddedLatency,
+    seed: u64,
+    context: &RunContext,
+) -> Result<Findings, ScenarioError> {
     let options = SingleOptions {
         endpoints: plan.endpoints,
         endpoint: &plan.endpoint,
@@ -38,17 +42,29 @@
         problems.extend(find_problems(*rate, &measured));
     }
     add_notes(&mut series);
-    Ok(Findings { figures: series.with_slopes(), problems })
+    Ok(Findings {
+        figures: series.with_slopes(),
+        problems,
+    })
 }
 
 fn add_notes(series: &mut Series) {
-    series.note("through p99.9", "The longest one where fewer than 1,000 calls were measured.");
-    series.note("unsafe added p99", "The longest one where fewer than 100 unsafe calls were measured.");
+    series.note(
+        "through p99.9",
+        "The longest one where fewer than 1,000 calls were measured.",
+    );
+    series.note(
+        "unsafe added p99",
+        "The longest one where fewer than 100 unsafe calls were measured.",
+    );
     series.note(
         "processor time a call",
         "Over warm-up and measurement, divided by the attempts that the sidecar made.",
     );
-    series.note("resident memory", "It grows with the connections that are open, which `descriptors` tells.");
+    series.note(
+        "resident memory",
+        "It grows with the connections that are open, which `descriptors` tells.",
+    );
 }
 
 /// What was measured at one rate.
@@ -72,8 +88,10 @@
     straight: SocketAddr,
 ) -> LoadPlan {
     let unsafe_rate = rate * plan.unsafe_share;
-    let mut targets =
-        vec![target(straight, rate, SAFE_CLASS), target(sidecar, rate - unsafe_rate, SAFE_CLASS)];
+    let mut targets = vec![
+        target(straight, rate, SAFE_CLASS),
+        target(sidecar, rate - unsafe_rate, SAFE_CLASS),
+    ];
     if unsafe_rate > 0.0 {
         targets.push(target(sidecar, unsafe_rate, UNSAFE_CLASS));
     }
@@ -95,23 +113,41 @@
     }
 }
 
-fn measure(single: &Single, load: &LoadPlan, changes_per_second: f64) -> Result<Measured, ScenarioError> {
+fn measure(
+    single: &Single,
+    load: &LoadPlan,
+    changes_per_second: f64,
+) -> Result<Measured, ScenarioError> {
     let usage_before = single.usage()?;
     let attempts_before = single.figure("upstream_requests")?;
     let connections_before = single.endpoint_connections();
-    let results = run_with_changes(load, changes_per_second, &single.discovery, &single.endpoints)
-        .map_err(ScenarioError::step("run the callers"))?;
+    let results = run_with_changes(
+        load,
+        changes_per_second,
+        &single.discovery,
+        &single.endpoints,
+    )
+    .map_err(ScenarioError::step("run the callers"))?;
     let usage = single.usage()?;
     let mut results = results.into_iter();
-    let mut next =
-        || results.next().ok_or_else(|| ScenarioError::NotReached("a result for each target".into()));
+    let mut next = || {
+        results
+            .next()
+            .ok_or_else(|| ScenarioError::NotReached("a result for each target".into()))
+    };
     Ok(Measured {
         straight: next()?,
         through: next()?,
         through_unsafe: next().ok(),
-        processor_time: usage.processor_time.saturating_sub(usage_before.processor_time),
-        attempts: single.figure("upstream_requests")?.saturating_sub(attempts_before),
-        connections: single.endpoint_connections().saturating_sub(connections_before),
+        processor_time: usage
+            .processor_time
+            .saturating_sub(usage_before.processor_time),
+        attempts: single
+            .figure("upstream_requests")?
+            .saturating_sub(attempts_before),
+        connections: single
+            .endpoint_connections()
+            .saturating_sub(connections_before),
         usage,
     })
 }
@@ -131,7 +167,9 @@
     thread::scope(|scope| {
         let callers = scope.spawn(|| caller::run(load));
         publish_changes(discovery, entries, period, || callers.is_finished());
-        callers.join().unwrap_or_else(|_| Err(io::Error::other("the callers' thread panicked")))
+        callers
+            .join()
+            .unwrap_or_else(|_| Err(io::Error::other("the callers' thread panicked")))
     })
 }
 
@@ -155,12 +193,21 @@
 
 /// Changes an endpoint's weight, or changes it back.
 pub(super) fn toggle_weight(entry: &mut EndpointEntry) -> EndpointEntry {
-    entry.weight = if entry.weight == CHANGED_WEIGHT { 1.0 } else { CHANGED_WEIGHT };
+    entry.weight = if entry.weight == CHANGED_WEIGHT {
+        1.0
+    } else {
+        CHANGED_WEIGHT
+    };
     entry.clone()
 }
 
 fn add_figures(series: &mut Series, rate: f64, measured: &Measured) {
-    let Measured { straight, through, through_unsafe, .. } = measured;
+    let Measured {
+        straight,
+        through,
+        through_unsafe,
+        ..
+    } = measured;
     let straight_ms = |quantile| quantile_ms(&straight.latencies, quantile);
     let through_ms = |quantile| quantile_ms(&through.latencies, quantile);
     series.add("straight p50", "ms", rate, straight_ms(0.5));
@@ -169,11 +216,26 @@
     series.add("through p99", "ms", rate, through_ms(0.99));
     series.add("through p99.9", "ms", rate, through_ms(0.999));
     series.add("added p50", "ms", rate, through_ms(0.5) - straight_ms(0.5));
-    series.add("added p99", "ms", rate, through_ms(0.99) - straight_ms(0.99));
+    series.add(
+        "added p99",
+        "ms",
+        rate,
+        through_ms(0.99) - straight_ms(0.99),
+    );
     if let Some(through_unsafe) = through_unsafe {
         let unsafe_ms = |quantile| quantile_ms(&through_unsafe.latencies, quantile);
-        series.add("unsafe added p50", "ms", rate, unsafe_ms(0.5) - straight_ms(0.5));
-        series.add("unsafe added p99", "ms", rate, unsafe_ms(0.99) - straight_ms(0.99));
+        series.add(
+            "unsafe added p50",
+            "ms",
+            rate,
+            unsafe_ms(0.5) - straight_ms(0.5),
+        );
+        series.add(
+            "unsafe added p99",
+            "ms",
+            rate,
+            unsafe_ms(0.99) - straight_ms(0.99),
+        );
     }
     add_costs(series, rate, measured);
 }
@@ -182,14 +244,34 @@
     let attempts = measured.attempts.max(1) as f64;
     let microseconds = measured.processor_time.as_secs_f64() * 1e6;
     series.add("processor time a call", "µs", rate, microseconds / attempts);
-    series.add("connections opened to endpoints a call", "1", rate, measured.connections as f64 / attempts);
-    series.add("resident memory", "MB", rate, measured.usage.resident_bytes as f64 / 1e6);
+    series.add(
+        "connections opened to endpoints a call",
+        "1",
+        rate,
+        measured.connections as f64 / attempts,
+    );
+    series.add(
+        "resident memory",
+        "MB",
+        rate,
+        measured.usage.resident_bytes as f64 / 1e6,
+    );
     series.add("descriptors", "1", rate, measured.usage.descriptors as f64);
-    series.add("connections that callers opened", "1", rate, measured.through.connections as f64);
+    series.add(
+        "connections that callers opened",
+        "1",
+        rate,
+        measured.through.connections as f64,
+    );
 }
 
 fn find_problems(rate: f64, measured: &Measured) -> Vec<String> {
-    let Measured { straight, through, through_unsafe, .. } = measured;
+    let Measured {
+        straight,
+        through,
+        through_unsafe,
+        ..
+    } = measured;
     let targets = [
         ("straight", Some(straight)),
         ("through the sidecar", Some(through)),
--- a/lab/src/scenario/memory.rs
+++ b/lab/src/scenario/memory.rs
@@ -22,7 +22,11 @@
 /// The time between two looks at a state that is waited for.
 const LOOK: Duration = Duration::from_millis(20);
 
-pub(super) fn run(plan: &Memory, seed: u64, context: &RunContext) -> Result<Findings, ScenarioError> {
+pub(super) fn run(
+    plan: &Memory,
+    seed: u64,
+    context: &RunContext,
+) -> Result<Findings, ScenarioError> {
     let mut findings = Findings::default();
     by_endpoints(plan, seed, context, &mut findings)?;
     by_open_requests(plan, seed, context, &mut findings)?;
@@ -38,10 +42,21 @@
 ) -> Result<(), ScenarioError> {
     let mut series = Series::over("listed endpoints");
     for endpoints in &plan.endpoints {
-        let single = start(*endpoints, ServiceTime::None, CALLER_DEADLINE, seed, context)?;
+        let single = start(
+            *endpoints,
+            ServiceTime::None,
+            CALLER_DEADLINE,
+            seed,
+            context,
+        )?;
         thread::sleep(SETTLE);
         let usage = single.usage()?;
-        add(&mut series, "memory by endpoints", f64::from(*endpoints), &usage);
+        add(
+            &mut series,
+            "memory by endpoints",
+            f64::from(*endpoints),
+            &usage,
+        );
     }
     findings.figures.extend(series.with_slopes());
     Ok(())
@@ -53,17 +68,27 @@
     context: &RunContext,
     findings: &mut Findings,
 ) -> Result<(), ScenarioError> {
-    let service_time = ServiceTime::Fixed { milliseconds: HOLD.as_secs_f64() * 1e3 };
+    let service_time = ServiceTime::Fixed {
+        milliseconds: HOLD.as_secs_f64() * 1e3,
+    };
     let single = start(FEW_ENDPOINTS, service_time, HOLD, seed, context)?;
     let mut held = HeldConnections::new(single.sidecar.address(), HOLD);
     let mut series = Series::over("open requests");
     for count in &plan.open_requests {
-        held.open_requests(*count as usize).map_err(ScenarioError::step("open requests"))?;
+        held.open_requests(*count as usize)
+            .map_err(ScenarioError::step("open requests"))?;
         let open = wait_for_pending(&single, u64::from(*count))?;
         thread::sleep(SETTLE);
-        add(&mut series, "memory by open requests", open as f64, &single.usage()?);
+        add(
+            &mut series,
+            "memory by open requests",
+            open as f64,
+            &single.usage()?,
+        );
         if open < u64::from(*count) {
-            findings.problems.push(format!("of {count} requests {open} were open at once"));
+            findings
+                .problems
+                .push(format!("of {count} requests {open} were open at once"));
         }
     }
     findings.figures.extend(series.with_slopes());
@@ -76,17 +101,31 @@
     context: &RunContext,
     findings: &mut Findings,
 ) -> Result<(), ScenarioError> {
-    let single = start(FEW_ENDPOINTS, ServiceTime::None, CALLER_DEADLINE, seed, context)?;
+    let single = start(
+        FEW_ENDPOINTS,
+        ServiceTime::None,
+        CALLER_DEADLINE,
+        seed,
+        context,
+    )?;
     let mut held = HeldConnections::new(single.sidecar.address(), CALLER_DEADLINE);
     let mut series = Series::over("idle callers' connections");
     for count in &plan.caller_connections {
-        held.open_idle(*count as usize).map_err(ScenarioError::step("open callers' connections"))?;
+        held.open_idle(*count as usize)
+            .map_err(ScenarioError::step("open callers' connections"))?;
         thread::sleep(SETTLE);
         let usage = single.usage()?;
-        add(&mut series, "memory by callers' connections", f64::from(*count), &usage);
+        add(
+            &mut series,
+            "memory by callers' connections",
+            f64::from(*count),
+            &usage,
+        );
         if usage.descriptors < u64::from(*count) {
             let descriptors = usage.descriptors;
-            findings.problems.push(format!("of {count} connections at most {descriptors} were held"));
+            findings.problems.push(format!(
+                "of {count} connections at most {descriptors} were held"
+            ));
         }
     }
     findings.figures.extend(series.with_slopes());
@@ -109,7 +148,13 @@
         answer_bytes: 100,
         error_share: 0.0,
     };
-    let options = SingleOptions { endpoints, endpoint: &endpoint, deadline, probes: false, seed };
+    let options = SingleOptions {
+        endpoints,
+        endpoint: &endpoint,
+        deadline,
+        probes: false,
+        seed,
+    };
     Single::start(&options, context)
 }
 
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -27,7 +27,10 @@
 ///
 /// # Errors
 /// It could not be run to its end.
-pub fn run(experiment: &Experiment, context: &RunContext) -> Result<ExperimentReport, ScenarioError> {
+pub fn run(
+    experiment: &Experiment,
+    context: &RunContext,
+) -> Result<ExperimentReport, ScenarioError> {
     let started = Instant::now();
     let seed = experiment.seed;
     let findings = match &experiment.measure {
--- a/lab/src/scenario/outage.rs
+++ b/lab/src/scenario/outage.rs
@@ -16,7 +16,10 @@
         let fleet = FleetPlan::new(&plan.fleet, size, KnownEndpoints::All, seed).start()?;
         measure(plan, &fleet, &mut series);
     }
-    Ok(Findings { figures: series.with_slopes(), problems: Vec::new() })
+    Ok(Findings {
+        figures: series.with_slopes(),
+        problems: Vec::new(),
+    })
 }
 
 /// Has discovery go down, publishes a change meanwhile, and waits until all have it after discovery's return.
@@ -35,7 +38,19 @@
     let arrivals = fleet.sidecars.wait_for_version(version, returned, longest);
     let after = fleet.discovery.usage();
 
-    add_arrivals(series, "list current after the outage", &SHARES, size, &arrivals, longest);
+    add_arrivals(
+        series,
+        "list current after the outage",
+        &SHARES,
+        size,
+        &arrivals,
+        longest,
+    );
     add_discovery_calls(series, "until the last is current", size, &before, &after);
-    series.add("longest queue until the last is current", "calls", size, after.longest_queue as f64);
+    series.add(
+        "longest queue until the last is current",
+        "calls",
+        size,
+        after.longest_queue as f64,
+    );
 }
--- a/lab/src/scenario/propagation.rs
+++ b/lab/src/scenario/propagation.rs
@@ -21,7 +21,10 @@
         measure_idle(&fleet, &mut series);
         measure_changes(plan, &fleet, &mut series);
     }
-    Ok(Findings { figures: series.with_slopes(), problems: Vec::new() })
+    Ok(Findings {
+        figures: series.with_slopes(),
+        problems: Vec::new(),
+    })
 }
 
 /// Bytes and processor time of discovery's watches while nothing changes.
@@ -50,10 +53,20 @@
     for number in 0..plan.changes {
         let published = Instant::now();
         let version = fleet.publish_change(number);
-        merge(&mut arrivals, fleet.sidecars.wait_for_version(version, published, longest));
+        merge(
+            &mut arrivals,
+            fleet.sidecars.wait_for_version(version, published, longest),
+        );
     }
     let after = fleet.discovery.usage();
-    add_arrivals(series, "change known", &SHARES, fleet.size as f64, &arrivals, longest);
+    add_arrivals(
+        series,
+        "change known",
+        &SHARES,
+        fleet.size as f64,
+        &arrivals,
+        longest,
+    );
     record_cost(plan.changes, fleet, &before, &after, series);
 }
 
@@ -69,7 +82,12 @@
     let bytes = after.bytes_written - before.bytes_written;
     let heartbeat_bytes = after.heartbeat_bytes - before.heartbeat_bytes;
     let change_bytes = (bytes - heartbeat_bytes) as f64;
-    series.add("bytes of a change", "bytes a watch", size, change_bytes / deliveries);
+    series.add(
+        "bytes of a change",
+        "bytes a watch",
+        size,
+        change_bytes / deliveries,
+    );
     series.add(
         "processor time of discovery for a change",
         "us a watch",
--- a/lab/src/scenario/series.rs
+++ b/lab/src/scenario/series.rs
@@ -18,7 +18,11 @@
 impl Series {
     /// No figures yet; `size_unit` tells what the sizes count.
     pub(super) fn over(size_unit: &'static str) -> Self {
-        Series { size_unit, figures: Vec::new(), without_lines: BTreeSet::new() }
+        Series {
+            size_unit,
+            figures: Vec::new(),
+            without_lines: BTreeSet::new(),
+        }
     }
 
     /// Adds a measurement to a figure.
@@ -40,7 +44,9 @@
 
     /// Tells what else is to be known of a figure. What is told twice stands once.
     pub(super) fn note(&mut self, name: &str, note: &str) {
-        let Some(figure) = self.figures.iter_mut().find(|figure| figure.name == name) else { return };
+        let Some(figure) = self.figures.iter_mut().find(|figure| figure.name == name) else {
+            return;
+        };
         match &mut figure.note {
             Some(notes) if notes.contains(note) => {}
             Some(notes) => *notes = format!("{notes} {note}"),
@@ -55,7 +61,11 @@
 
     /// Tells what else is to be known of all figures.
     pub(super) fn note_all(&mut self, note: &str) {
-        let names: Vec<String> = self.figures.iter().map(|figure| figure.name.clone()).collect();
+        let names: Vec<String> = self
+            .figures
+            .iter()
+            .map(|figure| figure.name.clone())
+            .collect();
         names.iter().for_each(|name| self.note(name, note));
     }
 
--- a/lab/src/scenario/single.rs
+++ b/lab/src/scenario/single.rs
@@ -57,28 +57,51 @@
 
 impl Single {
     /// Starts everything and waits until the sidecar is ready.
-    pub(super) fn start(options: &SingleOptions, context: &RunContext) -> Result<Self, ScenarioError> {
+    pub(super) fn start(
+        options: &SingleOptions,
+        context: &RunContext,
+    ) -> Result<Self, ScenarioError> {
         let host = start_host(options.seed)?;
         let endpoints = (0..options.endpoints)
-            .map(|number| add_endpoint(&host, &format!("endpoint-{number}"), options.endpoint, None))
+            .map(|number| {
+                add_endpoint(&host, &format!("endpoint-{number}"), options.endpoint, None)
+            })
             .collect::<Result<Vec<_>, _>>()?;
         let discovery = start_discovery(&endpoints)?;
-        let place = Place { tier: 0, tiers: 1, number: 0, sidecars: options.endpoints };
+        let place = Place {
+            tier: 0,
+            tiers: 1,
+            number: 0,
+            sidecars: options.endpoints,
+        };
         let mut configuration = configuration(&discovery, place, options.deadline, options.seed);
         configuration.probes = options.probes;
         let sidecar = start_sidecar(&configuration, context)?;
         wait_until_ready(&sidecar)?;
-        Ok(Single { sidecar, configuration, discovery, endpoints, host })
+        Ok(Single {
+            sidecar,
+            configuration,
+            discovery,
+            endpoints,
+            host,
+        })
     }
 
     /// Starts an endpoint that discovery does not list.
-    pub(super) fn add_unlisted(&self, options: &EndpointOptions) -> Result<SocketAddr, ScenarioError> {
-        Ok(add_endpoint(&self.host, "unlisted", options, None)?.entry().address)
+    pub(super) fn add_unlisted(
+        &self,
+        options: &EndpointOptions,
+    ) -> Result<SocketAddr, ScenarioError> {
+        Ok(add_endpoint(&self.host, "unlisted", options, None)?
+            .entry()
+            .address)
     }
 
     /// What the sidecar uses now.
     pub(super) fn usage(&self) -> Result<ProcessUsage, ScenarioError> {
-        self.sidecar.usage().map_err(ScenarioError::step("read what the sidecar uses"))
+        self.sidecar
+            .usage()
+            .map_err(ScenarioError::step("read what the sidecar uses"))
     }
 
     /// One figure of the sidecar.
@@ -89,12 +112,18 @@
 
     /// Connections that were opened to listed endpoints.
     pub(super) fn endpoint_connections(&self) -> u64 {
-        self.endpoints.iter().map(|endpoint| endpoint.usage().connections).sum()
+        self.endpoints
+            .iter()
+            .map(|endpoint| endpoint.usage().connections)
+            .sum()
     }
 
     /// Probes that listed endpoints got.
     pub(super) fn endpoint_probes(&self) -> u64 {
-        self.endpoints.iter().map(|endpoint| endpoint.usage().probes).sum()
+        self.endpoints
+            .iter()
+            .map(|endpoint| endpoint.usage().probes)
+            .sum()
     }
 }
 
@@ -113,7 +142,8 @@
 
 /// Starts a host for endpoints.
 pub(super) fn start_host(seed: u64) -> Result<EndpointHost, ScenarioError> {
-    EndpointHost::start(ENDPOINT_THREADS, seed).map_err(ScenarioError::step("start the endpoints' threads"))
+    EndpointHost::start(ENDPOINT_THREADS, seed)
+        .map_err(ScenarioError::step("start the endpoints' threads"))
 }
 
 /// Starts an endpoint.
@@ -123,12 +153,19 @@
     options: &EndpointOptions,
     next: Option<SocketAddr>,
 ) -> Result<EndpointHandle, ScenarioError> {
-    host.add(EndpointName::from(name), ZoneName::from(ZONE), options.clone(), next)
-        .map_err(ScenarioError::step(format!("start {name}")))
+    host.add(
+        EndpointName::from(name),
+        ZoneName::from(ZONE),
+        options.clone(),
+        next,
+    )
+    .map_err(ScenarioError::step(format!("start {name}")))
 }
 
 /// Starts a discovery service, of more capacity than one tier's sidecars need, that lists these endpoints.
-pub(super) fn start_discovery(endpoints: &[EndpointHandle]) -> Result<DiscoveryServer, ScenarioError> {
+pub(super) fn start_discovery(
+    endpoints: &[EndpointHandle],
+) -> Result<DiscoveryServer, ScenarioError> {
     let options = DiscoveryOptions {
         calls_per_second: 1_000.0,
         longest_wait: Duration::from_secs(5),
@@ -148,7 +185,12 @@
     seed: u64,
 ) -> SidecarConfiguration {
     let zone = ZoneName::from(ZONE);
-    let class = |name: &str, is_unsafe| RequestClass { name: name.into(), is_unsafe, worth: 1.0, deadline };
+    let class = |name: &str, is_unsafe| RequestClass {
+        name: name.into(),
+        is_unsafe,
+        worth: 1.0,
+        deadline,
+    };
     SidecarConfiguration {
         name: format!("sidecar-{}-{}", place.tier, place.number),
         zone: zone.clone(),
@@ -179,8 +221,12 @@
 
 /// Waits until a sidecar is ready.
 pub(super) fn wait_until_ready(sidecar: &SidecarProcess) -> Result<(), ScenarioError> {
-    let late = || ScenarioError::NotReached(format!("a sidecar was not ready after {LONGEST_START:?}"));
-    sidecar.wait_until_ready(LONGEST_START).map(drop).ok_or_else(late)
+    let late =
+        || ScenarioError::NotReached(format!("a sidecar was not ready after {LONGEST_START:?}"));
+    sidecar
+        .wait_until_ready(LONGEST_START)
+        .map(drop)
+        .ok_or_else(late)
 }
 
 /// A quantile of latencies, in milliseconds.
@@ -190,8 +236,17 @@
 
 /// Tells of calls of a measurement that were not served.
 pub(super) fn unserved(what: &str, result: &TargetResult) -> Option<String> {
-    let TargetResult { sent, served, refused, failed, unanswered, .. } = result;
+    let TargetResult {
+        sent,
+        served,
+        refused,
+        failed,
+        unanswered,
+        ..
+    } = result;
     (served < sent).then(|| {
-        format!("{what}: of {sent} calls {refused} refused, {failed} failed, {unanswered} unanswered")
+        format!(
+            "{what}: of {sent} calls {refused} refused, {failed} failed, {unanswered} unanswered"
+        )
     })
 }
--- a/lab/src/sidecar/child.rs
+++ b/lab/src/sidecar/child.rs
@@ -37,8 +37,15 @@
     pub fn spawn(command: &mut Command, sender: Sender<Addresses>) -> io::Result<Self> {
         let mut child = command.stderr(Stdio::piped()).spawn()?;
         let log = Log::default();
-        let log_reader = child.stderr.take().map(|stderr| log.clone().read(stderr, sender));
-        Ok(LoggedChild { child, log, log_reader })
+        let log_reader = child
+            .stderr
+            .take()
+            .map(|stderr| log.clone().read(stderr, sender));
+        Ok(LoggedChild {
+            child,
+            log,
+            log_reader,
+        })
     }
 
     /// Waits until the log has told both addresses.
@@ -129,7 +136,10 @@
 }
 
 fn addresses(admin: Option<SocketAddr>, callers: Option<SocketAddr>) -> Option<Addresses> {
-    Some(Addresses { callers: callers?, admin: admin? })
+    Some(Addresses {
+        callers: callers?,
+        admin: admin?,
+    })
 }
 
 fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
--- a/lab/src/sidecar/hollow/attempts.rs
+++ b/lab/src/sidecar/hollow/attempts.rs
@@ -2,7 +2,9 @@
 
 use super::endpoints::SimulatedEndpoint;
 use super::fleet_state::FleetState;
-use pipittray::policy::{AttemptNumber, EndpointId, LoadReport, Outcome, Reporting, RequestId, Timestamp};
+use pipittray::policy::{
+    AttemptNumber, EndpointId, LoadReport, Outcome, Reporting, RequestId, Timestamp,
+};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -52,7 +54,10 @@
 
 impl Ending {
     fn without_answer(outcome: Outcome) -> Self {
-        Ending { outcome, report: None }
+        Ending {
+            outcome,
+            report: None,
+        }
     }
 }
 
@@ -69,7 +74,9 @@
             sleep_until(self.until.min(begun + self.connect_timeout)).await;
             return Ending::without_answer(Outcome::ConnectFailed);
         }
-        fleet.endpoints.count_attempt(&self.endpoint, fleet.counters.second());
+        fleet
+            .endpoints
+            .count_attempt(&self.endpoint, fleet.counters.second());
         let losses = self.endpoint.losses();
         let in_flight = self.endpoint.begin();
         let finished = begun + self.service_time;
@@ -80,7 +87,10 @@
             return Ending::without_answer(Outcome::TimedOut);
         }
         let reports = self.reporting == Reporting::WithAnswers;
-        Ending { outcome: Outcome::Served, report: reports.then(|| self.endpoint.report()) }
+        Ending {
+            outcome: Outcome::Served,
+            report: reports.then(|| self.endpoint.report()),
+        }
     }
 }
 
@@ -99,6 +109,9 @@
         }
         sleep(PROBE_ANSWER_TIME).await;
         let reports = self.reporting != Reporting::Off;
-        Ending { outcome: Outcome::Served, report: reports.then(|| self.simulated.report()) }
+        Ending {
+            outcome: Outcome::Served,
+            report: reports.then(|| self.simulated.report()),
+        }
     }
 }
--- a/lab/src/sidecar/hollow/calls.rs
+++ b/lab/src/sidecar/hollow/calls.rs
@@ -61,11 +61,21 @@
 
 impl OpenCalls {
     pub fn insert(&mut self, request: RequestId, deadline: Timestamp) {
-        self.0.insert(request, OpenCall { deadline, is_answered: false, attempts: Vec::new() });
+        self.0.insert(
+            request,
+            OpenCall {
+                deadline,
+                is_answered: false,
+                attempts: Vec::new(),
+            },
+        );
     }
 
     pub fn unanswered(&self) -> u64 {
-        self.0.values().map(|call| u64::from(!call.is_answered)).sum()
+        self.0
+            .values()
+            .map(|call| u64::from(!call.is_answered))
+            .sum()
     }
 
     /// The next attempt of a call, if the call is open.
@@ -96,7 +106,10 @@
         let open = call.attempts.get_mut(attempt)?;
         open.task.take()?;
         let sent = open.sent;
-        Some(EndedAttempt { sent, call_is_answered: call.is_answered || served })
+        Some(EndedAttempt {
+            sent,
+            call_is_answered: call.is_answered || served,
+        })
     }
 
     /// Answers a call; false if it was answered before.
@@ -112,7 +125,8 @@
 
     /// Kept as long as the decision module keeps it: until it is answered and none of its attempts is out.
     pub fn forget_if_over(&mut self, request: &RequestId) {
-        let is_over = |call: &OpenCall| call.is_answered && call.attempts.iter().all(|a| a.task.is_none());
+        let is_over =
+            |call: &OpenCall| call.is_answered && call.attempts.iter().all(|a| a.task.is_none());
         if self.0.get(request).is_some_and(is_over) {
             self.0.remove(request);
         }
--- a/lab/src/sidecar/hollow/clock.rs
+++ b/lab/src/sidecar/hollow/clock.rs
@@ -17,8 +17,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), started_at: Timestamp::default() + unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            started_at: Timestamp::default() + unix,
+        }
     }
 
     pub fn now(&self) -> Timestamp {
--- a/lab/src/sidecar/hollow/counters.rs
+++ b/lab/src/sidecar/hollow/counters.rs
@@ -18,7 +18,10 @@
 
 impl Counters {
     pub fn start() -> Self {
-        Counters { started: Instant::now(), counts: Mutex::default() }
+        Counters {
+            started: Instant::now(),
+            counts: Mutex::default(),
+        }
     }
 
     /// Whole seconds since the fleet's start.
--- a/lab/src/sidecar/hollow/endpoints.rs
+++ b/lab/src/sidecar/hollow/endpoints.rs
@@ -34,19 +34,26 @@
 impl EndpointTable {
     /// An endpoint by its name; a new one where nothing was sent there yet.
     pub fn get(&self, name: &EndpointId) -> Arc<SimulatedEndpoint> {
-        let endpoints = self.endpoints.read().unwrap_or_else(PoisonError::into_inner);
+        let endpoints = self
+            .endpoints
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
         if let Some(endpoint) = endpoints.get(name) {
             return endpoint.clone();
         }
         drop(endpoints);
-        let mut endpoints = self.endpoints.write().unwrap_or_else(PoisonError::into_inner);
+        let mut endpoints = self
+            .endpoints
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
         endpoints.entry(name.clone()).or_default().clone()
     }
 
     /// Counts an attempt that reaches an endpoint in a second since the fleet's start.
     pub fn count_attempt(&self, endpoint: &SimulatedEndpoint, second: u64) {
         let attempts = endpoint.count_attempt(second);
-        self.most_attempts_in_a_second.fetch_max(attempts, Ordering::Relaxed);
+        self.most_attempts_in_a_second
+            .fetch_max(attempts, Ordering::Relaxed);
     }
 
     /// The most attempts that reached one endpoint within one second.
@@ -76,7 +83,11 @@
     pub fn report(&self) -> LoadReport {
         let in_flight = self.in_flight.load(Ordering::Relaxed);
         let waiting = in_flight.saturating_sub(CORES);
-        LoadReport { depth: Some(waiting as f64), in_flight: Some(in_flight as f64), ..LoadReport::default() }
+        LoadReport {
+            depth: Some(waiting as f64),
+            in_flight: Some(in_flight as f64),
+            ..LoadReport::default()
+        }
     }
 
     /// Counts a request in flight until the guard is dropped.
@@ -88,7 +99,10 @@
     fn count_attempt(&self, second: u64) -> u64 {
         let mut attempts = self.attempts.lock().unwrap_or_else(PoisonError::into_inner);
         if attempts.second != second {
-            *attempts = AttemptsInSecond { second, attempts: 0 };
+            *attempts = AttemptsInSecond {
+                second,
+                attempts: 0,
+            };
         }
         attempts.attempts += 1;
         attempts.attempts
--- a/lab/src/sidecar/hollow/fleet.rs
+++ b/lab/src/sidecar/hollow/fleet.rs
@@ -49,7 +49,9 @@
         rate_multiple: impl Fn(usize) -> f64,
         threads: usize,
     ) -> io::Result<Self> {
-        let plans = configurations.into_iter().map(|c| MemberPlan::from_configuration(c).map(Arc::new));
+        let plans = configurations
+            .into_iter()
+            .map(|c| MemberPlan::from_configuration(c).map(Arc::new));
         let plans = plans.collect::<io::Result<Vec<_>>>()?;
         let state = Arc::new(FleetState {
             load,
@@ -60,10 +62,17 @@
         });
         let threads = (0..threads.max(1)).map(|number| HostThread::start(number, state.clone()));
         let threads = threads.collect::<io::Result<Vec<_>>>()?;
-        let fleet = HollowFleet { state, plans: Mutex::new(plans), threads };
+        let fleet = HollowFleet {
+            state,
+            plans: Mutex::new(plans),
+            threads,
+        };
         for (place, plan) in fleet.plans().iter().enumerate() {
             let identity = Identity { place, start: 0 };
-            fleet.thread(place).send(Command::Start { identity, plan: plan.clone() });
+            fleet.thread(place).send(Command::Start {
+                identity,
+                plan: plan.clone(),
+            });
         }
         Ok(fleet)
     }
@@ -71,7 +80,9 @@
     /// Waits until every sidecar has been told this version or a later one, for `longest` at most. Times count from
     /// `since`; a sidecar that had it earlier counts as zero.
     pub fn wait_for_version(&self, version: u64, since: Instant, longest: Duration) -> Arrivals {
-        milestones::wait(&self.state.milestones, since, longest, |m| m.version_at(version))
+        milestones::wait(&self.state.milestones, since, longest, |m| {
+            m.version_at(version)
+        })
     }
 
     /// Waits until every sidecar is ready: it knows an endpoint that takes work.
@@ -81,7 +92,12 @@
 
     /// Waits until every sidecar has an open watch.
     pub fn wait_until_watching(&self, since: Instant, longest: Duration) -> Arrivals {
-        milestones::wait(&self.state.milestones, since, longest, Milestones::watching_at)
+        milestones::wait(
+            &self.state.milestones,
+            since,
+            longest,
+            Milestones::watching_at,
+        )
     }
 
     /// Ends these sidecars at once, by their place in the configurations, and starts them again from nothing
@@ -91,7 +107,10 @@
         for place in which.iter().copied() {
             let start = self.state.milestones[place].restart();
             let identity = Identity { place, start };
-            self.thread(place).send(Command::Start { identity, plan: plans[place].clone() });
+            self.thread(place).send(Command::Start {
+                identity,
+                plan: plans[place].clone(),
+            });
         }
     }
 
--- a/lab/src/sidecar/hollow/member.rs
+++ b/lab/src/sidecar/hollow/member.rs
@@ -6,7 +6,9 @@
 use super::fleet_state::FleetState;
 use super::plan::MemberPlan;
 use super::task::Task;
-use pipittray::discovery::{self, DiscoveryError, EndpointList, ListConsumer, Membership, OlderList, Source};
+use pipittray::discovery::{
+    self, DiscoveryError, EndpointList, ListConsumer, Membership, OlderList, Source,
+};
 use pipittray::policy::*;
 use rand::{RngExt, SeedableRng};
 use rand_distr::Exp1;
@@ -72,7 +74,9 @@
         fleet: Arc<FleetState>,
         plan: &MemberPlan,
     ) -> Result<Self, SettingsError> {
-        let seed = plan.seed.wrapping_add(identity.start.wrapping_mul(SEED_STEP));
+        let seed = plan
+            .seed
+            .wrapping_add(identity.start.wrapping_mul(SEED_STEP));
         let member = MemberHandle(Rc::new(RefCell::new(Member {
             identity,
             fleet,
@@ -82,7 +86,10 @@
             classes: (0..plan.settings.classes.len()).map(ClassId).collect(),
             balancer: Balancer::new(plan.settings.clone(), seed)?,
             membership: Membership::default(),
-            source: Source { address: plan.discovery, generation: 0 },
+            source: Source {
+                address: plan.discovery,
+                generation: 0,
+            },
             watch: None,
             watch_before: None,
             calls: OpenCalls::default(),
@@ -118,7 +125,10 @@
         let mut member = self.borrow();
         if plan.discovery != member.source.address {
             let generation = member.source.generation + 1;
-            member.source = Source { address: plan.discovery, generation };
+            member.source = Source {
+                address: plan.discovery,
+                generation,
+            };
             let has_spoken = member.membership.forget_version();
             let watch = member.watch.take();
             if has_spoken {
@@ -135,7 +145,10 @@
         }
         let now = member.clock.now();
         let mut actions = Vec::new();
-        member.classes = member.balancer.change_settings(now, plan.settings.clone(), &mut actions)?;
+        member.classes =
+            member
+                .balancer
+                .change_settings(now, plan.settings.clone(), &mut actions)?;
         let asks = member.settings.discovery != plan.settings.discovery;
         member.settings = plan.settings.clone();
         member.settings_document = plan.settings_document.clone();
@@ -182,7 +195,11 @@
             spawn_local(calls::arrivals(self.clone()));
         }
         drop(member);
-        self.tell(Event::EndpointList { version: list.index, kind, entries });
+        self.tell(Event::EndpointList {
+            version: list.index,
+            kind,
+            entries,
+        });
     }
 }
 
@@ -215,7 +232,9 @@
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: Ending) {
         let mut member = self.borrow();
         let served = ending.outcome == Outcome::Served;
-        let Some(ended) = member.calls.end_attempt(request, attempt, served) else { return };
+        let Some(ended) = member.calls.end_attempt(request, attempt, served) else {
+            return;
+        };
         if served && member.calls.answer(request) {
             member.fleet.counters.served();
         }
@@ -238,14 +257,22 @@
             return;
         }
         let (endpoint, Ending { outcome, report }) = (probe.endpoint.clone(), ending);
-        self.tell(Event::ProbeEnded { endpoint, outcome, took, report });
+        self.tell(Event::ProbeEnded {
+            endpoint,
+            outcome,
+            took,
+            report,
+        });
     }
 }
 
 impl ListConsumer for MemberHandle {
     fn held_version(&self, source: Source) -> Option<u64> {
         let member = self.borrow();
-        member.membership.version().filter(|_| source == member.source)
+        member
+            .membership
+            .version()
+            .filter(|_| source == member.source)
     }
 
     fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
@@ -257,7 +284,11 @@
             return Ok(()); // the present one has spoken
         }
         drop(member);
-        let kind = if list.snapshot { ListKind::Snapshot } else { ListKind::Changes };
+        let kind = if list.snapshot {
+            ListKind::Snapshot
+        } else {
+            ListKind::Changes
+        };
         self.learn(list, kind);
         Ok(())
     }
@@ -265,10 +296,15 @@
     /// That is no less than word that nothing has changed, which may not come before the first change.
     fn watch_opened(&self, source: Source) {
         let member = self.borrow();
-        member.fleet.milestones[member.identity.place].watches(member.identity.start, source.generation);
+        member.fleet.milestones[member.identity.place]
+            .watches(member.identity.start, source.generation);
         drop(member);
         if let Some(version) = self.held_version(source) {
-            self.tell(Event::EndpointList { version, kind: ListKind::Changes, entries: Arc::from([]) });
+            self.tell(Event::EndpointList {
+                version,
+                kind: ListKind::Changes,
+                entries: Arc::from([]),
+            });
         }
     }
 
@@ -293,7 +329,8 @@
     fn watch_ended(&self, source: Source, _failure: &DiscoveryError) {
         let member = self.borrow();
         member.fleet.counters.discovery_failure();
-        member.fleet.milestones[member.identity.place].lost_watch(member.identity.start, source.generation);
+        member.fleet.milestones[member.identity.place]
+            .lost_watch(member.identity.start, source.generation);
     }
 
     fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {
@@ -305,7 +342,9 @@
     /// When an endpoint last started; none where it is not listed. Answers in memory have no addresses, so an endpoint that
     /// starts at another's address does not replace it here.
     fn started_at(&self, endpoint: &EndpointId) -> Option<Option<Timestamp>> {
-        self.membership.get(endpoint).map(|member| member.started_at)
+        self.membership
+            .get(endpoint)
+            .map(|member| member.started_at)
     }
 
     fn new_request(&mut self) -> Request {
@@ -327,7 +366,11 @@
 
     fn carry_out(&mut self, handle: &MemberHandle, action: Action) {
         match action {
-            Action::Send { request, endpoint, timeout } => self.send(handle, request, endpoint, timeout),
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+            } => self.send(handle, request, endpoint, timeout),
             Action::Cancel { request, attempt } => self.abandon(&request, attempt),
             Action::Refuse { request, .. } | Action::Fail { request } => self.not_served(&request),
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
@@ -360,9 +403,11 @@
         let (consumer, source) = (handle.clone(), self.source);
         self.watch = Some(match self.settings.discovery {
             DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
-            DiscoveryMode::OnRequest => {
-                Task::spawn(discovery::watch(consumer, source, self.membership.version()))
-            }
+            DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
+                consumer,
+                source,
+                self.membership.version(),
+            )),
         });
     }
 
@@ -380,7 +425,9 @@
         timeout: Option<Duration>,
     ) {
         let now = self.clock.now();
-        let Some(next) = self.calls.next_attempt(&request) else { return };
+        let Some(next) = self.calls.next_attempt(&request) else {
+            return;
+        };
         if next.call_is_answered || self.membership.get(&endpoint).is_none() {
             self.calls.begin_attempt(&request, now, None);
             self.events.push_back(unsent(request, next));
@@ -398,12 +445,18 @@
             service_time: self.fleet.load.mean_service_time.mul_f64(unit_time),
             reporting: self.settings.reporting,
         };
-        let task = Task::spawn(attempts::attempt(handle.clone(), self.fleet.clone(), attempt));
+        let task = Task::spawn(attempts::attempt(
+            handle.clone(),
+            self.fleet.clone(),
+            attempt,
+        ));
         self.calls.begin_attempt(&request, now, Some(task));
     }
 
     fn abandon(&mut self, request: &RequestId, attempt: AttemptNumber) {
-        let Some(ended) = self.calls.end_attempt(request, attempt, false) else { return };
+        let Some(ended) = self.calls.end_attempt(request, attempt, false) else {
+            return;
+        };
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request: request.clone(),
             attempt,
@@ -423,7 +476,9 @@
     }
 
     fn probe(&mut self, handle: &MemberHandle, endpoint: EndpointId) {
-        let Some(started_at) = self.started_at(&endpoint) else { return };
+        let Some(started_at) = self.started_at(&endpoint) else {
+            return;
+        };
         self.fleet.counters.probe();
         let probe = Probe {
             simulated: self.fleet.endpoints.get(&endpoint),
--- a/lab/src/sidecar/hollow/milestones.rs
+++ b/lab/src/sidecar/hollow/milestones.rs
@@ -30,7 +30,10 @@
     pub fn restart(&self) -> u64 {
         let mut state = self.lock();
         let start = state.start + 1;
-        *state = State { start, ..State::default() };
+        *state = State {
+            start,
+            ..State::default()
+        };
         start
     }
 
@@ -44,7 +47,9 @@
     }
 
     pub fn is_ready(&self, start: u64, ready: bool) {
-        self.note(start, |state, now| state.ready = ready.then(|| state.ready.unwrap_or(now)));
+        self.note(start, |state, now| {
+            state.ready = ready.then(|| state.ready.unwrap_or(now))
+        });
     }
 
     pub fn watches(&self, start: u64, source: u64) {
@@ -65,7 +70,11 @@
     /// When it was first told this version or a later one.
     pub fn version_at(&self, version: u64) -> Option<Instant> {
         let state = self.lock();
-        state.versions.iter().find(|(known, _)| *known >= version).map(|(_, at)| *at)
+        state
+            .versions
+            .iter()
+            .find(|(known, _)| *known >= version)
+            .map(|(_, at)| *at)
     }
 
     pub fn ready_at(&self) -> Option<Instant> {
@@ -74,7 +83,10 @@
 
     pub fn watching_at(&self) -> Option<Instant> {
         let state = self.lock();
-        state.watch.filter(|(source, _)| *source == state.source).map(|(_, at)| at)
+        state
+            .watch
+            .filter(|(source, _)| *source == state.source)
+            .map(|(_, at)| at)
     }
 
     fn note(&self, start: u64, change: impl FnOnce(&mut State, Instant)) {
@@ -107,7 +119,13 @@
 }
 
 fn arrivals(expected: usize, since: Instant, reached: &[Instant]) -> Arrivals {
-    let mut after: Vec<Duration> = reached.iter().map(|at| at.saturating_duration_since(since)).collect();
+    let mut after: Vec<Duration> = reached
+        .iter()
+        .map(|at| at.saturating_duration_since(since))
+        .collect();
     after.sort();
-    Arrivals { missing: expected - after.len(), after }
+    Arrivals {
+        missing: expected - after.len(),
+        after,
+    }
 }
--- a/lab/src/sidecar/hollow/plan.rs
+++ b/lab/src/sidecar/hollow/plan.rs
@@ -26,7 +26,9 @@
         let settings_document = configuration.settings();
         let settings = parse_settings(&settings_document.to_string());
         let settings = settings.map_err(|error| invalid(&configuration.name, error))?;
-        settings.check().map_err(|error| invalid(&configuration.name, error))?;
+        settings
+            .check()
+            .map_err(|error| invalid(&configuration.name, error))?;
         Ok(MemberPlan {
             settings,
             settings_document,
@@ -48,7 +50,10 @@
 }
 
 fn invalid(name: &str, error: impl std::fmt::Display) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidInput, format!("settings of {name}: {error}"))
+    io::Error::new(
+        io::ErrorKind::InvalidInput,
+        format!("settings of {name}: {error}"),
+    )
 }
 
 /// An entry in the form of the discovery client.
--- a/lab/src/sidecar/hollow/thread.rs
+++ b/lab/src/sidecar/hollow/thread.rs
@@ -41,17 +41,27 @@
 
 impl HostThread {
     pub fn start(number: usize, fleet: Arc<FleetState>) -> io::Result<Self> {
-        let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let (commands, receiver) = unbounded_channel();
-        let thread = Builder::new().name(format!("hollow-{number}")).spawn(move || {
-            LocalSet::new().block_on(&runtime, host(fleet, receiver));
-        })?;
-        Ok(HostThread { commands: Some(commands), thread: Some(thread) })
+        let thread = Builder::new()
+            .name(format!("hollow-{number}"))
+            .spawn(move || {
+                LocalSet::new().block_on(&runtime, host(fleet, receiver));
+            })?;
+        Ok(HostThread {
+            commands: Some(commands),
+            thread: Some(thread),
+        })
     }
 
     /// Sends a command; commands are carried out in order.
     pub fn send(&self, command: Command) {
-        let sent = self.commands.as_ref().is_some_and(|commands| commands.send(command).is_ok());
+        let sent = self
+            .commands
+            .as_ref()
+            .is_some_and(|commands| commands.send(command).is_ok());
         if !sent {
             tracing::error!("a thread of hollow sidecars has ended");
         }
@@ -78,7 +88,9 @@
                 members.remove(&identity.place);
                 match HostedMember::start(identity, fleet.clone(), &plan) {
                     Ok(member) => drop(members.insert(identity.place, member)),
-                    Err(problem) => tracing::error!(place = identity.place, "not started: {problem}"),
+                    Err(problem) => {
+                        tracing::error!(place = identity.place, "not started: {problem}")
+                    }
                 }
             }
             Command::Reload { place, plan } => {
@@ -98,7 +110,11 @@
 }
 
 impl HostedMember {
-    fn start(identity: Identity, fleet: Arc<FleetState>, plan: &MemberPlan) -> Result<Self, SettingsError> {
+    fn start(
+        identity: Identity,
+        fleet: Arc<FleetState>,
+        plan: &MemberPlan,
+    ) -> Result<Self, SettingsError> {
         let tasks = Rc::new(LocalSet::new());
         let handle = {
             let _entered = tasks.enter();
@@ -106,7 +122,11 @@
         };
         let driven = tasks.clone();
         let driver = Task::spawn(async move { driven.run_until(pending::<()>()).await });
-        Ok(HostedMember { handle, tasks, _driver: driver })
+        Ok(HostedMember {
+            handle,
+            tasks,
+            _driver: driver,
+        })
     }
 
     fn reload(&self, plan: &MemberPlan) {
--- a/lab/src/sidecar/process.rs
+++ b/lab/src/sidecar/process.rs
@@ -51,9 +51,17 @@
         let configuration_file = folder.path().join(CONFIGURATION_FILE);
         write_configuration(&configuration_file, configuration)?;
         let (sender, addresses) = mpsc::channel();
-        let child = LoggedChild::spawn(&mut command(program, &configuration_file, folder.path()), sender)?;
+        let child = LoggedChild::spawn(
+            &mut command(program, &configuration_file, folder.path()),
+            sender,
+        )?;
         let addresses = child.wait_for_addresses(&addresses, LONGEST_START)?;
-        Ok(SidecarProcess { child, addresses, configuration_file, _folder: folder })
+        Ok(SidecarProcess {
+            child,
+            addresses,
+            configuration_file,
+            _folder: folder,
+        })
     }
 
     /// Where its callers connect.
@@ -110,7 +118,11 @@
         if after.taken > before.taken {
             return Ok(());
         }
-        let problem = if after == before { "the reload was not seen" } else { "the reload was turned down" };
+        let problem = if after == before {
+            "the reload was not seen"
+        } else {
+            "the reload was turned down"
+        };
         Err(self.child.failure(io::ErrorKind::InvalidData, problem))
     }
 
@@ -136,10 +148,16 @@
 
     fn reloads(&self) -> io::Result<Reloads> {
         let figure = |name: &str| {
-            let missing = || self.child.failure(io::ErrorKind::NotConnected, "the figures could not be read");
+            let missing = || {
+                self.child
+                    .failure(io::ErrorKind::NotConnected, "the figures could not be read")
+            };
             self.figure(name).ok_or_else(missing)
         };
-        Ok(Reloads { taken: figure("config_reloads")?, turned_down: figure("config_reload_errors")? })
+        Ok(Reloads {
+            taken: figure("config_reloads")?,
+            turned_down: figure("config_reload_errors")?,
+        })
     }
 }
 
@@ -156,13 +174,19 @@
     for (name, _) in std::env::vars_os().filter(|(name, _)| is_programs_variable(name)) {
         command.env_remove(name);
     }
-    command.env("ROUTER_CONFIG", configuration_file).env("TMPDIR", folder);
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .env("ROUTER_CONFIG", configuration_file)
+        .env("TMPDIR", folder);
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     command
 }
 
 fn is_programs_variable(name: &OsStr) -> bool {
-    name.as_encoded_bytes().starts_with(ENVIRONMENT_PREFIX.as_bytes())
+    name.as_encoded_bytes()
+        .starts_with(ENVIRONMENT_PREFIX.as_bytes())
 }
 
 /// Writes the document aside and moves it into place, so that it is never read half written.
--- a/lab/src/stop.rs
+++ b/lab/src/stop.rs
@@ -51,7 +51,10 @@
 fn stop() -> ! {
     IS_STOPPING.store(true, Ordering::SeqCst);
     let children = children();
-    info!(sidecars = children.len(), "stopped by a signal; ends its sidecars");
+    info!(
+        sidecars = children.len(),
+        "stopped by a signal; ends its sidecars"
+    );
     for child in children {
         if let Err(cause) = kill_process(child, Signal::KILL) {
             error!(%cause, child = child.as_raw_nonzero(), "could not end a sidecar");
@@ -63,6 +66,13 @@
 /// The processes that any thread of this one has started.
 fn children() -> Vec<Pid> {
     let tasks = Process::myself().and_then(|process| process.tasks());
-    let numbers = tasks.into_iter().flatten().flatten().filter_map(|task| task.children().ok());
-    numbers.flatten().filter_map(|number| Pid::from_raw(i32::try_from(number).ok()?)).collect()
+    let numbers = tasks
+        .into_iter()
+        .flatten()
+        .flatten()
+        .filter_map(|task| task.children().ok());
+    numbers
+        .flatten()
+        .filter_map(|number| Pid::from_raw(i32::try_from(number).ok()?))
+        .collect()
 }
--- a/lab/src/tier.rs
+++ b/lab/src/tier.rs
@@ -57,8 +57,13 @@
         };
         let endpoints: Vec<EndpointHandle> = (0..endpoints).map(add).collect::<io::Result<_>>()?;
         let entries: Vec<EndpointEntry> = endpoints.iter().map(EndpointHandle::entry).collect();
-        let discovery = DiscoveryServer::start(discovery_options(), &[ZoneName::from(ZONE)], entries)?;
-        Ok(StandInTier { discovery, endpoints, _host: host })
+        let discovery =
+            DiscoveryServer::start(discovery_options(), &[ZoneName::from(ZONE)], entries)?;
+        Ok(StandInTier {
+            discovery,
+            endpoints,
+            _host: host,
+        })
     }
 
     /// Where discovery listens.
@@ -91,7 +96,10 @@
             discovery: self.discovery_address(),
             lists_are_pushed: true,
             known: Some(self.discovery.snapshot()),
-            classes: vec![class(SAFE_CLASS, false, 1.0), class(UNSAFE_CLASS, true, ORDER_WORTH)],
+            classes: vec![
+                class(SAFE_CLASS, false, 1.0),
+                class(UNSAFE_CLASS, true, ORDER_WORTH),
+            ],
             probes: false,
             seed: SEED,
             memory_mb: SIDECAR_MEMORY_MB,
@@ -105,7 +113,9 @@
     EndpointOptions {
         cores: CORES,
         queue: QUEUE,
-        service_time: ServiceTime::Exponential { mean_milliseconds: MEAN_SERVICE_MILLISECONDS },
+        service_time: ServiceTime::Exponential {
+            mean_milliseconds: MEAN_SERVICE_MILLISECONDS,
+        },
         cold_ramp: None,
         load_reports: true,
         answer_bytes: ANSWER_BYTES,
--- a/lab/src/topology.rs
+++ b/lab/src/topology.rs
@@ -126,10 +126,9 @@
         let zones = places.iter().map(|place| place.name.clone()).collect();
         let dealing_order = alternate_regions(&places, size);
         let sizes = service_sizes(size, &mut Pcg64::seed_from_u64(seed));
-        let services = sizes
-            .iter()
-            .enumerate()
-            .flat_map(|(index, &endpoints)| (0..endpoints).map(move |_| numbered("service", index, 2)));
+        let services = sizes.iter().enumerate().flat_map(|(index, &endpoints)| {
+            (0..endpoints).map(move |_| numbered("service", index, 2))
+        });
         let placements = services
             .enumerate()
             .filter_map(|(index, service)| {
@@ -159,8 +158,9 @@
     let mut places = Vec::new();
     for region in 1..=size.regions {
         for zone in 1..=size.zones_per_region {
-            let racks =
-                (1..=size.racks_per_zone).map(|rack| format!("r{region}-z{zone}-k{rack}").into()).collect();
+            let racks = (1..=size.racks_per_zone)
+                .map(|rack| format!("r{region}-z{zone}-k{rack}").into())
+                .collect();
             places.push(ZonePlace {
                 name: format!("r{region}-z{zone}").into(),
                 region: format!("r{region}").into(),
@@ -174,7 +174,9 @@
 /// The first zone of each region, then the second of each, so that a small service stands in several regions.
 fn alternate_regions<'a>(places: &'a [ZonePlace], size: &TopologySize) -> Vec<&'a ZonePlace> {
     let zones_per_region = size.zones_per_region as usize;
-    (0..zones_per_region).flat_map(|zone| places.iter().skip(zone).step_by(zones_per_region)).collect()
+    (0..zones_per_region)
+        .flat_map(|zone| places.iter().skip(zone).step_by(zones_per_region))
+        .collect()
 }
 
 /// How many endpoints each service has: one, and a part of the rest that is log-normally distributed.
--- a/lab/tests/caller.rs
+++ b/lab/tests/caller.rs
@@ -24,7 +24,10 @@
 
 impl Request {
     fn header(&self, name: &str) -> &str {
-        let line = self.head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
+        let line = self
+            .head
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
         line.expect("the header is there")
     }
 }
@@ -47,8 +50,10 @@
 impl Requests {
     fn wait_for(&self, count: usize) {
         let list = self.list.lock().expect("the list");
-        let (_list, timeout) =
-            self.grown.wait_timeout_while(list, LONG, |list| list.len() < count).expect("the list");
+        let (_list, timeout) = self
+            .grown
+            .wait_timeout_while(list, LONG, |list| list.len() < count)
+            .expect("the list");
         assert!(!timeout.timed_out(), "{count} requests did not come");
     }
 }
@@ -64,7 +69,10 @@
     fn start(react: impl Fn(&Request, &Requests) -> Reaction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (requests, stop) = (Arc::new(Requests::default()), Arc::new(AtomicBool::new(false)));
+        let (requests, stop) = (
+            Arc::new(Requests::default()),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (react, seen, stops) = (Arc::new(react), requests.clone(), stop.clone());
         let acceptor = thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -75,7 +83,12 @@
                 thread::spawn(move || converse(stream, &*react, &seen));
             }
         });
-        Server { address, requests, stop, acceptor: Some(acceptor) }
+        Server {
+            address,
+            requests,
+            stop,
+            acceptor: Some(acceptor),
+        }
     }
 
     fn received(&self) -> Vec<Request> {
@@ -94,9 +107,16 @@
 fn converse(stream: TcpStream, react: &dyn Fn(&Request, &Requests) -> Reaction, seen: &Requests) {
     let mut reader = BufReader::new(stream);
     for on_connection in 0.. {
-        let Some((head, body)) = read_request(&mut reader) else { return };
+        let Some((head, body)) = read_request(&mut reader) else {
+            return;
+        };
         let mut list = seen.list.lock().expect("the list");
-        let request = Request { on_connection, overall: list.len(), head, body };
+        let request = Request {
+            on_connection,
+            overall: list.len(),
+            head,
+            body,
+        };
         list.push(request.clone());
         seen.grown.notify_all();
         drop(list);
@@ -115,9 +135,14 @@
 fn read_request(reader: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        reader.read_line(&mut head).ok().filter(|length| *length > 0)?;
+        reader
+            .read_line(&mut head)
+            .ok()
+            .filter(|length| *length > 0)?;
     }
-    let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("Content-Length: "));
     let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a length"))];
     reader.read_exact(&mut body).ok()?;
     Some((head, String::from_utf8(body).expect("text")))
@@ -134,11 +159,19 @@
 }
 
 fn run_load(targets: Vec<LoadTarget>) -> Vec<TargetResult> {
-    let plan = LoadPlan { targets, warm_up: Duration::ZERO, duration: Duration::from_millis(300), seed: 7 };
+    let plan = LoadPlan {
+        targets,
+        warm_up: Duration::ZERO,
+        duration: Duration::from_millis(300),
+        seed: 7,
+    };
     let results = run(&plan).expect("the load runs");
     for result in &results {
         assert!(result.sent > 0);
-        assert_eq!(result.sent, result.served + result.refused + result.failed + result.unanswered);
+        assert_eq!(
+            result.sent,
+            result.served + result.refused + result.failed + result.unanswered
+        );
         assert_eq!(result.latencies.len(), result.served);
     }
     results
@@ -151,8 +184,12 @@
 
 #[test]
 fn answers_are_counted_by_their_status() {
-    let statuses =
-        ["200 OK", "503 Service Unavailable", "429 Too Many Requests", "500 Internal Server Error"];
+    let statuses = [
+        "200 OK",
+        "503 Service Unavailable",
+        "429 Too Many Requests",
+        "500 Internal Server Error",
+    ];
     let server = Server::start(move |request, _| {
         let status = statuses[request.overall % statuses.len()];
         Reaction::Answer(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nok"))
@@ -177,17 +214,27 @@
     order.deadline = Duration::from_millis(2500);
     run_load(vec![target(server.address), order]);
     let received = server.received();
-    let ids: BTreeSet<&str> = received.iter().map(|request| request.header("X-Request-Id")).collect();
+    let ids: BTreeSet<&str> = received
+        .iter()
+        .map(|request| request.header("X-Request-Id"))
+        .collect();
     assert_eq!(ids.len(), received.len(), "each id is there once");
-    let (orders, browses): (Vec<_>, Vec<_>) =
-        received.iter().partition(|request| request.header("X-Class") == "order");
+    let (orders, browses): (Vec<_>, Vec<_>) = received
+        .iter()
+        .partition(|request| request.header("X-Class") == "order");
     for order in orders {
         assert!(order.head.starts_with("POST /api HTTP/1.1\r\n"));
-        assert_eq!((order.header("X-Deadline"), order.body.len()), ("2.500000", 32));
+        assert_eq!(
+            (order.header("X-Deadline"), order.body.len()),
+            ("2.500000", 32)
+        );
     }
     for browse in browses {
         assert!(browse.head.starts_with("GET /api HTTP/1.1\r\n"));
-        assert_eq!((browse.header("X-Deadline"), browse.body.len()), ("10.000000", 0));
+        assert_eq!(
+            (browse.header("X-Deadline"), browse.body.len()),
+            ("10.000000", 0)
+        );
     }
 }
 
@@ -199,7 +246,11 @@
         results.iter().map(|result| result.sent).collect::<Vec<_>>()
     });
     assert_eq!(counts[0], counts[1]);
-    let ids: BTreeSet<String> = server.received().iter().map(|r| r.header("X-Request-Id").into()).collect();
+    let ids: BTreeSet<String> = server
+        .received()
+        .iter()
+        .map(|r| r.header("X-Request-Id").into())
+        .collect();
     assert_eq!(ids.len(), server.received().len(), "ids are not used again");
 }
 
@@ -208,7 +259,13 @@
     let server = Server::start(|_, _| Reaction::Answer(SERVED.into()));
     let targets = vec![target(server.address)];
     let (warm_up, duration) = (Duration::from_millis(300), Duration::from_millis(100));
-    let results = run(&LoadPlan { targets, warm_up, duration, seed: 7 }).expect("the load runs");
+    let results = run(&LoadPlan {
+        targets,
+        warm_up,
+        duration,
+        seed: 7,
+    })
+    .expect("the load runs");
     assert!(results[0].sent > 0);
     assert!((results[0].sent as usize) < server.received().len());
     assert_eq!(results[0].served, results[0].sent);
@@ -224,7 +281,11 @@
         Reaction::Answer(SERVED.into())
     });
     let result = run_one(target(server.address));
-    assert!(result.sent as usize > OTHERS, "the schedule has drawn {}", result.sent);
+    assert!(
+        result.sent as usize > OTHERS,
+        "the schedule has drawn {}",
+        result.sent
+    );
     assert_eq!(result.served, result.sent);
     assert!(result.connections >= 2);
 }
@@ -234,7 +295,10 @@
     let closing = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone";
     let server = Server::start(move |_, _| Reaction::AnswerAndClose(closing.into()));
     let result = run_one(target(server.address));
-    assert_eq!((result.served, result.connections), (result.sent, result.sent));
+    assert_eq!(
+        (result.served, result.connections),
+        (result.sent, result.sent)
+    );
 }
 
 #[test]
@@ -246,10 +310,16 @@
     let result = run_one(target(server.address));
     assert_eq!(result.served, result.sent);
     let received = server.received();
-    let ids: BTreeSet<&str> = received.iter().map(|request| request.header("X-Request-Id")).collect();
+    let ids: BTreeSet<&str> = received
+        .iter()
+        .map(|request| request.header("X-Request-Id"))
+        .collect();
     assert_eq!(ids.len() as u64, result.sent);
     assert!(received.len() > ids.len(), "no request met a close");
-    assert_eq!(result.connections as usize, received.iter().filter(|r| r.on_connection == 0).count());
+    assert_eq!(
+        result.connections as usize,
+        received.iter().filter(|r| r.on_connection == 0).count()
+    );
 }
 
 #[test]
@@ -266,7 +336,10 @@
     let mut target = target(server.address);
     target.deadline = Duration::from_millis(50);
     let result = run_one(target);
-    assert_eq!((result.unanswered, result.connections), (result.sent, result.sent));
+    assert_eq!(
+        (result.unanswered, result.connections),
+        (result.sent, result.sent)
+    );
 }
 
 #[test]
--- a/lab/tests/command.rs
+++ b/lab/tests/command.rs
@@ -15,7 +15,10 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_pipittray-lab")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_pipittray-lab"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn errors(output: &Output) -> String {
@@ -37,20 +40,35 @@
     let folder = tempfile::tempdir().unwrap();
     let faulty = folder.path().join("faulty.toml");
     let text = fs::read_to_string(Path::new(FOLDER).join("30-memory.toml")).unwrap();
-    fs::write(&faulty, text.replace("endpoints = [10,", "endpoints = [0, 0,")).unwrap();
+    fs::write(
+        &faulty,
+        text.replace("endpoints = [10,", "endpoints = [0, 0,"),
+    )
+    .unwrap();
     let output = lab(&["check", path(&faulty)]);
     assert_eq!(output.status.code(), Some(2));
     let errors = errors(&output);
     let lines: Vec<&str> = errors.lines().collect();
     assert_eq!(lines.len(), 4, "{errors}");
-    assert!(lines[..3].iter().all(|line| line.starts_with(path(&faulty))), "{errors}");
+    assert!(
+        lines[..3]
+            .iter()
+            .all(|line| line.starts_with(path(&faulty))),
+        "{errors}"
+    );
     assert_eq!(lines[3], "1 of 1 files cannot be used");
 }
 
 #[test]
 fn unknown_arguments_and_names_are_bad_input() {
     assert_eq!(lab(&["scale", "--no-such-option"]).status.code(), Some(2));
-    let output = lab(&["scale", "--experiments", FOLDER, "--only", "no-such-experiment"]);
+    let output = lab(&[
+        "scale",
+        "--experiments",
+        FOLDER,
+        "--only",
+        "no-such-experiment",
+    ]);
     assert_eq!(output.status.code(), Some(2));
     assert!(errors(&output).contains("no experiment is named no-such-experiment"));
 }
@@ -63,7 +81,12 @@
     let output = lab(&["run", &file, "--program", path(&missing)]);
     assert_eq!(output.status.code(), Some(2));
     assert!(errors(&output).contains(path(&missing)));
-    assert_eq!(lab(&["scale", "--experiments", path(folder.path())]).status.code(), Some(2));
+    assert_eq!(
+        lab(&["scale", "--experiments", path(folder.path())])
+            .status
+            .code(),
+        Some(2)
+    );
 }
 
 /// A program that ends at once listens nowhere, so the experiment cannot begin.
@@ -71,7 +94,14 @@
 fn an_experiment_that_fails_is_in_the_report_and_in_the_exit_code() {
     let folder = tempfile::tempdir().unwrap();
     let file = format!("{FOLDER}/30-memory.toml");
-    let output = lab(&["run", &file, "--program", "/bin/true", "--output", path(folder.path())]);
+    let output = lab(&[
+        "run",
+        &file,
+        "--program",
+        "/bin/true",
+        "--output",
+        path(folder.path()),
+    ]);
     assert_eq!(output.status.code(), Some(1), "{}", errors(&output));
     let report = fs::read_to_string(folder.path().join("results.md")).unwrap();
     assert!(report.contains("- failed: start "), "{report}");
@@ -80,7 +110,11 @@
 /// The processes that a process started, over all of its threads.
 fn children(process: u32) -> Vec<i32> {
     let tasks = procfs::process::Process::new(process as i32).and_then(|process| process.tasks());
-    let children = tasks.into_iter().flatten().flatten().filter_map(|task| task.children().ok());
+    let children = tasks
+        .into_iter()
+        .flatten()
+        .flatten()
+        .filter_map(|task| task.children().ok());
     children.flatten().map(|number| number as i32).collect()
 }
 
@@ -92,7 +126,12 @@
     fs::write(&program, "#!/bin/sh\nexec sleep 60\n").unwrap();
     fs::set_permissions(&program, fs::Permissions::from_mode(0o755)).unwrap();
     let mut lab = Command::new(env!("CARGO_BIN_EXE_pipittray-lab"))
-        .args(["run", &format!("{FOLDER}/30-memory.toml"), "--program", path(&program)])
+        .args([
+            "run",
+            &format!("{FOLDER}/30-memory.toml"),
+            "--program",
+            path(&program),
+        ])
         .args(["--output", path(folder.path())])
         .env("TMPDIR", folder.path())
         .stdout(Stdio::null())
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -9,7 +9,9 @@
 pub fn sidecar_program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
-        let workspace = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace");
+        let workspace = Path::new(env!("CARGO_MANIFEST_DIR"))
+            .parent()
+            .expect("the workspace");
         let program = workspace.join("target/debug/pipittray");
         if !program.exists() {
             build_sidecar(workspace);
@@ -20,7 +22,20 @@
 }
 
 fn build_sidecar(workspace: &Path) {
-    let arguments = ["build", "--locked", "--package", "pipittray", "--bin", "pipittray"];
-    let status = Command::new(env!("CARGO")).args(arguments).current_dir(workspace).status();
-    assert!(status.expect("cargo runs").success(), "the sidecar could not be built");
+    let arguments = [
+        "build",
+        "--locked",
+        "--package",
+        "pipittray",
+        "--bin",
+        "pipittray",
+    ];
+    let status = Command::new(env!("CARGO"))
+        .args(arguments)
+        .current_dir(workspace)
+        .status();
+    assert!(
+        status.expect("cargo runs").success(),
+        "the sidecar could not be built"
+    );
 }
--- a/lab/tests/discovery.rs
+++ b/lab/tests/discovery.rs
@@ -67,7 +67,10 @@
     fn connect(server: &DiscoveryServer, zone: usize) -> Self {
         let stream = TcpStream::connect(server.address(&zones()[zone])).unwrap();
         stream.set_read_timeout(Some(LONGEST_WAIT)).unwrap();
-        Caller { stream: BufReader::new(stream), bytes_read: 0 }
+        Caller {
+            stream: BufReader::new(stream),
+            bytes_read: 0,
+        }
     }
 
     fn send(&mut self, request: &str) {
@@ -141,20 +144,32 @@
     fn assert_is_quiet(&mut self) {
         self.stream.get_mut().set_read_timeout(Some(QUIET)).unwrap();
         assert_eq!(self.ending().unwrap_err().kind(), ErrorKind::WouldBlock);
-        self.stream.get_mut().set_read_timeout(Some(LONGEST_WAIT)).unwrap();
+        self.stream
+            .get_mut()
+            .set_read_timeout(Some(LONGEST_WAIT))
+            .unwrap();
     }
 
     fn assert_is_reset(&mut self) {
-        assert_eq!(self.ending().unwrap_err().kind(), ErrorKind::ConnectionReset);
+        assert_eq!(
+            self.ending().unwrap_err().kind(),
+            ErrorKind::ConnectionReset
+        );
     }
 }
 
 /// One object as its version, `list` or `changes`, and names with statuses.
 fn told(text: &str) -> String {
     let message: Value = serde_json::from_str(text).unwrap();
-    let kind = if message["snapshot"].as_bool().unwrap() { "list" } else { "changes" };
+    let kind = if message["snapshot"].as_bool().unwrap() {
+        "list"
+    } else {
+        "changes"
+    };
     let entries = message["endpoints"].as_array().unwrap().iter();
-    let entries = entries.map(|entry| format!(" {}={}", entry["name"], entry["status"])).collect::<String>();
+    let entries = entries
+        .map(|entry| format!(" {}={}", entry["name"], entry["status"]))
+        .collect::<String>();
     format!("{} {kind}{entries}", message["index"]).replace('"', "")
 }
 
@@ -178,7 +193,10 @@
     assert_eq!(told(&caller.answer().1), "2 list b=SERVING c=SERVING");
     assert_eq!(server.snapshot(), (2, vec![serving("b"), serving("c")]));
     let usage = server.usage();
-    assert_eq!((usage.connections, usage.lists, usage.bytes_written), (1, 2, caller.bytes_read));
+    assert_eq!(
+        (usage.connections, usage.lists, usage.bytes_written),
+        (1, 2, caller.bytes_read)
+    );
 }
 
 #[test]
@@ -192,15 +210,24 @@
     current.assert_is_quiet();
 
     for version in 4..40 {
-        assert_eq!(server.publish(vec![serving(&format!("d{version}"))]), version);
+        assert_eq!(
+            server.publish(vec![serving(&format!("d{version}"))]),
+            version
+        );
     }
     for version in 4..40 {
         let change = format!("{version} changes d{version}=SERVING");
         assert_eq!(behind.message(), change);
         assert_eq!(current.message(), change);
     }
-    assert_eq!(server.watches_by_zone(), zones().into_iter().map(|zone| (zone, 1)).collect());
-    assert_eq!(server.usage().bytes_written, behind.bytes_read + current.bytes_read);
+    assert_eq!(
+        server.watches_by_zone(),
+        zones().into_iter().map(|zone| (zone, 1)).collect()
+    );
+    assert_eq!(
+        server.usage().bytes_written,
+        behind.bytes_read + current.bytes_read
+    );
 
     drop(behind);
     wait_until("one watch", || server.usage().watches_open == 1);
@@ -215,7 +242,11 @@
     }
     let whole_list = "5 list a=SERVING b=DRAINING";
     for query in ["", "&since=0", "&since=1", "&since=6"] {
-        assert_eq!(Caller::watch(&server, 0, query).message(), whole_list, "{query}");
+        assert_eq!(
+            Caller::watch(&server, 0, query).message(),
+            whole_list,
+            "{query}"
+        );
     }
     let remembered = "5 changes b=DRAINING";
     assert_eq!(Caller::watch(&server, 0, "&since=2").message(), remembered);
@@ -223,7 +254,10 @@
 
 #[test]
 fn a_watch_gets_an_empty_line_each_heartbeat_and_all_bytes_are_counted() {
-    let server = start(DiscoveryOptions { heartbeat: Duration::from_millis(5), ..options() });
+    let server = start(DiscoveryOptions {
+        heartbeat: Duration::from_millis(5),
+        ..options()
+    });
     let mut watch = Caller::watch(&server, 0, "&since=1");
     let head_bytes = watch.bytes_read;
     for _ in 0..3 {
@@ -231,7 +265,10 @@
     }
     let usage = server.usage();
     assert_eq!(usage.bytes_written, head_bytes + usage.heartbeat_bytes);
-    assert!(usage.heartbeat_bytes >= watch.bytes_read - head_bytes, "{usage:?}");
+    assert!(
+        usage.heartbeat_bytes >= watch.bytes_read - head_bytes,
+        "{usage:?}"
+    );
 }
 
 #[test]
@@ -239,7 +276,10 @@
     const VERSIONS: u64 = 3_000;
     let server = start(options());
     let mut watch = Caller::watch(&server, 0, "&since=1");
-    let long = EndpointEntry { kind: "x".repeat(20 << 10), ..serving("a") };
+    let long = EndpointEntry {
+        kind: "x".repeat(20 << 10),
+        ..serving("a")
+    };
     for _ in 2..=VERSIONS {
         server.publish(vec![long.clone()]);
     }
@@ -249,20 +289,30 @@
         let (index, rest) = message.split_once(' ').unwrap();
         let index: u64 = index.parse().unwrap();
         let is_list = rest == "list a=SERVING b=SERVING";
-        assert!(index == version + 1 || (is_list && index > version), "{message} after {version}");
+        assert!(
+            index == version + 1 || (is_list && index > version),
+            "{message} after {version}"
+        );
         version = index;
         lists += u64::from(is_list);
     }
     assert!(lists > 0);
     server.publish(vec![serving("c")]);
-    assert_eq!(watch.message(), format!("{} changes c=SERVING", VERSIONS + 1));
+    assert_eq!(
+        watch.message(),
+        format!("{} changes c=SERVING", VERSIONS + 1)
+    );
 }
 
 #[test]
 fn calls_beyond_the_capacity_are_rejected() {
     const CALLERS: u64 = 40;
     let longest_wait = Duration::from_millis(100);
-    let server = start(DiscoveryOptions { calls_per_second: 2.0, longest_wait, ..options() });
+    let server = start(DiscoveryOptions {
+        calls_per_second: 2.0,
+        longest_wait,
+        ..options()
+    });
     let mut callers: Vec<_> = (0..CALLERS).map(|_| Caller::connect(&server, 0)).collect();
     callers.iter_mut().for_each(|caller| caller.get(LIST));
     let answers: Vec<u16> = callers.iter_mut().map(|caller| caller.answer().0).collect();
@@ -282,7 +332,10 @@
 #[test]
 fn a_capacity_that_is_changed_holds_for_the_calls_that_come_after() {
     let longest_wait = Duration::from_millis(100);
-    let server = start(DiscoveryOptions { longest_wait, ..options() });
+    let server = start(DiscoveryOptions {
+        longest_wait,
+        ..options()
+    });
     let mut caller = Caller::connect(&server, 0);
     let mut list_status = || {
         caller.get(LIST);
@@ -296,7 +349,10 @@
 
 #[test]
 fn a_caller_that_leaves_before_its_turn_is_counted_as_abandoned() {
-    let server = start(DiscoveryOptions { calls_per_second: 1.0, ..options() });
+    let server = start(DiscoveryOptions {
+        calls_per_second: 1.0,
+        ..options()
+    });
     let [mut first, mut leaving, mut last] = [(); 3].map(|()| Caller::connect(&server, 0));
     first.get(LIST);
     assert_eq!(first.answer().0, 200);
@@ -306,7 +362,14 @@
     wait_until("two wait in turn", || server.usage().longest_queue == 2);
     drop(leaving);
     assert_eq!(last.answer().0, 200);
-    assert_eq!((server.usage().lists, server.usage().abandoned, server.usage().rejected), (2, 1, 0));
+    assert_eq!(
+        (
+            server.usage().lists,
+            server.usage().abandoned,
+            server.usage().rejected
+        ),
+        (2, 1, 0)
+    );
 }
 
 #[test]
@@ -319,7 +382,10 @@
     watch.assert_is_reset();
     idle.assert_is_reset();
     assert_eq!(server.usage().watches_open, 0);
-    assert_eq!(TcpStream::connect(address).unwrap_err().kind(), ErrorKind::ConnectionRefused);
+    assert_eq!(
+        TcpStream::connect(address).unwrap_err().kind(),
+        ErrorKind::ConnectionRefused
+    );
 
     server.publish(vec![serving("c")]);
     server.end_outage();
@@ -340,10 +406,18 @@
     assert_eq!(other_watch.message(), change);
     let mut new = Caller::connect(&server, 0);
     new.get(LIST);
-    wait_until("the new connection is accepted", || server.usage().connections == 3);
+    wait_until("the new connection is accepted", || {
+        server.usage().connections == 3
+    });
     cut_watch.assert_is_quiet();
     new.assert_is_quiet();
-    assert_eq!((server.watches_by_zone()[cut], server.watches_by_zone()[other]), (0, 1));
+    assert_eq!(
+        (
+            server.watches_by_zone()[cut],
+            server.watches_by_zone()[other]
+        ),
+        (0, 1)
+    );
 
     server.set_silent(cut, false);
     cut_watch.assert_is_reset();
@@ -384,8 +458,14 @@
 #[test]
 fn options_that_make_no_sense_are_turned_down() {
     let rates = [0.0, -1.0, f64::NAN, 1e-300];
-    let bad_rates = rates.map(|calls_per_second| DiscoveryOptions { calls_per_second, ..options() });
-    let no_heartbeat = DiscoveryOptions { heartbeat: Duration::ZERO, ..options() };
+    let bad_rates = rates.map(|calls_per_second| DiscoveryOptions {
+        calls_per_second,
+        ..options()
+    });
+    let no_heartbeat = DiscoveryOptions {
+        heartbeat: Duration::ZERO,
+        ..options()
+    };
     for options in bad_rates.into_iter().chain([no_heartbeat]) {
         assert!(DiscoveryServer::start(options, &zones(), Vec::new()).is_err());
     }
@@ -397,17 +477,34 @@
     use hyper::Request;
     use hyper::body::Bytes;
     let server = start(options());
-    let stream = tokio::net::TcpStream::connect(server.address(&zones()[0])).await.unwrap();
+    let stream = tokio::net::TcpStream::connect(server.address(&zones()[0]))
+        .await
+        .unwrap();
     let io = hyper_util::rt::TokioIo::new(stream);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.unwrap();
     let connection = tokio::spawn(connection);
-    let call = |target: &str| Request::get(target).header("host", "discovery").body(Empty::<Bytes>::new());
-    let list = sender.send_request(call(LIST).unwrap()).await.unwrap().into_body();
+    let call = |target: &str| {
+        Request::get(target)
+            .header("host", "discovery")
+            .body(Empty::<Bytes>::new())
+    };
+    let list = sender
+        .send_request(call(LIST).unwrap())
+        .await
+        .unwrap()
+        .into_body();
     let list = list.collect().await.unwrap().to_bytes();
-    assert_eq!(told(std::str::from_utf8(&list).unwrap()), "1 list a=SERVING b=SERVING");
+    assert_eq!(
+        told(std::str::from_utf8(&list).unwrap()),
+        "1 list a=SERVING b=SERVING"
+    );
 
     let target = format!("{LIST}?follow=1&since=1");
-    let mut watch: Incoming = sender.send_request(call(&target).unwrap()).await.unwrap().into_body();
+    let mut watch: Incoming = sender
+        .send_request(call(&target).unwrap())
+        .await
+        .unwrap()
+        .into_body();
     for version in 2..5 {
         server.publish(vec![serving("c")]);
         let line = watch.frame().await.unwrap().unwrap().into_data().unwrap();
