--- a/lab/tests/endpoint.rs
+++ b/lab/tests/endpoint.rs
@@ -15,7 +15,9 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 /// Work that does not end within a test.
-const ENDLESS: ServiceTime = ServiceTime::Fixed { milliseconds: 3_600_000.0 };
+const ENDLESS: ServiceTime = ServiceTime::Fixed {
+    milliseconds: 3_600_000.0,
+};
 
 fn options() -> EndpointOptions {
     EndpointOptions {
@@ -33,8 +35,13 @@
     EndpointHost::start(2, SEED).unwrap()
 }
 
-fn add(host: &EndpointHost, options: EndpointOptions, next_sidecar: Option<SocketAddr>) -> EndpointHandle {
-    host.add("e-1".into(), "a".into(), options, next_sidecar).unwrap()
+fn add(
+    host: &EndpointHost,
+    options: EndpointOptions,
+    next_sidecar: Option<SocketAddr>,
+) -> EndpointHandle {
+    host.add("e-1".into(), "a".into(), options, next_sidecar)
+        .unwrap()
 }
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
@@ -58,7 +65,10 @@
     }
 
     fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 }
 
@@ -87,11 +97,24 @@
         }
         let head = String::from_utf8(head).unwrap();
         let mut lines = head.trim_end().split("\r\n");
-        let first_line = lines.next().unwrap().split(' ').map(str::to_owned).collect();
+        let first_line = lines
+            .next()
+            .unwrap()
+            .split(' ')
+            .map(str::to_owned)
+            .collect();
         let headers = lines.map(|line| line.split_once(": ").unwrap());
-        let headers = headers.map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
-        let mut message = Message { first_line, headers, body: Vec::new() };
-        let length = message.header("content-length").map_or(0, |length| length.parse().unwrap());
+        let headers = headers
+            .map(|(name, value)| (name.to_owned(), value.to_owned()))
+            .collect();
+        let mut message = Message {
+            first_line,
+            headers,
+            body: Vec::new(),
+        };
+        let length = message
+            .header("content-length")
+            .map_or(0, |length| length.parse().unwrap());
         message.body.resize(length, 0);
         self.0.read_exact(&mut message.body)?;
         Ok(message)
@@ -104,7 +127,9 @@
 }
 
 fn get(id: &str) -> String {
-    format!("GET /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: browse\r\nX-Deadline: 5.000\r\n\r\n")
+    format!(
+        "GET /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: browse\r\nX-Deadline: 5.000\r\n\r\n"
+    )
 }
 
 fn probe(address: SocketAddr, path: &str) -> Message {
@@ -122,10 +147,21 @@
     let mut connection = Connection::open(endpoint.entry().address);
     let served = connection.call(&get("1f"));
     assert_eq!((served.status(), served.body.len()), ("200", 32));
-    assert_eq!(served.header("x-load"), Some("TEXT inflight=0, queue=0, util=0.00"));
-    assert_eq!(connection.call("GET /api HTTP/1.1\r\nX-Class: browse\r\n\r\n").status(), "404");
+    assert_eq!(
+        served.header("x-load"),
+        Some("TEXT inflight=0, queue=0, util=0.00")
+    );
+    assert_eq!(
+        connection
+            .call("GET /api HTTP/1.1\r\nX-Class: browse\r\n\r\n")
+            .status(),
+        "404"
+    );
     let late = connection.call("GET /api HTTP/1.1\r\nX-Request-Id: 2f\r\nX-Deadline: 0\r\n\r\n");
-    assert_eq!((late.status(), late.header("x-not-run")), ("503", Some("1")));
+    assert_eq!(
+        (late.status(), late.header("x-not-run")),
+        ("503", Some("1"))
+    );
     let expected = EndpointUsage {
         connections: 1,
         connections_open: 1,
@@ -136,7 +172,9 @@
     };
     assert_eq!(endpoint.usage(), expected);
     drop(connection);
-    wait_until("connection closed", || endpoint.usage().connections_open == 0);
+    wait_until("connection closed", || {
+        endpoint.usage().connections_open == 0
+    });
 }
 
 #[test]
@@ -149,28 +187,47 @@
     assert_eq!(endpoint.usage().requests, 0);
     assert_eq!(connection.call("56789").status(), "200");
     assert_eq!(connection.call(&get("2f")).status(), "200");
-    let chunked = "POST /api HTTP/1.1\r\nX-Request-Id: 3f\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+    let chunked =
+        "POST /api HTTP/1.1\r\nX-Request-Id: 3f\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(connection.call(chunked).status(), "411");
 }
 
 #[test]
 fn a_full_queue_turns_away_and_a_caller_that_leaves_frees_its_place() {
     let host = host();
-    let endpoint = add(&host, EndpointOptions { service_time: ENDLESS, ..options() }, None);
+    let endpoint = add(
+        &host,
+        EndpointOptions {
+            service_time: ENDLESS,
+            ..options()
+        },
+        None,
+    );
     let address = endpoint.entry().address;
     let mut working = Connection::open(address);
     working.send(&get("1f"));
-    wait_until("one works", || load(&endpoint).starts_with("TEXT inflight=1, queue=0"));
+    wait_until("one works", || {
+        load(&endpoint).starts_with("TEXT inflight=1, queue=0")
+    });
     let mut waiting = Connection::open(address);
     waiting.send(&get("2f"));
-    wait_until("one waits", || load(&endpoint).starts_with("TEXT inflight=1, queue=1"));
+    wait_until("one waits", || {
+        load(&endpoint).starts_with("TEXT inflight=1, queue=1")
+    });
     let turned_away = Connection::open(address).call(&get("3f"));
-    assert_eq!((turned_away.status(), turned_away.header("x-not-run")), ("503", Some("1")));
+    assert_eq!(
+        (turned_away.status(), turned_away.header("x-not-run")),
+        ("503", Some("1"))
+    );
     drop(waiting);
-    wait_until("none waits", || load(&endpoint).starts_with("TEXT inflight=1, queue=0"));
+    wait_until("none waits", || {
+        load(&endpoint).starts_with("TEXT inflight=1, queue=0")
+    });
     let mut next = Connection::open(address);
     next.send(&get("4f"));
-    wait_until("the next waits", || load(&endpoint).starts_with("TEXT inflight=1, queue=1"));
+    wait_until("the next waits", || {
+        load(&endpoint).starts_with("TEXT inflight=1, queue=1")
+    });
     let usage = endpoint.usage();
     assert_eq!((usage.requests, usage.served, usage.turned_away), (4, 0, 1));
 }
@@ -182,14 +239,20 @@
     for number in 1..=4 {
         let mut connection = Connection::open(endpoint.entry().address);
         connection.send(&get(&format!("{number}f")));
-        wait_until("request read", || endpoint.usage().requests == before + number);
+        wait_until("request read", || {
+            endpoint.usage().requests == before + number
+        });
         connections.push(connection);
     }
     let all_wait = load(endpoint).contains("queue=3,");
     let queue_length = |connection: &mut Connection| {
         let answer = connection.receive().unwrap();
         assert_eq!(answer.status(), "200");
-        let (_, queue) = answer.header("x-load").unwrap().split_once("queue=").unwrap();
+        let (_, queue) = answer
+            .header("x-load")
+            .unwrap()
+            .split_once("queue=")
+            .unwrap();
         queue.split_once(',').unwrap().0.parse().unwrap()
     };
     let queue_lengths = connections.iter_mut().map(queue_length).collect();
@@ -200,15 +263,29 @@
 fn queued_requests_are_served_in_the_order_in_which_they_came() {
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 50.0 };
-    let endpoint = add(&host, EndpointOptions { service_time, queue: 3, ..options() }, None);
+    let endpoint = add(
+        &host,
+        EndpointOptions {
+            service_time,
+            queue: 3,
+            ..options()
+        },
+        None,
+    );
     let started = Instant::now();
     let queue_lengths = loop {
         if let Some(queue_lengths) = queue_lengths_at_answers(&endpoint) {
             break queue_lengths;
         }
-        assert!(started.elapsed() < PATIENCE, "the requests never waited together");
+        assert!(
+            started.elapsed() < PATIENCE,
+            "the requests never waited together"
+        );
     };
-    assert!(queue_lengths.is_sorted_by(|earlier, later| earlier > later), "{queue_lengths:?}");
+    assert!(
+        queue_lengths.is_sorted_by(|earlier, later| earlier > later),
+        "{queue_lengths:?}"
+    );
     let usage = endpoint.usage();
     assert_eq!((usage.served, usage.turned_away), (usage.requests, 0));
 }
@@ -222,7 +299,14 @@
     assert_eq!(status.body, status.header("x-load").unwrap().as_bytes());
     assert_eq!((endpoint.usage().probes, endpoint.usage().requests), (2, 0));
 
-    let endpoint = add(&host, EndpointOptions { load_reports: false, ..options() }, None);
+    let endpoint = add(
+        &host,
+        EndpointOptions {
+            load_reports: false,
+            ..options()
+        },
+        None,
+    );
     for path in ["/health", "/status/load"] {
         assert_eq!(probe(endpoint.entry().address, path).status(), "404");
     }
@@ -234,14 +318,39 @@
 fn a_cold_endpoint_works_longer_than_a_warm_one() {
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 20.0 };
-    let cold_ramp = Some(ColdRamp { from: 1e-6, milliseconds: 3_600_000_000 });
-    let cold = add(&host, EndpointOptions { service_time, cold_ramp, ..options() }, None);
-    let warm = add(&host, EndpointOptions { service_time, ..options() }, None);
+    let cold_ramp = Some(ColdRamp {
+        from: 1e-6,
+        milliseconds: 3_600_000_000,
+    });
+    let cold = add(
+        &host,
+        EndpointOptions {
+            service_time,
+            cold_ramp,
+            ..options()
+        },
+        None,
+    );
+    let warm = add(
+        &host,
+        EndpointOptions {
+            service_time,
+            ..options()
+        },
+        None,
+    );
     assert!(cold.entry().since_ms > 0);
     assert_eq!(warm.entry().since_ms, 0);
     Connection::open(cold.entry().address).send(&get("1f"));
-    wait_until("the cold one works", || load(&cold).starts_with("TEXT inflight=1"));
-    assert_eq!(Connection::open(warm.entry().address).call(&get("2f")).status(), "200");
+    wait_until("the cold one works", || {
+        load(&cold).starts_with("TEXT inflight=1")
+    });
+    assert_eq!(
+        Connection::open(warm.entry().address)
+            .call(&get("2f"))
+            .status(),
+        "200"
+    );
     assert!(load(&cold).starts_with("TEXT inflight=1"));
 }
 
@@ -253,7 +362,10 @@
     let mut connection = Connection::open(address);
     assert_eq!(connection.call(&get("1f")).status(), "200");
     endpoint.stop();
-    assert_eq!(connection.receive().err().unwrap().kind(), io::ErrorKind::ConnectionReset);
+    assert_eq!(
+        connection.receive().err().unwrap().kind(),
+        io::ErrorKind::ConnectionReset
+    );
     let refused = TcpStream::connect(address).unwrap_err();
     assert_eq!(refused.kind(), io::ErrorKind::ConnectionRefused);
     assert_eq!(endpoint.usage().connections_open, 0);
@@ -280,7 +392,10 @@
     cut.send(&get("2f"));
     wait_until("request read", || endpoint.usage().requests == 2);
     endpoint.set_silent(false);
-    assert_eq!(cut.receive().err().unwrap().kind(), io::ErrorKind::ConnectionReset);
+    assert_eq!(
+        cut.receive().err().unwrap().kind(),
+        io::ErrorKind::ConnectionReset
+    );
     assert_eq!(resting.call(&get("3f")).status(), "200");
     assert_eq!(Connection::open(address).call(&get("4f")).status(), "200");
     assert_eq!(endpoint.usage().served, 3);
@@ -289,7 +404,14 @@
 #[test]
 fn an_error_share_of_one_fails_all_requests() {
     let host = host();
-    let endpoint = add(&host, EndpointOptions { error_share: 1.0, ..options() }, None);
+    let endpoint = add(
+        &host,
+        EndpointOptions {
+            error_share: 1.0,
+            ..options()
+        },
+        None,
+    );
     let mut connection = Connection::open(endpoint.entry().address);
     for id in ["1f", "2f"] {
         assert_eq!(connection.call(&get(id)).status(), "500");
@@ -302,10 +424,18 @@
 fn hundreds_of_endpoints_answer_at_addresses_of_their_own() {
     let host = host();
     let endpoints: Vec<_> = (0..500).map(|_| add(&host, options(), None)).collect();
-    let addresses: HashSet<_> = endpoints.iter().map(|endpoint| endpoint.entry().address).collect();
+    let addresses: HashSet<_> = endpoints
+        .iter()
+        .map(|endpoint| endpoint.entry().address)
+        .collect();
     assert_eq!(addresses.len(), 500);
     for endpoint in &endpoints {
-        assert_eq!(Connection::open(endpoint.entry().address).call(&get("1f")).status(), "200");
+        assert_eq!(
+            Connection::open(endpoint.entry().address)
+                .call(&get("1f"))
+                .status(),
+            "200"
+        );
         assert_eq!(endpoint.usage().served, 1);
     }
 }
@@ -328,13 +458,17 @@
         let mut open = None;
         let mut requests = Vec::new();
         for step in steps {
-            let connection = open.get_or_insert_with(|| Connection::new(listener.accept().unwrap().0));
+            let connection =
+                open.get_or_insert_with(|| Connection::new(listener.accept().unwrap().0));
             let request = connection.receive().unwrap();
             match step {
                 Step::PassOn(endpoint) => {
                     let id = request.header("x-request-id").unwrap();
                     let answer = Connection::open(endpoint).call(&get(id));
-                    connection.send(&format!("HTTP/1.1 {} -\r\nContent-Length: 0\r\n\r\n", answer.status()));
+                    connection.send(&format!(
+                        "HTTP/1.1 {} -\r\nContent-Length: 0\r\n\r\n",
+                        answer.status()
+                    ));
                 }
                 Step::Answer(bytes) => connection.send(bytes),
                 Step::HangUp => open = None,
@@ -352,27 +486,47 @@
     let last = add(&host, options(), None);
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let refused = "HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
-    let steps =
-        vec![Step::PassOn(last.entry().address), Step::Answer(chunked), Step::HangUp, Step::Answer(refused)];
+    let steps = vec![
+        Step::PassOn(last.entry().address),
+        Step::Answer(chunked),
+        Step::HangUp,
+        Step::Answer(refused),
+    ];
     let (sidecar, stand_in) = stand_in_sidecar(steps);
     let first = add(&host, options(), Some(sidecar));
     let mut connection = Connection::open(first.entry().address);
     assert_eq!(connection.call(&get("1f")).body.len(), 32);
-    let post = "POST /api HTTP/1.1\r\nX-Request-Id: 2f\r\nX-Class: buy\r\nContent-Length: 2\r\n\r\nhi";
+    let post =
+        "POST /api HTTP/1.1\r\nX-Request-Id: 2f\r\nX-Class: buy\r\nContent-Length: 2\r\n\r\nhi";
     assert_eq!(connection.call(post).status(), "200");
     // The stand-in hangs up on the kept connection; the call comes once more on a new one and is refused there.
     assert_eq!(connection.call(&get("3f")).status(), "500");
 
     let calls = stand_in.join().unwrap();
-    let ids: Vec<_> = calls.iter().map(|call| call.header("x-request-id").unwrap()).collect();
+    let ids: Vec<_> = calls
+        .iter()
+        .map(|call| call.header("x-request-id").unwrap())
+        .collect();
     assert_eq!(ids[2], ids[3]);
-    assert_eq!(HashSet::from(["1f", "2f", "3f", ids[0], ids[1], ids[2]]).len(), 6);
-    let methods: Vec<_> = calls.iter().map(|call| call.first_line[0].as_str()).collect();
+    assert_eq!(
+        HashSet::from(["1f", "2f", "3f", ids[0], ids[1], ids[2]]).len(),
+        6
+    );
+    let methods: Vec<_> = calls
+        .iter()
+        .map(|call| call.first_line[0].as_str())
+        .collect();
     assert_eq!(methods, ["GET", "POST", "GET", "GET"]);
-    let classes: Vec<_> = calls.iter().map(|call| call.header("x-class").unwrap()).collect();
+    let classes: Vec<_> = calls
+        .iter()
+        .map(|call| call.header("x-class").unwrap())
+        .collect();
     assert_eq!(classes, ["browse", "buy", "browse", "browse"]);
     assert_eq!(calls[1].body, b"hi");
-    let deadline = |call: &Message| call.header("x-deadline").map(|text| text.parse::<f64>().unwrap());
+    let deadline = |call: &Message| {
+        call.header("x-deadline")
+            .map(|text| text.parse::<f64>().unwrap())
+    };
     assert!(deadline(&calls[0]).is_some_and(|left| left > 0.0 && left < 5.0));
     assert_eq!(deadline(&calls[1]), None);
     assert!(deadline(&calls[3]) < deadline(&calls[2]));
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -13,7 +13,10 @@
 const LONGEST: Duration = Duration::from_secs(20);
 /// How long a state is watched that is not to come.
 const SHORT: Duration = Duration::from_millis(300);
-const LOAD: HollowLoad = HollowLoad { calls_per_second: 20.0, mean_service_time: Duration::from_millis(5) };
+const LOAD: HollowLoad = HollowLoad {
+    calls_per_second: 20.0,
+    mean_service_time: Duration::from_millis(5),
+};
 
 fn zone() -> ZoneName {
     "north".into()
@@ -26,14 +29,18 @@
         heartbeat: Duration::from_secs(1),
         remembered_changes: 16,
     };
-    let endpoints = (0..endpoints).map(|number| endpoint(number, EndpointStatus::Serving)).collect();
+    let endpoints = (0..endpoints)
+        .map(|number| endpoint(number, EndpointStatus::Serving))
+        .collect();
     DiscoveryServer::start(options, &[zone()], endpoints).expect("a discovery service")
 }
 
 fn endpoint(number: u32, status: EndpointStatus) -> EndpointEntry {
     EndpointEntry {
         name: format!("endpoint-{number}"),
-        address: format!("127.0.0.1:{}", 20_000 + number).parse().expect("an address"),
+        address: format!("127.0.0.1:{}", 20_000 + number)
+            .parse()
+            .expect("an address"),
         zone: zone(),
         kind: "m2".into(),
         group: 0,
@@ -43,7 +50,11 @@
     }
 }
 
-fn configuration(number: u32, discovery: &DiscoveryServer, lists_are_pushed: bool) -> SidecarConfiguration {
+fn configuration(
+    number: u32,
+    discovery: &DiscoveryServer,
+    lists_are_pushed: bool,
+) -> SidecarConfiguration {
     SidecarConfiguration {
         name: format!("sidecar-{number}"),
         zone: zone(),
@@ -69,17 +80,25 @@
 }
 
 fn fleet(discovery: &DiscoveryServer, lists_are_pushed: bool) -> HollowFleet {
-    let configurations = (0..SIDECARS).map(|n| configuration(n, discovery, lists_are_pushed)).collect();
+    let configurations = (0..SIDECARS)
+        .map(|n| configuration(n, discovery, lists_are_pushed))
+        .collect();
     HollowFleet::start(configurations, LOAD, THREADS).expect("a fleet")
 }
 
 fn assert_all_arrived(arrivals: &Arrivals) {
-    assert_eq!((arrivals.after.len(), arrivals.missing), (SIDECARS as usize, 0));
+    assert_eq!(
+        (arrivals.after.len(), arrivals.missing),
+        (SIDECARS as usize, 0)
+    );
     assert!(arrivals.after.is_sorted());
 }
 
 fn assert_none_arrived(arrivals: &Arrivals) {
-    assert_eq!((arrivals.after.len(), arrivals.missing), (0, SIDECARS as usize));
+    assert_eq!(
+        (arrivals.after.len(), arrivals.missing),
+        (0, SIDECARS as usize)
+    );
 }
 
 fn wait_until(state: &str, is_reached: impl Fn() -> bool) {
@@ -92,7 +111,9 @@
 
 fn wait_until_watching(fleet: &HollowFleet, discovery: &DiscoveryServer) {
     assert_all_arrived(&fleet.wait_until_watching(Instant::now(), LONGEST));
-    wait_until("a watch of each", || discovery.usage().watches_open == u64::from(SIDECARS));
+    wait_until("a watch of each", || {
+        discovery.usage().watches_open == u64::from(SIDECARS)
+    });
 }
 
 /// Waits for a moment at which no call is open, as counts add up exactly then.
@@ -118,7 +139,10 @@
         assert_all_arrived(&fleet.wait_for_version(version, published, LONGEST));
     }
     let usage = discovery.usage();
-    assert_eq!((usage.lists, usage.watches_opened), (u64::from(SIDECARS), u64::from(SIDECARS)));
+    assert_eq!(
+        (usage.lists, usage.watches_opened),
+        (u64::from(SIDECARS), u64::from(SIDECARS))
+    );
     assert_eq!(fleet.usage().discovery_failures, 0);
     // Had it been told before, it counts as zero.
     let late = fleet.wait_for_version(1, Instant::now(), LONGEST);
@@ -157,7 +181,10 @@
     discovery.begin_outage();
     let known = Some(discovery.snapshot());
     let configurations = (0..SIDECARS)
-        .map(|n| SidecarConfiguration { known: known.clone(), ..configuration(n, &discovery, false) })
+        .map(|n| SidecarConfiguration {
+            known: known.clone(),
+            ..configuration(n, &discovery, false)
+        })
         .collect();
     let fleet = HollowFleet::start(configurations, LOAD, THREADS).expect("a fleet");
     assert_all_arrived(&fleet.wait_until_ready(Instant::now(), LONGEST));
@@ -229,10 +256,16 @@
         configuration(number, &second, true)
     });
     assert_all_arrived(&fleet.wait_until_watching(Instant::now(), LONGEST));
-    wait_until("watches have moved", || (first.usage().watches_open, second.usage().watches_open) == (5, 3));
+    wait_until("watches have moved", || {
+        (first.usage().watches_open, second.usage().watches_open) == (5, 3)
+    });
     let version = second.publish(vec![endpoint(0, EndpointStatus::Draining)]);
     wait_until("those that moved are told", || {
-        fleet.wait_for_version(version, Instant::now(), Duration::ZERO).after.len() == moved.len()
+        fleet
+            .wait_for_version(version, Instant::now(), Duration::ZERO)
+            .after
+            .len()
+            == moved.len()
     });
 }
 
@@ -244,25 +277,40 @@
     let only: [EndpointName; 1] = ["endpoint-0".into()];
     fleet.set_unreachable(&only, true);
     let not_served = fleet.usage().not_served;
-    wait_until("calls are not served", || fleet.usage().not_served >= not_served + 10);
+    wait_until("calls are not served", || {
+        fleet.usage().not_served >= not_served + 10
+    });
     let served = fleet.usage().served;
-    wait_until("further calls are not served", || fleet.usage().not_served >= not_served + 60);
+    wait_until("further calls are not served", || {
+        fleet.usage().not_served >= not_served + 60
+    });
     assert_eq!(fleet.usage().served, served);
     fleet.set_unreachable(&only, false);
-    wait_until("calls are served again", || fleet.usage().served >= served + 20);
+    wait_until("calls are served again", || {
+        fleet.usage().served >= served + 20
+    });
     wait_until_calls_add_up(&fleet);
 }
 
 #[test]
 fn attempts_in_flight_as_their_machine_vanishes_are_not_served() {
     let discovery = discovery(1);
-    let configurations = (0..SIDECARS).map(|n| configuration(n, &discovery, true)).collect();
-    let slow = HollowLoad { mean_service_time: Duration::from_millis(60), ..LOAD };
+    let configurations = (0..SIDECARS)
+        .map(|n| configuration(n, &discovery, true))
+        .collect();
+    let slow = HollowLoad {
+        mean_service_time: Duration::from_millis(60),
+        ..LOAD
+    };
     let fleet = HollowFleet::start(configurations, slow, THREADS).expect("a fleet");
     wait_until("calls are served", || fleet.usage().served >= 20);
     fleet.set_unreachable(&["endpoint-0".into()], true);
-    let HollowUsage { served, not_served, .. } = fleet.usage();
-    wait_until("calls are not served", || fleet.usage().not_served >= not_served + 60);
+    let HollowUsage {
+        served, not_served, ..
+    } = fleet.usage();
+    wait_until("calls are not served", || {
+        fleet.usage().not_served >= not_served + 60
+    });
     // Some ten were in flight; each thread may have been about to count one that had come back before.
     let served_since = fleet.usage().served - served;
     assert!(served_since <= THREADS as u64, "{served_since} were served");
--- a/lab/tests/measure.rs
+++ b/lab/tests/measure.rs
@@ -8,7 +8,13 @@
 const ROUNDING: f64 = 1e-9;
 
 fn points(values: &[(f64, f64)]) -> Vec<Point> {
-    values.iter().map(|(size, value)| Point { size: *size, value: *value }).collect()
+    values
+        .iter()
+        .map(|(size, value)| Point {
+            size: *size,
+            value: *value,
+        })
+        .collect()
 }
 
 fn fit(values: &[(f64, f64)]) -> Slope {
@@ -16,7 +22,10 @@
 }
 
 fn assert_near(value: f64, expected: f64) {
-    assert!((value - expected).abs() < ROUNDING, "{value} is not {expected}");
+    assert!(
+        (value - expected).abs() < ROUNDING,
+        "{value} is not {expected}"
+    );
 }
 
 #[test]
@@ -42,7 +51,10 @@
 #[test]
 fn values_that_do_not_vary_are_explained_whole() {
     let line = fit(&[(1.0, 4.0), (2.0, 4.0), (3.0, 4.0)]);
-    assert_eq!((line.intercept, line.per_unit, line.unexplained), (4.0, 0.0, 0.0));
+    assert_eq!(
+        (line.intercept, line.per_unit, line.unexplained),
+        (4.0, 0.0, 0.0)
+    );
 }
 
 #[test]
@@ -62,7 +74,10 @@
 
 #[test]
 fn a_process_that_has_ended_has_no_usage() {
-    let mut child = Command::new("true").stdin(Stdio::null()).spawn().expect("it starts");
+    let mut child = Command::new("true")
+        .stdin(Stdio::null())
+        .spawn()
+        .expect("it starts");
     let process = child.id();
     child.wait().expect("it ends");
     assert!(ProcessUsage::of(process).is_err());
--- a/lab/tests/report.rs
+++ b/lab/tests/report.rs
@@ -44,18 +44,34 @@
         name: name.into(),
         unit: unit.into(),
         size_unit: size_unit.into(),
-        points: points.iter().map(|(size, value)| Point { size: *size, value: *value }).collect(),
+        points: points
+            .iter()
+            .map(|(size, value)| Point {
+                size: *size,
+                value: *value,
+            })
+            .collect(),
         slope: None,
         note: None,
     }
 }
 
 fn report() -> Report {
-    let slope = Slope { intercept: 100.0, per_unit: 1.5, unexplained: 0.001_234, largest_residual: 0.0 };
+    let slope = Slope {
+        intercept: 100.0,
+        per_unit: 1.5,
+        unexplained: 0.001_234,
+        largest_residual: 0.0,
+    };
     let memory = Figure {
         slope: Some(slope),
         note: Some("Anonymous memory.".into()),
-        ..figure("memory by endpoints", "bytes", "endpoints", &[(10.0, 4_096.0), (500.0, 512_345.6)])
+        ..figure(
+            "memory by endpoints",
+            "bytes",
+            "endpoints",
+            &[(10.0, 4_096.0), (500.0, 512_345.6)],
+        )
     };
     Report {
         program: "04e97b6".into(),
@@ -64,7 +80,10 @@
             experiment: "memory".into(),
             seed: 7,
             seconds: 12.345,
-            figures: vec![memory, figure("probes a call", "1", "calls/s", &[(72.0, 0.012_345)])],
+            figures: vec![
+                memory,
+                figure("probes a call", "1", "calls/s", &[(72.0, 0.012_345)]),
+            ],
             problems: vec!["of 10 requests 9 were open at once".into()],
         }],
     }
@@ -83,10 +102,16 @@
     report.write(&output).unwrap();
     report.program = "later".into();
     report.write(&output).unwrap();
-    assert_eq!(fs::read_to_string(output.join("results.md")).unwrap(), report.markdown());
+    assert_eq!(
+        fs::read_to_string(output.join("results.md")).unwrap(),
+        report.markdown()
+    );
     let json: serde_json::Value =
         serde_json::from_slice(&fs::read(output.join("results.json")).unwrap()).unwrap();
     assert_eq!(json["program"], "later");
-    assert_eq!(json["experiments"][0]["figures"][0]["points"][1]["size"], 500.0);
+    assert_eq!(
+        json["experiments"][0]["figures"][0]["points"][1]["size"],
+        500.0
+    );
     assert_eq!(fs::read_dir(&output).unwrap().count(), 2);
 }
--- a/lab/tests/sidecar_process.rs
+++ b/lab/tests/sidecar_process.rs
@@ -17,7 +17,12 @@
 const LONG: Duration = Duration::from_secs(20);
 
 fn class(name: &str, is_unsafe: bool) -> RequestClass {
-    RequestClass { name: name.into(), is_unsafe, worth: 1.0, deadline: Duration::from_secs(10) }
+    RequestClass {
+        name: name.into(),
+        is_unsafe,
+        worth: 1.0,
+        deadline: Duration::from_secs(10),
+    }
 }
 
 fn configuration(discovery: SocketAddr, endpoints: Vec<EndpointEntry>) -> SidecarConfiguration {
@@ -77,7 +82,11 @@
 fn answer_requests(mut stream: TcpStream) {
     let reader = BufReader::new(stream.try_clone().expect("a second handle"));
     for line in reader.lines().map_while(Result::ok) {
-        if line.is_empty() && stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").is_err() {
+        if line.is_empty()
+            && stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
+                .is_err()
+        {
             return;
         }
     }
@@ -87,11 +96,14 @@
 fn ask(sidecar: SocketAddr) -> String {
     let mut stream = TcpStream::connect(sidecar).expect("the sidecar accepts");
     stream.set_read_timeout(Some(LONG)).expect("a time-out");
-    let request =
-        "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: 1\r\nX-Class: browse\r\nX-Deadline: 10\r\n\r\n";
-    stream.write_all(request.as_bytes()).expect("the request is written");
+    let request = "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: 1\r\nX-Class: browse\r\nX-Deadline: 10\r\n\r\n";
+    stream
+        .write_all(request.as_bytes())
+        .expect("the request is written");
     let mut status = String::new();
-    BufReader::new(stream).read_line(&mut status).expect("a status line");
+    BufReader::new(stream)
+        .read_line(&mut status)
+        .expect("a status line");
     status.trim_end().into()
 }
 
@@ -100,13 +112,25 @@
     let mut configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
     let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
     settings.check().expect("settings that make sense");
-    assert_eq!((settings.balancers, settings.instance.0, settings.zones), (3, 1, 2));
+    assert_eq!(
+        (settings.balancers, settings.instance.0, settings.zones),
+        (3, 1, 2)
+    );
     assert_eq!((settings.tier, settings.tiers), (0, 2));
     assert_eq!(settings.discovery, DiscoveryMode::OnRequest);
     assert_eq!(settings.reporting, Reporting::WithAnswers);
-    let classes: Vec<(&str, Idempotency)> =
-        settings.classes.iter().map(|c| (&*c.name, c.idempotency)).collect();
-    assert_eq!(classes, [("browse", Idempotency::Idempotent), ("order", Idempotency::Unsafe)]);
+    let classes: Vec<(&str, Idempotency)> = settings
+        .classes
+        .iter()
+        .map(|c| (&*c.name, c.idempotency))
+        .collect();
+    assert_eq!(
+        classes,
+        [
+            ("browse", Idempotency::Idempotent),
+            ("order", Idempotency::Unsafe)
+        ]
+    );
 
     configuration.lists_are_pushed = true;
     configuration.probes = true;
@@ -120,8 +144,13 @@
 fn a_sidecar_starts_serves_and_is_killed() {
     let discovery = silent_listener();
     let configuration = configuration(address_of(&discovery), vec![entry(start_endpoint())]);
-    let sidecar = SidecarProcess::start(common::sidecar_program(), &configuration).expect("it starts");
-    assert!(sidecar.wait_until_ready(LONG).is_some(), "{:?}", sidecar.log());
+    let sidecar =
+        SidecarProcess::start(common::sidecar_program(), &configuration).expect("it starts");
+    assert!(
+        sidecar.wait_until_ready(LONG).is_some(),
+        "{:?}",
+        sidecar.log()
+    );
     assert_ne!(sidecar.address(), sidecar.admin_address());
 
     assert_eq!(ask(sidecar.address()), "HTTP/1.1 200 OK");
@@ -153,7 +182,9 @@
 
     let mut without_classes = first;
     without_classes.classes.clear();
-    let refusal = sidecar.reload(&without_classes).expect_err("no instance can work with it");
+    let refusal = sidecar
+        .reload(&without_classes)
+        .expect_err("no instance can work with it");
     assert!(refusal.to_string().contains("turned down"), "{refusal}");
     assert_eq!(sidecar.figure("config_reloads"), Some(2));
     sidecar.terminate();
@@ -162,12 +193,24 @@
 #[test]
 fn a_program_that_ends_at_once_is_told_with_its_log() {
     let configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
-    let failure = SidecarProcess::start(Path::new("true"), &configuration).err().expect("it ends");
-    assert!(failure.to_string().contains("ended before it listened"), "{failure}");
+    let failure = SidecarProcess::start(Path::new("true"), &configuration)
+        .err()
+        .expect("it ends");
+    assert!(
+        failure.to_string().contains("ended before it listened"),
+        "{failure}"
+    );
 
     let mut without_classes = configuration;
     without_classes.classes.clear();
     let started = SidecarProcess::start(common::sidecar_program(), &without_classes);
-    let failure = started.err().expect("settings without a class are turned down");
-    assert!(failure.to_string().contains("settings.categories: is empty"), "{failure}");
+    let failure = started
+        .err()
+        .expect("settings without a class are turned down");
+    assert!(
+        failure
+            .to_string()
+            .contains("settings.categories: is empty"),
+        "{failure}"
+    );
 }
--- a/lab/tests/small_run.rs
+++ b/lab/tests/small_run.rs
@@ -12,9 +12,20 @@
 fn every_change_reaches_every_sidecar() {
     let report = run("propagation");
 
-    assert_names(&report, "change known", &["half", "99 in 100", "last", "missing"]);
+    assert_names(
+        &report,
+        "change known",
+        &["half", "99 in 100", "last", "missing"],
+    );
     assert_none_missing(&report);
-    assert_ascending(&report, &["change known: half", "change known: 99 in 100", "change known: last"]);
+    assert_ascending(
+        &report,
+        &[
+            "change known: half",
+            "change known: 99 in 100",
+            "change known: last",
+        ],
+    );
     for figure in &report.figures {
         assert_eq!(sizes(figure), [40.0], "{}", figure.name);
     }
@@ -27,7 +38,11 @@
 fn every_sidecar_is_current_after_an_outage() {
     let report = run("outage");
 
-    assert_names(&report, "list current after the outage", &["half", "9 in 10", "last", "missing"]);
+    assert_names(
+        &report,
+        "list current after the outage",
+        &["half", "9 in 10", "last", "missing"],
+    );
     assert_none_missing(&report);
     for figure in &report.figures {
         assert_eq!(sizes(figure), [40.0], "{}", figure.name);
@@ -35,8 +50,14 @@
     let watches = values(&report, "watches opened until the last is current");
     let connections = values(&report, "connections until the last is current");
     for (watches, connections) in watches.zip(connections) {
-        assert!(watches >= 1.0, "every sidecar has lost its watch: {watches}");
-        assert!(connections >= 1.0, "every sidecar has lost its connection: {connections}");
+        assert!(
+            watches >= 1.0,
+            "every sidecar has lost its watch: {watches}"
+        );
+        assert!(
+            connections >= 1.0,
+            "every sidecar has lost its connection: {connections}"
+        );
     }
 }
 
@@ -47,19 +68,33 @@
     // Discovery answers one call at once and the next after ten seconds.
     let missing: Vec<f64> = values(&report, "list current after the outage: missing").collect();
     for (missing, sidecars) in missing.iter().zip([3.0, 6.0, 9.0]) {
-        assert!([sidecars - 1.0, sidecars].contains(missing), "{missing} of {sidecars}");
+        assert!(
+            [sidecars - 1.0, sidecars].contains(missing),
+            "{missing} of {sidecars}"
+        );
     }
     let last = figure(&report, "list current after the outage: last");
-    assert!(last.points.iter().all(|point| point.value == 500.0), "{last:?}");
+    assert!(
+        last.points.iter().all(|point| point.value == 500.0),
+        "{last:?}"
+    );
     assert!(last.slope.is_none() && last.note.is_some(), "{last:?}");
-    assert!(figure(&report, "list current after the outage: missing").slope.is_some());
+    assert!(
+        figure(&report, "list current after the outage: missing")
+            .slope
+            .is_some()
+    );
 }
 
 #[test]
 fn every_sidecar_is_ready_and_watches_after_a_restart() {
     let report = run("fleet-restart");
 
-    for what in ["ready, endpoints known", "ready, none known", "watching, endpoints known"] {
+    for what in [
+        "ready, endpoints known",
+        "ready, none known",
+        "watching, endpoints known",
+    ] {
         assert_names(&report, what, &["half", "9 in 10", "last", "missing"]);
     }
     assert_none_missing(&report);
@@ -81,12 +116,26 @@
     let not_served: Vec<f64> = values(&report, "calls not served").collect();
     assert_eq!(sizes(figure(&report, "calls")), faults);
     assert!(calls.iter().all(|calls| *calls > 0.0), "{calls:?}");
-    assert!(calls.iter().zip(&not_served).all(|(calls, not_served)| not_served <= calls), "{not_served:?}");
+    assert!(
+        calls
+            .iter()
+            .zip(&not_served)
+            .all(|(calls, not_served)| not_served <= calls),
+        "{not_served:?}"
+    );
     assert!(values(&report, "attempts").all(|attempts| attempts > 0.0));
-    assert_eq!(sizes(figure(&report, "list current after the fault's end: last")), faults[1..]);
+    assert_eq!(
+        sizes(figure(&report, "list current after the fault's end: last")),
+        faults[1..]
+    );
     assert_none_missing(&report);
     let note = figure(&report, "calls").note.as_deref().unwrap_or_default();
-    for description in ["0: none", "1: 2 machines vanish", "2: 2 machines restart, 2 at once", "3: a zone"] {
+    for description in [
+        "0: none",
+        "1: 2 machines vanish",
+        "2: 2 machines restart, 2 at once",
+        "3: a zone",
+    ] {
         assert!(note.contains(description), "{note}");
     }
 }
@@ -98,17 +147,24 @@
     for figure in &report.figures {
         assert_eq!(sizes(figure), [20.0, 50.0], "{}", figure.name);
     }
-    for pair in [["straight p50", "straight p99"], ["through p50", "through p99"]] {
+    for pair in [
+        ["straight p50", "straight p99"],
+        ["through p50", "through p99"],
+    ] {
         assert_ascending(&report, &pair);
     }
-    assert!(values(&report, "connections that callers opened").all(|connections| connections >= 1.0));
+    assert!(
+        values(&report, "connections that callers opened").all(|connections| connections >= 1.0)
+    );
 }
 
 /// Runs the experiment of a file and checks what holds for all.
 fn run(name: &str) -> ExperimentReport {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/small/{name}.toml"));
     let experiment = Experiment::load(&file).expect("the file is an experiment");
-    let context = RunContext { program: common::sidecar_program().to_owned() };
+    let context = RunContext {
+        program: common::sidecar_program().to_owned(),
+    };
     let report = scenario::run(&experiment, &context).expect("the experiment runs to its end");
     assert_eq!(report.experiment, experiment.name);
     assert_eq!(report.seed, experiment.seed);
@@ -119,23 +175,33 @@
 /// The figures about `what` are these, in this order.
 fn assert_names(report: &ExperimentReport, what: &str, labels: &[&str]) {
     let names = report.figures.iter().map(|figure| figure.name.as_str());
-    let about: Vec<&str> = names.filter_map(|name| name.strip_prefix(what)?.strip_prefix(": ")).collect();
+    let about: Vec<&str> = names
+        .filter_map(|name| name.strip_prefix(what)?.strip_prefix(": "))
+        .collect();
     assert_eq!(about, labels, "{what}");
 }
 
 fn assert_none_missing(report: &ExperimentReport) {
-    let missing: Vec<&Figure> =
-        report.figures.iter().filter(|figure| figure.name.ends_with(": missing")).collect();
+    let missing: Vec<&Figure> = report
+        .figures
+        .iter()
+        .filter(|figure| figure.name.ends_with(": missing"))
+        .collect();
     assert!(!missing.is_empty());
     for figure in missing {
-        assert!(figure.points.iter().all(|point| point.value == 0.0), "{figure:?}");
+        assert!(
+            figure.points.iter().all(|point| point.value == 0.0),
+            "{figure:?}"
+        );
     }
 }
 
 /// The values of each figure are no smaller than those of the figure before.
 fn assert_ascending(report: &ExperimentReport, names: &[&str]) {
     for pair in names.windows(2) {
-        let ascends = values(report, pair[0]).zip(values(report, pair[1])).all(|(low, high)| low <= high);
+        let ascends = values(report, pair[0])
+            .zip(values(report, pair[1]))
+            .all(|(low, high)| low <= high);
         assert!(ascends, "{pair:?}");
     }
 }
--- a/lab/tests/tier.rs
+++ b/lab/tests/tier.rs
@@ -28,7 +28,15 @@
 
 fn start_tier(configuration: &Path) -> Killed {
     let tier = Command::new(env!("CARGO_BIN_EXE_pipittray-lab"))
-        .args(["tier", "--listen", "127.0.0.1:0", "--admin", "127.0.0.1:0", "--endpoints", "2"])
+        .args([
+            "tier",
+            "--listen",
+            "127.0.0.1:0",
+            "--admin",
+            "127.0.0.1:0",
+            "--endpoints",
+            "2",
+        ])
         .arg("--configuration")
         .arg(configuration)
         .stdout(Stdio::null())
@@ -48,8 +56,11 @@
 /// Where a sidecar says in its log that it listens.
 fn callers_address(log: ChildStderr) -> SocketAddr {
     let lines = BufReader::new(log).lines().map_while(Result::ok);
-    let mut told = lines.filter_map(|line| Some(line.split_once(" listens on ")?.1.trim().to_owned()));
-    told.next().and_then(|address| address.parse().ok()).expect("it tells where it listens")
+    let mut told =
+        lines.filter_map(|line| Some(line.split_once(" listens on ")?.1.trim().to_owned()));
+    told.next()
+        .and_then(|address| address.parse().ok())
+        .expect("it tells where it listens")
 }
 
 fn ask(address: SocketAddr, request: &str) -> String {
--- a/lab/tests/topology.rs
+++ b/lab/tests/topology.rs
@@ -7,14 +7,23 @@
 const SEED: u64 = 7;
 
 fn plan_size() -> TopologySize {
-    TopologySize { regions: 2, zones_per_region: 4, racks_per_zone: 5, services: 62, endpoints: 500 }
+    TopologySize {
+        regions: 2,
+        zones_per_region: 4,
+        racks_per_zone: 5,
+        services: 62,
+        endpoints: 500,
+    }
 }
 
 fn plan() -> Topology {
     Topology::generate(&plan_size(), SEED)
 }
 
-fn count_by<'a>(topology: &'a Topology, name: impl Fn(&'a Placement) -> &'a str) -> BTreeMap<&'a str, usize> {
+fn count_by<'a>(
+    topology: &'a Topology,
+    name: impl Fn(&'a Placement) -> &'a str,
+) -> BTreeMap<&'a str, usize> {
     let mut counts = BTreeMap::new();
     for placement in &topology.placements {
         *counts.entry(name(placement)).or_default() += 1;
@@ -38,43 +47,81 @@
     let topology = plan();
     assert_eq!(topology.zones.len(), 8);
     assert_eq!(topology.zones[5].as_str(), "r2-z2");
-    assert_eq!(count_by(&topology, |placement| placement.endpoint.as_str()).len(), 500);
+    assert_eq!(
+        count_by(&topology, |placement| placement.endpoint.as_str()).len(),
+        500
+    );
 
     let zones = count_by(&topology, |placement| placement.zone.as_str());
     assert_eq!(zones.len(), 8);
-    assert!(zones.values().all(|count| (62..=63).contains(count)), "{zones:?}");
+    assert!(
+        zones.values().all(|count| (62..=63).contains(count)),
+        "{zones:?}"
+    );
 
     let racks = count_by(&topology, |placement| placement.rack.as_str());
     assert_eq!(racks.len(), 40);
-    assert!(racks.values().all(|count| (12..=13).contains(count)), "{racks:?}");
+    assert!(
+        racks.values().all(|count| (12..=13).contains(count)),
+        "{racks:?}"
+    );
 
     let services = count_by(&topology, |placement| placement.service.as_str());
     assert_eq!(services.len(), 62);
     let smallest = services.values().min().unwrap();
     let largest = services.values().max().unwrap();
     assert!(largest >= &(4 * smallest), "{services:?}");
-    assert!(services.contains_key("service-01") && services.contains_key("service-62"), "{services:?}");
+    assert!(
+        services.contains_key("service-01") && services.contains_key("service-62"),
+        "{services:?}"
+    );
 }
 
 #[test]
 fn the_names_of_a_placement_agree() {
     for placement in &plan().placements {
-        assert!(placement.zone.as_str().starts_with(&format!("{}-z", placement.region)), "{placement:?}");
-        assert!(placement.rack.as_str().starts_with(&format!("{}-k", placement.zone)), "{placement:?}");
+        assert!(
+            placement
+                .zone
+                .as_str()
+                .starts_with(&format!("{}-z", placement.region)),
+            "{placement:?}"
+        );
+        assert!(
+            placement
+                .rack
+                .as_str()
+                .starts_with(&format!("{}-k", placement.zone)),
+            "{placement:?}"
+        );
     }
     assert_eq!(plan().placements[122].endpoint.as_str(), "endpoint-0123");
 }
 
 #[test]
 fn sizes_with_little_or_nothing_in_them_are_no_trouble() {
-    let few = TopologySize { endpoints: 3, ..plan_size() };
+    let few = TopologySize {
+        endpoints: 3,
+        ..plan_size()
+    };
     assert_eq!(Topology::generate(&few, SEED).placements.len(), 3);
-    let no_racks = TopologySize { racks_per_zone: 0, ..plan_size() };
+    let no_racks = TopologySize {
+        racks_per_zone: 0,
+        ..plan_size()
+    };
     assert!(Topology::generate(&no_racks, SEED).placements.is_empty());
-    let no_zones = TopologySize { zones_per_region: 0, ..plan_size() };
+    let no_zones = TopologySize {
+        zones_per_region: 0,
+        ..plan_size()
+    };
     let empty = Topology::generate(&no_zones, SEED);
     assert!(empty.placements.is_empty() && empty.zones.is_empty());
-    for fault in [Fault::Machines { count: 2 }, Fault::Rack, Fault::Zone, Fault::RegionCut] {
+    for fault in [
+        Fault::Machines { count: 2 },
+        Fault::Rack,
+        Fault::Zone,
+        Fault::RegionCut,
+    ] {
         assert_eq!(fault.impact(&empty, SEED), Impact::default());
     }
 }
@@ -82,7 +129,10 @@
 #[test]
 fn machine_faults_hit_as_many_distinct_endpoints_as_they_say() {
     let topology = plan();
-    for fault in [Fault::Machines { count: 32 }, Fault::Restarts { count: 32, wave: 4 }] {
+    for fault in [
+        Fault::Machines { count: 32 },
+        Fault::Restarts { count: 32, wave: 4 },
+    ] {
         let impact = fault.impact(&topology, SEED);
         assert_eq!(impact, fault.impact(&topology, SEED));
         assert_ne!(impact, fault.impact(&topology, SEED + 1));
@@ -101,7 +151,11 @@
     let in_rack = |placement: &&Placement| Some(&placement.rack) == rack.rack.as_ref();
     assert_eq!(
         placements_of(&topology, &rack),
-        topology.placements.iter().filter(in_rack).collect::<Vec<_>>()
+        topology
+            .placements
+            .iter()
+            .filter(in_rack)
+            .collect::<Vec<_>>()
     );
     assert!((12..=13).contains(&rack.endpoints.len()) && rack.silent_zones.is_empty());
 
@@ -109,7 +163,11 @@
     let in_zone = |placement: &&Placement| zone.silent_zones == [placement.zone.clone()];
     assert_eq!(
         placements_of(&topology, &zone),
-        topology.placements.iter().filter(in_zone).collect::<Vec<_>>()
+        topology
+            .placements
+            .iter()
+            .filter(in_zone)
+            .collect::<Vec<_>>()
     );
     assert!((62..=63).contains(&zone.endpoints.len()));
 }
@@ -122,6 +180,14 @@
     assert!(impact.endpoints.is_empty());
     assert_eq!(impact.silent_zones.len(), 4);
     let prefix = format!("{region}-z");
-    assert!(impact.silent_zones.iter().all(|zone| zone.as_str().starts_with(&prefix)));
-    assert_eq!(Fault::DiscoveryOutage.impact(&topology, SEED), Impact::default());
+    assert!(
+        impact
+            .silent_zones
+            .iter()
+            .all(|zone| zone.as_str().starts_with(&prefix))
+    );
+    assert_eq!(
+        Fault::DiscoveryOutage.impact(&topology, SEED),
+        Impact::default()
+    );
 }
--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -15,6 +15,12 @@
         return print(&"nothing changes");
     }
     differences.iter().for_each(|difference| line(difference));
-    let is_turned_down = differences.iter().any(|difference| difference.effect == Effect::TurnedDown);
-    if is_turned_down { Outcome::Failed } else { Outcome::Done }
+    let is_turned_down = differences
+        .iter()
+        .any(|difference| difference.effect == Effect::TurnedDown);
+    if is_turned_down {
+        Outcome::Failed
+    } else {
+        Outcome::Done
+    }
 }
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -85,7 +85,9 @@
     if std::env::args_os().len() <= 1 {
         return crate::sidecar::main();
     }
-    let Some(command) = Arguments::parse().command else { return crate::sidecar::main() };
+    let Some(command) = Arguments::parse().command else {
+        return crate::sidecar::main();
+    };
     let outcome = match command {
         Command::Check(file) => check::check(&file.config),
         Command::Explain(file) => explain::explain(&file.config),
@@ -93,10 +95,19 @@
         Command::Status(address) => operator::status(&address),
         Command::Drain(address) => operator::call(&address, OperatorCall::Drain),
         Command::Undrain(address) => operator::call(&address, OperatorCall::Undrain),
-        Command::Disable { endpoint, address } => operator::call(&address, OperatorCall::Disable(&endpoint)),
-        Command::Enable { endpoint, address } => operator::call(&address, OperatorCall::Enable(&endpoint)),
+        Command::Disable { endpoint, address } => {
+            operator::call(&address, OperatorCall::Disable(&endpoint))
+        }
+        Command::Enable { endpoint, address } => {
+            operator::call(&address, OperatorCall::Enable(&endpoint))
+        }
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Arguments::command(), "pipittray", &mut io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Arguments::command(),
+                "pipittray",
+                &mut io::stdout(),
+            );
             Outcome::Done
         }
         Command::Man => manual(),
--- a/src/command_line/operator.rs
+++ b/src/command_line/operator.rs
@@ -60,12 +60,17 @@
 /// Why a call could not be made.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
-    #[error("no second address: give --admin, ROUTER_ADMIN_ADDR, or a configuration with admin_addr")]
+    #[error(
+        "no second address: give --admin, ROUTER_ADMIN_ADDR, or a configuration with admin_addr"
+    )]
     NoAddress,
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("{address}: {failure}")]
-    Connection { address: SocketAddr, failure: io::Error },
+    Connection {
+        address: SocketAddr,
+        failure: io::Error,
+    },
 }
 
 impl CallError {
@@ -88,8 +93,12 @@
 
 /// Shows whether the sidecar is ready, and its figures.
 pub(super) fn status(address: &SecondAddress) -> Outcome {
-    let answers = resolve(address)
-        .and_then(|address| Ok((ask(address, OperatorCall::Ready)?, ask(address, OperatorCall::Stats)?)));
+    let answers = resolve(address).and_then(|address| {
+        Ok((
+            ask(address, OperatorCall::Ready)?,
+            ask(address, OperatorCall::Stats)?,
+        ))
+    });
     let (ready, figures) = match answers {
         Ok(answers) => answers,
         Err(error) => return error.outcome(),
@@ -122,5 +131,9 @@
     stream.write_all(format!("{call}\n").as_bytes())?;
     let mut answer = String::new();
     stream.take(LARGEST_ANSWER).read_to_string(&mut answer)?;
-    if answer.is_empty() { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(answer) }
+    if answer.is_empty() {
+        Err(io::ErrorKind::UnexpectedEof.into())
+    } else {
+        Ok(answer)
+    }
 }
--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -15,7 +15,13 @@
 /// Names the operators' address, before the file does.
 pub const ADMIN_VARIABLE: &str = "ROUTER_ADMIN_ADDR";
 /// Settings that may be absent, where others may not once they have been there.
-const MAY_BE_ABSENT: [&str; 5] = ["aimStretch", "passesDeadline", "warmKeys", "drainCloseNs", "orderPauseNs"];
+const MAY_BE_ABSENT: [&str; 5] = [
+    "aimStretch",
+    "passesDeadline",
+    "warmKeys",
+    "drainCloseNs",
+    "orderPauseNs",
+];
 
 /// Why a configuration cannot be had; it fits on one line.
 #[derive(Debug, thiserror::Error)]
@@ -80,7 +86,12 @@
 impl FixedValues {
     /// The names of what differs.
     pub fn differences(&self, other: &FixedValues) -> Vec<&'static str> {
-        self.0.iter().zip(&other.0).filter(|(a, b)| a != b).map(|((name, _), _)| *name).collect()
+        self.0
+            .iter()
+            .zip(&other.0)
+            .filter(|(a, b)| a != b)
+            .map(|((name, _), _)| *name)
+            .collect()
     }
 }
 
@@ -90,7 +101,9 @@
     /// # Errors
     /// What is wrong with it.
     pub fn from_environment() -> Result<Self, ConfigError> {
-        let path = std::env::var_os(FILE_VARIABLE).map(PathBuf::from).ok_or(ConfigError::NoFile)?;
+        let path = std::env::var_os(FILE_VARIABLE)
+            .map(PathBuf::from)
+            .ok_or(ConfigError::NoFile)?;
         let mut config = Self::from_file(&path)?;
         config.admin = Self::admin_from_environment()?.or(config.admin);
         Ok(config)
@@ -101,9 +114,14 @@
     /// # Errors
     /// What is wrong with it.
     pub fn from_file(path: &Path) -> Result<Self, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|failure| ConfigError::Read { path: path.to_owned(), failure })?;
-        Self::parse(&text).map_err(|faults| ConfigError::Faults { path: path.to_owned(), faults })
+        let text = std::fs::read_to_string(path).map_err(|failure| ConfigError::Read {
+            path: path.to_owned(),
+            failure,
+        })?;
+        Self::parse(&text).map_err(|faults| ConfigError::Faults {
+            path: path.to_owned(),
+            faults,
+        })
     }
 
     /// The environment is this process's own, where a file may serve two of them during an upgrade: it goes first.
@@ -124,12 +142,22 @@
     /// # Errors
     /// All that is wrong with it.
     pub fn parse(text: &str) -> Result<Self, Faults> {
-        let Parsed { document, value, settings } = parse(text)?;
+        let Parsed {
+            document,
+            value,
+            settings,
+        } = parse(text)?;
         let limits = serde_json::to_value(&document.limits).unwrap_or_default();
         let fixed = FixedValues([
             ("name", document.name.as_str().into()),
             ("listen", document.listen.to_string().into()),
-            ("admin_addr", document.admin_addr.map(|address| address.to_string()).into()),
+            (
+                "admin_addr",
+                document
+                    .admin_addr
+                    .map(|address| address.to_string())
+                    .into(),
+            ),
             ("limits", limits.clone()),
         ]);
         Ok(Config {
@@ -157,10 +185,15 @@
     pub fn changed_settings(&self, earlier: &Value) -> Vec<String> {
         let before = earlier["settings"].as_object();
         let after = self.document["settings"].as_object();
-        let (Some(before), Some(after)) = (before, after) else { return Vec::new() };
+        let (Some(before), Some(after)) = (before, after) else {
+            return Vec::new();
+        };
         let added = after.keys().filter(|key| !before.contains_key(*key));
         let names = before.keys().chain(added);
-        names.filter(|key| before.get(*key) != after.get(*key)).cloned().collect()
+        names
+            .filter(|key| before.get(*key) != after.get(*key))
+            .cloned()
+            .collect()
     }
 }
 
@@ -172,13 +205,18 @@
             if MAY_BE_ABSENT.contains(&key.as_str()) {
                 return None;
             }
-            let Some(next) = after.get(key) else { return Some(key.clone()) };
+            let Some(next) = after.get(key) else {
+                return Some(key.clone());
+            };
             missing_key(value, next).map(|rest| format!("{key}.{rest}"))
         }),
         (Value::Array(before), Value::Array(after)) => {
             let common = common_keys(before)?;
             let missing = |value: &Value| missing_key(&common, value);
-            after.iter().enumerate().find_map(|(n, value)| Some(format!("{n}.{}", missing(value)?)))
+            after
+                .iter()
+                .enumerate()
+                .find_map(|(n, value)| Some(format!("{n}.{}", missing(value)?)))
         }
         _ => None,
     }
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -34,17 +34,30 @@
 /// file would be turned down is the only difference then.
 pub fn differences(running: &Config, next: &Config) -> Vec<Difference> {
     if let Some(path) = next.missing_key(&running.document) {
-        return vec![Difference { path, before: None, after: None, effect: Effect::TurnedDown }];
+        return vec![Difference {
+            path,
+            before: None,
+            after: None,
+            effect: Effect::TurnedDown,
+        }];
     }
     let (before, after) = (leaves(&running.value), leaves(&next.value));
     let paths: BTreeSet<&String> = before.iter().chain(&after).map(|(path, _)| path).collect();
     let value_of = |leaves: &[(String, Value)], path: &str| {
-        leaves.iter().find(|(other, _)| other == path).map(|(_, value)| value.clone())
+        leaves
+            .iter()
+            .find(|(other, _)| other == path)
+            .map(|(_, value)| value.clone())
     };
     let differing = paths.into_iter().filter_map(|path| {
         let (before, after) = (value_of(&before, path), value_of(&after, path));
         let effect = effect(path)?;
-        (before != after).then(|| Difference { path: path.clone(), before, after, effect })
+        (before != after).then(|| Difference {
+            path: path.clone(),
+            before,
+            after,
+            effect,
+        })
     });
     differing.collect()
 }
@@ -60,14 +73,25 @@
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown = |value: &Option<Value>| value.as_ref().map_or("absent".into(), Value::to_string);
+        let shown =
+            |value: &Option<Value>| value.as_ref().map_or("absent".into(), Value::to_string);
         let effect = match self.effect {
             Effect::Reload => "SIGHUP changes",
             Effect::Restart => "only a restart changes",
             Effect::TurnedDown => {
-                return write!(f, "turned down: {} is missing, which was there before", self.path);
+                return write!(
+                    f,
+                    "turned down: {} is missing, which was there before",
+                    self.path
+                );
             }
         };
-        write!(f, "{effect} {}: {} to {}", self.path, shown(&self.before), shown(&self.after))
+        write!(
+            f,
+            "{effect} {}: {} to {}",
+            self.path,
+            shown(&self.before),
+            shown(&self.after)
+        )
     }
 }
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -62,7 +62,9 @@
     type Error = SeedError;
 
     fn try_from(text: String) -> Result<Self, SeedError> {
-        u64::from_str_radix(&text, 16).map(Seed).map_err(|problem| SeedError { text, problem })
+        u64::from_str_radix(&text, 16)
+            .map(Seed)
+            .map_err(|problem| SeedError { text, problem })
     }
 }
 
--- a/src/configuration/explanation.rs
+++ b/src/configuration/explanation.rs
@@ -46,27 +46,49 @@
 /// All values in effect. An operators' address in the environment takes the place of the file's.
 pub fn explain(parsed: &Parsed, admin: Option<&str>) -> Vec<Explained> {
     let mut effective = serde_json::to_value(&parsed.document).unwrap_or_default();
-    let from_file: Vec<String> = leaves(&parsed.value).into_iter().map(|(path, _)| path).collect();
+    let from_file: Vec<String> = leaves(&parsed.value)
+        .into_iter()
+        .map(|(path, _)| path)
+        .collect();
     if let Some(object) = effective.as_object_mut() {
         object.remove(KNOWN);
     }
     let mut explained: Vec<Explained> = leaves(&effective)
         .into_iter()
         .map(|(path, value)| {
-            let origin = if from_file.contains(&path) { Origin::File } else { Origin::Default };
-            Explained { unit: unit(&path, &value), path, value, origin }
+            let origin = if from_file.contains(&path) {
+                Origin::File
+            } else {
+                Origin::Default
+            };
+            Explained {
+                unit: unit(&path, &value),
+                path,
+                value,
+                origin,
+            }
         })
         .collect();
     if let Some(address) = admin {
         explained.retain(|value| value.path != "admin_addr");
         let path = "admin_addr".to_owned();
         let value = Value::from(address);
-        explained.push(Explained { path, value, unit: None, origin: Origin::Environment });
+        explained.push(Explained {
+            path,
+            value,
+            unit: None,
+            origin: Origin::Environment,
+        });
     }
     if let Some(known) = &parsed.document.known {
         let value = Value::from(known.endpoints.len());
         let unit = Some(format!("endpoints, version {}", known.index));
-        explained.push(Explained { path: KNOWN.into(), value, unit, origin: Origin::File });
+        explained.push(Explained {
+            path: KNOWN.into(),
+            value,
+            unit,
+            origin: Origin::File,
+        });
     }
     explained
 }
@@ -76,7 +98,10 @@
         let time = value.as_u64().map(Duration::from_nanos)?;
         return Some(format!("ns, {time:?}"));
     }
-    UNITS.iter().find(|(end, _)| path.ends_with(end)).map(|(_, unit)| (*unit).to_owned())
+    UNITS
+        .iter()
+        .find(|(end, _)| path.ends_with(end))
+        .map(|(_, unit)| (*unit).to_owned())
 }
 
 impl fmt::Display for Origin {
--- a/src/configuration/fault.rs
+++ b/src/configuration/fault.rs
@@ -17,7 +17,11 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let path = if self.path.is_empty() { "the document" } else { &self.path };
+        let path = if self.path.is_empty() {
+            "the document"
+        } else {
+            &self.path
+        };
         write!(f, "{path}: {}", self.problem)
     }
 }
--- a/src/configuration/flat.rs
+++ b/src/configuration/flat.rs
@@ -13,7 +13,11 @@
     match value {
         Value::Object(object) => {
             for (key, inner) in object {
-                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                let path = if path.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{path}.{key}")
+                };
                 collect(&path, inner, leaves);
             }
         }
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -42,10 +42,21 @@
         .into_iter()
         .map(|error| {
             let path = format!("settings.{}", document_path(&error.field));
-            Fault { path, problem: error.problem.into() }
+            Fault {
+                path,
+                problem: error.problem.into(),
+            }
         })
         .collect();
-    if faults.is_empty() { Ok(Parsed { document, value, settings }) } else { Err(Faults(faults)) }
+    if faults.is_empty() {
+        Ok(Parsed {
+            document,
+            value,
+            settings,
+        })
+    } else {
+        Err(Faults(faults))
+    }
 }
 
 /// The keys of a configuration that no part of the program reads.
@@ -53,7 +64,8 @@
     let mut keys = Vec::new();
     let mut note = |path: serde_ignored::Path<'_>| keys.push(UnknownKey(path.to_string()));
     let mut deserializer = serde_json::Deserializer::from_str(text);
-    let read: Result<ConfigurationDocument, _> = serde_ignored::deserialize(&mut deserializer, &mut note);
+    let read: Result<ConfigurationDocument, _> =
+        serde_ignored::deserialize(&mut deserializer, &mut note);
     drop(read); // what is wrong with it is told elsewhere
     keys
 }
@@ -72,13 +84,23 @@
 /// Reading ends at the first fault; the schema finds all, but for what only reading tells.
 fn all_faults(value: &Value, first: Fault) -> Vec<Fault> {
     let faults = schema::faults(value);
-    if faults.is_empty() { vec![first] } else { faults }
+    if faults.is_empty() {
+        vec![first]
+    } else {
+        faults
+    }
 }
 
 fn no_json(error: &serde_json::Error) -> Fault {
-    Fault { path: String::new(), problem: format!("it is no JSON: {error}") }
+    Fault {
+        path: String::new(),
+        problem: format!("it is no JSON: {error}"),
+    }
 }
 
 fn settings_fault(problem: String) -> Fault {
-    Fault { path: "settings".into(), problem }
+    Fault {
+        path: "settings".into(),
+        problem,
+    }
 }
--- a/src/configuration/schema.rs
+++ b/src/configuration/schema.rs
@@ -12,10 +12,15 @@
 
 /// All that the schema finds wrong with a document.
 pub(super) fn faults(document: &Value) -> Vec<Fault> {
-    let Ok(validator) = jsonschema::validator_for(&schema()) else { return Vec::new() };
+    let Ok(validator) = jsonschema::validator_for(&schema()) else {
+        return Vec::new();
+    };
     let errors = validator.iter_errors(document);
     errors
-        .map(|error| Fault { path: dotted(error.instance_path().as_str()), problem: error.to_string() })
+        .map(|error| Fault {
+            path: dotted(error.instance_path().as_str()),
+            problem: error.to_string(),
+        })
         .collect()
 }
 
--- a/src/configuration/settings_document.rs
+++ b/src/configuration/settings_document.rs
@@ -2,8 +2,8 @@
 //! configuration.
 
 use crate::policy::{
-    Class, DiscoveryMode, Idempotency, KeyScope, Limits, PeerId, Prices, Reporting, Rules, Settings,
-    SizeMeaning, Tenant, WorthBy,
+    Class, DiscoveryMode, Idempotency, KeyScope, Limits, PeerId, Prices, Reporting, Rules,
+    Settings, SizeMeaning, Tenant, WorthBy,
 };
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -75,10 +75,12 @@
         known.map_or_else(|| name.to_owned(), |(_, document)| (*document).to_owned())
     };
     let field = field.replace(INNER, "");
-    let segments = field.split('.').map(|segment| match segment.split_once('[') {
-        Some((name, position)) => format!("{}[{position}", name_of(name)),
-        None => name_of(segment),
-    });
+    let segments = field
+        .split('.')
+        .map(|segment| match segment.split_once('[') {
+            Some((name, position)) => format!("{}[{position}", name_of(name)),
+            None => name_of(segment),
+        });
     segments.collect::<Vec<_>>().join(".")
 }
 
@@ -97,7 +99,11 @@
             tiers: self.stages.len(),
             passes_deadline: self.family_info.passes_deadline,
             warm_keys: self.family_info.warm_keys,
-            classes: self.categories.into_iter().map(Category::class).collect::<Result<_, _>>()?,
+            classes: self
+                .categories
+                .into_iter()
+                .map(Category::class)
+                .collect::<Result<_, _>>()?,
             tenants: self.customers.into_iter().map(Customer::tenant).collect(),
             over_share_worth: self.over_share_worth,
             limits: self.bounds.limits(),
@@ -331,9 +337,10 @@
         let idempotency = match (self.effect, scope) {
             (EffectName::Free, _) => Idempotency::Idempotent,
             (EffectName::SingleShot, _) => Idempotency::Unsafe,
-            (EffectName::Guarded, Some(scope)) => {
-                Idempotency::Keyed { scope, window: Duration::from_nanos(self.memory_span_ns) }
-            }
+            (EffectName::Guarded, Some(scope)) => Idempotency::Keyed {
+                scope,
+                window: Duration::from_nanos(self.memory_span_ns),
+            },
             (EffectName::Guarded, None) => {
                 return Err(SettingsDocumentError::NoKeyScope { class: self.name });
             }
@@ -375,7 +382,11 @@
 
 impl Customer {
     fn tenant(self) -> Tenant {
-        Tenant { name: self.name, share: self.portion, quota_per_s: self.quota_per_s }
+        Tenant {
+            name: self.name,
+            share: self.portion,
+            quota_per_s: self.quota_per_s,
+        }
     }
 }
 
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -6,7 +6,10 @@
 use std::time::Duration;
 
 /// Its mean is 0.3 s after the first failure in a row, and so often doubled as long as [`LONGEST_PAUSE`] allows.
-const AFTER_FAILURE: ExponentialBackoff = ExponentialBackoff { first: 0.3, max_doublings: 2 };
+const AFTER_FAILURE: ExponentialBackoff = ExponentialBackoff {
+    first: 0.3,
+    max_doublings: 2,
+};
 /// The longest pause: a call that follows one that failed at once can be waited for as long as any before a change has
 /// to be in force. Longer pauses put off all sidecars after an outage, and only a discovery that turns calls away gains.
 const LONGEST_PAUSE: Duration = CHANGE_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
@@ -23,7 +26,10 @@
 impl Backoff {
     /// With no failure so far.
     pub fn new(seed: u64) -> Self {
-        Backoff { random: SeededRandom::new(seed), failures: 0 }
+        Backoff {
+            random: SeededRandom::new(seed),
+            failures: 0,
+        }
     }
 
     /// Discovery has answered: the next failure is the first in a row.
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -39,9 +39,15 @@
         let Lost { failure, was_open } = follow(&consumer, source, since, &mut backoff).await;
         consumer.watch_ended(source, &failure);
         if !matches!(failure, DiscoveryError::TimedOut(_)) {
-            consumer.log(format_args!("the watch on discovery's agent ended: {failure}"));
+            consumer.log(format_args!(
+                "the watch on discovery's agent ended: {failure}"
+            ));
         }
-        let took = if was_open { Duration::ZERO } else { begun.elapsed() };
+        let took = if was_open {
+            Duration::ZERO
+        } else {
+            begun.elapsed()
+        };
         sleep(backoff.pause_after(took)).await;
     }
 }
@@ -50,7 +56,9 @@
 pub async fn fetch<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     let received = match whole_list(&consumer, source, &mut backoff).await {
-        Ok(list) => consumer.list_received(source, list).map_err(DiscoveryError::from),
+        Ok(list) => consumer
+            .list_received(source, list)
+            .map_err(DiscoveryError::from),
         Err(failure) => Err(failure),
     };
     if let Err(failure) = received {
@@ -65,9 +73,15 @@
     source: Source,
     backoff: &mut Backoff,
 ) -> Result<EndpointList, DiscoveryError> {
-    let body =
-        patient_call::ask(source.address, LIST_PATH, backoff, || consumer.call_is_late(source)).await?;
-    let body = timeout(DISCOVERY_TIMEOUT, Limited::new(body, LONGEST_LIST).collect()).await?;
+    let body = patient_call::ask(source.address, LIST_PATH, backoff, || {
+        consumer.call_is_late(source)
+    })
+    .await?;
+    let body = timeout(
+        DISCOVERY_TIMEOUT,
+        Limited::new(body, LONGEST_LIST).collect(),
+    )
+    .await?;
     let body = body.map_err(limited_body_error)?;
     Ok(serde_json::from_slice(&body.to_bytes())?)
 }
@@ -96,10 +110,19 @@
     match open_watch(consumer, source, since, backoff).await {
         Ok(body) => {
             backoff.reset();
-            let failure = read_watch(consumer, source, body).await.err().unwrap_or(DiscoveryError::Closed);
-            Lost { failure, was_open: true }
+            let failure = read_watch(consumer, source, body)
+                .await
+                .err()
+                .unwrap_or(DiscoveryError::Closed);
+            Lost {
+                failure,
+                was_open: true,
+            }
         }
-        Err(failure) => Lost { failure, was_open: false },
+        Err(failure) => Lost {
+            failure,
+            was_open: false,
+        },
     }
 }
 
@@ -121,7 +144,10 @@
         }
     };
     let path = format!("{LIST_PATH}?follow=1&since={since}");
-    let body = patient_call::ask(source.address, &path, backoff, || consumer.call_is_late(source)).await?;
+    let body = patient_call::ask(source.address, &path, backoff, || {
+        consumer.call_is_late(source)
+    })
+    .await?;
     consumer.watch_opened(source);
     Ok(body)
 }
@@ -136,7 +162,9 @@
     // Beats do not put it off while half a list is unread, whose rest may never come.
     let mut silent_from = Instant::now();
     while let Some(frame) = timeout_at(silent_from + DISCOVERY_TIMEOUT, body.frame()).await? {
-        let Ok(data) = frame?.into_data() else { continue };
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
         unread.extend_from_slice(&data);
         // Whole objects are read as they come, whichever way they are broken into lines and pieces.
         let mut lists = serde_json::Deserializer::from_slice(&unread).into_iter::<EndpointList>();
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -69,7 +69,10 @@
 
     /// The endpoints that take work, by the list.
     pub fn serving(&self) -> impl Iterator<Item = &EndpointId> {
-        let serving = self.members.iter().filter(|(_, member)| member.readiness == Readiness::Up);
+        let serving = self
+            .members
+            .iter()
+            .filter(|(_, member)| member.readiness == Readiness::Up);
         serving.map(|(endpoint, _)| endpoint)
     }
 
@@ -87,7 +90,9 @@
         }
         self.has_told_older = false;
         if self.version.replace(list.index).is_none() || is_older {
-            list.endpoints.iter_mut().for_each(|entry| self.keep_draining(entry));
+            list.endpoints
+                .iter_mut()
+                .for_each(|entry| self.keep_draining(entry));
         }
         Ok(())
     }
@@ -96,26 +101,36 @@
     fn keep_draining(&self, entry: &mut Entry) {
         let listed = entry.endpoint_entry();
         let known = self.members.get(&listed.endpoint);
-        if known.is_some_and(|k| k.readiness == Readiness::Draining && k.started_at == listed.started_at) {
+        if known.is_some_and(|k| {
+            k.readiness == Readiness::Draining && k.started_at == listed.started_at
+        }) {
             entry.go_on_draining();
         }
     }
 
     /// Takes over a list's endpoints.
     pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
-        let entries: Vec<EndpointEntry> = list.endpoints.iter().map(Entry::endpoint_entry).collect();
+        let entries: Vec<EndpointEntry> =
+            list.endpoints.iter().map(Entry::endpoint_entry).collect();
         let mut outdated = Vec::new();
         if kind != ListKind::Changes {
             // What a whole list does not name has left it.
-            let listed: HashSet<&EndpointId> = entries.iter().map(|entry| &entry.endpoint).collect();
-            let removed = self.members.extract_if(|endpoint, _| !listed.contains(endpoint));
+            let listed: HashSet<&EndpointId> =
+                entries.iter().map(|entry| &entry.endpoint).collect();
+            let removed = self
+                .members
+                .extract_if(|endpoint, _| !listed.contains(endpoint));
             outdated.extend(removed.map(|(endpoint, _)| endpoint));
         }
         for (Entry { address, .. }, entry) in list.endpoints.iter().zip(&entries) {
-            let member =
-                Member { address: *address, readiness: entry.readiness, started_at: entry.started_at };
-            let is_same =
-                |before: &Member| before.address == member.address && before.started_at == member.started_at;
+            let member = Member {
+                address: *address,
+                readiness: entry.readiness,
+                started_at: entry.started_at,
+            };
+            let is_same = |before: &Member| {
+                before.address == member.address && before.started_at == member.started_at
+            };
             let is_known = self.members.get(&entry.endpoint).is_some_and(is_same);
             if member.readiness != Readiness::Up || !is_known {
                 outdated.push(entry.endpoint.clone());
@@ -133,12 +148,18 @@
     /// is sent there meanwhile goes to the other, which is cold.
     pub fn remove_replaced(&mut self, update: &mut ListUpdate) {
         let mut latest_starts: HashMap<SocketAddr, Option<Timestamp>> = HashMap::new();
-        for member in self.members.values().filter(|member| member.readiness == Readiness::Up) {
+        for member in self
+            .members
+            .values()
+            .filter(|member| member.readiness == Readiness::Up)
+        {
             let latest = latest_starts.entry(member.address).or_default();
             *latest = (*latest).max(member.started_at);
         }
         let is_replaced = |member: &Member| {
-            latest_starts.get(&member.address).is_some_and(|latest| *latest > member.started_at)
+            latest_starts
+                .get(&member.address)
+                .is_some_and(|latest| *latest > member.started_at)
         };
         for (endpoint, _) in self.members.extract_if(|_, member| is_replaced(member)) {
             update.entries.retain(|entry| entry.endpoint != endpoint);
--- a/src/discovery/patient_call.rs
+++ b/src/discovery/patient_call.rs
@@ -73,7 +73,8 @@
 impl CallsOut {
     /// Begins a call and drops those that it replaces: all but the oldest that waits for its turn.
     fn begin(&mut self, address: SocketAddr, path: &str) {
-        let keeps_place = |call: &Call| call.is_connected.get() && call.begun.elapsed() < LONGEST_KEPT;
+        let keeps_place =
+            |call: &Call| call.is_connected.get() && call.begun.elapsed() < LONGEST_KEPT;
         self.0.retain(keeps_place);
         self.0.truncate(MOST_CALLS - 1);
         self.0.push_back(Call::begin(address, path));
@@ -102,7 +103,11 @@
     fn begin(address: SocketAddr, path: &str) -> Self {
         let is_connected = Rc::new(Cell::new(false));
         let answer = Box::pin(call(address, path.to_owned(), is_connected.clone()));
-        Call { begun: Instant::now(), is_connected, answer }
+        Call {
+            begun: Instant::now(),
+            is_connected,
+            answer,
+        }
     }
 }
 
@@ -112,13 +117,17 @@
     path: String,
     is_connected: Rc<Cell<bool>>,
 ) -> Result<Incoming, DiscoveryError> {
-    let stream = TcpStream::connect(address).await.map_err(DiscoveryError::Connect)?;
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(DiscoveryError::Connect)?;
     is_connected.set(true);
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     // Ends with the call: once the body or its reader is gone, and the sender with it.
     tokio::task::spawn_local(connection);
     let request = Request::get(path).header(header::HOST, address.to_string());
-    let response = sender.send_request(request.body(Empty::<Bytes>::new())?).await?;
+    let response = sender
+        .send_request(request.body(Empty::<Bytes>::new())?)
+        .await?;
     match response.status() {
         StatusCode::OK => Ok(response.into_body()),
         status => Err(DiscoveryError::Status(status)),
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -22,9 +22,16 @@
 
 impl Balancer {
     /// Sends, holds or refuses a new request.
-    pub(super) fn admit(&mut self, now: Timestamp, mut request: Request, actions: &mut Vec<Action>) {
+    pub(super) fn admit(
+        &mut self,
+        now: Timestamp,
+        mut request: Request,
+        actions: &mut Vec<Action>,
+    ) {
         // A key is kept only for its order.
-        request.key.take_if(|_| !self.settings.classes[request.class.0].by_arrival);
+        request
+            .key
+            .take_if(|_| !self.settings.classes[request.class.0].by_arrival);
         let rate_fade = self.arrival_rate.count(now);
         self.retry_budget.earn(RETRIES_PER_REQUEST);
         self.earn_probes();
@@ -52,9 +59,17 @@
         let expected = self.expected_time(request);
         let hinted = request.cost_hint.unwrap_or_default().as_secs_f64();
         let objective = class.objective + duration_from_seconds(hinted * class.objective_stretch);
-        let useful = if class.late_share > 0.0 { left } else { left.min(objective) };
+        let useful = if class.late_share > 0.0 {
+            left
+        } else {
+            left.min(objective)
+        };
         // A late answer earns less: held that long, requests would make fresh ones late in turn.
         let hold = useful.min(objective).saturating_sub(expected);
-        TimeLeft { useful, hold, is_nearly_out: useful < expected.mul_f64(NEARLY_OUT) }
+        TimeLeft {
+            useful,
+            hold,
+            is_nearly_out: useful < expected.mul_f64(NEARLY_OUT),
+        }
     }
 }
--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -25,7 +25,9 @@
 impl Balancer {
     /// How long a request is expected to take.
     pub(super) fn expected_time(&self, request: &Request) -> Duration {
-        duration_from_seconds(self.classes[request.class.0].usual_time * self.relative_cost(request))
+        duration_from_seconds(
+            self.classes[request.class.0].usual_time * self.relative_cost(request),
+        )
     }
 
     /// How long a request takes beside the mean of its class, by its hint, as answer times went with hints so
@@ -33,21 +35,39 @@
     fn relative_cost(&self, request: &Request) -> f64 {
         let class = &self.classes[request.class.0];
         let is_known = class.answers >= FEW_ANSWERS && class.hints.mean_time > 0.0;
-        let Some(hint) = request.cost_hint.filter(|_| is_known) else { return 1.0 };
+        let Some(hint) = request.cost_hint.filter(|_| is_known) else {
+            return 1.0;
+        };
         let deviation = hint.as_secs_f64() - class.hints.mean_hint;
         (1.0 + class.hints.slope() * deviation / class.hints.mean_time).max(LEAST_COST)
     }
 
     /// The least unloaded answer time in seconds, over the classes.
     pub(super) fn unloaded_time(&self) -> f64 {
-        let measured = self.classes.iter().filter(|c| c.unloaded_time > 0.0).map(|c| c.unloaded_time);
-        let objectives = self.settings.classes.iter().map(|c| c.objective.as_secs_f64());
+        let measured = self
+            .classes
+            .iter()
+            .filter(|c| c.unloaded_time > 0.0)
+            .map(|c| c.unloaded_time);
+        let objectives = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.objective.as_secs_f64());
         let guesses = objectives.map(|objective| objective * FIRST_GUESS);
-        measured.min_by(f64::total_cmp).or(guesses.min_by(f64::total_cmp)).unwrap_or(1.0)
+        measured
+            .min_by(f64::total_cmp)
+            .or(guesses.min_by(f64::total_cmp))
+            .unwrap_or(1.0)
     }
 
     /// Learns from the time that an attempt took to be served.
-    pub(super) fn learn_answer_time(&mut self, e: EndpointIndex, request: &Request, ended: &AttemptEnd) {
+    pub(super) fn learn_answer_time(
+        &mut self,
+        e: EndpointIndex,
+        request: &Request,
+        ended: &AttemptEnd,
+    ) {
         let took = ended.took.as_secs_f64();
         let time = took / self.relative_cost(request);
         let hint = request.cost_hint.unwrap_or_default().as_secs_f64();
--- a/src/policy/arrival_rate.rs
+++ b/src/policy/arrival_rate.rs
@@ -31,7 +31,9 @@
 
     /// Arrivals a second.
     pub(super) fn per_second(&self, now: Timestamp) -> f64 {
-        let observed = self.observed_since.map_or(0.0, |since| now.since(since).as_secs_f64());
+        let observed = self
+            .observed_since
+            .map_or(0.0, |since| now.since(since).as_secs_f64());
         let covered = 1.0 - (-observed.max(SHORTEST_OBSERVATION_SECONDS) / SPAN_SECONDS).exp();
         self.count * self.fade(now) / (SPAN_SECONDS * covered)
     }
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -14,14 +14,25 @@
 
 impl Balancer {
     /// An attempt has ended.
-    pub(super) fn attempt_ended(&mut self, now: Timestamp, ended: &AttemptEnd, actions: &mut Vec<Action>) {
-        let Some(mut pending) = self.requests.remove(&ended.request) else { return };
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Timestamp,
+        ended: &AttemptEnd,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(mut pending) = self.requests.remove(&ended.request) else {
+            return;
+        };
         let attempt = pending.attempts.get_mut(ended.attempt);
         let Some(attempt) = attempt.filter(|a| a.state == AttemptState::InFlight) else {
             return self.keep_while_open(pending);
         };
         let proves_not_run = ended.outcome.proves_not_run();
-        attempt.state = if proves_not_run { AttemptState::NotRun } else { AttemptState::MayHaveRun };
+        attempt.state = if proves_not_run {
+            AttemptState::NotRun
+        } else {
+            AttemptState::MayHaveRun
+        };
         let e = attempt.endpoint;
         self.free_or_await(e, &pending, ended.outcome);
         self.close_idle_if_draining(e, actions);
@@ -39,14 +50,22 @@
 
     /// Has the request's key rest, where the attempt may run on.
     fn rest_key(&mut self, now: Timestamp, pending: &PendingRequest, outcome: Outcome) {
-        let may_run_on = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        let may_run_on = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
         let pause = self.settings.rules.order_pause.filter(|_| may_run_on);
         if let (Some(pause), Some(key)) = (pause, &pending.request.key) {
             self.key_order.rest(key, now + pause);
         }
     }
 
-    fn retry_or_answer(&mut self, now: Timestamp, pending: &mut PendingRequest, actions: &mut Vec<Action>) {
+    fn retry_or_answer(
+        &mut self,
+        now: Timestamp,
+        pending: &mut PendingRequest,
+        actions: &mut Vec<Action>,
+    ) {
         let is_in_time = pending.useful_until.since(now) > self.expected_time(&pending.request);
         let may_retry = self.retry_budget.has_token() && is_in_time;
         if !may_retry || self.retry_scope(now, pending).is_none() {
@@ -60,7 +79,13 @@
     }
 
     /// What the end says of the endpoint.
-    fn learn_from(&mut self, now: Timestamp, e: EndpointIndex, request: &Request, ended: &AttemptEnd) {
+    fn learn_from(
+        &mut self,
+        now: Timestamp,
+        e: EndpointIndex,
+        request: &Request,
+        ended: &AttemptEnd,
+    ) {
         let telling = self.expected_time(request).mul_f64(TELLING_TIMEOUT);
         match ended.outcome {
             Outcome::TimedOut if ended.took < telling => return,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -67,7 +67,12 @@
 
 impl Balancer {
     /// An instance that knows of no endpoint yet, and has no worth level.
-    pub(super) fn blank(settings: Settings, seed: u64, classes: Vec<ClassState>, budgets: Budgets) -> Self {
+    pub(super) fn blank(
+        settings: Settings,
+        seed: u64,
+        classes: Vec<ClassState>,
+        budgets: Budgets,
+    ) -> Self {
         Balancer {
             random: SeededRandom::new(seed),
             endpoints: Vec::new(),
--- a/src/policy/class.rs
+++ b/src/policy/class.rs
@@ -37,7 +37,8 @@
     pub(super) fn count(&mut self, hint: f64, time: f64, mean_weight: f64, variance_weight: f64) {
         let hint_deviation = hint - self.mean_hint;
         let time_deviation = time - self.mean_time;
-        self.hint_variance += (hint_deviation * hint_deviation - self.hint_variance) * variance_weight;
+        self.hint_variance +=
+            (hint_deviation * hint_deviation - self.hint_variance) * variance_weight;
         self.covariance += (hint_deviation * time_deviation - self.covariance) * variance_weight;
         self.mean_hint += hint_deviation * mean_weight;
         self.mean_time += time_deviation * mean_weight;
--- a/src/policy/class_table.rs
+++ b/src/policy/class_table.rs
@@ -26,9 +26,15 @@
             return ClassId(position);
         }
         let namesake = table.iter().rposition(|c| c.name == class.name);
-        let fresh = || ClassState { usual_time: first_guess, ..ClassState::default() };
+        let fresh = || ClassState {
+            usual_time: first_guess,
+            ..ClassState::default()
+        };
         let known = namesake.map_or_else(fresh, |position| self.classes[position].clone());
-        let state = ClassState { retired_at: None, ..known };
+        let state = ClassState {
+            retired_at: None,
+            ..known
+        };
         let in_use: HashSet<usize> = self.requests.values().map(|p| p.request.class.0).collect();
         let is_reusable = |position: &usize| {
             let retired_at = self.classes[*position].retired_at;
@@ -38,11 +44,15 @@
         if position == table.len() {
             table.push(class);
             self.classes.push(state);
-            self.endpoints.iter_mut().for_each(|e| e.failures.push(FailureShare::default()));
+            self.endpoints
+                .iter_mut()
+                .for_each(|e| e.failures.push(FailureShare::default()));
         } else {
             table[position] = class;
             self.classes[position] = state;
-            self.endpoints.iter_mut().for_each(|e| e.failures[position] = FailureShare::default());
+            self.endpoints
+                .iter_mut()
+                .for_each(|e| e.failures[position] = FailureShare::default());
         }
         ClassId(position)
     }
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -28,11 +28,21 @@
     /// step would keep them lost. The mean doubles with each failure in a row, as far as the next call still
     /// begins in time after the failure before.
     pub(super) fn discovery_failed(&mut self, now: Timestamp) {
-        let within = self.settings.rules.ask_within.min(LONGEST_SILENCE).as_secs_f64();
-        let backoff = ExponentialBackoff { first: within * FIRST_BACKOFF, max_doublings: MAX_DOUBLINGS };
+        let within = self
+            .settings
+            .rules
+            .ask_within
+            .min(LONGEST_SILENCE)
+            .as_secs_f64();
+        let backoff = ExponentialBackoff {
+            first: within * FIRST_BACKOFF,
+            max_doublings: MAX_DOUBLINGS,
+        };
         let schedule = &mut self.discovery_schedule;
         let since_last_failure = now.since(schedule.last_failure);
-        let longest = NEXT_CALL_WITHIN.saturating_sub(since_last_failure).as_secs_f64();
+        let longest = NEXT_CALL_WITHIN
+            .saturating_sub(since_last_failure)
+            .as_secs_f64();
         let pause = backoff.pause(schedule.failures_in_row, longest, self.random.unit());
         schedule.next_call = Some(now + duration_from_seconds(pause));
         schedule.last_failure = now;
@@ -42,7 +52,11 @@
     /// Has a cached list checked soon, at a time drawn at random, lest a fleet that starts together asks
     /// together.
     pub(super) fn check_cached_list(&mut self, now: Timestamp) {
-        let within = self.settings.rules.ask_within.mul_f64(CACHED_LIST_CHECK * self.random.unit());
+        let within = self
+            .settings
+            .rules
+            .ask_within
+            .mul_f64(CACHED_LIST_CHECK * self.random.unit());
         self.discovery_schedule.next_call = Some(now + within);
     }
 }
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -87,10 +87,19 @@
     }
 
     /// The share of a class that it failed of late, or of the class that it failed most.
-    pub(super) fn failure_share(&self, class: Option<usize>, now: Timestamp, fade: Duration) -> f64 {
+    pub(super) fn failure_share(
+        &self,
+        class: Option<usize>,
+        now: Timestamp,
+        fade: Duration,
+    ) -> f64 {
         match class {
             Some(class) => self.failures.get(class).map_or(0.0, |f| f.at(now, fade)),
-            None => self.failures.iter().map(|f| f.at(now, fade)).fold(0.0, f64::max),
+            None => self
+                .failures
+                .iter()
+                .map(|f| f.at(now, fade))
+                .fold(0.0, f64::max),
         }
     }
 
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -10,7 +10,9 @@
 impl Balancer {
     /// Takes over one line of a list.
     pub(super) fn update_endpoint(&mut self, entry: &EndpointEntry, actions: &mut Vec<Action>) {
-        let Some(e) = self.index_of(entry) else { return };
+        let Some(e) = self.index_of(entry) else {
+            return;
+        };
         let is_remote = self.is_remote(e);
         let is_disabled = self.disabled.contains(&entry.endpoint);
         let known = &mut self.endpoints[e];
@@ -57,7 +59,11 @@
         if self.endpoint_index.len() == self.endpoints.iter().filter(|e| e.is_listed).count() {
             return;
         }
-        let in_flight = self.requests.values().flat_map(|p| &p.attempts).map(|a| a.endpoint);
+        let in_flight = self
+            .requests
+            .values()
+            .flat_map(|p| &p.attempts)
+            .map(|a| a.endpoint);
         let overdue = self.overdue_attempts.iter().map(|(_, e)| *e);
         let in_use: HashSet<EndpointIndex> = in_flight.chain(overdue).collect();
         for e in 0..self.endpoints.len() {
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -26,7 +26,8 @@
     let mut tell = |b: &mut Balancer, ms: u64, event| {
         out.clear();
         b.handle(Timestamp::from_nanos(ms * 1_000_000), event, &mut out);
-        out.iter().any(|a| matches!(a, Action::Send { endpoint, .. } if endpoint.0.starts_with("first")))
+        out.iter()
+            .any(|a| matches!(a, Action::Send { endpoint, .. } if endpoint.0.starts_with("first")))
     };
     let delta = |entries: Vec<EndpointEntry>| Event::EndpointList {
         version: 1,
@@ -44,21 +45,42 @@
         client_retry: false,
         write: false,
     };
-    assert!(tell(&mut balancer, 2, Event::Request(request)), "it is sent");
+    assert!(
+        tell(&mut balancer, 2, Event::Request(request)),
+        "it is sent"
+    );
     let mut last = "first".to_string();
     for n in 0..500 {
         let next = format!("e{n}");
         tell(
             &mut balancer,
             3 + n,
-            delta(vec![entry(&last, Readiness::Removed), entry(&next, Readiness::Up)]),
+            delta(vec![
+                entry(&last, Readiness::Removed),
+                entry(&next, Readiness::Up),
+            ]),
         );
         last = next;
     }
-    assert!(balancer.endpoint_index.contains_key(&EndpointId::from("first")), "its attempt is out");
+    assert!(
+        balancer
+            .endpoint_index
+            .contains_key(&EndpointId::from("first")),
+        "its attempt is out"
+    );
     assert_eq!(balancer.endpoint_index.len(), 2);
-    assert!(balancer.endpoints.len() <= 4, "{}", balancer.endpoints.len());
-    tell(&mut balancer, 600, Event::ClientDisconnected { request: "r".into() });
+    assert!(
+        balancer.endpoints.len() <= 4,
+        "{}",
+        balancer.endpoints.len()
+    );
+    tell(
+        &mut balancer,
+        600,
+        Event::ClientDisconnected {
+            request: "r".into(),
+        },
+    );
     let ended = AttemptEnd {
         request: "r".into(),
         attempt: 0,
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -89,7 +89,10 @@
 impl Outcome {
     /// The attempt provably never ran.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
--- a/src/policy/held_requests.rs
+++ b/src/policy/held_requests.rs
@@ -17,7 +17,10 @@
 
 impl Default for HeldRequests {
     fn default() -> Self {
-        HeldRequests { levels: Vec::new(), next_expiry: NEVER }
+        HeldRequests {
+            levels: Vec::new(),
+            next_expiry: NEVER,
+        }
     }
 }
 
@@ -45,7 +48,11 @@
 
     /// Empties the queue, the highest level first.
     pub(super) fn take_all(&mut self) -> Vec<RequestId> {
-        self.levels.iter_mut().rev().flat_map(std::mem::take).collect()
+        self.levels
+            .iter_mut()
+            .rev()
+            .flat_map(std::mem::take)
+            .collect()
     }
 
     /// The newest request of the lowest level.
--- a/src/policy/hold_queue.rs
+++ b/src/policy/hold_queue.rs
@@ -15,11 +15,18 @@
 const SHORTEST_LIMIT: f64 = 4.0;
 impl Balancer {
     /// Refuses the least worthy past the queue limit at once, the newest first.
-    pub(super) fn refuse_past_limit(&mut self, now: Timestamp, hold: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn refuse_past_limit(
+        &mut self,
+        now: Timestamp,
+        hold: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         let arrivals = self.arrival_rate.per_second(now) * hold.as_secs_f64();
         let limit = (arrivals * QUEUE_PART).max(SHORTEST_LIMIT) as usize;
         while self.held.len() > limit {
-            let Some(id) = self.held.pop_least_worthy() else { break };
+            let Some(id) = self.held.pop_least_worthy() else {
+                break;
+            };
             self.give_up(now, &id, actions);
         }
     }
@@ -44,7 +51,10 @@
         expired.iter().for_each(|id| self.give_up(now, id, actions));
         let requests = &self.requests;
         let is_waiting = |id: &RequestId| requests.get(id).is_some_and(|p| !p.is_answered);
-        self.held.levels.iter_mut().for_each(|level| level.retain(is_waiting));
+        self.held
+            .levels
+            .iter_mut()
+            .for_each(|level| level.retain(is_waiting));
         let held = self.held.levels.iter().flatten();
         let expiries = held.filter_map(|id| requests.get(id)).map(|p| p.hold_until);
         self.held.next_expiry = expiries.min().unwrap_or(NEVER);
@@ -52,17 +62,25 @@
 
     /// Sends a level's requests in order, until one that was not tried yet has nowhere to go: then those
     /// behind it and below it have not either.
-    fn send_held(&mut self, now: Timestamp, level: usize, actions: &mut Vec<Action>) -> ControlFlow<()> {
+    fn send_held(
+        &mut self,
+        now: Timestamp,
+        level: usize,
+        actions: &mut Vec<Action>,
+    ) -> ControlFlow<()> {
         let mut position = 0;
         while let Some(id) = self.held.levels[level].get(position).cloned() {
             // One that waits for its turn must not hold up those behind it.
-            let waits_for_turn = |p: &PendingRequest| !p.is_answered && !self.key_order.has_turn(now, p);
+            let waits_for_turn =
+                |p: &PendingRequest| !p.is_answered && !self.key_order.has_turn(now, p);
             if self.requests.get(&id).is_some_and(waits_for_turn) {
                 position += 1;
                 continue;
             }
             self.held.levels[level].remove(position);
-            let Some(mut pending) = self.requests.remove(&id) else { continue };
+            let Some(mut pending) = self.requests.remove(&id) else {
+                continue;
+            };
             if !pending.is_answered && self.retry_scope(now, &pending).is_none() {
                 // A keyed request can outlive its window while held.
                 self.refuse_or_fail(now, &mut pending, actions);
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -15,12 +15,19 @@
 
     /// Frees the attempt's place at its endpoint. Most servers go on with one that timed out all the same, so
     /// that its place is free only at its deadline.
-    pub(super) fn free_or_await(&mut self, e: EndpointIndex, pending: &PendingRequest, outcome: Outcome) {
+    pub(super) fn free_or_await(
+        &mut self,
+        e: EndpointIndex,
+        pending: &PendingRequest,
+        outcome: Outcome,
+    ) {
         if outcome != Outcome::TimedOut {
             return self.free_place(e);
         }
         let until = pending.request.deadline;
-        let position = self.overdue_attempts.partition_point(|(other, _)| *other <= until);
+        let position = self
+            .overdue_attempts
+            .partition_point(|(other, _)| *other <= until);
         self.overdue_attempts.insert(position, (until, e));
     }
 
@@ -31,7 +38,10 @@
 
     /// Frees the places of attempts that timed out and are past their deadlines.
     pub(super) fn free_overdue(&mut self, now: Timestamp) {
-        while let Some((_, e)) = self.overdue_attempts.pop_front_if(|(until, _)| *until <= now) {
+        while let Some((_, e)) = self
+            .overdue_attempts
+            .pop_front_if(|(until, _)| *until <= now)
+        {
             self.free_place(e);
         }
     }
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -64,7 +64,10 @@
 
     fn replace_settings(&mut self, now: Timestamp, mut settings: Settings) -> Vec<ClassId> {
         let position = |name: &str| self.settings.tenants.iter().position(|t| t.name == name);
-        let rates = settings.tenants.iter().map(|t| position(&t.name).map_or(0.0, |p| self.tenant_rates[p]));
+        let rates = settings
+            .tenants
+            .iter()
+            .map(|t| position(&t.name).map_or(0.0, |p| self.tenant_rates[p]));
         self.tenant_rates = rates.collect();
         // The table of classes goes on: requests under way name its rows.
         let table = std::mem::take(&mut self.settings.classes);
@@ -93,17 +96,26 @@
 
     fn dispatch(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { kind, entries, .. } => self.update_endpoints(now, kind, &entries, actions),
+            Event::EndpointList { kind, entries, .. } => {
+                self.update_endpoints(now, kind, &entries, actions)
+            }
             Event::DiscoveryFailed => self.discovery_failed(now),
             Event::EndpointDisabled(endpoint) => self.disable(now, endpoint, actions),
             Event::EndpointEnabled(endpoint) => self.enable(now, &endpoint),
             Event::Request(request) if self.is_valid(&request) => self.admit(now, request, actions),
-            Event::StreamStarted { request, attempt } => self.request_over(&request, Some(attempt), actions),
+            Event::StreamStarted { request, attempt } => {
+                self.request_over(&request, Some(attempt), actions)
+            }
             Event::BodyConsumed { request } => self.body_consumed(&request),
             Event::ClientDisconnected { request } => self.request_over(&request, None, actions),
             Event::AttemptEnded(ended) => self.attempt_ended(now, &ended, actions),
             Event::Timer { token } => self.timer_expired(token),
-            Event::ProbeEnded { endpoint, outcome, report, .. } => {
+            Event::ProbeEnded {
+                endpoint,
+                outcome,
+                report,
+                ..
+            } => {
                 self.probe_ended(now, &endpoint, outcome, report.as_ref());
             }
             Event::Request(_) | Event::PeerMessage { .. } => {}
@@ -112,5 +124,8 @@
 }
 
 fn new_class(class: &Class) -> ClassState {
-    ClassState { usual_time: class.objective.as_secs_f64() * FIRST_GUESS, ..ClassState::default() }
+    ClassState {
+        usual_time: class.objective.as_secs_f64() * FIRST_GUESS,
+        ..ClassState::default()
+    }
 }
--- a/src/policy/key_order.rs
+++ b/src/policy/key_order.rs
@@ -23,13 +23,21 @@
 
 impl KeyOrder {
     pub(super) fn enqueue(&mut self, key: &Key, request: &RequestId) {
-        self.queues.entry(key.clone()).or_default().requests.push_back(request.clone());
+        self.queues
+            .entry(key.clone())
+            .or_default()
+            .requests
+            .push_back(request.clone());
     }
 
     /// Whether a request may be sent now, also over several classes. One that was sent keeps the turn until
     /// its attempts have ended; after one that may run on the key rests.
     pub(super) fn has_turn(&self, now: Timestamp, pending: &PendingRequest) -> bool {
-        let queue = pending.request.key.as_ref().and_then(|key| self.queues.get(key));
+        let queue = pending
+            .request
+            .key
+            .as_ref()
+            .and_then(|key| self.queues.get(key));
         queue.is_none_or(|queue| {
             let is_first = queue.requests.front() == Some(&pending.request.id);
             is_first && (now >= queue.rests_until || !pending.attempts.is_empty())
@@ -37,8 +45,12 @@
     }
 
     pub(super) fn leave(&mut self, pending: &PendingRequest) {
-        let Some(key) = pending.request.key.as_ref() else { return };
-        let Some(queue) = self.queues.get_mut(key) else { return };
+        let Some(key) = pending.request.key.as_ref() else {
+            return;
+        };
+        let Some(queue) = self.queues.get_mut(key) else {
+            return;
+        };
         queue.requests.retain(|id| *id != pending.request.id);
         if queue.requests.is_empty() && queue.rests_until == Timestamp::default() {
             self.queues.remove(key);
@@ -54,7 +66,8 @@
     /// Forgets keys that have rested and that nobody waits for.
     pub(super) fn forget_rested(&mut self, now: Timestamp) {
         while let Some((rested_at, key)) = self.resting.pop_front_if(|(until, _)| *until <= now) {
-            let is_over = |queue: &KeyQueue| queue.requests.is_empty() && queue.rests_until <= rested_at;
+            let is_over =
+                |queue: &KeyQueue| queue.requests.is_empty() && queue.rests_until <= rested_at;
             if self.queues.get(&key).is_some_and(is_over) {
                 self.queues.remove(&key);
             }
--- a/src/policy/mean_depths.rs
+++ b/src/policy/mean_depths.rs
@@ -14,7 +14,11 @@
 
     /// Counts one judgement, with its weight.
     pub(super) fn count(&mut self, is_remote: bool, depth: f64, weight: f64) {
-        let mean = if is_remote { &mut self.remote } else { &mut self.local };
+        let mean = if is_remote {
+            &mut self.remote
+        } else {
+            &mut self.local
+        };
         *mean += (depth - *mean) * weight;
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -34,7 +34,9 @@
                 known.is_listed = false;
             }
         }
-        entries.iter().for_each(|entry| self.update_endpoint(entry, actions));
+        entries
+            .iter()
+            .for_each(|entry| self.update_endpoint(entry, actions));
         self.regroup(now);
         self.forget_unlisted();
     }
@@ -44,17 +46,26 @@
     pub(super) fn close_idle_if_draining(&self, e: EndpointIndex, actions: &mut Vec<Action>) {
         let known = &self.endpoints[e];
         if known.is_draining && self.settings.rules.drain_close.is_some() {
-            actions.push(Action::CloseIdleConnections { endpoint: known.id.clone() });
+            actions.push(Action::CloseIdleConnections {
+                endpoint: known.id.clone(),
+            });
         }
     }
 
     /// Takes an endpoint out for the operators, which holds whatever lists say until they enable it.
     /// What is in flight there goes on; held requests and retries find other places.
-    pub(super) fn disable(&mut self, now: Timestamp, endpoint: EndpointId, actions: &mut Vec<Action>) {
+    pub(super) fn disable(
+        &mut self,
+        now: Timestamp,
+        endpoint: EndpointId,
+        actions: &mut Vec<Action>,
+    ) {
         if let Some(e) = self.endpoint_index.get(&endpoint) {
             self.endpoints[*e].is_available = false;
         }
-        actions.push(Action::CloseIdleConnections { endpoint: endpoint.clone() });
+        actions.push(Action::CloseIdleConnections {
+            endpoint: endpoint.clone(),
+        });
         self.disabled.insert(endpoint);
         self.regroup(now);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -81,11 +81,15 @@
 pub use action::Action;
 pub use balancer::Balancer;
 pub use discovery_calls::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
-pub use event::{AttemptEnd, EndpointEntry, Event, ListKind, LoadReport, Outcome, Readiness, Request};
-pub use id::{AttemptNumber, ClassId, EndpointId, GroupId, Key, KindId, PeerId, RequestId, TenantId, ZoneId};
+pub use event::{
+    AttemptEnd, EndpointEntry, Event, ListKind, LoadReport, Outcome, Readiness, Request,
+};
+pub use id::{
+    AttemptNumber, ClassId, EndpointId, GroupId, Key, KindId, PeerId, RequestId, TenantId, ZoneId,
+};
 pub use settings::{
-    Class, DiscoveryMode, Idempotency, KeyScope, Limits, Prices, Reporting, Rules, Settings, SizeMeaning,
-    Tenant, WorthBy,
+    Class, DiscoveryMode, Idempotency, KeyScope, Limits, Prices, Reporting, Rules, Settings,
+    SizeMeaning, Tenant, WorthBy,
 };
 pub use settings_check::SettingsError;
 pub use status::BalancerStatus;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -33,8 +33,15 @@
     /// others, as errors and time-outs also come from the tier below.
     pub(super) fn failure_bar(&self, now: Timestamp, class: usize) -> FailureBar {
         let class = (!self.is_unsafe(class)).then_some(class);
-        let failures: f64 = self.subset.iter().map(|e| self.failures(now, *e, class)).sum();
-        FailureBar { class, most: failures / (self.subset.len() + UNHEARD) as f64 + FAILURE_MARGIN }
+        let failures: f64 = self
+            .subset
+            .iter()
+            .map(|e| self.failures(now, *e, class))
+            .sum();
+        FailureBar {
+            class,
+            most: failures / (self.subset.len() + UNHEARD) as f64 + FAILURE_MARGIN,
+        }
     }
 
     pub(super) fn is_unsafe(&self, class: usize) -> bool {
@@ -63,20 +70,41 @@
 
     /// Keeps those few that have served a request that must not run twice last, where such requests were lost
     /// lately. Each endpoint costs each instance one to find out, and nothing else may show it.
-    pub(super) fn keep_proven(&self, now: Timestamp, class: usize, candidates: &mut Vec<EndpointIndex>) {
-        let lost_lately = self.unsafe_lost_at.is_some_and(|at| now.since(at) < FAILURE_FADE);
+    pub(super) fn keep_proven(
+        &self,
+        now: Timestamp,
+        class: usize,
+        candidates: &mut Vec<EndpointIndex>,
+    ) {
+        let lost_lately = self
+            .unsafe_lost_at
+            .is_some_and(|at| now.since(at) < FAILURE_FADE);
         let is_last_tier = self.settings.tier + 1 >= self.settings.tiers;
-        let clear = self.subset.iter().filter(|e| self.throttling(now, **e).gapping == 0).count();
+        let clear = self
+            .subset
+            .iter()
+            .filter(|e| self.throttling(now, **e).gapping == 0)
+            .count();
         let is_tier_clear = 2 * clear > self.subset.len();
         if !self.is_unsafe(class) || !lost_lately || !is_last_tier || !is_tier_clear {
             return;
         }
-        let served_lately =
-            |e: &EndpointIndex| self.endpoints[*e].unsafe_served_at.filter(|at| now.since(*at) < PROVEN_FOR);
-        let mut proven: Vec<_> = candidates.iter().filter_map(|e| Some((served_lately(e)?, *e))).collect();
+        let served_lately = |e: &EndpointIndex| {
+            self.endpoints[*e]
+                .unsafe_served_at
+                .filter(|at| now.since(*at) < PROVEN_FOR)
+        };
+        let mut proven: Vec<_> = candidates
+            .iter()
+            .filter_map(|e| Some((served_lately(e)?, *e)))
+            .collect();
         proven.sort_unstable_by_key(|(served_at, _)| Reverse(*served_at));
         if !proven.is_empty() {
-            *candidates = proven.into_iter().take(MOST_PROVEN).map(|(_, e)| e).collect();
+            *candidates = proven
+                .into_iter()
+                .take(MOST_PROVEN)
+                .map(|(_, e)| e)
+                .collect();
         }
     }
 
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -40,18 +40,27 @@
     /// all they hold: they hardly queue, but when fully busy the work unfinished piles up in them.
     pub(super) fn reported_depth(report: &LoadReport) -> f64 {
         let utilisation = report.utilisation.unwrap_or(1.0);
-        let stand_in = report.in_flight.map(|in_flight| (in_flight - 1.0) * utilisation);
-        let busy_share = report.utilisation.map_or(0.0, |u| (u.min(1.0) - BUSY) / (1.0 - BUSY));
+        let stand_in = report
+            .in_flight
+            .map(|in_flight| (in_flight - 1.0) * utilisation);
+        let busy_share = report
+            .utilisation
+            .map_or(0.0, |u| (u.min(1.0) - BUSY) / (1.0 - BUSY));
         let depth = report.depth.or(stand_in).unwrap_or(0.0);
-        depth.max(busy_share * HIGHEST_DISCARD).clamp(0.0, LONGEST_QUEUE)
+        depth
+            .max(busy_share * HIGHEST_DISCARD)
+            .clamp(0.0, LONGEST_QUEUE)
     }
 
     /// Moves an endpoint between clear, gapping and discarding. Gapping starts at onset and ends below
     /// abatement, discarding starts at discard and ends below onset.
     pub(super) fn judge(&mut self, now: Timestamp, e: EndpointIndex, depth: f64) {
         let reached = self.thresholds.reached(depth);
-        let lapse = self.unloaded_time() * LAPSE_TIMES * (SHORTEST_LAPSE + LAPSE_SPREAD * self.random.unit());
-        self.mean_depths.count(self.endpoints[e].is_remote, depth, MEAN_WEIGHT);
+        let lapse = self.unloaded_time()
+            * LAPSE_TIMES
+            * (SHORTEST_LAPSE + LAPSE_SPREAD * self.random.unit());
+        self.mean_depths
+            .count(self.endpoints[e].is_remote, depth, MEAN_WEIGHT);
         let gap = self.gap(now, depth);
         let before = self.judged(now, e);
         let known = &mut self.endpoints[e];
@@ -97,7 +106,11 @@
     pub(super) fn estimated_depth(&self, now: Timestamp, e: EndpointIndex) -> f64 {
         let known = &self.endpoints[e];
         let is_current = now < known.state_expires;
-        let judged = if is_current { known.depth } else { self.mean_depths.of(known.is_remote) };
+        let judged = if is_current {
+            known.depth
+        } else {
+            self.mean_depths.of(known.is_remote)
+        };
         judged + self.queue_per_attempt() * f64::from(known.in_flight)
     }
 
@@ -105,9 +118,15 @@
     fn judged(&self, now: Timestamp, e: EndpointIndex) -> Throttling {
         let known = &self.endpoints[e];
         if now < known.state_expires {
-            Throttling { gapping: known.gapping_levels, discarding: known.discarding_levels }
+            Throttling {
+                gapping: known.gapping_levels,
+                discarding: known.discarding_levels,
+            }
         } else {
-            Throttling { gapping: 0, discarding: 0 }
+            Throttling {
+                gapping: 0,
+                discarding: 0,
+            }
         }
     }
 
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -43,11 +43,15 @@
 
     /// Its attempts that may have run, oldest first.
     pub(super) fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| a.state != AttemptState::NotRun)
+        self.attempts
+            .iter()
+            .filter(|a| a.state != AttemptState::NotRun)
     }
 
     pub(super) fn has_attempts_in_flight(&self) -> bool {
-        self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
+        self.attempts
+            .iter()
+            .any(|a| a.state == AttemptState::InFlight)
     }
 }
 
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -32,7 +32,12 @@
         scope: &RetryScope,
     ) -> Option<EndpointIndex> {
         let class = pending.request.class.0;
-        let search = Search { now, scope, level: pending.level, bar: self.failure_bar(now, class) };
+        let search = Search {
+            now,
+            scope,
+            level: pending.level,
+            bar: self.failure_bar(now, class),
+        };
         let mut candidates = self.open_subset_members(&search, pending);
         if candidates.is_empty() {
             self.add_local_draws(&search, pending, &mut candidates);
@@ -47,7 +52,10 @@
             }
         }
         self.keep_proven(now, class, &mut candidates);
-        if let Some(e) = candidates.iter().find(|e| self.endpoints[**e].awaits_first_send) {
+        if let Some(e) = candidates
+            .iter()
+            .find(|e| self.endpoints[**e].awaits_first_send)
+        {
             return Some(*e); // a quiet instance would go on with the one that it knows as quickest
         }
         match candidates.len() {
@@ -74,13 +82,20 @@
         level >= self.throttling(now, e).gapping
     }
 
-    fn is_sound_and_open(&self, search: &Search, pending: &PendingRequest, e: EndpointIndex) -> bool {
+    fn is_sound_and_open(
+        &self,
+        search: &Search,
+        pending: &PendingRequest,
+        e: EndpointIndex,
+    ) -> bool {
         self.is_sound(search, pending, e) && self.is_open(search.now, e, search.level)
     }
 
     fn open_subset_members(&self, search: &Search, pending: &PendingRequest) -> Vec<EndpointIndex> {
         let members = self.subset.iter().copied();
-        members.filter(|e| self.is_sound_and_open(search, pending, *e)).collect()
+        members
+            .filter(|e| self.is_sound_and_open(search, pending, *e))
+            .collect()
     }
 
     /// With all of the subset throttled, requests spill over the zone by random draws, while few own attempts
@@ -92,12 +107,15 @@
         candidates: &mut Vec<EndpointIndex>,
     ) {
         let own_load = f64::from(self.attempts_in_flight) / self.part_of_tier();
-        let has_room = own_load * self.mean_stretch / ORDINARY_STRETCH < self.thresholds.highest_onset();
+        let has_room =
+            own_load * self.mean_stretch / ORDINARY_STRETCH < self.thresholds.highest_onset();
         if !has_room {
             return;
         }
         for _ in 0..LOCAL_DRAWS {
-            let Some(e) = self.local.get(self.random.below(self.local.len())).copied() else { continue };
+            let Some(e) = self.local.get(self.random.below(self.local.len())).copied() else {
+                continue;
+            };
             if candidates.len() < LOCAL_DRAWS_KEPT && self.is_sound_and_open(search, pending, e) {
                 candidates.push(e);
             }
@@ -119,15 +137,23 @@
     }
 
     fn is_any_sound(&self, search: &Search, pending: &PendingRequest) -> bool {
-        self.local.iter().chain(&self.remote_subset).any(|e| self.is_sound(search, pending, *e))
+        self.local
+            .iter()
+            .chain(&self.remote_subset)
+            .any(|e| self.is_sound(search, pending, *e))
     }
 
     /// With nobody sound to wait for, the one that fails least: else an instance whose subset is cold, or
     /// fails as all do, sends nothing at all, and no cold one's turn ever comes.
-    fn least_failing_open(&self, search: &Search, pending: &PendingRequest) -> Option<EndpointIndex> {
+    fn least_failing_open(
+        &self,
+        search: &Search,
+        pending: &PendingRequest,
+    ) -> Option<EndpointIndex> {
         let all = self.local.iter().chain(&self.remote_subset).copied();
-        let open =
-            all.filter(|e| self.is_usable(search, pending, *e) && self.is_open(search.now, *e, search.level));
+        let open = all.filter(|e| {
+            self.is_usable(search, pending, *e) && self.is_open(search.now, *e, search.level)
+        });
         self.least_failing(search.now, open, &search.bar)
     }
 
@@ -139,7 +165,11 @@
                 && gap_ends(e) <= search.now
                 && search.level >= self.throttling(search.now, *e).discarding
         };
-        self.subset.iter().copied().filter(is_due).min_by_key(gap_ends)
+        self.subset
+            .iter()
+            .copied()
+            .filter(is_due)
+            .min_by_key(gap_ends)
     }
 
     /// The better of two random candidates. Where none of the two has own attempts in flight they say
@@ -152,17 +182,26 @@
         let count = candidates.len();
         candidates.rotate_left(self.random.below(count));
         candidates.swap(1, 1 + self.random.below(count - 1));
-        let are_idle = candidates[..COMPARED].iter().all(|e| self.endpoints[*e].in_flight == 0);
+        let are_idle = candidates[..COMPARED]
+            .iter()
+            .all(|e| self.endpoints[*e].in_flight == 0);
         let compared = if are_idle { count } else { COMPARED };
-        candidates.into_iter().take(compared).reduce(|a, b| self.less_loaded(now, a, b))
+        candidates
+            .into_iter()
+            .take(compared)
+            .reduce(|a, b| self.less_loaded(now, a, b))
     }
 
     /// The one with fewer own attempts in flight for its size, then the one with the shorter queue at its
     /// pace.
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
-        let load = |e: EndpointIndex| f64::from(self.endpoints[e].in_flight + 1) / self.endpoints[e].size;
-        let wait = |e: EndpointIndex| (self.estimated_depth(now, e) + 1.0) * self.endpoints[e].stretch;
-        let order = load(a).total_cmp(&load(b)).then(wait(a).total_cmp(&wait(b)));
+        let load =
+            |e: EndpointIndex| f64::from(self.endpoints[e].in_flight + 1) / self.endpoints[e].size;
+        let wait =
+            |e: EndpointIndex| (self.estimated_depth(now, e) + 1.0) * self.endpoints[e].stretch;
+        let order = load(a)
+            .total_cmp(&load(b))
+            .then(wait(a).total_cmp(&wait(b)));
         if order.is_gt() { b } else { a }
     }
 }
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -22,9 +22,14 @@
 impl Balancer {
     /// Counts what a request pays for: nothing where answers bring reports, and little where probes are dear.
     pub(super) fn earn_probes(&mut self) {
-        let are_needed = self.settings.limits.probes && self.settings.reporting == Reporting::WithProbes;
+        let are_needed =
+            self.settings.limits.probes && self.settings.reporting == Reporting::WithProbes;
         let affordable = SPENDING_LIMIT / self.settings.prices.probe.max(LEAST_PRICE);
-        self.probe_budget.earn(if are_needed { PROBES_PER_REQUEST.min(affordable) } else { 0.0 });
+        self.probe_budget.earn(if are_needed {
+            PROBES_PER_REQUEST.min(affordable)
+        } else {
+            0.0
+        });
     }
 
     /// Probes subset members, the longest unheard of first, as far as the budget goes.
@@ -32,11 +37,15 @@
         while self.probe_budget.has_token() {
             let next_probe = |e: &&usize| self.endpoints[**e].next_probe;
             let due = self.subset.iter().filter(|e| now >= next_probe(e));
-            let Some(e) = due.min_by_key(next_probe).copied() else { return };
+            let Some(e) = due.min_by_key(next_probe).copied() else {
+                return;
+            };
             self.probe_budget.spend();
             let known = &mut self.endpoints[e];
             known.next_probe = now + PROBE_GAP;
-            actions.push(Action::Probe { endpoint: known.id.clone() });
+            actions.push(Action::Probe {
+                endpoint: known.id.clone(),
+            });
         }
     }
 
@@ -49,7 +58,9 @@
         outcome: Outcome,
         report: Option<&LoadReport>,
     ) {
-        let Some(e) = self.endpoint_index.get(endpoint).copied() else { return };
+        let Some(e) = self.endpoint_index.get(endpoint).copied() else {
+            return;
+        };
         let met_queue = matches!(outcome, Outcome::TimedOut | Outcome::Rejected);
         let stand_in = met_queue.then_some(self.thresholds.highest_onset());
         if let Some(depth) = report.map(Self::reported_depth).or(stand_in) {
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -24,7 +24,9 @@
     }
     /// Answers a request that is held for nothing.
     pub(super) fn give_up(&mut self, now: Timestamp, id: &RequestId, actions: &mut Vec<Action>) {
-        let Some(mut pending) = self.requests.remove(id) else { return };
+        let Some(mut pending) = self.requests.remove(id) else {
+            return;
+        };
         if !pending.is_answered {
             self.refuse_or_fail(now, &mut pending, actions);
         }
@@ -48,7 +50,9 @@
         streams: Option<AttemptNumber>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(mut pending) = self.requests.remove(id) else { return };
+        let Some(mut pending) = self.requests.remove(id) else {
+            return;
+        };
         // No such attempt is a host's slip.
         let attempt_exists = streams.is_none_or(|number| number < pending.attempts.len());
         pending.is_answered |= attempt_exists;
@@ -63,10 +67,17 @@
     }
 }
 
-fn cancel_attempts(pending: &PendingRequest, but: Option<AttemptNumber>, actions: &mut Vec<Action>) {
+fn cancel_attempts(
+    pending: &PendingRequest,
+    but: Option<AttemptNumber>,
+    actions: &mut Vec<Action>,
+) {
     for (attempt, Attempt { state, .. }) in pending.attempts.iter().enumerate() {
         if *state == AttemptState::InFlight && but != Some(attempt) {
-            actions.push(Action::Cancel { request: pending.request.id.clone(), attempt });
+            actions.push(Action::Cancel {
+                request: pending.request.id.clone(),
+                attempt,
+            });
         }
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -12,12 +12,18 @@
 
 impl Balancer {
     /// Where a request may have its next attempt; `None` where it may have none.
-    pub(super) fn retry_scope(&self, now: Timestamp, pending: &PendingRequest) -> Option<RetryScope> {
+    pub(super) fn retry_scope(
+        &self,
+        now: Timestamp,
+        pending: &PendingRequest,
+    ) -> Option<RetryScope> {
         let is_spent = pending.attempts.len() >= self.settings.limits.max_attempts;
         if pending.is_answered || pending.body_is_consumed || is_spent {
             return None;
         }
-        let Some(first) = pending.possible_runs().next() else { return Some(RetryScope::Anywhere) };
+        let Some(first) = pending.possible_runs().next() else {
+            return Some(RetryScope::Anywhere);
+        };
         match self.settings.classes[pending.request.class.0].idempotency {
             Idempotency::Idempotent => Some(RetryScope::Anywhere),
             Idempotency::Unsafe => None,
@@ -38,9 +44,10 @@
         let mut possible_runs = pending.possible_runs();
         match self.settings.classes[pending.request.class.0].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::Keyed { scope: KeyScope::All, window } => {
-                possible_runs.all(|attempt| now.since(attempt.sent) < window)
-            }
+            Idempotency::Keyed {
+                scope: KeyScope::All,
+                window,
+            } => possible_runs.all(|attempt| now.since(attempt.sent) < window),
             Idempotency::Keyed { .. } | Idempotency::Unsafe => possible_runs.next().is_none(),
         }
     }
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -14,9 +14,13 @@
         pending: &mut PendingRequest,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let scope = self.retry_scope(now, pending).filter(|_| self.key_order.has_turn(now, pending));
+        let scope = self
+            .retry_scope(now, pending)
+            .filter(|_| self.key_order.has_turn(now, pending));
         let Some(scope) = scope else { return false };
-        let Some(e) = self.pick(now, pending, &scope) else { return false };
+        let Some(e) = self.pick(now, pending, &scope) else {
+            return false;
+        };
         self.count_send(pending);
         self.take_place(e);
         let gap = self.gap(now, self.endpoints[e].depth);
@@ -27,9 +31,17 @@
         known.last_send = now;
         known.gap_ends = now + gap;
         known.cold_turn = cold_turn;
-        pending.attempts.push(Attempt { endpoint: e, sent: now, state: AttemptState::InFlight });
+        pending.attempts.push(Attempt {
+            endpoint: e,
+            sent: now,
+            state: AttemptState::InFlight,
+        });
         let request = pending.request.id.clone();
-        actions.push(Action::Send { request, endpoint: known.id.clone(), timeout });
+        actions.push(Action::Send {
+            request,
+            endpoint: known.id.clone(),
+            timeout,
+        });
         true
     }
 
@@ -43,7 +55,10 @@
     /// When whoever is refused is to come back, as far as it may be said. A client that comes back at once
     /// meets the same overload, and its answer would be late.
     pub fn retry_after(&self) -> Option<Duration> {
-        self.settings.limits.retry_after.then_some(self.settings.limits.max_retry_after)
+        self.settings
+            .limits
+            .retry_after
+            .then_some(self.settings.limits.max_retry_after)
     }
 
     /// Gives the final answer to a request that is not served.
@@ -56,7 +71,10 @@
         pending.is_answered = true;
         let request = pending.request.id.clone();
         let action = if self.is_retry_harmless(now, pending) {
-            Action::Refuse { request, retry_after: self.retry_after() }
+            Action::Refuse {
+                request,
+                retry_after: self.retry_after(),
+            }
         } else {
             Action::Fail { request }
         };
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -54,7 +54,10 @@
             faults.push(fault("classes", "is empty"));
         }
         if let Some(position) = repeated_name(&self.classes) {
-            faults.push(fault(&format!("classes[{position}].name"), "is there twice"));
+            faults.push(fault(
+                &format!("classes[{position}].name"),
+                "is there twice",
+            ));
         }
         if self.limits.max_attempts == 0 {
             faults.push(fault("limits.max_attempts", "is zero"));
@@ -70,29 +73,48 @@
 }
 
 fn fault(path: &str, problem: &'static str) -> SettingsError {
-    SettingsError { field: path.into(), problem }
+    SettingsError {
+        field: path.into(),
+        problem,
+    }
 }
 
 /// The position of the first class whose name an earlier one has.
 fn repeated_name(classes: &[Class]) -> Option<usize> {
-    (1..classes.len()).find(|position| classes[..*position].iter().any(|c| c.name == classes[*position].name))
+    (1..classes.len()).find(|position| {
+        classes[..*position]
+            .iter()
+            .any(|c| c.name == classes[*position].name)
+    })
 }
 
 impl Inventory {
     fn time(&mut self, path: impl Into<String>, value: Duration) {
-        self.times.push(Setting { path: path.into(), value });
+        self.times.push(Setting {
+            path: path.into(),
+            value,
+        });
     }
 
     fn positive_time(&mut self, path: impl Into<String>, value: Duration) {
-        self.positive_times.push(Setting { path: path.into(), value });
+        self.positive_times.push(Setting {
+            path: path.into(),
+            value,
+        });
     }
 
     fn fraction(&mut self, path: impl Into<String>, value: f64) {
-        self.fractions.push(Setting { path: path.into(), value });
+        self.fractions.push(Setting {
+            path: path.into(),
+            value,
+        });
     }
 
     fn amount(&mut self, path: impl Into<String>, value: f64) {
-        self.amounts.push(Setting { path: path.into(), value });
+        self.amounts.push(Setting {
+            path: path.into(),
+            value,
+        });
     }
 
     fn add_limits_and_rules(&mut self, settings: &Settings) {
@@ -145,7 +167,10 @@
         self.fraction("over_share_worth", settings.over_share_worth);
         for (position, tenant) in settings.tenants.iter().enumerate() {
             self.fraction(format!("tenants[{position}].share"), tenant.share);
-            self.amount(format!("tenants[{position}].quota_per_s"), tenant.quota_per_s);
+            self.amount(
+                format!("tenants[{position}].quota_per_s"),
+                tenant.quota_per_s,
+            );
         }
     }
 
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -31,7 +31,11 @@
             open: self.requests.len(),
             held: self.held.len(),
             in_flight: self.attempts_in_flight as usize,
-            avoided: self.endpoints.iter().filter(|e| e.is_listed && !e.is_available).count(),
+            avoided: self
+                .endpoints
+                .iter()
+                .filter(|e| e.is_listed && !e.is_available)
+                .count(),
             ..BalancerStatus::default()
         };
         for e in (0..self.endpoints.len()).filter(|e| self.endpoints[*e].is_available) {
--- a/src/policy/thresholds.rs
+++ b/src/policy/thresholds.rs
@@ -28,7 +28,11 @@
         let step = (HIGHEST_DISCARD - LOWEST_ABATEMENT) / (3 * count.max(1) - 1) as f64;
         let of_level = |level: usize| {
             let abatement = LOWEST_ABATEMENT + 3.0 * step * level as f64;
-            LevelThresholds { abatement, onset: abatement + step, discard: abatement + 2.0 * step }
+            LevelThresholds {
+                abatement,
+                onset: abatement + step,
+                discard: abatement + 2.0 * step,
+            }
         };
         Thresholds((0..count).map(of_level).collect())
     }
@@ -46,8 +50,9 @@
     }
 
     pub(super) fn reached(&self, depth: f64) -> LevelsReached {
-        let count =
-            |threshold: fn(&LevelThresholds) -> f64| self.0.iter().filter(|l| depth >= threshold(l)).count();
+        let count = |threshold: fn(&LevelThresholds) -> f64| {
+            self.0.iter().filter(|l| depth >= threshold(l)).count()
+        };
         LevelsReached {
             abatement: count(|level| level.abatement),
             onset: count(|level| level.onset),
--- a/src/policy/time.rs
+++ b/src/policy/time.rs
@@ -28,12 +28,19 @@
 impl std::ops::Add<Duration> for Timestamp {
     type Output = Timestamp;
     fn add(self, by: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_add(u64::try_from(by.as_nanos()).unwrap_or(u64::MAX)))
+        Timestamp(
+            self.0
+                .saturating_add(u64::try_from(by.as_nanos()).unwrap_or(u64::MAX)),
+        )
     }
 }
 
 /// A duration from computed seconds: zero where negative or not a number.
 pub(super) fn duration_from_seconds(seconds: f64) -> Duration {
-    let bounded = if seconds > LONGEST_SECONDS { LONGEST_SECONDS } else { seconds };
+    let bounded = if seconds > LONGEST_SECONDS {
+        LONGEST_SECONDS
+    } else {
+        seconds
+    };
     Duration::try_from_secs_f64(bounded).unwrap_or_default()
 }
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -11,10 +11,18 @@
             actions.push(Action::Subscribe(true));
         }
         let held = (!self.held.is_empty()).then(|| self.next_chance(now));
-        let due = self.discovery_schedule.next_call.into_iter().chain(held).min();
+        let due = self
+            .discovery_schedule
+            .next_call
+            .into_iter()
+            .chain(held)
+            .min();
         if let Some(at) = due.filter(|at| self.timer_at.is_none_or(|set| *at < set)) {
             self.timer_at = Some(at);
-            actions.push(Action::SetTimer { at, token: at.as_nanos() });
+            actions.push(Action::SetTimer {
+                at,
+                token: at.as_nanos(),
+            });
         }
     }
 
@@ -22,7 +30,11 @@
     /// and in any case after an unloaded answer time.
     fn next_chance(&self, now: Timestamp) -> Timestamp {
         let soon = now + duration_from_seconds(self.unloaded_time());
-        let gaps = self.subset.iter().map(|e| self.endpoints[*e].gap_ends).filter(|at| *at > now);
+        let gaps = self
+            .subset
+            .iter()
+            .map(|e| self.endpoints[*e].gap_ends)
+            .filter(|at| *at > now);
         let first = gaps.chain(self.key_order.first_rest_ends());
         let first = first.fold(soon.min(self.held.next_expiry), Timestamp::min);
         first.max(now + self.settings.tick)
--- a/src/policy/worth_level.rs
+++ b/src/policy/worth_level.rs
@@ -18,8 +18,10 @@
     /// Sets worth levels and their thresholds, for the classes of the settings and those that requests still
     /// have.
     pub(super) fn set_levels(&mut self) {
-        let of_requests: HashSet<usize> = self.requests.values().map(|p| p.request.class.0).collect();
-        let is_in_use = |c: &usize| self.classes[*c].retired_at.is_none() || of_requests.contains(c);
+        let of_requests: HashSet<usize> =
+            self.requests.values().map(|p| p.request.class.0).collect();
+        let is_in_use =
+            |c: &usize| self.classes[*c].retired_at.is_none() || of_requests.contains(c);
         let in_use = (0..self.classes.len()).filter(is_in_use);
         let mut worths: Vec<f64> = in_use.map(|c| self.settings.classes[c].worth).collect();
         worths.sort_by(f64::total_cmp);
@@ -47,12 +49,17 @@
 
     /// The level of a new request. Beyond its tenant's share of what this instance sees, it ranks below all.
     pub(super) fn level(&mut self, request: &Request, rate_fade: f64) -> usize {
-        self.tenant_rates.iter_mut().for_each(|rate| *rate *= rate_fade);
+        self.tenant_rates
+            .iter_mut()
+            .for_each(|rate| *rate *= rate_fade);
         let level = self.classes[request.class.0].level;
-        let Some(TenantId(tenant)) = request.tenant else { return level };
+        let Some(TenantId(tenant)) = request.tenant else {
+            return level;
+        };
         self.tenant_rates[tenant] += 1.0;
         let all: f64 = self.tenant_rates.iter().sum();
-        let over_share = 1.0 - self.settings.tenants[tenant].share * all / self.tenant_rates[tenant];
+        let over_share =
+            1.0 - self.settings.tenants[tenant].share * all / self.tenant_rates[tenant];
         let is_over = all > f64::from(FEW_ANSWERS) && self.random.unit() < over_share;
         if is_over { BEYOND_SHARE } else { level }
     }
--- a/src/sidecar/body/pace.rs
+++ b/src/sidecar/body/pace.rs
@@ -24,7 +24,11 @@
 impl PaceLimit {
     /// For a request whose first byte came at an instant.
     pub fn new(begun: Instant) -> Self {
-        PaceLimit { due: begun + BODY_TIME, since: Instant::now(), is_waiting: true }
+        PaceLimit {
+            due: begun + BODY_TIME,
+            since: Instant::now(),
+            is_waiting: true,
+        }
     }
 
     /// The caller is waited for from now on, if it was not; returns when it is too slow, if nothing comes.
--- a/src/sidecar/body/received.rs
+++ b/src/sidecar/body/received.rs
@@ -30,10 +30,15 @@
     let mut first = BytesMut::new();
     while let Some(frame) = body.frame().await {
         first.extend_from_slice(&frame?.into_data().unwrap_or_default());
-        let is_large = first.len() > MAX_KEPT || length.is_some_and(|length| length > MAX_KEPT as u64);
+        let is_large =
+            first.len() > MAX_KEPT || length.is_some_and(|length| length > MAX_KEPT as u64);
         let is_whole = length == Some(first.len() as u64);
         if !is_whole && !first.is_empty() && (is_large || !keep) {
-            return Ok(ReceivedAnswer::Begun { first: first.freeze(), rest: body, length });
+            return Ok(ReceivedAnswer::Begun {
+                first: first.freeze(),
+                rest: body,
+                length,
+            });
         }
     }
     Ok(ReceivedAnswer::Whole(first.freeze()))
--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -47,7 +47,12 @@
     loop {
         let data = match timeout_at(pace.wait(), body.frame()).await {
             Err(_) => return Err(BodyError::TooSlow),
-            Ok(None) => return Ok(ReceivedBody { kept: kept.freeze(), upload: None }),
+            Ok(None) => {
+                return Ok(ReceivedBody {
+                    kept: kept.freeze(),
+                    upload: None,
+                });
+            }
             Ok(Some(Err(_))) => return Err(BodyError::NotWhole),
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(), // trailers go no further
         };
@@ -55,7 +60,10 @@
         kept.extend_from_slice(&data);
         if kept.len() > MAX_KEPT || length.is_some_and(|length| length > MAX_KEPT as u64) {
             let upload = Upload::new(UploadRest { body, pace }, length, kept.len() as u64);
-            return Ok(ReceivedBody { kept: kept.freeze(), upload: Some(Rc::new(upload)) });
+            return Ok(ReceivedBody {
+                kept: kept.freeze(),
+                upload: Some(Rc::new(upload)),
+            });
         }
     }
 }
@@ -121,7 +129,10 @@
 
     /// When its last byte had come.
     pub fn whole_at(&self) -> Option<Instant> {
-        self.end.get().filter(|end| end.result.is_ok()).map(|end| end.at)
+        self.end
+            .get()
+            .filter(|end| end.result.is_ok())
+            .map(|end| end.at)
     }
 
     /// Whether it has ended, whole or not.
@@ -141,12 +152,19 @@
     pub fn passed(&self, bytes: usize) -> Result<(), BodyError> {
         self.last_piece.set(Instant::now());
         self.received.set(self.received.get() + bytes as u64);
-        if self.received.get() <= MAX_BODY { Ok(()) } else { Err(BodyError::TooLarge) }
+        if self.received.get() <= MAX_BODY {
+            Ok(())
+        } else {
+            Err(BodyError::TooLarge)
+        }
     }
 
     /// It has ended.
     pub fn set_ended(&self, result: Result<(), BodyError>) {
-        self.end.set(Some(UploadEnd { result, at: Instant::now() }));
+        self.end.set(Some(UploadEnd {
+            result,
+            at: Instant::now(),
+        }));
         self.ended.notify_waiters();
     }
 
--- a/src/sidecar/caller/head.rs
+++ b/src/sidecar/caller/head.rs
@@ -36,7 +36,9 @@
     pub fn is_of_whole_head(&self) -> bool {
         !matches!(
             self,
-            Judgement::Incomplete { .. } | Judgement::NeverWhole | Judgement::Fault(HeadFault::TooLong)
+            Judgement::Incomplete { .. }
+                | Judgement::NeverWhole
+                | Judgement::Fault(HeadFault::TooLong)
         )
     }
 }
@@ -50,25 +52,39 @@
 
 /// Judges the head that some bytes begin with, of which so many were searched for its end before.
 pub fn judge(bytes: &[u8], searched: usize) -> Judgement {
-    let Some(end) = head_end(bytes, searched) else { return judge_incomplete(bytes) };
-    let Ok(Some(framing)) = parse(&bytes[..end]) else { return Judgement::Malformed };
+    let Some(end) = head_end(bytes, searched) else {
+        return judge_incomplete(bytes);
+    };
+    let Ok(Some(framing)) = parse(&bytes[..end]) else {
+        return Judgement::Malformed;
+    };
     if framing.head_length != end {
         return Judgement::Fault(HeadFault::Framing);
     }
-    match (&framing.content_lengths[..], &framing.transfer_encodings[..]) {
+    match (
+        &framing.content_lengths[..],
+        &framing.transfer_encodings[..],
+    ) {
         ([], []) => Judgement::Length(end as u64),
-        ([], [encoding]) if encoding.trim_ascii().eq_ignore_ascii_case(b"chunked") => Judgement::Chunked,
-        ([length], []) => match parse_length(length).and_then(|length| length.checked_add(end as u64)) {
-            Some(length) => Judgement::Length(length),
-            None => Judgement::Fault(HeadFault::Framing),
-        },
+        ([], [encoding]) if encoding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
+            Judgement::Chunked
+        }
+        ([length], []) => {
+            match parse_length(length).and_then(|length| length.checked_add(end as u64)) {
+                Some(length) => Judgement::Length(length),
+                None => Judgement::Fault(HeadFault::Framing),
+            }
+        }
         _ => Judgement::Fault(HeadFault::Framing),
     }
 }
 
 /// Where a head ends: behind its first empty line, but for those ahead of it.
 fn head_end(bytes: &[u8], searched: usize) -> Option<usize> {
-    let start = bytes.iter().position(|b| !matches!(b, b'\r' | b'\n')).unwrap_or(bytes.len());
+    let start = bytes
+        .iter()
+        .position(|b| !matches!(b, b'\r' | b'\n'))
+        .unwrap_or(bytes.len());
     (searched.max(start)..bytes.len()).find_map(|position| {
         let rest = &bytes[position..];
         if rest.starts_with(b"\n\n") {
@@ -89,16 +105,23 @@
         return Judgement::NeverWhole; // there is nothing to wait for
     }
     // The last two bytes may begin the end.
-    Judgement::Incomplete { searched: bytes.len().saturating_sub(2) }
+    Judgement::Incomplete {
+        searched: bytes.len().saturating_sub(2),
+    }
 }
 
 /// Reads a head as hyper does, with the same parser; none where it is not whole yet.
 fn parse(bytes: &[u8]) -> Result<Option<Framing<'_>>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let httparse::Status::Complete(head_length) = request.parse(bytes)? else { return Ok(None) };
+    let httparse::Status::Complete(head_length) = request.parse(bytes)? else {
+        return Ok(None);
+    };
     let values = |name: &str| {
-        let named = request.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
+        let named = request
+            .headers
+            .iter()
+            .filter(|header| header.name.eq_ignore_ascii_case(name));
         named.map(|header| header.value).collect()
     };
     Ok(Some(Framing {
--- a/src/sidecar/caller/inbound.rs
+++ b/src/sidecar/caller/inbound.rs
@@ -50,15 +50,31 @@
 /// that out where it reads on; this also where it does not, as for a body that nobody takes yet.
 pub async fn client_left(stream: &TcpStream, traffic: &Traffic) {
     // Of these readiness has no more than what says that nothing more will come.
-    if stream.ready(Interest::PRIORITY | Interest::ERROR).await.is_ok() {
-        poll_fn(|_| if traffic.is_answering() { Poll::Ready(()) } else { Poll::Pending }).await;
+    if stream
+        .ready(Interest::PRIORITY | Interest::ERROR)
+        .await
+        .is_ok()
+    {
+        poll_fn(|_| {
+            if traffic.is_answering() {
+                Poll::Ready(())
+            } else {
+                Poll::Pending
+            }
+        })
+        .await;
     }
 }
 
 impl Inbound {
     /// For a connection that was just accepted.
     pub fn new(stream: Rc<TcpStream>, traffic: Rc<Traffic>) -> Self {
-        Inbound { stream, traffic, state: ReadState::Head { searched: 0 }, unread: Vec::new() }
+        Inbound {
+            stream,
+            traffic,
+            state: ReadState::Head { searched: 0 },
+            unread: Vec::new(),
+        }
     }
 
     /// Judges the head that the unread bytes begin with; returns what is read next, if it is whole.
@@ -94,9 +110,14 @@
             self.state = self.refuse(fault);
             return Poll::Ready(Ok(false));
         }
-        let next = if self.unread.is_empty() { None } else { self.judge(searched) };
+        let next = if self.unread.is_empty() {
+            None
+        } else {
+            self.judge(searched)
+        };
         if let Some(next) = next {
-            self.traffic.set_answering(!matches!(next, ReadState::StandIn { .. }));
+            self.traffic
+                .set_answering(!matches!(next, ReadState::StandIn { .. }));
             self.state = next;
             return Poll::Ready(Ok(false));
         }
@@ -122,7 +143,9 @@
         buffer: &mut ReadBuf<'_>,
         most: u64,
     ) -> Poll<io::Result<usize>> {
-        let most = buffer.remaining().min(usize::try_from(most).unwrap_or(usize::MAX));
+        let most = buffer
+            .remaining()
+            .min(usize::try_from(most).unwrap_or(usize::MAX));
         if !self.unread.is_empty() {
             let given = most.min(self.unread.len());
             buffer.put_slice(&self.unread[..given]);
@@ -164,7 +187,9 @@
                 ReadState::PassingOn { left: 0 } => self.state = ReadState::AwaitingAnswer,
                 ReadState::PassingOn { left } => {
                     let given = ready!(self.poll_pass_on(context, buffer, left))?;
-                    self.state = ReadState::PassingOn { left: left - given as u64 };
+                    self.state = ReadState::PassingOn {
+                        left: left - given as u64,
+                    };
                     self.traffic.has_ended.set(given == 0);
                     return Poll::Ready(Ok(()));
                 }
@@ -181,13 +206,17 @@
                 }
                 ReadState::AwaitingAnswer => {
                     // Of the next one; while it had to wait its clock stood still.
-                    self.traffic.head_since.set((!self.unread.is_empty()).then(Instant::now));
+                    self.traffic
+                        .head_since
+                        .set((!self.unread.is_empty()).then(Instant::now));
                     self.state = ReadState::Head { searched: 0 };
                 }
                 ReadState::StandIn { given } if given < STAND_IN.len() => {
                     let count = buffer.remaining().min(STAND_IN.len() - given);
                     buffer.put_slice(&STAND_IN[given..given + count]);
-                    self.state = ReadState::StandIn { given: given + count };
+                    self.state = ReadState::StandIn {
+                        given: given + count,
+                    };
                     return Poll::Ready(Ok(()));
                 }
                 // The service answers at once, and the connection ends with that: nobody waits for this.
@@ -198,7 +227,11 @@
 }
 
 impl AsyncWrite for Inbound {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(context, &[io::IoSlice::new(bytes)])
     }
 
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -59,11 +59,17 @@
 
 impl Caller {
     fn closing_rank(&self, now: Instant) -> Option<(ClosingRank, Instant)> {
-        let idle_since = self.traffic.idle_since.get().filter(|_| !self.is_asked_to_close)?;
+        let idle_since = self
+            .traffic
+            .idle_since
+            .get()
+            .filter(|_| !self.is_asked_to_close)?;
         let last_byte_at = self.traffic.last_byte_at.get();
         let is_in_head = self.traffic.head_since.get().is_some();
         Some(match (is_in_head, self.traffic.has_asked.get()) {
-            (false, false) if now >= idle_since + FIRST_REQUEST_TIME => (ClosingRank::NeverAsked, idle_since),
+            (false, false) if now >= idle_since + FIRST_REQUEST_TIME => {
+                (ClosingRank::NeverAsked, idle_since)
+            }
             (false, true) if now >= idle_since + SPARED_IDLE => (ClosingRank::LongIdle, idle_since),
             (true, _) if now >= last_byte_at + SILENT => (ClosingRank::SilentInHead, last_byte_at),
             (false, true) => (ClosingRank::Idle, idle_since), // better than to turn a caller away
@@ -78,11 +84,20 @@
         let number = self.next_number;
         self.next_number += 1;
         let (close, traffic) = (Rc::new(Notify::new()), Traffic::new());
-        let caller = Caller { traffic: traffic.clone(), is_asked_to_close: false, close: close.clone() };
+        let caller = Caller {
+            traffic: traffic.clone(),
+            is_asked_to_close: false,
+            close: close.clone(),
+        };
         self.connections.insert(number, caller);
         let is_empty = self.drain == Some(DrainState::Empty);
         let is_for_one_request = self.is_stopping || is_turned_away || is_empty;
-        AcceptedCaller { number, traffic, close, is_for_one_request }
+        AcceptedCaller {
+            number,
+            traffic,
+            close,
+            is_for_one_request,
+        }
     }
 
     /// Removes a connection that has closed.
@@ -96,8 +111,13 @@
     /// Asks one connection to make room; false where all have requests open.
     pub fn make_room(&mut self) -> bool {
         let now = Instant::now();
-        let ranks = self.connections.iter().filter_map(|(n, c)| Some((c.closing_rank(now)?, *n)));
-        let Some((_, number)) = ranks.min() else { return false };
+        let ranks = self
+            .connections
+            .iter()
+            .filter_map(|(n, c)| Some((c.closing_rank(now)?, *n)));
+        let Some((_, number)) = ranks.min() else {
+            return false;
+        };
         self.connections.get_mut(&number).is_some_and(|caller| {
             caller.is_asked_to_close = true;
             caller.traffic.is_closed_idle.set(true);
@@ -113,7 +133,9 @@
     }
 
     fn close_idle(&mut self) {
-        self.connections.values().for_each(|caller| caller.close.notify_one());
+        self.connections
+            .values()
+            .for_each(|caller| caller.close.notify_one());
     }
 
     /// How far a drain is, if there is one.
--- a/src/sidecar/caller/traffic.rs
+++ b/src/sidecar/caller/traffic.rs
@@ -116,8 +116,11 @@
 
     /// A write was taken, or has to wait.
     pub fn wrote(&self, is_taken: bool) {
-        let blocked_since =
-            if is_taken { None } else { Some(self.blocked_since.get().unwrap_or_else(Instant::now)) };
+        let blocked_since = if is_taken {
+            None
+        } else {
+            Some(self.blocked_since.get().unwrap_or_else(Instant::now))
+        };
         self.blocked_since.set(blocked_since);
     }
 
@@ -137,7 +140,10 @@
         if let Some(since) = self.blocked_since.get() {
             return Some(since + UNREAD_TIME);
         }
-        let idle_since = self.idle_since.get().filter(|_| !self.is_closed_idle.get())?;
+        let idle_since = self
+            .idle_since
+            .get()
+            .filter(|_| !self.is_closed_idle.get())?;
         match self.head_since.get() {
             Some(_) if self.fault.get().is_some() => None,
             Some(begun) => Some(begun + HEAD_TIME),
--- a/src/sidecar/clock.rs
+++ b/src/sidecar/clock.rs
@@ -18,8 +18,13 @@
 impl Clock {
     /// Starts the clock.
     pub fn start() -> Self {
-        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), started_at: Timestamp::default() + unix_time }
+        let unix_time = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            started_at: Timestamp::default() + unix_time,
+        }
     }
 
     /// Now.
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -52,15 +52,25 @@
 
     /// Takes the counts for a line, and begins anew with the figures as they now are.
     pub fn take(&mut self, answered: AnsweredRequests) -> CountsLine {
-        let next = Counters { answered_before: answered, ..Counters::default() };
-        CountsLine { counters: std::mem::replace(self, next), answered }
+        let next = Counters {
+            answered_before: answered,
+            ..Counters::default()
+        };
+        CountsLine {
+            counters: std::mem::replace(self, next),
+            answered,
+        }
     }
 }
 
 impl CountsLine {
     /// Whether nothing has happened.
     pub fn is_empty(&self) -> bool {
-        self.counters == Counters { answered_before: self.answered, ..Counters::default() }
+        self.counters
+            == Counters {
+                answered_before: self.answered,
+                ..Counters::default()
+            }
     }
 }
 
@@ -69,13 +79,28 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counters = &self.counters;
         let (now, before) = (&self.answered, &counters.answered_before);
-        write!(f, "requests={} turned_away={}", counters.taken, counters.turned_away)?;
+        write!(
+            f,
+            "requests={} turned_away={}",
+            counters.taken, counters.turned_away
+        )?;
         write!(f, " served={}", now.completed - before.completed)?;
         write!(f, " refused={}", now.rejected - before.rejected)?;
         write!(f, " failed={}", now.failed - before.failed)?;
-        write!(f, " disconnected={} connects={}", counters.disconnected, counters.connects)?;
-        write!(f, " probes={} reports={} attempts", counters.probes, counters.reports)?;
-        let seen = OUTCOME_NAMES.iter().zip(&counters.outcomes).filter(|(_, count)| **count > 0);
+        write!(
+            f,
+            " disconnected={} connects={}",
+            counters.disconnected, counters.connects
+        )?;
+        write!(
+            f,
+            " probes={} reports={} attempts",
+            counters.probes, counters.reports
+        )?;
+        let seen = OUTCOME_NAMES
+            .iter()
+            .zip(&counters.outcomes)
+            .filter(|(_, count)| **count > 0);
         seen.map(|((_, name), count)| (name, count))
             .try_for_each(|(name, count)| write!(f, " {name}={count}"))
     }
--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -74,17 +74,23 @@
 
     /// What this process holds.
     pub fn held(&self) -> HeldConnections {
-        HeldConnections { callers: self.callers.get(), endpoints: self.endpoints.get() }
+        HeldConnections {
+            callers: self.callers.get(),
+            endpoints: self.endpoints.get(),
+        }
     }
 
     /// Each other process holds so many connections, and what it has reserved.
     pub fn set_other_processes(&self, connections: impl Iterator<Item = usize>) {
-        self.other_processes.set(connections.map(|n| n + self.reserved).sum());
+        self.other_processes
+            .set(connections.map(|n| n + self.reserved).sum());
     }
 
     /// The budget as far as it is this process's.
     fn own_budget(&self) -> usize {
-        self.budget.saturating_sub(self.other_processes.get()).max(OVERDRAFT)
+        self.budget
+            .saturating_sub(self.other_processes.get())
+            .max(OVERDRAFT)
     }
 
     /// Whether all are in use.
--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -16,7 +16,12 @@
 
 /// Makes an attempt and tells the host how it ended. Dropped midway, it closes its connection.
 pub async fn attempt(host: impl EndpointHost, order: AttemptOrder) {
-    let result = Attempt { host: &host, order: &order }.run().await;
+    let result = Attempt {
+        host: &host,
+        order: &order,
+    }
+    .run()
+    .await;
     host.attempt_ended(&order, result);
 }
 
@@ -41,7 +46,8 @@
                 return AttemptResult::without_answer(Outcome::ConnectFailed);
             };
             if !self.host.may_write(self.order) || self.forwarded().is_consumed() {
-                self.host.return_connection(acquired.connection, &self.order.target);
+                self.host
+                    .return_connection(acquired.connection, &self.order.target);
                 return AttemptResult::without_answer(Outcome::NotSent);
             }
             let written_before = acquired.connection.progress().written();
@@ -51,7 +57,9 @@
             let outcome = match response {
                 Some(Ok(response)) => return self.answered(response, acquired.connection),
                 // It had been closed while it stood idle, and the attempt has yet to begin.
-                Some(Err(_)) if is_unwritten && acquired.is_reused && !self.forwarded().is_consumed() => {
+                Some(Err(_))
+                    if is_unwritten && acquired.is_reused && !self.forwarded().is_consumed() =>
+                {
                     continue;
                 }
                 Some(Err(_)) | None if !progress.is_whole() => Outcome::ConnectFailed,
@@ -74,13 +82,19 @@
         if self.forwarded().is_repeatable
             && let Some(connection) = self.host.take_connection(&target.endpoint)
         {
-            return Some(Acquired { connection, is_reused: true });
+            return Some(Acquired {
+                connection,
+                is_reused: true,
+            });
         }
         // Only the first dial may take room from idle connections and callers.
         let dial = || connect(self.host, target.address);
         let may_hedge = || !self.host.descriptors_are_spent();
         let connection = hedged(dial, may_hedge, self.host.connect_timeout(), until).await?;
-        Some(Acquired { connection, is_reused: false })
+        Some(Acquired {
+            connection,
+            is_reused: false,
+        })
     }
 
     /// Sends the request and receives the answer, or its beginning; `None` where it did not come in time.
@@ -101,17 +115,27 @@
         }
     }
 
-    fn answered(&self, response: EndpointResponse, connection: EndpointConnection) -> AttemptResult {
+    fn answered(
+        &self,
+        response: EndpointResponse,
+        connection: EndpointConnection,
+    ) -> AttemptResult {
         let EndpointResponse { head, body } = response;
         let body = match body {
             Ok(ReceivedAnswer::Whole(body)) => {
                 self.host.return_connection(connection, &self.order.target);
                 Some(AnswerBody::Whole(body))
             }
-            Ok(ReceivedAnswer::Begun { first, rest, length }) if head.status() == StatusCode::OK => {
+            Ok(ReceivedAnswer::Begun {
+                first,
+                rest,
+                length,
+            }) if head.status() == StatusCode::OK => {
                 let (host, target) = (self.host.clone(), self.order.target.clone());
-                let return_connection = move |connection| host.return_connection(connection, &target);
-                let streamed = StreamedAnswer::new(first, rest, length, connection, return_connection);
+                let return_connection =
+                    move |connection| host.return_connection(connection, &target);
+                let streamed =
+                    StreamedAnswer::new(first, rest, length, connection, return_connection);
                 Some(AnswerBody::Streamed(Box::new(streamed)))
             }
             Ok(ReceivedAnswer::Begun { .. }) | Err(_) => None,
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -40,16 +40,26 @@
 impl AttemptResult {
     /// The end of one that got no answer.
     pub fn without_answer(outcome: Outcome) -> Self {
-        AttemptResult { outcome, report: None, answer: None }
+        AttemptResult {
+            outcome,
+            report: None,
+            answer: None,
+        }
     }
 
     /// The end of an attempt whose answer has this head; its body is none where it was not to be had.
     pub fn of_attempt(head: &Response<()>, body: Option<AnswerBody>) -> Self {
         let (status, headers) = (head.status(), head.headers());
-        let mut reports = headers.get_all(LOAD).iter().filter_map(|value| value.to_str().ok());
+        let mut reports = headers
+            .get_all(LOAD)
+            .iter()
+            .filter_map(|value| value.to_str().ok());
         let report = reports.find_map(parse_load_report); // one that cannot be read may stand beside one that can
         let has_not_run = headers.get(NOT_RUN).is_some_and(|value| value == "1");
-        let turned_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+        let turned_away = matches!(
+            status,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+        );
         let (outcome, answer) = match (status, body) {
             (StatusCode::OK, Some(body)) => {
                 let mut headers = end_to_end(headers);
@@ -60,16 +70,28 @@
             _ if turned_away && has_not_run => (Outcome::Rejected, None),
             _ => (Outcome::Error, None),
         };
-        AttemptResult { outcome, report, answer }
+        AttemptResult {
+            outcome,
+            report,
+            answer,
+        }
     }
 
     /// The end of a probe, whose answer is the report.
     pub fn of_probe(head: &Response<()>, body: Option<Bytes>) -> Self {
-        let text = body.as_ref().and_then(|bytes| std::str::from_utf8(bytes).ok());
+        let text = body
+            .as_ref()
+            .and_then(|bytes| std::str::from_utf8(bytes).ok());
         let in_body = text.and_then(parse_load_report);
-        let AttemptResult { outcome, report, .. } = Self::of_attempt(head, body.map(AnswerBody::Whole));
+        let AttemptResult {
+            outcome, report, ..
+        } = Self::of_attempt(head, body.map(AnswerBody::Whole));
         let report = report.or(in_body.filter(|_| outcome == Outcome::Served));
-        AttemptResult { outcome, report, answer: None }
+        AttemptResult {
+            outcome,
+            report,
+            answer: None,
+        }
     }
 }
 
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -14,11 +14,18 @@
 /// Guards the module's eyes: reports come along with every answer, and most of all with bad ones.
 #[test]
 fn load_reports_are_read_on_every_answer() {
-    let load = ("x-load", "TEXT concurrent=7, depth=2, load_share=0.61, other=1, tps=NaN");
+    let load = (
+        "x-load",
+        "TEXT concurrent=7, depth=2, load_share=0.61, other=1, tps=NaN",
+    );
     for (status, headers, outcome) in [
         (200, vec![load], Outcome::Served),
         (200, vec![("x-load", "=,="), load], Outcome::Served),
-        (200, vec![("x-load", "TEXT inflight=7, queue=2, util=0.61")], Outcome::Served),
+        (
+            200,
+            vec![("x-load", "TEXT inflight=7, queue=2, util=0.61")],
+            Outcome::Served,
+        ),
         (500, vec![load], Outcome::Error),
         (503, vec![load], Outcome::Error),
         (503, vec![load, ("x-not-run", "1")], Outcome::Rejected),
@@ -39,11 +46,19 @@
 #[test]
 fn figures_that_cannot_be_are_left_out() {
     assert_eq!(ended(200, &[]).report, None);
-    for text in
-        ["JSON {}", "TEXT", "TEXT ?", "=,=", "%%%", "TEXT depth=-1", "TEXT depth=1e300, load_share=inf"]
-    {
+    for text in [
+        "JSON {}",
+        "TEXT",
+        "TEXT ?",
+        "=,=",
+        "%%%",
+        "TEXT depth=-1",
+        "TEXT depth=1e300, load_share=inf",
+    ] {
         assert_eq!(ended(200, &[("x-load", text)]).report, None, "{text}");
     }
-    let report = ended(200, &[("x-load", "TEXT depth=-3, concurrent=4")]).report.expect("a report");
+    let report = ended(200, &[("x-load", "TEXT depth=-3, concurrent=4")])
+        .report
+        .expect("a report");
     assert_eq!((report.depth, report.in_flight), (None, Some(4.0)));
 }
--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -11,9 +11,19 @@
 ///
 /// # Errors
 /// There is no room, or the connection does not come up.
-pub async fn connect(host: &impl EndpointHost, address: SocketAddr) -> io::Result<EndpointConnection> {
-    let permit = host.dial_permit().ok_or_else(|| io::Error::other("no descriptors left"))?;
+pub async fn connect(
+    host: &impl EndpointHost,
+    address: SocketAddr,
+) -> io::Result<EndpointConnection> {
+    let permit = host
+        .dial_permit()
+        .ok_or_else(|| io::Error::other("no descriptors left"))?;
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    EndpointConnection::begin(stream, WriteProgress::new(permit.attempts), permit.descriptor).await
+    EndpointConnection::begin(
+        stream,
+        WriteProgress::new(permit.attempts),
+        permit.descriptor,
+    )
+    .await
 }
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -56,16 +56,26 @@
         descriptor: DescriptorPermit,
     ) -> io::Result<Self> {
         let (stream, progress) = (Rc::new(stream), Rc::new(progress));
-        let socket = EndpointSocket { stream: stream.clone(), progress: progress.clone() };
+        let socket = EndpointSocket {
+            stream: stream.clone(),
+            progress: progress.clone(),
+        };
         let mut builder = http1::Builder::new();
-        let handshake = builder.max_buf_size(READ_BUFFER).handshake(TokioIo::new(socket));
+        let handshake = builder
+            .max_buf_size(READ_BUFFER)
+            .handshake(TokioIo::new(socket));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let task = Task::spawn(async move {
             // How it ended shows in the attempt that it carried.
             let _ = connection.await;
             drop(descriptor);
         });
-        Ok(EndpointConnection { sender, stream, progress, _task: task })
+        Ok(EndpointConnection {
+            sender,
+            stream,
+            progress,
+            _task: task,
+        })
     }
 
     /// What is known of the writing on it.
@@ -92,7 +102,10 @@
             return Err(problem.into());
         }
         let (head, body) = response.into_parts();
-        let most = body.size_hint().exact().map_or(MAX_KEPT, |n| n.min(MAX_KEPT as u64) as usize);
+        let most = body
+            .size_hint()
+            .exact()
+            .map_or(MAX_KEPT, |n| n.min(MAX_KEPT as u64) as usize);
         let (is_kept, _memory) = match exchange {
             Exchange::Attempt(memory) => {
                 let reservation = memory.reserve(most);
@@ -101,7 +114,10 @@
             Exchange::Probe => (true, None),
         };
         let body = receive_answer(body, is_kept).await;
-        Ok(EndpointResponse { head: hyper::Response::from_parts(head, ()), body })
+        Ok(EndpointResponse {
+            head: hyper::Response::from_parts(head, ()),
+            body,
+        })
     }
 
     /// Whether its other side, or hyper, has closed it.
@@ -146,7 +162,11 @@
 }
 
 impl AsyncWrite for EndpointSocket {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(context, &[io::IoSlice::new(bytes)])
     }
 
--- a/src/sidecar/endpoint/dial.rs
+++ b/src/sidecar/endpoint/dial.rs
@@ -32,7 +32,11 @@
     let mut dials = vec![Box::pin(dial())];
     loop {
         let is_last = dials.len() >= MOST_DIALS;
-        let wait_until = if is_last { until } else { until.min(Instant::now() + late) };
+        let wait_until = if is_last {
+            until
+        } else {
+            until.min(Instant::now() + late)
+        };
         let first = poll_fn(|context| poll_first(&mut dials, context));
         if let Ok(ended) = timeout_at(wait_until, first).await {
             return ended.ok();
@@ -47,7 +51,10 @@
 }
 
 /// Polls dials until one has ended, the oldest first.
-fn poll_first<Link, Dial>(dials: &mut [Pin<Box<Dial>>], context: &mut Context<'_>) -> Poll<io::Result<Link>>
+fn poll_first<Link, Dial>(
+    dials: &mut [Pin<Box<Dial>>],
+    context: &mut Context<'_>,
+) -> Poll<io::Result<Link>>
 where
     Dial: Future<Output = io::Result<Link>>,
 {
--- a/src/sidecar/endpoint/forward.rs
+++ b/src/sidecar/endpoint/forward.rs
@@ -61,7 +61,9 @@
 impl ForwardedRequest {
     /// Whether some of it has gone on that is kept nowhere, so that no further attempt can be made.
     pub fn is_consumed(&self) -> bool {
-        self.upload.as_ref().is_some_and(|upload| upload.is_consumed())
+        self.upload
+            .as_ref()
+            .is_some_and(|upload| upload.is_consumed())
     }
 
     /// The request of one attempt, with what is left of its time.
@@ -70,8 +72,15 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.path.clone());
         *request.headers_mut() = self.headers.clone();
-        if self.upload.as_ref().is_some_and(|upload| upload.length().is_none()) {
-            request.headers_mut().insert(header::TRANSFER_ENCODING, HeaderValue::from_static("chunked"));
+        if self
+            .upload
+            .as_ref()
+            .is_some_and(|upload| upload.length().is_none())
+        {
+            request.headers_mut().insert(
+                header::TRANSFER_ENCODING,
+                HeaderValue::from_static("chunked"),
+            );
         }
         if let Ok(left) = HeaderValue::from_str(&format!("{:.3}", left.as_secs_f64())) {
             request.headers_mut().insert(DEADLINE_HEADER, left);
@@ -95,7 +104,11 @@
         HeaderName::from_static("keep-alive"),
     ];
     let mut kept = headers.clone();
-    for named in headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok()) {
+    for named in headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+    {
         for name in named.split(',').map(str::trim) {
             kept.remove(name);
         }
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -15,7 +15,9 @@
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().strip_prefix("TEXT")?.split(',') {
-        let Some((name, value)) = pair.split_once('=') else { continue };
+        let Some((name, value)) = pair.split_once('=') else {
+            continue;
+        };
         let value = value.trim().parse::<f64>().ok();
         let up_to = |most: f64| value.filter(|v| (0.0..=most).contains(v));
         match name.trim() {
--- a/src/sidecar/endpoint/outgoing.rs
+++ b/src/sidecar/endpoint/outgoing.rs
@@ -38,7 +38,12 @@
             Some(upload) => {
                 upload.attempt_begins();
                 let timer = Box::pin(sleep_until(Instant::now()));
-                Source::Upload(UploadSource { first: Some(kept), upload, rest: None, timer })
+                Source::Upload(UploadSource {
+                    first: Some(kept),
+                    upload,
+                    rest: None,
+                    timer,
+                })
             }
         };
         OutgoingBody { source, progress }
@@ -46,7 +51,10 @@
 }
 
 impl UploadSource {
-    fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
+    fn poll_frame(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
@@ -93,7 +101,9 @@
         let due = rest.pace.wait();
         match Pin::new(&mut rest.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
-                let Ok(data) = frame.into_data() else { continue }; // trailers go no further
+                let Ok(data) = frame.into_data() else {
+                    continue;
+                }; // trailers go no further
                 rest.pace.received(data.len());
                 return Poll::Ready(Ok(Some(data)));
             }
@@ -119,7 +129,9 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
         match &mut self.source {
-            Source::Kept(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            Source::Kept(body) => Pin::new(body)
+                .poll_frame(context)
+                .map_err(|never| match never {}),
             Source::Upload(upload) => upload.poll_frame(context),
         }
     }
@@ -134,7 +146,11 @@
     fn size_hint(&self) -> SizeHint {
         match &self.source {
             Source::Kept(body) => body.size_hint(),
-            Source::Upload(source) => source.upload.length().map(SizeHint::with_exact).unwrap_or_default(),
+            Source::Upload(source) => source
+                .upload
+                .length()
+                .map(SizeHint::with_exact)
+                .unwrap_or_default(),
         }
     }
 }
--- a/src/sidecar/endpoint/pool.rs
+++ b/src/sidecar/endpoint/pool.rs
@@ -75,12 +75,19 @@
     }
 
     /// Keeps a connection, if there is room for it.
-    pub fn put_back(&mut self, endpoint: &EndpointId, connection: EndpointConnection) -> SweepSchedule {
+    pub fn put_back(
+        &mut self,
+        endpoint: &EndpointId,
+        connection: EndpointConnection,
+    ) -> SweepSchedule {
         let kept = self.idle.entry(endpoint.clone()).or_default();
         if connection.is_closed() || !connection.progress().is_whole() || kept.len() >= self.most {
             return SweepSchedule::Scheduled;
         }
-        kept.push(IdleConnection { connection, since: Instant::now() });
+        kept.push(IdleConnection {
+            connection,
+            since: Instant::now(),
+        });
         if std::mem::replace(&mut self.is_swept, true) {
             SweepSchedule::Scheduled
         } else {
@@ -103,11 +110,19 @@
 
     /// Closes the connection that has been idle longest; false where none is.
     pub fn close_oldest(&mut self) -> bool {
-        let oldest = self.idle.iter().filter_map(|(e, idle)| Some((idle.first()?.since, e)));
-        let Some(endpoint) = oldest.min_by_key(|(since, _)| *since).map(|(_, e)| e.clone()) else {
+        let oldest = self
+            .idle
+            .iter()
+            .filter_map(|(e, idle)| Some((idle.first()?.since, e)));
+        let Some(endpoint) = oldest
+            .min_by_key(|(since, _)| *since)
+            .map(|(_, e)| e.clone())
+        else {
             return false;
         };
-        self.idle.get_mut(&endpoint).is_some_and(|idle| !idle.drain(..1).as_slice().is_empty())
+        self.idle
+            .get_mut(&endpoint)
+            .is_some_and(|idle| !idle.drain(..1).as_slice().is_empty())
     }
 
     /// Drops what has been idle too long; returns when the next will have been.
@@ -121,7 +136,11 @@
             }
             !idle.is_empty()
         });
-        let next = self.idle.values().filter_map(|idle| first_expires_at(idle, keep)).min();
+        let next = self
+            .idle
+            .values()
+            .filter_map(|idle| first_expires_at(idle, keep))
+            .min();
         // Connections come back while it waits, and may have to go before what there is now.
         let next = next.map(|at| at.min(now + keep.min(BUSY_FOR)));
         self.is_swept = next.is_some();
@@ -131,6 +150,10 @@
 
 /// When the first of an endpoint's idle connections has been idle too long.
 fn first_expires_at(idle: &[IdleConnection], keep: Duration) -> Option<Instant> {
-    let time = if idle.len() > MAX_KEPT { keep.min(BUSY_FOR) } else { keep };
+    let time = if idle.len() > MAX_KEPT {
+        keep.min(BUSY_FOR)
+    } else {
+        keep
+    };
     idle.first().map(|first| first.since + time)
 }
--- a/src/sidecar/endpoint/probe.rs
+++ b/src/sidecar/endpoint/probe.rs
@@ -43,7 +43,10 @@
     let mut request = Request::new(body);
     *request.uri_mut() = Uri::from_static(LOAD_PATH);
     match connection.carry(request, Exchange::Probe).await {
-        Ok(EndpointResponse { head, body: Ok(ReceivedAnswer::Whole(body)) }) => {
+        Ok(EndpointResponse {
+            head,
+            body: Ok(ReceivedAnswer::Whole(body)),
+        }) => {
             host.return_connection(connection, target);
             AttemptResult::of_probe(&head, Some(body))
         }
--- a/src/sidecar/endpoint/streamed.rs
+++ b/src/sidecar/endpoint/streamed.rs
@@ -37,7 +37,14 @@
         return_connection: impl FnOnce(EndpointConnection) + 'static,
     ) -> Self {
         let connection = Some((connection, Box::new(return_connection) as ReturnConnection));
-        StreamedAnswer { first, rest, length, passed: 0, pause: None, connection }
+        StreamedAnswer {
+            first,
+            rest,
+            length,
+            passed: 0,
+            pause: None,
+            connection,
+        }
     }
 
     /// Whether all of it has come. One that broke off is not whole, and no more of it comes.
@@ -52,12 +59,17 @@
     }
 
     /// The next piece, none at the end.
-    fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyFailure>> {
+    fn poll_piece(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Result<Option<Bytes>, BodyFailure>> {
         loop {
             match Pin::new(&mut self.rest).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) => {
                     self.pause = None;
-                    let Ok(data) = frame.into_data() else { continue }; // trailers go no further
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    }; // trailers go no further
                     return Poll::Ready(Ok(Some(data)));
                 }
                 Poll::Ready(None) => return Poll::Ready(Ok(None)),
@@ -105,6 +117,8 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map(|length| SizeHint::with_exact(length - self.passed)).unwrap_or_default()
+        self.length
+            .map(|length| SizeHint::with_exact(length - self.passed))
+            .unwrap_or_default()
     }
 }
--- a/src/sidecar/endpoint/write_progress.rs
+++ b/src/sidecar/endpoint/write_progress.rs
@@ -26,7 +26,11 @@
 impl WriteProgress {
     /// For a new connection.
     pub fn new(attempts: Rc<Cell<u64>>) -> Self {
-        WriteProgress { written: Cell::new(0), stage: Cell::new(Stage::Idle), attempts }
+        WriteProgress {
+            written: Cell::new(0),
+            stage: Cell::new(Stage::Idle),
+            attempts,
+        }
     }
 
     /// An attempt begins, which counts.
--- a/src/sidecar/figures.rs
+++ b/src/sidecar/figures.rs
@@ -73,12 +73,17 @@
 
     /// A request of a class has begun.
     pub fn begin(&mut self, class: &str) -> RequestCount {
-        RequestCount { class: self.class(class), pending: self.pending.clone(), is_whole: false }
+        RequestCount {
+            class: self.class(class),
+            pending: self.pending.clone(),
+            is_whole: false,
+        }
     }
 
     /// How requests were answered so far.
     pub fn answered(&self) -> AnsweredRequests {
-        let sum = |of: fn(&ClassFigures) -> &Cell<u64>| self.classes.values().map(|c| of(c).get()).sum();
+        let sum =
+            |of: fn(&ClassFigures) -> &Cell<u64>| self.classes.values().map(|c| of(c).get()).sum();
         AnsweredRequests {
             completed: sum(|class| &class.completed),
             rejected: sum(|class| &class.rejected),
@@ -89,9 +94,15 @@
     /// Writes them, a line each.
     pub fn write(&self, members: &MemberCounts, text: &mut String) {
         for (name, class) in &self.classes {
-            let label = name.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
-            let by_answer =
-                [("completed", &class.completed), ("rejected", &class.rejected), ("failed", &class.failed)];
+            let label = name
+                .replace('\\', "\\\\")
+                .replace('"', "\\\"")
+                .replace('\n', "\\n");
+            let by_answer = [
+                ("completed", &class.completed),
+                ("rejected", &class.rejected),
+                ("failed", &class.failed),
+            ];
             for (figure, count) in by_answer {
                 let _ = writeln!(text, "app_{figure}{{lane=\"{label}\"}} {}", count.get());
             }
@@ -122,7 +133,9 @@
     pub fn end(self, status: StatusCode) {
         match status {
             StatusCode::OK => add_one(&self.class.completed),
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => add_one(&self.class.rejected),
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                add_one(&self.class.rejected)
+            }
             _ if self.is_whole => add_one(&self.class.failed),
             _ => {}
         }
--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -10,8 +10,8 @@
 use super::upgrade::{Order, ProcessMessage, ProcessNumber, SharedDirectory};
 use rustix::io::Errno;
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags, recvmsg, sendmsg,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
 use std::collections::BTreeSet;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -64,7 +64,12 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut byte = [0];
-    recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    recvmsg(
+        stream,
+        &mut [IoSliceMut::new(&mut byte)],
+        &mut control,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     let descriptors = control.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(descriptors) => Some(descriptors),
         _ => None,
@@ -76,12 +81,20 @@
 
 /// Listens for callers: on the socket handed over, or on one of its own. That one may be shared, so that a hand-over that
 /// fails leaves an upgrade possible all the same.
-pub fn listen(address: SocketAddr, shared: bool, older: Option<&OlderProcess>) -> io::Result<TcpListener> {
+pub fn listen(
+    address: SocketAddr,
+    shared: bool,
+    older: Option<&OlderProcess>,
+) -> io::Result<TcpListener> {
     if let Some(older) = older {
         older.listener.set_nonblocking(true)?;
         return TcpListener::from_std(older.listener.try_clone()?);
     }
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     socket.set_reuseaddr(true)?;
     if shared {
         socket.set_reuseport(true)?;
@@ -106,13 +119,19 @@
     while !node.borrow().is_ready() && !is_alone() {
         sleep(READY_CHECK).await;
     }
-    node.borrow().other_processes.send(&ProcessMessage::Serving, None);
+    node.borrow()
+        .other_processes
+        .send(&ProcessMessage::Serving, None);
     Ok(())
 }
 
 /// The older process's part: hands the listening socket to whoever asks for it, one after another, and stays in touch
 /// until that one has ended.
-pub async fn offer(node: NodeHandle, directory: Rc<SharedDirectory>, listener: std::net::TcpListener) {
+pub async fn offer(
+    node: NodeHandle,
+    directory: Rc<SharedDirectory>,
+    listener: std::net::TcpListener,
+) {
     let mut bound = bind(&directory);
     loop {
         let socket = match &bound {
@@ -133,7 +152,11 @@
             // Perhaps the last part of it that is open: what waits there is accepted by nobody else.
             return server::accept_waiting(&node, listener);
         }
-        let callers = if is_taken_back { "; callers are let in here again" } else { "" };
+        let callers = if is_taken_back {
+            "; callers are let in here again"
+        } else {
+            ""
+        };
         log!("the process after has ended{callers}");
         bound = bind(&directory);
     }
@@ -208,7 +231,9 @@
                 ProcessMessage::Holds(held)
             }
         };
-        let Ok(mut line) = serde_json::to_vec(&message) else { continue };
+        let Ok(mut line) = serde_json::to_vec(&message) else {
+            continue;
+        };
         line.push(b'\n');
         if to.write_all(&line).await.is_err() {
             return;
@@ -220,7 +245,10 @@
     let mut lines = BufReader::new(from);
     loop {
         let mut line = Vec::new();
-        let read = (&mut lines).take(LONGEST_MESSAGE).read_until(b'\n', &mut line).await;
+        let read = (&mut lines)
+            .take(LONGEST_MESSAGE)
+            .read_until(b'\n', &mut line)
+            .await;
         if !read.is_ok_and(|length| length > 0) {
             return;
         }
@@ -237,7 +265,10 @@
     fn tell_disabled(&self) {
         let node = self.borrow();
         for endpoint in node.disabled_endpoints() {
-            let message = ProcessMessage::Disabled { endpoint: endpoint.0.to_string(), disabled: true };
+            let message = ProcessMessage::Disabled {
+                endpoint: endpoint.0.to_string(),
+                disabled: true,
+            };
             node.other_processes.send(&message, None);
         }
     }
@@ -247,9 +278,14 @@
     fn process_ended(&self, number: ProcessNumber) {
         let mut node = self.borrow();
         node.other_processes.remove(number);
-        node.descriptors.set_other_processes(node.other_processes.held_connections());
-        let Some(directory) = node.directory.clone() else { return };
-        let Some(kept) = directory.disabled_endpoints() else { return };
+        node.descriptors
+            .set_other_processes(node.other_processes.held_connections());
+        let Some(directory) = node.directory.clone() else {
+            return;
+        };
+        let Some(kept) = directory.disabled_endpoints() else {
+            return;
+        };
         let known: BTreeSet<String> = node.disabled_endpoints().map(|e| e.0.to_string()).collect();
         drop(node);
         for endpoint in known.symmetric_difference(&kept) {
@@ -262,7 +298,13 @@
 
     fn receive(&self, from: ProcessNumber, message: ProcessMessage) {
         let mut guard = self.borrow();
-        let Node { pool, callers, descriptors, other_processes, .. } = &mut *guard;
+        let Node {
+            pool,
+            callers,
+            descriptors,
+            other_processes,
+            ..
+        } = &mut *guard;
         match message {
             ProcessMessage::Disabled { endpoint, disabled } => {
                 drop(guard);
@@ -290,7 +332,10 @@
     fn receive_disabled(&self, from: ProcessNumber, name: &str, disabled: bool) {
         let endpoint = name.into();
         if self.borrow().is_disabled(&endpoint) != disabled {
-            let message = ProcessMessage::Disabled { endpoint: name.into(), disabled };
+            let message = ProcessMessage::Disabled {
+                endpoint: name.into(),
+                disabled,
+            };
             self.borrow().other_processes.send(&message, Some(from));
             self.set_disabled(endpoint, disabled);
         }
--- a/src/sidecar/memory.rs
+++ b/src/sidecar/memory.rs
@@ -19,7 +19,10 @@
 impl MemoryBudget {
     /// One of so many equal parts of the process's memory.
     pub fn part_of(memory_mb: usize, parts: usize) -> Self {
-        MemoryBudget { limit: (memory_mb << 20) / parts, reserved: Rc::default() }
+        MemoryBudget {
+            limit: (memory_mb << 20) / parts,
+            reserved: Rc::default(),
+        }
     }
 
     /// Reserves so many bytes, if there is room.
@@ -29,7 +32,10 @@
             return None;
         }
         self.reserved.set(total);
-        Some(MemoryReservation { size, reserved: self.reserved.clone() })
+        Some(MemoryReservation {
+            size,
+            reserved: self.reserved.clone(),
+        })
     }
 }
 
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -11,13 +11,23 @@
 impl Node {
     pub(super) fn carry_out(&mut self, handle: &NodeHandle, action: Action) {
         match action {
-            Action::Send { request, endpoint, timeout } => self.send(handle, request, endpoint, timeout),
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+            } => self.send(handle, request, endpoint, timeout),
             Action::Cancel { request, attempt } => self.cancel(&request, attempt),
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.answer(&request, FinalAnswer::Refused { retry_after });
             }
             Action::Fail { request } => {
-                let timed_out = self.open.get(&request).is_some_and(|open| open.has_timed_out);
+                let timed_out = self
+                    .open
+                    .get(&request)
+                    .is_some_and(|open| open.has_timed_out);
                 self.answer(&request, FinalAnswer::Failed { timed_out });
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
@@ -30,7 +40,10 @@
                     self.begin_watch(handle);
                 }
             }
-            Action::FetchList => drop(spawn_local(discovery::fetch(handle.clone(), self.watches.source()))),
+            Action::FetchList => drop(spawn_local(discovery::fetch(
+                handle.clone(),
+                self.watches.source(),
+            ))),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
             Action::Probe { endpoint } => self.probe(handle, &endpoint),
             // The module sends none.
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -3,7 +3,8 @@
 use super::open_request::OpenRequest;
 use super::state::{Node, NodeHandle};
 use crate::policy::{
-    AttemptEnd, AttemptNumber, EndpointId, Event, LoadReport, Outcome, Readiness, RequestId, Timestamp,
+    AttemptEnd, AttemptNumber, EndpointId, Event, LoadReport, Outcome, Readiness, RequestId,
+    Timestamp,
 };
 use crate::sidecar::endpoint::{self, AttemptOrder, Target};
 use crate::sidecar::task::Task;
@@ -14,13 +15,18 @@
     pub(super) fn target(&self, endpoint: &EndpointId) -> Option<Target> {
         let member = self.membership.get(endpoint)?;
         let (address, started_at) = (member.address, member.started_at);
-        Some(Target { endpoint: endpoint.clone(), address, started_at })
+        Some(Target {
+            endpoint: endpoint.clone(),
+            address,
+            started_at,
+        })
     }
 
     /// Whether an endpoint's process takes work, by the list and by the operators.
     pub(super) fn takes_work(&self, target: &Target) -> bool {
         self.membership.get(&target.endpoint).is_some_and(|member| {
-            let is_same = member.started_at == target.started_at && member.address == target.address;
+            let is_same =
+                member.started_at == target.started_at && member.address == target.address;
             member.readiness == Readiness::Up && is_same
         }) && !self.is_disabled(&target.endpoint)
     }
@@ -35,12 +41,20 @@
     ) {
         let now = self.clock.now();
         let target = self.target(&endpoint);
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         let attempt = open.next_attempt();
         if let Some(target) = target.filter(|_| open.is_unanswered()) {
             let until = timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
             let forwarded = open.forwarded.clone();
-            let order = AttemptOrder { request: request.clone(), attempt, target, until, forwarded };
+            let order = AttemptOrder {
+                request: request.clone(),
+                attempt,
+                target,
+                until,
+                forwarded,
+            };
             open.begin_attempt(now, Task::spawn(endpoint::attempt(handle.clone(), order)));
         } else {
             open.skip_attempt();
@@ -51,7 +65,9 @@
 
     /// Stops an attempt's task, which closes its connection.
     pub(super) fn cancel(&mut self, request: &RequestId, attempt: AttemptNumber) {
-        let Some(open) = self.open.get_mut(request) else { return };
+        let Some(open) = self.open.get_mut(request) else {
+            return;
+        };
         if let Some(sent) = open.end_attempt(attempt) {
             let event = self.attempt_end(request, attempt, sent, Outcome::Cancelled, None);
             self.events.push_back(event);
@@ -75,7 +91,10 @@
             attempt,
             outcome,
             took: self.clock.now().since(sent),
-            request_ended: !self.open.get(request).is_some_and(OpenRequest::is_unanswered),
+            request_ended: !self
+                .open
+                .get(request)
+                .is_some_and(OpenRequest::is_unanswered),
             report,
         })
     }
