--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -17,9 +17,16 @@
         let mut node = self.borrow();
         let mut update = node.membership.update(list, kind);
         node.membership.remove_replaced(&mut update);
-        update.outdated.iter().for_each(|endpoint| node.pool.close_idle(endpoint));
+        update
+            .outdated
+            .iter()
+            .for_each(|endpoint| node.pool.close_idle(endpoint));
         drop(node);
-        self.handle(Event::EndpointList { version: list.index, kind, entries: update.entries.into() });
+        self.handle(Event::EndpointList {
+            version: list.index,
+            kind,
+            entries: update.entries.into(),
+        });
     }
 }
 
@@ -33,19 +40,24 @@
     /// Begins to follow discovery.
     pub(super) fn begin_watch(&mut self, handle: &NodeHandle) {
         let (consumer, source) = (handle.clone(), self.watches.source());
-        self.watches.follow(match self.settings.current().discovery {
-            DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
-            DiscoveryMode::OnRequest => {
-                Task::spawn(discovery::watch(consumer, source, self.membership.version()))
-            }
-        });
+        self.watches
+            .follow(match self.settings.current().discovery {
+                DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
+                DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
+                    consumer,
+                    source,
+                    self.membership.version(),
+                )),
+            });
     }
 }
 
 impl ListConsumer for NodeHandle {
     fn held_version(&self, source: Source) -> Option<u64> {
         let node = self.borrow();
-        node.membership.version().filter(|_| source == node.watches.source())
+        node.membership
+            .version()
+            .filter(|_| source == node.watches.source())
     }
 
     fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
@@ -58,7 +70,11 @@
             return Ok(()); // the present one has spoken
         }
         drop(node);
-        let kind = if list.snapshot { ListKind::Snapshot } else { ListKind::Changes };
+        let kind = if list.snapshot {
+            ListKind::Snapshot
+        } else {
+            ListKind::Changes
+        };
         self.take_list(&list, kind);
         Ok(())
     }
@@ -69,7 +85,11 @@
         if let Some(version) = version {
             self.borrow().expect_first_list_soon();
             let entries = Arc::from([]);
-            self.handle(Event::EndpointList { version, kind: ListKind::Changes, entries });
+            self.handle(Event::EndpointList {
+                version,
+                kind: ListKind::Changes,
+                entries,
+            });
         }
     }
 
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -6,7 +6,8 @@
 use crate::sidecar::clock::Clock;
 use crate::sidecar::descriptors::Side;
 use crate::sidecar::endpoint::{
-    AttemptOrder, AttemptResult, DialPermit, EndpointConnection, EndpointHost, SweepSchedule, Target,
+    AttemptOrder, AttemptResult, DialPermit, EndpointConnection, EndpointHost, SweepSchedule,
+    Target,
 };
 use crate::sidecar::memory::MemoryBudget;
 use std::time::Duration;
@@ -37,7 +38,10 @@
         }
         node.counters.connects += 1;
         let descriptor = node.descriptors.permit(Side::Endpoints);
-        Some(DialPermit { descriptor, attempts: node.figures.attempts.clone() })
+        Some(DialPermit {
+            descriptor,
+            attempts: node.figures.attempts.clone(),
+        })
     }
 
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection> {
@@ -56,7 +60,9 @@
 
     fn may_write(&self, order: &AttemptOrder) -> bool {
         let node = self.borrow();
-        let Some(open) = node.open.get(&order.request) else { return false };
+        let Some(open) = node.open.get(&order.request) else {
+            return false;
+        };
         let is_in_time = node.clock.now() < order.until;
         open.is_unanswered()
             && open.is_in_flight(order.attempt)
@@ -68,37 +74,62 @@
     fn attempt_ended(&self, order: &AttemptOrder, result: AttemptResult) {
         let mut guard = self.borrow();
         let node = &mut *guard;
-        let Some(open) = node.open.get_mut(&order.request) else { return };
+        let Some(open) = node.open.get_mut(&order.request) else {
+            return;
+        };
         let Some(sent) = open.end_attempt(order.attempt) else {
             return; // cancelled, and the module knows
         };
         // It ran from when the endpoint had all of it.
-        let whole_at = order.forwarded.upload.as_ref().and_then(|upload| upload.whole_at());
+        let whole_at = order
+            .forwarded
+            .upload
+            .as_ref()
+            .and_then(|upload| upload.whole_at());
         let whole_at = whole_at.map(|instant| node.clock.timestamp(instant));
         let sent = whole_at.map_or(sent, |at| at.max(sent));
         open.has_timed_out = result.outcome == Outcome::TimedOut;
         if let Some(answer) = result.answer {
             node.answer(&order.request, FinalAnswer::Served(answer));
         }
-        let event = node.attempt_end(&order.request, order.attempt, sent, result.outcome, result.report);
+        let event = node.attempt_end(
+            &order.request,
+            order.attempt,
+            sent,
+            result.outcome,
+            result.report,
+        );
         drop(guard);
         if order.forwarded.is_consumed() {
-            self.handle(Event::BodyConsumed { request: order.request.clone() });
+            self.handle(Event::BodyConsumed {
+                request: order.request.clone(),
+            });
         }
         self.handle(event);
         self.borrow().forget_if_over(&order.request);
     }
 
     fn probe_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
-        let AttemptResult { outcome, report, .. } = result;
+        let AttemptResult {
+            outcome, report, ..
+        } = result;
         let mut node = self.borrow();
         node.counters.probes += 1;
         node.counters.reports += u64::from(report.is_some());
-        if node.membership.get(&target.endpoint).is_none_or(|m| m.started_at != target.started_at) {
+        if node
+            .membership
+            .get(&target.endpoint)
+            .is_none_or(|m| m.started_at != target.started_at)
+        {
             return; // it speaks of a process that is no more
         }
         drop(node);
-        self.handle(Event::ProbeEnded { endpoint: target.endpoint.clone(), outcome, took, report });
+        self.handle(Event::ProbeEnded {
+            endpoint: target.endpoint.clone(),
+            outcome,
+            took,
+            report,
+        });
     }
 }
 
--- a/src/sidecar/node/first_list_tests.rs
+++ b/src/sidecar/node/first_list_tests.rs
@@ -32,9 +32,17 @@
 
 /// Starts a process that replaces another, and calls back with it.
 fn replacing(check: impl AsyncFnOnce(NodeHandle)) {
-    let builder = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let builder = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&builder.expect("a runtime"), async {
-        let start = Start { config: config(), directory: None, replaces: true, reserved_descriptors: 0 };
+        let start = Start {
+            config: config(),
+            directory: None,
+            replaces: true,
+            reserved_descriptors: 0,
+        };
         check(NodeHandle::start(start).unwrap_or_else(|e| panic!("{e}"))).await;
     });
 }
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -96,7 +96,8 @@
 
     /// Its next attempt begins.
     pub fn begin_attempt(&mut self, sent: Timestamp, task: Task) {
-        self.attempts.push(OpenAttempt::InFlight { sent, _task: task });
+        self.attempts
+            .push(OpenAttempt::InFlight { sent, _task: task });
     }
 
     /// Its next attempt ends before it has begun.
@@ -106,7 +107,10 @@
 
     /// Whether an attempt is in flight.
     pub fn is_in_flight(&self, attempt: AttemptNumber) -> bool {
-        matches!(self.attempts.get(attempt), Some(OpenAttempt::InFlight { .. }))
+        matches!(
+            self.attempts.get(attempt),
+            Some(OpenAttempt::InFlight { .. })
+        )
     }
 
     /// Ends an attempt, with its task; returns when it was sent, or `None` where it was not in flight.
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -23,12 +23,19 @@
     ///
     /// # Errors
     /// No such endpoint is listed or disabled.
-    pub fn change_disabled(&self, endpoint: EndpointId, disabled: bool) -> Result<(), UnknownEndpoint> {
+    pub fn change_disabled(
+        &self,
+        endpoint: EndpointId,
+        disabled: bool,
+    ) -> Result<(), UnknownEndpoint> {
         let node = self.borrow();
         if !node.balancer.knows(&endpoint) {
             return Err(UnknownEndpoint);
         }
-        let message = ProcessMessage::Disabled { endpoint: endpoint.0.to_string(), disabled };
+        let message = ProcessMessage::Disabled {
+            endpoint: endpoint.0.to_string(),
+            disabled,
+        };
         node.other_processes.send(&message, None);
         drop(node);
         self.set_disabled(endpoint, disabled);
@@ -37,9 +44,17 @@
 
     /// An endpoint is disabled or enabled, here or by another process.
     pub fn set_disabled(&self, endpoint: EndpointId, disabled: bool) {
-        log!("endpoint {} is {} by hand", endpoint.0, if disabled { "disabled" } else { "enabled" });
+        log!(
+            "endpoint {} is {} by hand",
+            endpoint.0,
+            if disabled { "disabled" } else { "enabled" }
+        );
         let id = endpoint.clone();
-        self.handle(if disabled { Event::EndpointDisabled(id) } else { Event::EndpointEnabled(id) });
+        self.handle(if disabled {
+            Event::EndpointDisabled(id)
+        } else {
+            Event::EndpointEnabled(id)
+        });
         let node = self.borrow();
         if let Some(directory) = &node.directory {
             let known = node.disabled_endpoints().map(|id| &*id.0);
@@ -74,7 +89,11 @@
 /// closes with its next answer, and at last those that nobody uses.
 async fn drain_steps(node: NodeHandle) {
     sleep(STILL_SENT).await;
-    node.borrow().callers.set_drain_state(Some(DrainState::Leaving));
+    node.borrow()
+        .callers
+        .set_drain_state(Some(DrainState::Leaving));
     sleep(LEAVING).await;
-    node.borrow().callers.set_drain_state(Some(DrainState::Empty));
+    node.borrow()
+        .callers
+        .set_drain_state(Some(DrainState::Empty));
 }
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -28,11 +28,21 @@
         self.borrow().figures.reloads += 1;
         let has_moved = self.move_discovery(&config);
         let fixed = self.borrow().fixed.differences(&config.fixed).join(", ");
-        let discovery = if has_moved { format!("moves to {}", config.discovery) } else { "stays".into() };
-        let restart =
-            if fixed.is_empty() { String::new() } else { format!("; only a restart takes over: {fixed}") };
-        let settings =
-            if changed.is_empty() { "stay".into() } else { format!("change in {}", changed.join(", ")) };
+        let discovery = if has_moved {
+            format!("moves to {}", config.discovery)
+        } else {
+            "stays".into()
+        };
+        let restart = if fixed.is_empty() {
+            String::new()
+        } else {
+            format!("; only a restart takes over: {fixed}")
+        };
+        let settings = if changed.is_empty() {
+            "stay".into()
+        } else {
+            format!("change in {}", changed.join(", "))
+        };
         log!("configuration read again: discovery {discovery}, settings {settings}{restart}");
         Ok(())
     }
@@ -60,10 +70,13 @@
         }
         let (now, mut actions) = (node.clock.now(), Vec::new());
         let settings = config.settings.clone();
-        let classes = node.balancer.change_settings(now, settings.clone(), &mut actions)?;
+        let classes = node
+            .balancer
+            .change_settings(now, settings.clone(), &mut actions)?;
         let follows_anew = node.settings.current().discovery != settings.discovery;
         node.pool.change_limits(&settings.limits);
-        node.figures.add_classes(settings.classes.iter().map(|class| class.name.as_str()));
+        node.figures
+            .add_classes(settings.classes.iter().map(|class| class.name.as_str()));
         node.settings.replace(SettingsInForce { settings, classes });
         node.document = config.document.clone();
         for action in actions {
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -26,7 +26,9 @@
             return Err(NotTaken::Repeated);
         }
         // Read under the settings before, it may name a payer that there is no more.
-        request.tenant.take_if(|tenant| tenant.0 >= node.settings.current().tenants.len());
+        request
+            .tenant
+            .take_if(|tenant| tenant.0 >= node.settings.current().tenants.len());
         node.unanswered += 1;
         node.counters.taken += 1;
         let open = OpenRequest::new(forwarded, request.deadline, reply);
@@ -40,7 +42,9 @@
     pub fn client_disconnected(&self, request: &RequestId) {
         if self.borrow().close(request).is_some() {
             self.borrow().counters.disconnected += 1;
-            self.handle(Event::ClientDisconnected { request: request.clone() });
+            self.handle(Event::ClientDisconnected {
+                request: request.clone(),
+            });
             self.borrow().forget_if_over(request);
         }
     }
--- a/src/sidecar/node/settings_in_force.rs
+++ b/src/sidecar/node/settings_in_force.rs
@@ -39,7 +39,10 @@
     /// With the settings of the start.
     pub fn new(settings: Settings) -> Self {
         let classes = (0..settings.classes.len()).map(ClassId).collect();
-        SettingsHistory { current: Rc::new(SettingsInForce { settings, classes }), before: None }
+        SettingsHistory {
+            current: Rc::new(SettingsInForce { settings, classes }),
+            before: None,
+        }
     }
 
     /// The settings in force.
@@ -50,12 +53,18 @@
     /// Replaces them.
     pub fn replace(&mut self, settings: SettingsInForce) {
         let replaced = std::mem::replace(&mut self.current, Rc::new(settings));
-        self.before = Some(ReplacedSettings { settings: replaced, replaced_at: Instant::now() });
+        self.before = Some(ReplacedSettings {
+            settings: replaced,
+            replaced_at: Instant::now(),
+        });
     }
 
     /// The settings for a request whose first byte came at an instant.
     pub fn for_request(&self, begun: Instant) -> SettingsOfRequest {
-        let before = self.before.as_ref().filter(|before| begun < before.replaced_at + LATE);
+        let before = self
+            .before
+            .as_ref()
+            .filter(|before| begun < before.replaced_at + LATE);
         SettingsOfRequest {
             current: self.current.clone(),
             before: before.map(|before| before.settings.clone()),
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -6,8 +6,8 @@
 use crate::configuration::{Config, FixedValues};
 use crate::discovery::Membership;
 use crate::policy::{
-    Action, Balancer, BalancerStatus, DiscoveryMode, EndpointId, Event, ListKind, RequestId, SettingsError,
-    Timestamp,
+    Action, Balancer, BalancerStatus, DiscoveryMode, EndpointId, Event, ListKind, RequestId,
+    SettingsError, Timestamp,
 };
 use crate::sidecar::caller::CallerTable;
 use crate::sidecar::clock::Clock;
@@ -97,9 +97,18 @@
     /// # Errors
     /// Settings that the decision module cannot work with.
     pub fn start(start: Start) -> Result<Self, SettingsError> {
-        let Start { config, directory, replaces, reserved_descriptors } = start;
+        let Start {
+            config,
+            directory,
+            replaces,
+            reserved_descriptors,
+        } = start;
         let known = config.known.clone();
-        let node = NodeHandle(Rc::new(RefCell::new(Node::new(config, directory, reserved_descriptors)?)));
+        let node = NodeHandle(Rc::new(RefCell::new(Node::new(
+            config,
+            directory,
+            reserved_descriptors,
+        )?)));
         node.restore_disabled_endpoints();
         // The module asks once what it was told is old, which with nothing told never comes.
         let knows_nothing = known.is_none();
@@ -120,8 +129,12 @@
 
     fn restore_disabled_endpoints(&self) {
         let directory = self.borrow().directory.clone();
-        let disabled = directory.and_then(|directory| directory.disabled_endpoints()).unwrap_or_default();
-        disabled.iter().for_each(|endpoint| self.set_disabled(endpoint.as_str().into(), true));
+        let disabled = directory
+            .and_then(|directory| directory.disabled_endpoints())
+            .unwrap_or_default();
+        disabled
+            .iter()
+            .for_each(|endpoint| self.set_disabled(endpoint.as_str().into(), true));
     }
 
     /// Borrows the node, never across an await.
@@ -152,7 +165,13 @@
         reserved_descriptors: usize,
     ) -> Result<Self, SettingsError> {
         let mut figures = Figures::default();
-        figures.add_classes(config.settings.classes.iter().map(|class| class.name.as_str()));
+        figures.add_classes(
+            config
+                .settings
+                .classes
+                .iter()
+                .map(|class| class.name.as_str()),
+        );
         Ok(Node {
             clock: Clock::start(),
             balancer: Balancer::new(config.settings.clone(), config.seed)?,
@@ -208,8 +227,12 @@
 
     /// Whether callers may be sent here: an endpoint is known that takes work, and the sidecar does not stop.
     pub fn is_ready(&self) -> bool {
-        let waits_for_list = self.first_list_due.is_some_and(|due| self.clock.now() < due);
-        self.membership.serving().any(|endpoint| !self.is_disabled(endpoint))
+        let waits_for_list = self
+            .first_list_due
+            .is_some_and(|due| self.clock.now() < due);
+        self.membership
+            .serving()
+            .any(|endpoint| !self.is_disabled(endpoint))
             && self.last_answer.is_none()
             && !waits_for_list
             && self.callers.drain_state().is_none()
@@ -217,6 +240,9 @@
 
     /// How many endpoints are listed, and how many of them get nothing now.
     pub fn member_counts(&self) -> MemberCounts {
-        MemberCounts { listed: self.membership.len(), unavailable: self.balancer_status().avoided }
+        MemberCounts {
+            listed: self.membership.len(),
+            unavailable: self.balancer_status().avoided,
+        }
     }
 }
--- a/src/sidecar/node/watches.rs
+++ b/src/sidecar/node/watches.rs
@@ -23,8 +23,15 @@
 impl Watches {
     /// On a discovery that nobody follows yet.
     pub fn new(address: SocketAddr) -> Self {
-        let source = Source { address, generation: 0 };
-        Watches { source, current: Watch::Idle, previous: Watch::Idle }
+        let source = Source {
+            address,
+            generation: 0,
+        };
+        Watches {
+            source,
+            current: Watch::Idle,
+            previous: Watch::Idle,
+        }
     }
 
     /// The discovery in force.
@@ -55,7 +62,10 @@
     /// Another discovery is in force. The one before is followed on if it had spoken; else it gives way, and who was
     /// listened to before it still is.
     pub fn move_to(&mut self, address: SocketAddr, had_spoken: bool) {
-        self.source = Source { address, generation: self.source.generation + 1 };
+        self.source = Source {
+            address,
+            generation: self.source.generation + 1,
+        };
         let current = std::mem::replace(&mut self.current, Watch::Idle);
         if had_spoken {
             self.previous = current;
--- a/src/sidecar/operators.rs
+++ b/src/sidecar/operators.rs
@@ -67,7 +67,10 @@
 impl WaitingConnections {
     fn add(&self, number: u64) -> oneshot::Receiver<()> {
         let (keep_open, closed) = oneshot::channel();
-        self.0.borrow_mut().push_back(WaitingConnection { number, _keep_open: keep_open });
+        self.0.borrow_mut().push_back(WaitingConnection {
+            number,
+            _keep_open: keep_open,
+        });
         closed
     }
 
@@ -77,7 +80,9 @@
     }
 
     fn remove(&self, number: u64) {
-        self.0.borrow_mut().retain(|connection| connection.number != number);
+        self.0
+            .borrow_mut()
+            .retain(|connection| connection.number != number);
     }
 }
 
@@ -135,10 +140,18 @@
     let mut bytes = [0; LONGEST_LINE];
     let mut received = 0;
     loop {
-        let read = stream.read(&mut bytes[received..]).await.ok().filter(|read| *read > 0)?;
-        let end = bytes[received..received + read].iter().position(|b| *b == b'\n');
+        let read = stream
+            .read(&mut bytes[received..])
+            .await
+            .ok()
+            .filter(|read| *read > 0)?;
+        let end = bytes[received..received + read]
+            .iter()
+            .position(|b| *b == b'\n');
         if let Some(end) = end {
-            return std::str::from_utf8(&bytes[..received + end]).ok().map(str::to_string);
+            return std::str::from_utf8(&bytes[..received + end])
+                .ok()
+                .map(str::to_string);
         }
         received += read;
     }
@@ -206,5 +219,9 @@
 }
 
 fn yes_if(is_so: bool, otherwise: &str) -> String {
-    if is_so { yes() } else { format!("NO {otherwise}\n") }
+    if is_so {
+        yes()
+    } else {
+        format!("NO {otherwise}\n")
+    }
 }
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -36,13 +36,22 @@
     #[error("the runtime: {0}")]
     Runtime(io::Error),
     #[error("{name}: {failure}")]
-    Signal { name: &'static str, failure: io::Error },
+    Signal {
+        name: &'static str,
+        failure: io::Error,
+    },
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("the second address, {address}: {failure}")]
-    Operators { address: SocketAddr, failure: io::Error },
+    Operators {
+        address: SocketAddr,
+        failure: io::Error,
+    },
     #[error("{address}: {failure}")]
-    Listen { address: SocketAddr, failure: io::Error },
+    Listen {
+        address: SocketAddr,
+        failure: io::Error,
+    },
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     #[error("the process before: {0}")]
@@ -62,7 +71,9 @@
 
 fn run_to_end() -> Result<(), ProcessError> {
     // Its scheduler polls local tasks itself. A `LocalSet` on top of it is woken through the event descriptor.
-    let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default());
     runtime.map_err(ProcessError::Runtime)?.block_on(run())
 }
 
@@ -77,10 +88,14 @@
         None => None,
     };
     // Only one that is run day by day is replaced while it serves.
-    let directory = operators.as_ref().and_then(|_| SharedDirectory::from_environment()).map(Rc::new);
+    let directory = operators
+        .as_ref()
+        .and_then(|_| SharedDirectory::from_environment())
+        .map(Rc::new);
     let older = directory.as_deref().and_then(handover::ask);
     let listen_failed = |failure| ProcessError::Listen { address, failure };
-    let listener = handover::listen(address, operators.is_some(), older.as_ref()).map_err(listen_failed)?;
+    let listener =
+        handover::listen(address, operators.is_some(), older.as_ref()).map_err(listen_failed)?;
     let address = listener.local_addr().map_err(listen_failed)?;
     let node = NodeHandle::start(Start {
         config,
@@ -105,8 +120,15 @@
     }
     let offer = match directory {
         Some(directory) => {
-            let descriptor = listener.as_fd().try_clone_to_owned().map_err(listen_failed)?;
-            Some(Task::spawn(handover::offer(node.clone(), directory, descriptor.into())))
+            let descriptor = listener
+                .as_fd()
+                .try_clone_to_owned()
+                .map_err(listen_failed)?;
+            Some(Task::spawn(handover::offer(
+                node.clone(),
+                directory,
+                descriptor.into(),
+            )))
         }
         None => None,
     };
@@ -150,7 +172,12 @@
 
 /// Serves until SIGTERM, for a while longer on the connections that callers have, and then until all that was taken is
 /// answered. The listening socket is on offer to the next process for as long.
-async fn serve(node: &NodeHandle, listener: TcpListener, mut offer: Option<Task>, stop: &mut Signal) {
+async fn serve(
+    node: &NodeHandle,
+    listener: TcpListener,
+    mut offer: Option<Task>,
+    stop: &mut Signal,
+) {
     tokio::select! {
         () = server::accept(node.clone(), &listener) => {}
         _ = stop.recv() => {}
@@ -160,8 +187,14 @@
     let counted = longest.min(LONGEST_COUNTED);
     report::write(node);
     node.borrow().stop_within(counted);
-    node.borrow().other_processes.send(&ProcessMessage::Stopping, None);
-    let _ = timeout(counted.mul_f64(KEPT_PART), server::accept(node.clone(), &listener)).await;
+    node.borrow()
+        .other_processes
+        .send(&ProcessMessage::Stopping, None);
+    let _ = timeout(
+        counted.mul_f64(KEPT_PART),
+        server::accept(node.clone(), &listener),
+    )
+    .await;
     node.borrow().callers.stop();
     // It never ends by itself, so this only ever times out.
     let _ = timeout(STILL_COMING, server::accept(node.clone(), &listener)).await;
@@ -182,7 +215,12 @@
 
 fn longest_deadline(node: &NodeHandle) -> Duration {
     let node = node.borrow();
-    let deadlines = node.settings.current().classes.iter().map(|class| class.deadline);
+    let deadlines = node
+        .settings
+        .current()
+        .classes
+        .iter()
+        .map(|class| class.deadline);
     deadlines.max().unwrap_or_default()
 }
 
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -21,12 +21,25 @@
     let (line, status, connections) = {
         let mut guard = node.borrow();
         let answered = guard.figures.answered();
-        (guard.counters.take(answered), guard.balancer_status(), guard.descriptors.held())
+        (
+            guard.counters.take(answered),
+            guard.balancer_status(),
+            guard.descriptors.held(),
+        )
     };
     if line.is_empty() {
         return;
     }
-    let BalancerStatus { open, held, in_flight, clear, gapping, discarding, informed, avoided } = status;
+    let BalancerStatus {
+        open,
+        held,
+        in_flight,
+        clear,
+        gapping,
+        discarding,
+        informed,
+        avoided,
+    } = status;
     log!(
         "counts {line}; now open={open} held={held} in_flight={in_flight} callers={callers} \
          connections={endpoints} clear={clear} gapping={gapping} discarding={discarding} \
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -54,9 +54,15 @@
     }
 }
 
-async fn serve_requests(caller: &CallerConnection, stream: &Rc<TcpStream>, close: &Notify, once: bool) {
+async fn serve_requests(
+    caller: &CallerConnection,
+    stream: &Rc<TcpStream>,
+    close: &Notify,
+    once: bool,
+) {
     let traffic = &*caller.traffic;
-    let service = service_fn(async |request| Ok::<Reply, Infallible>(caller.serve_one(request).await));
+    let service =
+        service_fn(async |request| Ok::<Reply, Infallible>(caller.serve_one(request).await));
     let inbound = Inbound::new(stream.clone(), caller.traffic.clone());
     let mut builder = http1::Builder::new();
     builder.keep_alive(!once).max_buf_size(READ_BUFFER);
@@ -86,7 +92,9 @@
 
 /// Ready when the connection's time is up, as it now stands.
 fn poll_due(traffic: &Traffic, mut timer: Pin<&mut Sleep>, context: &mut Context<'_>) -> Poll<()> {
-    let Some(due) = traffic.due() else { return Poll::Pending };
+    let Some(due) = traffic.due() else {
+        return Poll::Pending;
+    };
     if timer.deadline() != due {
         timer.as_mut().reset(due);
     }
@@ -152,7 +160,9 @@
         let mut reply = self.answer(request, begun).await;
         traffic.answered();
         if traffic.is_last_request.get() || self.node.borrow().callers.are_sent_away() {
-            reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            reply
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         if let ReplyBody::Whole(_) = reply.body() {
             traffic.set_idle();
@@ -167,15 +177,19 @@
         match (request.uri().path(), request.method()) {
             ("/ready", &Method::GET | &Method::HEAD) => self.readiness(),
             ("/ready", _) => RequestError::method("GET, HEAD").reply(),
-            ("/api", &Method::GET | &Method::POST) if self.is_turned_away => self.turn_away_counted(&request),
+            ("/api", &Method::GET | &Method::POST) if self.is_turned_away => {
+                self.turn_away_counted(&request)
+            }
             ("/api", &Method::GET | &Method::POST) => {
-                forward::answer(self, request, begun).await.unwrap_or_else(|error| {
-                    // With a body that was not read to its end the next request's start is not known.
-                    if error.body_is_unread {
-                        self.traffic.is_last_request.set(true);
-                    }
-                    error.reply()
-                })
+                forward::answer(self, request, begun)
+                    .await
+                    .unwrap_or_else(|error| {
+                        // With a body that was not read to its end the next request's start is not known.
+                        if error.body_is_unread {
+                            self.traffic.is_last_request.set(true);
+                        }
+                        error.reply()
+                    })
             }
             ("/api", _) => RequestError::method("GET, POST").reply(),
             _ => plain(StatusCode::NOT_FOUND, "no such path"),
@@ -184,15 +198,31 @@
 
     fn readiness(&self) -> Reply {
         let is_ready = self.node.borrow().is_ready();
-        plain(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
+        plain(
+            if is_ready {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            },
+            "",
+        )
     }
 
     /// Refuses a request that is not read any further, and counts it for its class.
     fn turn_away_counted(&self, request: &Request<Incoming>) -> Reply {
         let reply = self.turn_away();
-        let name = request.headers().get("x-class").and_then(|value| value.to_str().ok());
+        let name = request
+            .headers()
+            .get("x-class")
+            .and_then(|value| value.to_str().ok());
         let mut node = self.node.borrow();
-        let is_class = |name: &&str| node.settings.current().classes.iter().any(|class| class.name == **name);
+        let is_class = |name: &&str| {
+            node.settings
+                .current()
+                .classes
+                .iter()
+                .any(|class| class.name == **name)
+        };
         if let Some(name) = name.filter(is_class) {
             node.figures.begin(name).end(reply.status());
         }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -32,14 +32,21 @@
 ) -> Result<Reply, RequestError> {
     let mut count = None;
     let mut answer = forward(caller, request, begun, &mut count).await;
-    let streamed = answer.as_mut().ok().and_then(|reply| match reply.body_mut() {
-        ReplyBody::Streamed(streamed) => Some(streamed),
-        ReplyBody::Whole(_) => None,
-    });
+    let streamed = answer
+        .as_mut()
+        .ok()
+        .and_then(|reply| match reply.body_mut() {
+            ReplyBody::Streamed(streamed) => Some(streamed),
+            ReplyBody::Whole(_) => None,
+        });
     match (count, streamed) {
         (Some(count), Some(streamed)) => streamed.count_for(count, &caller.traffic),
         (Some(count), None) => {
-            count.end(answer.as_ref().map_or_else(|error| error.status, Response::status));
+            count.end(
+                answer
+                    .as_ref()
+                    .map_or_else(|error| error.status, Response::status),
+            );
         }
         (None, _) => {}
     }
@@ -87,7 +94,10 @@
     };
     let answer = match upload {
         None => timeout_at(wait.until, &mut pending.answer).await.ok(),
-        Some(upload) => wait.with_upload(caller, &upload, &mut pending.answer, count).await?,
+        Some(upload) => {
+            wait.with_upload(caller, &upload, &mut pending.answer, count)
+                .await?
+        }
     };
     Ok(pending.reply(answer))
 }
@@ -108,14 +118,27 @@
     fn wait(&self, node: &NodeHandle, is_chunked: bool) -> Wait {
         let slack = self.settings.settings.rules.answer_slack;
         let until = node.borrow().clock.instant(self.request.deadline) + slack;
-        Wait { until, after_upload: self.time_left + slack, is_chunked }
+        Wait {
+            until,
+            after_upload: self.time_left + slack,
+            is_chunked,
+        }
     }
 
     /// What of it goes on to endpoints.
-    fn forwarded(&self, head: Parts, body: ReceivedBody, memory: MemoryReservation) -> ForwardedRequest {
+    fn forwarded(
+        &self,
+        head: Parts,
+        body: ReceivedBody,
+        memory: MemoryReservation,
+    ) -> ForwardedRequest {
         ForwardedRequest {
             method: head.method,
-            path: head.uri.into_parts().path_and_query.unwrap_or(PathAndQuery::from_static("/api")),
+            path: head
+                .uri
+                .into_parts()
+                .path_and_query
+                .unwrap_or(PathAndQuery::from_static("/api")),
             headers: end_to_end(&head.headers),
             body: body.kept,
             upload: body.upload,
@@ -136,9 +159,15 @@
         let class = request.class.0;
         request.class = settings.classes[class];
         let time_left = request.deadline.since(now);
-        Ok(ParsedRequest { request, settings, class, time_left })
+        Ok(ParsedRequest {
+            request,
+            settings,
+            class,
+            time_left,
+        })
     };
-    under(settings.current).or_else(|error| settings.before.and_then(|s| under(s).ok()).ok_or(error))
+    under(settings.current)
+        .or_else(|error| settings.before.and_then(|s| under(s).ok()).ok_or(error))
 }
 
 /// The time of a request counts from its last byte, and ends before the sidecar does.
@@ -149,7 +178,8 @@
 }
 
 fn repeated_id() -> RequestError {
-    RequestError::new(StatusCode::CONFLICT, "a request with this id is open").with_body_unread(false)
+    RequestError::new(StatusCode::CONFLICT, "a request with this id is open")
+        .with_body_unread(false)
 }
 
 /// How long an answer is waited for.
@@ -223,7 +253,11 @@
 
 impl Drop for PendingAnswer<'_> {
     fn drop(&mut self) {
-        if self.answer.try_recv().is_err_and(|error| error == TryRecvError::Empty) {
+        if self
+            .answer
+            .try_recv()
+            .is_err_and(|error| error == TryRecvError::Empty)
+        {
             self.node.client_disconnected(&self.id);
         }
     }
--- a/src/sidecar/server/forward_tests.rs
+++ b/src/sidecar/server/forward_tests.rs
@@ -10,12 +10,22 @@
 
 fn request(node: &NodeHandle) -> PendingAnswer<'_> {
     let now = node.borrow().clock.now();
-    let memory = node.borrow().request_memory.reserve(0).expect("there is room");
+    let memory = node
+        .borrow()
+        .request_memory
+        .reserve(0)
+        .expect("there is room");
     let headers = [("x-request-id", "r"), ("x-class", "c"), ("x-deadline", "9")];
-    let names = headers.map(|(n, v)| (header::HeaderName::from_static(n), HeaderValue::from_static(v)));
+    let names = headers.map(|(n, v)| {
+        (
+            header::HeaderName::from_static(n),
+            HeaderValue::from_static(v),
+        )
+    });
     let headers = HeaderMap::from_iter(names);
     let settings = node.borrow().settings.current().clone();
-    let request = parse_request(&Method::GET, &headers, &settings, now).unwrap_or_else(|e| panic!("{e:?}"));
+    let request =
+        parse_request(&Method::GET, &headers, &settings, now).unwrap_or_else(|e| panic!("{e:?}"));
     let forwarded = ForwardedRequest {
         method: Method::GET,
         path: PathAndQuery::from_static("/api"),
@@ -26,7 +36,9 @@
         _memory: memory,
     };
     let id = request.id.clone();
-    let answer = node.take(request, forwarded).unwrap_or_else(|_| panic!("it is taken"));
+    let answer = node
+        .take(request, forwarded)
+        .unwrap_or_else(|_| panic!("it is taken"));
     PendingAnswer { node, id, answer }
 }
 
@@ -51,16 +63,29 @@
                 "stream": false}],
         },
     });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let config = Config::parse(&config.to_string()).expect("a configuration");
-        let start = Start { config, directory: None, replaces: false, reserved_descriptors: 0 };
+        let start = Start {
+            config,
+            directory: None,
+            replaces: false,
+            reserved_descriptors: 0,
+        };
         let node = NodeHandle::start(start).unwrap_or_else(|e| panic!("{e}"));
         let first = request(&node);
-        node.borrow().answer(&first.id, FinalAnswer::Failed { timed_out: false });
+        node.borrow()
+            .answer(&first.id, FinalAnswer::Failed { timed_out: false });
         let mut second = request(&node);
         drop(first);
-        assert_eq!(second.answer.try_recv().err(), Some(TryRecvError::Empty), "it is still owed");
+        assert_eq!(
+            second.answer.try_recv().err(),
+            Some(TryRecvError::Empty),
+            "it is still owed"
+        );
         assert_eq!(node.borrow().counters.disconnected, 0);
         drop(second);
         assert_eq!(node.borrow().counters.disconnected, 1);
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -54,9 +54,15 @@
 /// Serves a connection, or turns it away where there are no descriptors for it.
 fn start(node: &NodeHandle, stream: TcpStream) {
     let mut guard = node.borrow();
-    let Node { callers, pool, descriptors, .. } = &mut *guard;
+    let Node {
+        callers,
+        pool,
+        descriptors,
+        ..
+    } = &mut *guard;
     let is_full = descriptors.callers_have_their_part();
-    let has_made_room = is_full && ((descriptors.are_spent() && pool.close_oldest()) || callers.make_room());
+    let has_made_room =
+        is_full && ((descriptors.are_spent() && pool.close_oldest()) || callers.make_room());
     let is_turned_away = is_full && !has_made_room;
     if is_turned_away && descriptors.callers_are_overdrawn() {
         return; // closed unread: nothing of it was taken, and the descriptors left are for what was
@@ -66,7 +72,12 @@
     drop(guard);
     let (close, once) = (accepted.close, accepted.is_for_one_request);
     let (number, traffic) = (accepted.number, accepted.traffic);
-    let connection =
-        CallerConnection { node: node.clone(), number, traffic, is_turned_away, _permit: permit };
+    let connection = CallerConnection {
+        node: node.clone(),
+        number,
+        traffic,
+        is_turned_away,
+        _permit: permit,
+    };
     spawn_local(connection::serve(connection, stream, close, once));
 }
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -42,14 +42,20 @@
         self.traffic = Some(traffic.clone());
     }
 
-    fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
+    fn poll_frame(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
         let frame = Pin::new(&mut self.answer).poll_frame(context);
         let status = match &frame {
             Poll::Ready(Some(Err(_))) => Some(StatusCode::BAD_GATEWAY),
             _ => self.answer.is_whole().then_some(StatusCode::OK),
         };
         if let Some(status) = status {
-            self.count.take().into_iter().for_each(|count| count.end(status));
+            self.count
+                .take()
+                .into_iter()
+                .for_each(|count| count.end(status));
         }
         frame
     }
@@ -71,7 +77,9 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match self.get_mut() {
-            ReplyBody::Whole(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            ReplyBody::Whole(body) => Pin::new(body)
+                .poll_frame(context)
+                .map_err(|never| match never {}),
             ReplyBody::Streamed(body) => body.poll_frame(context),
         }
     }
@@ -98,7 +106,11 @@
             let mut reply = Response::new(match served.body {
                 AnswerBody::Whole(body) => ReplyBody::Whole(Full::new(body)),
                 AnswerBody::Streamed(answer) => {
-                    let streamed = StreamedReply { answer: *answer, count: None, traffic: None };
+                    let streamed = StreamedReply {
+                        answer: *answer,
+                        count: None,
+                        traffic: None,
+                    };
                     ReplyBody::Streamed(Box::new(streamed))
                 }
             });
@@ -109,13 +121,18 @@
         FinalAnswer::Failed { timed_out: true } => {
             plain(StatusCode::GATEWAY_TIMEOUT, "no endpoint answered in time")
         }
-        FinalAnswer::Failed { timed_out: false } => plain(StatusCode::BAD_GATEWAY, "no endpoint served it"),
+        FinalAnswer::Failed { timed_out: false } => {
+            plain(StatusCode::BAD_GATEWAY, "no endpoint served it")
+        }
     }
 }
 
 /// Says that trying again is harmless, and when.
 pub fn refused(retry_after: Option<Duration>) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused; trying again is harmless");
+    let mut reply = plain(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "refused; trying again is harmless",
+    );
     let seconds = retry_after.map(|after| HeaderValue::from_str(&after.as_secs_f64().to_string()));
     if let Some(Ok(seconds)) = seconds {
         reply.headers_mut().insert(header::RETRY_AFTER, seconds);
@@ -125,7 +142,9 @@
 
 /// A status, and a text for whoever reads it.
 pub fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(ReplyBody::Whole(Full::new(Bytes::from_static(text.as_bytes()))));
+    let mut reply = Response::new(ReplyBody::Whole(Full::new(Bytes::from_static(
+        text.as_bytes(),
+    ))));
     *reply.status_mut() = status;
     reply
 }
--- a/src/sidecar/server/request.rs
+++ b/src/sidecar/server/request.rs
@@ -37,7 +37,8 @@
     }
     let tenant = parse_tenant(text("x-tenant"), settings)?;
     // No client waits longer than its class allows over all its tries.
-    let time_left = parse_time_left(text(DEADLINE_HEADER.as_str()))?.min(settings.classes[class].deadline);
+    let time_left =
+        parse_time_left(text(DEADLINE_HEADER.as_str()))?.min(settings.classes[class].deadline);
     let hint = text("x-cost-hint").and_then(|value| value.trim().parse().ok());
     Ok(Request {
         id,
@@ -57,11 +58,20 @@
 
 /// Ids and keys are kept, and go on: no longer than any honest one.
 fn parse_id(headers: &HeaderMap) -> Result<RequestId, RequestError> {
-    let id = headers.get(REQUEST_ID).and_then(|value| value.to_str().ok()).filter(|id| !id.is_empty());
+    let id = headers
+        .get(REQUEST_ID)
+        .and_then(|value| value.to_str().ok())
+        .filter(|id| !id.is_empty());
     let id = id.ok_or(bad_request("X-Request-Id is missing"))?;
     let kept = [REQUEST_ID, IDEMPOTENCY_KEY].map(|name| headers.get_all(name).iter());
-    if kept.into_iter().flatten().any(|value| value.len() > LONGEST_ID) {
-        return Err(bad_request("X-Request-Id or Idempotency-Key is over 256 bytes"));
+    if kept
+        .into_iter()
+        .flatten()
+        .any(|value| value.len() > LONGEST_ID)
+    {
+        return Err(bad_request(
+            "X-Request-Id or Idempotency-Key is over 256 bytes",
+        ));
     }
     if headers.get_all(REQUEST_ID).iter().count() > 1 {
         return Err(bad_request("X-Request-Id is there twice"));
@@ -70,22 +80,38 @@
 }
 
 fn check_method(method: &Method, idempotency: Idempotency) -> Result<(), RequestError> {
-    let needed = if idempotency == Idempotency::Idempotent { "GET" } else { "POST" };
-    if method.as_str() == needed { Ok(()) } else { Err(RequestError::method(needed)) }
+    let needed = if idempotency == Idempotency::Idempotent {
+        "GET"
+    } else {
+        "POST"
+    };
+    if method.as_str() == needed {
+        Ok(())
+    } else {
+        Err(RequestError::method(needed))
+    }
 }
 
 fn parse_tenant(name: Option<&str>, settings: &Settings) -> Result<Option<TenantId>, RequestError> {
     if settings.tenants.is_empty() {
         return Ok(None);
     }
-    let position = name.and_then(|name| settings.tenants.iter().position(|tenant| tenant.name == name));
+    let position = name.and_then(|name| {
+        settings
+            .tenants
+            .iter()
+            .position(|tenant| tenant.name == name)
+    });
     let position = position.ok_or(bad_request("X-Tenant is not known"))?;
     Ok(Some(TenantId(position)))
 }
 
 fn parse_time_left(text: Option<&str>) -> Result<Duration, RequestError> {
-    let seconds = text.and_then(|text| text.trim().parse().ok()).filter(|seconds: &f64| seconds.is_finite());
-    let time = seconds.and_then(|s| Duration::try_from_secs_f64(s.min(FARTHEST.as_secs_f64())).ok());
+    let seconds = text
+        .and_then(|text| text.trim().parse().ok())
+        .filter(|seconds: &f64| seconds.is_finite());
+    let time =
+        seconds.and_then(|s| Duration::try_from_secs_f64(s.min(FARTHEST.as_secs_f64())).ok());
     time.ok_or(bad_request("X-Deadline is not a number of seconds"))
 }
 
@@ -93,5 +119,7 @@
 fn subject(cookies: &HeaderValue) -> Option<Key> {
     let mut cookies = cookies.to_str().ok()?.split(';');
     let subject = cookies.find_map(|cookie| cookie.trim().strip_prefix(SUBJECT_COOKIE));
-    subject.filter(|subject| !subject.is_empty() && subject.len() <= LONGEST_ID).map(Key::from)
+    subject
+        .filter(|subject| !subject.is_empty() && subject.len() <= LONGEST_ID)
+        .map(Key::from)
 }
--- a/src/sidecar/server/request_error.rs
+++ b/src/sidecar/server/request_error.rs
@@ -20,25 +20,38 @@
 impl RequestError {
     /// With a status and a text, of a request whose body was not read.
     pub fn new(status: StatusCode, text: &'static str) -> Self {
-        RequestError { status, text, allowed_methods: None, body_is_unread: true }
+        RequestError {
+            status,
+            text,
+            allowed_methods: None,
+            body_is_unread: true,
+        }
     }
 
     /// Another method is needed.
     pub fn method(allowed: &'static str) -> Self {
         let error = RequestError::new(StatusCode::METHOD_NOT_ALLOWED, "wrong method");
-        RequestError { allowed_methods: Some(allowed), ..error }
+        RequestError {
+            allowed_methods: Some(allowed),
+            ..error
+        }
     }
 
     /// The same, of a request whose body was not read, or was.
     pub fn with_body_unread(self, body_is_unread: bool) -> Self {
-        RequestError { body_is_unread, ..self }
+        RequestError {
+            body_is_unread,
+            ..self
+        }
     }
 
     /// The answer that says so.
     pub fn reply(self) -> Reply {
         let mut reply = plain(self.status, self.text);
         if let Some(allowed) = self.allowed_methods {
-            reply.headers_mut().insert(header::ALLOW, HeaderValue::from_static(allowed));
+            reply
+                .headers_mut()
+                .insert(header::ALLOW, HeaderValue::from_static(allowed));
         }
         reply
     }
@@ -48,7 +61,10 @@
     fn from(fault: HeadFault) -> Self {
         let (status, text) = match fault {
             HeadFault::Framing => (StatusCode::BAD_REQUEST, "the body's length is not clear"),
-            HeadFault::TooLong => (StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is over 16 KiB"),
+            HeadFault::TooLong => (
+                StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+                "the head is over 16 KiB",
+            ),
             HeadFault::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the head did not come in time"),
         };
         RequestError::new(status, text)
--- a/src/sidecar/sockets.rs
+++ b/src/sidecar/sockets.rs
@@ -58,7 +58,9 @@
 
 /// Whether something has come that was not read. The socket is asked, as the runtime hears of it later.
 pub fn has_unread(stream: &TcpStream) -> bool {
-    SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|n| n > 0)
+    SockRef::from(stream)
+        .peek(&mut [MaybeUninit::uninit()])
+        .is_ok_and(|n| n > 0)
 }
 
 /// Tells the other side that nothing more comes.
--- a/src/sidecar/upgrade/other_processes.rs
+++ b/src/sidecar/upgrade/other_processes.rs
@@ -40,7 +40,11 @@
         let (sender, messages) = mpsc::channel(MAX_WAITING);
         let number = ProcessNumber(self.next);
         self.next += 1;
-        let process = OtherProcess { messages: sender, order, held_connections: None };
+        let process = OtherProcess {
+            messages: sender,
+            order,
+            held_connections: None,
+        };
         self.processes.insert(number, process);
         (number, messages)
     }
@@ -57,19 +61,27 @@
 
     /// Sends a message to the others that still listen, but for the one that it comes from.
     pub fn send(&self, message: &ProcessMessage, from: Option<ProcessNumber>) {
-        for (_, process) in self.processes.iter().filter(|(number, _)| Some(**number) != from) {
+        for (_, process) in self
+            .processes
+            .iter()
+            .filter(|(number, _)| Some(**number) != from)
+        {
             let _ = process.messages.try_send(message.clone());
         }
     }
 
     /// Whether another process has the listening socket from this one.
     pub fn has_one_after(&self) -> bool {
-        self.processes.values().any(|process| process.order == Order::After)
+        self.processes
+            .values()
+            .any(|process| process.order == Order::After)
     }
 
     /// Whether a process has the listening socket from this one.
     pub fn is_after(&self, number: ProcessNumber) -> bool {
-        self.processes.get(&number).is_some_and(|process| process.order == Order::After)
+        self.processes
+            .get(&number)
+            .is_some_and(|process| process.order == Order::After)
     }
 
     /// A process holds so many connections.
@@ -81,6 +93,8 @@
 
     /// What each holds, as far as it has told.
     pub fn held_connections(&self) -> impl Iterator<Item = usize> {
-        self.processes.values().filter_map(|process| process.held_connections)
+        self.processes
+            .values()
+            .filter_map(|process| process.held_connections)
     }
 }
--- a/src/sidecar/upgrade/shared_directory.rs
+++ b/src/sidecar/upgrade/shared_directory.rs
@@ -37,10 +37,15 @@
 impl SharedDirectory {
     /// `$TMPDIR`, if there is one that can be used.
     pub fn from_environment() -> Option<Self> {
-        let path = PathBuf::from(std::env::var_os(DIRECTORY_VARIABLE).filter(|path| !path.is_empty())?);
+        let path =
+            PathBuf::from(std::env::var_os(DIRECTORY_VARIABLE).filter(|path| !path.is_empty())?);
         let opened = File::open(&path).ok()?;
         let is_directory = opened.metadata().is_ok_and(|metadata| metadata.is_dir());
-        is_directory.then(|| SharedDirectory { path, opened, is_behind: Cell::new(false) })
+        is_directory.then(|| SharedDirectory {
+            path,
+            opened,
+            is_behind: Cell::new(false),
+        })
     }
 
     /// Where a process hands its listening socket over.
@@ -81,14 +86,23 @@
 
     fn read_disabled(&self) -> Result<BTreeSet<String>, ReadError> {
         let mut text = String::new();
-        File::open(self.file(DISABLED_NAME))?.take(LARGEST_FILE).read_to_string(&mut text)?;
+        File::open(self.file(DISABLED_NAME))?
+            .take(LARGEST_FILE)
+            .read_to_string(&mut text)?;
         Ok(serde_json::from_str(&text)?)
     }
 
     /// Keeps for the other processes that an endpoint is disabled, or enabled, beside what they have kept; where nothing
     /// is, with all that this one knows.
-    pub fn keep_disabled<'a>(&self, endpoint: &str, disabled: bool, known: impl Iterator<Item = &'a str>) {
-        let mut all = self.disabled_endpoints().unwrap_or_else(|| known.map(String::from).collect());
+    pub fn keep_disabled<'a>(
+        &self,
+        endpoint: &str,
+        disabled: bool,
+        known: impl Iterator<Item = &'a str>,
+    ) {
+        let mut all = self
+            .disabled_endpoints()
+            .unwrap_or_else(|| known.map(String::from).collect());
         if disabled {
             all.insert(endpoint.into());
         } else {
--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -17,47 +17,99 @@
     reply.push('\n');
 }
 
-fn write_action(reply: &mut String, InstanceNumber(n): InstanceNumber, action: &Action) -> fmt::Result {
+fn write_action(
+    reply: &mut String,
+    InstanceNumber(n): InstanceNumber,
+    action: &Action,
+) -> fmt::Result {
     match action {
-        Action::Send { request, endpoint, timeout } => {
-            write!(reply, "send sidecarId=sidecar/{n} xid={} endpoint={}", request.0, endpoint.0)?;
+        Action::Send {
+            request,
+            endpoint,
+            timeout,
+        } => {
+            write!(
+                reply,
+                "send sidecarId=sidecar/{n} xid={} endpoint={}",
+                request.0, endpoint.0
+            )?;
             match timeout {
                 Some(timeout) => write!(reply, " capNs={}", timeout.as_nanos()),
                 None => Ok(()),
             }
         }
         Action::Cancel { request, attempt } => {
-            write!(reply, "abandon sidecarId=sidecar/{n} xid={} attempt={attempt}", request.0)
+            write!(
+                reply,
+                "abandon sidecarId=sidecar/{n} xid={} attempt={attempt}",
+                request.0
+            )
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Refuse {
+            request,
+            retry_after,
+        } => {
             write!(reply, "decline sidecarId=sidecar/{n} xid={}", request.0)?;
             match retry_after {
                 Some(pause) => write!(reply, " pauseNs={}", pause.as_nanos()),
                 None => Ok(()),
             }
         }
-        Action::Fail { request } => write!(reply, "report_failure sidecarId=sidecar/{n} xid={}", request.0),
+        Action::Fail { request } => write!(
+            reply,
+            "report_failure sidecarId=sidecar/{n} xid={}",
+            request.0
+        ),
         Action::SetTimer { at, token } => {
-            write!(reply, "notify_me sidecarId=sidecar/{n} instantNs={} name={token}", at.as_nanos())
+            write!(
+                reply,
+                "notify_me sidecarId=sidecar/{n} instantNs={} name={token}",
+                at.as_nanos()
+            )
         }
-        Action::Subscribe(on) => write!(reply, "track sidecarId=sidecar/{n} active={}", u8::from(*on)),
+        Action::Subscribe(on) => write!(
+            reply,
+            "track sidecarId=sidecar/{n} active={}",
+            u8::from(*on)
+        ),
         Action::FetchList => write!(reply, "fetch sidecarId=sidecar/{n}"),
-        Action::Probe { endpoint } => write!(reply, "poll sidecarId=sidecar/{n} endpoint={}", endpoint.0),
+        Action::Probe { endpoint } => {
+            write!(reply, "poll sidecarId=sidecar/{n} endpoint={}", endpoint.0)
+        }
         Action::CloseIdleConnections { endpoint } => {
-            write!(reply, "free_links sidecarId=sidecar/{n} endpoint={}", endpoint.0)
+            write!(
+                reply,
+                "free_links sidecarId=sidecar/{n} endpoint={}",
+                endpoint.0
+            )
         }
         Action::SendPeerMessage { to, data } => {
             let to = to.map_or(ALL_PEERS, |peer| i64::from(peer.0));
-            let data = if data.is_empty() { NO_DATA.to_owned() } else { BASE64.encode(data) };
-            write!(reply, "notify sidecarId=sidecar/{n} neighbourId={to} data={data}")
+            let data = if data.is_empty() {
+                NO_DATA.to_owned()
+            } else {
+                BASE64.encode(data)
+            };
+            write!(
+                reply,
+                "notify sidecarId=sidecar/{n} neighbourId={to} data={data}"
+            )
         }
-        Action::Log(text) => write!(reply, "trace sidecarId=sidecar/{n} noteText={}", one_line(text)),
+        Action::Log(text) => write!(
+            reply,
+            "trace sidecarId=sidecar/{n} noteText={}",
+            one_line(text)
+        ),
     }
 }
 
 /// Adds the report of a fault in the decision code.
 pub(super) fn format_fault(reply: &mut String, InstanceNumber(n): InstanceNumber, text: &str) {
-    let written = writeln!(reply, "internal_error sidecarId=sidecar/{n} noteText={}", one_line(text));
+    let written = writeln!(
+        reply,
+        "internal_error sidecarId=sidecar/{n} noteText={}",
+        one_line(text)
+    );
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
 
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -51,15 +51,21 @@
     let mut text = String::new();
     for line in 1.. {
         text.clear();
-        let read = input.read_line(&mut text).map_err(|failure| AdapterError::Read { line, failure })?;
+        let read = input
+            .read_line(&mut text)
+            .map_err(|failure| AdapterError::Read { line, failure })?;
         if read == 0 {
             break;
         }
         let message = text.strip_suffix('\n').unwrap_or(&text);
         let message = message.strip_suffix('\r').unwrap_or(message);
-        let is_complete = adapter.take(message).map_err(|error| AdapterError::Wire { line, error })?;
+        let is_complete = adapter
+            .take(message)
+            .map_err(|error| AdapterError::Wire { line, error })?;
         if is_complete {
-            output.write_all(adapter.reply.as_bytes()).map_err(AdapterError::Write)?;
+            output
+                .write_all(adapter.reply.as_bytes())
+                .map_err(AdapterError::Write)?;
             output.flush().map_err(AdapterError::Write)?;
             adapter.reply.clear();
         }
@@ -102,18 +108,41 @@
             self.begin_batch(at)?;
             return Ok(false);
         }
-        let now = self.batch_time.ok_or_else(|| WireError::OutsideBatch(line.into()))?;
+        let now = self
+            .batch_time
+            .ok_or_else(|| WireError::OutsideBatch(line.into()))?;
         match message {
             Message::ListBegins { list, entries } => self.lists.begin(list, entries),
-            Message::InstanceStarts { instance, seed, settings } => self.start(instance, seed, *settings)?,
+            Message::InstanceStarts {
+                instance,
+                seed,
+                settings,
+            } => self.start(instance, seed, *settings)?,
             Message::InstanceEnds(instance) => {
-                self.instances.remove(&instance).ok_or(WireError::DoesNotRun(instance))?;
+                self.instances
+                    .remove(&instance)
+                    .ok_or(WireError::DoesNotRun(instance))?;
             }
-            Message::ListTold { instance, version, list, kind } => {
+            Message::ListTold {
+                instance,
+                version,
+                list,
+                kind,
+            } => {
                 let entries = self.lists.get(list)?;
-                self.handle(now, instance, Event::EndpointList { version, kind, entries })?;
+                self.handle(
+                    now,
+                    instance,
+                    Event::EndpointList {
+                        version,
+                        kind,
+                        entries,
+                    },
+                )?;
+            }
+            Message::DiscoveryFailed(instance) => {
+                self.handle(now, instance, Event::DiscoveryFailed)?
             }
-            Message::DiscoveryFailed(instance) => self.handle(now, instance, Event::DiscoveryFailed)?,
             Message::Event(instance, fields) => {
                 let event = parse_event(&fields, &self.instance(instance)?.names)?;
                 self.handle(now, instance, event)?;
@@ -140,7 +169,12 @@
         Ok(())
     }
 
-    fn start(&mut self, number: InstanceNumber, seed: u64, settings: Settings) -> Result<(), WireError> {
+    fn start(
+        &mut self,
+        number: InstanceNumber,
+        seed: u64,
+        settings: Settings,
+    ) -> Result<(), WireError> {
         let names = Names::of(&settings);
         let balancer = Balancer::new(settings, seed)?;
         match self.instances.insert(number, Instance { balancer, names }) {
@@ -150,15 +184,26 @@
     }
 
     fn instance(&mut self, number: InstanceNumber) -> Result<&mut Instance, WireError> {
-        self.instances.get_mut(&number).ok_or(WireError::DoesNotRun(number))
+        self.instances
+            .get_mut(&number)
+            .ok_or(WireError::DoesNotRun(number))
     }
 
     /// Gives an event to an instance. A panic there is a line of the reply, and the others go on.
-    fn handle(&mut self, now: Timestamp, number: InstanceNumber, event: Event) -> Result<(), WireError> {
+    fn handle(
+        &mut self,
+        now: Timestamp,
+        number: InstanceNumber,
+        event: Event,
+    ) -> Result<(), WireError> {
         let mut actions = std::mem::take(&mut self.actions);
         let balancer = &mut self.instance(number)?.balancer;
-        match catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions))) {
-            Ok(()) => actions.iter().for_each(|action| format_action(&mut self.reply, number, action)),
+        match catch_unwind(AssertUnwindSafe(|| {
+            balancer.handle(now, event, &mut actions)
+        })) {
+            Ok(()) => actions
+                .iter()
+                .for_each(|action| format_action(&mut self.reply, number, action)),
             Err(cause) => format_fault(&mut self.reply, number, panic_text(&*cause)),
         }
         actions.clear();
@@ -169,5 +214,6 @@
 
 fn panic_text(cause: &(dyn Any + Send)) -> &str {
     let text = cause.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| cause.downcast_ref::<&str>().copied()).unwrap_or("panic")
+    text.or_else(|| cause.downcast_ref::<&str>().copied())
+        .unwrap_or("panic")
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -25,9 +25,20 @@
 impl Names {
     /// The names in these settings.
     pub(super) fn of(settings: &Settings) -> Self {
-        let classes = settings.classes.iter().enumerate().map(|(i, c)| (c.name.clone(), ClassId(i)));
-        let tenants = settings.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), TenantId(i)));
-        Names { classes: classes.collect(), tenants: tenants.collect() }
+        let classes = settings
+            .classes
+            .iter()
+            .enumerate()
+            .map(|(i, c)| (c.name.clone(), ClassId(i)));
+        let tenants = settings
+            .tenants
+            .iter()
+            .enumerate()
+            .map(|(i, t)| (t.name.clone(), TenantId(i)));
+        Names {
+            classes: classes.collect(),
+            tenants: tenants.collect(),
+        }
     }
 }
 
@@ -35,7 +46,10 @@
 pub(super) fn parse_event(fields: &Fields, names: &Names) -> Result<Event, WireError> {
     Ok(match fields.message() {
         "call" => Event::Request(parse_request(fields, names)?),
-        "started" => Event::StreamStarted { request: request_id(fields)?, attempt: attempt(fields)? },
+        "started" => Event::StreamStarted {
+            request: request_id(fields)?,
+            attempt: attempt(fields)?,
+        },
         "report_back" => Event::AttemptEnded(AttemptEnd {
             request: request_id(fields)?,
             attempt: attempt(fields)?,
@@ -44,15 +58,22 @@
             request_ended: fields.flag("terminal")?,
             report: fields.load_report()?,
         }),
-        "client_gone" => Event::ClientDisconnected { request: request_id(fields)? },
-        "due" => Event::Timer { token: fields.number("name")? },
+        "client_gone" => Event::ClientDisconnected {
+            request: request_id(fields)?,
+        },
+        "due" => Event::Timer {
+            token: fields.number("name")?,
+        },
         "probe_result" => Event::ProbeEnded {
             endpoint: fields.text("endpoint")?.into(),
             outcome: fields.outcome()?,
             took: took(fields)?,
             report: fields.load_report()?,
         },
-        "peer" => Event::PeerMessage { from: PeerId(fields.number("who")?), data: fields.data()? },
+        "peer" => Event::PeerMessage {
+            from: PeerId(fields.number("who")?),
+            data: fields.data()?,
+        },
         other => return Err(WireError::UnknownMessage(other.into())),
     })
 }
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -23,7 +23,10 @@
 impl<'a> Fields<'a> {
     pub(super) fn split(line: &'a str) -> Result<Self, WireError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
-        let not_a_field = |text: &str| WireError::NotAField { message: message.into(), text: text.into() };
+        let not_a_field = |text: &str| WireError::NotAField {
+            message: message.into(),
+            text: text.into(),
+        };
         let mut parts = Vec::with_capacity(8);
         while !rest.is_empty() {
             let (name, value) = rest.split_once('=').ok_or_else(|| not_a_field(rest))?;
@@ -51,7 +54,10 @@
     }
 
     pub(super) fn text(&self, field: &'static str) -> Result<&'a str, WireError> {
-        self.find(field).ok_or_else(|| WireError::Missing { message: self.message.into(), field })
+        self.find(field).ok_or_else(|| WireError::Missing {
+            message: self.message.into(),
+            field,
+        })
     }
 
     /// A parsed value, or the error that it could not be read.
@@ -61,13 +67,26 @@
         value: &str,
         parsed: Option<T>,
     ) -> Result<T, WireError> {
-        let unreadable =
-            || WireError::Unreadable { message: self.message.into(), field, value: value.into() };
+        let unreadable = || WireError::Unreadable {
+            message: self.message.into(),
+            field,
+            value: value.into(),
+        };
         parsed.ok_or_else(unreadable)
     }
 
-    pub(super) fn out_of_range(&self, field: &'static str, value: &str, problem: &'static str) -> WireError {
-        WireError::OutOfRange { message: self.message.into(), field, value: value.into(), problem }
+    pub(super) fn out_of_range(
+        &self,
+        field: &'static str,
+        value: &str,
+        problem: &'static str,
+    ) -> WireError {
+        WireError::OutOfRange {
+            message: self.message.into(),
+            field,
+            value: value.into(),
+            problem,
+        }
     }
 
     /// A whole number that fits the type asked for.
@@ -77,7 +96,11 @@
     }
 
     pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, WireError> {
-        if self.find(field).is_some() { self.number(field) } else { Ok(0) }
+        if self.find(field).is_some() {
+            self.number(field)
+        } else {
+            Ok(0)
+        }
     }
 
     pub(super) fn flag(&self, field: &'static str) -> Result<bool, WireError> {
@@ -115,11 +138,16 @@
     }
 
     pub(super) fn load_report(&self) -> Result<Option<LoadReport>, WireError> {
-        let Some(text) = self.find("pressure") else { return Ok(None) };
+        let Some(text) = self.find("pressure") else {
+            return Ok(None);
+        };
         let mut report = LoadReport::default();
         for pair in text.split(',').filter(|pair| !pair.is_empty()) {
-            let parsed = pair.split_once(':').and_then(|(name, v)| Some((name, v.parse::<f64>().ok()?)));
-            let (name, value) = self.parsed("pressure", text, parsed.filter(|(_, v)| v.is_finite()))?;
+            let parsed = pair
+                .split_once(':')
+                .and_then(|(name, v)| Some((name, v.parse::<f64>().ok()?)));
+            let (name, value) =
+                self.parsed("pressure", text, parsed.filter(|(_, v)| v.is_finite()))?;
             match name {
                 "depth" => report.depth = Some(value),
                 "concurrent" => report.in_flight = Some(value),
--- a/src/simulator/lists.rs
+++ b/src/simulator/lists.rs
@@ -22,7 +22,11 @@
 impl Lists {
     /// A list begins.
     pub(super) fn begin(&mut self, number: usize, announced: usize) {
-        self.coming = Some(ComingList { number, announced, entries: Vec::new() });
+        self.coming = Some(ComingList {
+            number,
+            announced,
+            entries: Vec::new(),
+        });
         self.close_if_complete();
     }
 
@@ -37,7 +41,11 @@
     /// No other message may come before a list is complete.
     pub(super) fn must_be_complete(&self) -> Result<(), WireError> {
         match &self.coming {
-            Some(ComingList { number, announced, entries }) => Err(WireError::IncompleteList {
+            Some(ComingList {
+                number,
+                announced,
+                entries,
+            }) => Err(WireError::IncompleteList {
                 list: *number,
                 received: entries.len(),
                 announced: *announced,
@@ -53,8 +61,13 @@
     }
 
     fn close_if_complete(&mut self) {
-        let coming = self.coming.take_if(|coming| coming.entries.len() >= coming.announced);
-        if let Some(ComingList { number, entries, .. }) = coming {
+        let coming = self
+            .coming
+            .take_if(|coming| coming.entries.len() >= coming.announced);
+        if let Some(ComingList {
+            number, entries, ..
+        }) = coming
+        {
             self.complete[number] = Some(Arc::from(entries));
         }
     }
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -63,11 +63,14 @@
 pub fn parse_message(line: &str) -> Result<Message<'_>, WireError> {
     let fields = Fields::split(line)?;
     Ok(match fields.message() {
-        "frame" => Message::BatchBegins { at: fields.timestamp("momentNs")? },
+        "frame" => Message::BatchBegins {
+            at: fields.timestamp("momentNs")?,
+        },
         "go" => Message::BatchEnds,
-        "directory" => {
-            Message::ListBegins { list: list_number(&fields)?, entries: fields.number("records")? }
-        }
+        "directory" => Message::ListBegins {
+            list: list_number(&fields)?,
+            entries: fields.number("records")?,
+        },
         "entry" => Message::Entry(parse_entry(&fields)?),
         "new_instance" => Message::InstanceStarts {
             seed: parse_seed(&fields)?,
@@ -110,7 +113,12 @@
         other => return Err(fields.out_of_range("kind", other, "is not known")),
     };
     let list = list_number(fields)?;
-    Ok(Message::ListTold { instance: fields.instance()?, version, list, kind })
+    Ok(Message::ListTold {
+        instance: fields.instance()?,
+        version,
+        list,
+        kind,
+    })
 }
 
 fn parse_entry(fields: &Fields) -> Result<EndpointEntry, WireError> {
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -7,7 +7,11 @@
     let file = folder.write("config.json", &document.to_string());
     let output = pipittray(&["check", "--config", text(&file)]);
     let lines = |text: String| text.lines().map(String::from).collect();
-    (output.status.code(), lines(stderr(&output)), lines(stdout(&output)))
+    (
+        output.status.code(),
+        lines(stderr(&output)),
+        lines(stdout(&output)),
+    )
 }
 
 /// Guards `check` against faults of its own: what can be used has none.
@@ -18,7 +22,11 @@
     let mut other = configuration();
     other["settings"]["weightSource"] = Value::Null;
     other["settings"]["worthBy"] = Value::Null;
-    assert_eq!(check(&folder, &other), (Some(0), vec![], vec![]), "null is as absent");
+    assert_eq!(
+        check(&folder, &other),
+        (Some(0), vec![], vec![]),
+        "null is as absent"
+    );
 }
 
 /// Guards against faults that are told one a run: all of them at once, each with its path, what was found and what is allowed.
@@ -29,16 +37,27 @@
     document["limits"]["memory_mb"] = json!("much");
     document["settings"]["discovery"] = json!("perhaps");
     document["settings"]["categories"][1]["worth"] = json!(true);
-    document["settings"]["bounds"].as_object_mut().expect("bounds").remove("sendCap");
+    document["settings"]["bounds"]
+        .as_object_mut()
+        .expect("bounds")
+        .remove("sendCap");
     let (code, faults, _) = check(&folder, &document);
     assert_eq!((code, faults.len()), (Some(2), 4), "{faults:?}");
     for (path, says) in [
         ("limits.memory_mb: ", "\"much\" is not of type \"integer\""),
         ("settings.discovery: ", "perhaps"),
-        ("settings.categories[1].worth: ", "true is not of type \"number\""),
+        (
+            "settings.categories[1].worth: ",
+            "true is not of type \"number\"",
+        ),
         ("settings.bounds: ", "\"sendCap\" is a required property"),
     ] {
-        assert!(faults.iter().any(|f| f.starts_with(path) && f.contains(says)), "{path}{says}: {faults:?}");
+        assert!(
+            faults
+                .iter()
+                .any(|f| f.starts_with(path) && f.contains(says)),
+            "{path}{says}: {faults:?}"
+        );
     }
 }
 
@@ -58,7 +77,10 @@
         "settings.categories[0].hardLimitNs: is zero",
         "settings.rules.coldFrom: is not from 0 to 1",
     ];
-    assert_eq!((code, faults), (Some(2), expected.map(String::from).to_vec()));
+    assert_eq!(
+        (code, faults),
+        (Some(2), expected.map(String::from).to_vec())
+    );
 }
 
 /// Guards what the schema does not know: addresses and a file that is no JSON.
@@ -73,9 +95,22 @@
     let file = folder.write("cut.json", &configuration().to_string()[..90]);
     let output = pipittray(&["check", "--config", text(&file)]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(stderr(&output).starts_with("the document: it is no JSON: "), "{}", stderr(&output));
-    assert_eq!(pipittray(&["check", "--config", "/no/such/file"]).status.code(), Some(2));
-    assert_eq!(pipittray(&["check"]).status.code(), Some(2), "no file is named");
+    assert!(
+        stderr(&output).starts_with("the document: it is no JSON: "),
+        "{}",
+        stderr(&output)
+    );
+    assert_eq!(
+        pipittray(&["check", "--config", "/no/such/file"])
+            .status
+            .code(),
+        Some(2)
+    );
+    assert_eq!(
+        pipittray(&["check"]).status.code(),
+        Some(2),
+        "no file is named"
+    );
 }
 
 /// Guards against keys that are misspelt: they are warned of, and are no fault.
@@ -86,7 +121,10 @@
     document["settings"]["rules"]["coldFrm"] = json!(0.1);
     let (code, faults, warnings) = check(&folder, &document);
     assert_eq!((code, faults), (Some(0), vec![]));
-    assert_eq!(warnings, ["warning: settings.rules.coldFrm: this key is not known and is passed over"]);
+    assert_eq!(
+        warnings,
+        ["warning: settings.rules.coldFrm: this key is not known and is passed over"]
+    );
 }
 
 /// Guards `explain`: each value with its unit and where it came from.
@@ -119,7 +157,10 @@
         let output = pipittray(&["diff", text(&old), text(&new)]);
         (output.status.code(), stdout(&output))
     };
-    assert_eq!(against(&configuration()), (Some(0), "nothing changes\n".into()));
+    assert_eq!(
+        against(&configuration()),
+        (Some(0), "nothing changes\n".into())
+    );
 
     let mut other = configuration();
     other["settings"]["rules"]["coldFrom"] = json!(0.5);
@@ -132,12 +173,18 @@
     assert_eq!(against(&other), (Some(0), expected.into()));
 
     let mut shorter = configuration();
-    shorter["settings"]["rules"].as_object_mut().expect("rules").remove("coldFrom");
+    shorter["settings"]["rules"]
+        .as_object_mut()
+        .expect("rules")
+        .remove("coldFrom");
     shorter["settings"]["rules"]["coldFrom2"] = json!(0.5);
     let (code, _) = against(&shorter);
     assert_eq!(code, Some(2), "it cannot be used at all");
     let mut shorter = configuration();
-    shorter["settings"].as_object_mut().expect("settings").remove("stages");
+    shorter["settings"]
+        .as_object_mut()
+        .expect("settings")
+        .remove("stages");
     let expected = "turned down: settings.stages is missing, which was there before\n";
     assert_eq!(against(&shorter), (Some(1), expected.into()));
 }
@@ -146,7 +193,10 @@
 #[test]
 fn the_schema_on_the_page_is_that_of_the_types() {
     let output = pipittray(&["schema"]);
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/configuration.schema.json");
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/docs/configuration.schema.json"
+    );
     let published = std::fs::read_to_string(path).expect("the schema");
     assert_eq!(stdout(&output), published);
 }
--- a/tests/command_line/main.rs
+++ b/tests/command_line/main.rs
@@ -13,7 +13,8 @@
 
 impl Folder {
     pub fn new(name: &str) -> Self {
-        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -56,7 +57,9 @@
 /// Runs the program with these arguments, and nothing of the environment that it reads.
 pub fn pipittray(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pipittray"));
-    command.env_remove("ROUTER_CONFIG").env_remove("ROUTER_ADMIN_ADDR");
+    command
+        .env_remove("ROUTER_CONFIG")
+        .env_remove("ROUTER_ADMIN_ADDR");
     command.args(arguments).output().expect("the program runs")
 }
 
--- a/tests/command_line/operators.rs
+++ b/tests/command_line/operators.rs
@@ -14,7 +14,9 @@
         let answer = |answer: &&str| {
             let (mut stream, _) = listener.accept().expect("a call");
             let mut line = String::new();
-            BufReader::new(stream.try_clone().expect("a reader")).read_line(&mut line).expect("a line");
+            BufReader::new(stream.try_clone().expect("a reader"))
+                .read_line(&mut line)
+                .expect("a line");
             stream.write_all(answer.as_bytes()).expect("it reads");
             line
         };
@@ -36,9 +38,15 @@
         let address = address.to_string();
         let arguments: Vec<&str> = arguments.into_iter().chain(["--admin", &address]).collect();
         let yes = pipittray(&arguments);
-        assert_eq!((yes.status.code(), stdout(&yes).as_str()), (Some(0), "YES\n"));
+        assert_eq!(
+            (yes.status.code(), stdout(&yes).as_str()),
+            (Some(0), "YES\n")
+        );
         let no = pipittray(&arguments);
-        assert_eq!((no.status.code(), stderr(&no).as_str()), (Some(1), "NO no such endpoint is listed\n"));
+        assert_eq!(
+            (no.status.code(), stderr(&no).as_str()),
+            (Some(1), "NO no such endpoint is listed\n")
+        );
         assert_eq!(calls.join().expect("two calls"), [call, call]);
     }
 }
@@ -53,7 +61,10 @@
     let file = folder.write("config.json", &document.to_string());
     let output = pipittray(&["status", "--config", text(&file)]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
-    assert_eq!(stdout(&output), "ready: YES\napp_pending 3\napp_members 2\n");
+    assert_eq!(
+        stdout(&output),
+        "ready: YES\napp_pending 3\napp_members 2\n"
+    );
     assert_eq!(calls.join().expect("two calls"), ["READY\n", "STATS\n"]);
 }
 
@@ -62,9 +73,20 @@
 fn nobody_to_call_is_told() {
     let output = pipittray(&["status"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(stderr(&output).starts_with("no second address: "), "{}", stderr(&output));
-    let closed = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
+    assert!(
+        stderr(&output).starts_with("no second address: "),
+        "{}",
+        stderr(&output)
+    );
+    let closed = TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("an address");
     let output = pipittray(&["drain", "--admin", &closed.to_string()]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(stderr(&output).starts_with(&closed.to_string()), "{}", stderr(&output));
+    assert!(
+        stderr(&output).starts_with(&closed.to_string()),
+        "{}",
+        stderr(&output)
+    );
 }
--- a/tests/command_line/texts.rs
+++ b/tests/command_line/texts.rs
@@ -23,7 +23,11 @@
     let completions = stdout(&pipittray(&["completions", "bash"]));
     let manual = stdout(&pipittray(&["man"]));
     for command in COMMANDS {
-        assert!(help.lines().any(|line| line.trim_start().starts_with(command)), "{command}: {help}");
+        assert!(
+            help.lines()
+                .any(|line| line.trim_start().starts_with(command)),
+            "{command}: {help}"
+        );
         assert!(
             completions.contains(&format!("pipittray__{command}")) || completions.contains(command),
             "{command}"
@@ -35,15 +39,21 @@
 
 #[test]
 fn the_version_is_the_package_s() {
-    assert_eq!(stdout(&pipittray(&["--version"])), concat!("pipittray ", env!("CARGO_PKG_VERSION"), "\n"));
+    assert_eq!(
+        stdout(&pipittray(&["--version"])),
+        concat!("pipittray ", env!("CARGO_PKG_VERSION"), "\n")
+    );
 }
 
 /// Guards scripts: arguments that are none are told, and nothing is served.
 #[test]
 fn unknown_arguments_are_bad_input() {
-    for arguments in
-        [&["serve-perhaps"][..], &["--no-such-option"], &["disable"], &["completions", "noshell"]]
-    {
+    for arguments in [
+        &["serve-perhaps"][..],
+        &["--no-such-option"],
+        &["disable"],
+        &["completions", "noshell"],
+    ] {
         assert_eq!(pipittray(arguments).status.code(), Some(2), "{arguments:?}");
     }
 }
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -15,7 +15,10 @@
 
 /// The mean over all seeds of the pause after so many failures before.
 fn mean(failures_before: usize, took: Duration) -> Duration {
-    SEEDS.map(|seed| pauses(seed, took)[failures_before]).sum::<Duration>() / SEEDS.end as u32
+    SEEDS
+        .map(|seed| pauses(seed, took)[failures_before])
+        .sum::<Duration>()
+        / SEEDS.end as u32
 }
 
 /// Guards the time in which a change is in force: the next call begins early enough after the one that failed, or soon
@@ -25,12 +28,23 @@
 fn the_next_call_begins_in_time_whatever_the_failed_one_took() {
     let soon = Duration::from_millis(450);
     let shortest = Duration::from_millis(150);
-    for took in [AT_ONCE, Duration::from_secs(2), DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN, 10 * NEXT_CALL_WITHIN]
-    {
+    for took in [
+        AT_ONCE,
+        Duration::from_secs(2),
+        DISCOVERY_TIMEOUT,
+        NEXT_CALL_WITHIN,
+        10 * NEXT_CALL_WITHIN,
+    ] {
         for pause in SEEDS.flat_map(|seed| pauses(seed, took)) {
             assert!(pause >= shortest, "{pause:?} after {took:?}");
-            assert!(pause + DISCOVERY_TIMEOUT <= CHANGE_DEADLINE, "{pause:?} after {took:?}");
-            assert!(pause <= soon || took + pause <= NEXT_CALL_WITHIN, "{pause:?} after {took:?}");
+            assert!(
+                pause + DISCOVERY_TIMEOUT <= CHANGE_DEADLINE,
+                "{pause:?} after {took:?}"
+            );
+            assert!(
+                pause <= soon || took + pause <= NEXT_CALL_WITHIN,
+                "{pause:?} after {took:?}"
+            );
         }
     }
 }
@@ -40,7 +54,10 @@
 #[test]
 fn pauses_grow_until_discovery_has_answered() {
     for failures_before in 1..3 {
-        let (before, after) = (mean(failures_before - 1, AT_ONCE), mean(failures_before, AT_ONCE));
+        let (before, after) = (
+            mean(failures_before - 1, AT_ONCE),
+            mean(failures_before, AT_ONCE),
+        );
         assert!(after > before.mul_f64(1.6), "{before:?}, then {after:?}");
     }
     assert!(mean(FAILURES - 1, AT_ONCE) > mean(0, AT_ONCE) * 3);
@@ -60,9 +77,18 @@
 fn the_jitter_differs_by_seed() {
     for seed in SEEDS {
         assert_eq!(pauses(seed, AT_ONCE), pauses(seed, AT_ONCE));
-        let both = pauses(seed, AT_ONCE).into_iter().zip(pauses(seed + 1, AT_ONCE));
-        assert!(both.into_iter().all(|(one, other)| one != other), "seeds {seed} and {}", seed + 1);
-        assert_ne!(Backoff::new(seed).time_to_next_call(), Backoff::new(seed + 1).time_to_next_call());
+        let both = pauses(seed, AT_ONCE)
+            .into_iter()
+            .zip(pauses(seed + 1, AT_ONCE));
+        assert!(
+            both.into_iter().all(|(one, other)| one != other),
+            "seeds {seed} and {}",
+            seed + 1
+        );
+        assert_ne!(
+            Backoff::new(seed).time_to_next_call(),
+            Backoff::new(seed + 1).time_to_next_call()
+        );
     }
 }
 
@@ -73,7 +99,10 @@
         let mut backoff = Backoff::new(seed);
         for _ in 0..FAILURES {
             let time = backoff.time_to_next_call();
-            assert!((DISCOVERY_TIMEOUT..=NEXT_CALL_WITHIN).contains(&time), "{time:?}");
+            assert!(
+                (DISCOVERY_TIMEOUT..=NEXT_CALL_WITHIN).contains(&time),
+                "{time:?}"
+            );
         }
     }
 }
--- a/tests/policy/answer_time.rs
+++ b/tests/policy/answer_time.rs
@@ -27,9 +27,17 @@
     let mut host = Host::new(settings(), listings(4));
     for n in 0..40 {
         host.now = host.now + ms(50);
-        let hint = if n % 10 == 9 { Duration::from_nanos(1000) } else { ms(30) };
+        let hint = if n % 10 == 9 {
+            Duration::from_nanos(1000)
+        } else {
+            ms(30)
+        };
         let (id, actions) = hinted(&mut host, n, hint);
-        assert_eq!(sends(&actions).len(), 1, "call {n} is sent, not refused as nearly out of time");
+        assert_eq!(
+            sends(&actions).len(),
+            1,
+            "call {n} is sent, not refused as nearly out of time"
+        );
         host.end(&id, 0, Outcome::Served, 40, 0.0);
     }
 }
@@ -42,10 +50,24 @@
             host.now = host.now + ms(50);
             let hint = [5, 20, 40, 100, 300][n * 7 % 5];
             let (id, _) = hinted(&mut host, n, ms(hint));
-            host.end(&id, 0, Outcome::Served, if rough { 90 + (n as u64 * 13) % 20 } else { hint }, 0.0);
+            host.end(
+                &id,
+                0,
+                Outcome::Served,
+                if rough {
+                    90 + (n as u64 * 13) % 20
+                } else {
+                    hint
+                },
+                0.0,
+            );
         }
         // Forty times the mean hint: by the hint alone it takes longer than anybody waits.
         let (id, actions) = hinted(&mut host, 200, ms(3700));
-        assert_eq!((sends(&actions).len(), answered(&actions, &id)), (sent, 1 - sent), "{rough}");
+        assert_eq!(
+            (sends(&actions).len(), answered(&actions, &id)),
+            (sent, 1 - sent),
+            "{rough}"
+        );
     }
 }
--- a/tests/policy/cold_ramp_fleet/mod.rs
+++ b/tests/policy/cold_ramp_fleet/mod.rs
@@ -35,9 +35,20 @@
     let seen = Fleet::run(scenario);
     let fullest = fullest_window(&scenario.rules, &seen.reached_cold);
     let used = seen.reached_cold.len() as f64 / servable(&scenario.rules);
-    println!("seed {}: fullest window {fullest:.2}, used {used:.2}", scenario.seed);
-    assert!(fullest <= 1.0, "seed {}: {fullest:.2} times what it bears in a window", scenario.seed);
-    assert!(used >= LEAST_USE, "seed {}: {used:.3} of what it could serve", scenario.seed);
+    println!(
+        "seed {}: fullest window {fullest:.2}, used {used:.2}",
+        scenario.seed
+    );
+    assert!(
+        fullest <= 1.0,
+        "seed {}: {fullest:.2} times what it bears in a window",
+        scenario.seed
+    );
+    assert!(
+        used >= LEAST_USE,
+        "seed {}: {used:.3} of what it could serve",
+        scenario.seed
+    );
     seen
 }
 
@@ -73,9 +84,20 @@
 fn instances_with_very_unequal_rates_spare_a_cold_endpoint() {
     for (seed, first) in (1..).zip(PLACES) {
         let weights = unequal(first, 6);
-        check(&Scenario { weights, ..Scenario::new(seed, slow_rules()) });
-        check(&Scenario { weights, load: 1.5, ..Scenario::new(seed, slow_rules()) });
-        check(&Scenario { weights, load: 3.0, ..Scenario::new(seed, narrow_rules()) });
+        check(&Scenario {
+            weights,
+            ..Scenario::new(seed, slow_rules())
+        });
+        check(&Scenario {
+            weights,
+            load: 1.5,
+            ..Scenario::new(seed, slow_rules())
+        });
+        check(&Scenario {
+            weights,
+            load: 3.0,
+            ..Scenario::new(seed, narrow_rules())
+        });
     }
 }
 
@@ -83,7 +105,11 @@
 #[test]
 fn one_instance_with_a_high_rate_spares_a_cold_endpoint() {
     for (seed, first) in (1..).zip(PLACES) {
-        check(&Scenario { weights: unequal(first, 1), load: 1.5, ..Scenario::new(seed, slow_rules()) });
+        check(&Scenario {
+            weights: unequal(first, 1),
+            load: 1.5,
+            ..Scenario::new(seed, slow_rules())
+        });
     }
 }
 
@@ -93,8 +119,15 @@
     for seed in 1..=3 {
         for rules in [slow_rules(), narrow_rules()] {
             let starts = late_starts(&rules);
-            check(&Scenario { starts, ..Scenario::new(seed, rules.clone()) });
-            check(&Scenario { starts, load: 3.0, ..Scenario::new(seed, rules) });
+            check(&Scenario {
+                starts,
+                ..Scenario::new(seed, rules.clone())
+            });
+            check(&Scenario {
+                starts,
+                load: 3.0,
+                ..Scenario::new(seed, rules)
+            });
         }
     }
 }
@@ -103,9 +136,16 @@
 #[test]
 fn a_restarted_endpoint_is_spared() {
     for seed in 1..=3 {
-        check(&Scenario { cold_by: ColdBy::Restart, ..Scenario::new(seed, slow_rules()) });
+        check(&Scenario {
+            cold_by: ColdBy::Restart,
+            ..Scenario::new(seed, slow_rules())
+        });
         let starts = late_starts(&slow_rules());
-        check(&Scenario { cold_by: ColdBy::Restart, starts, ..Scenario::new(seed, slow_rules()) });
+        check(&Scenario {
+            cold_by: ColdBy::Restart,
+            starts,
+            ..Scenario::new(seed, slow_rules())
+        });
     }
 }
 
@@ -113,8 +153,14 @@
 #[test]
 fn an_endpoint_back_from_a_ban_is_spared() {
     for seed in 1..=3 {
-        check(&Scenario { cold_by: ColdBy::Ban, ..Scenario::new(seed, slow_rules()) });
-        check(&Scenario { cold_by: ColdBy::Ban, ..Scenario::new(seed, narrow_rules()) });
+        check(&Scenario {
+            cold_by: ColdBy::Ban,
+            ..Scenario::new(seed, slow_rules())
+        });
+        check(&Scenario {
+            cold_by: ColdBy::Ban,
+            ..Scenario::new(seed, narrow_rules())
+        });
     }
 }
 
@@ -122,11 +168,21 @@
 #[test]
 fn an_overloaded_fleet_spares_a_cold_endpoint() {
     for (seed, load) in [(1, 1.5), (2, 2.0), (3, 3.0)] {
-        let equal = Scenario { load, ..Scenario::new(seed, slow_rules()) };
-        let unequal = Scenario { weights: unequal(10, 3), load, ..Scenario::new(seed, slow_rules()) };
+        let equal = Scenario {
+            load,
+            ..Scenario::new(seed, slow_rules())
+        };
+        let unequal = Scenario {
+            weights: unequal(10, 3),
+            load,
+            ..Scenario::new(seed, slow_rules())
+        };
         for scenario in [equal, unequal] {
             let seen = check(&scenario);
-            assert!(seen.refused > 0, "seed {seed}: the warm endpoints are throttled");
+            assert!(
+                seen.refused > 0,
+                "seed {seed}: the warm endpoints are throttled"
+            );
         }
     }
 }
@@ -136,9 +192,20 @@
 fn the_ramp_follows_its_settings() {
     for seed in 1..=3 {
         check(&Scenario::new(seed, narrow_rules()));
-        check(&Scenario { load: 3.0, ..Scenario::new(seed, narrow_rules()) });
-        check(&Scenario { weights: unequal(10, 1), load: 1.5, ..Scenario::new(seed, narrow_rules()) });
+        check(&Scenario {
+            load: 3.0,
+            ..Scenario::new(seed, narrow_rules())
+        });
+        check(&Scenario {
+            weights: unequal(10, 1),
+            load: 1.5,
+            ..Scenario::new(seed, narrow_rules())
+        });
         let starts = late_starts(&narrow_rules());
-        check(&Scenario { cold_by: ColdBy::Restart, starts, ..Scenario::new(seed, narrow_rules()) });
+        check(&Scenario {
+            cold_by: ColdBy::Restart,
+            starts,
+            ..Scenario::new(seed, narrow_rules())
+        });
     }
 }
--- a/tests/policy/cold_ramp_fleet/simulation.rs
+++ b/tests/policy/cold_ramp_fleet/simulation.rs
@@ -21,14 +21,30 @@
 
 /// What happens at a moment.
 pub enum Step {
-    Arrival { instance: usize },
+    Arrival {
+        instance: usize,
+    },
     Reaches(Attempt),
     Finishes(Attempt),
-    Ends { attempt: Attempt, outcome: Outcome, depth: Option<f64> },
-    Timer { instance: usize, token: u64 },
-    Starts { instance: usize },
-    Learns { instance: usize },
-    Bans { instance: usize, out: bool },
+    Ends {
+        attempt: Attempt,
+        outcome: Outcome,
+        depth: Option<f64>,
+    },
+    Timer {
+        instance: usize,
+        token: u64,
+    },
+    Starts {
+        instance: usize,
+    },
+    Learns {
+        instance: usize,
+    },
+    Bans {
+        instance: usize,
+        out: bool,
+    },
 }
 
 /// A request that waits for its answer: attempts so far, and whether the newest has ended.
@@ -55,15 +71,25 @@
 
 impl Server {
     pub fn note_queue(&mut self, now: Timestamp) {
-        self.history.push_back(QueueLength { since: now, waiting: self.queue.len() });
+        self.history.push_back(QueueLength {
+            since: now,
+            waiting: self.queue.len(),
+        });
     }
 
     /// The queue length a while ago.
     pub fn reported_queue(&mut self, now: Timestamp) -> usize {
-        while self.history.get(1).is_some_and(|next| next.since + REPORT_DELAY <= now) {
+        while self
+            .history
+            .get(1)
+            .is_some_and(|next| next.since + REPORT_DELAY <= now)
+        {
             self.history.pop_front();
         }
-        let oldest = self.history.front().filter(|first| first.since + REPORT_DELAY <= now);
+        let oldest = self
+            .history
+            .front()
+            .filter(|first| first.since + REPORT_DELAY <= now);
         oldest.map_or(0, |first| first.waiting)
     }
 }
@@ -114,7 +140,9 @@
         };
         fleet.plan();
         let end = ramp_start() + scenario.rules.warm_within;
-        while let Some(Reverse((now, number))) = fleet.agenda.pop().filter(|Reverse((now, _))| *now < end) {
+        while let Some(Reverse((now, number))) =
+            fleet.agenda.pop().filter(|Reverse((now, _))| *now < end)
+        {
             fleet.now = now;
             let step = fleet.steps.remove(&number).expect("it is planned once");
             fleet.take(step);
@@ -131,8 +159,20 @@
                 continue;
             }
             if self.scenario.cold_by == ColdBy::Ban {
-                self.at(start, Step::Bans { instance, out: true });
-                self.at(told, Step::Bans { instance, out: false });
+                self.at(
+                    start,
+                    Step::Bans {
+                        instance,
+                        out: true,
+                    },
+                );
+                self.at(
+                    told,
+                    Step::Bans {
+                        instance,
+                        out: false,
+                    },
+                );
             } else {
                 self.at(told, Step::Learns { instance });
             }
@@ -169,15 +209,22 @@
             Step::Learns { instance } => self.learn(instance, ListKind::Changes),
             Step::Bans { instance, out } => {
                 let endpoint = name(COLD).as_str().into();
-                let event =
-                    if out { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) };
+                let event = if out {
+                    Event::EndpointDisabled(endpoint)
+                } else {
+                    Event::EndpointEnabled(endpoint)
+                };
                 self.tell(instance, event);
             }
             Step::Timer { instance, token } => self.tell(instance, Event::Timer { token }),
             Step::Arrival { instance } => self.arrive(instance),
             Step::Reaches(attempt) => self.reach(attempt),
             Step::Finishes(attempt) => self.finish(attempt),
-            Step::Ends { attempt, outcome, depth } => self.end(attempt, outcome, depth),
+            Step::Ends {
+                attempt,
+                outcome,
+                depth,
+            } => self.end(attempt, outcome, depth),
         }
     }
 
@@ -192,14 +239,22 @@
             ..settings()
         };
         let seed = self.random.next_u64();
-        self.balancers[instance] = Some(Balancer::new(set, seed).expect("settings that make sense"));
+        self.balancers[instance] =
+            Some(Balancer::new(set, seed).expect("settings that make sense"));
         self.learn(instance, ListKind::Cached);
         self.plan_arrival(instance);
     }
 
     pub fn learn(&mut self, instance: usize, kind: ListKind) {
         let entries = self.listings();
-        self.tell(instance, Event::EndpointList { version: 1, kind, entries: entries.into() });
+        self.tell(
+            instance,
+            Event::EndpointList {
+                version: 1,
+                kind,
+                entries: entries.into(),
+            },
+        );
     }
 
     /// The list as of now.
@@ -228,7 +283,14 @@
         self.next_request += 1;
         let id = RequestId::from(format!("r{}", self.next_request).as_str());
         let deadline = self.now + ms(2000);
-        self.open.insert(id.clone(), Open { deadline, attempts: 0, is_out: false });
+        self.open.insert(
+            id.clone(),
+            Open {
+                deadline,
+                attempts: 0,
+                is_out: false,
+            },
+        );
         let request = Request {
             id,
             class: ClassId(0),
@@ -245,13 +307,17 @@
     /// Tells an instance of an event and carries out what it decides.
     pub fn tell(&mut self, instance: usize, event: Event) {
         let mut actions = Vec::new();
-        let Some(balancer) = &mut self.balancers[instance] else { return };
+        let Some(balancer) = &mut self.balancers[instance] else {
+            return;
+        };
         balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, endpoint, timeout } => {
-                    self.send(instance, request, &endpoint, timeout)
-                }
+                Action::Send {
+                    request,
+                    endpoint,
+                    timeout,
+                } => self.send(instance, request, &endpoint, timeout),
                 Action::SetTimer { at, token } => self.at(at, Step::Timer { instance, token }),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.open.remove(&request);
@@ -269,21 +335,41 @@
         endpoint: &EndpointId,
         timeout: Option<Duration>,
     ) {
-        let open = self.open.get_mut(&request).expect("only open requests are sent");
+        let open = self
+            .open
+            .get_mut(&request)
+            .expect("only open requests are sent");
         let number = open.attempts;
         open.attempts += 1;
         open.is_out = true;
         let left = open.deadline.since(self.now);
-        let endpoint = (0..self.servers.len()).find(|e| name(*e) == *endpoint.0).expect("a listed endpoint");
-        let attempt = Attempt { instance, request, number, endpoint, sent: self.now };
+        let endpoint = (0..self.servers.len())
+            .find(|e| name(*e) == *endpoint.0)
+            .expect("a listed endpoint");
+        let attempt = Attempt {
+            instance,
+            request,
+            number,
+            endpoint,
+            sent: self.now,
+        };
         let wait = timeout.map_or(left, |timeout| timeout.min(left));
-        self.after(wait, Step::Ends { attempt: attempt.clone(), outcome: Outcome::TimedOut, depth: None });
+        self.after(
+            wait,
+            Step::Ends {
+                attempt: attempt.clone(),
+                outcome: Outcome::TimedOut,
+                depth: None,
+            },
+        );
         self.after(NETWORK_DELAY, Step::Reaches(attempt));
     }
 
     /// Ends an attempt, unless it has ended before.
     pub fn end(&mut self, attempt: Attempt, outcome: Outcome, depth: Option<f64>) {
-        let Some(open) = self.open.get_mut(&attempt.request) else { return };
+        let Some(open) = self.open.get_mut(&attempt.request) else {
+            return;
+        };
         if !open.is_out || open.attempts != attempt.number + 1 {
             return;
         }
@@ -292,7 +378,10 @@
         if request_ended {
             self.open.remove(&attempt.request);
         }
-        let report = depth.map(|depth| LoadReport { depth: Some(depth), ..LoadReport::default() });
+        let report = depth.map(|depth| LoadReport {
+            depth: Some(depth),
+            ..LoadReport::default()
+        });
         let ended = AttemptEnd {
             request: attempt.request,
             attempt: attempt.number,
@@ -340,7 +429,14 @@
 
     pub fn answer(&mut self, attempt: Attempt, outcome: Outcome) {
         let waiting = self.servers[attempt.endpoint].reported_queue(self.now);
-        self.after(NETWORK_DELAY, Step::Ends { attempt, outcome, depth: Some(waiting as f64) });
+        self.after(
+            NETWORK_DELAY,
+            Step::Ends {
+                attempt,
+                outcome,
+                depth: Some(waiting as f64),
+            },
+        );
     }
 }
 
--- a/tests/policy/cold_tier.rs
+++ b/tests/policy/cold_tier.rs
@@ -8,7 +8,10 @@
 
 /// An endpoint that has just started.
 fn started(host: &Host, name: &str) -> EndpointEntry {
-    EndpointEntry { started_at: Some(host.now), ..listing(name, "a", 0) }
+    EndpointEntry {
+        started_at: Some(host.now),
+        ..listing(name, "a", 0)
+    }
 }
 
 /// Has `requests` come one after another. Endpoints named in `silent` let each attempt time out, the others serve it.
@@ -22,7 +25,11 @@
         let mut attempt = 0;
         while let Some(endpoint) = to.pop() {
             let is_silent = silent.iter().any(|name| endpoint == (*name).into());
-            let (outcome, took) = if is_silent { (Outcome::TimedOut, 1000) } else { (Outcome::Served, 10) };
+            let (outcome, took) = if is_silent {
+                (Outcome::TimedOut, 1000)
+            } else {
+                (Outcome::Served, 10)
+            };
             to = sends(&host.end(&id, attempt, outcome, took, 0.0));
             attempt += 1;
             sent.push(endpoint);
@@ -34,7 +41,9 @@
 }
 
 fn of(sent: &[EndpointId], name: &str) -> usize {
-    sent.iter().filter(|endpoint| **endpoint == name.into()).count()
+    sent.iter()
+        .filter(|endpoint| **endpoint == name.into())
+        .count()
 }
 
 /// Guards a tier of which every endpoint was replaced within the time that it takes one to get warm.
@@ -88,5 +97,9 @@
     }
     assert!(refused > 100, "{refused} were refused");
     let cold = of(&sent, "e1");
-    assert!(cold <= 1 + sent.len() / 2, "{cold} of {} went to the cold one", sent.len());
+    assert!(
+        cold <= 1 + sent.len() / 2,
+        "{cold} of {} went to the cold one",
+        sent.len()
+    );
 }
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -8,13 +8,24 @@
 fn lost_subscriptions_are_asked_for_again_apart_from_each_other() {
     let mut times = Vec::new();
     for seed in 0..20 {
-        let set = Settings { discovery: DiscoveryMode::OnRequest, ..settings() };
-        let mut balancer = pipittray::policy::Balancer::new(set, seed).expect("settings that make sense");
+        let set = Settings {
+            discovery: DiscoveryMode::OnRequest,
+            ..settings()
+        };
+        let mut balancer =
+            pipittray::policy::Balancer::new(set, seed).expect("settings that make sense");
         let mut out = Vec::new();
-        let empty = |kind| Event::EndpointList { version: 1, kind, entries: Vec::new().into() };
+        let empty = |kind| Event::EndpointList {
+            version: 1,
+            kind,
+            entries: Vec::new().into(),
+        };
         balancer.handle(at(0), empty(ListKind::Cached), &mut out);
         let (first, token) = timers(&out)[0];
-        assert!(first.since(at(0)) < ms(10_000), "asked within the time set for it");
+        assert!(
+            first.since(at(0)) < ms(10_000),
+            "asked within the time set for it"
+        );
         out.clear();
         balancer.handle(first, Event::Timer { token }, &mut out);
         assert!(out.contains(&Action::Subscribe(true)));
@@ -40,8 +51,14 @@
             let mut host = Host::new(set, listings(1));
             host.members(ListKind::Snapshot, listings(1));
             let actions = host.discovery_failed();
-            let again = timers(&actions).iter().map(|(at, _)| at.since(host.now)).min();
-            assert!(again.is_some_and(|again| again < ms(1_000)), "{within}: {again:?}");
+            let again = timers(&actions)
+                .iter()
+                .map(|(at, _)| at.since(host.now))
+                .min();
+            assert!(
+                again.is_some_and(|again| again < ms(1_000)),
+                "{within}: {again:?}"
+            );
         }
     }
 }
@@ -62,13 +79,19 @@
             for failed in 1..50 {
                 let (asks, token) = *timers(&actions).last().expect("a time to ask again");
                 host.now = asks;
-                assert!(host.tell(Event::Timer { token }).contains(&Action::Subscribe(true)));
+                assert!(
+                    host.tell(Event::Timer { token })
+                        .contains(&Action::Subscribe(true))
+                );
                 host.now = asks + took;
                 actions = host.discovery_failed();
                 let (again, _) = *timers(&actions).last().expect("a time to ask again");
                 let since = again.since(asks);
                 let in_time = since + for_the_answer <= CHANGE_DEADLINE;
-                assert!(in_time, "{within} ms, {took:?} a call, {failed} failed: {since:?}");
+                assert!(
+                    in_time,
+                    "{within} ms, {took:?} a call, {failed} failed: {since:?}"
+                );
             }
         }
     }
@@ -79,8 +102,12 @@
 #[test]
 fn a_call_of_the_host_does_not_put_off_the_next_beyond_the_deadline_of_a_change() {
     for seed in 0..50 {
-        let set = Settings { discovery: DiscoveryMode::OnRequest, ..settings() };
-        let mut balancer = pipittray::policy::Balancer::new(set, seed).expect("settings that make sense");
+        let set = Settings {
+            discovery: DiscoveryMode::OnRequest,
+            ..settings()
+        };
+        let mut balancer =
+            pipittray::policy::Balancer::new(set, seed).expect("settings that make sense");
         let failed = || Event::DiscoveryFailed;
         let mut out = Vec::new();
         (0..6).for_each(|_| balancer.handle(at(0), failed(), &mut out));
@@ -103,6 +130,9 @@
             }
         }
         let since = now.since(begun);
-        assert!(since + ms(1_000) <= CHANGE_DEADLINE, "seed {seed}: {since:?}");
+        assert!(
+            since + ms(1_000) <= CHANGE_DEADLINE,
+            "seed {seed}: {since:?}"
+        );
     }
 }
--- a/tests/policy/hold_queue.rs
+++ b/tests/policy/hold_queue.rs
@@ -57,8 +57,13 @@
         host.now = host.now + ms(100);
         let (id, actions) = host.request(0);
         assert_eq!(answered(&actions, &id), 0, "only one other is there: held");
-        let actions = host.tell(Event::ClientDisconnected { request: id.clone() });
-        assert!(actions.iter().all(|a| matches!(a, Action::SetTimer { .. })), "nothing is owed or out");
+        let actions = host.tell(Event::ClientDisconnected {
+            request: id.clone(),
+        });
+        assert!(
+            actions.iter().all(|a| matches!(a, Action::SetTimer { .. })),
+            "nothing is owed or out"
+        );
         let census = host.balancer.status(host.now);
         assert_eq!((census.held, census.open), (1, 1));
         host.tell(Event::ClientDisconnected { request: id });
@@ -70,13 +75,21 @@
 #[test]
 fn a_tenant_beyond_its_share_ranks_below_all_only_where_throttled() {
     let mut set = two_levels();
-    let tenant = |name: &str, share| Tenant { name: name.into(), share, quota_per_s: 10.0 };
+    let tenant = |name: &str, share| Tenant {
+        name: name.into(),
+        share,
+        quota_per_s: 10.0,
+    };
     set.tenants = vec![tenant("small", 0.1), tenant("large", 0.9)];
     let mut host = Host::new(set, listings(1));
     for _ in 0..100 {
         host.now = host.now + ms(20);
         let (id, actions) = host.request_of(1, Some(TenantId(0)));
-        assert_eq!(sends(&actions).len(), 1, "over its share, but nothing is throttled");
+        assert_eq!(
+            sends(&actions).len(),
+            1,
+            "over its share, but nothing is throttled"
+        );
         host.end(&id, 0, Outcome::Served, 20, 0.0);
     }
     let mut counts = [0, 0];
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -27,7 +27,10 @@
 }
 
 pub fn settings() -> Settings {
-    let keyed = |scope| Idempotency::Keyed { scope, window: ms(300) };
+    let keyed = |scope| Idempotency::Keyed {
+        scope,
+        window: ms(300),
+    };
     Settings {
         balancers: 4,
         instance: PeerId(0),
@@ -121,7 +124,11 @@
     }
 
     pub fn members(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
-        self.tell(Event::EndpointList { version: 1, kind, entries: Arc::from(entries) })
+        self.tell(Event::EndpointList {
+            version: 1,
+            kind,
+            entries: Arc::from(entries),
+        })
     }
 
     pub fn discovery_failed(&mut self) -> Vec<Action> {
@@ -132,7 +139,11 @@
         self.request_of(class, None)
     }
 
-    pub fn request_of(&mut self, class: usize, tenant: Option<TenantId>) -> (RequestId, Vec<Action>) {
+    pub fn request_of(
+        &mut self,
+        class: usize,
+        tenant: Option<TenantId>,
+    ) -> (RequestId, Vec<Action>) {
         self.request_with(class, tenant, None)
     }
 
@@ -169,7 +180,10 @@
         took: u64,
         depth: f64,
     ) -> Vec<Action> {
-        let report = Some(LoadReport { depth: Some(depth), ..LoadReport::default() });
+        let report = Some(LoadReport {
+            depth: Some(depth),
+            ..LoadReport::default()
+        });
         self.tell(Event::AttemptEnded(AttemptEnd {
             request: id.clone(),
             attempt,
@@ -227,8 +241,7 @@
 }
 
 pub fn answered(actions: &[Action], id: &RequestId) -> usize {
-    let ours =
-        |a: &&Action| matches!(a, Action::Refuse { request, .. } | Action::Fail { request } if request == id);
+    let ours = |a: &&Action| matches!(a, Action::Refuse { request, .. } | Action::Fail { request } if request == id);
     actions.iter().filter(ours).count()
 }
 
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -21,12 +21,22 @@
     let (third, actions) = host.keyed(1, "k");
     assert_eq!(sent(&actions), []);
     for (class, key) in [(1, "other"), (0, "k")] {
-        assert_eq!(sent(&host.keyed(class, key).1).len(), 1, "another key, or a class without order");
+        assert_eq!(
+            sent(&host.keyed(class, key).1).len(),
+            1,
+            "another key, or a class without order"
+        );
     }
     assert_eq!(sent(&host.request(1).1).len(), 1, "no key, no turn");
     host.now = host.now + ms(20);
-    assert_eq!(sent(&host.end(&first, 0, Outcome::Served, 20, 0.0)), std::slice::from_ref(&second));
-    assert_eq!(sent(&host.end(&second, 0, Outcome::Served, 20, 0.0)), [third]);
+    assert_eq!(
+        sent(&host.end(&first, 0, Outcome::Served, 20, 0.0)),
+        std::slice::from_ref(&second)
+    );
+    assert_eq!(
+        sent(&host.end(&second, 0, Outcome::Served, 20, 0.0)),
+        [third]
+    );
 }
 
 #[test]
@@ -48,7 +58,11 @@
         host.now = host.now + ms(49);
         if rests {
             assert!(wake <= host.now + ms(1), "wakes up for the end of the rest");
-            assert_eq!(sent(&host.tell(Event::Timer { token: token + 1 })), [], "still resting");
+            assert_eq!(
+                sent(&host.tell(Event::Timer { token: token + 1 })),
+                [],
+                "still resting"
+            );
             host.now = host.now + ms(1);
             assert_eq!(sent(&host.tell(Event::Timer { token })), [second]);
         }
@@ -62,9 +76,16 @@
     let (first, _) = host.keyed(3, "k");
     let (second, _) = host.keyed(3, "k");
     host.now = host.now + ms(20);
-    assert_eq!(sent(&host.end(&first, 0, Outcome::Reset, 20, 0.0)), std::slice::from_ref(&first));
+    assert_eq!(
+        sent(&host.end(&first, 0, Outcome::Reset, 20, 0.0)),
+        std::slice::from_ref(&first)
+    );
     host.now = host.now + ms(60);
-    assert_eq!(sent(&host.end(&first, 1, Outcome::Served, 20, 0.0)), [second], "the rest is over by now");
+    assert_eq!(
+        sent(&host.end(&first, 1, Outcome::Served, 20, 0.0)),
+        [second],
+        "the rest is over by now"
+    );
 }
 
 #[test]
@@ -73,12 +94,17 @@
     let (first, _) = host.keyed(1, "k");
     let (second, _) = host.keyed(1, "k");
     let (third, _) = host.keyed(1, "k");
-    let actions = host.tell(Event::ClientDisconnected { request: first.clone() });
+    let actions = host.tell(Event::ClientDisconnected {
+        request: first.clone(),
+    });
     assert_eq!(sent(&actions), [], "its attempt is still out");
     // One that leaves while it waits is passed over.
     host.tell(Event::ClientDisconnected { request: second });
     host.now = host.now + ms(20);
-    assert_eq!(sent(&host.end(&first, 0, Outcome::Served, 20, 0.0)), [third]);
+    assert_eq!(
+        sent(&host.end(&first, 0, Outcome::Served, 20, 0.0)),
+        [third]
+    );
 }
 
 #[test]
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -10,15 +10,35 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { class: usize, left: u64, hint: Option<u64>, key: Option<u8> },
-    End { pick: usize, outcome: usize, depth: u8 },
-    Gone { pick: usize },
-    Ready { endpoint: usize, readiness: u8 },
-    List { missing: usize },
-    Restart { endpoint: usize },
+    Arrive {
+        class: usize,
+        left: u64,
+        hint: Option<u64>,
+        key: Option<u8>,
+    },
+    End {
+        pick: usize,
+        outcome: usize,
+        depth: u8,
+    },
+    Gone {
+        pick: usize,
+    },
+    Ready {
+        endpoint: usize,
+        readiness: u8,
+    },
+    List {
+        missing: usize,
+    },
+    Restart {
+        endpoint: usize,
+    },
     LostNews,
     Reborn,
-    Wait { ms: u64 },
+    Wait {
+        ms: u64,
+    },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -92,7 +112,12 @@
 }
 
 /// Rule 5: nothing for a request while an earlier one of its key is unfinished, out or just given up.
-fn check_order(set: &Settings, requests: &BTreeMap<RequestId, Known>, ours: &Known, now: Timestamp) {
+fn check_order(
+    set: &Settings,
+    requests: &BTreeMap<RequestId, Known>,
+    ours: &Known,
+    now: Timestamp,
+) {
     let takes_turns = |k: &Known| set.classes[k.class].by_arrival && k.key.is_some();
     if !takes_turns(ours) {
         return;
@@ -102,9 +127,15 @@
         assert!(other.over, "rule 5: sent before an earlier one was over");
         for t in &other.tries {
             let (outcome, ended) = t.ended.expect("rule 5: sent while an earlier one was out");
-            let runs_on = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+            let runs_on = matches!(
+                outcome,
+                Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+            );
             let pause = set.rules.order_pause.unwrap_or_default();
-            assert!(!runs_on || now.since(ended) >= pause || !ours.tries.is_empty(), "rule 5: no rest");
+            assert!(
+                !runs_on || now.since(ended) >= pause || !ours.tries.is_empty(),
+                "rule 5: no rest"
+            );
         }
     }
 }
@@ -113,7 +144,11 @@
     fn entry(&self, i: usize, readiness: Readiness) -> EndpointEntry {
         let zone = if i < 4 { "a" } else { "b" };
         let entry = listing(&format!("e{i}"), zone, (i / 2) as u64);
-        EndpointEntry { readiness, started_at: self.since[i], ..entry }
+        EndpointEntry {
+            readiness,
+            started_at: self.since[i],
+            ..entry
+        }
     }
 
     fn tell(&mut self, event: Event) {
@@ -127,7 +162,8 @@
         let now = self.now;
         let count = |also: fn(Timestamp, Timestamp, Timestamp) -> bool| {
             let is_out = |t: &&Try, deadline: Timestamp| {
-                t.ended.is_none_or(|(o, at)| o == Outcome::TimedOut && also(deadline, at, now))
+                t.ended
+                    .is_none_or(|(o, at)| o == Outcome::TimedOut && also(deadline, at, now))
             };
             let tries = |k: &Known| k.tries.iter().filter(|t| is_out(t, k.deadline)).count();
             self.requests.values().map(tries).sum::<usize>()
@@ -135,28 +171,45 @@
         let due = count(|deadline, _, now| deadline > now);
         let most = count(|deadline, ended, now| deadline > now || ended == now);
         let in_flight = self.balancer.status(now).in_flight;
-        assert!(due <= in_flight && in_flight <= most, "{in_flight} are in flight, for {due} to {most}");
+        assert!(
+            due <= in_flight && in_flight <= most,
+            "{in_flight} are in flight, for {due} to {most}"
+        );
     }
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Send { request, endpoint, timeout } => {
-                let e: usize = endpoint.0[1..].parse().expect("an endpoint that was listed");
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+            } => {
+                let e: usize = endpoint.0[1..]
+                    .parse()
+                    .expect("an endpoint that was listed");
                 assert!(self.up[e], "rule 3: sent to an endpoint that is not up");
                 let now = self.now;
                 let (zone, cell) = (|i: usize| i < 4, |i: usize| i / 2);
                 check_order(&self.set, &self.requests, &self.requests[&request], now);
                 self.links[e].since = now;
-                let known = self.requests.get_mut(&request).expect("a request that came");
+                let known = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("a request that came");
                 assert!(!known.over, "rule 1: sent after the final answer");
                 assert!(known.tries.len() < self.set.limits.max_attempts);
                 let mut suspects = known.tries.iter().filter(|t| t.suspect());
                 if !self.parallel {
-                    assert!(known.tries.iter().all(|t| t.ended.is_some()), "two attempts out together");
+                    assert!(
+                        known.tries.iter().all(|t| t.ended.is_some()),
+                        "two attempts out together"
+                    );
                 }
                 match self.set.classes[known.class].idempotency {
                     Idempotency::Idempotent => {}
-                    Idempotency::Unsafe => assert!(suspects.next().is_none(), "rule 2: unsafe sent again"),
+                    Idempotency::Unsafe => {
+                        assert!(suspects.next().is_none(), "rule 2: unsafe sent again")
+                    }
                     Idempotency::Keyed { scope, window } => {
                         for s in suspects {
                             assert!(now.since(s.sent) < window, "rule 2: past the window");
@@ -170,25 +223,42 @@
                     }
                 }
                 let until = timeout.map_or(known.deadline, |t| (now + t).min(known.deadline));
-                known.tries.push(Try { endpoint: e, sent: now, until, ended: None });
+                known.tries.push(Try {
+                    endpoint: e,
+                    sent: now,
+                    until,
+                    ended: None,
+                });
             }
             Action::Cancel { request, attempt } => {
                 assert!(self.set.limits.cancel);
-                assert!(attempt < self.requests[&request].tries.len(), "an attempt that was made");
+                assert!(
+                    attempt < self.requests[&request].tries.len(),
+                    "an attempt that was made"
+                );
             }
             Action::Refuse { request, .. } => {
                 let now = self.now;
-                let known = self.requests.get_mut(&request).expect("a request that came");
+                let known = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("a request that came");
                 let mut suspects = known.tries.iter().filter(|t| t.suspect());
                 match self.set.classes[known.class].idempotency {
                     Idempotency::Idempotent => {}
-                    Idempotency::Keyed { scope: KeyScope::All, window } => {
+                    Idempotency::Keyed {
+                        scope: KeyScope::All,
+                        window,
+                    } => {
                         assert!(
                             suspects.all(|s| now.since(s.sent) < window),
                             "rule 2: refused past the window"
                         );
                     }
-                    _ => assert!(suspects.next().is_none(), "rule 2: refused what may have run"),
+                    _ => assert!(
+                        suspects.next().is_none(),
+                        "rule 2: refused what may have run"
+                    ),
                 }
                 self.answer(&request);
             }
@@ -200,7 +270,9 @@
             Action::Probe { .. } => assert!(self.set.limits.probes),
             Action::SendPeerMessage { .. } => assert!(self.set.limits.peers),
             Action::CloseIdleConnections { endpoint } => {
-                let e: usize = endpoint.0[1..].parse().expect("an endpoint that was listed");
+                let e: usize = endpoint.0[1..]
+                    .parse()
+                    .expect("an endpoint that was listed");
                 self.links[e].idle = false;
             }
             Action::Subscribe(_) | Action::FetchList | Action::Log(_) => {}
@@ -210,7 +282,10 @@
     fn answer(&mut self, request: &RequestId) {
         let known = self.requests.get_mut(request).expect("a request that came");
         assert!(!known.over, "rule 1: a second final answer");
-        assert!(self.now <= known.deadline + self.set.rules.answer_slack, "rule 1: late");
+        assert!(
+            self.now <= known.deadline + self.set.rules.answer_slack,
+            "rule 1: late"
+        );
         known.over = true;
     }
 
@@ -223,7 +298,10 @@
         let took = now.since(known.tries[attempt].sent);
         known.over |= outcome == Outcome::Served;
         let request_ended = known.over;
-        let report = Some(LoadReport { depth: Some(depth), ..LoadReport::default() });
+        let report = Some(LoadReport {
+            depth: Some(depth),
+            ..LoadReport::default()
+        });
         self.tell(Event::AttemptEnded(AttemptEnd {
             request: id.clone(),
             attempt,
@@ -237,7 +315,11 @@
     fn out(&self) -> Vec<(Timestamp, RequestId, usize)> {
         let mut out = Vec::new();
         for (id, known) in &self.requests {
-            let open = known.tries.iter().enumerate().filter(|(_, t)| t.ended.is_none());
+            let open = known
+                .tries
+                .iter()
+                .enumerate()
+                .filter(|(_, t)| t.ended.is_none());
             out.extend(open.map(|(n, t)| (t.until, id.clone(), n)));
         }
         out.sort();
@@ -271,7 +353,10 @@
     fn check_links(&self) {
         let within = self.set.rules.drain_close.expect("set here");
         for links in self.links.iter().filter(|l| l.idle && l.told) {
-            assert!(self.now.since(links.since) <= within, "rule 6: an idle connection stays open");
+            assert!(
+                self.now.since(links.since) <= within,
+                "rule 6: an idle connection stays open"
+            );
         }
     }
 
@@ -280,18 +365,23 @@
         if readiness == Readiness::Draining && !links.told {
             links.since = self.now;
         }
-        links.told = readiness == Readiness::Draining || links.told && readiness == Readiness::Removed;
+        links.told =
+            readiness == Readiness::Draining || links.told && readiness == Readiness::Removed;
     }
 
     /// The instance is killed and starts anew, knowing nothing.
     fn reborn(&mut self) {
         self.seed += 1;
-        self.balancer = Balancer::new(self.set.clone(), self.seed).expect("settings that make sense");
+        self.balancer =
+            Balancer::new(self.set.clone(), self.seed).expect("settings that make sense");
         self.requests.retain(|_, k| k.over);
         self.requests.values_mut().for_each(|k| k.tries.clear());
         self.timers.clear();
         self.links = vec![Links::default(); 6];
-        let all = (0..6).filter(|i| self.up[*i]).map(|i| self.entry(i, Readiness::Up)).collect();
+        let all = (0..6)
+            .filter(|i| self.up[*i])
+            .map(|i| self.entry(i, Readiness::Up))
+            .collect();
         self.members(ListKind::Cached, all);
     }
 
@@ -300,7 +390,11 @@
     }
 
     fn members(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
-        self.tell(Event::EndpointList { version: 1, kind, entries: entries.into() });
+        self.tell(Event::EndpointList {
+            version: 1,
+            kind,
+            entries: entries.into(),
+        });
     }
 }
 
@@ -308,9 +402,15 @@
     let mut set = settings();
     set.limits.parallel_attempts = parallel;
     (set.rules.drain_close, set.rules.order_pause) = (Some(ms(200)), Some(ms(50)));
-    [1, 3, 4].iter().for_each(|c: &usize| set.classes[*c].by_arrival = true);
+    [1, 3, 4]
+        .iter()
+        .for_each(|c: &usize| set.classes[*c].by_arrival = true);
     set.prices.cross_zone = if seed.is_multiple_of(2) { 0.01 } else { 0.0 };
-    set.discovery = if seed.is_multiple_of(3) { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
+    set.discovery = if seed.is_multiple_of(3) {
+        DiscoveryMode::OnRequest
+    } else {
+        DiscoveryMode::Pushed
+    };
     let balancer = Balancer::new(set.clone(), seed).expect("settings that make sense");
     let mut world = World {
         set,
@@ -329,11 +429,23 @@
     world.members(ListKind::Cached, all);
     for step in steps {
         match step {
-            Step::Arrive { class, left, hint, key } => {
+            Step::Arrive {
+                class,
+                left,
+                hint,
+                key,
+            } => {
                 arrived += 1;
                 let id = RequestId::from(format!("r{arrived}").as_str());
                 let deadline = world.now + ms(left);
-                let known = Known { class, key, taken: arrived, deadline, tries: Vec::new(), over: false };
+                let known = Known {
+                    class,
+                    key,
+                    taken: arrived,
+                    deadline,
+                    tries: Vec::new(),
+                    over: false,
+                };
                 world.requests.insert(id.clone(), known);
                 world.tell(Event::Request(Request {
                     id,
@@ -346,23 +458,34 @@
                     write: false,
                 }));
             }
-            Step::End { pick, outcome, depth } => {
+            Step::End {
+                pick,
+                outcome,
+                depth,
+            } => {
                 let out = world.out();
                 if let Some((_, id, n)) = out.get(pick % out.len().max(1)).cloned() {
                     world.end(&id, n, OUTCOMES[outcome], f64::from(depth));
                 }
             }
             Step::Gone { pick } => {
-                let open: Vec<_> =
-                    world.requests.iter().filter(|(_, k)| !k.over).map(|(id, _)| id.clone()).collect();
+                let open: Vec<_> = world
+                    .requests
+                    .iter()
+                    .filter(|(_, k)| !k.over)
+                    .map(|(id, _)| id.clone())
+                    .collect();
                 if let Some(id) = open.get(pick % open.len().max(1)).cloned() {
                     world.requests.get_mut(&id).expect("known").over = true;
                     world.tell(Event::ClientDisconnected { request: id });
                 }
             }
-            Step::Ready { endpoint, readiness } => {
-                let readiness =
-                    [Readiness::Up, Readiness::Draining, Readiness::Removed][usize::from(readiness)];
+            Step::Ready {
+                endpoint,
+                readiness,
+            } => {
+                let readiness = [Readiness::Up, Readiness::Draining, Readiness::Removed]
+                    [usize::from(readiness)];
                 world.up[endpoint] = readiness == Readiness::Up;
                 world.told(endpoint, readiness);
                 let entry = world.entry(endpoint, readiness);
@@ -371,9 +494,19 @@
             Step::List { missing } => {
                 world.up = (0..6).map(|i| i != missing).collect();
                 (0..6).for_each(|i| {
-                    world.told(i, if i == missing { Readiness::Removed } else { Readiness::Up });
+                    world.told(
+                        i,
+                        if i == missing {
+                            Readiness::Removed
+                        } else {
+                            Readiness::Up
+                        },
+                    );
                 });
-                let list = (0..6).filter(|i| *i != missing).map(|i| world.entry(i, Readiness::Up)).collect();
+                let list = (0..6)
+                    .filter(|i| *i != missing)
+                    .map(|i| world.entry(i, Readiness::Up))
+                    .collect();
                 world.members(ListKind::Snapshot, list);
             }
             Step::Restart { endpoint } => {
@@ -398,8 +531,17 @@
     }
     // Each book is empty again, however requests and attempts ended: nothing was freed twice, or not at all.
     world.tell(Event::Timer { token: 0 });
-    let BalancerStatus { open, held, in_flight, .. } = world.balancer.status(world.now);
-    assert_eq!((open, held, in_flight), (0, 0, 0), "open, held and in flight");
+    let BalancerStatus {
+        open,
+        held,
+        in_flight,
+        ..
+    } = world.balancer.status(world.now);
+    assert_eq!(
+        (open, held, in_flight),
+        (0, 0, 0),
+        "open, held and in flight"
+    );
 }
 
 #[test]
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -5,7 +5,10 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_gone_or_missing_endpoint() {
-    let with = |readiness| EndpointEntry { readiness, ..listing("e0", "a", 0) };
+    let with = |readiness| EndpointEntry {
+        readiness,
+        ..listing("e0", "a", 0)
+    };
     for (kind, entries) in [
         (ListKind::Changes, vec![with(Readiness::Draining)]),
         (ListKind::Changes, vec![with(Readiness::Removed)]),
@@ -23,7 +26,10 @@
             to.extend(sends(&actions));
             to.extend(sends(&host.end(&id, 0, Outcome::Served, 20, 0.0)));
         }
-        assert!(to.len() > 5 && to.iter().all(|e| *e == EndpointId::from("e1")), "{kind:?} {to:?}");
+        assert!(
+            to.len() > 5 && to.iter().all(|e| *e == EndpointId::from("e1")),
+            "{kind:?} {to:?}"
+        );
     }
 }
 
@@ -33,7 +39,12 @@
     set.rules.drain_close = Some(ms(500));
     let mut host = Host::new(set, listings(1));
     let e0 = EndpointId::from("e0");
-    let with = |readiness| vec![EndpointEntry { readiness, ..listing("e0", "a", 0) }];
+    let with = |readiness| {
+        vec![EndpointEntry {
+            readiness,
+            ..listing("e0", "a", 0)
+        }]
+    };
     let (id, _) = host.request(0);
     assert_eq!(
         closes(&host.members(ListKind::Changes, with(Readiness::Draining))),
@@ -66,5 +77,8 @@
     assert_eq!(closes(&host.end(&id, 0, Outcome::Served, 5, 0.0)), []);
     // Where no time is stated, connections are left to the host.
     let mut host = Host::new(settings(), listings(1));
-    assert_eq!(closes(&host.members(ListKind::Changes, with(Readiness::Draining))), []);
+    assert_eq!(
+        closes(&host.members(ListKind::Changes, with(Readiness::Draining))),
+        []
+    );
 }
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -5,7 +5,11 @@
 
 fn ban(host: &mut Host, endpoint: &str, out: bool) -> Vec<Action> {
     let endpoint = endpoint.into();
-    host.tell(if out { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) })
+    host.tell(if out {
+        Event::EndpointDisabled(endpoint)
+    } else {
+        Event::EndpointEnabled(endpoint)
+    })
 }
 
 /// Guards the operators' word in picks: it holds whatever lists say, is not undone by half, and only for that one.
@@ -13,15 +17,32 @@
 fn an_endpoint_that_is_taken_out_gets_nothing_whatever_lists_say() {
     let mut host = Host::new(settings(), listings(3));
     assert!(got(&mut host, "e1", 60) > 0);
-    assert_eq!(closes(&ban(&mut host, "e1", true)), ["e1".into()], "its idle connections go");
+    assert_eq!(
+        closes(&ban(&mut host, "e1", true)),
+        ["e1".into()],
+        "its idle connections go"
+    );
     assert_eq!(got(&mut host, "e1", 60), 0);
     host.members(ListKind::Snapshot, listings(3));
-    let restarted = EndpointEntry { started_at: Some(at(0)), ..listing("e1", "a", 0) };
+    let restarted = EndpointEntry {
+        started_at: Some(at(0)),
+        ..listing("e1", "a", 0)
+    };
     host.members(ListKind::Changes, vec![restarted]);
     assert_eq!(got(&mut host, "e1", 60), 0);
-    host.members(ListKind::Snapshot, listings(3).into_iter().filter(|l| l.endpoint != "e1".into()).collect());
+    host.members(
+        ListKind::Snapshot,
+        listings(3)
+            .into_iter()
+            .filter(|l| l.endpoint != "e1".into())
+            .collect(),
+    );
     host.members(ListKind::Snapshot, listings(3));
-    assert_eq!(got(&mut host, "e1", 60), 0, "also where it was missing for a while");
+    assert_eq!(
+        got(&mut host, "e1", 60),
+        0,
+        "also where it was missing for a while"
+    );
     ban(&mut host, "e1", true);
     ban(&mut host, "e1", false);
     assert!(got(&mut host, "e1", 200) > 0, "one call back undoes both");
@@ -37,7 +58,10 @@
     ban(&mut host, "e1", true);
     let (id, actions) = host.request(0);
     assert_eq!(sends(&actions), ["e0".into()]);
-    assert!(sends(&host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0)).is_empty(), "no retry at e1");
+    assert!(
+        sends(&host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0)).is_empty(),
+        "no retry at e1"
+    );
     ban(&mut host, "e0", true);
     let (_, actions) = host.request(0);
     assert!(sends(&actions).is_empty(), "held");
@@ -64,7 +88,10 @@
             asked.extend(probed(&host.end(&id, 0, Outcome::Served, 10, 0.0)));
         }
     }
-    assert!(!asked.is_empty() && asked.iter().all(|e| *e != "e1".into()), "{asked:?}");
+    assert!(
+        !asked.is_empty() && asked.iter().all(|e| *e != "e1".into()),
+        "{asked:?}"
+    );
 }
 
 /// Guards an endpoint that comes back: it counts as cold though the list still tells of an old start, and it gets its
@@ -78,21 +105,33 @@
     ban(&mut host, "e1", false);
     assert!(got(&mut host, "e1", 20) > 0, "soon");
     let after = got(&mut host, "e1", 200);
-    assert!(after > 0 && after * 3 < before * 2, "{after} of 200, {before} when it was warm");
+    assert!(
+        after > 0 && after * 3 < before * 2,
+        "{after} of 200, {before} when it was warm"
+    );
     host.members(ListKind::Snapshot, listings(4));
     let later = got(&mut host, "e1", 200);
-    assert!(later * 5 < before * 6, "an old list does not make it warm: {later}, {before}");
+    assert!(
+        later * 5 < before * 6,
+        "an old list does not make it warm: {later}, {before}"
+    );
     // Not listed as serving when it is called back, it has its turn once it is.
     let mut host = Host::new(settings(), listings(4));
     got(&mut host, "e1", 40);
     ban(&mut host, "e1", true);
-    let gone = EndpointEntry { readiness: Readiness::Removed, ..listing("e1", "a", 0) };
+    let gone = EndpointEntry {
+        readiness: Readiness::Removed,
+        ..listing("e1", "a", 0)
+    };
     host.members(ListKind::Changes, vec![gone]);
     ban(&mut host, "e1", false);
     assert_eq!(got(&mut host, "e1", 20), 0);
     host.members(
         ListKind::Changes,
-        vec![EndpointEntry { started_at: Some(host.now), ..listing("e1", "a", 0) }],
+        vec![EndpointEntry {
+            started_at: Some(host.now),
+            ..listing("e1", "a", 0)
+        }],
     );
     assert!(got(&mut host, "e1", 60) > 0);
 }
@@ -105,7 +144,11 @@
         host.now = host.now + ms(20);
         let (id, actions) = host.request(0);
         // e1 is so much slower that it is left alone in the end.
-        let took = if sends(&actions) == ["e1".into()] { 100 } else { 10 };
+        let took = if sends(&actions) == ["e1".into()] {
+            100
+        } else {
+            10
+        };
         host.end(&id, 0, Outcome::Served, took, 0.0);
     }
     ban(&mut host, "e1", true);
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -26,12 +26,23 @@
         host.now = host.now + ms(10);
         let class = 1 - n % 2;
         let (id, actions) = host.request(class);
-        let Some(to) = sends(&actions).first().map(|e| e.0[1..].parse::<usize>().expect("a number")) else {
+        let Some(to) = sends(&actions)
+            .first()
+            .map(|e| e.0[1..].parse::<usize>().expect("a number"))
+        else {
             continue;
         };
         counts[1 - class] += usize::from(n >= 400 && to == 0);
-        due[to] += if class == 0 { 0.0 } else { [e0, others][to.min(1)] };
-        let (ends, took) = if due[to] >= 1.0 { (outcome, 1) } else { (Outcome::Served, 9) };
+        due[to] += if class == 0 {
+            0.0
+        } else {
+            [e0, others][to.min(1)]
+        };
+        let (ends, took) = if due[to] >= 1.0 {
+            (outcome, 1)
+        } else {
+            (Outcome::Served, 9)
+        };
         due[to] = f64::fract(due[to]);
         let retried = sends(&host.end(&id, 0, ends, took, 0.0)).len();
         (1..=retried).for_each(|attempt| drop(host.end(&id, attempt, Outcome::Served, 9, 0.0)));
@@ -44,15 +55,24 @@
 fn a_server_that_fails_one_class_fast_gets_the_others_and_hardly_any_of_it() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::ConnectFailed] {
         let [failed, served] = sent_to_e0(outcome, 1.0, 0.0);
-        assert!(failed <= 4, "{outcome:?}: {failed} of 200 calls to the one that fails them");
-        assert!(outcome != Outcome::Error || served > 30, "{served} of 200 calls of the class it serves");
+        assert!(
+            failed <= 4,
+            "{outcome:?}: {failed} of 200 calls to the one that fails them"
+        );
+        assert!(
+            outcome != Outcome::Error || served > 30,
+            "{served} of 200 calls of the class it serves"
+        );
     }
 }
 
 #[test]
 fn errors_that_all_endpoints_pass_up_single_out_none() {
     let [ours, _] = sent_to_e0(Outcome::Error, 0.5, 0.5);
-    assert!(ours > 15, "{ours} of 200: failing like the others, it gets its part");
+    assert!(
+        ours > 15,
+        "{ours} of 200: failing like the others, it gets its part"
+    );
 }
 
 #[test]
@@ -65,14 +85,23 @@
         // Nineteen of twenty calls may be repeated; the server fails all of these that it gets.
         let class = usize::from(n % 20 == 19);
         let (id, actions) = host.request(class);
-        let Some(to) = sends(&actions).first().cloned() else { continue };
+        let Some(to) = sends(&actions).first().cloned() else {
+            continue;
+        };
         risked += usize::from(n >= 100 && class == 1 && to == bad);
-        let outcome = if to == bad && class == 0 { Outcome::Error } else { Outcome::Served };
+        let outcome = if to == bad && class == 0 {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        };
         let retried = sends(&host.end(&id, 0, outcome, 9, 0.0)).len();
         (1..=retried).for_each(|attempt| drop(host.end(&id, attempt, Outcome::Served, 9, 0.0)));
         host.tell(Event::ClientDisconnected { request: id });
     }
-    assert_eq!(risked, 0, "calls that must not run twice went to the one that fails");
+    assert_eq!(
+        risked, 0,
+        "calls that must not run twice went to the one that fails"
+    );
 }
 
 /// Guards calls that must not run twice where some endpoints lose them, and them alone: each endpoint must not cost one to
@@ -86,7 +115,9 @@
         host.now = host.now + ms(40);
         let class = usize::from(n % 10 == 9);
         let (id, actions) = host.request(class);
-        let Some(to) = sends(&actions).first().cloned() else { continue };
+        let Some(to) = sends(&actions).first().cloned() else {
+            continue;
+        };
         if n >= 200 && class == 1 && bad(&to) {
             lost += 1;
             host.now = host.now + ms(1000);
@@ -98,6 +129,9 @@
         }
         host.end(&id, 0, Outcome::Served, 10, 0.0);
     }
-    assert!((1..=2).contains(&lost), "{lost} of 40 calls were lost to four of eight endpoints");
+    assert!(
+        (1..=2).contains(&lost),
+        "{lost} of 40 calls were lost to four of eight endpoints"
+    );
     assert_eq!(others.len(), 8, "{others:?}");
 }
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -25,10 +25,16 @@
     told(&mut host, 0.5); // between abatement (0.3) and onset (0.64) of the low level, from below
     assert!(is_sent(&mut host, 0), "still clear below onset");
     told(&mut host, 0.9); // past the low onset
-    assert!(!is_sent(&mut host, 0), "the low level is throttled right after a send");
+    assert!(
+        !is_sent(&mut host, 0),
+        "the low level is throttled right after a send"
+    );
     assert!(is_sent(&mut host, 1), "the high level is not");
     told(&mut host, 0.5); // below onset again, but not below abatement
-    assert!(!is_sent(&mut host, 0), "gapping holds until below abatement");
+    assert!(
+        !is_sent(&mut host, 0),
+        "gapping holds until below abatement"
+    );
     told(&mut host, 0.0);
     assert!(is_sent(&mut host, 0), "clear again");
 }
@@ -40,7 +46,10 @@
     told(&mut host, 0.9);
     assert!(!is_sent(&mut host, 0));
     host.now = host.now + ms(20_000);
-    assert!(is_sent(&mut host, 0), "one old report does not throttle for ever");
+    assert!(
+        is_sent(&mut host, 0),
+        "one old report does not throttle for ever"
+    );
     // A tier that is deep on the whole stays throttled for the least worthy, though single states lapse.
     for _ in 0..60 {
         told(&mut host, 0.9);
@@ -64,7 +73,11 @@
         if n >= 10 {
             assert_eq!(to, EndpointId::from("e2"), "the one that told of no queue");
         }
-        let depth = if to == EndpointId::from("e2") { 0.0 } else { 0.25 };
+        let depth = if to == EndpointId::from("e2") {
+            0.0
+        } else {
+            0.25
+        };
         host.end(&id, 0, Outcome::Served, 20, depth);
         last = Some(to);
     }
@@ -104,7 +117,11 @@
             host.now = host.now + ms(5);
             let (id, actions) = host.request(0);
             *sent += sends(&actions).len();
-            let report = LoadReport { depth: Some(0.0), utilisation: Some(busy), ..LoadReport::default() };
+            let report = LoadReport {
+                depth: Some(0.0),
+                utilisation: Some(busy),
+                ..LoadReport::default()
+            };
             host.tell(Event::AttemptEnded(AttemptEnd {
                 request: id.clone(),
                 attempt: 0,
@@ -116,5 +133,8 @@
             host.tell(Event::ClientDisconnected { request: id });
         }
     }
-    assert!(sent[0] == 200 && sent[1] < 100, "{sent:?} of 200 at half and at full use");
+    assert!(
+        sent[0] == 200 && sent[1] < 100,
+        "{sent:?} of 200 at half and at full use"
+    );
 }
--- a/tests/policy/probing.rs
+++ b/tests/policy/probing.rs
@@ -28,8 +28,16 @@
         host.tell(Event::ClientDisconnected { request: id });
         for endpoint in probed(&actions) {
             all.push(endpoint.clone());
-            let report = depth.map(|d| LoadReport { depth: Some(d), ..LoadReport::default() });
-            host.tell(Event::ProbeEnded { endpoint, outcome, took: ms(5), report });
+            let report = depth.map(|d| LoadReport {
+                depth: Some(d),
+                ..LoadReport::default()
+            });
+            host.tell(Event::ProbeEnded {
+                endpoint,
+                outcome,
+                took: ms(5),
+                report,
+            });
         }
     }
     all
@@ -40,20 +48,32 @@
     let mut host = probing(0.01);
     let asked = serve_and_answer(&mut host, 400, Outcome::Served, Some(0.0));
     let each: std::collections::BTreeSet<_> = asked.iter().collect();
-    assert!(each.len() == 4, "all of a small tier are asked, not {each:?}");
-    assert!(asked.len() <= 400, "{} probes for 400 requests", asked.len());
+    assert!(
+        each.len() == 4,
+        "all of a small tier are asked, not {each:?}"
+    );
+    assert!(
+        asked.len() <= 400,
+        "{} probes for 400 requests",
+        asked.len()
+    );
     assert!(is_sent(&mut host, 0), "all are told to be empty");
     // A deep queue, and a probe that met one, throttle the least worthy; without a word the state lapses.
-    for (outcome, depth) in
-        [(Outcome::Served, Some(2.0)), (Outcome::Rejected, None), (Outcome::TimedOut, None)]
-    {
+    for (outcome, depth) in [
+        (Outcome::Served, Some(2.0)),
+        (Outcome::Rejected, None),
+        (Outcome::TimedOut, None),
+    ] {
         let mut host = probing(0.01);
         serve_and_answer(&mut host, 400, outcome, depth);
         assert!(!is_sent(&mut host, 0), "{outcome:?} {depth:?}");
     }
     let mut host = probing(0.01);
     serve_and_answer(&mut host, 400, Outcome::Reset, None);
-    assert!(is_sent(&mut host, 0), "a probe that broke off tells of no queue");
+    assert!(
+        is_sent(&mut host, 0),
+        "a probe that broke off tells of no queue"
+    );
 }
 
 #[test]
@@ -63,7 +83,11 @@
     assert!(dear * 2 < cheap, "{dear} where dear, {cheap} where cheap");
     let mut set = two_levels();
     set.limits.probes = true;
-    assert_eq!(count(&mut Host::new(set.clone(), listings(4))), 0, "reports come with answers");
+    assert_eq!(
+        count(&mut Host::new(set.clone(), listings(4))),
+        0,
+        "reports come with answers"
+    );
     (set.limits.probes, set.reporting) = (false, Reporting::WithProbes);
     assert_eq!(count(&mut Host::new(set, listings(4))), 0, "forbidden");
 }
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -26,7 +26,9 @@
     let actions = host.end(&id, 0, outcome, elapsed, 0.0);
     let mut to = vec![first];
     to.extend(sends(&actions));
-    let last = actions.into_iter().find(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }));
+    let last = actions
+        .into_iter()
+        .find(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }));
     (to, last)
 }
 
@@ -47,23 +49,38 @@
         _ => ("b", 3),
     };
     for outcome in outcomes {
-        let unrun = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
+        let unrun = matches!(
+            outcome,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        );
         assert_eq!(outcome.proves_not_run(), unrun);
         let (to, last) = after(0, outcome, 100);
-        assert!(to.len() == 2 && last.is_none() && to[0] != to[1], "safe {outcome:?} {to:?} {last:?}");
+        assert!(
+            to.len() == 2 && last.is_none() && to[0] != to[1],
+            "safe {outcome:?} {to:?} {last:?}"
+        );
         let (to, last) = after(1, outcome, 100);
         if unrun {
             assert!(to.len() == 2 && last.is_none(), "unsafe {outcome:?}");
         } else {
-            assert!(to.len() == 1 && matches!(last, Some(Action::Fail { .. })), "unsafe {outcome:?}");
+            assert!(
+                to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
+                "unsafe {outcome:?}"
+            );
         }
         for (class, same) in [(3, 0), (4, 1)] {
             let (to, last) = after(class, outcome, 100);
             if let (Some(next), false) = (to.get(1), unrun) {
                 let (a, b) = (group(&to[0]), group(next));
-                assert!(a.0 == b.0 && (same == 0 || a.1 == b.1), "class {class} {outcome:?} {to:?}");
+                assert!(
+                    a.0 == b.0 && (same == 0 || a.1 == b.1),
+                    "class {class} {outcome:?} {to:?}"
+                );
             }
-            assert!(unrun || !matches!(last, Some(Action::Refuse { .. })), "class {class} {outcome:?}");
+            assert!(
+                unrun || !matches!(last, Some(Action::Refuse { .. })),
+                "class {class} {outcome:?}"
+            );
             // Past the window only the proven go again.
             let (to, last) = after(class, outcome, 400);
             assert!(
@@ -101,10 +118,18 @@
         [Action::Send { timeout, .. }, ..] => *timeout,
         other => panic!("{other:?}"),
     };
-    assert_eq!(timeout(settings(), 0), Some(ms(1000)), "the objective, as late answers earn nothing");
+    assert_eq!(
+        timeout(settings(), 0),
+        Some(ms(1000)),
+        "the objective, as late answers earn nothing"
+    );
     let mut late = settings();
     late.classes[1].late_share = 0.5;
-    assert_eq!(timeout(late, 1), None, "a late answer still earns half, up to the deadline");
+    assert_eq!(
+        timeout(late, 1),
+        None,
+        "a late answer still earns half, up to the deadline"
+    );
 }
 
 fn host_with(set: Settings) -> Host {
@@ -117,10 +142,12 @@
         let mut set = settings();
         set.limits.retry_after = permitted;
         let mut host = Host::new(set, Vec::new());
-        let refused = (0..12).flat_map(|_| host.request(0).1).find_map(|a| match a {
-            Action::Refuse { retry_after, .. } => Some(retry_after),
-            _ => None,
-        });
+        let refused = (0..12)
+            .flat_map(|_| host.request(0).1)
+            .find_map(|a| match a {
+                Action::Refuse { retry_after, .. } => Some(retry_after),
+                _ => None,
+            });
         assert_eq!(refused, Some(permitted.then_some(ms(2000))));
     }
 }
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -16,7 +16,11 @@
 }
 
 fn moment() -> impl Strategy<Value = Timestamp> {
-    prop_oneof![Just(Timestamp::default()), Just(Timestamp::from_nanos(u64::MAX)), (0..5000u64).prop_map(at),]
+    prop_oneof![
+        Just(Timestamp::default()),
+        Just(Timestamp::from_nanos(u64::MAX)),
+        (0..5000u64).prop_map(at),
+    ]
 }
 
 fn number() -> impl Strategy<Value = f64> {
@@ -46,8 +50,16 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let kind = prop_oneof![Just(ListKind::Snapshot), Just(ListKind::Cached), Just(ListKind::Changes)];
-    let ready = prop_oneof![Just(Readiness::Up), Just(Readiness::Draining), Just(Readiness::Removed)];
+    let kind = prop_oneof![
+        Just(ListKind::Snapshot),
+        Just(ListKind::Cached),
+        Just(ListKind::Changes)
+    ];
+    let ready = prop_oneof![
+        Just(Readiness::Up),
+        Just(Readiness::Draining),
+        Just(Readiness::Removed)
+    ];
     let entry = (name("e"), ready, number(), prop::option::of(moment())).prop_map(
         |(e, readiness, size, started_at)| EndpointEntry {
             readiness,
@@ -58,10 +70,25 @@
     );
     let outcome = (0..8usize).prop_map(|n| {
         use Outcome::*;
-        [Served, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent][n]
+        [
+            Served,
+            Error,
+            Rejected,
+            TimedOut,
+            ConnectFailed,
+            Reset,
+            Cancelled,
+            NotSent,
+        ][n]
     });
-    let call =
-        (name("r"), 0..9usize, prop::option::of(0..3usize), prop::option::of(name("k")), moment(), time());
+    let call = (
+        name("r"),
+        0..9usize,
+        prop::option::of(0..3usize),
+        prop::option::of(name("k")),
+        moment(),
+        time(),
+    );
     prop_oneof![
         2 => (kind, prop::collection::vec(entry, 0..5))
             .prop_map(|(kind, entries)| Event::EndpointList { version: 0, kind, entries: entries.into() }),
@@ -118,7 +145,13 @@
 }
 
 fn tenants(n: usize) -> Vec<Tenant> {
-    (0..n).map(|n| Tenant { name: format!("t{n}"), share: 0.0, quota_per_s: 0.0 }).collect()
+    (0..n)
+        .map(|n| Tenant {
+            name: format!("t{n}"),
+            share: 0.0,
+            quota_per_s: 0.0,
+        })
+        .collect()
 }
 
 #[test]
@@ -127,27 +160,38 @@
     config.rng_algorithm = RngAlgorithm::ChaCha;
     config.rng_seed = RngSeed::Fixed(20_261_128);
     config.failure_persistence = None;
-    let input = (any::<u64>(), prop::collection::vec((moment(), told()), 1..80));
+    let input = (
+        any::<u64>(),
+        prop::collection::vec((moment(), told()), 1..80),
+    );
     TestRunner::new(config)
         .run(&input, |(seed, events)| {
             let mut set = settings();
             (set.classes[1].by_arrival, set.classes[0].objective_stretch) = (true, 1e9);
             set.rules.order_pause = Some(ms(50));
             set.rules.drain_close = Some(ms(50));
-            set.discovery =
-                if seed.is_multiple_of(2) { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
+            set.discovery = if seed.is_multiple_of(2) {
+                DiscoveryMode::OnRequest
+            } else {
+                DiscoveryMode::Pushed
+            };
             set.tenants = tenants(1);
             let mut balancer = Balancer::new(set.clone(), seed).expect("settings that make sense");
             let mut out = Vec::new();
             for (now, told) in events {
                 match told {
                     Told::Event(event) => balancer.handle(now, event, &mut out),
-                    Told::Settings { classes, worth, tenants: n } => {
+                    Told::Settings {
+                        classes,
+                        worth,
+                        tenants: n,
+                    } => {
                         let mut set = set.clone();
                         set.classes.truncate(classes);
                         (set.classes[0].worth, set.tenants) = (worth, tenants(n));
-                        let ids =
-                            balancer.change_settings(now, set, &mut out).expect("settings that make sense");
+                        let ids = balancer
+                            .change_settings(now, set, &mut out)
+                            .expect("settings that make sense");
                         prop_assert_eq!(ids.len(), classes);
                     }
                 }
@@ -174,11 +218,27 @@
     let events = [
         Event::Request(unknown(99, None)),
         Event::Request(unknown(0, Some(TenantId(3)))),
-        Event::Request(Request { id: id.clone(), ..unknown(0, None) }),
-        Event::ClientDisconnected { request: "nobody".into() },
-        Event::StreamStarted { request: "nobody".into(), attempt: 0 },
-        Event::StreamStarted { request: id.clone(), attempt: 7 },
-        Event::ProbeEnded { endpoint: "nowhere".into(), outcome: Outcome::Served, took: ms(1), report: None },
+        Event::Request(Request {
+            id: id.clone(),
+            ..unknown(0, None)
+        }),
+        Event::ClientDisconnected {
+            request: "nobody".into(),
+        },
+        Event::StreamStarted {
+            request: "nobody".into(),
+            attempt: 0,
+        },
+        Event::StreamStarted {
+            request: id.clone(),
+            attempt: 7,
+        },
+        Event::ProbeEnded {
+            endpoint: "nowhere".into(),
+            outcome: Outcome::Served,
+            took: ms(1),
+            report: None,
+        },
     ];
     for event in events {
         let told = format!("{event:?}");
@@ -186,7 +246,11 @@
     }
     host.end(&id, 9, Outcome::Served, 5, 0.0);
     let actions = host.end(&id, 0, Outcome::ConnectFailed, 5, 0.0);
-    assert_eq!(sends(&actions).len() + answered(&actions, &id), 1, "still ours");
+    assert_eq!(
+        sends(&actions).len() + answered(&actions, &id),
+        1,
+        "still ours"
+    );
 }
 
 #[test]
@@ -198,11 +262,19 @@
         ("limits.max_attempts", |s| s.limits.max_attempts = 0),
         ("classes[1].worth", |s| s.classes[1].worth = f64::NAN),
         ("classes[0].late_share", |s| s.classes[0].late_share = 1.5),
-        ("classes[2].objective", |s| s.classes[2].objective = Duration::ZERO),
-        ("classes[2].deadline", |s| s.classes[2].deadline = Duration::MAX),
+        ("classes[2].objective", |s| {
+            s.classes[2].objective = Duration::ZERO
+        }),
+        ("classes[2].deadline", |s| {
+            s.classes[2].deadline = Duration::MAX
+        }),
         ("rules.cold_from", |s| s.rules.cold_from = -0.1),
-        ("rules.fall_multiple", |s| s.rules.fall_multiple = f64::INFINITY),
-        ("rules.drain_close", |s| s.rules.drain_close = Some(Duration::MAX)),
+        ("rules.fall_multiple", |s| {
+            s.rules.fall_multiple = f64::INFINITY
+        }),
+        ("rules.drain_close", |s| {
+            s.rules.drain_close = Some(Duration::MAX)
+        }),
         ("prices.cross_zone", |s| s.prices.cross_zone = f64::NAN),
         ("rules.ask_within", |s| {
             (s.discovery, s.rules.ask_within) = (DiscoveryMode::OnRequest, Duration::ZERO)
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -8,7 +8,10 @@
 fn retune(host: &mut Host, change: impl FnOnce(&mut Settings)) -> (Vec<ClassId>, Vec<Action>) {
     let (mut set, mut out) = (settings(), Vec::new());
     change(&mut set);
-    let ids = host.balancer.change_settings(host.now, set, &mut out).expect("settings that make sense");
+    let ids = host
+        .balancer
+        .change_settings(host.now, set, &mut out)
+        .expect("settings that make sense");
     (ids, out)
 }
 
@@ -20,15 +23,24 @@
     got(&mut host, "e0", 20);
     let (before, actions) = host.request(0);
     assert_eq!(sends(&actions).len(), 1);
-    let (ids, _) = retune(&mut host, |set| set.classes[0].idempotency = Idempotency::Unsafe);
-    assert_eq!(ids[1..], [1, 2, 3, 4].map(ClassId), "these are as they were");
+    let (ids, _) = retune(&mut host, |set| {
+        set.classes[0].idempotency = Idempotency::Unsafe
+    });
+    assert_eq!(
+        ids[1..],
+        [1, 2, 3, 4].map(ClassId),
+        "these are as they were"
+    );
     let again = host.end(&before, 0, Outcome::Reset, 5, 0.0);
     assert_eq!(sends(&again).len(), 1, "it came as one that may run again");
     let (after, actions) = host.request(ids[0].0);
     assert_eq!(sends(&actions).len(), 1);
     let failed = host.end(&after, 0, Outcome::Reset, 5, 0.0);
     assert!(sends(&failed).is_empty());
-    assert!(failed.contains(&Action::Fail { request: after }), "it may have run: no refusal");
+    assert!(
+        failed.contains(&Action::Fail { request: after }),
+        "it may have run: no refusal"
+    );
     let (back, _) = retune(&mut host, |_| {});
     assert_eq!(back[0], ClassId(0), "its old id, as nothing else has it");
 }
@@ -41,8 +53,10 @@
     let (worthy, _) = host.request(1);
     let (ids, out) = retune(&mut host, |set| {
         set.classes.truncate(1);
-        set.classes.push(class("new", 10.0, Idempotency::Idempotent));
-        set.classes.push(class("least", 0.5, Idempotency::Idempotent));
+        set.classes
+            .push(class("new", 10.0, Idempotency::Idempotent));
+        set.classes
+            .push(class("least", 0.5, Idempotency::Idempotent));
     });
     assert_eq!(answered(&out, &plain) + answered(&out, &worthy), 0);
     let (newest, _) = host.request(ids[1].0);
@@ -51,7 +65,11 @@
         host.now = host.now + ms(5);
         sent_to.extend(host.tell(Event::Timer { token: 0 }));
     }
-    assert_eq!(sent(&sent_to), [newest, worthy, plain], "the worthiest first, and all of them");
+    assert_eq!(
+        sent(&sent_to),
+        [newest, worthy, plain],
+        "the worthiest first, and all of them"
+    );
 }
 
 /// Guards the smaller number of attempts, from the swap on, also for requests under way.
@@ -80,7 +98,9 @@
     for change in changes {
         let mut set = settings();
         change(&mut set);
-        host.balancer.change_settings(host.now, set, &mut out).expect_err("senseless");
+        host.balancer
+            .change_settings(host.now, set, &mut out)
+            .expect_err("senseless");
         assert!(out.is_empty());
         assert!(got(&mut host, "e0", 30) > 0);
     }
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -22,8 +22,16 @@
 /// The files that the deploy file names under `policy`.
 fn deployed_policy_files() -> Vec<String> {
     let deploy = read(&root().join("deploy/balancer.toml"));
-    let policy = deploy.lines().find(|line| line.starts_with("policy")).expect("a policy line");
-    policy.split('"').skip(1).step_by(2).map(String::from).collect()
+    let policy = deploy
+        .lines()
+        .find(|line| line.starts_with("policy"))
+        .expect("a policy line");
+    policy
+        .split('"')
+        .skip(1)
+        .step_by(2)
+        .map(String::from)
+        .collect()
 }
 
 /// The text of each source file of the decision module, by its path from the root.
@@ -49,18 +57,34 @@
     let typed = definitions.filter_map(|(_, definition)| definition.split_once(": "));
     typed
         .filter(|(_, definition)| definition.contains(" = "))
-        .any(|(_, definition)| TUNABLE_TYPES.iter().any(|name| definition.starts_with(name)))
+        .any(|(_, definition)| {
+            TUNABLE_TYPES
+                .iter()
+                .any(|name| definition.starts_with(name))
+        })
 }
 
 /// The rows of the table of decisions in the module's documentation: the decision, and its files.
 fn documented_decisions() -> Vec<(String, Vec<String>)> {
     let text = read(&root().join(POLICY_FOLDER).join("mod.rs"));
-    let rows = text.lines().filter(|line| line.starts_with("//! |") && line.contains(".rs`"));
+    let rows = text
+        .lines()
+        .filter(|line| line.starts_with("//! |") && line.contains(".rs`"));
     rows.map(|row| {
         let mut columns = row.trim_start_matches("//! |").split('|');
         let decision = columns.next().expect("a decision").trim().to_owned();
-        let files = columns.next().expect("its files").split('`').skip(1).step_by(2);
-        (decision, files.map(|file| format!("{POLICY_FOLDER}/{file}")).collect())
+        let files = columns
+            .next()
+            .expect("its files")
+            .split('`')
+            .skip(1)
+            .step_by(2);
+        (
+            decision,
+            files
+                .map(|file| format!("{POLICY_FOLDER}/{file}"))
+                .collect(),
+        )
     })
     .collect()
 }
@@ -112,5 +136,8 @@
         }
     }
     let documented: BTreeSet<String> = owners.into_keys().collect();
-    assert_eq!(deployed, documented, "the deploy file and the module's table of decisions");
+    assert_eq!(
+        deployed, documented,
+        "the deploy file and the module's table of decisions"
+    );
 }
--- a/tests/sidecar/admin.rs
+++ b/tests/sidecar/admin.rs
@@ -27,7 +27,9 @@
     let (sidecar, discovery) = Sidecar::with_admin(&[]);
     assert!(!sidecar.says_yes("READY"));
     let endpoint = Endpoint::start(|_| ok(""));
-    discovery.next_watch().write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
+    discovery
+        .next_watch()
+        .write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
     awaits("it knows of an endpoint", || sidecar.says_yes("READY"));
 }
 
@@ -46,7 +48,11 @@
         _ => Does::Answers("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into()),
     });
     let (sidecar, _discovery) = Sidecar::with_admin(&[&endpoint]);
-    assert_eq!(sidecar.ended("completed", "keyed"), Some(0), "also before the first");
+    assert_eq!(
+        sidecar.ended("completed", "keyed"),
+        Some(0),
+        "also before the first"
+    );
     let mut client = sidecar.client();
     for _ in 0..3 {
         assert_eq!(client.ask(&get("5")).status(), 200);
@@ -62,12 +68,22 @@
     assert_eq!(sidecar.figure("upstream_requests"), Some(6));
     release.send(()).expect("the endpoint waits");
     assert_eq!(waits.read().expect("an answer").status(), 200);
-    let ended = |how| ["safe", "unsafe", "keyed"].map(|class| sidecar.ended(how, class).expect("a count"));
+    let ended =
+        |how| ["safe", "unsafe", "keyed"].map(|class| sidecar.ended(how, class).expect("a count"));
     assert_eq!(ended("completed"), [3, 0, 1]);
     assert_eq!(ended("rejected"), [0, 1, 0]);
     assert_eq!(ended("failed"), [0, 2, 0]);
-    let rest = ["pending", "members", "members_unavailable", "config_reloads", "config_reload_errors"];
-    assert_eq!(rest.map(|name| sidecar.figure(name)), [0, 1, 0, 0, 0].map(Some));
+    let rest = [
+        "pending",
+        "members",
+        "members_unavailable",
+        "config_reloads",
+        "config_reload_errors",
+    ];
+    assert_eq!(
+        rest.map(|name| sidecar.figure(name)),
+        [0, 1, 0, 0, 0].map(Some)
+    );
     awaits("the log tells the same", || {
         ["served", "refused", "failed"].map(|name| sidecar.counted(name)) == [4, 1, 2]
     });
@@ -111,7 +127,10 @@
         b"ENABLE\n",
     ] {
         let answer = sidecar.calls(bytes);
-        assert!(answer.starts_with("NO") && answer.lines().count() == 1, "{bytes:?}: {answer:?}");
+        assert!(
+            answer.starts_with("NO") && answer.lines().count() == 1,
+            "{bytes:?}: {answer:?}"
+        );
     }
     // So much may be cut off, with the answer, by the close.
     let mut stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
@@ -164,13 +183,23 @@
     let discovery = Discovery::start();
     let path = file(&config(discovery.address, &serving(&[&endpoint])).to_string());
     let mut named = command();
-    let sidecar = Sidecar::run(named.env("ROUTER_CONFIG", &path).env("ROUTER_ADMIN_ADDR", "127.0.0.1:0"));
+    let sidecar = Sidecar::run(
+        named
+            .env("ROUTER_CONFIG", &path)
+            .env("ROUTER_ADMIN_ADDR", "127.0.0.1:0"),
+    );
     assert!(sidecar.says_yes("READY"));
     for wrong in [sidecar.admin().to_string(), "nowhere".into()] {
-        let output = command().env("ROUTER_CONFIG", &path).env("ROUTER_ADMIN_ADDR", &wrong).output();
+        let output = command()
+            .env("ROUTER_CONFIG", &path)
+            .env("ROUTER_ADMIN_ADDR", &wrong)
+            .output();
         let output = output.expect("the program starts");
         let error = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && error.lines().count() == 1 && error.contains(&wrong), "{error}");
+        assert!(
+            !output.status.success() && error.lines().count() == 1 && error.contains(&wrong),
+            "{error}"
+        );
     }
     std::fs::remove_file(path).expect("the file goes");
 }
--- a/tests/sidecar/bans.rs
+++ b/tests/sidecar/bans.rs
@@ -29,19 +29,35 @@
     assert!(sidecar.says_yes("DISABLE e0"));
     endpoints[0].next_close();
     assert_eq!(saw(&sidecar, &endpoints[0], 30), 0);
-    assert_eq!(["members", "members_unavailable"].map(|f| sidecar.figure(f)), [Some(2), Some(1)]);
+    assert_eq!(
+        ["members", "members_unavailable"].map(|f| sidecar.figure(f)),
+        [Some(2), Some(1)]
+    );
     watch.write_line(&list(42, true, &serving(&[&endpoints[0], &endpoints[1]])));
     drop(watch);
-    assert!(discovery.next_watch().asked.contains("since=42 "), "the list is known");
+    assert!(
+        discovery.next_watch().asked.contains("since=42 "),
+        "the list is known"
+    );
     assert_eq!(saw(&sidecar, &endpoints[0], 30), 0);
     assert!(sidecar.says_yes("DISABLE e0"));
     assert!(sidecar.says_yes("ENABLE e0"));
     assert!(saw(&sidecar, &endpoints[0], 10) > 0, "it is looked for");
     assert_eq!(sidecar.figure("members_unavailable"), Some(0));
-    for call in ["DISABLE e9", "ENABLE e9", "DISABLE e0 e1", "DISABLE", "ENABLE  "] {
+    for call in [
+        "DISABLE e9",
+        "ENABLE e9",
+        "DISABLE e0 e1",
+        "DISABLE",
+        "ENABLE  ",
+    ] {
         assert!(!sidecar.says_yes(call), "{call}");
     }
-    assert_eq!(sidecar.figure("members_unavailable"), Some(0), "none of these did anything");
+    assert_eq!(
+        sidecar.figure("members_unavailable"),
+        Some(0),
+        "none of these did anything"
+    );
 }
 
 /// Guards readiness: with all taken out there is nowhere to send.
@@ -54,7 +70,12 @@
     assert_eq!(sidecar.client().ask(&get("5")).status(), 200);
 }
 
-fn start(folder: &Path, discovery: &Discovery, endpoints: &[&Endpoint], at: Option<&Sidecar>) -> Sidecar {
+fn start(
+    folder: &Path,
+    discovery: &Discovery,
+    endpoints: &[&Endpoint],
+    at: Option<&Sidecar>,
+) -> Sidecar {
     let mut config = with_admin(config(discovery.address, &serving(endpoints)));
     config["listen"] = json!(at.map_or("127.0.0.1:0".into(), |s| s.address.to_string()));
     Sidecar::start_in(folder, &config)
@@ -71,11 +92,19 @@
     assert!(before.says_yes("DISABLE e0"));
     let next = start(&folder, &discovery, &all, Some(&before));
     awaits("it is ready", || next.says_yes("READY"));
-    assert_eq!(next.figure("members_unavailable"), Some(1), "from the start");
+    assert_eq!(
+        next.figure("members_unavailable"),
+        Some(1),
+        "from the start"
+    );
     assert!(before.says_yes("DISABLE e1"));
-    awaits("the newer one follows", || next.figure("members_unavailable") == Some(2));
+    awaits("the newer one follows", || {
+        next.figure("members_unavailable") == Some(2)
+    });
     assert!(next.says_yes("ENABLE e0"));
-    awaits("the older one follows", || before.figure("members_unavailable") == Some(1));
+    awaits("the older one follows", || {
+        before.figure("members_unavailable") == Some(1)
+    });
     before.terminate();
     assert!(before.wait().success());
     assert_eq!(saw(&next, &endpoints[1], 30), 0);
@@ -103,7 +132,11 @@
     let out = |sidecar: &Sidecar| sidecar.figure("members_unavailable");
     for (n, told) in [&first, &second, &third].into_iter().enumerate() {
         assert!(told.says_yes(&format!("DISABLE e{n}")));
-        let follow = || [&first, &second, &third].into_iter().all(|s| out(s) == Some(n as u64 + 1));
+        let follow = || {
+            [&first, &second, &third]
+                .into_iter()
+                .all(|s| out(s) == Some(n as u64 + 1))
+        };
         awaits("all follow", follow);
     }
     drop(first);
@@ -112,7 +145,13 @@
     awaits("the third follows", || out(&third) == Some(2));
     drop(third);
     second.awaits_log("callers are let in here again");
-    assert_eq!(second.client().ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    assert_eq!(
+        second
+            .client()
+            .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status(),
+        200
+    );
     std::fs::remove_dir_all(folder).expect("it goes");
 }
 
@@ -121,12 +160,19 @@
 fn a_spoilt_file_of_what_is_taken_out_is_ignored() {
     let (folder, discovery) = (folder(), Discovery::start());
     let endpoint = Endpoint::start(|_| ok(""));
-    for text in [&b""[..], b"[\"e0", b"{\"e0\":true}", b"\xff\xfe", &vec![b'['; 3 << 20]] {
+    for text in [
+        &b""[..],
+        b"[\"e0",
+        b"{\"e0\":true}",
+        b"\xff\xfe",
+        &vec![b'['; 3 << 20],
+    ] {
         std::fs::write(folder.join("pipittray.disabled"), text).expect("a file");
         let sidecar = start(&folder, &discovery, &[&endpoint], None);
         assert!(sidecar.says_yes("READY"));
         assert!(sidecar.says_yes("DISABLE e0") && sidecar.says_yes("ENABLE e0"));
-        let kept = std::fs::read_to_string(folder.join("pipittray.disabled")).expect("it is written anew");
+        let kept =
+            std::fs::read_to_string(folder.join("pipittray.disabled")).expect("it is written anew");
         assert_eq!(kept, "[]");
     }
     std::fs::remove_dir_all(folder).expect("it goes");
--- a/tests/sidecar/bulk.rs
+++ b/tests/sidecar/bulk.rs
@@ -57,7 +57,10 @@
 
 fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let lines = head.lines().filter_map(|l| l.split_once(": "));
-    lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v).next()
+    lines
+        .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+        .map(|(_, v)| v)
+        .next()
 }
 
 /// Reads a body that is framed as the head says; none where it breaks off.
@@ -93,9 +96,15 @@
 /// A sidecar over endpoints at these addresses.
 fn over(addresses: &[SocketAddr]) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
-    let known: Vec<_> =
-        addresses.iter().enumerate().map(|(n, a)| entry(&format!("e{n}"), *a, "SERVING")).collect();
-    (Sidecar::start(&with_admin(config(discovery.address, &known))), discovery)
+    let known: Vec<_> = addresses
+        .iter()
+        .enumerate()
+        .map(|(n, a)| entry(&format!("e{n}"), *a, "SERVING"))
+        .collect();
+    (
+        Sidecar::start(&with_admin(config(discovery.address, &known))),
+        discovery,
+    )
 }
 
 fn connect(sidecar: &Sidecar) -> Stream {
@@ -119,7 +128,10 @@
 /// The head of a request with a body.
 fn head(class: &str, framing: &str) -> String {
     let bare = post(class, "15", "");
-    bare.replace("Content-Length: 0", &format!("Idempotency-Key: k\r\n{framing}"))
+    bare.replace(
+        "Content-Length: 0",
+        &format!("Idempotency-Key: k\r\n{framing}"),
+    )
 }
 
 /// Guards large answers in each framing: they come unchanged, and their beginning before their end is there.
@@ -135,7 +147,9 @@
             .find(|f| head.contains(f))
             .expect("the request says which");
         let line = match framing {
-            "content-length" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", given.len()),
+            "content-length" => {
+                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", given.len())
+            }
             "chunked" => "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into(),
             _ => "HTTP/1.1 200 OK\r\n\r\n".into(),
         };
@@ -143,7 +157,11 @@
         let (first, rest) = given.split_at(MB);
         for (n, part) in [first, rest].into_iter().enumerate() {
             if n == 1 {
-                released.lock().expect("the only one").recv().expect("the test goes on");
+                released
+                    .lock()
+                    .expect("the only one")
+                    .recv()
+                    .expect("the test goes on");
             }
             match framing {
                 "chunked" => send(stream, &chunk(part)),
@@ -152,22 +170,44 @@
         }
         match framing {
             "chunked" => send(stream, b"0\r\nX-Sum: 1\r\n\r\n"),
-            "close" => stream.get_mut().shutdown(Shutdown::Both).expect("it is open"),
+            "close" => stream
+                .get_mut()
+                .shutdown(Shutdown::Both)
+                .expect("it is open"),
             _ => {}
         }
     });
     let (sidecar, _discovery) = over(&[endpoint.address]);
     let mut client = connect(&sidecar);
-    for (n, framing) in ["content-length", "chunked", "close", "content-length"].into_iter().enumerate() {
-        send(&mut client, get("15").replace("/api", &format!("/api?{framing}")).as_bytes());
+    for (n, framing) in ["content-length", "chunked", "close", "content-length"]
+        .into_iter()
+        .enumerate()
+    {
+        send(
+            &mut client,
+            get("15")
+                .replace("/api", &format!("/api?{framing}"))
+                .as_bytes(),
+        );
         let head = read_head(&mut client).expect("the beginning, before the end is there");
         assert_eq!(status(&head), "200");
         assert_eq!(sidecar.figure("pending"), Some(1), "it has not ended");
         release.send(()).expect("the endpoint waits");
-        assert!(read_body(&head, &mut client).expect("all of it") == **body, "{framing}");
-        awaits("it is served", || sidecar.ended("completed", "safe") == Some(n as u64 + 1));
+        assert!(
+            read_body(&head, &mut client).expect("all of it") == **body,
+            "{framing}"
+        );
+        awaits("it is served", || {
+            sidecar.ended("completed", "safe") == Some(n as u64 + 1)
+        });
     }
-    assert_eq!((sidecar.figure("pending"), sidecar.figure("upstream_requests")), (Some(0), Some(4)));
+    assert_eq!(
+        (
+            sidecar.figure("pending"),
+            sidecar.figure("upstream_requests")
+        ),
+        (Some(0), Some(4))
+    );
 }
 
 /// Guards memory: many large answers at once, read by nobody for a while, wait at the endpoints and not here.
@@ -192,7 +232,13 @@
         let head = read_head(client).expect("the beginning");
         assert_eq!(status(&head), "200");
     }
-    assert_eq!(sidecar.client().ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    assert_eq!(
+        sidecar
+            .client()
+            .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status(),
+        200
+    );
     let held = sidecar.memory_kb() - before;
     assert!(held < 16 << 10, "{held} kB for 256 MB");
     let mut piece = vec![0; MB];
@@ -201,7 +247,9 @@
             client.read_exact(&mut piece).expect("the rest");
         }
     }
-    awaits("all are served", || sidecar.ended("completed", "safe") == Some(8));
+    awaits("all are served", || {
+        sidecar.ended("completed", "safe") == Some(8)
+    });
 }
 
 /// Guards large requests in each framing: they come unchanged, their beginning before their end is there, and count as
@@ -212,7 +260,15 @@
     let wanted = body.clone();
     let endpoint = Raw::start(move |head, stream| {
         let same = read_body(head, stream).is_some_and(|body| body == *wanted);
-        send(stream, if same { OK } else { "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" }.as_bytes());
+        send(
+            stream,
+            if same {
+                OK
+            } else {
+                "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
+            }
+            .as_bytes(),
+        );
     });
     let (sidecar, _discovery) = over(&[endpoint.address]);
     for (n, chunked) in [false, true, false].into_iter().enumerate() {
@@ -224,12 +280,26 @@
         };
         send(&mut client, head("keyed", &framing).as_bytes());
         let (first, rest) = body.split_at(MB);
-        send(&mut client, &if chunked { chunk(first) } else { first.into() });
+        send(
+            &mut client,
+            &if chunked { chunk(first) } else { first.into() },
+        );
         let begun = endpoint.next_head();
-        assert_eq!(header(&begun, "content-length").is_none(), chunked, "{begun}");
-        assert_eq!(sidecar.figure("upstream_requests"), Some(n as u64), "it is not whole");
+        assert_eq!(
+            header(&begun, "content-length").is_none(),
+            chunked,
+            "{begun}"
+        );
+        assert_eq!(
+            sidecar.figure("upstream_requests"),
+            Some(n as u64),
+            "it is not whole"
+        );
         assert_eq!(sidecar.figure("pending"), Some(0), "nor has it come");
-        send(&mut client, &if chunked { chunk(rest) } else { rest.into() });
+        send(
+            &mut client,
+            &if chunked { chunk(rest) } else { rest.into() },
+        );
         if chunked {
             send(&mut client, b"0\r\nX-Sum: 1\r\n\r\n");
         }
@@ -260,7 +330,11 @@
         let mut client = connect(&sidecar);
         send(
             &mut client,
-            head("keyed", &format!("Expect: 100-continue\r\nContent-Length: {length}")).as_bytes(),
+            head(
+                "keyed",
+                &format!("Expect: 100-continue\r\nContent-Length: {length}"),
+            )
+            .as_bytes(),
         );
         assert_eq!(status(&read_head(&mut client).expect("the word")), "100");
         send(&mut client, &pattern(length));
@@ -282,12 +356,23 @@
         });
         let (sidecar, _discovery) = over(&[endpoints[0].address, endpoints[1].address]);
         let mut client = connect(&sidecar);
-        send(&mut client, head(class, &format!("Content-Length: {}", 8 * MB)).as_bytes());
+        send(
+            &mut client,
+            head(class, &format!("Content-Length: {}", 8 * MB)).as_bytes(),
+        );
         // What it does not read any more may break off.
         let _ = client.get_mut().write_all(&pattern(8 * MB));
-        assert_eq!(status(&read_head(&mut client).expect("an answer")), "503", "{class}");
+        assert_eq!(
+            status(&read_head(&mut client).expect("an answer")),
+            "503",
+            "{class}"
+        );
         let attempts: usize = endpoints.iter().map(|e| e.heads.try_iter().count()).sum();
-        assert_eq!((attempts, sidecar.figure("upstream_requests")), (1, Some(0)), "{class}");
+        assert_eq!(
+            (attempts, sidecar.figure("upstream_requests")),
+            (1, Some(0)),
+            "{class}"
+        );
         assert_eq!(sidecar.ended("rejected", class), Some(1));
     }
 }
@@ -298,17 +383,31 @@
 fn a_large_request_that_has_not_gone_on_is_sent_elsewhere() {
     let endpoint = Raw::start(|head, stream| {
         let whole = read_body(head, stream).is_some_and(|body| body == pattern(body.len()));
-        send(stream, if whole { OK } else { "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" }.as_bytes());
+        send(
+            stream,
+            if whole {
+                OK
+            } else {
+                "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
+            }
+            .as_bytes(),
+        );
     });
     let taken = TcpStream::connect(endpoint.address).expect("a connection");
     let dead = taken.local_addr().expect("an address"); // that nobody listens on
     let (sidecar, _discovery) = over(&[dead, endpoint.address]);
     for _ in 0..12 {
         let mut client = connect(&sidecar);
-        send(&mut client, head("keyed", &format!("Content-Length: {MB}")).as_bytes());
+        send(
+            &mut client,
+            head("keyed", &format!("Content-Length: {MB}")).as_bytes(),
+        );
         send(&mut client, &pattern(MB));
         let answer = status(&read_head(&mut client).expect("an answer")).to_string();
-        assert!(answer == "200" || answer == "503", "refused where the module grants no retry: {answer}");
+        assert!(
+            answer == "200" || answer == "503",
+            "refused where the module grants no retry: {answer}"
+        );
     }
     assert!(sidecar.ended("completed", "keyed").is_some_and(|n| n >= 6));
 }
@@ -321,21 +420,41 @@
     let tell = Mutex::new(tell);
     let endpoint = Raw::start(move |head, stream| {
         let body = read_body(head, stream);
-        tell.lock().expect("the only one").send(body.is_some()).expect("the test runs");
+        tell.lock()
+            .expect("the only one")
+            .send(body.is_some())
+            .expect("the test runs");
     });
     let (sidecar, _discovery) = over(&[endpoint.address]);
     let mut client = connect(&sidecar);
-    send(&mut client, head("unsafe", "Content-Length: 62914560").as_bytes());
-    assert_eq!(status(&read_head(&mut client).expect("an answer, unread")), "413");
+    send(
+        &mut client,
+        head("unsafe", "Content-Length: 62914560").as_bytes(),
+    );
+    assert_eq!(
+        status(&read_head(&mut client).expect("an answer, unread")),
+        "413"
+    );
     let mut client = connect(&sidecar);
-    send(&mut client, head("unsafe", "Transfer-Encoding: chunked").as_bytes());
+    send(
+        &mut client,
+        head("unsafe", "Transfer-Encoding: chunked").as_bytes(),
+    );
     let piece = chunk(&vec![b'x'; MB]);
     let mut other = client.get_ref().try_clone().expect("its other half");
-    let writes = thread::spawn(move || (0..60).take_while(|_| other.write_all(&piece).is_ok()).count());
+    let writes = thread::spawn(move || {
+        (0..60)
+            .take_while(|_| other.write_all(&piece).is_ok())
+            .count()
+    });
     assert_eq!(status(&read_head(&mut client).expect("an answer")), "413");
     drop(client);
     writes.join().expect("it ends");
-    assert!(!whole.recv_timeout(LONG).expect("the endpoint saw the beginning"));
+    assert!(
+        !whole
+            .recv_timeout(LONG)
+            .expect("the endpoint saw the beginning")
+    );
     assert_eq!(sidecar.figure("upstream_requests"), Some(0));
 }
 
@@ -347,10 +466,16 @@
     let tell = Mutex::new(tell);
     let endpoint = Raw::start(move |head, stream| {
         let body = read_body(head, stream);
-        tell.lock().expect("the only one").send(body.is_some()).expect("the test runs");
+        tell.lock()
+            .expect("the only one")
+            .send(body.is_some())
+            .expect("the test runs");
     });
     let (sidecar, _discovery) = over(&[endpoint.address]);
-    let ended = || ends.recv_timeout(LONG).expect("the endpoint's connection ends");
+    let ended = || {
+        ends.recv_timeout(LONG)
+            .expect("the endpoint's connection ends")
+    };
     let begin = |framing: &str, body: &[u8]| {
         let mut client = connect(&sidecar);
         send(&mut client, head("keyed", framing).as_bytes());
@@ -382,11 +507,22 @@
     let wanted = body.clone();
     let endpoint = Raw::start(move |head, stream| {
         let same = read_body(head, stream).is_some_and(|body| body == *wanted);
-        send(stream, if same { OK } else { "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" }.as_bytes());
+        send(
+            stream,
+            if same {
+                OK
+            } else {
+                "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
+            }
+            .as_bytes(),
+        );
     });
     let (sidecar, _discovery) = over(&[endpoint.address]);
     let mut client = connect(&sidecar);
-    send(&mut client, head("keyed", &format!("Content-Length: {}", body.len())).as_bytes());
+    send(
+        &mut client,
+        head("keyed", &format!("Content-Length: {}", body.len())).as_bytes(),
+    );
     for piece in body.chunks(6_400) {
         send(&mut client, piece);
         thread::sleep(Duration::from_millis(100));
@@ -401,9 +537,19 @@
     for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
         let endpoints = [0, 1].map(|_| {
             Raw::start(move |_, stream| {
-                send(stream, format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").as_bytes());
+                send(
+                    stream,
+                    format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").as_bytes(),
+                );
                 let part = pattern(MB);
-                send(stream, &if framing.starts_with('T') { chunk(&part) } else { part });
+                send(
+                    stream,
+                    &if framing.starts_with('T') {
+                        chunk(&part)
+                    } else {
+                        part
+                    },
+                );
                 let _ = stream.get_mut().shutdown(Shutdown::Both);
             })
         });
@@ -413,8 +559,16 @@
         let head = read_head(&mut client).expect("the beginning");
         assert_eq!(status(&head), "200");
         assert_eq!(read_body(&head, &mut client), None, "{framing}");
-        awaits("it is counted", || sidecar.ended("failed", "safe") == Some(1));
-        assert_eq!(endpoints.iter().map(|e| e.heads.try_iter().count()).sum::<usize>(), 1);
+        awaits("it is counted", || {
+            sidecar.ended("failed", "safe") == Some(1)
+        });
+        assert_eq!(
+            endpoints
+                .iter()
+                .map(|e| e.heads.try_iter().count())
+                .sum::<usize>(),
+            1
+        );
         assert_eq!(sidecar.figure("pending"), Some(0));
     }
 }
@@ -425,13 +579,19 @@
     let body = Arc::new(pattern(50_000));
     let given = body.clone();
     let endpoint = Raw::start(move |_, stream| {
-        send(stream, format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", given.len()).as_bytes());
+        send(
+            stream,
+            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", given.len()).as_bytes(),
+        );
         for piece in given.chunks(10_000) {
             send(stream, piece);
         }
     });
     let discovery = Discovery::start();
-    let mut config = with_admin(config(discovery.address, &[entry("e0", endpoint.address, "SERVING")]));
+    let mut config = with_admin(config(
+        discovery.address,
+        &[entry("e0", endpoint.address, "SERVING")],
+    ));
     config["limits"]["memory_mb"] = serde_json::json!(0);
     let sidecar = Sidecar::start(&config);
     let mut client = connect(&sidecar);
@@ -441,5 +601,7 @@
         assert_eq!(status(&head), "200");
         assert!(read_body(&head, &mut client).expect("all of it") == **body);
     }
-    awaits("they are served", || sidecar.ended("completed", "safe") == Some(3));
+    awaits("they are served", || {
+        sidecar.ended("completed", "safe") == Some(3)
+    });
 }
