--- a/lab/src/sidecar/hollow/member.rs
+++ b/lab/src/sidecar/hollow/member.rs
@@ -1,26 +1,24 @@
 //! One hollow sidecar: a decision module with its open calls, attempts and timers, and the only place that calls it.
 
-use super::attempts::{self, Attempt, AttemptOwner, Ending, Probe};
-use super::calls::{self, Callee, NextAttempt, OpenCalls};
+mod actions;
+mod discovery;
+
+use super::attempts::{AttemptOwner, Ending, Probe};
+use super::calls::{Callee, OpenCalls};
 use super::clock::Clock;
 use super::fleet_state::FleetState;
 use super::plan::MemberPlan;
 use super::task::Task;
-use pipittray::discovery::{
-    self, DiscoveryError, EndpointList, ListConsumer, Membership, OlderList, Source,
-};
+use pipittray::discovery::{Membership, Source};
 use pipittray::policy::*;
 use rand::{RngExt, SeedableRng};
 use rand_distr::Exp1;
 use rand_pcg::Pcg64;
 use std::cell::{RefCell, RefMut};
 use std::collections::VecDeque;
-use std::fmt;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::task::spawn_local;
-use tokio::time::sleep_until;
 
 /// Parts the seeds of a sidecar's starts from each other.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -181,26 +179,6 @@
             member.actions = actions;
         }
     }
-
-    fn learn(&self, list: EndpointList, kind: ListKind) {
-        let mut member = self.borrow();
-        let entries = member.membership.update(&list, kind).entries.into();
-        let Identity { place, start } = member.identity;
-        let milestones = &member.fleet.milestones[place];
-        milestones.has_version(start, list.index);
-        let is_ready = member.membership.serving().next().is_some();
-        milestones.is_ready(start, is_ready);
-        if is_ready && !member.has_callers {
-            member.has_callers = true;
-            spawn_local(calls::arrivals(self.clone()));
-        }
-        drop(member);
-        self.tell(Event::EndpointList {
-            version: list.index,
-            kind,
-            entries,
-        });
-    }
 }
 
 impl Callee for MemberHandle {
@@ -266,78 +244,6 @@
     }
 }
 
-impl ListConsumer for MemberHandle {
-    fn held_version(&self, source: Source) -> Option<u64> {
-        let member = self.borrow();
-        member
-            .membership
-            .version()
-            .filter(|_| source == member.source)
-    }
-
-    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
-        let mut member = self.borrow();
-        if source == member.source {
-            member.membership.accept(&mut list)?;
-            member.watch_before = None;
-        } else if member.membership.version().is_some() {
-            return Ok(()); // the present one has spoken
-        }
-        drop(member);
-        let kind = if list.snapshot {
-            ListKind::Snapshot
-        } else {
-            ListKind::Changes
-        };
-        self.learn(list, kind);
-        Ok(())
-    }
-
-    /// That is no less than word that nothing has changed, which may not come before the first change.
-    fn watch_opened(&self, source: Source) {
-        let member = self.borrow();
-        member.fleet.milestones[member.identity.place]
-            .watches(member.identity.start, source.generation);
-        drop(member);
-        if let Some(version) = self.held_version(source) {
-            self.tell(Event::EndpointList {
-                version,
-                kind: ListKind::Changes,
-                entries: Arc::from([]),
-            });
-        }
-    }
-
-    /// That of a discovery that is no longer asked was to be.
-    fn discovery_failed(&self, source: Source) {
-        let mut member = self.borrow();
-        if source == member.source {
-            member.watch = None;
-            drop(member);
-            self.tell(Event::DiscoveryFailed);
-        }
-    }
-
-    fn jitter_seed(&self) -> u64 {
-        self.borrow().seed
-    }
-
-    fn log(&self, line: fmt::Arguments<'_>) {
-        tracing::debug!(place = self.borrow().identity.place, "{line}");
-    }
-
-    fn watch_ended(&self, source: Source, _failure: &DiscoveryError) {
-        let member = self.borrow();
-        member.fleet.counters.discovery_failure();
-        member.fleet.milestones[member.identity.place]
-            .lost_watch(member.identity.start, source.generation);
-    }
-
-    fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {
-        self.borrow().fleet.counters.discovery_failure();
-    }
-}
-
 impl Member {
     /// When an endpoint last started; none where it is not listed. Answers in memory have no addresses, so an endpoint that
     /// starts at another's address does not replace it here.
@@ -363,132 +269,6 @@
             write: self.settings.classes[class].idempotency != Idempotency::Idempotent,
         }
     }
-
-    fn carry_out(&mut self, handle: &MemberHandle, action: Action) {
-        match action {
-            Action::Send {
-                request,
-                endpoint,
-                timeout,
-            } => self.send(handle, request, endpoint, timeout),
-            Action::Cancel { request, attempt } => self.abandon(&request, attempt),
-            Action::Refuse { request, .. } | Action::Fail { request } => self.not_served(&request),
-            Action::SetTimer { at, token } => self.set_timer(handle, at, token),
-            // An agent that pushes is followed unasked.
-            Action::Subscribe(_) if self.settings.discovery == DiscoveryMode::Pushed => {}
-            Action::Subscribe(false) => self.end_watch(),
-            Action::Subscribe(true) => {
-                // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if self.watch.as_ref().is_none_or(Task::is_over) {
-                    self.begin_watch(handle);
-                }
-            }
-            Action::FetchList => drop(spawn_local(discovery::fetch(handle.clone(), self.source))),
-            Action::Probe { endpoint } => self.probe(handle, endpoint),
-            Action::Log(text) => tracing::debug!(place = self.identity.place, "{text}"),
-            // There are no connections, and no peers.
-            Action::CloseIdleConnections { .. } | Action::SendPeerMessage { .. } => {}
-        }
-    }
-
-    fn set_timer(&self, handle: &MemberHandle, at: Timestamp, token: u64) {
-        let (handle, due) = (handle.clone(), self.clock.instant(at));
-        spawn_local(async move {
-            sleep_until(due).await;
-            handle.tell(Event::Timer { token });
-        });
-    }
-
-    fn begin_watch(&mut self, handle: &MemberHandle) {
-        let (consumer, source) = (handle.clone(), self.source);
-        self.watch = Some(match self.settings.discovery {
-            DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
-            DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
-                consumer,
-                source,
-                self.membership.version(),
-            )),
-        });
-    }
-
-    fn end_watch(&mut self) {
-        self.watch = None;
-        let Identity { place, start } = self.identity;
-        self.fleet.milestones[place].lost_watch(start, self.source.generation);
-    }
-
-    fn send(
-        &mut self,
-        handle: &MemberHandle,
-        request: RequestId,
-        endpoint: EndpointId,
-        timeout: Option<Duration>,
-    ) {
-        let now = self.clock.now();
-        let Some(next) = self.calls.next_attempt(&request) else {
-            return;
-        };
-        if next.call_is_answered || self.membership.get(&endpoint).is_none() {
-            self.calls.begin_attempt(&request, now, None);
-            self.events.push_back(unsent(request, next));
-            return;
-        }
-        self.fleet.counters.attempt();
-        let until = timeout.map_or(next.deadline, |timeout| next.deadline.min(now + timeout));
-        let unit_time: f64 = self.random.sample(Exp1);
-        let attempt = Attempt {
-            request: request.clone(),
-            number: next.number,
-            endpoint: self.fleet.endpoints.get(&endpoint),
-            until: self.clock.instant(until),
-            connect_timeout: self.settings.limits.connect_timeout,
-            service_time: self.fleet.load.mean_service_time.mul_f64(unit_time),
-            reporting: self.settings.reporting,
-        };
-        let task = Task::spawn(attempts::attempt(
-            handle.clone(),
-            self.fleet.clone(),
-            attempt,
-        ));
-        self.calls.begin_attempt(&request, now, Some(task));
-    }
-
-    fn abandon(&mut self, request: &RequestId, attempt: AttemptNumber) {
-        let Some(ended) = self.calls.end_attempt(request, attempt, false) else {
-            return;
-        };
-        self.events.push_back(Event::AttemptEnded(AttemptEnd {
-            request: request.clone(),
-            attempt,
-            outcome: Outcome::Cancelled,
-            took: self.clock.now().since(ended.sent),
-            request_ended: ended.call_is_answered,
-            report: None,
-        }));
-        self.calls.forget_if_over(request);
-    }
-
-    fn not_served(&mut self, request: &RequestId) {
-        if self.calls.answer(request) {
-            self.fleet.counters.not_served(1);
-            self.calls.forget_if_over(request);
-        }
-    }
-
-    fn probe(&mut self, handle: &MemberHandle, endpoint: EndpointId) {
-        let Some(started_at) = self.started_at(&endpoint) else {
-            return;
-        };
-        self.fleet.counters.probe();
-        let probe = Probe {
-            simulated: self.fleet.endpoints.get(&endpoint),
-            endpoint,
-            started_at,
-            connect_timeout: self.settings.limits.connect_timeout,
-            reporting: self.settings.reporting,
-        };
-        spawn_local(attempts::probe(handle.clone(), probe));
-    }
 }
 
 impl Drop for Member {
@@ -497,15 +277,3 @@
         self.fleet.counters.not_served(self.calls.unanswered());
     }
 }
-
-/// The end of an attempt that has nowhere to go, or comes too late.
-fn unsent(request: RequestId, attempt: NextAttempt) -> Event {
-    Event::AttemptEnded(AttemptEnd {
-        request,
-        attempt: attempt.number,
-        outcome: Outcome::NotSent,
-        took: Duration::ZERO,
-        request_ended: attempt.call_is_answered,
-        report: None,
-    })
-}
--- /dev/null
+++ b/lab/src/sidecar/hollow/member/actions.rs
@@ -0,0 +1,144 @@
+//! What the decision module has a hollow sidecar do.
+
+use super::super::attempts::{self, Attempt, Probe};
+use super::super::calls::NextAttempt;
+use super::super::task::Task;
+use super::{Member, MemberHandle};
+use pipittray::discovery;
+use pipittray::policy::{
+    Action, AttemptEnd, AttemptNumber, DiscoveryMode, EndpointId, Event, Outcome, RequestId,
+    Timestamp,
+};
+use rand::RngExt;
+use rand_distr::Exp1;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::sleep_until;
+
+impl Member {
+    /// Does what one action says. What comes of it at once is put with the events to be told.
+    pub(super) fn carry_out(&mut self, handle: &MemberHandle, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+            } => self.send(handle, request, endpoint, timeout),
+            Action::Cancel { request, attempt } => self.abandon(&request, attempt),
+            Action::Refuse { request, .. } | Action::Fail { request } => self.not_served(&request),
+            Action::SetTimer { at, token } => self.set_timer(handle, at, token),
+            // An agent that pushes is followed unasked.
+            Action::Subscribe(_) if self.settings.discovery == DiscoveryMode::Pushed => {}
+            Action::Subscribe(false) => self.end_watch(),
+            Action::Subscribe(true) => {
+                // A reload may have asked already; a second watch would cost discovery a call for nothing.
+                if self.watch.as_ref().is_none_or(Task::is_over) {
+                    self.begin_watch(handle);
+                }
+            }
+            Action::FetchList => drop(spawn_local(discovery::fetch(handle.clone(), self.source))),
+            Action::Probe { endpoint } => self.probe(handle, endpoint),
+            Action::Log(text) => tracing::debug!(place = self.identity.place, "{text}"),
+            // There are no connections, and no peers.
+            Action::CloseIdleConnections { .. } | Action::SendPeerMessage { .. } => {}
+        }
+    }
+
+    /// Has a timer event come at a time.
+    fn set_timer(&self, handle: &MemberHandle, at: Timestamp, token: u64) {
+        let (handle, due) = (handle.clone(), self.clock.instant(at));
+        spawn_local(async move {
+            sleep_until(due).await;
+            handle.tell(Event::Timer { token });
+        });
+    }
+
+    /// Begins an attempt, unless its call is answered or its endpoint is gone.
+    fn send(
+        &mut self,
+        handle: &MemberHandle,
+        request: RequestId,
+        endpoint: EndpointId,
+        timeout: Option<Duration>,
+    ) {
+        let now = self.clock.now();
+        let Some(next) = self.calls.next_attempt(&request) else {
+            return;
+        };
+        if next.call_is_answered || self.membership.get(&endpoint).is_none() {
+            self.calls.begin_attempt(&request, now, None);
+            self.events.push_back(unsent(request, next));
+            return;
+        }
+        self.fleet.counters.attempt();
+        let until = timeout.map_or(next.deadline, |timeout| next.deadline.min(now + timeout));
+        let unit_time: f64 = self.random.sample(Exp1);
+        let attempt = Attempt {
+            request: request.clone(),
+            number: next.number,
+            endpoint: self.fleet.endpoints.get(&endpoint),
+            until: self.clock.instant(until),
+            connect_timeout: self.settings.limits.connect_timeout,
+            service_time: self.fleet.load.mean_service_time.mul_f64(unit_time),
+            reporting: self.settings.reporting,
+        };
+        let task = Task::spawn(attempts::attempt(
+            handle.clone(),
+            self.fleet.clone(),
+            attempt,
+        ));
+        self.calls.begin_attempt(&request, now, Some(task));
+    }
+
+    /// Ends an attempt whose answer is no longer wanted.
+    fn abandon(&mut self, request: &RequestId, attempt: AttemptNumber) {
+        let Some(ended) = self.calls.end_attempt(request, attempt, false) else {
+            return;
+        };
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request: request.clone(),
+            attempt,
+            outcome: Outcome::Cancelled,
+            took: self.clock.now().since(ended.sent),
+            request_ended: ended.call_is_answered,
+            report: None,
+        }));
+        self.calls.forget_if_over(request);
+    }
+
+    /// Answers a call without having served it, unless it is answered.
+    fn not_served(&mut self, request: &RequestId) {
+        if self.calls.answer(request) {
+            self.fleet.counters.not_served(1);
+            self.calls.forget_if_over(request);
+        }
+    }
+
+    /// Probes an endpoint, if it is listed.
+    fn probe(&mut self, handle: &MemberHandle, endpoint: EndpointId) {
+        let Some(started_at) = self.started_at(&endpoint) else {
+            return;
+        };
+        self.fleet.counters.probe();
+        let probe = Probe {
+            simulated: self.fleet.endpoints.get(&endpoint),
+            endpoint,
+            started_at,
+            connect_timeout: self.settings.limits.connect_timeout,
+            reporting: self.settings.reporting,
+        };
+        spawn_local(attempts::probe(handle.clone(), probe));
+    }
+}
+
+/// The end of an attempt that has nowhere to go, or comes too late.
+fn unsent(request: RequestId, attempt: NextAttempt) -> Event {
+    Event::AttemptEnded(AttemptEnd {
+        request,
+        attempt: attempt.number,
+        outcome: Outcome::NotSent,
+        took: Duration::ZERO,
+        request_ended: attempt.call_is_answered,
+        report: None,
+    })
+}
