--- a/lab/tests/discovery.rs
+++ b/lab/tests/discovery.rs
@@ -1,20 +1,17 @@
 //! The discovery service over real sockets: lists, watches, its capacity, outages and silences.
 
+#[path = "support/discovery_client.rs"]
+mod discovery_client;
+
+use discovery_client::{Caller, LIST, LONGEST_WAIT, told, zones};
 use hyper::body::Incoming;
 use pipittray_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
-use pipittray_lab::topology::ZoneName;
 use serde_json::Value;
-use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
+use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest that a test waits for anything.
-const LONGEST_WAIT: Duration = Duration::from_secs(20);
-/// How long a connection is watched that must stay quiet.
-const QUIET: Duration = Duration::from_millis(50);
-const LIST: &str = "/v1/endpoints";
-
 fn options() -> DiscoveryOptions {
     DiscoveryOptions {
         calls_per_second: 10_000.0,
@@ -24,10 +21,6 @@
     }
 }
 
-fn zones() -> Vec<ZoneName> {
-    vec!["r1-z1".into(), "r1-z2".into()]
-}
-
 fn entry(name: &str, status: EndpointStatus) -> EndpointEntry {
     EndpointEntry {
         name: name.into(),
@@ -57,122 +50,6 @@
     }
 }
 
-/// A caller on a connection of its own.
-struct Caller {
-    stream: BufReader<TcpStream>,
-    bytes_read: u64,
-}
-
-impl Caller {
-    fn connect(server: &DiscoveryServer, zone: usize) -> Self {
-        let stream = TcpStream::connect(server.address(&zones()[zone])).unwrap();
-        stream.set_read_timeout(Some(LONGEST_WAIT)).unwrap();
-        Caller {
-            stream: BufReader::new(stream),
-            bytes_read: 0,
-        }
-    }
-
-    fn send(&mut self, request: &str) {
-        self.stream.get_mut().write_all(request.as_bytes()).unwrap();
-    }
-
-    fn get(&mut self, target: &str) {
-        self.send(&format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n"));
-    }
-
-    /// A watch whose head has been read.
-    fn watch(server: &DiscoveryServer, zone: usize, query: &str) -> Self {
-        let mut caller = Caller::connect(server, zone);
-        caller.get(&format!("{LIST}?follow=1{query}"));
-        let (status, head) = caller.head();
-        assert_eq!(status, 200);
-        assert!(head.contains("Transfer-Encoding: chunked"), "{head}");
-        caller
-    }
-
-    fn line(&mut self) -> String {
-        let mut line = String::new();
-        self.bytes_read += self.stream.read_line(&mut line).unwrap() as u64;
-        assert!(line.ends_with("\r\n"), "{line:?}");
-        line
-    }
-
-    fn read(&mut self, length: usize) -> String {
-        let mut bytes = vec![0; length];
-        self.stream.read_exact(&mut bytes).unwrap();
-        self.bytes_read += length as u64;
-        String::from_utf8(bytes).unwrap()
-    }
-
-    /// The status and the lines of an answer's head.
-    fn head(&mut self) -> (u16, String) {
-        let mut head = self.line();
-        while !head.ends_with("\r\n\r\n") {
-            head += &self.line();
-        }
-        (head["HTTP/1.1 ".len()..][..3].parse().unwrap(), head)
-    }
-
-    /// The status and the body of an answer with a length.
-    fn answer(&mut self) -> (u16, String) {
-        let (status, head) = self.head();
-        let (_, length) = head.split_once("Content-Length: ").unwrap();
-        let (length, _) = length.split_once("\r\n").unwrap();
-        (status, self.read(length.parse().unwrap()))
-    }
-
-    /// One chunk, which is one line.
-    fn chunk(&mut self) -> String {
-        let length = usize::from_str_radix(self.line().trim_end(), 16).unwrap();
-        let mut chunk = self.read(length + "\r\n".len());
-        assert!(chunk.ends_with("\n\r\n"), "{chunk:?}");
-        chunk.truncate(length - "\n".len());
-        assert!(!chunk.contains('\n'), "{chunk:?}");
-        chunk
-    }
-
-    fn message(&mut self) -> String {
-        told(&self.chunk())
-    }
-
-    /// How the connection ended.
-    fn ending(&mut self) -> io::Result<usize> {
-        self.stream.read(&mut [0; 256])
-    }
-
-    fn assert_is_quiet(&mut self) {
-        self.stream.get_mut().set_read_timeout(Some(QUIET)).unwrap();
-        assert_eq!(self.ending().unwrap_err().kind(), ErrorKind::WouldBlock);
-        self.stream
-            .get_mut()
-            .set_read_timeout(Some(LONGEST_WAIT))
-            .unwrap();
-    }
-
-    fn assert_is_reset(&mut self) {
-        assert_eq!(
-            self.ending().unwrap_err().kind(),
-            ErrorKind::ConnectionReset
-        );
-    }
-}
-
-/// One object as its version, `list` or `changes`, and names with statuses.
-fn told(text: &str) -> String {
-    let message: Value = serde_json::from_str(text).unwrap();
-    let kind = if message["snapshot"].as_bool().unwrap() {
-        "list"
-    } else {
-        "changes"
-    };
-    let entries = message["endpoints"].as_array().unwrap().iter();
-    let entries = entries
-        .map(|entry| format!(" {}={}", entry["name"], entry["status"]))
-        .collect::<String>();
-    format!("{} {kind}{entries}", message["index"]).replace('"', "")
-}
-
 #[test]
 fn the_whole_list_has_the_published_form() {
     let server = start(options());
