--- a/lab/tests/endpoint.rs
+++ b/lab/tests/endpoint.rs
@@ -1,19 +1,20 @@
 //! Endpoints over real loopback connections: answers, queues, probes, stops, silence and calls to the next tier.
 
+#[path = "support/http_connection.rs"]
+mod http_connection;
+
+use http_connection::{Connection, Message, PATIENCE, get, probe};
 use pipittray_lab::endpoint::{
     ColdRamp, EndpointHandle, EndpointHost, EndpointOptions, EndpointUsage, ServiceTime,
 };
 use std::collections::HashSet;
-use std::io::{self, Read, Write};
+use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
 const SEED: u64 = 7;
 
-/// After this a test fails that waits.
-const PATIENCE: Duration = Duration::from_secs(10);
-
 /// Work that does not end within a test.
 const ENDLESS: ServiceTime = ServiceTime::Fixed {
     milliseconds: 3_600_000.0,
@@ -52,90 +53,6 @@
     }
 }
 
-/// A request or an answer: its first line's words, its headers and its body.
-struct Message {
-    first_line: Vec<String>,
-    headers: Vec<(String, String)>,
-    body: Vec<u8>,
-}
-
-impl Message {
-    fn status(&self) -> &str {
-        &self.first_line[1]
-    }
-
-    fn header(&self, name: &str) -> Option<&str> {
-        self.headers
-            .iter()
-            .find(|(key, _)| key.eq_ignore_ascii_case(name))
-            .map(|(_, value)| value.as_str())
-    }
-}
-
-struct Connection(TcpStream);
-
-impl Connection {
-    fn open(address: SocketAddr) -> Self {
-        Self::new(TcpStream::connect(address).unwrap())
-    }
-
-    fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Connection(stream)
-    }
-
-    fn send(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).unwrap();
-    }
-
-    fn receive(&mut self) -> io::Result<Message> {
-        let mut head = Vec::new();
-        while !head.ends_with(b"\r\n\r\n") {
-            let mut byte = [0];
-            self.0.read_exact(&mut byte)?;
-            head.push(byte[0]);
-        }
-        let head = String::from_utf8(head).unwrap();
-        let mut lines = head.trim_end().split("\r\n");
-        let first_line = lines
-            .next()
-            .unwrap()
-            .split(' ')
-            .map(str::to_owned)
-            .collect();
-        let headers = lines.map(|line| line.split_once(": ").unwrap());
-        let headers = headers
-            .map(|(name, value)| (name.to_owned(), value.to_owned()))
-            .collect();
-        let mut message = Message {
-            first_line,
-            headers,
-            body: Vec::new(),
-        };
-        let length = message
-            .header("content-length")
-            .map_or(0, |length| length.parse().unwrap());
-        message.body.resize(length, 0);
-        self.0.read_exact(&mut message.body)?;
-        Ok(message)
-    }
-
-    fn call(&mut self, text: &str) -> Message {
-        self.send(text);
-        self.receive().unwrap()
-    }
-}
-
-fn get(id: &str) -> String {
-    format!(
-        "GET /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: browse\r\nX-Deadline: 5.000\r\n\r\n"
-    )
-}
-
-fn probe(address: SocketAddr, path: &str) -> Message {
-    Connection::open(address).call(&format!("GET {path} HTTP/1.1\r\n\r\n"))
-}
-
 fn load(endpoint: &EndpointHandle) -> String {
     String::from_utf8(probe(endpoint.entry().address, "/status/load").body).unwrap()
 }
--- /dev/null
+++ b/lab/tests/support/http_connection.rs
@@ -0,0 +1,107 @@
+//! Plain HTTP/1.1 connections and messages, for tests that speak to endpoints or stand in for a sidecar.
+
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+/// After this a test fails that waits.
+pub const PATIENCE: Duration = Duration::from_secs(10);
+
+/// A request or an answer: its first line's words, its headers and its body.
+pub struct Message {
+    /// The first line, split at its spaces.
+    pub first_line: Vec<String>,
+    headers: Vec<(String, String)>,
+    /// The body, empty if there is none.
+    pub body: Vec<u8>,
+}
+
+impl Message {
+    /// An answer's status.
+    pub fn status(&self) -> &str {
+        &self.first_line[1]
+    }
+
+    /// The value of a header; case makes no difference to its name.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers
+            .iter()
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
+    }
+}
+
+/// One end of a connection, which sends text as it is and reads whole messages.
+pub struct Connection(TcpStream);
+
+impl Connection {
+    /// Connects to an address.
+    pub fn open(address: SocketAddr) -> Self {
+        Self::new(TcpStream::connect(address).unwrap())
+    }
+
+    /// Takes over a stream, with a limit to how long it is read from.
+    pub fn new(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        Connection(stream)
+    }
+
+    /// Sends text as it is.
+    pub fn send(&mut self, text: &str) {
+        self.0.write_all(text.as_bytes()).unwrap();
+    }
+
+    /// Reads the next message.
+    ///
+    /// # Errors
+    /// The connection ended, or nothing came for [`PATIENCE`].
+    pub fn receive(&mut self) -> io::Result<Message> {
+        let mut head = Vec::new();
+        while !head.ends_with(b"\r\n\r\n") {
+            let mut byte = [0];
+            self.0.read_exact(&mut byte)?;
+            head.push(byte[0]);
+        }
+        let head = String::from_utf8(head).unwrap();
+        let mut lines = head.trim_end().split("\r\n");
+        let first_line = lines
+            .next()
+            .unwrap()
+            .split(' ')
+            .map(str::to_owned)
+            .collect();
+        let headers = lines.map(|line| line.split_once(": ").unwrap());
+        let headers = headers
+            .map(|(name, value)| (name.to_owned(), value.to_owned()))
+            .collect();
+        let mut message = Message {
+            first_line,
+            headers,
+            body: Vec::new(),
+        };
+        let length = message
+            .header("content-length")
+            .map_or(0, |length| length.parse().unwrap());
+        message.body.resize(length, 0);
+        self.0.read_exact(&mut message.body)?;
+        Ok(message)
+    }
+
+    /// Sends a request and reads its answer.
+    pub fn call(&mut self, text: &str) -> Message {
+        self.send(text);
+        self.receive().unwrap()
+    }
+}
+
+/// A request with an id.
+pub fn get(id: &str) -> String {
+    format!(
+        "GET /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: browse\r\nX-Deadline: 5.000\r\n\r\n"
+    )
+}
+
+/// Asks for a path on a connection of its own.
+pub fn probe(address: SocketAddr, path: &str) -> Message {
+    Connection::open(address).call(&format!("GET {path} HTTP/1.1\r\n\r\n"))
+}
