--- a/tests/sidecar/bulk.rs
+++ b/tests/sidecar/bulk.rs
@@ -1,9 +1,10 @@
 //! Bodies too large to be kept: they go on as they come, both ways, and hold up neither memory nor anybody else.
 
+use crate::stubs::raw_http::*;
 use crate::stubs::*;
-use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::{Receiver, channel};
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
@@ -11,129 +12,6 @@
 const MB: usize = 1 << 20;
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// An endpoint that does with each connection as the test says, once the head of a request has come.
-struct Raw {
-    address: SocketAddr,
-    /// Heads of requests, as they come.
-    heads: Receiver<String>,
-}
-
-type Stream = BufReader<TcpStream>;
-
-impl Raw {
-    fn start(does: impl Fn(&str, &mut Stream) + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (tell, heads) = channel();
-        let does = Arc::new(does);
-        thread::spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                let (tell, does) = (tell.clone(), does.clone());
-                stream.set_read_timeout(Some(LONG)).expect("a time-out");
-                thread::spawn(move || {
-                    let mut stream = BufReader::new(stream);
-                    while let Some(head) = read_head(&mut stream) {
-                        let _ = tell.send(head.clone());
-                        does(&head, &mut stream);
-                    }
-                });
-            }
-        });
-        Raw { address, heads }
-    }
-
-    fn next_head(&self) -> String {
-        self.heads.recv_timeout(LONG).expect("a request comes")
-    }
-}
-
-fn read_head(stream: &mut Stream) -> Option<String> {
-    let mut head = String::new();
-    while !head.ends_with("\r\n\r\n") {
-        stream.read_line(&mut head).ok().filter(|n| *n > 0)?;
-    }
-    Some(head)
-}
-
-fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
-    let lines = head.lines().filter_map(|l| l.split_once(": "));
-    lines
-        .filter(|(n, _)| n.eq_ignore_ascii_case(name))
-        .map(|(_, v)| v)
-        .next()
-}
-
-/// Reads a body that is framed as the head says; none where it breaks off.
-fn read_body(head: &str, stream: &mut Stream) -> Option<Vec<u8>> {
-    let mut body = Vec::new();
-    if let Some(length) = header(head, "content-length") {
-        body.resize(length.parse().expect("a length"), 0);
-        stream.read_exact(&mut body).ok()?;
-    } else if header(head, "transfer-encoding") == Some("chunked") {
-        loop {
-            let mut line = String::new();
-            stream.read_line(&mut line).ok().filter(|n| *n > 0)?;
-            let size = usize::from_str_radix(line.trim(), 16).expect("a size");
-            let mut chunk = vec![0; size + 2];
-            stream.read_exact(&mut chunk).ok()?;
-            if size == 0 {
-                return Some(body);
-            }
-            body.extend_from_slice(&chunk[..size]);
-        }
-    }
-    Some(body)
-}
-
-/// Bytes in which nothing can be left out, doubled or moved unseen.
-fn pattern(length: usize) -> Vec<u8> {
-    (0..length.div_ceil(4))
-        .flat_map(|n| (n as u32).wrapping_mul(2_654_435_761).to_le_bytes())
-        .take(length)
-        .collect()
-}
-
-/// A sidecar over endpoints at these addresses.
-fn over(addresses: &[SocketAddr]) -> (Sidecar, Discovery) {
-    let discovery = Discovery::start();
-    let known: Vec<_> = addresses
-        .iter()
-        .enumerate()
-        .map(|(n, a)| entry(&format!("e{n}"), *a, "SERVING"))
-        .collect();
-    (
-        Sidecar::start(&with_admin(config(discovery.address, &known))),
-        discovery,
-    )
-}
-
-fn connect(sidecar: &Sidecar) -> Stream {
-    let stream = TcpStream::connect(sidecar.address).expect("it accepts");
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
-    BufReader::new(stream)
-}
-
-fn send(stream: &mut Stream, bytes: &[u8]) {
-    stream.get_mut().write_all(bytes).expect("it is open");
-}
-
-fn status(head: &str) -> &str {
-    head.split(' ').nth(1).expect("a status line")
-}
-
-fn chunk(bytes: &[u8]) -> Vec<u8> {
-    [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
-}
-
-/// The head of a request with a body.
-fn head(class: &str, framing: &str) -> String {
-    let bare = post(class, "15", "");
-    bare.replace(
-        "Content-Length: 0",
-        &format!("Idempotency-Key: k\r\n{framing}"),
-    )
-}
-
 /// Guards large answers in each framing: they come unchanged, and their beginning before their end is there.
 #[test]
 fn large_answers_pass_unchanged_as_they_come() {
--- a/tests/sidecar/stubs/mod.rs
+++ b/tests/sidecar/stubs/mod.rs
@@ -5,6 +5,7 @@
 mod endpoint;
 mod message;
 mod program;
+pub mod raw_http;
 mod scripted;
 
 pub use caller::*;
