--- /dev/null
+++ b/tests/sidecar/cancellation_support/holding.rs
@@ -0,0 +1,76 @@
+//! A sidecar that holds requests until the test lists an endpoint.
+
+use crate::stubs::*;
+use serde_json::{Value, json};
+
+/// One that knows of no endpoint, so that all is held, and what makes it send.
+pub struct Holds {
+    pub sidecar: Sidecar,
+    pub endpoint: Endpoint,
+    watch: Watch,
+    discovery: Discovery,
+}
+
+impl Holds {
+    /// Starts the sidecar after this change to its configuration.
+    pub fn with(change: impl FnOnce(&mut Value)) -> Self {
+        Self::start(change, Sidecar::start)
+    }
+
+    /// The same, with a sidecar that `start` makes from the configuration.
+    pub fn start(change: impl FnOnce(&mut Value), start: impl FnOnce(&Value) -> Sidecar) -> Self {
+        let discovery = Discovery::start();
+        let mut config = with_admin(config(discovery.address, &[]));
+        config["settings"]["categories"]
+            .as_array_mut()
+            .expect("a list")
+            .iter_mut()
+            .for_each(|class| {
+                class["objectiveNs"] = json!(60_000_000_000u64);
+                class["hardLimitNs"] = json!(60_000_000_000u64);
+            });
+        change(&mut config);
+        let sidecar = start(&config);
+        let watch = discovery.next_watch();
+        Holds {
+            sidecar,
+            endpoint: Endpoint::start(|_| ok("x")),
+            watch,
+            discovery,
+        }
+    }
+
+    /// Waits until something is so; discovery shows that it is there meanwhile.
+    pub fn awaits(&mut self, what: &str, is_so: impl Fn(&Sidecar) -> bool) {
+        awaits(what, || {
+            self.watch.says(&self.discovery, "");
+            is_so(&self.sidecar)
+        });
+    }
+
+    /// Has discovery write a line to the sidecar.
+    pub fn says(&mut self, line: &str) {
+        self.watch.says(&self.discovery, line);
+    }
+
+    /// Waits until so many requests are pending.
+    pub fn has_pending(&mut self, n: usize) {
+        self.awaits(&format!("{n} are pending"), |sidecar| {
+            sidecar.figure("pending") == Some(n as u64)
+        });
+    }
+
+    /// Lists the endpoint, so that what is held is sent there.
+    pub fn lets_go(&mut self) {
+        self.says(&list(42, false, &serving(&[&self.endpoint])));
+    }
+
+    /// What the endpoint has seen of the ids of these requests, when all are answered.
+    pub fn saw(&self) -> Vec<String> {
+        self.endpoint
+            .messages()
+            .iter()
+            .filter_map(|m| m.header("x-request-id").map(String::from))
+            .collect()
+    }
+}
--- /dev/null
+++ b/tests/sidecar/cancellation_support/late.rs
@@ -0,0 +1,65 @@
+//! An endpoint that accepts connections late.
+
+use crate::stubs::*;
+use serde_json::Value;
+use std::io::Read;
+use std::net::{TcpListener, TcpStream};
+use std::time::Duration;
+
+/// An endpoint whose connections come up late: its backlog is full until the test takes from it.
+pub struct Late {
+    listener: TcpListener,
+    fillers: Vec<TcpStream>,
+}
+
+impl Late {
+    /// Listens on a free port, and fills the backlog.
+    pub fn start() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
+        let fillers = std::iter::from_fn(|| fill().ok()).collect();
+        listener.set_nonblocking(true).expect("an option");
+        Late { listener, fillers }
+    }
+
+    /// Its entry in a list of discovery.
+    pub fn entry(&self) -> Value {
+        entry(
+            "late",
+            self.listener.local_addr().expect("an address"),
+            "SERVING",
+        )
+    }
+
+    /// A connection of the sidecar's, if one has come up.
+    pub fn now(&self) -> Option<TcpStream> {
+        let ours = |peer| {
+            self.fillers
+                .iter()
+                .any(|f| f.local_addr().expect("an address") == peer)
+        };
+        while let Ok((stream, peer)) = self.listener.accept() {
+            if !ours(peer) {
+                stream.set_nonblocking(false).expect("an option");
+                stream.set_read_timeout(Some(LONG)).expect("a time-out");
+                return Some(stream);
+            }
+        }
+        None
+    }
+
+    /// What is written on the next connection of the sidecar's on which something is.
+    pub fn next_written(&self) -> String {
+        let mut written = String::new();
+        awaits("something is written", || {
+            let mut bytes = [0; 4096];
+            let n = self
+                .now()
+                .map_or(0, |mut stream| stream.read(&mut bytes).unwrap_or(0));
+            written = String::from_utf8_lossy(&bytes[..n]).to_lowercase();
+            !written.is_empty()
+        });
+        written
+    }
+}
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -4,7 +4,7 @@
 //! of a throttled endpoint, closes that arrive together with the request, and callers that die in an earlier tier. Each
 //! test has a second request in the same place whose client stays: that one is served, so that the wait was over.
 
-use crate::leaving::{CHANGES, Holds, Late, Waits, changes, id};
+use crate::cancellation_support::{CHANGES, Holds, Late, Waits, changes, id};
 use crate::stubs::*;
 use serde_json::{Value, json};
 use socket2::SockRef;
--- a/tests/sidecar/leaving.rs
+++ b/tests/sidecar/leaving.rs
@@ -1,148 +1,13 @@
 //! Clients that leave while their request waits: it is not sent on, wherever it waits, and those beside it are served.
 
+use crate::cancellation_support::{Behind, CHANGES, Holds, Late, Leaves, WAYS, Waits, changes, id};
 use crate::stubs::*;
 use serde_json::{Value, json};
-use socket2::SockRef;
-use std::io::{Read, Write};
-use std::net::{TcpListener, TcpStream};
-use std::path::Path;
+use std::io::Read;
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// How a client leaves, and what it has written behind its request by then.
-#[derive(Clone, Copy, Debug)]
-pub enum Leaves {
-    ByItsEnd(Behind),
-    ByReset(Behind),
-}
-
-#[derive(Clone, Copy, Debug)]
-pub enum Behind {
-    Nothing,
-    HalfAHead,
-    AWholeRequest,
-    MoreThanIsRead,
-}
-
-pub const WAYS: [Leaves; 8] = [
-    Leaves::ByItsEnd(Behind::Nothing),
-    Leaves::ByItsEnd(Behind::HalfAHead),
-    Leaves::ByItsEnd(Behind::AWholeRequest),
-    Leaves::ByItsEnd(Behind::MoreThanIsRead),
-    Leaves::ByReset(Behind::Nothing),
-    Leaves::ByReset(Behind::HalfAHead),
-    Leaves::ByReset(Behind::AWholeRequest),
-    Leaves::ByReset(Behind::MoreThanIsRead),
-];
-
-/// A client whose request, or what there is of it, is written.
-pub struct Waits(pub TcpStream);
-
-impl Waits {
-    pub fn with(sidecar: &Sidecar, request: &str) -> Self {
-        let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        stream.write_all(request.as_bytes()).expect("it is written");
-        Waits(stream)
-    }
-
-    pub fn leaves(mut self, how: Leaves) {
-        let (Leaves::ByItsEnd(behind) | Leaves::ByReset(behind)) = how;
-        let text = match behind {
-            Behind::Nothing => String::new(),
-            Behind::HalfAHead => "GET /api HTTP/1.1\r\nX-Ha".into(),
-            Behind::AWholeRequest => get("10"),
-            Behind::MoreThanIsRead => get("10").repeat(400),
-        };
-        self.0.write_all(text.as_bytes()).expect("it is open");
-        if let Leaves::ByReset(_) = how {
-            // What was written goes first, so that it may stand unread.
-            std::thread::sleep(Duration::from_millis(20));
-            SockRef::from(&self.0)
-                .set_linger(Some(Duration::ZERO))
-                .expect("an option");
-        }
-    }
-
-    pub fn is_served(&mut self) -> bool {
-        let mut start = [0; 13];
-        self.0.read_exact(&mut start).is_ok() && &start == b"HTTP/1.1 200 "
-    }
-}
-
-/// One that knows of no endpoint, so that all is held, and what makes it send.
-pub struct Holds {
-    pub sidecar: Sidecar,
-    pub endpoint: Endpoint,
-    watch: Watch,
-    discovery: Discovery,
-}
-
-impl Holds {
-    pub fn with(change: impl FnOnce(&mut Value)) -> Self {
-        Self::start(change, Sidecar::start)
-    }
-
-    pub fn start(change: impl FnOnce(&mut Value), start: impl FnOnce(&Value) -> Sidecar) -> Self {
-        let discovery = Discovery::start();
-        let mut config = with_admin(config(discovery.address, &[]));
-        config["settings"]["categories"]
-            .as_array_mut()
-            .expect("a list")
-            .iter_mut()
-            .for_each(|class| {
-                class["objectiveNs"] = json!(60_000_000_000u64);
-                class["hardLimitNs"] = json!(60_000_000_000u64);
-            });
-        change(&mut config);
-        let sidecar = start(&config);
-        let watch = discovery.next_watch();
-        Holds {
-            sidecar,
-            endpoint: Endpoint::start(|_| ok("x")),
-            watch,
-            discovery,
-        }
-    }
-
-    /// Waits until something is so; discovery shows that it is there meanwhile.
-    pub fn awaits(&mut self, what: &str, is_so: impl Fn(&Sidecar) -> bool) {
-        awaits(what, || {
-            self.watch.says(&self.discovery, "");
-            is_so(&self.sidecar)
-        });
-    }
-
-    pub fn says(&mut self, line: &str) {
-        self.watch.says(&self.discovery, line);
-    }
-
-    pub fn has_pending(&mut self, n: usize) {
-        self.awaits(&format!("{n} are pending"), |sidecar| {
-            sidecar.figure("pending") == Some(n as u64)
-        });
-    }
-
-    pub fn lets_go(&mut self) {
-        self.says(&list(42, false, &serving(&[&self.endpoint])));
-    }
-
-    /// What the endpoint has seen of the ids of these requests, when all are answered.
-    pub fn saw(&self) -> Vec<String> {
-        self.endpoint
-            .messages()
-            .iter()
-            .filter_map(|m| m.header("x-request-id").map(String::from))
-            .collect()
-    }
-}
-
-pub fn id(request: &str) -> String {
-    let from = request.split("X-Request-Id: ").nth(1).expect("it has one");
-    from.split("\r\n").next().expect("a line").to_string()
-}
-
 /// Those that leave, each in another way, among those that stay; then what was held goes. In any tier, whether or not
 /// attempts may be called off. Each that leaves is told once, and its neighbours are served.
 fn leave_while_held(change: impl FnOnce(&mut Value)) {
@@ -320,62 +185,6 @@
     assert_eq!(holds.saw(), [id(&request)]);
 }
 
-/// An endpoint whose connections come up late: its backlog is full until the test takes from it.
-pub struct Late {
-    listener: TcpListener,
-    fillers: Vec<TcpStream>,
-}
-
-impl Late {
-    pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
-        let fillers = std::iter::from_fn(|| fill().ok()).collect();
-        listener.set_nonblocking(true).expect("an option");
-        Late { listener, fillers }
-    }
-
-    pub fn entry(&self) -> Value {
-        entry(
-            "late",
-            self.listener.local_addr().expect("an address"),
-            "SERVING",
-        )
-    }
-
-    /// A connection of the sidecar's, if one has come up.
-    pub fn now(&self) -> Option<TcpStream> {
-        let ours = |peer| {
-            self.fillers
-                .iter()
-                .any(|f| f.local_addr().expect("an address") == peer)
-        };
-        while let Ok((stream, peer)) = self.listener.accept() {
-            if !ours(peer) {
-                stream.set_nonblocking(false).expect("an option");
-                stream.set_read_timeout(Some(LONG)).expect("a time-out");
-                return Some(stream);
-            }
-        }
-        None
-    }
-
-    /// What is written on the next connection of the sidecar's on which something is.
-    fn next_written(&self) -> String {
-        let mut written = String::new();
-        awaits("something is written", || {
-            let mut bytes = [0; 4096];
-            let n = self
-                .now()
-                .map_or(0, |mut stream| stream.read(&mut bytes).unwrap_or(0));
-            written = String::from_utf8_lossy(&bytes[..n]).to_lowercase();
-            !written.is_empty()
-        });
-        written
-    }
-}
-
 /// Guards attempts whose connection comes up late: nothing is written once the client has left, whether or not attempts
 /// may be called off, and the neighbour's goes on.
 #[test]
@@ -467,30 +276,6 @@
     assert_eq!(holds.saw().len(), 1, "and nothing else did");
 }
 
-pub const CHANGES: [&str; 3] = ["DRAIN", "TERM", "upgrade"];
-
-/// What a sidecar is told while requests wait there; the next process, if one serves from now on.
-pub fn changes(
-    word: &str,
-    sidecar: &Sidecar,
-    folder: &Path,
-    endpoint: &Endpoint,
-) -> Option<Sidecar> {
-    if word == "upgrade" {
-        let mut config = with_admin(config(Discovery::start().address, &serving(&[endpoint])));
-        config["listen"] = json!(sidecar.address.to_string());
-        let next = Sidecar::start_in(folder, &config);
-        sidecar.awaits_log("callers go over to the process after");
-        return Some(next);
-    }
-    match word {
-        "DRAIN" => assert!(sidecar.says_yes("DRAIN")),
-        _ => sidecar.terminate(),
-    }
-    awaits("it takes no more callers", || !sidecar.says_yes("READY"));
-    None
-}
-
 /// Guards the same for those that the module itself holds: nowhere is there an endpoint to send them to.
 #[test]
 fn nor_one_that_the_module_holds_over_these() {
--- a/tests/sidecar/main.rs
+++ b/tests/sidecar/main.rs
@@ -4,6 +4,7 @@
 mod bans;
 mod bulk;
 mod callers;
+mod cancellation_support;
 mod churn;
 mod client_cancellation;
 mod cold_endpoint;
