--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -4,102 +4,18 @@
 //! of a throttled endpoint, closes that arrive together with the request, and callers that die in an earlier tier. Each
 //! test has a second request in the same place whose client stays: that one is served, so that the wait was over.
 
-use crate::cancellation_support::{CHANGES, Holds, Late, Waits, changes, id};
+use crate::cancellation_support::{
+    CLOSES, Close, Holds, Late, Replaceable, Waits, close, dialling, has_ended, id, in_every_phase,
+};
 use crate::stubs::*;
 use serde_json::{Value, json};
-use socket2::SockRef;
 use std::io::{BufReader, ErrorKind, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpStream};
-use std::path::PathBuf;
+use std::net::TcpStream;
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 use std::time::Duration;
 
-/// How a client closes its connection.
-#[derive(Clone, Copy, Debug)]
-enum Close {
-    Whole,
-    /// Its sending side alone.
-    Half,
-    Reset,
-}
-
-const CLOSES: [Close; 3] = [Close::Whole, Close::Half, Close::Reset];
-
-/// Closes a connection; what is left of it stays open for as long as the result is kept.
-fn close(stream: TcpStream, how: Close) -> Option<TcpStream> {
-    match how {
-        Close::Whole => None,
-        Close::Half => {
-            stream.shutdown(Shutdown::Write).expect("it is open");
-            Some(stream)
-        }
-        Close::Reset => {
-            SockRef::from(&stream)
-                .set_linger(Some(Duration::ZERO))
-                .expect("an option");
-            None
-        }
-    }
-}
-
-/// What happens to the sidecar between a request and its client's close: nothing, or one of [`CHANGES`].
-fn phases() -> impl Iterator<Item = Option<&'static str>> {
-    std::iter::once(None).chain(CHANGES.map(Some))
-}
-
-/// Runs a test in every phase, each with a sidecar of its own and all at once.
-fn in_every_phase(test: impl Fn(Option<&str>) + Sync) {
-    thread::scope(|scope| {
-        for phase in phases() {
-            let test = &test;
-            scope.spawn(move || test(phase));
-        }
-    });
-}
-
-/// A sidecar that can be drained, stopped or replaced, with a folder of its own.
-struct Replaceable {
-    holds: Holds,
-    folder: PathBuf,
-    next: Option<Sidecar>,
-}
-
-impl Replaceable {
-    fn start(change: impl FnOnce(&mut Value)) -> Self {
-        let folder = folder();
-        let holds = Holds::start(change, |config| Sidecar::start_in(&folder, config));
-        Replaceable {
-            holds,
-            folder,
-            next: None,
-        }
-    }
-
-    fn enters(&mut self, phase: Option<&str>) {
-        let Some(word) = phase else { return };
-        self.next = changes(
-            word,
-            &self.holds.sidecar,
-            &self.folder,
-            &self.holds.endpoint,
-        );
-    }
-
-    /// Attempts that have been written to endpoints, by this process and the next.
-    fn attempts(&self) -> u64 {
-        let written = |sidecar: &Sidecar| sidecar.figure("upstream_requests").expect("a figure");
-        written(&self.holds.sidecar) + self.next.as_ref().map_or(0, written)
-    }
-}
-
-impl Drop for Replaceable {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
-    }
-}
-
 // ---- Further attempts ------------------------------------------------------------------------------------
 
 const TURNED_AWAY: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
@@ -267,47 +183,6 @@
     });
 }
 
-/// A TCP socket of this machine, its ports and state as the system lists them.
-struct Socket {
-    local: String,
-    peer: String,
-    state: String,
-}
-
-fn sockets() -> impl Iterator<Item = Socket> {
-    let listed = std::fs::read_to_string("/proc/net/tcp").expect("the sockets are listed");
-    let sockets: Vec<Socket> = listed.lines().skip(1).filter_map(socket).collect();
-    sockets.into_iter()
-}
-
-fn socket(line: &str) -> Option<Socket> {
-    let mut fields = line.split_whitespace().skip(1);
-    let mut port = || Some(fields.next()?.split_once(':')?.1.to_string());
-    let (local, peer) = (port()?, port()?);
-    Some(Socket {
-        local,
-        peer,
-        state: fields.next()?.to_string(),
-    })
-}
-
-fn port(of: SocketAddr) -> String {
-    format!("{:04X}", of.port())
-}
-
-/// How many connections to it are being made.
-fn dialling(late: &Late) -> usize {
-    const SYN_SENT: &str = "02";
-    let entry = late.entry();
-    let address: SocketAddr = entry["address"]
-        .as_str()
-        .and_then(|a| a.parse().ok())
-        .expect("an address");
-    sockets()
-        .filter(|s| s.peer == port(address) && s.state == SYN_SENT)
-        .count()
-}
-
 /// What has been written on any of these connections.
 fn written(connections: &mut [TcpStream]) -> String {
     let mut all = Vec::new();
@@ -456,15 +331,6 @@
     assert_eq!(answer.status(), 200);
 }
 
-/// Whether the end of a connection has reached the other side.
-fn has_ended(from: SocketAddr, to: SocketAddr) -> bool {
-    const CLOSE_WAIT: &str = "08";
-    // A reset connection is listed no more.
-    sockets()
-        .find(|s| s.local == port(to) && s.peer == port(from))
-        .is_none_or(|s| s.state == CLOSE_WAIT)
-}
-
 /// Guards the moment in which a request is read: with its client's close already there, no attempt is written, on a new
 /// connection as on a kept one, whether or not attempts may be called off.
 #[test]
