--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -10,6 +10,7 @@
 mod in_flight;
 mod key_order;
 mod legal;
+mod legal_model;
 mod membership;
 mod operators;
 mod outlier;
