--- a/lab/src/scenario/control_cost.rs
+++ b/lab/src/scenario/control_cost.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// The worth that a reload gives the class of safe requests, in turn with its own.
-const CHANGED_WORTH: f64 = 0.9;
+const CHANGED_PRIORITY_WEIGHT: f64 = 0.9;
 /// How long a sidecar rests before its idle state is measured.
 const SETTLE: Duration = Duration::from_secs(1);
 
@@ -186,11 +186,11 @@
     for count in &plan.reloads {
         let cost = Cost::over(single, || {
             spread(*count, period, |_| {
-                let worth = &mut configuration.classes[0].worth;
-                *worth = if *worth == CHANGED_WORTH {
+                let priority_weight = &mut configuration.classes[0].priority_weight;
+                *priority_weight = if *priority_weight == CHANGED_PRIORITY_WEIGHT {
                     1.0
                 } else {
-                    CHANGED_WORTH
+                    CHANGED_PRIORITY_WEIGHT
                 };
                 single
                     .sidecar
--- a/lab/src/scenario/fleet.rs
+++ b/lab/src/scenario/fleet.rs
@@ -228,7 +228,7 @@
     RequestClass {
         name: "safe".to_owned(),
         is_unsafe: false,
-        worth: 1.0,
+        priority_weight: 1.0,
         deadline: CALL_DEADLINE,
     }
 }
--- a/lab/src/scenario/single.rs
+++ b/lab/src/scenario/single.rs
@@ -188,7 +188,7 @@
     let class = |name: &str, is_unsafe| RequestClass {
         name: name.into(),
         is_unsafe,
-        worth: 1.0,
+        priority_weight: 1.0,
         deadline,
     };
     SidecarConfiguration {
--- a/lab/src/sidecar/configuration.rs
+++ b/lab/src/sidecar/configuration.rs
@@ -43,7 +43,7 @@
     /// Whether it must never run twice.
     pub is_unsafe: bool,
     /// What one request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// How long its clients wait.
     pub deadline: Duration,
 }
@@ -163,7 +163,7 @@
         json!({
             "name": self.name,
             "effect": if self.is_unsafe { "single_shot" } else { "free" },
-            "worth": self.worth,
+            "worth": self.priority_weight,
             "objectiveNs": deadline,
             "hardLimitNs": deadline,
             "lateShare": 0.0,
--- a/lab/src/tier.rs
+++ b/lab/src/tier.rs
@@ -78,10 +78,10 @@
 
     /// The configuration document of a sidecar that sends into this tier.
     pub fn sidecar_configuration(&self, addresses: SidecarAddresses) -> Value {
-        let class = |name: &str, is_unsafe, worth| RequestClass {
+        let class = |name: &str, is_unsafe, priority_weight| RequestClass {
             name: name.into(),
             is_unsafe,
-            worth,
+            priority_weight,
             deadline: DEADLINE,
         };
         let zone = ZoneName::from(ZONE);
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -69,7 +69,7 @@
         classes: vec![RequestClass {
             name: "look-up".into(),
             is_unsafe: false,
-            worth: 1.0,
+            priority_weight: 1.0,
             deadline: Duration::from_millis(300),
         }],
         probes: false,
--- a/lab/tests/sidecar_process.rs
+++ b/lab/tests/sidecar_process.rs
@@ -20,7 +20,7 @@
     RequestClass {
         name: name.into(),
         is_unsafe,
-        worth: 1.0,
+        priority_weight: 1.0,
         deadline: Duration::from_secs(10),
     }
 }
--- a/src/configuration/fault.rs
+++ b/src/configuration/fault.rs
@@ -5,7 +5,7 @@
 /// One thing that is wrong with a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Where it is in the document, as `settings.categories[0].worth`; empty for the document itself.
+    /// Where it is in the document, as `settings.categories[0].priority_weight`; empty for the document itself.
     pub path: String,
     /// What was found there, and what is allowed.
     pub problem: String,
--- a/src/configuration/settings_document.rs
+++ b/src/configuration/settings_document.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::{
     Class, DiscoveryMode, Idempotency, KeyScope, Limits, PeerId, Prices, Reporting, Rules,
-    Settings, SizeMeaning, Tenant, WorthBy,
+    Settings, SizeMeaning, Tenant, ValueBasis,
 };
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -34,17 +34,18 @@
 }
 
 /// The names of settings in the decision module, and the document's where they differ.
-const DOCUMENT_NAMES: [(&str, &str); 28] = [
+const DOCUMENT_NAMES: [(&str, &str); 29] = [
     ("classes", "categories"),
     ("objective_stretch", "aimStretch"),
     ("objective", "objectiveNs"),
     ("deadline", "hardLimitNs"),
     ("window", "memorySpanNs"),
-    ("late_share", "lateShare"),
+    ("late_value", "lateShare"),
+    ("priority_weight", "worth"),
     ("tenants", "customers"),
     ("share", "portion"),
     ("quota_per_s", "quotaPerS"),
-    ("over_share_worth", "overShareWorth"),
+    ("over_share_value", "overShareWorth"),
     ("tick", "granularityNs"),
     ("limits", "bounds"),
     ("max_retry_after", "maxRetryAfterNs"),
@@ -105,7 +106,7 @@
                 .map(Category::class)
                 .collect::<Result<_, _>>()?,
             tenants: self.customers.into_iter().map(Customer::tenant).collect(),
-            over_share_worth: self.over_share_worth,
+            over_share_value: self.over_share_worth,
             limits: self.bounds.limits(),
             rules: self.rules.rules(),
             prices: self.fees.prices(),
@@ -124,9 +125,9 @@
                 ReportName::OnProbe => Reporting::WithProbes,
                 ReportName::Off => Reporting::Off,
             },
-            worth_by: match self.worth_by.unwrap_or_default() {
-                WorthName::Request => WorthBy::Request,
-                WorthName::Work => WorthBy::Work,
+            value_basis: match self.worth_by.unwrap_or_default() {
+                ValueBasisName::Request => ValueBasis::Request,
+                ValueBasisName::Work => ValueBasis::Work,
             },
             marks_retry: self.client_habits.marks_retry,
             tick: Duration::from_nanos(self.granularity_ns),
@@ -182,7 +183,7 @@
     /// What an endpoint's weight means; off where absent.
     weight_source: Option<WeightSource>,
     /// Whether worth goes by request or by work; by request where absent.
-    worth_by: Option<WorthName>,
+    worth_by: Option<ValueBasisName>,
     /// This sidecar's zone.
     zone: String,
 }
@@ -215,7 +216,7 @@
 /// Whether worth goes by request or by work.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-enum WorthName {
+enum ValueBasisName {
     // By request.
     #[default]
     Request,
@@ -350,8 +351,8 @@
             objective: Duration::from_nanos(self.objective_ns),
             objective_stretch: self.aim_stretch,
             deadline: Duration::from_nanos(self.hard_limit_ns),
-            worth: self.worth,
-            late_share: self.late_share,
+            priority_weight: self.worth,
+            late_value: self.late_share,
             idempotency,
             stream: self.stream,
             by_arrival: self.by_arrival,
--- a/src/policy/held_requests.rs
+++ b/src/policy/held_requests.rs
@@ -56,7 +56,7 @@
     }
 
     /// The newest request of the lowest level.
-    pub(super) fn pop_least_worthy(&mut self) -> Option<RequestId> {
+    pub(super) fn pop_lowest_priority(&mut self) -> Option<RequestId> {
         self.levels.iter_mut().find_map(VecDeque::pop_back)
     }
 }
--- a/src/policy/hold_queue.rs
+++ b/src/policy/hold_queue.rs
@@ -24,7 +24,7 @@
         let arrivals = self.arrival_rate.per_second(now) * hold.as_secs_f64();
         let limit = (arrivals * QUEUE_PART).max(SHORTEST_LIMIT) as usize;
         while self.held.len() > limit {
-            let Some(id) = self.held.pop_least_worthy() else {
+            let Some(id) = self.held.pop_lowest_priority() else {
                 break;
             };
             self.give_up(now, &id, actions);
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -6,13 +6,13 @@
 use super::class::ClassState;
 use super::event::Event;
 use super::id::ClassId;
+use super::priority_level::RETIRED_CLASS_KEPT;
 use super::probing::MOST_PROBES_SAVED;
 use super::retry::MOST_RETRIES_SAVED;
 use super::settings::{Class, Settings};
 use super::settings_check::SettingsError;
 use super::time::Timestamp;
 use super::token_budget::TokenBudget;
-use super::worth_level::RETIRED_CLASS_KEPT;
 
 impl Balancer {
     /// A fresh instance. The same settings, seed and events give the same actions.
@@ -48,7 +48,7 @@
         let ids = self.replace_settings(now, settings);
         let held = self.held.take_all();
         self.set_levels();
-        self.set_levels_of_requests(had_tenants);
+        self.set_priority_levels_of_requests(had_tenants);
         for id in held {
             if let Some(pending) = self.requests.get(&id) {
                 self.held.push(pending);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -10,7 +10,7 @@
 //! | decision | file |
 //! | --- | --- |
 //! | thresholds for each worth level | `thresholds.rs` |
-//! | the worth level of a request | `worth_level.rs` |
+//! | the worth level of a request | `priority_level.rs` |
 //! | clear, gapping or discarding; lapse; gap | `overload_state.rs` |
 //! | which endpoints take work | `membership.rs` |
 //! | the subset | `subset.rs` |
@@ -63,6 +63,7 @@
 mod overload_state;
 mod pending;
 mod pick;
+mod priority_level;
 mod probing;
 pub(crate) mod random;
 mod request_table;
@@ -76,7 +77,6 @@
 mod time;
 mod timer;
 mod token_budget;
-mod worth_level;
 
 pub use action::Action;
 pub use balancer::Balancer;
@@ -89,7 +89,7 @@
 };
 pub use settings::{
     Class, DiscoveryMode, Idempotency, KeyScope, Limits, Prices, Reporting, Rules, Settings,
-    SizeMeaning, Tenant, WorthBy,
+    SizeMeaning, Tenant, ValueBasis,
 };
 pub use settings_check::SettingsError;
 pub use status::BalancerStatus;
--- a/src/policy/worth_level.rs
+++ b/src/policy/priority_level.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// The level of traffic beyond a tenant's share, where there are tenants.
-const BEYOND_SHARE: usize = 0;
+const OVER_SHARE_LEVEL: usize = 0;
 
 /// A class that has left the settings is kept so long for requests that are on their way in with it.
 pub(super) const RETIRED_CLASS_KEPT: Duration = Duration::from_secs(60);
@@ -23,25 +23,31 @@
         let is_in_use =
             |c: &usize| self.classes[*c].retired_at.is_none() || of_requests.contains(c);
         let in_use = (0..self.classes.len()).filter(is_in_use);
-        let mut worths: Vec<f64> = in_use.map(|c| self.settings.classes[c].worth).collect();
-        worths.sort_by(f64::total_cmp);
-        worths.dedup();
+        let mut priority_weights: Vec<f64> = in_use
+            .map(|c| self.settings.classes[c].priority_weight)
+            .collect();
+        priority_weights.sort_by(f64::total_cmp);
+        priority_weights.dedup();
         let spare = usize::from(!self.settings.tenants.is_empty());
-        let levels = worths.len() + spare;
+        let levels = priority_weights.len() + spare;
         self.thresholds = Thresholds::for_levels(levels);
         for (state, class) in self.classes.iter_mut().zip(&self.settings.classes) {
-            state.level = spare + worths.iter().position(|w| *w == class.worth).unwrap_or(0);
+            state.level = spare
+                + priority_weights
+                    .iter()
+                    .position(|w| *w == class.priority_weight)
+                    .unwrap_or(0);
         }
         self.held.set_levels(levels);
     }
 
     /// Gives requests the levels of the settings now in force, those in flight too: they may be held for a
     /// retry.
-    pub(super) fn set_levels_of_requests(&mut self, had_tenants: bool) {
+    pub(super) fn set_priority_levels_of_requests(&mut self, had_tenants: bool) {
         let keeps_shares = had_tenants && !self.settings.tenants.is_empty();
         for pending in self.requests.values_mut() {
-            let beyond_share = pending.level == BEYOND_SHARE && keeps_shares;
-            if !beyond_share {
+            let is_over_share = pending.level == OVER_SHARE_LEVEL && keeps_shares;
+            if !is_over_share {
                 pending.level = self.classes[pending.request.class.0].level;
             }
         }
@@ -61,6 +67,6 @@
         let over_share =
             1.0 - self.settings.tenants[tenant].share * all / self.tenant_rates[tenant];
         let is_over = all > f64::from(FEW_ANSWERS) && self.random.unit() < over_share;
-        if is_over { BEYOND_SHARE } else { level }
+        if is_over { OVER_SHARE_LEVEL } else { level }
     }
 }
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -49,7 +49,7 @@
     /// nothing any more holds up the rest.
     fn attempt_timeout(&self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
         let class = &self.settings.classes[pending.request.class.0];
-        (class.late_share == 0.0).then_some(pending.useful_until.since(now))
+        (class.late_value == 0.0).then_some(pending.useful_until.since(now))
     }
 
     /// When whoever is refused is to come back, as far as it may be said. A client that comes back at once
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -42,9 +42,9 @@
     /// How long a client waits in all.
     pub deadline: Duration,
     /// What one is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that an answer after the objective still earns.
-    pub late_share: f64,
+    pub late_value: f64,
     /// Whether one may run more than once.
     pub idempotency: Idempotency,
     /// The answer comes as a stream.
@@ -57,7 +57,7 @@
     /// A class without extras: no late worth, no stream, no order. Set the other fields as needed.
     pub fn new(
         name: &str,
-        worth: f64,
+        priority_weight: f64,
         idempotency: Idempotency,
         objective: Duration,
         deadline: Duration,
@@ -67,8 +67,8 @@
             objective,
             objective_stretch: 0.0,
             deadline,
-            worth,
-            late_share: 0.0,
+            priority_weight,
+            late_value: 0.0,
             idempotency,
             stream: false,
             by_arrival: false,
@@ -230,7 +230,7 @@
 
 /// Whether worth goes by request or by the work in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorthBy {
+pub enum ValueBasis {
     /// Each request counts the same within its class.
     Request,
     /// A heavy request counts more.
@@ -261,7 +261,7 @@
     /// The payers; may be empty.
     pub tenants: Vec<Tenant>,
     /// The worth of a request beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// See [`Limits`].
     pub limits: Limits,
     /// See [`Rules`].
@@ -274,8 +274,8 @@
     pub sizes: SizeMeaning,
     /// See [`Reporting`].
     pub reporting: Reporting,
-    /// See [`WorthBy`].
-    pub worth_by: WorthBy,
+    /// See [`ValueBasis`].
+    pub value_basis: ValueBasis,
     /// Clients mark their repeats.
     pub marks_retry: bool,
     /// The least time between two batches of events.
@@ -297,14 +297,14 @@
             warm_keys: false,
             classes,
             tenants: Vec::new(),
-            over_share_worth: 0.0,
+            over_share_value: 0.0,
             limits: Limits::default(),
             rules: Rules::default(),
             prices: Prices::default(),
             discovery: DiscoveryMode::Pushed,
             sizes: SizeMeaning::None,
             reporting: Reporting::WithAnswers,
-            worth_by: WorthBy::Request,
+            value_basis: ValueBasis::Request,
             marks_retry: false,
             tick: Duration::from_millis(1),
         }
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -157,14 +157,14 @@
             if let Idempotency::Keyed { window, .. } = class.idempotency {
                 self.time(path("idempotency.window"), window);
             }
-            self.amount(path("worth"), class.worth);
+            self.amount(path("priority_weight"), class.priority_weight);
             self.amount(path("objective_stretch"), class.objective_stretch);
-            self.fraction(path("late_share"), class.late_share);
+            self.fraction(path("late_value"), class.late_value);
         }
     }
 
     fn add_tenants(&mut self, settings: &Settings) {
-        self.fraction("over_share_worth", settings.over_share_worth);
+        self.fraction("over_share_value", settings.over_share_value);
         for (position, tenant) in settings.tenants.iter().enumerate() {
             self.fraction(format!("tenants[{position}].share"), tenant.share);
             self.amount(
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -12,14 +12,14 @@
     Timestamp::from_nanos(1_000_000_000_000 + n * 1_000_000)
 }
 
-pub fn class(name: &str, worth: f64, idempotency: Idempotency) -> Class {
+pub fn class(name: &str, priority_weight: f64, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
         objective: ms(1000),
         objective_stretch: 0.0,
         deadline: ms(3000),
-        worth,
-        late_share: 0.0,
+        priority_weight,
+        late_value: 0.0,
         idempotency,
         stream: false,
         by_arrival: false,
@@ -48,7 +48,7 @@
             class("keyed-cell", 2.0, keyed(KeyScope::Group)),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.0,
+        over_share_value: 0.0,
         limits: Limits {
             cancel: true,
             probes: false,
@@ -77,7 +77,7 @@
         discovery: DiscoveryMode::Pushed,
         sizes: SizeMeaning::None,
         reporting: Reporting::WithAnswers,
-        worth_by: WorthBy::Request,
+        value_basis: ValueBasis::Request,
         marks_retry: false,
         tick: ms(1),
     }
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -86,7 +86,7 @@
 
 /// Of ten of the least worthy calls, how many are sent at once after one attempt at each of four idle endpoints
 /// ended so.
-fn least_worthy_sent_after(outcome: Outcome) -> usize {
+fn lowest_priority_sent_after(outcome: Outcome) -> usize {
     let mut host = Host::new(two_levels(), listings(4));
     host.soak(40, 0.0);
     let out: Vec<RequestId> = (0..4).map(|_| host.request(1).0).collect();
@@ -101,10 +101,10 @@
 #[test]
 fn a_broken_answer_or_connection_says_nothing_of_the_queue() {
     for broken in [Outcome::Reset, Outcome::ConnectFailed] {
-        assert_eq!(least_worthy_sent_after(broken), 10, "{broken:?}");
+        assert_eq!(lowest_priority_sent_after(broken), 10, "{broken:?}");
     }
     for overloaded in [Outcome::Rejected, Outcome::TimedOut] {
-        assert_eq!(least_worthy_sent_after(overloaded), 0, "{overloaded:?}");
+        assert_eq!(lowest_priority_sent_after(overloaded), 0, "{overloaded:?}");
     }
 }
 
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -124,7 +124,7 @@
         "the objective, as late answers earn nothing"
     );
     let mut late = settings();
-    late.classes[1].late_share = 0.5;
+    late.classes[1].late_value = 0.5;
     assert_eq!(
         timeout(late, 1),
         None,
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -131,7 +131,7 @@
     /// So many of its classes with the worth of the first, and so many tenants.
     Settings {
         classes: usize,
-        worth: f64,
+        priority_weight: f64,
         tenants: usize,
     },
 }
@@ -140,7 +140,7 @@
     let settings = (1..6usize, 0.5..20.0f64, 0..3usize);
     prop_oneof![
         9 => event().prop_map(Told::Event),
-        1 => settings.prop_map(|(classes, worth, tenants)| Told::Settings { classes, worth, tenants }),
+        1 => settings.prop_map(|(classes, priority_weight, tenants)| Told::Settings { classes, priority_weight, tenants }),
     ]
 }
 
@@ -183,12 +183,13 @@
                     Told::Event(event) => balancer.handle(now, event, &mut out),
                     Told::Settings {
                         classes,
-                        worth,
+                        priority_weight,
                         tenants: n,
                     } => {
                         let mut set = set.clone();
                         set.classes.truncate(classes);
-                        (set.classes[0].worth, set.tenants) = (worth, tenants(n));
+                        (set.classes[0].priority_weight, set.tenants) =
+                            (priority_weight, tenants(n));
                         let ids = balancer
                             .change_settings(now, set, &mut out)
                             .expect("settings that make sense");
@@ -260,8 +261,10 @@
         ("balancers", |s| s.balancers = 0),
         ("classes", |s| s.classes.clear()),
         ("limits.max_attempts", |s| s.limits.max_attempts = 0),
-        ("classes[1].worth", |s| s.classes[1].worth = f64::NAN),
-        ("classes[0].late_share", |s| s.classes[0].late_share = 1.5),
+        ("classes[1].priority_weight", |s| {
+            s.classes[1].priority_weight = f64::NAN
+        }),
+        ("classes[0].late_value", |s| s.classes[0].late_value = 1.5),
         ("classes[2].objective", |s| {
             s.classes[2].objective = Duration::ZERO
         }),
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -92,7 +92,7 @@
         |set| set.classes.clear(),
         |set| set.limits.max_attempts = 0,
         |set| set.classes[2].deadline = Duration::ZERO,
-        |set| set.classes[1].worth = f64::NAN,
+        |set| set.classes[1].priority_weight = f64::NAN,
         |set| set.classes[1].name = set.classes[0].name.clone(),
     ];
     for change in changes {
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -20,8 +20,8 @@
 }
 
 pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, worth: f64| {
-        json!({"name": name, "effect": effect, "keyScope": "all", "memorySpanNs": 5_000_000_000u64, "worth": worth,
+    let class = |name: &str, effect: &str, priority_weight: f64| {
+        json!({"name": name, "effect": effect, "keyScope": "all", "memorySpanNs": 5_000_000_000u64, "worth": priority_weight,
                "objectiveNs": 10_000_000_000u64, "hardLimitNs": 10_000_000_000u64, "lateShare": 0.0, "stream": false})
     };
     json!({
