--- a/lab/src/endpoint/mod.rs
+++ b/lab/src/endpoint/mod.rs
@@ -17,5 +17,5 @@
 mod work;
 
 pub use handle::{EndpointHandle, EndpointHost};
-pub use options::{ColdRamp, EndpointOptions, ServiceTime};
+pub use options::{EndpointOptions, ServiceTime, SlowStart};
 pub use usage::EndpointUsage;
--- a/lab/src/endpoint/options.rs
+++ b/lab/src/endpoint/options.rs
@@ -26,7 +26,7 @@
 /// How an endpoint's capacity grows after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ColdRamp {
+pub struct SlowStart {
     /// The part of its full capacity that it starts with.
     pub from: f64,
     /// How long it takes to warm up, in milliseconds.
@@ -44,7 +44,7 @@
     /// How long it works on a request.
     pub service_time: ServiceTime,
     /// How its capacity grows after its start.
-    pub cold_ramp: Option<ColdRamp>,
+    pub slow_start: Option<SlowStart>,
     /// Whether its answers carry a load report, and probes are answered.
     pub load_reports: bool,
     /// Bytes of an answer's body.
@@ -64,7 +64,7 @@
             return Err("error_share must be from 0 to 1");
         }
         if self
-            .cold_ramp
+            .slow_start
             .is_some_and(|ramp| !(ramp.from > 0.0 && ramp.from <= 1.0))
         {
             return Err("cold_ramp.from must be above 0 and at most 1");
--- a/lab/src/endpoint/state.rs
+++ b/lab/src/endpoint/state.rs
@@ -41,7 +41,7 @@
         next_sidecar: Option<SocketAddr>,
     ) -> io::Result<Self> {
         let (reservation, address) = reserve_address()?;
-        let since_ms = if options.cold_ramp.is_some() {
+        let since_ms = if options.slow_start.is_some() {
             unix_milliseconds()
         } else {
             0
--- a/lab/src/endpoint/work.rs
+++ b/lab/src/endpoint/work.rs
@@ -1,6 +1,6 @@
 //! An endpoint's cores and the queue before them, the time that work takes, and the load report.
 
-use super::options::{ColdRamp, EndpointOptions, ServiceTime};
+use super::options::{EndpointOptions, ServiceTime, SlowStart};
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64;
@@ -20,7 +20,7 @@
     cores: u32,
     queue_limit: u32,
     service_time: ServiceTime,
-    ramp: Option<ColdRamp>,
+    ramp: Option<SlowStart>,
     error_share: f64,
     started: Instant,
     permits: Semaphore,
@@ -48,7 +48,7 @@
             cores: options.cores,
             queue_limit: options.queue,
             service_time: options.service_time,
-            ramp: options.cold_ramp,
+            ramp: options.slow_start,
             error_share: options.error_share,
             started,
             permits: Semaphore::new(options.cores as usize),
@@ -114,7 +114,7 @@
     }
 }
 
-impl ColdRamp {
+impl SlowStart {
     /// The part of its full capacity that an endpoint has so long after its start.
     fn capacity(&self, since_start: Duration) -> f64 {
         if self.milliseconds == 0 {
--- a/lab/src/experiment/check.rs
+++ b/lab/src/experiment/check.rs
@@ -273,7 +273,7 @@
     faults.count("measure.endpoint.cores", options.cores, 100_000);
     faults.within("measure.endpoint.queue", options.queue, 0.0..=100_000.0);
     service_time(options.service_time, faults);
-    if let Some(ramp) = &options.cold_ramp {
+    if let Some(ramp) = &options.slow_start {
         faults.share("measure.endpoint.cold_ramp.from", ramp.from);
     }
     let body_fits = options.answer_bytes <= LARGEST_BODY as usize;
--- a/lab/src/scenario/control_cost.rs
+++ b/lab/src/scenario/control_cost.rs
@@ -23,7 +23,7 @@
     cores: 64,
     queue: 64,
     service_time: ServiceTime::None,
-    cold_ramp: None,
+    slow_start: None,
     load_reports: true,
     answer_bytes: 100,
     error_share: 0.0,
--- a/lab/src/scenario/memory.rs
+++ b/lab/src/scenario/memory.rs
@@ -143,7 +143,7 @@
         cores: 10_000,
         queue: 0,
         service_time,
-        cold_ramp: None,
+        slow_start: None,
         load_reports: false,
         answer_bytes: 100,
         error_share: 0.0,
--- a/lab/src/sidecar/configuration.rs
+++ b/lab/src/sidecar/configuration.rs
@@ -25,7 +25,7 @@
 /// Time within which a draining endpoint gets nothing new.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// Part of its capacity with which an endpoint starts.
-const COLD_FROM: f64 = 0.3;
+const INITIAL_CAPACITY: f64 = 0.3;
 /// Time in which an endpoint warms up.
 const WARM_WITHIN: Duration = Duration::from_secs(10);
 /// A cold endpoint that is sent more than this multiple of its present capacity falls over,
@@ -176,7 +176,7 @@
     json!({
         "answerSlackNs": nanoseconds(ANSWER_SLACK),
         "askWithinNs": nanoseconds(ASK_WITHIN),
-        "coldFrom": COLD_FROM,
+        "coldFrom": INITIAL_CAPACITY,
         "drainGraceNs": nanoseconds(DRAIN_GRACE),
         "fallMultiple": FALL_MULTIPLE,
         "fallNs": nanoseconds(FALL_TIME),
--- a/lab/src/tier.rs
+++ b/lab/src/tier.rs
@@ -116,7 +116,7 @@
         service_time: ServiceTime::Exponential {
             mean_milliseconds: MEAN_SERVICE_MILLISECONDS,
         },
-        cold_ramp: None,
+        slow_start: None,
         load_reports: true,
         answer_bytes: ANSWER_BYTES,
         error_share: 0.0,
--- a/lab/tests/endpoint.rs
+++ b/lab/tests/endpoint.rs
@@ -5,7 +5,7 @@
 
 use http_connection::{Connection, Message, PATIENCE, get, probe};
 use pipittray_lab::endpoint::{
-    ColdRamp, EndpointHandle, EndpointHost, EndpointOptions, EndpointUsage, ServiceTime,
+    EndpointHandle, EndpointHost, EndpointOptions, EndpointUsage, ServiceTime, SlowStart,
 };
 use std::collections::HashSet;
 use std::io;
@@ -25,7 +25,7 @@
         cores: 1,
         queue: 1,
         service_time: ServiceTime::None,
-        cold_ramp: None,
+        slow_start: None,
         load_reports: true,
         answer_bytes: 32,
         error_share: 0.0,
@@ -235,7 +235,7 @@
 fn a_cold_endpoint_works_longer_than_a_warm_one() {
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 20.0 };
-    let cold_ramp = Some(ColdRamp {
+    let slow_start = Some(SlowStart {
         from: 1e-6,
         milliseconds: 3_600_000_000,
     });
@@ -243,7 +243,7 @@
         &host,
         EndpointOptions {
             service_time,
-            cold_ramp,
+            slow_start,
             ..options()
         },
         None,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -51,7 +51,7 @@
     pub(super) retry_budget: TokenBudget,
     pub(super) probe_budget: TokenBudget,
     /// Own sends, counted ahead for requests that no sound endpoint can take: the clock of the cold ramp.
-    pub(super) cold_clock: f64,
+    pub(super) slow_start_clock: f64,
     /// When a request that must not run twice was last lost.
     pub(super) unsafe_lost_at: Option<Timestamp>,
     pub(super) discovery_schedule: DiscoverySchedule,
@@ -96,7 +96,7 @@
             overdue_attempts: VecDeque::new(),
             retry_budget: budgets.retries,
             probe_budget: budgets.probes,
-            cold_clock: 0.0,
+            slow_start_clock: 0.0,
             unsafe_lost_at: None,
             discovery_schedule: DiscoverySchedule::default(),
             timer_at: None,
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -45,7 +45,7 @@
     /// When the gap after the last send is over.
     pub(super) gap_ends: Timestamp,
     /// The reading of the cold ramp's clock from which on it may be sent to while cold.
-    pub(super) cold_turn: f64,
+    pub(super) slow_start_slot: f64,
     /// Not to be probed before.
     pub(super) next_probe: Timestamp,
     /// For each class.
@@ -79,7 +79,7 @@
             state_expires: Timestamp::default(),
             last_send: Timestamp::default(),
             gap_ends: Timestamp::default(),
-            cold_turn: f64::INFINITY,
+            slow_start_slot: f64::INFINITY,
             next_probe: Timestamp::default(),
             failures: vec![FailureShare::default(); classes],
             unsafe_served_at: None,
@@ -111,7 +111,7 @@
         self.stretch = 1.0;
         self.failures.fill(FailureShare::default());
         self.unsafe_served_at = None;
-        self.cold_turn = f64::INFINITY;
+        self.slow_start_slot = f64::INFINITY;
     }
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,7 +16,7 @@
 //! | the subset | `subset.rs` |
 //! | the endpoint of an attempt | `pick.rs` |
 //! | which endpoints are outliers | `outlier.rs` |
-//! | how much traffic a cold endpoint gets | `cold_ramp.rs` |
+//! | how much traffic a cold endpoint gets | `slow_start.rs` |
 //! | send, hold or refuse a new request | `admission.rs` |
 //! | how many requests are held, and in which order they are sent | `hold_queue.rs` |
 //! | what the end of an attempt means | `attempt_end.rs` |
@@ -45,7 +45,6 @@
 mod balancer;
 mod class;
 mod class_table;
-mod cold_ramp;
 mod discovery_calls;
 mod discovery_schedule;
 mod endpoint;
@@ -71,6 +70,7 @@
 mod send;
 mod settings;
 mod settings_check;
+mod slow_start;
 mod status;
 mod subset;
 mod thresholds;
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -19,7 +19,7 @@
     /// Part of its body was sent on and is kept nowhere.
     pub(super) body_is_consumed: bool,
     /// The cold ramp's clock has counted its next send already.
-    pub(super) is_counted_ahead: bool,
+    pub(super) has_advanced_slow_start: bool,
 }
 
 impl PendingRequest {
@@ -37,7 +37,7 @@
             attempts: Vec::new(),
             is_answered: false,
             body_is_consumed: false,
-            is_counted_ahead: false,
+            has_advanced_slow_start: false,
         }
     }
 
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -48,7 +48,7 @@
         if candidates.is_empty() && !self.is_any_sound(&search, pending) {
             candidates.extend(self.least_failing_open(&search, pending));
             if candidates.is_empty() {
-                self.count_send_ahead(pending);
+                self.advance_slow_start_early(pending);
             }
         }
         self.keep_proven(now, class, &mut candidates);
@@ -67,7 +67,7 @@
 
     /// Whether an endpoint may be sent this request at all: warm or due, in scope, and not tried before.
     fn is_usable(&self, search: &Search, pending: &PendingRequest, e: EndpointIndex) -> bool {
-        self.is_warm_or_due(search.now, e)
+        self.slow_start_admits(search.now, e)
             && search.scope.admits(&self.endpoints[e])
             && pending.attempts.iter().all(|a| a.endpoint != e)
     }
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -21,16 +21,16 @@
         let Some(e) = self.pick(now, pending, &scope) else {
             return false;
         };
-        self.count_send(pending);
+        self.advance_slow_start(pending);
         self.take_place(e);
         let gap = self.gap(now, self.endpoints[e].depth);
-        let cold_turn = self.next_cold_turn(now, e);
+        let slow_start_slot = self.draw_slow_start_slot(now, e);
         let timeout = self.attempt_timeout(now, pending);
         let known = &mut self.endpoints[e];
         known.awaits_first_send = false;
         known.last_send = now;
         known.gap_ends = now + gap;
-        known.cold_turn = cold_turn;
+        known.slow_start_slot = slow_start_slot;
         pending.attempts.push(Attempt {
             endpoint: e,
             sent: now,
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -153,13 +153,13 @@
     /// Where discovery is asked: silence beyond this counts as having been told.
     pub ask_within: Duration,
     /// An endpoint starts at this part of its capacity, or higher.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// And is warm after this, at the latest.
-    pub warm_within: Duration,
+    pub warm_up_time: Duration,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold endpoint falls over.
-    pub fall_time: Duration,
+    pub overload_window: Duration,
     /// Idle connections to a draining endpoint must be closed within this; `None` where nobody asks for it.
     pub drain_close: Option<Duration>,
     /// How long a key rests after an attempt that may run on, where classes go by arrival.
@@ -173,10 +173,10 @@
             answer_slack: Duration::from_millis(10),
             drain_grace: Duration::from_millis(50),
             ask_within: Duration::from_secs(10),
-            cold_from: 0.1,
-            warm_within: Duration::from_secs(20),
-            fall_multiple: 2.0,
-            fall_time: Duration::from_secs(1),
+            initial_capacity: 0.1,
+            warm_up_time: Duration::from_secs(20),
+            overload_multiple: 2.0,
+            overload_window: Duration::from_secs(1),
             drain_close: None,
             order_pause: None,
         }
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -128,13 +128,13 @@
             DiscoveryMode::OnRequest => self.positive_time("rules.ask_within", rules.ask_within),
             DiscoveryMode::Pushed => self.time("rules.ask_within", rules.ask_within),
         }
-        self.time("rules.warm_within", rules.warm_within);
-        self.time("rules.fall_time", rules.fall_time);
+        self.time("rules.warm_up_time", rules.warm_up_time);
+        self.time("rules.overload_window", rules.overload_window);
         self.time("rules.drain_close", rules.drain_close.unwrap_or_default());
         self.time("rules.order_pause", rules.order_pause.unwrap_or_default());
         self.time("tick", settings.tick);
-        self.fraction("rules.cold_from", rules.cold_from);
-        self.amount("rules.fall_multiple", rules.fall_multiple);
+        self.fraction("rules.initial_capacity", rules.initial_capacity);
+        self.amount("rules.overload_multiple", rules.overload_multiple);
     }
 
     fn add_prices(&mut self, settings: &Settings) {
--- a/src/policy/cold_ramp.rs
+++ b/src/policy/slow_start.rs
@@ -11,45 +11,47 @@
 
 /// Part of what makes a cold endpoint fall that it may be sent, at a fair share of its present capacity: the
 /// rest is for chance. Less starved new servers while the old ones jammed.
-const COLD_PART: f64 = 0.6;
+const WARMING_FRACTION: f64 = 0.6;
 
 impl Balancer {
     /// The part of a fair share that a cold endpoint may get; `None` once it is warm. When the limit ended
     /// early, all instances fell upon the one that was clear in a throttled tier.
-    pub(super) fn cold_share(&self, now: Timestamp, e: EndpointIndex) -> Option<f64> {
+    pub(super) fn slow_start_share(&self, now: Timestamp, e: EndpointIndex) -> Option<f64> {
         let known = &self.endpoints[e];
         let rules = &self.settings.rules;
         let age = now.since(known.started_at.max(known.enabled_at)?);
-        if age >= rules.warm_within {
+        if age >= rules.warm_up_time {
             return None;
         }
-        let warmed = (1.0 - rules.cold_from) * age.as_secs_f64() / rules.warm_within.as_secs_f64();
-        let capacity = rules.cold_from + warmed;
-        Some(capacity * rules.fall_multiple * COLD_PART)
+        let warmed =
+            (1.0 - rules.initial_capacity) * age.as_secs_f64() / rules.warm_up_time.as_secs_f64();
+        let capacity = rules.initial_capacity + warmed;
+        Some(capacity * rules.overload_multiple * WARMING_FRACTION)
     }
 
     /// Whether it is warm, or its turn on the ramp has come.
-    pub(super) fn is_warm_or_due(&self, now: Timestamp, e: EndpointIndex) -> bool {
+    pub(super) fn slow_start_admits(&self, now: Timestamp, e: EndpointIndex) -> bool {
         let known = &self.endpoints[e];
-        self.cold_share(now, e).is_none() || known.in_subset && self.cold_clock >= known.cold_turn
+        self.slow_start_share(now, e).is_none()
+            || known.in_subset && self.slow_start_clock >= known.slow_start_slot
     }
 
     /// The clock's reading at an endpoint's next turn, drawn at random.
-    pub(super) fn next_cold_turn(&mut self, now: Timestamp, e: EndpointIndex) -> f64 {
-        let share = self.cold_share(now, e).unwrap_or(f64::INFINITY);
-        self.cold_clock - (1.0 - self.random.unit()).ln() * self.subset.len() as f64 / share
+    pub(super) fn draw_slow_start_slot(&mut self, now: Timestamp, e: EndpointIndex) -> f64 {
+        let share = self.slow_start_share(now, e).unwrap_or(f64::INFINITY);
+        self.slow_start_clock - (1.0 - self.random.unit()).ln() * self.subset.len() as f64 / share
     }
 
     /// Moves the clock on for a send, unless it was counted ahead.
-    pub(super) fn count_send(&mut self, pending: &mut PendingRequest) {
-        let was_counted = std::mem::take(&mut pending.is_counted_ahead);
-        self.cold_clock += if was_counted { 0.0 } else { 1.0 };
+    pub(super) fn advance_slow_start(&mut self, pending: &mut PendingRequest) {
+        let was_counted = std::mem::take(&mut pending.has_advanced_slow_start);
+        self.slow_start_clock += if was_counted { 0.0 } else { 1.0 };
     }
 
     /// Moves the clock on for a request that has nowhere to go, once.
-    pub(super) fn count_send_ahead(&mut self, pending: &mut PendingRequest) {
-        if !std::mem::replace(&mut pending.is_counted_ahead, true) {
-            self.cold_clock += 1.0;
+    pub(super) fn advance_slow_start_early(&mut self, pending: &mut PendingRequest) {
+        if !std::mem::replace(&mut pending.has_advanced_slow_start, true) {
+            self.slow_start_clock += 1.0;
         }
     }
 }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -20,7 +20,8 @@
     pub(super) fn draw_subset(&mut self, now: Timestamp) {
         let size = self.subset_size(now);
         self.subset = self.ring(&self.local);
-        self.subset.truncate(self.length_with_warm(now, size));
+        self.subset
+            .truncate(self.length_with_warm_members(now, size));
         self.remote_subset = self.ring(&self.remote);
         self.remote_subset.truncate(size);
         self.endpoints.iter_mut().for_each(|e| e.in_subset = false);
@@ -28,17 +29,18 @@
             let e = self.subset[position];
             self.endpoints[e].in_subset = true;
             if self.endpoints[e].awaits_first_send {
-                self.endpoints[e].cold_turn = self.cold_clock;
-            } else if self.endpoints[e].cold_turn.is_infinite() {
-                self.endpoints[e].cold_turn = self.next_cold_turn(now, e);
+                self.endpoints[e].slow_start_slot = self.slow_start_clock;
+            } else if self.endpoints[e].slow_start_slot.is_infinite() {
+                self.endpoints[e].slow_start_slot = self.draw_slow_start_slot(now, e);
             }
         }
     }
 
     /// The length at which the ring holds so many warm endpoints. Cold ones ride along: a subset that was
     /// mostly cold left its instance next to nowhere to send.
-    fn length_with_warm(&self, now: Timestamp, size: usize) -> usize {
-        let is_warm = |position: &usize| self.cold_share(now, self.subset[*position]).is_none();
+    fn length_with_warm_members(&self, now: Timestamp, size: usize) -> usize {
+        let is_warm =
+            |position: &usize| self.slow_start_share(now, self.subset[*position]).is_none();
         let last = (0..self.subset.len()).filter(is_warm).nth(size - 1);
         last.map_or(self.subset.len(), |position| position + 1)
     }
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -1,5 +1,5 @@
 //! Random legal sequences of events against the module: rules 1 to 3, 5 and 6, and the legality of every action.
-//! Rule 4 needs all instances together; `cold_ramp.rs` has it.
+//! Rule 4 needs all instances together; `slow_start.rs` has it.
 
 use crate::host::*;
 use crate::legal_model::*;
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,9 +1,6 @@
 //! The decision module, driven event by event. Each test says what of the code it guards.
 
 mod answer_time;
-mod cold_ramp;
-mod cold_ramp_fleet;
-mod cold_tier;
 mod discovery_calls;
 mod hold_queue;
 mod host;
@@ -19,4 +16,7 @@
 mod retry;
 mod robust;
 mod settings_change;
+mod slow_start;
+mod slow_start_fleet;
 mod subset;
+mod warming_tier;
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -271,9 +271,11 @@
         ("classes[2].deadline", |s| {
             s.classes[2].deadline = Duration::MAX
         }),
-        ("rules.cold_from", |s| s.rules.cold_from = -0.1),
-        ("rules.fall_multiple", |s| {
-            s.rules.fall_multiple = f64::INFINITY
+        ("rules.initial_capacity", |s| {
+            s.rules.initial_capacity = -0.1
+        }),
+        ("rules.overload_multiple", |s| {
+            s.rules.overload_multiple = f64::INFINITY
         }),
         ("rules.drain_close", |s| {
             s.rules.drain_close = Some(Duration::MAX)
--- a/tests/policy/cold_ramp_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -14,10 +14,10 @@
 
 /// The fullest window of a run, as a part of what the settings allow in it.
 fn fullest_window(rules: &Rules, reached: &[Timestamp]) -> f64 {
-    let end = ramp_start() + rules.warm_within;
-    let inside = |first: &usize| reached[*first] + rules.fall_time <= end;
+    let end = ramp_start() + rules.warm_up_time;
+    let inside = |first: &usize| reached[*first] + rules.overload_window <= end;
     let windows = (0..reached.len()).filter(inside).map(|first| {
-        let until = reached[first] + rules.fall_time;
+        let until = reached[first] + rules.overload_window;
         let count = reached.partition_point(|at| *at < until) - first;
         count as f64 / allowed_in_window(rules, reached[first].since(ramp_start()))
     });
@@ -26,8 +26,8 @@
 
 /// The requests that the endpoint could serve over the ramp.
 fn servable(rules: &Rules) -> f64 {
-    let mean_part = part_of_capacity(rules, rules.warm_within / 2);
-    mean_part * CAPACITY_PER_S * rules.warm_within.as_secs_f64()
+    let mean_part = part_of_capacity(rules, rules.warm_up_time / 2);
+    mean_part * CAPACITY_PER_S * rules.warm_up_time.as_secs_f64()
 }
 
 /// Runs a scenario; the cold endpoint may get neither more than it bears nor next to nothing.
@@ -66,7 +66,7 @@
     let mut starts = [None; INSTANCES];
     for (n, start) in starts.iter_mut().step_by(3).enumerate() {
         let part_of_ramp = (n + 1) as f64 / INSTANCES as f64;
-        *start = Some(rules.warm_within.mul_f64(part_of_ramp * 1.5));
+        *start = Some(rules.warm_up_time.mul_f64(part_of_ramp * 1.5));
     }
     starts
 }
--- a/tests/policy/cold_ramp_fleet/scenario.rs
+++ b/tests/policy/slow_start_fleet/scenario.rs
@@ -70,10 +70,10 @@
 /// A long ramp from a low start.
 pub fn slow_rules() -> Rules {
     Rules {
-        cold_from: 0.16,
-        warm_within: Duration::from_secs(24),
-        fall_multiple: 3.0,
-        fall_time: Duration::from_secs(2),
+        initial_capacity: 0.16,
+        warm_up_time: Duration::from_secs(24),
+        overload_multiple: 3.0,
+        overload_window: Duration::from_secs(2),
         ..settings().rules
     }
 }
@@ -81,23 +81,24 @@
 /// A shorter ramp with a narrower window and less allowed in it.
 pub fn narrow_rules() -> Rules {
     Rules {
-        cold_from: 0.2,
-        warm_within: Duration::from_secs(12),
-        fall_multiple: 2.0,
-        fall_time: Duration::from_secs(1),
+        initial_capacity: 0.2,
+        warm_up_time: Duration::from_secs(12),
+        overload_multiple: 2.0,
+        overload_window: Duration::from_secs(1),
         ..settings().rules
     }
 }
 
 /// The part of its capacity that the endpoint has so long after its start.
 pub fn part_of_capacity(rules: &Rules, age: Duration) -> f64 {
-    let warmth = age.as_secs_f64() / rules.warm_within.as_secs_f64();
-    (rules.cold_from + (1.0 - rules.cold_from) * warmth).min(1.0)
+    let warmth = age.as_secs_f64() / rules.warm_up_time.as_secs_f64();
+    (rules.initial_capacity + (1.0 - rules.initial_capacity) * warmth).min(1.0)
 }
 
 /// What the settings allow in the window that begins at this age: N + 2 x root of N + 2 requests.
 pub fn allowed_in_window(rules: &Rules, age: Duration) -> f64 {
-    let mean_part = part_of_capacity(rules, age + rules.fall_time / 2);
-    let n = rules.fall_multiple * CAPACITY_PER_S * mean_part * rules.fall_time.as_secs_f64();
+    let mean_part = part_of_capacity(rules, age + rules.overload_window / 2);
+    let n =
+        rules.overload_multiple * CAPACITY_PER_S * mean_part * rules.overload_window.as_secs_f64();
     n + 2.0 * n.sqrt() + 2.0
 }
--- a/tests/policy/cold_ramp_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -139,7 +139,7 @@
             seen: Seen::default(),
         };
         fleet.plan();
-        let end = ramp_start() + scenario.rules.warm_within;
+        let end = ramp_start() + scenario.rules.warm_up_time;
         while let Some(Reverse((now, number))) =
             fleet.agenda.pop().filter(|Reverse((now, _))| *now < end)
         {
--- a/tests/sidecar/cold_endpoint.rs
+++ b/tests/sidecar/warming_endpoint.rs
@@ -9,7 +9,7 @@
 const WARM_ENDPOINTS: usize = 5;
 const REQUESTS_EACH: usize = 100;
 /// The cold endpoint may get this part of a fair share, times this, of the burst.
-const COLD_FROM: f64 = 0.1;
+const INITIAL_CAPACITY: f64 = 0.1;
 const FALL_MULTIPLE: f64 = 2.0;
 
 fn now_ms() -> u64 {
@@ -25,7 +25,7 @@
     config["seed"] = json!(format!("{:016x}", 1000 + sidecar));
     config["settings"]["balancers"] = json!(SIDECARS);
     config["settings"]["myNumber"] = json!(sidecar);
-    config["settings"]["rules"]["coldFrom"] = json!(COLD_FROM);
+    config["settings"]["rules"]["coldFrom"] = json!(INITIAL_CAPACITY);
     config["settings"]["rules"]["fallMultiple"] = json!(FALL_MULTIPLE);
     config["settings"]["rules"]["warmWithinNs"] = json!(3_600_000_000_000u64);
     config
@@ -64,7 +64,7 @@
     });
     let reached = cold.requests();
     let fair_share = (SIDECARS * REQUESTS_EACH) as f64 / (WARM_ENDPOINTS + 1) as f64;
-    let allowed = FALL_MULTIPLE * COLD_FROM * fair_share;
+    let allowed = FALL_MULTIPLE * INITIAL_CAPACITY * fair_share;
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
     assert!(reached > 0, "it is not starved");
     assert!(
