--- a/lab/src/endpoint/connection.rs
+++ b/lab/src/endpoint/connection.rs
@@ -55,13 +55,13 @@
     }
 
     /// The answer to a probe; none if the request is none.
-    fn answer_probe(&self, request: &Request) -> Option<Answer> {
+    fn answer_health_check(&self, request: &Request) -> Option<Answer> {
         let answer = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/health") => Answer::Healthy,
             ("GET", "/status/load") => Answer::Load,
             _ => return None,
         };
-        self.state.counters.probes.increment();
+        self.state.counters.health_checks.increment();
         Some(if self.state.options.load_reports {
             answer
         } else {
@@ -178,7 +178,7 @@
 
     /// Sees to a request; no answer if its sender has gone before its turn came.
     async fn answer(&mut self, endpoint: &RunningEndpoint, request: &Request) -> Option<Answer> {
-        if let Some(answer) = endpoint.answer_probe(request) {
+        if let Some(answer) = endpoint.answer_health_check(request) {
             return Some(answer);
         }
         endpoint.state.counters.requests.increment();
--- a/lab/src/endpoint/state.rs
+++ b/lab/src/endpoint/state.rs
@@ -154,7 +154,7 @@
     pub served: Counter,
     pub turned_away: Counter,
     pub failed: Counter,
-    pub probes: Counter,
+    pub health_checks: Counter,
 }
 
 impl Counters {
@@ -166,7 +166,7 @@
             served: self.served.get(),
             turned_away: self.turned_away.get(),
             failed: self.failed.get(),
-            probes: self.probes.get(),
+            health_checks: self.health_checks.get(),
         }
     }
 }
--- a/lab/src/endpoint/usage.rs
+++ b/lab/src/endpoint/usage.rs
@@ -18,5 +18,5 @@
     /// Requests whose call to the next tier failed, answered 500.
     pub failed: u64,
     /// Probes (`/health` and `/status/load`).
-    pub probes: u64,
+    pub health_checks: u64,
 }
--- a/lab/src/experiment/check.rs
+++ b/lab/src/experiment/check.rs
@@ -181,7 +181,11 @@
     faults.count("measure.endpoints", plan.endpoints, MOST_ENDPOINTS);
     faults.sizes("measure.changes", &plan.changes, MOST_EVENTS.into());
     faults.sizes("measure.reloads", &plan.reloads, MOST_EVENTS.into());
-    faults.sizes("measure.probing_rates", &plan.probing_rates, HIGHEST_RATE);
+    faults.sizes(
+        "measure.probing_rates",
+        &plan.health_check_rates,
+        HIGHEST_RATE,
+    );
     faults.seconds("measure.seconds", plan.seconds);
 }
 
--- a/lab/src/scenario/control_cost.rs
+++ b/lab/src/scenario/control_cost.rs
@@ -53,7 +53,7 @@
             .figures
             .extend(reloads(plan, &single, &idle, period)?);
     }
-    probes(plan, seed, context, period, &mut findings)?;
+    health_checks(plan, seed, context, period, &mut findings)?;
     Ok(findings)
 }
 
@@ -94,7 +94,7 @@
 
 fn start(
     endpoints: u32,
-    probes: bool,
+    health_checks: bool,
     seed: u64,
     context: &RunContext,
 ) -> Result<Single, ScenarioError> {
@@ -102,7 +102,7 @@
         endpoints,
         endpoint: &ENDPOINT,
         deadline: CALLER_DEADLINE,
-        probes,
+        health_checks,
         seed,
     };
     Single::start(&options, context)
@@ -213,25 +213,25 @@
 }
 
 /// Probes that a sidecar makes at each rate of calls, and what a call costs it with them and without.
-fn probes(
+fn health_checks(
     plan: &ControlCost,
     seed: u64,
     context: &RunContext,
     period: Duration,
     findings: &mut Findings,
 ) -> Result<(), ScenarioError> {
-    let probing = start(plan.endpoints, true, seed, context)?;
+    let health_check = start(plan.endpoints, true, seed, context)?;
     let reported = start(plan.endpoints, false, seed, context)?;
     let mut series = Series::over("calls/s");
-    for rate in &plan.probing_rates {
-        let with = call_cost(&probing, *rate, period, seed, &mut findings.problems)?;
+    for rate in &plan.health_check_rates {
+        let with = call_cost(&health_check, *rate, period, seed, &mut findings.problems)?;
         let without = call_cost(&reported, *rate, period, seed, &mut findings.problems)?;
-        series.add("probes a call", "1", *rate, with.probes / with.calls);
+        series.add("probes a call", "1", *rate, with.health_checks / with.calls);
         series.add(
             "probes a second",
             "1",
             *rate,
-            with.probes / period.as_secs_f64(),
+            with.health_checks / period.as_secs_f64(),
         );
         series.add(
             "processor time a call with probes",
@@ -254,7 +254,7 @@
 /// What calls at one rate came to.
 struct CallCost {
     calls: f64,
-    probes: f64,
+    health_checks: f64,
     microseconds: f64,
 }
 
@@ -278,12 +278,12 @@
         duration: period,
         seed,
     };
-    let probes = single.endpoint_probes();
+    let health_checks = single.endpoint_health_checks();
     let mut calls = 0;
     let cost = Cost::over(single, || {
         for result in caller::run(&load).map_err(ScenarioError::step("run the callers"))? {
             calls += result.sent;
-            let what = if single.configuration.probes {
+            let what = if single.configuration.health_checks {
                 "with probes"
             } else {
                 "without probes"
@@ -294,7 +294,7 @@
     })?;
     Ok(CallCost {
         calls: calls.max(1) as f64,
-        probes: (single.endpoint_probes() - probes) as f64,
+        health_checks: (single.endpoint_health_checks() - health_checks) as f64,
         microseconds: cost.processor_time.as_secs_f64() * 1e6,
     })
 }
--- a/lab/src/scenario/fleet.rs
+++ b/lab/src/scenario/fleet.rs
@@ -164,7 +164,7 @@
                 lists_are_pushed: self.lists_are_pushed,
                 known: known.clone(),
                 classes: vec![request_class()],
-                probes: false,
+                health_checks: false,
                 seed: self.seed.wrapping_add(u64::from(number)),
                 memory_mb: SIDECAR_MEMORY_MB,
                 descriptors: SIDECAR_DESCRIPTORS,
--- a/lab/src/scenario/latency.rs
+++ b/lab/src/scenario/latency.rs
@@ -28,7 +28,7 @@
         endpoints: plan.endpoints,
         endpoint: &plan.endpoint,
         deadline: CALLER_DEADLINE,
-        probes: false,
+        health_checks: false,
         seed,
     };
     let single = Single::start(&options, context)?;
--- a/lab/src/scenario/memory.rs
+++ b/lab/src/scenario/memory.rs
@@ -152,7 +152,7 @@
         endpoints,
         endpoint: &endpoint,
         deadline,
-        probes: false,
+        health_checks: false,
         seed,
     };
     Single::start(&options, context)
--- a/lab/src/scenario/single.rs
+++ b/lab/src/scenario/single.rs
@@ -40,7 +40,7 @@
     /// How long callers wait.
     pub(super) deadline: Duration,
     /// Whether load reports come with probes.
-    pub(super) probes: bool,
+    pub(super) health_checks: bool,
     /// Seed of all random numbers.
     pub(super) seed: u64,
 }
@@ -75,7 +75,7 @@
             sidecars: options.endpoints,
         };
         let mut configuration = configuration(&discovery, place, options.deadline, options.seed);
-        configuration.probes = options.probes;
+        configuration.health_checks = options.health_checks;
         let sidecar = start_sidecar(&configuration, context)?;
         wait_until_ready(&sidecar)?;
         Ok(Single {
@@ -119,10 +119,10 @@
     }
 
     /// Probes that listed endpoints got.
-    pub(super) fn endpoint_probes(&self) -> u64 {
+    pub(super) fn endpoint_health_checks(&self) -> u64 {
         self.endpoints
             .iter()
-            .map(|endpoint| endpoint.usage().probes)
+            .map(|endpoint| endpoint.usage().health_checks)
             .sum()
     }
 }
@@ -203,7 +203,7 @@
         lists_are_pushed: true,
         known: Some(discovery.snapshot()),
         classes: vec![class(SAFE_CLASS, false), class(UNSAFE_CLASS, true)],
-        probes: false,
+        health_checks: false,
         seed: seed ^ (u64::from(place.tier) << 32) ^ u64::from(place.number),
         memory_mb: SIDECAR_MEMORY_MB,
         descriptors: SIDECAR_DESCRIPTORS,
--- a/lab/src/sidecar/configuration.rs
+++ b/lab/src/sidecar/configuration.rs
@@ -74,7 +74,7 @@
     /// Classes of requests.
     pub classes: Vec<RequestClass>,
     /// Whether probes are allowed; load reports come with probes alone then, else with answers.
-    pub probes: bool,
+    pub health_checks: bool,
     /// For random numbers.
     pub seed: u64,
     /// Limits: memory in MB.
@@ -135,7 +135,11 @@
     }
 
     fn report(&self) -> Value {
-        let how = if self.probes { "on_probe" } else { "inline" };
+        let how = if self.health_checks {
+            "on_probe"
+        } else {
+            "inline"
+        };
         json!({"fields": ["concurrent", "depth", "load_share"], "how": how})
     }
 
@@ -149,7 +153,7 @@
             "maxStreams": 1,
             "mayTell": false,
             "parallelTries": true,
-            "probes": self.probes,
+            "probes": self.health_checks,
             "retryAfter": true,
             "sendCap": MOST_ATTEMPTS,
         })
--- a/lab/src/sidecar/hollow/attempts.rs
+++ b/lab/src/sidecar/hollow/attempts.rs
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// How long an endpoint takes to answer a probe.
-const PROBE_ANSWER_TIME: Duration = Duration::from_millis(1);
+const HEALTH_CHECK_ANSWER_TIME: Duration = Duration::from_millis(1);
 /// A probe that is not answered for this long has failed, as at the real sidecar.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Who is told how attempts and probes end.
 pub(super) trait AttemptOwner {
@@ -20,7 +20,7 @@
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: Ending);
 
     /// A probe has ended.
-    fn probe_ended(&self, probe: &Probe, took: Duration, ending: Ending);
+    fn health_check_ended(&self, check_health: &HealthCheck, took: Duration, ending: Ending);
 }
 
 /// An attempt to be made.
@@ -37,7 +37,7 @@
 }
 
 /// A probe to be made.
-pub(super) struct Probe {
+pub(super) struct HealthCheck {
     pub endpoint: EndpointId,
     pub simulated: Arc<SimulatedEndpoint>,
     /// Which of the endpoint's processes it is meant for.
@@ -95,19 +95,19 @@
 }
 
 /// Makes a probe and tells the sidecar how it ended.
-pub(super) async fn probe(owner: impl AttemptOwner, probe: Probe) {
+pub(super) async fn check_health(owner: impl AttemptOwner, check_health: HealthCheck) {
     let sent = Instant::now();
-    let ending = probe.answer().await;
-    owner.probe_ended(&probe, sent.elapsed(), ending);
+    let ending = check_health.answer().await;
+    owner.health_check_ended(&check_health, sent.elapsed(), ending);
 }
 
-impl Probe {
+impl HealthCheck {
     async fn answer(&self) -> Ending {
         if self.simulated.is_unreachable() {
-            sleep(self.connect_timeout.min(PROBE_TIMEOUT)).await;
+            sleep(self.connect_timeout.min(HEALTH_CHECK_TIMEOUT)).await;
             return Ending::without_answer(Outcome::ConnectFailed);
         }
-        sleep(PROBE_ANSWER_TIME).await;
+        sleep(HEALTH_CHECK_ANSWER_TIME).await;
         let reports = self.reporting != Reporting::Off;
         Ending {
             outcome: Outcome::Served,
--- a/lab/src/sidecar/hollow/counters.rs
+++ b/lab/src/sidecar/hollow/counters.rs
@@ -57,8 +57,8 @@
         });
     }
 
-    pub fn probe(&self) {
-        self.lock().usage.probes += 1;
+    pub fn check_health(&self) {
+        self.lock().usage.health_checks += 1;
     }
 
     pub fn discovery_failure(&self) {
--- a/lab/src/sidecar/hollow/member.rs
+++ b/lab/src/sidecar/hollow/member.rs
@@ -3,7 +3,7 @@
 mod actions;
 mod discovery;
 
-use super::attempts::{AttemptOwner, Ending, Probe};
+use super::attempts::{AttemptOwner, Ending, HealthCheck};
 use super::calls::{Callee, OpenCalls};
 use super::clock::Clock;
 use super::fleet_state::FleetState;
@@ -230,12 +230,12 @@
     }
 
     /// A probe has ended. It says nothing of a process that has been started since.
-    fn probe_ended(&self, probe: &Probe, took: Duration, ending: Ending) {
-        if self.borrow().started_at(&probe.endpoint) != Some(probe.started_at) {
+    fn health_check_ended(&self, check_health: &HealthCheck, took: Duration, ending: Ending) {
+        if self.borrow().started_at(&check_health.endpoint) != Some(check_health.started_at) {
             return;
         }
-        let (endpoint, Ending { outcome, report }) = (probe.endpoint.clone(), ending);
-        self.tell(Event::ProbeEnded {
+        let (endpoint, Ending { outcome, report }) = (check_health.endpoint.clone(), ending);
+        self.tell(Event::HealthCheckEnded {
             endpoint,
             outcome,
             took,
--- a/lab/src/sidecar/hollow/member/actions.rs
+++ b/lab/src/sidecar/hollow/member/actions.rs
@@ -1,6 +1,6 @@
 //! What the decision module has a hollow sidecar do.
 
-use super::super::attempts::{self, Attempt, Probe};
+use super::super::attempts::{self, Attempt, HealthCheck};
 use super::super::calls::NextAttempt;
 use super::super::task::Task;
 use super::{Member, MemberHandle};
@@ -37,7 +37,7 @@
                 }
             }
             Action::FetchList => drop(spawn_local(discovery::fetch(handle.clone(), self.source))),
-            Action::Probe { endpoint } => self.probe(handle, endpoint),
+            Action::HealthCheck { endpoint } => self.check_health(handle, endpoint),
             Action::Log(text) => tracing::debug!(place = self.identity.place, "{text}"),
             // There are no connections, and no peers.
             Action::CloseIdleConnections { .. } | Action::SendPeerMessage { .. } => {}
@@ -115,19 +115,19 @@
     }
 
     /// Probes an endpoint, if it is listed.
-    fn probe(&mut self, handle: &MemberHandle, endpoint: EndpointId) {
+    fn check_health(&mut self, handle: &MemberHandle, endpoint: EndpointId) {
         let Some(started_at) = self.started_at(&endpoint) else {
             return;
         };
-        self.fleet.counters.probe();
-        let probe = Probe {
+        self.fleet.counters.check_health();
+        let check_health = HealthCheck {
             simulated: self.fleet.endpoints.get(&endpoint),
             endpoint,
             started_at,
             connect_timeout: self.settings.limits.connect_timeout,
             reporting: self.settings.reporting,
         };
-        spawn_local(attempts::probe(handle.clone(), probe));
+        spawn_local(attempts::check_health(handle.clone(), check_health));
     }
 }
 
--- a/lab/src/tier.rs
+++ b/lab/src/tier.rs
@@ -100,7 +100,7 @@
                 class(SAFE_CLASS, false, 1.0),
                 class(UNSAFE_CLASS, true, ORDER_WORTH),
             ],
-            probes: false,
+            health_checks: false,
             seed: SEED,
             memory_mb: SIDECAR_MEMORY_MB,
             descriptors: SIDECAR_DESCRIPTORS,
--- a/lab/tests/endpoint.rs
+++ b/lab/tests/endpoint.rs
@@ -3,7 +3,7 @@
 #[path = "support/http_connection.rs"]
 mod http_connection;
 
-use http_connection::{Connection, Message, PATIENCE, get, probe};
+use http_connection::{Connection, Message, PATIENCE, check_health, get};
 use pipittray_lab::endpoint::{
     EndpointHandle, EndpointHost, EndpointOptions, EndpointUsage, ServiceTime, SlowStart,
 };
@@ -54,7 +54,7 @@
 }
 
 fn load(endpoint: &EndpointHandle) -> String {
-    String::from_utf8(probe(endpoint.entry().address, "/status/load").body).unwrap()
+    String::from_utf8(check_health(endpoint.entry().address, "/status/load").body).unwrap()
 }
 
 #[test]
@@ -211,10 +211,16 @@
 fn probes_are_answered_only_with_load_reports() {
     let host = host();
     let endpoint = add(&host, options(), None);
-    assert_eq!(probe(endpoint.entry().address, "/health").status(), "200");
-    let status = probe(endpoint.entry().address, "/status/load");
+    assert_eq!(
+        check_health(endpoint.entry().address, "/health").status(),
+        "200"
+    );
+    let status = check_health(endpoint.entry().address, "/status/load");
     assert_eq!(status.body, status.header("x-load").unwrap().as_bytes());
-    assert_eq!((endpoint.usage().probes, endpoint.usage().requests), (2, 0));
+    assert_eq!(
+        (endpoint.usage().health_checks, endpoint.usage().requests),
+        (2, 0)
+    );
 
     let endpoint = add(
         &host,
@@ -225,7 +231,7 @@
         None,
     );
     for path in ["/health", "/status/load"] {
-        assert_eq!(probe(endpoint.entry().address, path).status(), "404");
+        assert_eq!(check_health(endpoint.entry().address, path).status(), "404");
     }
     let served = Connection::open(endpoint.entry().address).call(&get("1f"));
     assert_eq!((served.status(), served.header("x-load")), ("200", None));
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -72,7 +72,7 @@
             priority_weight: 1.0,
             deadline: Duration::from_millis(300),
         }],
-        probes: false,
+        health_checks: false,
         seed: u64::from(number) + 1,
         memory_mb: 64,
         descriptors: 256,
@@ -167,7 +167,7 @@
     let usage = wait_until_calls_add_up(&fleet);
     assert!(usage.attempts >= usage.served, "{usage:?}");
     assert!(usage.most_attempts_at_an_endpoint >= 1, "{usage:?}");
-    assert_eq!(usage.probes, 0);
+    assert_eq!(usage.health_checks, 0);
     let (before, seconds, after) = (fleet.usage(), fleet.timeline(), fleet.usage());
     let calls: u64 = seconds.iter().map(|second| second.calls).sum();
     let served: u64 = seconds.iter().map(|second| second.served).sum();
--- a/lab/tests/sidecar_process.rs
+++ b/lab/tests/sidecar_process.rs
@@ -38,7 +38,7 @@
         lists_are_pushed: false,
         known: Some((41, endpoints)),
         classes: vec![class("browse", false), class("order", true)],
-        probes: false,
+        health_checks: false,
         seed: 7,
         memory_mb: 128,
         descriptors: 1024,
@@ -133,11 +133,11 @@
     );
 
     configuration.lists_are_pushed = true;
-    configuration.probes = true;
+    configuration.health_checks = true;
     let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
     assert_eq!(settings.discovery, DiscoveryMode::Pushed);
-    assert_eq!(settings.reporting, Reporting::WithProbes);
-    assert!(settings.limits.probes);
+    assert_eq!(settings.reporting, Reporting::WithHealthChecks);
+    assert!(settings.limits.health_checks);
 }
 
 #[test]
--- a/lab/tests/support/http_connection.rs
+++ b/lab/tests/support/http_connection.rs
@@ -102,6 +102,6 @@
 }
 
 /// Asks for a path on a connection of its own.
-pub fn probe(address: SocketAddr, path: &str) -> Message {
+pub fn check_health(address: SocketAddr, path: &str) -> Message {
     Connection::open(address).call(&format!("GET {path} HTTP/1.1\r\n\r\n"))
 }
--- a/src/configuration/settings_document.rs
+++ b/src/configuration/settings_document.rs
@@ -34,7 +34,7 @@
 }
 
 /// The names of settings in the decision module, and the document's where they differ.
-const DOCUMENT_NAMES: [(&str, &str); 29] = [
+const DOCUMENT_NAMES: [(&str, &str); 31] = [
     ("classes", "categories"),
     ("objective_stretch", "aimStretch"),
     ("objective", "objectiveNs"),
@@ -64,6 +64,8 @@
     ("prices", "fees"),
     ("cross_zone", "crossZone"),
     ("late_fail", "lateFail"),
+    ("health_checks", "probes"),
+    ("health_check", "probe"),
 ];
 /// A part of the decision module's paths that the document does not have.
 const INNER: &str = "idempotency.";
@@ -122,7 +124,7 @@
             },
             reporting: match self.report.how {
                 ReportName::Inline => Reporting::WithAnswers,
-                ReportName::OnProbe => Reporting::WithProbes,
+                ReportName::OnProbe => Reporting::WithHealthChecks,
                 ReportName::Off => Reporting::Off,
             },
             value_basis: match self.worth_by.unwrap_or_default() {
@@ -257,7 +259,7 @@
     fn limits(self) -> Limits {
         Limits {
             cancel: self.cancel,
-            probes: self.probes,
+            health_checks: self.probes,
             peers: self.may_tell,
             parallel_attempts: self.parallel_tries,
             retry_after: self.retry_after,
@@ -428,7 +430,7 @@
         Prices {
             cross_zone: self.cross_zone,
             waste: self.waste,
-            probe: self.probe,
+            health_check: self.probe,
             peer: self.peer,
             handshake: self.handshake,
             connection: self.connection,
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -47,7 +47,7 @@
     /// Ask for the whole list once.
     FetchList,
     /// Check an endpoint.
-    Probe {
+    HealthCheck {
         /// Which.
         endpoint: EndpointId,
     },
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -34,7 +34,7 @@
             .take_if(|_| !self.settings.classes[request.class.0].by_arrival);
         let rate_fade = self.arrival_rate.count(now);
         self.retry_budget.earn(RETRIES_PER_REQUEST);
-        self.earn_probes();
+        self.earn_health_checks();
         let level = self.level(&request, rate_fade);
         self.grow_subset(now);
         let id = request.id.clone();
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -49,7 +49,7 @@
     /// Attempts that timed out, by their deadlines.
     pub(super) overdue_attempts: VecDeque<(Timestamp, EndpointIndex)>,
     pub(super) retry_budget: TokenBudget,
-    pub(super) probe_budget: TokenBudget,
+    pub(super) health_check_budget: TokenBudget,
     /// Own sends, counted ahead for requests that no sound endpoint can take: the clock of the cold ramp.
     pub(super) slow_start_clock: f64,
     /// When a request that must not run twice was last lost.
@@ -62,7 +62,7 @@
 /// What requests have paid for.
 pub(super) struct Budgets {
     pub(super) retries: TokenBudget,
-    pub(super) probes: TokenBudget,
+    pub(super) health_checks: TokenBudget,
 }
 
 impl Balancer {
@@ -95,7 +95,7 @@
             attempts_in_flight: 0,
             overdue_attempts: VecDeque::new(),
             retry_budget: budgets.retries,
-            probe_budget: budgets.probes,
+            health_check_budget: budgets.health_checks,
             slow_start_clock: 0.0,
             unsafe_lost_at: None,
             discovery_schedule: DiscoverySchedule::default(),
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -47,7 +47,7 @@
     /// The reading of the cold ramp's clock from which on it may be sent to while cold.
     pub(super) slow_start_slot: f64,
     /// Not to be probed before.
-    pub(super) next_probe: Timestamp,
+    pub(super) next_health_check: Timestamp,
     /// For each class.
     pub(super) failures: Vec<FailureShare>,
     /// When it last served a request that must not run twice, if it has failed none since.
@@ -80,7 +80,7 @@
             last_send: Timestamp::default(),
             gap_ends: Timestamp::default(),
             slow_start_slot: f64::INFINITY,
-            next_probe: Timestamp::default(),
+            next_health_check: Timestamp::default(),
             failures: vec![FailureShare::default(); classes],
             unsafe_served_at: None,
         }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -179,7 +179,7 @@
         token: u64,
     },
     /// A probe is over.
-    ProbeEnded {
+    HealthCheckEnded {
         /// Of which endpoint.
         endpoint: EndpointId,
         /// How it ended.
--- a/src/policy/probing.rs
+++ b/src/policy/health_check.rs
@@ -9,41 +9,41 @@
 use std::time::Duration;
 
 /// Probes that a request pays for. With one a request they took the requests' places in short queues.
-const PROBES_PER_REQUEST: f64 = 0.15;
+const HEALTH_CHECKS_PER_REQUEST: f64 = 0.15;
 /// How many may be saved up.
-pub(super) const MOST_PROBES_SAVED: f64 = 4.0;
+pub(super) const MAX_SAVED_HEALTH_CHECKS: f64 = 4.0;
 /// The part of the result that they may cost.
 const SPENDING_LIMIT: f64 = 0.03;
 /// The least price that the limit is divided by.
 const LEAST_PRICE: f64 = 1e-6;
 /// Least time between two probes of an endpoint: its report is refreshed about as often.
-const PROBE_GAP: Duration = Duration::from_millis(100);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Balancer {
     /// Counts what a request pays for: nothing where answers bring reports, and little where probes are dear.
-    pub(super) fn earn_probes(&mut self) {
-        let are_needed =
-            self.settings.limits.probes && self.settings.reporting == Reporting::WithProbes;
-        let affordable = SPENDING_LIMIT / self.settings.prices.probe.max(LEAST_PRICE);
-        self.probe_budget.earn(if are_needed {
-            PROBES_PER_REQUEST.min(affordable)
+    pub(super) fn earn_health_checks(&mut self) {
+        let are_needed = self.settings.limits.health_checks
+            && self.settings.reporting == Reporting::WithHealthChecks;
+        let affordable = SPENDING_LIMIT / self.settings.prices.health_check.max(LEAST_PRICE);
+        self.health_check_budget.earn(if are_needed {
+            HEALTH_CHECKS_PER_REQUEST.min(affordable)
         } else {
             0.0
         });
     }
 
     /// Probes subset members, the longest unheard of first, as far as the budget goes.
-    pub(super) fn probe(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        while self.probe_budget.has_token() {
-            let next_probe = |e: &&usize| self.endpoints[**e].next_probe;
-            let due = self.subset.iter().filter(|e| now >= next_probe(e));
-            let Some(e) = due.min_by_key(next_probe).copied() else {
+    pub(super) fn check_health(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        while self.health_check_budget.has_token() {
+            let next_health_check = |e: &&usize| self.endpoints[**e].next_health_check;
+            let due = self.subset.iter().filter(|e| now >= next_health_check(e));
+            let Some(e) = due.min_by_key(next_health_check).copied() else {
                 return;
             };
-            self.probe_budget.spend();
+            self.health_check_budget.spend();
             let known = &mut self.endpoints[e];
-            known.next_probe = now + PROBE_GAP;
-            actions.push(Action::Probe {
+            known.next_health_check = now + HEALTH_CHECK_INTERVAL;
+            actions.push(Action::HealthCheck {
                 endpoint: known.id.clone(),
             });
         }
@@ -51,7 +51,7 @@
 
     /// Learns what a probe says of its endpoint: one rejected or not answered in time met a queue. Guards
     /// against hearing none but those that have room.
-    pub(super) fn probe_ended(
+    pub(super) fn health_check_ended(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -5,9 +5,9 @@
 use super::balancer::{Balancer, Budgets};
 use super::class::ClassState;
 use super::event::Event;
+use super::health_check::MAX_SAVED_HEALTH_CHECKS;
 use super::id::ClassId;
 use super::priority_level::RETIRED_CLASS_KEPT;
-use super::probing::MOST_PROBES_SAVED;
 use super::retry::MOST_RETRIES_SAVED;
 use super::settings::{Class, Settings};
 use super::settings_check::SettingsError;
@@ -24,7 +24,7 @@
         let classes = settings.classes.iter().map(new_class).collect();
         let budgets = Budgets {
             retries: TokenBudget::new(MOST_RETRIES_SAVED),
-            probes: TokenBudget::new(MOST_PROBES_SAVED),
+            health_checks: TokenBudget::new(MAX_SAVED_HEALTH_CHECKS),
         };
         let mut balancer = Balancer::blank(settings, seed, classes, budgets);
         balancer.set_levels();
@@ -89,7 +89,7 @@
         self.free_overdue(now);
         self.key_order.forget_rested(now);
         self.dispatch(now, event, actions);
-        self.probe(now, actions);
+        self.check_health(now, actions);
         self.release(now, actions);
         self.set_timer(now, actions);
     }
@@ -110,13 +110,13 @@
             Event::ClientDisconnected { request } => self.request_over(&request, None, actions),
             Event::AttemptEnded(ended) => self.attempt_ended(now, &ended, actions),
             Event::Timer { token } => self.timer_expired(token),
-            Event::ProbeEnded {
+            Event::HealthCheckEnded {
                 endpoint,
                 outcome,
                 report,
                 ..
             } => {
-                self.probe_ended(now, &endpoint, outcome, report.as_ref());
+                self.health_check_ended(now, &endpoint, outcome, report.as_ref());
             }
             Event::Request(_) | Event::PeerMessage { .. } => {}
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -24,7 +24,7 @@
 //! | the send of an attempt, and the answer where none serves | `send.rs` |
 //! | how long answers take | `answer_time.rs` |
 //! | how many requests arrive | `arrival_rate.rs` |
-//! | probes | `probing.rs` |
+//! | probes | `health_check.rs` |
 //! | calls of discovery | `discovery_calls.rs` |
 //! | when the host's timer expires next | `timer.rs` |
 //! | what each event sets off, and what new settings change | `instance.rs` |
@@ -50,6 +50,7 @@
 mod endpoint;
 mod endpoint_table;
 mod event;
+mod health_check;
 mod held_requests;
 mod hold_queue;
 mod id;
@@ -63,7 +64,6 @@
 mod pending;
 mod pick;
 mod priority_level;
-mod probing;
 pub(crate) mod random;
 mod request_table;
 mod retry;
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -92,8 +92,8 @@
 pub struct Limits {
     /// [`Action::Cancel`](super::Action::Cancel) is permitted.
     pub cancel: bool,
-    /// [`Action::Probe`](super::Action::Probe) is permitted.
-    pub probes: bool,
+    /// [`Action::HealthCheck`](super::Action::HealthCheck) is permitted.
+    pub health_checks: bool,
     /// [`Action::SendPeerMessage`](super::Action::SendPeerMessage) is permitted.
     pub peers: bool,
     /// A request may have two attempts out together.
@@ -119,7 +119,7 @@
     fn default() -> Self {
         Limits {
             cancel: true,
-            probes: false,
+            health_checks: false,
             peers: false,
             parallel_attempts: false,
             retry_after: true,
@@ -191,7 +191,7 @@
     /// Endpoint work that served no answer, as a part of the work asked for.
     pub waste: f64,
     /// Probes, for each first try.
-    pub probe: f64,
+    pub health_check: f64,
     /// Full peer messages, for each first try.
     pub peer: f64,
     /// New connections, for each first try.
@@ -223,7 +223,7 @@
     /// In outcomes and probe results.
     WithAnswers,
     /// In probe results alone.
-    WithProbes,
+    WithHealthChecks,
     /// Nowhere.
     Off,
 }
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -141,7 +141,7 @@
         let prices = &settings.prices;
         self.amount("prices.cross_zone", prices.cross_zone);
         self.amount("prices.waste", prices.waste);
-        self.amount("prices.probe", prices.probe);
+        self.amount("prices.health_check", prices.health_check);
         self.amount("prices.peer", prices.peer);
         self.amount("prices.handshake", prices.handshake);
         self.amount("prices.connection", prices.connection);
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -28,7 +28,7 @@
     /// Connections opened to endpoints.
     pub connects: u64,
     /// Probes that ended.
-    pub probes: u64,
+    pub health_checks: u64,
     /// Load reports that the module was given.
     pub reports: u64,
     outcomes: [u64; OUTCOME_NAMES.len()],
@@ -95,7 +95,7 @@
         write!(
             f,
             " probes={} reports={} attempts",
-            counters.probes, counters.reports
+            counters.health_checks, counters.reports
         )?;
         let seen = OUTCOME_NAMES
             .iter()
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -78,7 +78,7 @@
     }
 
     /// The end of a probe, whose answer is the report.
-    pub fn of_probe(head: &Response<()>, body: Option<Bytes>) -> Self {
+    pub fn of_health_check(head: &Response<()>, body: Option<Bytes>) -> Self {
         let text = body
             .as_ref()
             .and_then(|bytes| std::str::from_utf8(bytes).ok());
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -42,7 +42,7 @@
     /// An attempt counts, and its answer takes memory.
     Attempt(&'a MemoryBudget),
     /// A probe does neither.
-    Probe,
+    HealthCheck,
 }
 
 impl EndpointConnection {
@@ -91,7 +91,7 @@
     ) -> Result<EndpointResponse, BodyFailure> {
         match exchange {
             Exchange::Attempt(_) => self.progress.attempt_begins(),
-            Exchange::Probe => self.progress.probe_begins(),
+            Exchange::HealthCheck => self.progress.health_check_begins(),
         }
         let too_many_informational = limit_informational(&mut request);
         let response = tokio::select! {
@@ -111,7 +111,7 @@
                 let reservation = memory.reserve(most);
                 (reservation.is_some(), reservation)
             }
-            Exchange::Probe => (true, None),
+            Exchange::HealthCheck => (true, None),
         };
         let body = receive_answer(body, is_kept).await;
         Ok(EndpointResponse {
--- a/src/sidecar/endpoint/probe.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -15,16 +15,16 @@
 use tokio::time::{Instant, timeout_at};
 
 /// A probe that is not answered by then is given up.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Where endpoints give their load reports.
 const LOAD_PATH: &str = "/status/load";
 
 /// Asks an endpoint for its load report and tells the host what came of it.
-pub async fn probe(host: impl EndpointHost, target: Target) {
+pub async fn check_health(host: impl EndpointHost, target: Target) {
     let sent = Instant::now();
-    let result = timeout_at(sent + PROBE_TIMEOUT, ask_load(&host, &target)).await;
+    let result = timeout_at(sent + HEALTH_CHECK_TIMEOUT, ask_load(&host, &target)).await;
     let result = result.unwrap_or(AttemptResult::without_answer(Outcome::TimedOut));
-    host.probe_ended(&target, sent.elapsed(), result);
+    host.health_check_ended(&target, sent.elapsed(), result);
 }
 
 async fn ask_load(host: &impl EndpointHost, target: &Target) -> AttemptResult {
@@ -42,15 +42,15 @@
     let body = OutgoingBody::new(Bytes::new(), None, connection.progress().clone());
     let mut request = Request::new(body);
     *request.uri_mut() = Uri::from_static(LOAD_PATH);
-    match connection.carry(request, Exchange::Probe).await {
+    match connection.carry(request, Exchange::HealthCheck).await {
         Ok(EndpointResponse {
             head,
             body: Ok(ReceivedAnswer::Whole(body)),
         }) => {
             host.return_connection(connection, target);
-            AttemptResult::of_probe(&head, Some(body))
+            AttemptResult::of_health_check(&head, Some(body))
         }
-        Ok(EndpointResponse { head, .. }) => AttemptResult::of_probe(&head, None),
+        Ok(EndpointResponse { head, .. }) => AttemptResult::of_health_check(&head, None),
         Err(_) => AttemptResult::without_answer(Outcome::Reset),
     }
 }
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -50,7 +50,7 @@
     fn attempt_ended(&self, order: &AttemptOrder, result: AttemptResult);
 
     /// A probe has ended.
-    fn probe_ended(&self, target: &Target, took: Duration, result: AttemptResult);
+    fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult);
 
     /// Now, by the sidecar's clock.
     fn now(&self) -> Timestamp {
--- a/src/sidecar/endpoint/write_progress.rs
+++ b/src/sidecar/endpoint/write_progress.rs
@@ -39,7 +39,7 @@
     }
 
     /// A probe begins, which does not count.
-    pub fn probe_begins(&self) {
+    pub fn health_check_begins(&self) {
         self.stage.set(Stage::Idle);
     }
 
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -45,7 +45,7 @@
                 self.watches.source(),
             ))),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
-            Action::Probe { endpoint } => self.probe(handle, &endpoint),
+            Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
             // The module sends none.
             Action::SendPeerMessage { .. } => log!("no peers here"),
             Action::Log(text) => log!("{text}"),
@@ -60,9 +60,9 @@
         });
     }
 
-    fn probe(&self, handle: &NodeHandle, endpoint: &EndpointId) {
+    fn check_health(&self, handle: &NodeHandle, endpoint: &EndpointId) {
         if let Some(target) = self.target(endpoint) {
-            spawn_local(endpoint::probe(handle.clone(), target));
+            spawn_local(endpoint::check_health(handle.clone(), target));
         }
     }
 }
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -109,12 +109,12 @@
         self.borrow().forget_if_over(&order.request);
     }
 
-    fn probe_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
+    fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
         let AttemptResult {
             outcome, report, ..
         } = result;
         let mut node = self.borrow();
-        node.counters.probes += 1;
+        node.counters.health_checks += 1;
         node.counters.reports += u64::from(report.is_some());
         if node
             .membership
@@ -124,7 +124,7 @@
             return; // it speaks of a process that is no more
         }
         drop(node);
-        self.handle(Event::ProbeEnded {
+        self.handle(Event::HealthCheckEnded {
             endpoint: target.endpoint.clone(),
             outcome,
             took,
--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -73,7 +73,7 @@
             u8::from(*on)
         ),
         Action::FetchList => write!(reply, "fetch sidecarId=sidecar/{n}"),
-        Action::Probe { endpoint } => {
+        Action::HealthCheck { endpoint } => {
             write!(reply, "poll sidecarId=sidecar/{n} endpoint={}", endpoint.0)
         }
         Action::CloseIdleConnections { endpoint } => {
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -64,7 +64,7 @@
         "due" => Event::Timer {
             token: fields.number("name")?,
         },
-        "probe_result" => Event::ProbeEnded {
+        "probe_result" => Event::HealthCheckEnded {
             endpoint: fields.text("endpoint")?.into(),
             outcome: fields.outcome()?,
             took: took(fields)?,
--- a/tests/policy/probing.rs
+++ b/tests/policy/health_check.rs
@@ -32,7 +32,7 @@
                 depth: Some(d),
                 ..LoadReport::default()
             });
-            host.tell(Event::ProbeEnded {
+            host.tell(Event::HealthCheckEnded {
                 endpoint,
                 outcome,
                 took: ms(5),
@@ -45,7 +45,7 @@
 
 #[test]
 fn queues_are_asked_for_where_answers_do_not_tell_them() {
-    let mut host = probing(0.01);
+    let mut host = health_check(0.01);
     let asked = serve_and_answer(&mut host, 400, Outcome::Served, Some(0.0));
     let each: std::collections::BTreeSet<_> = asked.iter().collect();
     assert!(
@@ -64,11 +64,11 @@
         (Outcome::Rejected, None),
         (Outcome::TimedOut, None),
     ] {
-        let mut host = probing(0.01);
+        let mut host = health_check(0.01);
         serve_and_answer(&mut host, 400, outcome, depth);
         assert!(!is_sent(&mut host, 0), "{outcome:?} {depth:?}");
     }
-    let mut host = probing(0.01);
+    let mut host = health_check(0.01);
     serve_and_answer(&mut host, 400, Outcome::Reset, None);
     assert!(
         is_sent(&mut host, 0),
@@ -79,15 +79,18 @@
 #[test]
 fn probes_are_few_where_dear_and_none_where_answers_tell_or_they_are_forbidden() {
     let count = |host: &mut Host| serve_and_answer(host, 400, Outcome::Served, Some(0.0)).len();
-    let (cheap, dear) = (count(&mut probing(0.001)), count(&mut probing(1.0)));
+    let (cheap, dear) = (
+        count(&mut health_check(0.001)),
+        count(&mut health_check(1.0)),
+    );
     assert!(dear * 2 < cheap, "{dear} where dear, {cheap} where cheap");
     let mut set = two_levels();
-    set.limits.probes = true;
+    set.limits.health_checks = true;
     assert_eq!(
         count(&mut Host::new(set.clone(), listings(4))),
         0,
         "reports come with answers"
     );
-    (set.limits.probes, set.reporting) = (false, Reporting::WithProbes);
+    (set.limits.health_checks, set.reporting) = (false, Reporting::WithHealthChecks);
     assert_eq!(count(&mut Host::new(set, listings(4))), 0, "forbidden");
 }
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -51,7 +51,7 @@
         over_share_value: 0.0,
         limits: Limits {
             cancel: true,
-            probes: false,
+            health_checks: false,
             peers: false,
             parallel_attempts: false,
             retry_after: true,
@@ -264,17 +264,17 @@
 }
 
 /// A copy whose endpoints report their load in answers to probes alone, each of which has this price.
-pub fn probing(price: f64) -> Host {
+pub fn health_check(price: f64) -> Host {
     let mut set = two_levels();
-    set.limits.probes = true;
-    set.reporting = Reporting::WithProbes;
-    set.prices.probe = price;
+    set.limits.health_checks = true;
+    set.reporting = Reporting::WithHealthChecks;
+    set.prices.health_check = price;
     Host::new(set, listings(4))
 }
 
 pub fn probed(actions: &[Action]) -> Vec<EndpointId> {
     let of = |a: &Action| match a {
-        Action::Probe { endpoint } => Some(endpoint.clone()),
+        Action::HealthCheck { endpoint } => Some(endpoint.clone()),
         _ => None,
     };
     actions.iter().filter_map(of).collect()
--- a/tests/policy/legal_model.rs
+++ b/tests/policy/legal_model.rs
@@ -274,7 +274,7 @@
                 assert!(at > self.now);
                 self.timers.insert((at, token));
             }
-            Action::Probe { .. } => assert!(self.set.limits.probes),
+            Action::HealthCheck { .. } => assert!(self.set.limits.health_checks),
             Action::SendPeerMessage { .. } => assert!(self.set.limits.peers),
             Action::CloseIdleConnections { endpoint } => {
                 let e: usize = endpoint.0[1..]
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -2,6 +2,7 @@
 
 mod answer_time;
 mod discovery_calls;
+mod health_check;
 mod hold_queue;
 mod host;
 mod in_flight;
@@ -12,7 +13,6 @@
 mod operators;
 mod outlier;
 mod overload_state;
-mod probing;
 mod retry;
 mod robust;
 mod settings_change;
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -77,7 +77,7 @@
 /// Guards probes: none goes to an endpoint that is taken out.
 #[test]
 fn an_endpoint_that_is_taken_out_is_not_probed() {
-    let mut host = probing(0.0);
+    let mut host = health_check(0.0);
     ban(&mut host, "e1", true);
     let mut asked = Vec::new();
     for _ in 0..60 {
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -111,7 +111,7 @@
             .prop_map(|(id, attempt)| Event::StreamStarted { request: id.as_str().into(), attempt }),
         1 => name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
         1 => any::<u64>().prop_map(|token| Event::Timer { token }),
-        1 => (name("e"), time(), report()).prop_map(|(e, took, report)| Event::ProbeEnded {
+        1 => (name("e"), time(), report()).prop_map(|(e, took, report)| Event::HealthCheckEnded {
             endpoint: e.as_str().into(), outcome: Outcome::Served, took, report,
         }),
         1 => Just(Event::PeerMessage { from: PeerId(99), data: vec![1] }),
@@ -234,7 +234,7 @@
             request: id.clone(),
             attempt: 7,
         },
-        Event::ProbeEnded {
+        Event::HealthCheckEnded {
             endpoint: "nowhere".into(),
             outcome: Outcome::Served,
             took: ms(1),
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -101,24 +101,24 @@
         awaits("the counts are told", || {
             count("requests") == 40 && (count("probes") > 0) == allowed
         });
-        let probes = endpoint
+        let health_checks = endpoint
             .messages()
             .into_iter()
             .filter(|m| m.header("x-request-id").is_none());
-        let probes: Vec<String> = probes.map(|m| m.first).collect();
+        let health_checks: Vec<String> = health_checks.map(|m| m.first).collect();
         assert!(
-            probes
+            health_checks
                 .iter()
                 .all(|first| first == "GET /status/load HTTP/1.1"),
-            "{probes:?}"
+            "{health_checks:?}"
         );
         let told = if report.starts_with("TEXT") {
-            probes.len() as u64
+            health_checks.len() as u64
         } else {
             0
         };
         awaits("all reports are told", || {
-            count("probes") == probes.len() as u64 && count("reports") == told
+            count("probes") == health_checks.len() as u64 && count("reports") == told
         });
     }
 }
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -350,7 +350,7 @@
     );
     assert_eq!(written(Action::FetchList), "fetch sidecarId=sidecar/3\n");
     assert_eq!(
-        written(Action::Probe {
+        written(Action::HealthCheck {
             endpoint: endpoint.clone()
         }),
         "poll sidecarId=sidecar/3 endpoint=e\n"
