--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -94,7 +94,7 @@
     let mut timers = 0;
     while !actions
         .iter()
-        .any(|a| matches!(a, Action::Send { .. } | Action::Refuse { .. }))
+        .any(|a| matches!(a, Action::Send { .. } | Action::Reject { .. }))
         && timers < 1000
     {
         // A host keeps its timers in order; here there is one at a time.
--- a/lab/src/caller/event_loop.rs
+++ b/lab/src/caller/event_loop.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
     Unanswered,
 }
@@ -206,7 +206,7 @@
         let Some(exchange) = exchange else { return };
         let outcome = match answer.status {
             200 => Outcome::Served,
-            429 | 503 => Outcome::Refused,
+            429 | 503 => Outcome::Rejected,
             _ => Outcome::Failed,
         };
         self.end(exchange, outcome);
@@ -260,7 +260,7 @@
         let result = &mut self.results[exchange.target];
         match outcome {
             Outcome::Served => result.record_served(latency),
-            Outcome::Refused => result.refused += 1,
+            Outcome::Rejected => result.refused += 1,
             Outcome::Failed => result.failed += 1,
             Outcome::Unanswered => result.unanswered += 1,
         }
--- a/lab/src/endpoint/connection.rs
+++ b/lab/src/endpoint/connection.rs
@@ -89,7 +89,7 @@
     fn count(&self, answer: Answer) {
         match answer {
             Answer::Served => self.state.counters.served.increment(),
-            Answer::NotRun => self.state.counters.turned_away.increment(),
+            Answer::NotRun => self.state.counters.rejected_early.increment(),
             _ => {}
         }
     }
@@ -191,7 +191,7 @@
         let core = match endpoint.pool.admit() {
             Admission::Core(core) => core,
             Admission::Queued(place) => self.wait_for_core(place).await?,
-            Admission::TurnedAway => return Some(Answer::NotRun),
+            Admission::RejectedEarly => return Some(Answer::NotRun),
         };
         if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
             return Some(Answer::NotRun);
--- a/lab/src/endpoint/state.rs
+++ b/lab/src/endpoint/state.rs
@@ -152,7 +152,7 @@
     pub connections_open: Counter,
     pub requests: Counter,
     pub served: Counter,
-    pub turned_away: Counter,
+    pub rejected_early: Counter,
     pub failed: Counter,
     pub health_checks: Counter,
 }
@@ -164,7 +164,7 @@
             connections_open: self.connections_open.get(),
             requests: self.requests.get(),
             served: self.served.get(),
-            turned_away: self.turned_away.get(),
+            rejected_early: self.rejected_early.get(),
             failed: self.failed.get(),
             health_checks: self.health_checks.get(),
         }
--- a/lab/src/endpoint/usage.rs
+++ b/lab/src/endpoint/usage.rs
@@ -14,7 +14,7 @@
     /// Requests that were answered 200.
     pub served: u64,
     /// Requests that were turned away.
-    pub turned_away: u64,
+    pub rejected_early: u64,
     /// Requests whose call to the next tier failed, answered 500.
     pub failed: u64,
     /// Probes (`/health` and `/status/load`).
--- a/lab/src/endpoint/work.rs
+++ b/lab/src/endpoint/work.rs
@@ -38,7 +38,7 @@
     /// It waits for one.
     Queued(QueuePlace<'pool>),
     /// The queue is full.
-    TurnedAway,
+    RejectedEarly,
 }
 
 impl CorePool {
@@ -69,7 +69,7 @@
             return Admission::Core(Core::occupy(self, permit));
         }
         if self.queued.get() >= self.queue_limit {
-            return Admission::TurnedAway;
+            return Admission::RejectedEarly;
         }
         self.queued.set(self.queued.get() + 1);
         Admission::Queued(QueuePlace { pool: self })
--- a/lab/src/sidecar/hollow/member/actions.rs
+++ b/lab/src/sidecar/hollow/member/actions.rs
@@ -25,7 +25,7 @@
                 timeout,
             } => self.send(handle, request, endpoint, timeout),
             Action::Cancel { request, attempt } => self.abandon(&request, attempt),
-            Action::Refuse { request, .. } | Action::Fail { request } => self.not_served(&request),
+            Action::Reject { request, .. } | Action::Fail { request } => self.not_served(&request),
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
             // An agent that pushes is followed unasked.
             Action::Subscribe(_) if self.settings.discovery == DiscoveryMode::Pushed => {}
--- a/lab/tests/endpoint.rs
+++ b/lab/tests/endpoint.rs
@@ -84,7 +84,7 @@
         connections_open: 1,
         requests: 3,
         served: 1,
-        turned_away: 1,
+        rejected_early: 1,
         ..EndpointUsage::default()
     };
     assert_eq!(endpoint.usage(), expected);
@@ -131,9 +131,9 @@
     wait_until("one waits", || {
         load(&endpoint).starts_with("TEXT inflight=1, queue=1")
     });
-    let turned_away = Connection::open(address).call(&get("3f"));
+    let rejected_early = Connection::open(address).call(&get("3f"));
     assert_eq!(
-        (turned_away.status(), turned_away.header("x-not-run")),
+        (rejected_early.status(), rejected_early.header("x-not-run")),
         ("503", Some("1"))
     );
     drop(waiting);
@@ -146,7 +146,10 @@
         load(&endpoint).starts_with("TEXT inflight=1, queue=1")
     });
     let usage = endpoint.usage();
-    assert_eq!((usage.requests, usage.served, usage.turned_away), (4, 0, 1));
+    assert_eq!(
+        (usage.requests, usage.served, usage.rejected_early),
+        (4, 0, 1)
+    );
 }
 
 /// Sends four requests one after another; the queue lengths that their answers report, if three of them had to wait.
@@ -204,7 +207,7 @@
         "{queue_lengths:?}"
     );
     let usage = endpoint.usage();
-    assert_eq!((usage.served, usage.turned_away), (usage.requests, 0));
+    assert_eq!((usage.served, usage.rejected_early), (usage.requests, 0));
 }
 
 #[test]
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -24,7 +24,7 @@
         attempt: AttemptNumber,
     },
     /// Final: not served, and trying again does no harm.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// How long to keep away.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -41,7 +41,7 @@
         let time = self.time_left(now, &request);
         let mut pending = PendingRequest::new(request, level, now + time.useful, now + time.hold);
         if time.is_nearly_out {
-            return self.refuse_or_fail(now, &mut pending, actions);
+            return self.reject_or_fail(now, &mut pending, actions);
         }
         if let Some(key) = &pending.request.key {
             self.key_order.enqueue(key, &id);
@@ -50,7 +50,7 @@
             self.held.push(&pending);
         }
         self.requests.insert(id, pending);
-        self.refuse_past_limit(now, time.hold, actions);
+        self.shed_past_limit(now, time.hold, actions);
     }
 
     fn time_left(&self, now: Timestamp, request: &Request) -> TimeLeft {
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -69,7 +69,7 @@
         let is_in_time = pending.useful_until.since(now) > self.expected_time(&pending.request);
         let may_retry = self.retry_budget.has_token() && is_in_time;
         if !may_retry || self.retry_scope(now, pending).is_none() {
-            return self.refuse_or_fail(now, pending, actions);
+            return self.reject_or_fail(now, pending, actions);
         }
         self.retry_budget.spend();
         if !self.try_send(now, pending, actions) {
--- a/src/policy/hold_queue.rs
+++ b/src/policy/hold_queue.rs
@@ -15,7 +15,7 @@
 const SHORTEST_LIMIT: f64 = 4.0;
 impl Balancer {
     /// Refuses the least worthy past the queue limit at once, the newest first.
-    pub(super) fn refuse_past_limit(
+    pub(super) fn shed_past_limit(
         &mut self,
         now: Timestamp,
         hold: Duration,
@@ -34,7 +34,7 @@
     /// Refuses what has been held too long, and sends what can be sent, the worthiest first.
     pub(super) fn release(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if now >= self.held.next_expiry {
-            self.refuse_expired(now, actions);
+            self.reject_expired(now, actions);
         }
         for level in (0..self.held.levels.len()).rev() {
             if self.send_held(now, level, actions).is_break() {
@@ -43,7 +43,7 @@
         }
     }
 
-    fn refuse_expired(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    fn reject_expired(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let requests = &self.requests;
         let is_expired = |id: &&RequestId| requests.get(*id).is_some_and(|p| p.hold_until <= now);
         let held = self.held.levels.iter().flatten();
@@ -83,7 +83,7 @@
             };
             if !pending.is_answered && self.retry_scope(now, &pending).is_none() {
                 // A keyed request can outlive its window while held.
-                self.refuse_or_fail(now, &mut pending, actions);
+                self.reject_or_fail(now, &mut pending, actions);
             }
             let stays = !pending.is_answered && !self.try_send(now, &mut pending, actions);
             let is_retry = !pending.attempts.is_empty();
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -28,7 +28,7 @@
             return;
         };
         if !pending.is_answered {
-            self.refuse_or_fail(now, &mut pending, actions);
+            self.reject_or_fail(now, &mut pending, actions);
         }
         self.keep_while_open(pending);
     }
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -62,7 +62,7 @@
     }
 
     /// Gives the final answer to a request that is not served.
-    pub(super) fn refuse_or_fail(
+    pub(super) fn reject_or_fail(
         &mut self,
         now: Timestamp,
         pending: &mut PendingRequest,
@@ -71,7 +71,7 @@
         pending.is_answered = true;
         let request = pending.request.id.clone();
         let action = if self.is_retry_harmless(now, pending) {
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after: self.retry_after(),
             }
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -98,7 +98,7 @@
     pub peers: bool,
     /// A request may have two attempts out together.
     pub parallel_attempts: bool,
-    /// Clients are given the pause of [`Action::Refuse`](super::Action::Refuse).
+    /// Clients are given the pause of [`Action::Reject`](super::Action::Reject).
     pub retry_after: bool,
     /// The longest pause a client keeps.
     pub max_retry_after: Duration,
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -80,7 +80,7 @@
 
 impl CallerTable {
     /// Adds a connection that was just accepted.
-    pub fn add(&mut self, is_turned_away: bool) -> AcceptedCaller {
+    pub fn add(&mut self, is_rejected_early: bool) -> AcceptedCaller {
         let number = self.next_number;
         self.next_number += 1;
         let (close, traffic) = (Rc::new(Notify::new()), Traffic::new());
@@ -91,7 +91,7 @@
         };
         self.connections.insert(number, caller);
         let is_empty = self.drain == Some(DrainState::Empty);
-        let is_for_one_request = self.is_stopping || is_turned_away || is_empty;
+        let is_for_one_request = self.is_stopping || is_rejected_early || is_empty;
         AcceptedCaller {
             number,
             traffic,
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -22,7 +22,7 @@
     /// Requests taken.
     pub taken: u64,
     /// Requests refused here and not shown to the module: no room for them, or for their connection.
-    pub turned_away: u64,
+    pub rejected_early: u64,
     /// Clients that left before their answer.
     pub disconnected: u64,
     /// Connections opened to endpoints.
@@ -82,7 +82,7 @@
         write!(
             f,
             "requests={} turned_away={}",
-            counters.taken, counters.turned_away
+            counters.taken, counters.rejected_early
         )?;
         write!(f, " served={}", now.completed - before.completed)?;
         write!(f, " refused={}", now.rejected - before.rejected)?;
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -56,7 +56,7 @@
             .filter_map(|value| value.to_str().ok());
         let report = reports.find_map(parse_load_report); // one that cannot be read may stand beside one that can
         let has_not_run = headers.get(NOT_RUN).is_some_and(|value| value == "1");
-        let turned_away = matches!(
+        let rejected_early = matches!(
             status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
         );
@@ -67,7 +67,7 @@
                 (Outcome::Served, Some(ServedAnswer { headers, body }))
             }
             (StatusCode::OK, None) => (Outcome::Reset, None),
-            _ if turned_away && has_not_run => (Outcome::Rejected, None),
+            _ if rejected_early && has_not_run => (Outcome::Rejected, None),
             _ => (Outcome::Error, None),
         };
         AttemptResult {
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -17,11 +17,11 @@
                 timeout,
             } => self.send(handle, request, endpoint, timeout),
             Action::Cancel { request, attempt } => self.cancel(&request, attempt),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
-                self.answer(&request, FinalAnswer::Refused { retry_after });
+                self.answer(&request, FinalAnswer::Rejected { retry_after });
             }
             Action::Fail { request } => {
                 let timed_out = self
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -15,7 +15,7 @@
 mod state;
 mod watches;
 
-pub use open_request::{FinalAnswer, NotTaken};
+pub use open_request::{FinalAnswer, RequestRejected};
 pub use settings_in_force::SettingsInForce;
 pub use state::{Node, NodeHandle, Start};
 
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -12,7 +12,7 @@
     /// An endpoint's.
     Served(ServedAnswer),
     /// Trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back.
         retry_after: Option<Duration>,
     },
@@ -24,7 +24,7 @@
 }
 
 /// Why a request is not taken; it has then not run.
-pub enum NotTaken {
+pub enum RequestRejected {
     /// Its id is that of an open request.
     Repeated,
     /// So many are open already.
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -1,6 +1,6 @@
 //! Requests from their taking to their one answer.
 
-use super::open_request::{FinalAnswer, NotTaken, OpenRequest};
+use super::open_request::{FinalAnswer, OpenRequest, RequestRejected};
 use super::state::{Node, NodeHandle};
 use crate::policy::{Event, Request, RequestId};
 use crate::sidecar::endpoint::ForwardedRequest;
@@ -16,14 +16,14 @@
         &self,
         mut request: Request,
         forwarded: ForwardedRequest,
-    ) -> Result<oneshot::Receiver<FinalAnswer>, NotTaken> {
+    ) -> Result<oneshot::Receiver<FinalAnswer>, RequestRejected> {
         let (reply, answer) = oneshot::channel();
         let mut node = self.borrow();
         if node.unanswered >= node.settings.current().limits.max_open {
-            return Err(NotTaken::TooMany);
+            return Err(RequestRejected::TooMany);
         }
         if node.open.contains_key(&request.id) {
-            return Err(NotTaken::Repeated);
+            return Err(RequestRejected::Repeated);
         }
         // Read under the settings before, it may name a payer that there is no more.
         request
--- a/src/sidecar/server/caller_connection.rs
+++ b/src/sidecar/server/caller_connection.rs
@@ -12,7 +12,7 @@
     pub number: u64,
     pub traffic: Rc<Traffic>,
     /// There are no descriptors for it: whatever it asks is refused.
-    pub is_turned_away: bool,
+    pub is_rejected_early: bool,
     pub _permit: DescriptorPermit,
 }
 
@@ -24,9 +24,9 @@
 
 impl CallerConnection {
     /// Refuses a request for want of room.
-    pub fn turn_away(&self) -> Reply {
+    pub fn reject_early(&self) -> Reply {
         let mut node = self.node.borrow();
-        node.counters.turned_away += 1;
+        node.counters.rejected_early += 1;
         refused(node.retry_after())
     }
 }
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -177,8 +177,8 @@
         match (request.uri().path(), request.method()) {
             ("/ready", &Method::GET | &Method::HEAD) => self.readiness(),
             ("/ready", _) => RequestError::method("GET, HEAD").reply(),
-            ("/api", &Method::GET | &Method::POST) if self.is_turned_away => {
-                self.turn_away_counted(&request)
+            ("/api", &Method::GET | &Method::POST) if self.is_rejected_early => {
+                self.reject_early_counted(&request)
             }
             ("/api", &Method::GET | &Method::POST) => {
                 forward::answer(self, request, begun)
@@ -209,8 +209,8 @@
     }
 
     /// Refuses a request that is not read any further, and counts it for its class.
-    fn turn_away_counted(&self, request: &Request<Incoming>) -> Reply {
-        let reply = self.turn_away();
+    fn reject_early_counted(&self, request: &Request<Incoming>) -> Reply {
+        let reply = self.reject_early();
         let name = request
             .headers()
             .get("x-class")
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -9,7 +9,7 @@
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end};
 use crate::sidecar::figures::RequestCount;
 use crate::sidecar::memory::MemoryReservation;
-use crate::sidecar::node::{FinalAnswer, NodeHandle, NotTaken, SettingsInForce};
+use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected, SettingsInForce};
 use hyper::body::{Body, Incoming};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
@@ -76,7 +76,7 @@
     let count = count.insert(node.borrow().figures.begin(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
         caller.traffic.is_last_request.set(true);
-        return Ok(caller.turn_away());
+        return Ok(caller.reject_early());
     };
     let is_chunked = caller.traffic.is_last_request.get();
     let received = receive_body(body, begun).await?;
@@ -89,8 +89,8 @@
     let forwarded = parsed.forwarded(head, received, memory);
     let mut pending = match PendingAnswer::begin(node, parsed.request, forwarded) {
         Ok(pending) => pending,
-        Err(NotTaken::TooMany) => return Ok(caller.turn_away()),
-        Err(NotTaken::Repeated) => return Err(repeated_id()),
+        Err(RequestRejected::TooMany) => return Ok(caller.reject_early()),
+        Err(RequestRejected::Repeated) => return Err(repeated_id()),
     };
     let answer = match upload {
         None => timeout_at(wait.until, &mut pending.answer).await.ok(),
@@ -235,7 +235,7 @@
         node: &'a NodeHandle,
         request: PolicyRequest,
         forwarded: ForwardedRequest,
-    ) -> Result<Self, NotTaken> {
+    ) -> Result<Self, RequestRejected> {
         let id = request.id.clone();
         let answer = node.take(request, forwarded)?;
         Ok(PendingAnswer { node, id, answer })
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -63,12 +63,12 @@
     let is_full = descriptors.callers_have_their_part();
     let has_made_room =
         is_full && ((descriptors.are_spent() && pool.close_oldest()) || callers.make_room());
-    let is_turned_away = is_full && !has_made_room;
-    if is_turned_away && descriptors.callers_are_overdrawn() {
+    let is_rejected_early = is_full && !has_made_room;
+    if is_rejected_early && descriptors.callers_are_overdrawn() {
         return; // closed unread: nothing of it was taken, and the descriptors left are for what was
     }
     let permit = descriptors.permit(Side::Callers);
-    let accepted = callers.add(is_turned_away);
+    let accepted = callers.add(is_rejected_early);
     drop(guard);
     let (close, once) = (accepted.close, accepted.is_for_one_request);
     let (number, traffic) = (accepted.number, accepted.traffic);
@@ -76,7 +76,7 @@
         node: node.clone(),
         number,
         traffic,
-        is_turned_away,
+        is_rejected_early,
         _permit: permit,
     };
     spawn_local(connection::serve(connection, stream, close, once));
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -117,7 +117,7 @@
             *reply.headers_mut() = served.headers;
             reply
         }
-        FinalAnswer::Refused { retry_after } => refused(retry_after),
+        FinalAnswer::Rejected { retry_after } => refused(retry_after),
         FinalAnswer::Failed { timed_out: true } => {
             plain(StatusCode::GATEWAY_TIMEOUT, "no endpoint answered in time")
         }
--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -45,7 +45,7 @@
                 request.0
             )
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => {
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -241,7 +241,7 @@
 }
 
 pub fn answered(actions: &[Action], id: &RequestId) -> usize {
-    let ours = |a: &&Action| matches!(a, Action::Refuse { request, .. } | Action::Fail { request } if request == id);
+    let ours = |a: &&Action| matches!(a, Action::Reject { request, .. } | Action::Fail { request } if request == id);
     actions.iter().filter(ours).count()
 }
 
--- a/tests/policy/legal_model.rs
+++ b/tests/policy/legal_model.rs
@@ -244,7 +244,7 @@
                     "an attempt that was made"
                 );
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let now = self.now;
                 let known = self
                     .requests
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -28,7 +28,7 @@
     to.extend(sends(&actions));
     let last = actions
         .into_iter()
-        .find(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }));
+        .find(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }));
     (to, last)
 }
 
@@ -78,7 +78,7 @@
                 );
             }
             assert!(
-                unrun || !matches!(last, Some(Action::Refuse { .. })),
+                unrun || !matches!(last, Some(Action::Reject { .. })),
                 "class {class} {outcome:?}"
             );
             // Past the window only the proven go again.
@@ -145,7 +145,7 @@
         let refused = (0..12)
             .flat_map(|_| host.request(0).1)
             .find_map(|a| match a {
-                Action::Refuse { retry_after, .. } => Some(retry_after),
+                Action::Reject { retry_after, .. } => Some(retry_after),
                 _ => None,
             });
         assert_eq!(refused, Some(permitted.then_some(ms(2000))));
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -319,7 +319,7 @@
                     timeout,
                 } => self.send(instance, request, &endpoint, timeout),
                 Action::SetTimer { at, token } => self.at(at, Step::Timer { instance, token }),
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     self.open.remove(&request);
                     self.seen.refused += 1;
                 }
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -323,7 +323,7 @@
         written(send),
         "send sidecarId=sidecar/3 xid=r endpoint=e capNs=80000000\n"
     );
-    let refuse = |retry_after| Action::Refuse {
+    let refuse = |retry_after| Action::Reject {
         request: request.clone(),
         retry_after,
     };
