--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -16,7 +16,7 @@
     /// An answer after this earns nothing.
     useful: Duration,
     /// It may wait so long for its send.
-    hold: Duration,
+    queue_time: Duration,
     is_nearly_out: bool,
 }
 
@@ -39,7 +39,8 @@
         self.grow_subset(now);
         let id = request.id.clone();
         let time = self.time_left(now, &request);
-        let mut pending = PendingRequest::new(request, level, now + time.useful, now + time.hold);
+        let mut pending =
+            PendingRequest::new(request, level, now + time.useful, now + time.queue_time);
         if time.is_nearly_out {
             return self.reject_or_fail(now, &mut pending, actions);
         }
@@ -47,10 +48,10 @@
             self.key_order.enqueue(key, &id);
         }
         if !self.try_send(now, &mut pending, actions) {
-            self.held.push(&pending);
+            self.queued.push(&pending);
         }
         self.requests.insert(id, pending);
-        self.shed_past_limit(now, time.hold, actions);
+        self.shed_past_limit(now, time.queue_time, actions);
     }
 
     fn time_left(&self, now: Timestamp, request: &Request) -> TimeLeft {
@@ -65,10 +66,10 @@
             left.min(objective)
         };
         // A late answer earns less: held that long, requests would make fresh ones late in turn.
-        let hold = useful.min(objective).saturating_sub(expected);
+        let queue_time = useful.min(objective).saturating_sub(expected);
         TimeLeft {
             useful,
-            hold,
+            queue_time,
             is_nearly_out: useful < expected.mul_f64(NEARLY_OUT),
         }
     }
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -73,8 +73,8 @@
         }
         self.retry_budget.spend();
         if !self.try_send(now, pending, actions) {
-            pending.hold_until = pending.hold_until.max(now + self.settings.tick);
-            self.held.push(pending);
+            pending.queue_deadline = pending.queue_deadline.max(now + self.settings.tick);
+            self.queued.push(pending);
         }
     }
 
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -4,11 +4,11 @@
 use super::class::ClassState;
 use super::discovery_schedule::DiscoverySchedule;
 use super::endpoint::{Endpoint, EndpointIndex};
-use super::held_requests::HeldRequests;
 use super::id::{EndpointId, RequestId};
 use super::key_order::KeyOrder;
 use super::mean_depths::MeanDepths;
 use super::pending::PendingRequest;
+use super::queued_requests::QueuedRequests;
 use super::random::SeededRandom;
 use super::settings::Settings;
 use super::thresholds::Thresholds;
@@ -42,7 +42,7 @@
     pub(super) tenant_rates: Vec<f64>,
     pub(super) arrival_rate: ArrivalRate,
     pub(super) requests: HashMap<RequestId, PendingRequest>,
-    pub(super) held: HeldRequests,
+    pub(super) queued: QueuedRequests,
     pub(super) key_order: KeyOrder,
     /// Attempts in flight, and those timed out that may run on.
     pub(super) attempts_in_flight: u32,
@@ -90,7 +90,7 @@
             tenant_rates: vec![0.0; settings.tenants.len()],
             arrival_rate: ArrivalRate::default(),
             requests: HashMap::new(),
-            held: HeldRequests::default(),
+            queued: QueuedRequests::default(),
             key_order: KeyOrder::default(),
             attempts_in_flight: 0,
             overdue_attempts: VecDeque::new(),
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -46,12 +46,12 @@
         settings.check()?;
         let had_tenants = !self.settings.tenants.is_empty();
         let ids = self.replace_settings(now, settings);
-        let held = self.held.take_all();
+        let queued = self.queued.take_all();
         self.set_levels();
         self.set_priority_levels_of_requests(had_tenants);
-        for id in held {
+        for id in queued {
             if let Some(pending) = self.requests.get(&id) {
-                self.held.push(pending);
+                self.queued.push(pending);
             }
         }
         self.judge_by_new_thresholds();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,7 +18,7 @@
 //! | which endpoints are outliers | `outlier.rs` |
 //! | how much traffic a cold endpoint gets | `slow_start.rs` |
 //! | send, hold or refuse a new request | `admission.rs` |
-//! | how many requests are held, and in which order they are sent | `hold_queue.rs` |
+//! | how many requests are held, and in which order they are sent | `request_queue.rs` |
 //! | what the end of an attempt means | `attempt_end.rs` |
 //! | whether and where a request may be tried again | `retry.rs` |
 //! | the send of an attempt, and the answer where none serves | `send.rs` |
@@ -51,8 +51,6 @@
 mod endpoint_table;
 mod event;
 mod health_check;
-mod held_requests;
-mod hold_queue;
 mod id;
 mod in_flight;
 mod instance;
@@ -64,7 +62,9 @@
 mod pending;
 mod pick;
 mod priority_level;
+mod queued_requests;
 pub(crate) mod random;
+mod request_queue;
 mod request_table;
 mod retry;
 mod send;
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -13,7 +13,7 @@
     /// An answer after this earns nothing.
     pub(super) useful_until: Timestamp,
     /// It is refused if it has not been sent by then.
-    pub(super) hold_until: Timestamp,
+    pub(super) queue_deadline: Timestamp,
     pub(super) attempts: Vec<Attempt>,
     pub(super) is_answered: bool,
     /// Part of its body was sent on and is kept nowhere.
@@ -27,13 +27,13 @@
         request: Request,
         level: usize,
         useful_until: Timestamp,
-        hold_until: Timestamp,
+        queue_deadline: Timestamp,
     ) -> Self {
         PendingRequest {
             request,
             level,
             useful_until,
-            hold_until,
+            queue_deadline,
             attempts: Vec::new(),
             is_answered: false,
             body_is_consumed: false,
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -38,7 +38,7 @@
                     .position(|w| *w == class.priority_weight)
                     .unwrap_or(0);
         }
-        self.held.set_levels(levels);
+        self.queued.set_levels(levels);
     }
 
     /// Gives requests the levels of the settings now in force, those in flight too: they may be held for a
--- a/src/policy/held_requests.rs
+++ b/src/policy/queued_requests.rs
@@ -6,25 +6,25 @@
 use std::collections::VecDeque;
 
 /// No held request expires.
-pub(super) const NEVER: Timestamp = Timestamp::from_nanos(u64::MAX);
+pub(super) const NO_EXPIRY: Timestamp = Timestamp::from_nanos(u64::MAX);
 
 /// Held requests by worth level, each level in order of arrival.
-pub(super) struct HeldRequests {
+pub(super) struct QueuedRequests {
     pub(super) levels: Vec<VecDeque<RequestId>>,
     /// When the first held request expires, at the earliest.
     pub(super) next_expiry: Timestamp,
 }
 
-impl Default for HeldRequests {
+impl Default for QueuedRequests {
     fn default() -> Self {
-        HeldRequests {
+        QueuedRequests {
             levels: Vec::new(),
-            next_expiry: NEVER,
+            next_expiry: NO_EXPIRY,
         }
     }
 }
 
-impl HeldRequests {
+impl QueuedRequests {
     pub(super) fn set_levels(&mut self, count: usize) {
         self.levels.resize(count, VecDeque::new());
     }
@@ -38,12 +38,12 @@
     }
 
     pub(super) fn push(&mut self, pending: &PendingRequest) {
-        self.next_expiry = self.next_expiry.min(pending.hold_until);
+        self.next_expiry = self.next_expiry.min(pending.queue_deadline);
         self.levels[pending.level].push_back(pending.request.id.clone());
     }
 
     pub(super) fn remove(&mut self, pending: &PendingRequest) {
-        self.levels[pending.level].retain(|held| *held != pending.request.id);
+        self.levels[pending.level].retain(|queued| *queued != pending.request.id);
     }
 
     /// Empties the queue, the highest level first.
--- a/src/policy/hold_queue.rs
+++ b/src/policy/request_queue.rs
@@ -2,29 +2,29 @@
 
 use super::action::Action;
 use super::balancer::Balancer;
-use super::held_requests::NEVER;
 use super::id::RequestId;
 use super::pending::PendingRequest;
+use super::queued_requests::NO_EXPIRY;
 use super::time::Timestamp;
 use std::ops::ControlFlow;
 use std::time::Duration;
 
 /// The part of what arrives within the hold time that may wait.
-const QUEUE_PART: f64 = 0.5;
+const QUEUE_FRACTION: f64 = 0.5;
 /// Requests that may wait, however few arrive.
-const SHORTEST_LIMIT: f64 = 4.0;
+const MIN_QUEUE_LIMIT: f64 = 4.0;
 impl Balancer {
     /// Refuses the least worthy past the queue limit at once, the newest first.
     pub(super) fn shed_past_limit(
         &mut self,
         now: Timestamp,
-        hold: Duration,
+        queue_time: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let arrivals = self.arrival_rate.per_second(now) * hold.as_secs_f64();
-        let limit = (arrivals * QUEUE_PART).max(SHORTEST_LIMIT) as usize;
-        while self.held.len() > limit {
-            let Some(id) = self.held.pop_lowest_priority() else {
+        let arrivals = self.arrival_rate.per_second(now) * queue_time.as_secs_f64();
+        let limit = (arrivals * QUEUE_FRACTION).max(MIN_QUEUE_LIMIT) as usize;
+        while self.queued.len() > limit {
+            let Some(id) = self.queued.pop_lowest_priority() else {
                 break;
             };
             self.give_up(now, &id, actions);
@@ -33,11 +33,11 @@
 
     /// Refuses what has been held too long, and sends what can be sent, the worthiest first.
     pub(super) fn release(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if now >= self.held.next_expiry {
+        if now >= self.queued.next_expiry {
             self.reject_expired(now, actions);
         }
-        for level in (0..self.held.levels.len()).rev() {
-            if self.send_held(now, level, actions).is_break() {
+        for level in (0..self.queued.levels.len()).rev() {
+            if self.send_queued(now, level, actions).is_break() {
                 return;
             }
         }
@@ -45,31 +45,34 @@
 
     fn reject_expired(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let requests = &self.requests;
-        let is_expired = |id: &&RequestId| requests.get(*id).is_some_and(|p| p.hold_until <= now);
-        let held = self.held.levels.iter().flatten();
-        let expired: Vec<RequestId> = held.filter(is_expired).cloned().collect();
+        let is_expired =
+            |id: &&RequestId| requests.get(*id).is_some_and(|p| p.queue_deadline <= now);
+        let queued = self.queued.levels.iter().flatten();
+        let expired: Vec<RequestId> = queued.filter(is_expired).cloned().collect();
         expired.iter().for_each(|id| self.give_up(now, id, actions));
         let requests = &self.requests;
         let is_waiting = |id: &RequestId| requests.get(id).is_some_and(|p| !p.is_answered);
-        self.held
+        self.queued
             .levels
             .iter_mut()
             .for_each(|level| level.retain(is_waiting));
-        let held = self.held.levels.iter().flatten();
-        let expiries = held.filter_map(|id| requests.get(id)).map(|p| p.hold_until);
-        self.held.next_expiry = expiries.min().unwrap_or(NEVER);
+        let queued = self.queued.levels.iter().flatten();
+        let expiries = queued
+            .filter_map(|id| requests.get(id))
+            .map(|p| p.queue_deadline);
+        self.queued.next_expiry = expiries.min().unwrap_or(NO_EXPIRY);
     }
 
     /// Sends a level's requests in order, until one that was not tried yet has nowhere to go: then those
     /// behind it and below it have not either.
-    fn send_held(
+    fn send_queued(
         &mut self,
         now: Timestamp,
         level: usize,
         actions: &mut Vec<Action>,
     ) -> ControlFlow<()> {
         let mut position = 0;
-        while let Some(id) = self.held.levels[level].get(position).cloned() {
+        while let Some(id) = self.queued.levels[level].get(position).cloned() {
             // One that waits for its turn must not hold up those behind it.
             let waits_for_turn =
                 |p: &PendingRequest| !p.is_answered && !self.key_order.has_turn(now, p);
@@ -77,7 +80,7 @@
                 position += 1;
                 continue;
             }
-            self.held.levels[level].remove(position);
+            self.queued.levels[level].remove(position);
             let Some(mut pending) = self.requests.remove(&id) else {
                 continue;
             };
@@ -89,7 +92,7 @@
             let is_retry = !pending.attempts.is_empty();
             self.keep_while_open(pending);
             if stays {
-                self.held.levels[level].insert(position, id);
+                self.queued.levels[level].insert(position, id);
                 if !is_retry {
                     return ControlFlow::Break(());
                 }
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -58,7 +58,7 @@
         pending.is_answered |= attempt_exists;
         if pending.is_answered {
             // Left there it would count against those behind it, past the queue limit, until its time.
-            self.held.remove(&pending);
+            self.queued.remove(&pending);
             if self.settings.limits.cancel {
                 cancel_attempts(&pending, streams, actions);
             }
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -9,7 +9,7 @@
     /// Requests kept, answered or not.
     pub open: usize,
     /// Requests that wait to be sent.
-    pub held: usize,
+    pub queued: usize,
     /// Attempts in flight, and those timed out that may run on.
     pub in_flight: usize,
     /// Endpoints at which no worth level is throttled.
@@ -29,7 +29,7 @@
     pub fn status(&self, now: Timestamp) -> BalancerStatus {
         let mut status = BalancerStatus {
             open: self.requests.len(),
-            held: self.held.len(),
+            queued: self.queued.len(),
             in_flight: self.attempts_in_flight as usize,
             avoided: self
                 .endpoints
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -10,12 +10,12 @@
         if self.discovery_schedule.take_due(now) {
             actions.push(Action::Subscribe(true));
         }
-        let held = (!self.held.is_empty()).then(|| self.next_chance(now));
+        let queued = (!self.queued.is_empty()).then(|| self.next_chance(now));
         let due = self
             .discovery_schedule
             .next_call
             .into_iter()
-            .chain(held)
+            .chain(queued)
             .min();
         if let Some(at) = due.filter(|at| self.timer_at.is_none_or(|set| *at < set)) {
             self.timer_at = Some(at);
@@ -36,7 +36,7 @@
             .map(|e| self.endpoints[*e].gap_ends)
             .filter(|at| *at > now);
         let first = gaps.chain(self.key_order.first_rest_ends());
-        let first = first.fold(soon.min(self.held.next_expiry), Timestamp::min);
+        let first = first.fold(soon.min(self.queued.next_expiry), Timestamp::min);
         first.max(now + self.settings.tick)
     }
 
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -32,7 +32,7 @@
     }
     let BalancerStatus {
         open,
-        held,
+        queued,
         in_flight,
         clear,
         gapping,
@@ -41,7 +41,7 @@
         avoided,
     } = status;
     log!(
-        "counts {line}; now open={open} held={held} in_flight={in_flight} callers={callers} \
+        "counts {line}; now open={open} queued={queued} in_flight={in_flight} callers={callers} \
          connections={endpoints} clear={clear} gapping={gapping} discarding={discarding} \
          informed={informed} avoided={avoided}",
         callers = connections.callers,
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -144,12 +144,12 @@
     world.tell(Event::Timer { token: 0 });
     let BalancerStatus {
         open,
-        held,
+        queued,
         in_flight,
         ..
     } = world.balancer.status(world.now);
     assert_eq!(
-        (open, held, in_flight),
+        (open, queued, in_flight),
         (0, 0, 0),
         "open, held and in flight"
     );
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -3,7 +3,6 @@
 mod answer_time;
 mod discovery_calls;
 mod health_check;
-mod hold_queue;
 mod host;
 mod in_flight;
 mod key_order;
@@ -13,6 +12,7 @@
 mod operators;
 mod outlier;
 mod overload_state;
+mod request_queue;
 mod retry;
 mod robust;
 mod settings_change;
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -55,8 +55,8 @@
         told(&mut host, 0.9);
     }
     host.now = host.now + ms(20_000);
-    let held = (0..5).filter(|_| !is_sent(&mut host, 0)).count();
-    assert!(held >= 3, "{held} of 5 held");
+    let queued = (0..5).filter(|_| !is_sent(&mut host, 0)).count();
+    assert!(queued >= 3, "{queued} of 5 held");
 }
 
 #[test]
--- a/tests/policy/hold_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -65,7 +65,7 @@
             "nothing is owed or out"
         );
         let census = host.balancer.status(host.now);
-        assert_eq!((census.held, census.open), (1, 1));
+        assert_eq!((census.queued, census.open), (1, 1));
         host.tell(Event::ClientDisconnected { request: id });
     }
     let actions = host.members(ListKind::Changes, listings(1));
