--- a/src/configuration/settings_document.rs
+++ b/src/configuration/settings_document.rs
@@ -36,7 +36,7 @@
 /// The names of settings in the decision module, and the document's where they differ.
 const DOCUMENT_NAMES: [(&str, &str); 31] = [
     ("classes", "categories"),
-    ("objective_stretch", "aimStretch"),
+    ("objective_per_work", "aimStretch"),
     ("objective", "objectiveNs"),
     ("deadline", "hardLimitNs"),
     ("window", "memorySpanNs"),
@@ -351,7 +351,7 @@
         Ok(Class {
             name: self.name,
             objective: Duration::from_nanos(self.objective_ns),
-            objective_stretch: self.aim_stretch,
+            objective_per_work: self.aim_stretch,
             deadline: Duration::from_nanos(self.hard_limit_ns),
             priority_weight: self.worth,
             late_value: self.late_share,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -59,7 +59,7 @@
         let left = request.deadline.since(now);
         let expected = self.expected_time(request);
         let hinted = request.cost_hint.unwrap_or_default().as_secs_f64();
-        let objective = class.objective + duration_from_seconds(hinted * class.objective_stretch);
+        let objective = class.objective + duration_from_seconds(hinted * class.objective_per_work);
         let useful = if class.late_value > 0.0 {
             left
         } else {
--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -11,7 +11,7 @@
 /// Answers before a mean is believed.
 pub(super) const FEW_ANSWERS: u32 = 12;
 /// Answer time over the unloaded one that is ordinary load.
-pub(super) const ORDINARY_STRETCH: f64 = 1.3;
+pub(super) const ORDINARY_SLOWDOWN: f64 = 1.3;
 /// Weight of one answer in a class's usual time.
 const USUAL_WEIGHT: f64 = 0.05;
 /// Weight of one answer in the mean whose least value is the unloaded time: the least of few is too low.
@@ -87,9 +87,9 @@
         } else {
             class.unloaded_time.min(class.slow_mean_time)
         };
-        let stretch = time / class.unloaded_time;
-        self.mean_stretch += (stretch - self.mean_stretch) * TIER_WEIGHT;
+        let slowdown = time / class.unloaded_time;
+        self.mean_slowdown += (slowdown - self.mean_slowdown) * TIER_WEIGHT;
         let known = &mut self.endpoints[e];
-        known.stretch += (stretch - known.stretch) * ENDPOINT_WEIGHT;
+        known.slowdown += (slowdown - known.slowdown) * ENDPOINT_WEIGHT;
     }
 }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -35,7 +35,7 @@
     pub(super) thresholds: Thresholds,
     pub(super) mean_depths: MeanDepths,
     /// The tier's mean answer time over the unloaded one.
-    pub(super) mean_stretch: f64,
+    pub(super) mean_slowdown: f64,
     /// By class, also those that have left the settings.
     pub(super) classes: Vec<ClassState>,
     /// Requests of each tenant, fading with the arrival rate.
@@ -85,7 +85,7 @@
             remote_subset: Vec::new(),
             thresholds: Thresholds::default(),
             mean_depths: MeanDepths::default(),
-            mean_stretch: 1.0,
+            mean_slowdown: 1.0,
             classes,
             tenant_rates: vec![0.0; settings.tenants.len()],
             arrival_rate: ArrivalRate::default(),
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -34,7 +34,7 @@
     /// Queue length as last judged.
     pub(super) depth: f64,
     /// Answer time over the least usual one, a mean.
-    pub(super) stretch: f64,
+    pub(super) slowdown: f64,
     /// Worth levels that are held to the gap, from the lowest.
     pub(super) gapping_levels: usize,
     /// Worth levels that are discarded, from the lowest.
@@ -73,7 +73,7 @@
             is_remote: false,
             in_flight: 0,
             depth: 0.0,
-            stretch: 1.0,
+            slowdown: 1.0,
             gapping_levels: 0,
             discarding_levels: 0,
             state_expires: Timestamp::default(),
@@ -108,7 +108,7 @@
         self.started_at = started_at;
         self.gapping_levels = 0;
         self.discarding_levels = 0;
-        self.stretch = 1.0;
+        self.slowdown = 1.0;
         self.failures.fill(FailureShare::default());
         self.unsafe_served_at = None;
         self.slow_start_slot = f64::INFINITY;
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -1,6 +1,6 @@
 //! Which endpoint an attempt goes to: two draws from the subset, of which the less loaded wins.
 
-use super::answer_time::ORDINARY_STRETCH;
+use super::answer_time::ORDINARY_SLOWDOWN;
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
 use super::outlier::FailureBar;
@@ -108,7 +108,7 @@
     ) {
         let own_load = f64::from(self.attempts_in_flight) / self.part_of_tier();
         let has_room =
-            own_load * self.mean_stretch / ORDINARY_STRETCH < self.thresholds.highest_onset();
+            own_load * self.mean_slowdown / ORDINARY_SLOWDOWN < self.thresholds.highest_onset();
         if !has_room {
             return;
         }
@@ -198,7 +198,7 @@
         let load =
             |e: EndpointIndex| f64::from(self.endpoints[e].in_flight + 1) / self.endpoints[e].size;
         let wait =
-            |e: EndpointIndex| (self.estimated_depth(now, e) + 1.0) * self.endpoints[e].stretch;
+            |e: EndpointIndex| (self.estimated_depth(now, e) + 1.0) * self.endpoints[e].slowdown;
         let order = load(a)
             .total_cmp(&load(b))
             .then(wait(a).total_cmp(&wait(b)));
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -38,7 +38,7 @@
     /// An answer within this time is worth all.
     pub objective: Duration,
     /// The objective grows by this multiple of the request's own work.
-    pub objective_stretch: f64,
+    pub objective_per_work: f64,
     /// How long a client waits in all.
     pub deadline: Duration,
     /// What one is worth.
@@ -65,7 +65,7 @@
         Class {
             name: name.into(),
             objective,
-            objective_stretch: 0.0,
+            objective_per_work: 0.0,
             deadline,
             priority_weight,
             late_value: 0.0,
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -158,7 +158,7 @@
                 self.time(path("idempotency.window"), window);
             }
             self.amount(path("priority_weight"), class.priority_weight);
-            self.amount(path("objective_stretch"), class.objective_stretch);
+            self.amount(path("objective_per_work"), class.objective_per_work);
             self.fraction(path("late_value"), class.late_value);
         }
     }
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -16,7 +16,7 @@
     Class {
         name: name.into(),
         objective: ms(1000),
-        objective_stretch: 0.0,
+        objective_per_work: 0.0,
         deadline: ms(3000),
         priority_weight,
         late_value: 0.0,
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -167,7 +167,7 @@
     TestRunner::new(config)
         .run(&input, |(seed, events)| {
             let mut set = settings();
-            (set.classes[1].by_arrival, set.classes[0].objective_stretch) = (true, 1e9);
+            (set.classes[1].by_arrival, set.classes[0].objective_per_work) = (true, 1e9);
             set.rules.order_pause = Some(ms(50));
             set.rules.drain_close = Some(ms(50));
             set.discovery = if seed.is_multiple_of(2) {
