--- a/lab/src/sidecar/configuration.rs
+++ b/lab/src/sidecar/configuration.rs
@@ -21,7 +21,7 @@
 /// Time after the deadline in which an answer still counts.
 const ANSWER_SLACK: Duration = Duration::from_millis(5);
 /// A sidecar that has not asked discovery for so long counts as told of every change.
-const ASK_WITHIN: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// Time within which a draining endpoint gets nothing new.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// Part of its capacity with which an endpoint starts.
@@ -179,7 +179,7 @@
 fn rules() -> Value {
     json!({
         "answerSlackNs": nanoseconds(ANSWER_SLACK),
-        "askWithinNs": nanoseconds(ASK_WITHIN),
+        "askWithinNs": nanoseconds(POLL_INTERVAL),
         "coldFrom": INITIAL_CAPACITY,
         "drainGraceNs": nanoseconds(DRAIN_GRACE),
         "fallMultiple": FALL_MULTIPLE,
--- a/lab/src/sidecar/hollow/member/discovery.rs
+++ b/lab/src/sidecar/hollow/member/discovery.rs
@@ -55,7 +55,7 @@
 }
 
 impl ListConsumer for MemberHandle {
-    fn held_version(&self, source: Source) -> Option<u64> {
+    fn known_version(&self, source: Source) -> Option<u64> {
         let member = self.borrow();
         member
             .membership
@@ -87,7 +87,7 @@
         member.fleet.milestones[member.identity.place]
             .watches(member.identity.start, source.generation);
         drop(member);
-        if let Some(version) = self.held_version(source) {
+        if let Some(version) = self.known_version(source) {
             self.tell(Event::EndpointList {
                 version,
                 kind: ListKind::Changes,
--- a/src/configuration/settings_document.rs
+++ b/src/configuration/settings_document.rs
@@ -54,13 +54,13 @@
     ("max_attempts", "sendCap"),
     ("answer_slack", "answerSlackNs"),
     ("drain_grace", "drainGraceNs"),
-    ("ask_within", "askWithinNs"),
+    ("poll_interval", "askWithinNs"),
     ("initial_capacity", "coldFrom"),
     ("warm_up_time", "warmWithinNs"),
     ("overload_multiple", "fallMultiple"),
     ("overload_window", "fallNs"),
     ("drain_close", "drainCloseNs"),
-    ("order_pause", "orderPauseNs"),
+    ("key_cooldown", "orderPauseNs"),
     ("prices", "fees"),
     ("cross_zone", "crossZone"),
     ("late_fail", "lateFail"),
@@ -489,13 +489,13 @@
         Rules {
             answer_slack: Duration::from_nanos(self.answer_slack_ns),
             drain_grace: Duration::from_nanos(self.drain_grace_ns),
-            ask_within: Duration::from_nanos(self.ask_within_ns),
+            poll_interval: Duration::from_nanos(self.ask_within_ns),
             initial_capacity: self.cold_from,
             warm_up_time: Duration::from_nanos(self.warm_within_ns),
             overload_multiple: self.fall_multiple,
             overload_window: Duration::from_nanos(self.fall_ns),
             drain_close: self.drain_close_ns.map(Duration::from_nanos),
-            order_pause: self.order_pause_ns.map(Duration::from_nanos),
+            key_cooldown: self.order_pause_ns.map(Duration::from_nanos),
         }
     }
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -35,7 +35,7 @@
     let mut backoff = Backoff::new(consumer.jitter_seed());
     loop {
         let begun = Instant::now();
-        let since = consumer.held_version(source);
+        let since = consumer.known_version(source);
         let Lost { failure, was_open } = follow(&consumer, source, since, &mut backoff).await;
         consumer.watch_ended(source, &failure);
         if !matches!(failure, DiscoveryError::TimedOut(_)) {
--- a/src/discovery/consumer.rs
+++ b/src/discovery/consumer.rs
@@ -8,7 +8,7 @@
 /// What lists, watches and failures are reported to.
 pub trait ListConsumer: Clone + 'static {
     /// The version of the list that this source gave, which its changes may follow on.
-    fn held_version(&self, source: Source) -> Option<u64>;
+    fn known_version(&self, source: Source) -> Option<u64>;
 
     /// Discovery has sent the whole list, or what has changed.
     ///
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -34,9 +34,9 @@
             AttemptState::MayHaveRun
         };
         let e = attempt.endpoint;
-        self.free_or_await(e, &pending, ended.outcome);
+        self.release_or_await_deadline(e, &pending, ended.outcome);
         self.close_idle_if_draining(e, actions);
-        self.rest_key(now, &pending, ended.outcome);
+        self.start_key_cooldown(now, &pending, ended.outcome);
         self.learn_from(now, e, &pending.request, ended);
         if ended.request_ended && !pending.is_answered {
             self.requests.insert(ended.request.clone(), pending);
@@ -49,12 +49,12 @@
     }
 
     /// Has the request's key rest, where the attempt may run on.
-    fn rest_key(&mut self, now: Timestamp, pending: &PendingRequest, outcome: Outcome) {
+    fn start_key_cooldown(&mut self, now: Timestamp, pending: &PendingRequest, outcome: Outcome) {
         let may_run_on = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
-        let pause = self.settings.rules.order_pause.filter(|_| may_run_on);
+        let pause = self.settings.rules.key_cooldown.filter(|_| may_run_on);
         if let (Some(pause), Some(key)) = (pause, &pending.request.key) {
             self.key_order.rest(key, now + pause);
         }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -23,7 +23,7 @@
     pub(super) endpoints: Vec<Endpoint>,
     pub(super) endpoint_index: HashMap<EndpointId, EndpointIndex>,
     /// Places of endpoints that are forgotten, to be given again.
-    pub(super) free_places: Vec<EndpointIndex>,
+    pub(super) free_slots: Vec<EndpointIndex>,
     /// Endpoints that the operators have disabled; some may not be listed now.
     pub(super) disabled: HashSet<EndpointId>,
     /// Endpoints that take work, in the own zone and in others where crossings are dear.
@@ -47,7 +47,7 @@
     /// Attempts in flight, and those timed out that may run on.
     pub(super) attempts_in_flight: u32,
     /// Attempts that timed out, by their deadlines.
-    pub(super) overdue_attempts: VecDeque<(Timestamp, EndpointIndex)>,
+    pub(super) timed_out_attempts: VecDeque<(Timestamp, EndpointIndex)>,
     pub(super) retry_budget: TokenBudget,
     pub(super) health_check_budget: TokenBudget,
     /// Own sends, counted ahead for requests that no sound endpoint can take: the clock of the cold ramp.
@@ -77,7 +77,7 @@
             random: SeededRandom::new(seed),
             endpoints: Vec::new(),
             endpoint_index: HashMap::new(),
-            free_places: Vec::new(),
+            free_slots: Vec::new(),
             disabled: HashSet::new(),
             local: Vec::new(),
             remote: Vec::new(),
@@ -93,7 +93,7 @@
             queued: QueuedRequests::default(),
             key_order: KeyOrder::default(),
             attempts_in_flight: 0,
-            overdue_attempts: VecDeque::new(),
+            timed_out_attempts: VecDeque::new(),
             retry_budget: budgets.retries,
             health_check_budget: budgets.health_checks,
             slow_start_clock: 0.0,
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -18,7 +18,7 @@
 /// it misses counts as told 6 s after it fell silent, most of which have passed when that is noticed.
 const LONGEST_SILENCE: Duration = Duration::from_secs(10);
 /// Mean wait after the first failed call, as a part of the time that an instance may go without asking.
-const FIRST_BACKOFF: f64 = 0.05;
+const FIRST_BACKOFF_FRACTION: f64 = 0.05;
 const MAX_DOUBLINGS: u32 = 4;
 /// A cached list is checked within this part of that time.
 const CACHED_LIST_CHECK: f64 = 0.25;
@@ -31,11 +31,11 @@
         let within = self
             .settings
             .rules
-            .ask_within
+            .poll_interval
             .min(LONGEST_SILENCE)
             .as_secs_f64();
         let backoff = ExponentialBackoff {
-            first: within * FIRST_BACKOFF,
+            first: within * FIRST_BACKOFF_FRACTION,
             max_doublings: MAX_DOUBLINGS,
         };
         let schedule = &mut self.discovery_schedule;
@@ -55,7 +55,7 @@
         let within = self
             .settings
             .rules
-            .ask_within
+            .poll_interval
             .mul_f64(CACHED_LIST_CHECK * self.random.unit());
         self.discovery_schedule.next_call = Some(now + within);
     }
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -43,7 +43,7 @@
     pub(super) state_expires: Timestamp,
     pub(super) last_send: Timestamp,
     /// When the gap after the last send is over.
-    pub(super) gap_ends: Timestamp,
+    pub(super) gap_ends_at: Timestamp,
     /// The reading of the cold ramp's clock from which on it may be sent to while cold.
     pub(super) slow_start_slot: f64,
     /// Not to be probed before.
@@ -78,7 +78,7 @@
             discarding_levels: 0,
             state_expires: Timestamp::default(),
             last_send: Timestamp::default(),
-            gap_ends: Timestamp::default(),
+            gap_ends_at: Timestamp::default(),
             slow_start_slot: f64::INFINITY,
             next_health_check: Timestamp::default(),
             failures: vec![FailureShare::default(); classes],
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -39,7 +39,7 @@
             return None;
         }
         let new = Endpoint::new(entry, self.classes.len());
-        let e = match self.free_places.pop() {
+        let e = match self.free_slots.pop() {
             Some(e) => {
                 self.endpoints[e] = new;
                 e
@@ -64,8 +64,8 @@
             .values()
             .flat_map(|p| &p.attempts)
             .map(|a| a.endpoint);
-        let overdue = self.overdue_attempts.iter().map(|(_, e)| *e);
-        let in_use: HashSet<EndpointIndex> = in_flight.chain(overdue).collect();
+        let deadline_exceeded = self.timed_out_attempts.iter().map(|(_, e)| *e);
+        let in_use: HashSet<EndpointIndex> = in_flight.chain(deadline_exceeded).collect();
         for e in 0..self.endpoints.len() {
             let known = &self.endpoints[e];
             let is_forgotten = self.endpoint_index.get(&known.id) != Some(&e);
@@ -73,7 +73,7 @@
                 continue;
             }
             self.endpoint_index.remove(&known.id);
-            self.free_places.push(e);
+            self.free_slots.push(e);
         }
     }
 
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -8,7 +8,7 @@
 use super::health_check::MAX_SAVED_HEALTH_CHECKS;
 use super::id::ClassId;
 use super::priority_level::RETIRED_CLASS_KEPT;
-use super::retry::MOST_RETRIES_SAVED;
+use super::retry::MAX_SAVED_RETRIES;
 use super::settings::{Class, Settings};
 use super::settings_check::SettingsError;
 use super::time::Timestamp;
@@ -23,7 +23,7 @@
         settings.check()?;
         let classes = settings.classes.iter().map(new_class).collect();
         let budgets = Budgets {
-            retries: TokenBudget::new(MOST_RETRIES_SAVED),
+            retries: TokenBudget::new(MAX_SAVED_RETRIES),
             health_checks: TokenBudget::new(MAX_SAVED_HEALTH_CHECKS),
         };
         let mut balancer = Balancer::blank(settings, seed, classes, budgets);
@@ -86,8 +86,8 @@
     /// Takes one event and adds what is to be done to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.arrival_rate.observe_from(now);
-        self.free_overdue(now);
-        self.key_order.forget_rested(now);
+        self.release_timed_out(now);
+        self.key_order.forget_cooled_down(now);
         self.dispatch(now, event, actions);
         self.check_health(now, actions);
         self.release(now, actions);
--- a/src/policy/key_order.rs
+++ b/src/policy/key_order.rs
@@ -18,7 +18,7 @@
 struct KeyQueue {
     requests: VecDeque<RequestId>,
     /// No other request's turn begins before this.
-    rests_until: Timestamp,
+    cooldown_until: Timestamp,
 }
 
 impl KeyOrder {
@@ -40,7 +40,7 @@
             .and_then(|key| self.queues.get(key));
         queue.is_none_or(|queue| {
             let is_first = queue.requests.front() == Some(&pending.request.id);
-            is_first && (now >= queue.rests_until || !pending.attempts.is_empty())
+            is_first && (now >= queue.cooldown_until || !pending.attempts.is_empty())
         })
     }
 
@@ -52,22 +52,22 @@
             return;
         };
         queue.requests.retain(|id| *id != pending.request.id);
-        if queue.requests.is_empty() && queue.rests_until == Timestamp::default() {
+        if queue.requests.is_empty() && queue.cooldown_until == Timestamp::default() {
             self.queues.remove(key);
         }
     }
 
     /// Has a key rest, as an attempt of its first request may run on.
     pub(super) fn rest(&mut self, key: &Key, until: Timestamp) {
-        self.queues.entry(key.clone()).or_default().rests_until = until;
+        self.queues.entry(key.clone()).or_default().cooldown_until = until;
         self.resting.push_back((until, key.clone()));
     }
 
     /// Forgets keys that have rested and that nobody waits for.
-    pub(super) fn forget_rested(&mut self, now: Timestamp) {
+    pub(super) fn forget_cooled_down(&mut self, now: Timestamp) {
         while let Some((rested_at, key)) = self.resting.pop_front_if(|(until, _)| *until <= now) {
             let is_over =
-                |queue: &KeyQueue| queue.requests.is_empty() && queue.rests_until <= rested_at;
+                |queue: &KeyQueue| queue.requests.is_empty() && queue.cooldown_until <= rested_at;
             if self.queues.get(&key).is_some_and(is_over) {
                 self.queues.remove(&key);
             }
@@ -75,7 +75,7 @@
     }
 
     /// When the first key has rested.
-    pub(super) fn first_rest_ends(&self) -> Option<Timestamp> {
+    pub(super) fn first_cooldown_end(&self) -> Option<Timestamp> {
         self.resting.front().map(|(until, _)| *until)
     }
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -17,7 +17,7 @@
 /// Weight of one answer in an endpoint's failures.
 const ANSWER_WEIGHT: f64 = 0.3;
 /// Endpoints that requests which must not run twice stay with, and for how long after one was served there.
-const MOST_PROVEN: usize = 2;
+const MAX_PROVEN: usize = 2;
 const PROVEN_FOR: Duration = Duration::from_secs(5);
 
 /// The failures that count for a request, and how many an endpoint may have.
@@ -102,7 +102,7 @@
         if !proven.is_empty() {
             *candidates = proven
                 .into_iter()
-                .take(MOST_PROVEN)
+                .take(MAX_PROVEN)
                 .map(|(_, e)| e)
                 .collect();
         }
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -69,7 +69,7 @@
         known.discarding_levels = reached.discard.max(before.discarding.min(reached.onset));
         known.state_expires = now + duration_from_seconds(lapse);
         if known.gapping_levels > 0 {
-            known.gap_ends = known.last_send + gap;
+            known.gap_ends_at = known.last_send + gap;
         }
     }
 
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -106,7 +106,7 @@
         pending: &PendingRequest,
         candidates: &mut Vec<EndpointIndex>,
     ) {
-        let own_load = f64::from(self.attempts_in_flight) / self.part_of_tier();
+        let own_load = f64::from(self.attempts_in_flight) / self.fair_share_of_tier();
         let has_room =
             own_load * self.mean_slowdown / ORDINARY_SLOWDOWN < self.thresholds.highest_onset();
         if !has_room {
@@ -159,17 +159,17 @@
 
     /// With all throttled, the earliest gap among the gapping members that is over.
     fn earliest_gap(&self, search: &Search, pending: &PendingRequest) -> Option<EndpointIndex> {
-        let gap_ends = |e: &EndpointIndex| self.endpoints[*e].gap_ends;
+        let gap_ends_at = |e: &EndpointIndex| self.endpoints[*e].gap_ends_at;
         let is_due = |e: &EndpointIndex| {
             self.is_usable(search, pending, *e)
-                && gap_ends(e) <= search.now
+                && gap_ends_at(e) <= search.now
                 && search.level >= self.throttling(search.now, *e).discarding
         };
         self.subset
             .iter()
             .copied()
             .filter(is_due)
-            .min_by_key(gap_ends)
+            .min_by_key(gap_ends_at)
     }
 
     /// The better of two random candidates. Where none of the two has own attempts in flight they say
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -8,7 +8,7 @@
 /// Retries that each request pays for.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.2;
 /// How many may be saved up.
-pub(super) const MOST_RETRIES_SAVED: f64 = 10.0;
+pub(super) const MAX_SAVED_RETRIES: f64 = 10.0;
 
 impl Balancer {
     /// Where a request may have its next attempt; `None` where it may have none.
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -22,14 +22,14 @@
             return false;
         };
         self.advance_slow_start(pending);
-        self.take_place(e);
+        self.occupy_slot(e);
         let gap = self.gap(now, self.endpoints[e].depth);
         let slow_start_slot = self.draw_slow_start_slot(now, e);
         let timeout = self.attempt_timeout(now, pending);
         let known = &mut self.endpoints[e];
         known.awaits_first_send = false;
         known.last_send = now;
-        known.gap_ends = now + gap;
+        known.gap_ends_at = now + gap;
         known.slow_start_slot = slow_start_slot;
         pending.attempts.push(Attempt {
             endpoint: e,
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -151,7 +151,7 @@
     /// Sends to a draining or removed endpoint must end this long after hearing of it.
     pub drain_grace: Duration,
     /// Where discovery is asked: silence beyond this counts as having been told.
-    pub ask_within: Duration,
+    pub poll_interval: Duration,
     /// An endpoint starts at this part of its capacity, or higher.
     pub initial_capacity: f64,
     /// And is warm after this, at the latest.
@@ -163,7 +163,7 @@
     /// Idle connections to a draining endpoint must be closed within this; `None` where nobody asks for it.
     pub drain_close: Option<Duration>,
     /// How long a key rests after an attempt that may run on, where classes go by arrival.
-    pub order_pause: Option<Duration>,
+    pub key_cooldown: Option<Duration>,
 }
 
 impl Default for Rules {
@@ -172,13 +172,13 @@
         Rules {
             answer_slack: Duration::from_millis(10),
             drain_grace: Duration::from_millis(50),
-            ask_within: Duration::from_secs(10),
+            poll_interval: Duration::from_secs(10),
             initial_capacity: 0.1,
             warm_up_time: Duration::from_secs(20),
             overload_multiple: 2.0,
             overload_window: Duration::from_secs(1),
             drain_close: None,
-            order_pause: None,
+            key_cooldown: None,
         }
     }
 }
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -125,13 +125,15 @@
         self.time("rules.answer_slack", rules.answer_slack);
         self.time("rules.drain_grace", rules.drain_grace);
         match settings.discovery {
-            DiscoveryMode::OnRequest => self.positive_time("rules.ask_within", rules.ask_within),
-            DiscoveryMode::Pushed => self.time("rules.ask_within", rules.ask_within),
+            DiscoveryMode::OnRequest => {
+                self.positive_time("rules.poll_interval", rules.poll_interval)
+            }
+            DiscoveryMode::Pushed => self.time("rules.poll_interval", rules.poll_interval),
         }
         self.time("rules.warm_up_time", rules.warm_up_time);
         self.time("rules.overload_window", rules.overload_window);
         self.time("rules.drain_close", rules.drain_close.unwrap_or_default());
-        self.time("rules.order_pause", rules.order_pause.unwrap_or_default());
+        self.time("rules.key_cooldown", rules.key_cooldown.unwrap_or_default());
         self.time("tick", settings.tick);
         self.fraction("rules.initial_capacity", rules.initial_capacity);
         self.amount("rules.overload_multiple", rules.overload_multiple);
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -55,14 +55,14 @@
     }
 
     /// How many endpoints are this instance's part of the tier, of which each is in `SHARERS` parts.
-    pub(super) fn part_of_tier(&self) -> f64 {
+    pub(super) fn fair_share_of_tier(&self) -> f64 {
         let available = self.local.len() + self.remote.len();
         available as f64 * SHARERS / f64::from(self.settings.balancers)
     }
 
     fn subset_size(&self, now: Timestamp) -> usize {
         let by_rate = self.arrival_rate.per_second(now) * MEMBERS_PER_RATE;
-        SMALLEST_SUBSET.max(self.part_of_tier().min(by_rate) as usize)
+        SMALLEST_SUBSET.max(self.fair_share_of_tier().min(by_rate) as usize)
     }
 
     /// Draws the subset anew where it is half as large as the rate of arrivals now asks for.
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -33,9 +33,9 @@
         let gaps = self
             .subset
             .iter()
-            .map(|e| self.endpoints[*e].gap_ends)
+            .map(|e| self.endpoints[*e].gap_ends_at)
             .filter(|at| *at > now);
-        let first = gaps.chain(self.key_order.first_rest_ends());
+        let first = gaps.chain(self.key_order.first_cooldown_end());
         let first = first.fold(soon.min(self.queued.next_expiry), Timestamp::min);
         first.max(now + self.settings.tick)
     }
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -53,7 +53,7 @@
 }
 
 impl ListConsumer for NodeHandle {
-    fn held_version(&self, source: Source) -> Option<u64> {
+    fn known_version(&self, source: Source) -> Option<u64> {
         let node = self.borrow();
         node.membership
             .version()
@@ -81,7 +81,7 @@
 
     /// That says no less than that nothing has changed, which discovery may not say before the first change.
     fn watch_opened(&self, source: Source) {
-        let version = self.held_version(source);
+        let version = self.known_version(source);
         if let Some(version) = version {
             self.borrow().expect_first_list_soon();
             let entries = Arc::from([]);
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 impl NodeHandle {
-    /// Takes a request. The answer comes once; [`NodeHandle::client_disconnected`] and [`NodeHandle::overdue`] say that it
+    /// Takes a request. The answer comes once; [`NodeHandle::client_disconnected`] and [`NodeHandle::deadline_exceeded`] say that it
     /// is no longer wanted.
     ///
     /// # Errors
@@ -50,7 +50,7 @@
     }
 
     /// The deadline has passed with no answer from the module, which ought not to happen; the caller answers.
-    pub fn overdue(&self, request: &RequestId) {
+    pub fn deadline_exceeded(&self, request: &RequestId) {
         log!("request {} was still open at its deadline", request.0);
         self.client_disconnected(request);
     }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -246,7 +246,7 @@
         if let Some(Ok(answer)) = answer {
             return reply(answer);
         }
-        self.node.overdue(&self.id);
+        self.node.deadline_exceeded(&self.id);
         plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
     }
 }
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -47,7 +47,7 @@
     for within in [1_000, 10_000, 120_000] {
         for _ in 0..20 {
             let mut set = settings();
-            (set.discovery, set.rules.ask_within) = (DiscoveryMode::OnRequest, ms(within));
+            (set.discovery, set.rules.poll_interval) = (DiscoveryMode::OnRequest, ms(within));
             let mut host = Host::new(set, listings(1));
             host.members(ListKind::Snapshot, listings(1));
             let actions = host.discovery_failed();
@@ -73,7 +73,7 @@
     for within in [1_000, 4_500, 10_000, 120_000] {
         for took in [Duration::ZERO, ms(1_000), DISCOVERY_TIMEOUT] {
             let mut set = settings();
-            (set.discovery, set.rules.ask_within) = (DiscoveryMode::OnRequest, ms(within));
+            (set.discovery, set.rules.poll_interval) = (DiscoveryMode::OnRequest, ms(within));
             let mut host = Host::new(set, listings(1));
             let mut actions = host.discovery_failed();
             for failed in 1..50 {
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -6,7 +6,7 @@
 /// Two ordered classes (unsafe and keyed to a zone) whose keys rest for 50 ms.
 fn ordered() -> Host {
     let mut set = settings();
-    set.rules.order_pause = Some(ms(50));
+    set.rules.key_cooldown = Some(ms(50));
     (set.classes[1].by_arrival, set.classes[3].by_arrival) = (true, true);
     Host::new(set, listings(6))
 }
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -12,7 +12,7 @@
 fn play(seed: u64, parallel: bool, steps: Vec<Step>) {
     let mut set = settings();
     set.limits.parallel_attempts = parallel;
-    (set.rules.drain_close, set.rules.order_pause) = (Some(ms(200)), Some(ms(50)));
+    (set.rules.drain_close, set.rules.key_cooldown) = (Some(ms(200)), Some(ms(50)));
     [1, 3, 4]
         .iter()
         .for_each(|c: &usize| set.classes[*c].by_arrival = true);
--- a/tests/policy/legal_model.rs
+++ b/tests/policy/legal_model.rs
@@ -135,7 +135,7 @@
                 outcome,
                 Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
             );
-            let pause = set.rules.order_pause.unwrap_or_default();
+            let pause = set.rules.key_cooldown.unwrap_or_default();
             assert!(
                 !runs_on || now.since(ended) >= pause || !ours.tries.is_empty(),
                 "rule 5: no rest"
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -168,7 +168,7 @@
         .run(&input, |(seed, events)| {
             let mut set = settings();
             (set.classes[1].by_arrival, set.classes[0].objective_per_work) = (true, 1e9);
-            set.rules.order_pause = Some(ms(50));
+            set.rules.key_cooldown = Some(ms(50));
             set.rules.drain_close = Some(ms(50));
             set.discovery = if seed.is_multiple_of(2) {
                 DiscoveryMode::OnRequest
@@ -281,8 +281,8 @@
             s.rules.drain_close = Some(Duration::MAX)
         }),
         ("prices.cross_zone", |s| s.prices.cross_zone = f64::NAN),
-        ("rules.ask_within", |s| {
-            (s.discovery, s.rules.ask_within) = (DiscoveryMode::OnRequest, Duration::ZERO)
+        ("rules.poll_interval", |s| {
+            (s.discovery, s.rules.poll_interval) = (DiscoveryMode::OnRequest, Duration::ZERO)
         }),
     ];
     assert!(Balancer::new(settings(), 1).is_ok());
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -387,7 +387,7 @@
     use std::time::Duration;
     let plain = parse_settings(&params(0)).expect("settings");
     assert_eq!(
-        (plain.rules.drain_close, plain.rules.order_pause),
+        (plain.rules.drain_close, plain.rules.key_cooldown),
         (None, None)
     );
     assert!(plain.classes.iter().all(|c| !c.by_arrival));
@@ -402,7 +402,7 @@
         );
     let further = parse_settings(&further).expect("settings");
     assert_eq!(further.rules.drain_close, Some(Duration::from_millis(500)));
-    assert_eq!(further.rules.order_pause, Some(Duration::ZERO));
+    assert_eq!(further.rules.key_cooldown, Some(Duration::ZERO));
     assert_eq!(
         further
             .classes
