--- a/lab/src/command/run.rs
+++ b/lab/src/command/run.rs
@@ -111,7 +111,7 @@
         experiment: experiment.name.clone(),
         seed: experiment.seed,
         seconds: started.elapsed().as_secs_f64(),
-        figures: Vec::new(),
+        metrics: Vec::new(),
         problems: vec![format!("failed: {cause}")],
     }
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -38,7 +38,7 @@
     /// How long it took, in seconds.
     pub seconds: f64,
     /// Its figures.
-    pub figures: Vec<Figure>,
+    pub metrics: Vec<Figure>,
     /// What went wrong without ending it.
     pub problems: Vec<String>,
 }
@@ -90,10 +90,10 @@
             self.seed,
             number(self.seconds)
         );
-        for figure in &self.figures {
+        for figure in &self.metrics {
             push_figure(&mut text, figure);
         }
-        push_slopes(&mut text, &self.figures);
+        push_slopes(&mut text, &self.metrics);
         push_problems(&mut text, &self.problems);
         text
     }
@@ -118,15 +118,15 @@
     }
 }
 
-fn push_slopes(text: &mut String, figures: &[Figure]) {
-    if figures.iter().all(|figure| figure.slope.is_none()) {
+fn push_slopes(text: &mut String, metrics: &[Figure]) {
+    if metrics.iter().all(|figure| figure.slope.is_none()) {
         return;
     }
     text.push_str(
         "\n### Slopes\n\n| figure | unit | intercept | per unit | unexplained | largest residual |\n",
     );
     text.push_str("| --- | --- | ---: | ---: | ---: | ---: |\n");
-    for figure in figures {
+    for figure in metrics {
         let Some(slope) = &figure.slope else { continue };
         text.push_str(&format!(
             "| {} | {}, by {} | {} | {} | {} | {} |\n",
--- a/lab/src/scenario/control_cost.rs
+++ b/lab/src/scenario/control_cost.rs
@@ -44,13 +44,13 @@
             Ok(())
         })?;
         findings
-            .figures
-            .extend(idle_figures(plan.endpoints, &idle, period));
+            .metrics
+            .extend(idle_metrics(plan.endpoints, &idle, period));
         findings
-            .figures
+            .metrics
             .extend(changes(plan, &single, &idle, period)?);
         findings
-            .figures
+            .metrics
             .extend(reloads(plan, &single, &idle, period)?);
     }
     health_checks(plan, seed, context, period, &mut findings)?;
@@ -108,7 +108,7 @@
     Single::start(&options, context)
 }
 
-fn idle_figures(endpoints: u32, idle: &Cost, period: Duration) -> Vec<Figure> {
+fn idle_metrics(endpoints: u32, idle: &Cost, period: Duration) -> Vec<Figure> {
     let seconds = period.as_secs_f64();
     let size = f64::from(endpoints);
     let mut series = Series::over("endpoints");
@@ -247,7 +247,7 @@
             microseconds,
         );
     }
-    findings.figures.extend(series.with_slopes());
+    findings.metrics.extend(series.with_slopes());
     Ok(())
 }
 
--- a/lab/src/scenario/depth.rs
+++ b/lab/src/scenario/depth.rs
@@ -48,7 +48,7 @@
         ));
     }
     Ok(Findings {
-        figures: series.with_slopes(),
+        metrics: series.with_slopes(),
         problems,
     })
 }
@@ -106,7 +106,7 @@
         series.add("served share", "1", size, served / calls);
     }
     Ok(Findings {
-        figures: series.with_slopes(),
+        metrics: series.with_slopes(),
         problems: Vec::new(),
     })
 }
--- a/lab/src/scenario/failures.rs
+++ b/lab/src/scenario/failures.rs
@@ -48,7 +48,7 @@
     }
     series.note_all(&format!("{}.", descriptions.join("; ")));
     Ok(Findings {
-        figures: series.without_slopes(),
+        metrics: series.without_slopes(),
         problems: Vec::new(),
     })
 }
--- a/lab/src/scenario/findings.rs
+++ b/lab/src/scenario/findings.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
     /// Its figures.
-    pub figures: Vec<Figure>,
+    pub metrics: Vec<Figure>,
     /// What went wrong without ending it.
     pub problems: Vec<String>,
 }
--- a/lab/src/scenario/fleet.rs
+++ b/lab/src/scenario/fleet.rs
@@ -1,9 +1,9 @@
 //! What experiments with a fleet of hollow sidecars share: a discovery service with a list of endpoints, the
 //! sidecars' configurations, and their start.
 
-mod figures;
+mod metrics;
 
-pub(super) use figures::{add_arrivals, add_discovery_calls, merge};
+pub(super) use metrics::{add_arrivals, add_discovery_calls, merge};
 
 use super::findings::ScenarioError;
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
--- a/lab/src/scenario/fleet_restart.rs
+++ b/lab/src/scenario/fleet_restart.rs
@@ -28,7 +28,7 @@
         series.note(&format!("ready, endpoints known: {label}"), READY_NOTE);
     }
     Ok(Findings {
-        figures: series.with_slopes(),
+        metrics: series.with_slopes(),
         problems: Vec::new(),
     })
 }
--- a/lab/src/scenario/latency.rs
+++ b/lab/src/scenario/latency.rs
@@ -38,12 +38,12 @@
     for rate in &plan.rates {
         let load = load_plan(plan, *rate, seed, single.sidecar.address(), straight);
         let measured = measure(&single, &load, plan.changes_per_second)?;
-        add_figures(&mut series, *rate, &measured);
+        add_metrics(&mut series, *rate, &measured);
         problems.extend(find_problems(*rate, &measured));
     }
     add_notes(&mut series);
     Ok(Findings {
-        figures: series.with_slopes(),
+        metrics: series.with_slopes(),
         problems,
     })
 }
@@ -201,7 +201,7 @@
     entry.clone()
 }
 
-fn add_figures(series: &mut Series, rate: f64, measured: &Measured) {
+fn add_metrics(series: &mut Series, rate: f64, measured: &Measured) {
     let Measured {
         straight,
         through,
--- a/lab/src/scenario/memory.rs
+++ b/lab/src/scenario/memory.rs
@@ -58,7 +58,7 @@
             &usage,
         );
     }
-    findings.figures.extend(series.with_slopes());
+    findings.metrics.extend(series.with_slopes());
     Ok(())
 }
 
@@ -91,7 +91,7 @@
                 .push(format!("of {count} requests {open} were open at once"));
         }
     }
-    findings.figures.extend(series.with_slopes());
+    findings.metrics.extend(series.with_slopes());
     Ok(())
 }
 
@@ -128,7 +128,7 @@
             ));
         }
     }
-    findings.figures.extend(series.with_slopes());
+    findings.metrics.extend(series.with_slopes());
     Ok(())
 }
 
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -48,7 +48,7 @@
         experiment: experiment.name.clone(),
         seed,
         seconds: started.elapsed().as_secs_f64(),
-        figures: findings.figures,
+        metrics: findings.metrics,
         problems: findings.problems,
     })
 }
--- a/lab/src/scenario/outage.rs
+++ b/lab/src/scenario/outage.rs
@@ -17,7 +17,7 @@
         measure(plan, &fleet, &mut series);
     }
     Ok(Findings {
-        figures: series.with_slopes(),
+        metrics: series.with_slopes(),
         problems: Vec::new(),
     })
 }
--- a/lab/src/scenario/propagation.rs
+++ b/lab/src/scenario/propagation.rs
@@ -22,7 +22,7 @@
         measure_changes(plan, &fleet, &mut series);
     }
     Ok(Findings {
-        figures: series.with_slopes(),
+        metrics: series.with_slopes(),
         problems: Vec::new(),
     })
 }
--- a/lab/src/scenario/series.rs
+++ b/lab/src/scenario/series.rs
@@ -10,7 +10,7 @@
 /// Figures over one kind of size, in the order in which they were first added.
 pub(super) struct Series {
     size_unit: &'static str,
-    figures: Vec<Figure>,
+    metrics: Vec<Figure>,
     /// Names of figures that no line is put through.
     without_lines: BTreeSet<String>,
 }
@@ -20,7 +20,7 @@
     pub(super) fn over(size_unit: &'static str) -> Self {
         Series {
             size_unit,
-            figures: Vec::new(),
+            metrics: Vec::new(),
             without_lines: BTreeSet::new(),
         }
     }
@@ -28,11 +28,11 @@
     /// Adds a measurement to a figure.
     pub(super) fn add(&mut self, name: &str, unit: &str, size: f64, value: f64) {
         let point = Point { size, value };
-        if let Some(figure) = self.figures.iter_mut().find(|figure| figure.name == name) {
+        if let Some(figure) = self.metrics.iter_mut().find(|figure| figure.name == name) {
             figure.points.push(point);
             return;
         }
-        self.figures.push(Figure {
+        self.metrics.push(Figure {
             name: name.into(),
             unit: unit.into(),
             size_unit: self.size_unit.into(),
@@ -44,7 +44,7 @@
 
     /// Tells what else is to be known of a figure. What is told twice stands once.
     pub(super) fn note(&mut self, name: &str, note: &str) {
-        let Some(figure) = self.figures.iter_mut().find(|figure| figure.name == name) else {
+        let Some(figure) = self.metrics.iter_mut().find(|figure| figure.name == name) else {
             return;
         };
         match &mut figure.note {
@@ -62,7 +62,7 @@
     /// Tells what else is to be known of all figures.
     pub(super) fn note_all(&mut self, note: &str) {
         let names: Vec<String> = self
-            .figures
+            .metrics
             .iter()
             .map(|figure| figure.name.clone())
             .collect();
@@ -71,16 +71,16 @@
 
     /// The figures alone, where sizes are no quantity.
     pub(super) fn without_slopes(self) -> Vec<Figure> {
-        self.figures
+        self.metrics
     }
 
     /// The figures, each with the line through its measurements where there are enough of them.
     pub(super) fn with_slopes(mut self) -> Vec<Figure> {
-        for figure in &mut self.figures {
+        for figure in &mut self.metrics {
             if figure.points.len() >= FEWEST_POINTS && !self.without_lines.contains(&figure.name) {
                 figure.slope = Slope::fit(&figure.points);
             }
         }
-        self.figures
+        self.metrics
     }
 }
--- a/lab/tests/report.rs
+++ b/lab/tests/report.rs
@@ -80,7 +80,7 @@
             experiment: "memory".into(),
             seed: 7,
             seconds: 12.345,
-            figures: vec![
+            metrics: vec![
                 memory,
                 figure("probes a call", "1", "calls/s", &[(72.0, 0.012_345)]),
             ],
--- a/lab/tests/small_run.rs
+++ b/lab/tests/small_run.rs
@@ -26,7 +26,7 @@
             "change known: last",
         ],
     );
-    for figure in &report.figures {
+    for figure in &report.metrics {
         assert_eq!(sizes(figure), [40.0], "{}", figure.name);
     }
     // A heartbeat is an empty line, a change at least the endpoint's name.
@@ -44,7 +44,7 @@
         &["half", "9 in 10", "last", "missing"],
     );
     assert_none_missing(&report);
-    for figure in &report.figures {
+    for figure in &report.metrics {
         assert_eq!(sizes(figure), [40.0], "{}", figure.name);
     }
     let watches = values(&report, "watches opened until the last is current");
@@ -98,7 +98,7 @@
         assert_names(&report, what, &["half", "9 in 10", "last", "missing"]);
     }
     assert_none_missing(&report);
-    for figure in &report.figures {
+    for figure in &report.metrics {
         assert_eq!(sizes(figure), [20.0, 40.0], "{}", figure.name);
     }
     for label in ["endpoints known", "none known"] {
@@ -144,7 +144,7 @@
 fn calls_go_through_a_real_sidecar() {
     let report = run("added-latency");
 
-    for figure in &report.figures {
+    for figure in &report.metrics {
         assert_eq!(sizes(figure), [20.0, 50.0], "{}", figure.name);
     }
     for pair in [
@@ -174,7 +174,7 @@
 
 /// The figures about `what` are these, in this order.
 fn assert_names(report: &ExperimentReport, what: &str, labels: &[&str]) {
-    let names = report.figures.iter().map(|figure| figure.name.as_str());
+    let names = report.metrics.iter().map(|figure| figure.name.as_str());
     let about: Vec<&str> = names
         .filter_map(|name| name.strip_prefix(what)?.strip_prefix(": "))
         .collect();
@@ -183,7 +183,7 @@
 
 fn assert_none_missing(report: &ExperimentReport) {
     let missing: Vec<&Figure> = report
-        .figures
+        .metrics
         .iter()
         .filter(|figure| figure.name.ends_with(": missing"))
         .collect();
@@ -207,7 +207,7 @@
 }
 
 fn figure<'a>(report: &'a ExperimentReport, name: &str) -> &'a Figure {
-    let found = report.figures.iter().find(|figure| figure.name == name);
+    let found = report.metrics.iter().find(|figure| figure.name == name);
     found.unwrap_or_else(|| panic!("no figure {name:?}"))
 }
 
--- a/src/command_line/operator.rs
+++ b/src/command_line/operator.rs
@@ -14,7 +14,7 @@
 /// The largest answer: figures of some hundred classes.
 const LARGEST_ANSWER: u64 = 1 << 20;
 /// The last line of the figures.
-const FIGURES_END: &str = "END";
+const METRICS_END: &str = "END";
 
 /// Where a running sidecar is called.
 #[derive(Args)]
@@ -99,13 +99,13 @@
             ask(address, OperatorCall::Stats)?,
         ))
     });
-    let (ready, figures) = match answers {
+    let (ready, metrics) = match answers {
         Ok(answers) => answers,
         Err(error) => return error.outcome(),
     };
     line(&format!("ready: {}", ready.trim_end()));
-    let figures = figures.lines().filter(|line| *line != FIGURES_END);
-    figures.for_each(|figure| line(&figure));
+    let metrics = metrics.lines().filter(|line| *line != METRICS_END);
+    metrics.for_each(|figure| line(&figure));
     Outcome::Done
 }
 
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -1,6 +1,6 @@
 //! Counts for the log: what has happened since its last line of counts.
 
-use super::figures::AnsweredRequests;
+use super::metrics::AnsweredRequests;
 use crate::policy::Outcome;
 use std::fmt;
 
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -7,7 +7,7 @@
 const MOST_REQUESTS: f64 = 1e5;
 const MOST_UTILISATION: f64 = 2.0;
 /// The names of figures that speak of the queue.
-const QUEUE_FIGURES: [&str; 4] = ["concurrent", "inflight", "depth", "queue"];
+const QUEUE_METRICS: [&str; 4] = ["concurrent", "inflight", "depth", "queue"];
 
 /// Reads `TEXT inflight=7, queue=2, util=0.61`, with the names that the settings give the fields or those of the
 /// protocol's example. A figure that cannot be is left out. A report is none where it has no figure, or none of those
@@ -32,7 +32,7 @@
             _ => {}
         }
     }
-    let speaks_of_queue = QUEUE_FIGURES.iter().any(|name| text.contains(name));
+    let speaks_of_queue = QUEUE_METRICS.iter().any(|name| text.contains(name));
     let queue_is_known = report.depth.or(report.in_flight).is_some() || !speaks_of_queue;
     (report != LoadReport::default() && queue_is_known).then_some(report)
 }
--- a/src/sidecar/figures.rs
+++ b/src/sidecar/metrics.rs
@@ -8,7 +8,7 @@
 
 /// How requests of one class ended.
 #[derive(Default)]
-struct ClassFigures {
+struct ClassMetrics {
     completed: Cell<u64>,
     rejected: Cell<u64>,
     failed: Cell<u64>,
@@ -27,9 +27,9 @@
 
 /// Figures since the process started.
 #[derive(Default)]
-pub struct Figures {
+pub struct Metrics {
     /// By the class's name; one that vanishes from the settings keeps its counts.
-    classes: BTreeMap<String, Rc<ClassFigures>>,
+    classes: BTreeMap<String, Rc<ClassMetrics>>,
     pending: Rc<Cell<u64>>,
     /// Attempts of which all was written.
     pub attempts: Rc<Cell<u64>>,
@@ -49,7 +49,7 @@
 
 /// A request on its way to its one count.
 pub struct RequestCount {
-    class: Rc<ClassFigures>,
+    class: Rc<ClassMetrics>,
     pending: Rc<Cell<u64>>,
     is_whole: bool,
 }
@@ -58,13 +58,13 @@
     count.set(count.get() + 1);
 }
 
-impl Figures {
+impl Metrics {
     /// Has these classes reported, also before their first request.
     pub fn add_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         names.for_each(|name| drop(self.class(name)));
     }
 
-    fn class(&mut self, name: &str) -> Rc<ClassFigures> {
+    fn class(&mut self, name: &str) -> Rc<ClassMetrics> {
         match self.classes.get(name) {
             Some(class) => class.clone(),
             None => self.classes.entry(name.into()).or_default().clone(),
@@ -83,7 +83,7 @@
     /// How requests were answered so far.
     pub fn answered(&self) -> AnsweredRequests {
         let sum =
-            |of: fn(&ClassFigures) -> &Cell<u64>| self.classes.values().map(|c| of(c).get()).sum();
+            |of: fn(&ClassMetrics) -> &Cell<u64>| self.classes.values().map(|c| of(c).get()).sum();
         AnsweredRequests {
             completed: sum(|class| &class.completed),
             rejected: sum(|class| &class.rejected),
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! | layer | files |
 //! | --- | --- |
-//! | foundations | `log.rs`, `clock.rs`, `task.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `figures.rs`, `counters.rs` |
+//! | foundations | `log.rs`, `clock.rs`, `task.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
 //! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `upgrade/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
@@ -20,9 +20,9 @@
 mod counters;
 mod descriptors;
 mod endpoint;
-mod figures;
 mod handover;
 mod memory;
+mod metrics;
 mod node;
 mod operators;
 mod process;
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -40,7 +40,7 @@
         let descriptor = node.descriptors.permit(Side::Endpoints);
         Some(DialPermit {
             descriptor,
-            attempts: node.figures.attempts.clone(),
+            attempts: node.metrics.attempts.clone(),
         })
     }
 
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -25,7 +25,7 @@
     /// What is wrong with it; then nothing of it is taken over.
     pub fn reload(&self, config: Config) -> Result<(), ReloadError> {
         let changed = self.change_settings(&config)?;
-        self.borrow().figures.reloads += 1;
+        self.borrow().metrics.reloads += 1;
         let has_moved = self.move_discovery(&config);
         let fixed = self.borrow().fixed.differences(&config.fixed).join(", ");
         let discovery = if has_moved {
@@ -75,7 +75,7 @@
             .change_settings(now, settings.clone(), &mut actions)?;
         let follows_anew = node.settings.current().discovery != settings.discovery;
         node.pool.change_limits(&settings.limits);
-        node.figures
+        node.metrics
             .add_classes(settings.classes.iter().map(|class| class.name.as_str()));
         node.settings.replace(SettingsInForce { settings, classes });
         node.document = config.document.clone();
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -14,8 +14,8 @@
 use crate::sidecar::counters::Counters;
 use crate::sidecar::descriptors::Descriptors;
 use crate::sidecar::endpoint::ConnectionPool;
-use crate::sidecar::figures::{Figures, MemberCounts};
 use crate::sidecar::memory::MemoryBudget;
+use crate::sidecar::metrics::{MemberCounts, Metrics};
 use crate::sidecar::task::Task;
 use crate::sidecar::upgrade::{OtherProcesses, SharedDirectory};
 use serde_json::Value;
@@ -52,7 +52,7 @@
     /// Counts since the log's last line of counts.
     pub counters: Counters,
     /// Counts since the start.
-    pub figures: Figures,
+    pub metrics: Metrics,
     pub(super) balancer: Balancer,
     /// The configuration's, of random numbers that the module does not draw.
     pub(super) seed: u64,
@@ -164,8 +164,8 @@
         directory: Option<Rc<SharedDirectory>>,
         reserved_descriptors: usize,
     ) -> Result<Self, SettingsError> {
-        let mut figures = Figures::default();
-        figures.add_classes(
+        let mut metrics = Metrics::default();
+        metrics.add_classes(
             config
                 .settings
                 .classes
@@ -182,7 +182,7 @@
             request_memory: MemoryBudget::part_of(config.memory_mb, REQUEST_MEMORY_PARTS),
             answer_memory: MemoryBudget::part_of(config.memory_mb, ANSWER_MEMORY_PARTS),
             counters: Counters::default(),
-            figures,
+            metrics,
             settings: SettingsHistory::new(config.settings),
             document: config.document,
             fixed: config.fixed,
--- a/src/sidecar/operators.rs
+++ b/src/sidecar/operators.rs
@@ -28,7 +28,7 @@
 /// Pause after an accept that failed, as it does while the process is out of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 /// The last line of the figures.
-const FIGURES_END: &str = "END\n";
+const METRICS_END: &str = "END\n";
 
 /// A call that the operators may make.
 #[derive(Debug, PartialEq)]
@@ -186,7 +186,7 @@
 fn answer(node: &NodeHandle, line: Option<&str>) -> String {
     match line.ok_or(CallError::NoLine).and_then(Call::parse) {
         Ok(Call::Ready) => yes_if(node.borrow().is_ready(), "not ready to serve"),
-        Ok(Call::Stats) => figures(node),
+        Ok(Call::Stats) => metrics(node),
         Ok(Call::Drain) => {
             node.drain();
             yes()
@@ -206,11 +206,11 @@
     yes_if(changed.is_ok(), "no such endpoint is listed")
 }
 
-fn figures(node: &NodeHandle) -> String {
+fn metrics(node: &NodeHandle) -> String {
     let node = node.borrow();
     let mut text = String::new();
-    node.figures.write(&node.member_counts(), &mut text);
-    text.push_str(FIGURES_END);
+    node.metrics.write(&node.member_counts(), &mut text);
+    text.push_str(METRICS_END);
     text
 }
 
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -164,7 +164,7 @@
             Err(error) => Some(error.to_string()),
         };
         if let Some(problem) = problem {
-            node.borrow().figures.reload_errors += 1;
+            node.borrow().metrics.reload_errors += 1;
             log!("the configuration stays as it was: {problem}");
         }
     }
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -20,7 +20,7 @@
 pub fn write(node: &NodeHandle) {
     let (line, status, connections) = {
         let mut guard = node.borrow();
-        let answered = guard.figures.answered();
+        let answered = guard.metrics.answered();
         (
             guard.counters.take(answered),
             guard.balancer_status(),
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -224,7 +224,7 @@
                 .any(|class| class.name == **name)
         };
         if let Some(name) = name.filter(is_class) {
-            node.figures.begin(name).end(reply.status());
+            node.metrics.begin(name).end(reply.status());
         }
         reply
     }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -7,8 +7,8 @@
 use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
 use crate::sidecar::body::{MAX_KEPT, ReceivedBody, Upload, receive_body};
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end};
-use crate::sidecar::figures::RequestCount;
 use crate::sidecar::memory::MemoryReservation;
+use crate::sidecar::metrics::RequestCount;
 use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected, SettingsInForce};
 use hyper::body::{Body, Incoming};
 use hyper::http::request::Parts;
@@ -73,7 +73,7 @@
     let (head, body) = request.into_parts();
     let mut parsed =
         parse(node, &head, begun).map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
-    let count = count.insert(node.borrow().figures.begin(&parsed.class().name));
+    let count = count.insert(node.borrow().metrics.begin(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
         caller.traffic.is_last_request.set(true);
         return Ok(caller.reject_early());
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -3,7 +3,7 @@
 use crate::sidecar::body::BodyFailure;
 use crate::sidecar::caller::Traffic;
 use crate::sidecar::endpoint::{AnswerBody, StreamedAnswer};
-use crate::sidecar::figures::RequestCount;
+use crate::sidecar::metrics::RequestCount;
 use crate::sidecar::node::FinalAnswer;
 use bytes::Bytes;
 use http_body_util::Full;
