--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo run --example embed`
 
-use pipittray::policy::Balancer;
-use pipittray::policy::*;
+use balancer_sidecar::policy::Balancer;
+use balancer_sidecar::policy::*;
 use std::time::Duration;
 
 struct Host {
--- a/lab/src/command/check.rs
+++ b/fleet-lab/src/command/check.rs
@@ -1,7 +1,7 @@
 //! The command `check`.
 
 use super::CommandError;
-use pipittray_lab::experiment::Experiment;
+use fleet_lab::experiment::Experiment;
 use std::path::PathBuf;
 
 /// Tells what is wrong with each file, a line for each fault.
--- a/lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -5,7 +5,7 @@
 mod tier;
 
 use clap::{Args, Parser, Subcommand};
-use pipittray_lab::experiment::ExperimentError;
+use fleet_lab::experiment::ExperimentError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
 
 /// Measures what sidecars cost, and how they behave, on one machine.
 #[derive(Parser)]
-#[command(name = "pipittray-lab", version)]
+#[command(name = "fleet-lab", version)]
 pub struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -79,7 +79,11 @@
 #[derive(Args)]
 struct RunOptions {
     /// The built sidecar.
-    #[arg(long, value_name = "PATH", default_value = "target/release/pipittray")]
+    #[arg(
+        long,
+        value_name = "PATH",
+        default_value = "target/release/balancer-sidecar"
+    )]
     program: PathBuf,
     /// Where `results.json` and `results.md` go.
     #[arg(long, value_name = "DIR", default_value = "target/lab")]
--- a/lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -2,9 +2,9 @@
 
 use super::{CommandError, RunOptions};
 use crate::stop;
-use pipittray_lab::experiment::Experiment;
-use pipittray_lab::report::{ExperimentReport, Report};
-use pipittray_lab::scenario::{self, RunContext};
+use fleet_lab::experiment::Experiment;
+use fleet_lab::report::{ExperimentReport, Report};
+use fleet_lab::scenario::{self, RunContext};
 use std::fs;
 use std::num::NonZero;
 use std::path::{Path, PathBuf};
--- a/lab/src/command/tier.rs
+++ b/fleet-lab/src/command/tier.rs
@@ -1,7 +1,7 @@
 //! The command `tier`.
 
 use super::{CommandError, TierOptions};
-use pipittray_lab::tier::{SidecarAddresses, StandInTier};
+use fleet_lab::tier::{SidecarAddresses, StandInTier};
 use std::fs;
 use std::io;
 use std::path::Path;
--- a/lab/src/sidecar/hollow/attempts.rs
+++ b/fleet-lab/src/sidecar/hollow/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::endpoints::SimulatedEndpoint;
 use super::fleet_state::FleetState;
-use pipittray::policy::{
+use balancer_sidecar::policy::{
     AttemptNumber, EndpointId, LoadReport, Outcome, Reporting, RequestId, Timestamp,
 };
 use std::sync::Arc;
--- a/lab/src/sidecar/hollow/clock.rs
+++ b/fleet-lab/src/sidecar/hollow/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of a hollow sidecar's decision module.
 
-use pipittray::policy::Timestamp;
+use balancer_sidecar::policy::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/lab/src/sidecar/hollow/endpoints.rs
+++ b/fleet-lab/src/sidecar/hollow/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoints that hollow sidecars' attempts go to: whether they can be reached, and what is in flight at them.
 
-use pipittray::policy::{EndpointId, LoadReport};
+use balancer_sidecar::policy::{EndpointId, LoadReport};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
--- a/lab/src/sidecar/hollow/fleet.rs
+++ b/fleet-lab/src/sidecar/hollow/fleet.rs
@@ -12,7 +12,7 @@
 use super::usage::{HollowSecond, HollowUsage};
 use crate::sidecar::configuration::SidecarConfiguration;
 use crate::topology::EndpointName;
-use pipittray::policy::EndpointId;
+use balancer_sidecar::policy::EndpointId;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
--- a/lab/src/sidecar/hollow/member/actions.rs
+++ b/fleet-lab/src/sidecar/hollow/member/actions.rs
@@ -4,8 +4,8 @@
 use super::super::calls::NextAttempt;
 use super::super::task::Task;
 use super::{Member, MemberHandle};
-use pipittray::discovery;
-use pipittray::policy::{
+use balancer_sidecar::discovery;
+use balancer_sidecar::policy::{
     Action, AttemptEnd, AttemptNumber, DiscoveryMode, EndpointId, Event, Outcome, RequestId,
     Timestamp,
 };
--- a/lab/src/sidecar/hollow/member/discovery.rs
+++ b/fleet-lab/src/sidecar/hollow/member/discovery.rs
@@ -3,8 +3,10 @@
 use super::super::calls;
 use super::super::task::Task;
 use super::{Identity, Member, MemberHandle};
-use pipittray::discovery::{self, DiscoveryError, EndpointList, ListConsumer, OlderList, Source};
-use pipittray::policy::{DiscoveryMode, Event, ListKind};
+use balancer_sidecar::discovery::{
+    self, DiscoveryError, EndpointList, ListConsumer, OlderList, Source,
+};
+use balancer_sidecar::policy::{DiscoveryMode, Event, ListKind};
 use std::fmt;
 use std::sync::Arc;
 use tokio::task::spawn_local;
--- a/lab/src/sidecar/hollow/plan.rs
+++ b/fleet-lab/src/sidecar/hollow/plan.rs
@@ -2,9 +2,9 @@
 
 use crate::discovery::{EndpointEntry, EndpointStatus};
 use crate::sidecar::configuration::SidecarConfiguration;
-use pipittray::configuration::settings_document::parse_settings;
-use pipittray::discovery::{EndpointList, Entry, Status};
-use pipittray::policy::Settings;
+use balancer_sidecar::configuration::settings_document::parse_settings;
+use balancer_sidecar::discovery::{EndpointList, Entry, Status};
+use balancer_sidecar::policy::Settings;
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
--- a/lab/src/sidecar/hollow/thread.rs
+++ b/fleet-lab/src/sidecar/hollow/thread.rs
@@ -4,7 +4,7 @@
 use super::member::{Identity, MemberHandle};
 use super::plan::MemberPlan;
 use super::task::Task;
-use pipittray::policy::SettingsError;
+use balancer_sidecar::policy::SettingsError;
 use std::collections::HashMap;
 use std::future::pending;
 use std::io;
--- a/lab/tests/caller.rs
+++ b/fleet-lab/tests/caller.rs
@@ -1,6 +1,6 @@
 //! The open-loop callers against a stand-in server.
 
-use pipittray_lab::caller::{LoadPlan, LoadTarget, TargetResult, run};
+use fleet_lab::caller::{LoadPlan, LoadTarget, TargetResult, run};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/lab/tests/command.rs
+++ b/fleet-lab/tests/command.rs
@@ -15,7 +15,7 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_pipittray-lab"))
+    Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .args(arguments)
         .output()
         .unwrap()
@@ -125,7 +125,7 @@
     let program = folder.path().join("sidecar");
     fs::write(&program, "#!/bin/sh\nexec sleep 60\n").unwrap();
     fs::set_permissions(&program, fs::Permissions::from_mode(0o755)).unwrap();
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_pipittray-lab"))
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .args([
             "run",
             &format!("{FOLDER}/30-memory.toml"),
--- a/lab/tests/common/mod.rs
+++ b/fleet-lab/tests/common/mod.rs
@@ -12,7 +12,7 @@
         let workspace = Path::new(env!("CARGO_MANIFEST_DIR"))
             .parent()
             .expect("the workspace");
-        let program = workspace.join("target/debug/pipittray");
+        let program = workspace.join("target/debug/balancer-sidecar");
         if !program.exists() {
             build_sidecar(workspace);
         }
@@ -26,9 +26,9 @@
         "build",
         "--locked",
         "--package",
-        "pipittray",
+        "balancer-sidecar",
         "--bin",
-        "pipittray",
+        "balancer-sidecar",
     ];
     let status = Command::new(env!("CARGO"))
         .args(arguments)
--- a/lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -4,8 +4,8 @@
 mod discovery_client;
 
 use discovery_client::{Caller, LIST, LONGEST_WAIT, told, zones};
+use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use hyper::body::Incoming;
-use pipittray_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use serde_json::Value;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
--- a/lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -3,10 +3,10 @@
 #[path = "support/http_connection.rs"]
 mod http_connection;
 
-use http_connection::{Connection, Message, PATIENCE, check_health, get};
-use pipittray_lab::endpoint::{
+use fleet_lab::endpoint::{
     EndpointHandle, EndpointHost, EndpointOptions, EndpointUsage, ServiceTime, SlowStart,
 };
+use http_connection::{Connection, Message, PATIENCE, check_health, get};
 use std::collections::HashSet;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/lab/tests/experiment.rs
+++ b/fleet-lab/tests/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiment files: those of the project load, and faulty ones are told clearly.
 
-use pipittray_lab::experiment::{Experiment, ExperimentError};
+use fleet_lab::experiment::{Experiment, ExperimentError};
 use std::fs;
 use std::path::{Path, PathBuf};
 
--- a/lab/tests/hollow.rs
+++ b/fleet-lab/tests/hollow.rs
@@ -1,9 +1,9 @@
 //! Hollow fleets over the discovery service: which states they reach, and what they count.
 
-use pipittray_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
-use pipittray_lab::sidecar::configuration::{RequestClass, SidecarConfiguration};
-use pipittray_lab::sidecar::hollow::{Arrivals, HollowFleet, HollowLoad, HollowUsage};
-use pipittray_lab::topology::{EndpointName, ZoneName};
+use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
+use fleet_lab::sidecar::configuration::{RequestClass, SidecarConfiguration};
+use fleet_lab::sidecar::hollow::{Arrivals, HollowFleet, HollowLoad, HollowUsage};
+use fleet_lab::topology::{EndpointName, ZoneName};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
--- a/lab/tests/measure.rs
+++ b/fleet-lab/tests/measure.rs
@@ -1,6 +1,6 @@
 //! Slopes and what a process uses.
 
-use pipittray_lab::measure::{Point, ProcessUsage, Slope, thread_processor_time};
+use fleet_lab::measure::{Point, ProcessUsage, Slope, thread_processor_time};
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
--- a/lab/tests/report.rs
+++ b/fleet-lab/tests/report.rs
@@ -1,7 +1,7 @@
 //! Reports: their Markdown, and their files.
 
-use pipittray_lab::measure::{Point, Slope};
-use pipittray_lab::report::{ExperimentReport, Figure, Report};
+use fleet_lab::measure::{Point, Slope};
+use fleet_lab::report::{ExperimentReport, Figure, Report};
 use std::fs;
 
 const MARKDOWN: &str = "\
--- a/lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use pipittray::configuration::settings_document::parse_settings;
-use pipittray::policy::{DiscoveryMode, Idempotency, Reporting};
-use pipittray_lab::discovery::{EndpointEntry, EndpointStatus};
-use pipittray_lab::sidecar::configuration::{RequestClass, SidecarConfiguration};
-use pipittray_lab::sidecar::process::SidecarProcess;
+use balancer_sidecar::configuration::settings_document::parse_settings;
+use balancer_sidecar::policy::{DiscoveryMode, Idempotency, Reporting};
+use fleet_lab::discovery::{EndpointEntry, EndpointStatus};
+use fleet_lab::sidecar::configuration::{RequestClass, SidecarConfiguration};
+use fleet_lab::sidecar::process::SidecarProcess;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
--- a/lab/tests/small_run.rs
+++ b/fleet-lab/tests/small_run.rs
@@ -1,11 +1,11 @@
-//! A small run of the experiments with fleets, and of one with a real sidecar, through files as `pipittray-lab` reads
+//! A small run of the experiments with fleets, and of one with a real sidecar, through files as `fleet-lab` reads
 //! them: 40 hollow sidecars at most. It checks which figures there are, their order and their counts, and no times.
 
 mod common;
 
-use pipittray_lab::experiment::Experiment;
-use pipittray_lab::report::{ExperimentReport, Figure};
-use pipittray_lab::scenario::{self, RunContext};
+use fleet_lab::experiment::Experiment;
+use fleet_lab::report::{ExperimentReport, Figure};
+use fleet_lab::scenario::{self, RunContext};
 use std::path::Path;
 
 #[test]
--- a/lab/tests/support/discovery_client.rs
+++ b/fleet-lab/tests/support/discovery_client.rs
@@ -1,7 +1,7 @@
 //! A client of the discovery service on a plain socket, for its tests.
 
-use pipittray_lab::discovery::DiscoveryServer;
-use pipittray_lab::topology::ZoneName;
+use fleet_lab::discovery::DiscoveryServer;
+use fleet_lab::topology::ZoneName;
 use serde_json::Value;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::TcpStream;
--- a/lab/tests/tier.rs
+++ b/fleet-lab/tests/tier.rs
@@ -27,7 +27,7 @@
 }
 
 fn start_tier(configuration: &Path) -> Killed {
-    let tier = Command::new(env!("CARGO_BIN_EXE_pipittray-lab"))
+    let tier = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .args([
             "tier",
             "--listen",
--- a/lab/tests/topology.rs
+++ b/fleet-lab/tests/topology.rs
@@ -1,7 +1,7 @@
 //! Topologies: counts, shares and names; and what faults hit in them.
 
-use pipittray_lab::fault::{Fault, Impact};
-use pipittray_lab::topology::{Placement, Topology, TopologySize};
+use fleet_lab::fault::{Fault, Impact};
+use fleet_lab::topology::{Placement, Topology, TopologySize};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SEED: u64 = 7;
--- a/src/bin/pipittray-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,6 +1,6 @@
 //! The decision module on the simulator's wire: standard input to standard output.
 
-use pipittray::simulator;
+use balancer_sidecar::simulator;
 use std::io::{BufReader, stdin, stdout};
 use std::process::ExitCode;
 
@@ -12,7 +12,7 @@
     match simulator::serve(input, stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("pipittray-adapter: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -20,7 +20,7 @@
 ///
 /// Without a command it serves, with the configuration that ROUTER_CONFIG names.
 #[derive(Parser)]
-#[command(name = "pipittray", version)]
+#[command(name = "balancer-sidecar", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
@@ -105,7 +105,7 @@
             clap_complete::generate(
                 shell,
                 &mut Arguments::command(),
-                "pipittray",
+                "balancer-sidecar",
                 &mut io::stdout(),
             );
             Outcome::Done
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`sidecar`] | the sidecar: sockets, HTTP, connection pools, time |
 //!
 //! ```
-//! use pipittray::policy::*;
+//! use balancer_sidecar::policy::*;
 //! use std::time::Duration;
 //!
 //! let second = Duration::from_secs(1);
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    pipittray::command_line::main()
+    balancer_sidecar::command_line::main()
 }
--- a/src/sidecar/log.rs
+++ b/src/sidecar/log.rs
@@ -3,7 +3,7 @@
 /// Writes a line of the log, at once and whole. One that nobody reads any more is no reason to stop.
 macro_rules! log {
     ($($text:tt)*) => {{
-        let line = format!("pipittray: {}\n", format_args!($($text)*));
+        let line = format!("balancer-sidecar: {}\n", format_args!($($text)*));
         let _ = std::io::Write::write_all(&mut std::io::stderr(), line.as_bytes());
     }};
 }
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -1,11 +1,11 @@
 //! `check`, `explain`, `diff` and `schema`.
 
-use super::{Folder, configuration, pipittray, stderr, stdout, text};
+use super::{Folder, configuration, run_program, stderr, stdout, text};
 use serde_json::{Value, json};
 
 fn check(folder: &Folder, document: &Value) -> (Option<i32>, Vec<String>, Vec<String>) {
     let file = folder.write("config.json", &document.to_string());
-    let output = pipittray(&["check", "--config", text(&file)]);
+    let output = run_program(&["check", "--config", text(&file)]);
     let lines = |text: String| text.lines().map(String::from).collect();
     (
         output.status.code(),
@@ -93,7 +93,7 @@
     assert_eq!((code, faults.len()), (Some(2), 1), "{faults:?}");
     assert!(faults[0].starts_with("listen: "), "{faults:?}");
     let file = folder.write("cut.json", &configuration().to_string()[..90]);
-    let output = pipittray(&["check", "--config", text(&file)]);
+    let output = run_program(&["check", "--config", text(&file)]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
         stderr(&output).starts_with("the document: it is no JSON: "),
@@ -101,13 +101,13 @@
         stderr(&output)
     );
     assert_eq!(
-        pipittray(&["check", "--config", "/no/such/file"])
+        run_program(&["check", "--config", "/no/such/file"])
             .status
             .code(),
         Some(2)
     );
     assert_eq!(
-        pipittray(&["check"]).status.code(),
+        run_program(&["check"]).status.code(),
         Some(2),
         "no file is named"
     );
@@ -132,7 +132,7 @@
 fn explain_shows_values_units_and_origins() {
     let folder = Folder::new("explain");
     let file = folder.write("config.json", &configuration().to_string());
-    let output = pipittray(&["explain", "--config", text(&file)]);
+    let output = run_program(&["explain", "--config", text(&file)]);
     assert_eq!(output.status.code(), Some(0));
     let lines = stdout(&output);
     for line in [
@@ -154,7 +154,7 @@
     let old = folder.write("old.json", &configuration().to_string());
     let against = |document: &Value| {
         let new = folder.write("new.json", &document.to_string());
-        let output = pipittray(&["diff", text(&old), text(&new)]);
+        let output = run_program(&["diff", text(&old), text(&new)]);
         (output.status.code(), stdout(&output))
     };
     assert_eq!(
@@ -189,10 +189,10 @@
     assert_eq!(against(&shorter), (Some(1), expected.into()));
 }
 
-/// Guards the schema that is published against types that have moved on: `pipittray schema` writes it anew.
+/// Guards the schema that is published against types that have moved on: `balancer-sidecar schema` writes it anew.
 #[test]
 fn the_schema_on_the_page_is_that_of_the_types() {
-    let output = pipittray(&["schema"]);
+    let output = run_program(&["schema"]);
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/docs/configuration.schema.json"
--- a/tests/command_line/main.rs
+++ b/tests/command_line/main.rs
@@ -55,8 +55,8 @@
 }
 
 /// Runs the program with these arguments, and nothing of the environment that it reads.
-pub fn pipittray(arguments: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_pipittray"));
+pub fn run_program(arguments: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
     command
         .env_remove("ROUTER_CONFIG")
         .env_remove("ROUTER_ADMIN_ADDR");
--- a/tests/command_line/operators.rs
+++ b/tests/command_line/operators.rs
@@ -1,6 +1,6 @@
 //! `status`, `drain`, `undrain`, `disable` and `enable`, against a stand-in for the second address.
 
-use super::{Folder, configuration, pipittray, stderr, stdout, text};
+use super::{Folder, configuration, run_program, stderr, stdout, text};
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -37,12 +37,12 @@
         let (address, calls) = second_address(&["YES\n", "NO no such endpoint is listed\n"]);
         let address = address.to_string();
         let arguments: Vec<&str> = arguments.into_iter().chain(["--admin", &address]).collect();
-        let yes = pipittray(&arguments);
+        let yes = run_program(&arguments);
         assert_eq!(
             (yes.status.code(), stdout(&yes).as_str()),
             (Some(0), "YES\n")
         );
-        let no = pipittray(&arguments);
+        let no = run_program(&arguments);
         assert_eq!(
             (no.status.code(), stderr(&no).as_str()),
             (Some(1), "NO no such endpoint is listed\n")
@@ -59,7 +59,7 @@
     let mut document = configuration();
     document["admin_addr"] = json!(address.to_string());
     let file = folder.write("config.json", &document.to_string());
-    let output = pipittray(&["status", "--config", text(&file)]);
+    let output = run_program(&["status", "--config", text(&file)]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     assert_eq!(
         stdout(&output),
@@ -71,7 +71,7 @@
 /// Guards against silence: no address and nobody there are told apart.
 #[test]
 fn nobody_to_call_is_told() {
-    let output = pipittray(&["status"]);
+    let output = run_program(&["status"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
         stderr(&output).starts_with("no second address: "),
@@ -82,7 +82,7 @@
         .expect("a port")
         .local_addr()
         .expect("an address");
-    let output = pipittray(&["drain", "--admin", &closed.to_string()]);
+    let output = run_program(&["drain", "--admin", &closed.to_string()]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
         stderr(&output).starts_with(&closed.to_string()),
--- a/tests/command_line/texts.rs
+++ b/tests/command_line/texts.rs
@@ -1,6 +1,6 @@
 //! Help, version, completions and the manual page, all made from the same definitions.
 
-use super::{pipittray, stdout};
+use super::{run_program, stdout};
 
 const COMMANDS: [&str; 11] = [
     "check",
@@ -19,9 +19,9 @@
 /// Guards the texts against commands that they leave out.
 #[test]
 fn every_command_is_in_the_help_the_completions_and_the_manual() {
-    let help = stdout(&pipittray(&["--help"]));
-    let completions = stdout(&pipittray(&["completions", "bash"]));
-    let manual = stdout(&pipittray(&["man"]));
+    let help = stdout(&run_program(&["--help"]));
+    let completions = stdout(&run_program(&["completions", "bash"]));
+    let manual = stdout(&run_program(&["man"]));
     for command in COMMANDS {
         assert!(
             help.lines()
@@ -29,7 +29,8 @@
             "{command}: {help}"
         );
         assert!(
-            completions.contains(&format!("pipittray__{command}")) || completions.contains(command),
+            completions.contains(&format!("balancer__sidecar__{command}"))
+                || completions.contains(command),
             "{command}"
         );
         assert!(manual.contains(command), "{command}: {manual}");
@@ -40,8 +41,8 @@
 #[test]
 fn the_version_is_the_package_s() {
     assert_eq!(
-        stdout(&pipittray(&["--version"])),
-        concat!("pipittray ", env!("CARGO_PKG_VERSION"), "\n")
+        stdout(&run_program(&["--version"])),
+        concat!("balancer-sidecar ", env!("CARGO_PKG_VERSION"), "\n")
     );
 }
 
@@ -54,6 +55,10 @@
         &["disable"],
         &["completions", "noshell"],
     ] {
-        assert_eq!(pipittray(arguments).status.code(), Some(2), "{arguments:?}");
+        assert_eq!(
+            run_program(arguments).status.code(),
+            Some(2),
+            "{arguments:?}"
+        );
     }
 }
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -1,7 +1,7 @@
 //! The pauses between calls of discovery.
 
-use pipittray::discovery::Backoff;
-use pipittray::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
+use balancer_sidecar::discovery::Backoff;
+use balancer_sidecar::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
 use std::time::Duration;
 
 const SEEDS: std::ops::Range<u64> = 0..200;
--- a/tests/policy/answer_time.rs
+++ b/tests/policy/answer_time.rs
@@ -1,7 +1,7 @@
 //! How long requests are expected to take.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use std::time::Duration;
 
 /// A request of the class with worth 3 and a time of 2 s left, with this hint.
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -1,7 +1,7 @@
 //! Probes of endpoints whose queues no answer tells of.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 /// Serves so many requests without a report, and answers each probe so.
 fn serve_and_answer(
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -1,6 +1,6 @@
 //! Settings and a small host for tests of the decision module.
 
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -1,7 +1,7 @@
 //! How many requests an instance lets out.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 #[test]
 fn a_call_that_timed_out_counts_as_out_till_the_deadline() {
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -1,7 +1,7 @@
 //! The order of requests with one key.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 /// Two ordered classes (unsafe and keyed to a zone) whose keys rest for 50 ms.
 fn ordered() -> Host {
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -3,7 +3,7 @@
 
 use crate::host::*;
 use crate::legal_model::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/policy/legal_model.rs
+++ b/tests/policy/legal_model.rs
@@ -1,7 +1,7 @@
 //! The model of `legal.rs`: random steps, a book of requests, attempts and endpoints, and the rules checked on it.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -1,7 +1,7 @@
 //! Which endpoints take work, by the list.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 #[test]
 fn nothing_new_goes_to_a_draining_gone_or_missing_endpoint() {
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -1,7 +1,7 @@
 //! Endpoints that the operators take out and back in.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 fn ban(host: &mut Host, endpoint: &str, out: bool) -> Vec<Action> {
     let endpoint = endpoint.into();
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -1,7 +1,7 @@
 //! Endpoints that fail more than others.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 #[test]
 fn an_endpoint_that_refuses_connections_is_left_alone_for_a_while() {
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -1,7 +1,7 @@
 //! When endpoints are throttled, for which worth levels, and for how long.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 /// Tells the one endpoint's queue by serving a request of the worthier class, then asks what each class does.
 fn told(host: &mut Host, depth: f64) {
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -1,7 +1,7 @@
 //! Requests that wait to be sent, and those that are refused for want of room.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 #[test]
 fn a_timer_that_comes_early_leaves_no_held_request_behind() {
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -1,7 +1,7 @@
 //! What may follow an attempt, and what a client is told.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 /// What a request may do after one attempt ended so: go out again, be refused, or only fail.
 fn after(class: usize, outcome: Outcome, elapsed: u64) -> (Vec<EndpointId>, Option<Action>) {
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -1,7 +1,7 @@
 //! Whatever a host says, the module does not panic, and settings that make no sense are refused.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 use std::time::Duration;
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -1,7 +1,7 @@
 //! Settings that change while an instance runs.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use std::time::Duration;
 
 /// Has the host go on with settings that are changed so.
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! How much cold endpoints get.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 #[test]
 fn all_copies_together_spare_a_cold_endpoint() {
@@ -15,7 +15,7 @@
             ..settings()
         };
         let mut balancer =
-            pipittray::policy::Balancer::new(set, seed).expect("settings that make sense");
+            balancer_sidecar::policy::Balancer::new(set, seed).expect("settings that make sense");
         let mut out = Vec::new();
         let mut entries = listings(10);
         entries[3].started_at = Some(at(0));
--- a/tests/policy/slow_start_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -7,7 +7,7 @@
 mod scenario;
 mod simulation;
 
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use scenario::*;
 use simulation::*;
 use std::time::Duration;
--- a/tests/policy/slow_start_fleet/scenario.rs
+++ b/tests/policy/slow_start_fleet/scenario.rs
@@ -1,7 +1,7 @@
 //! What is simulated: the fleet, its endpoints, and how the cold one comes to be cold.
 
 use crate::host::settings;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use std::time::Duration;
 
 pub const INSTANCES: usize = 30;
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::*;
 use crate::host::{at, class, listing, listings, ms, settings};
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -1,7 +1,7 @@
 //! Which endpoints an instance uses, and where requests spill to.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 #[test]
 fn a_copy_that_turns_out_busy_uses_more_of_the_tier() {
--- a/tests/policy/warming_tier.rs
+++ b/tests/policy/warming_tier.rs
@@ -1,7 +1,7 @@
 //! Cold endpoints in a tier whose warm ones are gone or fail: they get their share of the requests all the same.
 
 use crate::host::*;
-use pipittray::policy::*;
+use balancer_sidecar::policy::*;
 
 /// Requests come this far apart.
 const APART_MS: u64 = 20;
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -248,7 +248,7 @@
         let error = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success(), "{error}");
         assert!(
-            error.starts_with("pipittray: ") && error.lines().count() == 1,
+            error.starts_with("balancer-sidecar: ") && error.lines().count() == 1,
             "{error}"
         );
         path.filter(|p| p.is_file())
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -230,7 +230,8 @@
     assert_eq!(endpoint.requests(), 0, "no second attempt");
     let log = sidecar.log();
     assert!(
-        log.iter().all(|line| line.contains("pipittray: counts ")),
+        log.iter()
+            .all(|line| line.contains("balancer-sidecar: counts ")),
         "{log:?}"
     );
 }
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -60,7 +60,7 @@
 }
 
 pub fn command() -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_pipittray"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
     isolate(&mut command);
     command
 }
@@ -124,7 +124,7 @@
     pub fn limited(path: &std::path::Path, descriptors: usize) -> Self {
         let script = format!(
             "ulimit -n {descriptors}; exec {}",
-            env!("CARGO_BIN_EXE_pipittray")
+            env!("CARGO_BIN_EXE_balancer-sidecar")
         );
         let mut command = Command::new("sh");
         isolate(&mut command);
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -10,7 +10,7 @@
 }
 
 fn adapter(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_pipittray-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -305,8 +305,8 @@
 
 #[test]
 fn optional_parts_of_actions_are_written_only_where_given() {
-    use pipittray::policy::*;
-    use pipittray::simulator::{InstanceNumber, format_action};
+    use balancer_sidecar::policy::*;
+    use balancer_sidecar::simulator::{InstanceNumber, format_action};
     let ms = std::time::Duration::from_millis;
     let written = |action: Action| {
         let mut reply = String::new();
@@ -382,8 +382,8 @@
 
 #[test]
 fn the_further_rules_and_kinds_come_through_and_are_absent_where_not_given() {
-    use pipittray::configuration::settings_document::parse_settings;
-    use pipittray::simulator::{Message, parse_message};
+    use balancer_sidecar::configuration::settings_document::parse_settings;
+    use balancer_sidecar::simulator::{Message, parse_message};
     use std::time::Duration;
     let plain = parse_settings(&params(0)).expect("settings");
     assert_eq!(
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -151,7 +151,7 @@
 
 fn sources() -> [PathBuf; 2] {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
-    [root.join("src"), root.join("lab/src")]
+    [root.join("src"), root.join("fleet-lab/src")]
 }
 
 #[test]
@@ -175,8 +175,14 @@
 #[test]
 fn no_source_file_is_long() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
-    let folders =
-        ["src", "tests", "examples", "lab/src", "lab/tests"].map(|folder| root.join(folder));
+    let folders = [
+        "src",
+        "tests",
+        "examples",
+        "fleet-lab/src",
+        "fleet-lab/tests",
+    ]
+    .map(|folder| root.join(folder));
     let mut unread: Vec<PathBuf> = folders.to_vec();
     while let Some(path) = unread.pop() {
         if path.is_dir() {
