--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -16,7 +16,9 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         println!("{what}:");
-        actions.iter().for_each(|a| println!("    {a:?}"));
+        for a in &actions {
+            println!("    {a:?}");
+        }
         actions
     }
 
--- a/fleet-lab/src/caller/poller.rs
+++ b/fleet-lab/src/caller/poller.rs
@@ -77,7 +77,7 @@
     pub fn wait(&mut self, longest: Duration, ready: &mut Vec<Readiness>) -> io::Result<()> {
         ready.clear();
         self.events.clear();
-        let timeout = if longest.is_zero() { Some(&ZERO) } else { None };
+        let timeout = longest.is_zero().then_some(&ZERO);
         if !longest.is_zero() {
             self.set_timer(longest)?;
         }
--- a/fleet-lab/src/discovery/handle.rs
+++ b/fleet-lab/src/discovery/handle.rs
@@ -76,17 +76,20 @@
     ///
     /// # Panics
     /// The zone was not named at the start.
+    #[must_use]
     pub fn address(&self, zone: &ZoneName) -> SocketAddr {
         let address = self.addresses.get(zone);
         *address.unwrap_or_else(|| panic!("discovery has no zone {zone}"))
     }
 
     /// The whole list as it stands, by name, for a sidecar's configuration: the version and its endpoints.
+    #[must_use]
     pub fn snapshot(&self) -> (u64, Vec<EndpointEntry>) {
         self.ask(|reply| Command::Snapshot { reply })
     }
 
     /// Publishes changes as one new version, which it returns.
+    #[expect(clippy::must_use_candidate, reason = "callers publish for the effect")]
     pub fn publish(&self, changes: Vec<EndpointEntry>) -> u64 {
         self.ask(|reply| Command::Publish { changes, reply })
     }
@@ -138,11 +141,13 @@
     }
 
     /// What it has done so far.
+    #[must_use]
     pub fn usage(&self) -> DiscoveryUsage {
         self.ask(|reply| Command::Usage { reply })
     }
 
     /// Watches open now, by zone, without those of zones that are cut off.
+    #[must_use]
     pub fn watches_by_zone(&self) -> BTreeMap<ZoneName, u64> {
         self.ask(|reply| Command::WatchesByZone { reply })
     }
--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -216,7 +216,7 @@
                 return;
             }
         }
-        std::future::pending().await
+        std::future::pending::<()>().await;
     }
 
     async fn write(&mut self, answer: Answer, closes: bool) -> io::Result<()> {
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -77,6 +77,7 @@
 
 impl EndpointHandle {
     /// Its entry in discovery's list, as serving.
+    #[must_use]
     pub fn entry(&self) -> EndpointEntry {
         EndpointEntry {
             name: self.state.name.as_str().to_owned(),
@@ -112,6 +113,7 @@
     }
 
     /// What it has done so far.
+    #[must_use]
     pub fn usage(&self) -> EndpointUsage {
         self.state.counters.usage()
     }
--- a/fleet-lab/src/endpoint/message.rs
+++ b/fleet-lab/src/endpoint/message.rs
@@ -128,6 +128,9 @@
     Rejected(RequestError),
 }
 
+/// Why a write to a buffer in memory is not checked.
+const CANNOT_FAIL: &str = "memory can be written to";
+
 impl Answer {
     /// Writes the whole answer to the end of the output.
     pub fn write(
@@ -147,7 +150,6 @@
             Answer::Load => report_text.as_deref().unwrap_or_default().as_bytes(),
             _ => b"",
         };
-        const CANNOT_FAIL: &str = "memory can be written to";
         write!(
             output,
             "HTTP/1.1 {}\r\nContent-Length: {}\r\n",
--- a/fleet-lab/src/fault.rs
+++ b/fleet-lab/src/fault.rs
@@ -50,6 +50,7 @@
 impl Fault {
     /// What it hits; the seed chooses which machines, rack, zone or region. Machines that are restarted come in the
     /// order of their restarts. No more is hit than there is.
+    #[must_use]
     pub fn impact(&self, topology: &Topology, seed: u64) -> Impact {
         let mut random = Pcg64::seed_from_u64(seed);
         match self {
--- a/fleet-lab/src/measure/process.rs
+++ b/fleet-lab/src/measure/process.rs
@@ -43,6 +43,7 @@
 }
 
 /// Processor time that the calling thread has used.
+#[must_use]
 pub fn thread_processor_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/fleet-lab/src/measure/slope.rs
+++ b/fleet-lab/src/measure/slope.rs
@@ -56,6 +56,7 @@
     }
 
     /// The line's value at a size.
+    #[must_use]
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.per_unit * size
     }
--- a/fleet-lab/src/report.rs
+++ b/fleet-lab/src/report.rs
@@ -67,6 +67,7 @@
     }
 
     /// The report as Markdown: a table for each figure, and one of all slopes, for each experiment.
+    #[must_use]
     pub fn markdown(&self) -> String {
         let mut text = format!(
             "# Scale report\n\nProgram: {}. Processors: {}.\n",
@@ -83,6 +84,7 @@
 
 impl ExperimentReport {
     /// This experiment's section of the report.
+    #[must_use]
     pub fn markdown(&self) -> String {
         let mut text = format!(
             "## {}\n\nSeed {}, {} s.\n",
--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -44,7 +44,7 @@
 impl Chain {
     /// Starts a chain from its last tier on, as an endpoint has to know its sidecar, and waits until it is ready.
     pub(super) fn start(
-        options: &ChainOptions,
+        options: &ChainOptions<'_>,
         context: &RunContext,
     ) -> Result<Self, ScenarioError> {
         let mut chain = Chain {
@@ -66,7 +66,7 @@
     fn start_tier(
         &self,
         tier: u32,
-        options: &ChainOptions,
+        options: &ChainOptions<'_>,
         context: &RunContext,
     ) -> Result<Tier, ScenarioError> {
         let is_last = self.tiers.is_empty();
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -87,7 +87,7 @@
 
 /// What a fault costs from its start until the rest after it is over and the list is current again.
 fn measure_fault(
-    injector: &FaultInjector,
+    injector: &FaultInjector<'_>,
     fault: &Fault,
     impact: &Impact,
     rest: Duration,
--- a/fleet-lab/src/scenario/series.rs
+++ b/fleet-lab/src/scenario/series.rs
@@ -66,7 +66,9 @@
             .iter()
             .map(|figure| figure.name.clone())
             .collect();
-        names.iter().for_each(|name| self.note(name, note));
+        for name in &names {
+            self.note(name, note);
+        }
     }
 
     /// The figures alone, where sizes are no quantity.
--- a/fleet-lab/src/scenario/single.rs
+++ b/fleet-lab/src/scenario/single.rs
@@ -58,7 +58,7 @@
 impl Single {
     /// Starts everything and waits until the sidecar is ready.
     pub(super) fn start(
-        options: &SingleOptions,
+        options: &SingleOptions<'_>,
         context: &RunContext,
     ) -> Result<Self, ScenarioError> {
         let host = start_host(options.seed)?;
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -113,11 +113,13 @@
     }
 
     /// The whole document, of a sidecar that listens on loopback ports of the system's choice.
+    #[must_use]
     pub fn document(&self) -> Value {
         self.document_at(ANY_LOOPBACK_PORT, ANY_LOOPBACK_PORT)
     }
 
     /// The whole document, of a sidecar that listens at these addresses.
+    #[must_use]
     pub fn document_at(&self, callers: SocketAddr, operators: SocketAddr) -> Value {
         let mut document = json!({
             "name": self.name,
--- a/fleet-lab/src/sidecar/hollow/milestones.rs
+++ b/fleet-lab/src/sidecar/hollow/milestones.rs
@@ -48,7 +48,7 @@
 
     pub fn is_ready(&self, start: u64, ready: bool) {
         self.note(start, |state, now| {
-            state.ready = ready.then(|| state.ready.unwrap_or(now))
+            state.ready = ready.then(|| state.ready.unwrap_or(now));
         });
     }
 
--- a/fleet-lab/src/sidecar/hollow/thread.rs
+++ b/fleet-lab/src/sidecar/hollow/thread.rs
@@ -89,7 +89,7 @@
                 match HostedMember::start(identity, fleet.clone(), &plan) {
                     Ok(member) => drop(members.insert(identity.place, member)),
                     Err(problem) => {
-                        tracing::error!(place = identity.place, "not started: {problem}")
+                        tracing::error!(place = identity.place, "not started: {problem}");
                     }
                 }
             }
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -65,21 +65,25 @@
     }
 
     /// Where its callers connect.
+    #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.addresses.callers
     }
 
     /// Where its operators call.
+    #[must_use]
     pub fn admin_address(&self) -> SocketAddr {
         self.addresses.admin
     }
 
     /// The last lines of its log.
+    #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.child.log()
     }
 
     /// Whether `GET /ready` answers 200 now.
+    #[must_use]
     pub fn is_ready(&self) -> bool {
         let request = "GET /ready HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n";
         let answer = call(self.address(), request).unwrap_or_default();
@@ -87,12 +91,14 @@
     }
 
     /// Waits until `GET /ready` answers 200; how long that took, or none after `longest`.
+    #[must_use]
     pub fn wait_until_ready(&self, longest: Duration) -> Option<Duration> {
         let started = Instant::now();
         wait_until(longest, || self.is_ready()).then(|| started.elapsed())
     }
 
     /// One figure of `STATS`, without its `app_` prefix, if it has it.
+    #[must_use]
     pub fn figure(&self, name: &str) -> Option<u64> {
         let answer = call(self.admin_address(), "STATS\n").ok()?;
         let value = answer.lines().find_map(|line| {
--- a/fleet-lab/src/topology.rs
+++ b/fleet-lab/src/topology.rs
@@ -121,6 +121,7 @@
     /// Deals endpoints over services of uneven sizes (each has one at least, as far as there are enough) and the
     /// endpoints of each service evenly over zones, regions alternating, and racks. Endpoints are numbered service by
     /// service. The same size and seed give the same topology; a size with a zero in it gives no placements.
+    #[must_use]
     pub fn generate(size: &TopologySize, seed: u64) -> Topology {
         let places = zone_places(size);
         let zones = places.iter().map(|place| place.name.clone()).collect();
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -191,7 +191,9 @@
         ..options()
     });
     let mut callers: Vec<_> = (0..CALLERS).map(|_| Caller::connect(&server, 0)).collect();
-    callers.iter_mut().for_each(|caller| caller.get(LIST));
+    for caller in &mut callers {
+        caller.get(LIST);
+    }
     let answers: Vec<u16> = callers.iter_mut().map(|caller| caller.answer().0).collect();
     let count = |status| answers.iter().filter(|answer| **answer == status).count() as u64;
     let usage = server.usage();
--- a/src/command_line/check.rs
+++ b/src/command_line/check.rs
@@ -12,8 +12,8 @@
         Err(outcome) => return outcome,
     };
     let outcome = file::parse(&text).map_or_else(|outcome| outcome, |_| Outcome::Done);
-    unknown_keys(&text)
-        .iter()
-        .for_each(|key| line(&format!("warning: {key}")));
+    for key in &unknown_keys(&text) {
+        line(&format!("warning: {key}"));
+    }
     outcome
 }
--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -14,7 +14,9 @@
     if differences.is_empty() {
         return print(&"nothing changes");
     }
-    differences.iter().for_each(|difference| line(difference));
+    for difference in &differences {
+        line(difference);
+    }
     let is_turned_down = differences
         .iter()
         .any(|difference| difference.effect == Effect::TurnedDown);
--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -16,6 +16,8 @@
         Err(error) => return bad_input(&error),
     };
     let values = configuration::explain(&parsed, admin.as_deref());
-    values.iter().for_each(|value| line(value));
+    for value in &values {
+        line(value);
+    }
     Outcome::Done
 }
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -18,7 +18,7 @@
 
 /// A sidecar that balances a service's calls over endpoints, with overload control.
 ///
-/// Without a command it serves, with the configuration that ROUTER_CONFIG names.
+/// Without a command it serves, with the configuration that `ROUTER_CONFIG` names.
 #[derive(Parser)]
 #[command(name = "balancer-sidecar", version)]
 struct Arguments {
@@ -80,6 +80,7 @@
 }
 
 /// Runs the command that the arguments name, or serves where they name none.
+#[must_use]
 pub fn main() -> ExitCode {
     // Serving reads no arguments, and does not keep the memory that parsing them takes.
     if std::env::args_os().len() <= 1 {
--- a/src/command_line/operator.rs
+++ b/src/command_line/operator.rs
@@ -19,7 +19,7 @@
 /// Where a running sidecar is called.
 #[derive(Args)]
 pub(super) struct SecondAddress {
-    /// The sidecar's second address; ROUTER_ADMIN_ADDR or that of the configuration where it is not given.
+    /// The sidecar's second address; `ROUTER_ADMIN_ADDR` or that of the configuration where it is not given.
     #[arg(long, value_name = "ADDRESS")]
     admin: Option<SocketAddr>,
     /// The configuration's file.
@@ -83,7 +83,7 @@
 }
 
 /// Makes one call and prints its answer; 1 where that is no.
-pub(super) fn call(address: &SecondAddress, call: OperatorCall) -> Outcome {
+pub(super) fn call(address: &SecondAddress, call: OperatorCall<'_>) -> Outcome {
     match resolve(address).and_then(|address| ask(address, call)) {
         Ok(answer) if answer.starts_with("YES") => print(&answer.trim_end()),
         Ok(answer) => failed(&answer.trim_end()),
@@ -120,11 +120,11 @@
     Config::from_file(file)?.admin.ok_or(CallError::NoAddress)
 }
 
-fn ask(address: SocketAddr, call: OperatorCall) -> Result<String, CallError> {
+fn ask(address: SocketAddr, call: OperatorCall<'_>) -> Result<String, CallError> {
     exchange(address, call).map_err(|failure| CallError::Connection { address, failure })
 }
 
-fn exchange(address: SocketAddr, call: OperatorCall) -> io::Result<String> {
+fn exchange(address: SocketAddr, call: OperatorCall<'_>) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, ANSWER_TIME)?;
     stream.set_read_timeout(Some(ANSWER_TIME))?;
     stream.set_write_timeout(Some(ANSWER_TIME))?;
--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -85,6 +85,7 @@
 
 impl FixedValues {
     /// The names of what differs.
+    #[must_use]
     pub fn differences(&self, other: &FixedValues) -> Vec<&'static str> {
         self.0
             .iter()
@@ -177,11 +178,13 @@
     }
 
     /// The first setting or limit that an earlier document has and this one lacks.
+    #[must_use]
     pub fn missing_key(&self, earlier: &Value) -> Option<String> {
         missing_key(earlier, &self.document)
     }
 
     /// The settings, by their first names, that differ from an earlier document's.
+    #[must_use]
     pub fn changed_settings(&self, earlier: &Value) -> Vec<String> {
         let before = earlier["settings"].as_object();
         let after = self.document["settings"].as_object();
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -32,6 +32,7 @@
 
 /// What differs between the configuration that a sidecar runs with and another. A key that has gone for which the whole
 /// file would be turned down is the only difference then.
+#[must_use]
 pub fn differences(running: &Config, next: &Config) -> Vec<Difference> {
     if let Some(path) = next.missing_key(&running.document) {
         return vec![Difference {
--- a/src/configuration/explanation.rs
+++ b/src/configuration/explanation.rs
@@ -44,6 +44,7 @@
 const KNOWN: &str = "known";
 
 /// All values in effect. An operators' address in the environment takes the place of the file's.
+#[must_use]
 pub fn explain(parsed: &Parsed, admin: Option<&str>) -> Vec<Explained> {
     let mut effective = serde_json::to_value(&parsed.document).unwrap_or_default();
     let from_file: Vec<String> = leaves(&parsed.value)
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -60,6 +60,7 @@
 }
 
 /// The keys of a configuration that no part of the program reads.
+#[must_use]
 pub fn unknown_keys(text: &str) -> Vec<UnknownKey> {
     let mut keys = Vec::new();
     let mut note = |path: serde_ignored::Path<'_>| keys.push(UnknownKey(path.to_string()));
--- a/src/configuration/schema.rs
+++ b/src/configuration/schema.rs
@@ -6,6 +6,7 @@
 use serde_json::Value;
 
 /// The schema.
+#[must_use]
 pub fn schema() -> Value {
     schema_for!(ConfigurationDocument).to_value()
 }
--- a/src/configuration/settings_document.rs
+++ b/src/configuration/settings_document.rs
@@ -72,6 +72,7 @@
 
 /// The path in the document of a setting that the decision module names, such as `categories[0].worth` of
 /// `classes[0].worth`.
+#[must_use]
 pub fn document_path(field: &str) -> String {
     let name_of = |name: &str| {
         let known = DOCUMENT_NAMES.iter().find(|(setting, _)| *setting == name);
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -25,6 +25,7 @@
 
 impl Backoff {
     /// With no failure so far.
+    #[must_use]
     pub fn new(seed: u64) -> Self {
         Backoff {
             random: SeededRandom::new(seed),
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -74,7 +74,7 @@
     backoff: &mut Backoff,
 ) -> Result<EndpointList, DiscoveryError> {
     let body = patient_call::ask(source.address, LIST_PATH, backoff, || {
-        consumer.call_is_late(source)
+        consumer.call_is_late(source);
     })
     .await?;
     let body = timeout(
@@ -145,7 +145,7 @@
     };
     let path = format!("{LIST_PATH}?follow=1&since={since}");
     let body = patient_call::ask(source.address, &path, backoff, || {
-        consumer.call_is_late(source)
+        consumer.call_is_late(source);
     })
     .await?;
     consumer.watch_opened(source);
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -60,6 +60,7 @@
     }
 
     /// The entry as the decision module knows it, on a clock that gives Unix time: starts need no mapping then.
+    #[must_use]
     pub fn endpoint_entry(&self) -> EndpointEntry {
         EndpointEntry {
             endpoint: self.name.as_str().into(),
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -38,6 +38,7 @@
 
 impl Membership {
     /// The version of the list that the present discovery gave.
+    #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.version
     }
@@ -53,16 +54,19 @@
     }
 
     /// What is known of an endpoint.
+    #[must_use]
     pub fn get(&self, endpoint: &EndpointId) -> Option<&Member> {
         self.members.get(endpoint)
     }
 
     /// How many endpoints are listed.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
     /// Whether none is listed.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -78,11 +78,13 @@
     }
 
     /// Whether the operators have disabled an endpoint.
+    #[must_use]
     pub fn is_disabled(&self, endpoint: &EndpointId) -> bool {
         self.disabled.contains(endpoint)
     }
 
     /// Whether an endpoint is listed, or disabled by the operators.
+    #[must_use]
     pub fn knows(&self, endpoint: &EndpointId) -> bool {
         let place = self.endpoint_index.get(endpoint);
         place.is_some_and(|e| self.endpoints[*e].is_listed) || self.is_disabled(endpoint)
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -88,6 +88,7 @@
 
 impl Outcome {
     /// The attempt provably never ran.
+    #[must_use]
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -97,14 +97,14 @@
     fn dispatch(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, entries, .. } => {
-                self.update_endpoints(now, kind, &entries, actions)
+                self.update_endpoints(now, kind, &entries, actions);
             }
             Event::DiscoveryFailed => self.discovery_failed(now),
             Event::EndpointDisabled(endpoint) => self.disable(now, endpoint, actions),
             Event::EndpointEnabled(endpoint) => self.enable(now, &endpoint),
             Event::Request(request) if self.is_valid(&request) => self.admit(now, request, actions),
             Event::StreamStarted { request, attempt } => {
-                self.request_over(&request, Some(attempt), actions)
+                self.request_over(&request, Some(attempt), actions);
             }
             Event::BodyConsumed { request } => self.body_consumed(&request),
             Event::ClientDisconnected { request } => self.request_over(&request, None, actions),
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -34,9 +34,9 @@
                 known.is_listed = false;
             }
         }
-        entries
-            .iter()
-            .for_each(|entry| self.update_endpoint(entry, actions));
+        for entry in entries {
+            self.update_endpoint(entry, actions);
+        }
         self.regroup(now);
         self.forget_unlisted();
     }
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -66,14 +66,14 @@
     }
 
     /// Whether an endpoint may be sent this request at all: warm or due, in scope, and not tried before.
-    fn is_usable(&self, search: &Search, pending: &PendingRequest, e: EndpointIndex) -> bool {
+    fn is_usable(&self, search: &Search<'_>, pending: &PendingRequest, e: EndpointIndex) -> bool {
         self.slow_start_admits(search.now, e)
             && search.scope.admits(&self.endpoints[e])
             && pending.attempts.iter().all(|a| a.endpoint != e)
     }
 
     /// Whether it is usable and no outlier.
-    fn is_sound(&self, search: &Search, pending: &PendingRequest, e: EndpointIndex) -> bool {
+    fn is_sound(&self, search: &Search<'_>, pending: &PendingRequest, e: EndpointIndex) -> bool {
         !self.is_outlier(search.now, e, &search.bar) && self.is_usable(search, pending, e)
     }
 
@@ -84,14 +84,18 @@
 
     fn is_sound_and_open(
         &self,
-        search: &Search,
+        search: &Search<'_>,
         pending: &PendingRequest,
         e: EndpointIndex,
     ) -> bool {
         self.is_sound(search, pending, e) && self.is_open(search.now, e, search.level)
     }
 
-    fn open_subset_members(&self, search: &Search, pending: &PendingRequest) -> Vec<EndpointIndex> {
+    fn open_subset_members(
+        &self,
+        search: &Search<'_>,
+        pending: &PendingRequest,
+    ) -> Vec<EndpointIndex> {
         let members = self.subset.iter().copied();
         members
             .filter(|e| self.is_sound_and_open(search, pending, *e))
@@ -102,7 +106,7 @@
     /// are in flight for the instance's part of the tier: else all instances overdrive all of it.
     fn add_local_draws(
         &mut self,
-        search: &Search,
+        search: &Search<'_>,
         pending: &PendingRequest,
         candidates: &mut Vec<EndpointIndex>,
     ) {
@@ -124,7 +128,11 @@
 
     /// Then they spill into other zones, where no level is throttled. One that spills there beside another
     /// opens a connection: one at a time where those have a price.
-    fn open_remote_members(&self, search: &Search, pending: &PendingRequest) -> Vec<EndpointIndex> {
+    fn open_remote_members(
+        &self,
+        search: &Search<'_>,
+        pending: &PendingRequest,
+    ) -> Vec<EndpointIndex> {
         let members = || self.remote_subset.iter().copied();
         let connections_are_priced = self.settings.prices.handshake > 0.0;
         if connections_are_priced && members().any(|e| self.endpoints[e].in_flight > 0) {
@@ -136,7 +144,7 @@
         members().filter(is_clear).collect()
     }
 
-    fn is_any_sound(&self, search: &Search, pending: &PendingRequest) -> bool {
+    fn is_any_sound(&self, search: &Search<'_>, pending: &PendingRequest) -> bool {
         self.local
             .iter()
             .chain(&self.remote_subset)
@@ -147,7 +155,7 @@
     /// fails as all do, sends nothing at all, and no cold one's turn ever comes.
     fn least_failing_open(
         &self,
-        search: &Search,
+        search: &Search<'_>,
         pending: &PendingRequest,
     ) -> Option<EndpointIndex> {
         let all = self.local.iter().chain(&self.remote_subset).copied();
@@ -158,7 +166,7 @@
     }
 
     /// With all throttled, the earliest gap among the gapping members that is over.
-    fn earliest_gap(&self, search: &Search, pending: &PendingRequest) -> Option<EndpointIndex> {
+    fn earliest_gap(&self, search: &Search<'_>, pending: &PendingRequest) -> Option<EndpointIndex> {
         let gap_ends_at = |e: &EndpointIndex| self.endpoints[*e].gap_ends_at;
         let is_due = |e: &EndpointIndex| {
             self.is_usable(search, pending, *e)
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -49,7 +49,9 @@
             |id: &&RequestId| requests.get(*id).is_some_and(|p| p.queue_deadline <= now);
         let queued = self.queued.levels.iter().flatten();
         let expired: Vec<RequestId> = queued.filter(is_expired).cloned().collect();
-        expired.iter().for_each(|id| self.give_up(now, id, actions));
+        for id in &expired {
+            self.give_up(now, id, actions);
+        }
         let requests = &self.requests;
         let is_waiting = |id: &RequestId| requests.get(id).is_some_and(|p| !p.is_answered);
         self.queued
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -54,6 +54,7 @@
 
     /// When whoever is refused is to come back, as far as it may be said. A client that comes back at once
     /// meets the same overload, and its answer would be late.
+    #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         self.settings
             .limits
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -55,6 +55,7 @@
 
 impl Class {
     /// A class without extras: no late worth, no stream, no order. Set the other fields as needed.
+    #[must_use]
     pub fn new(
         name: &str,
         priority_weight: f64,
@@ -285,6 +286,7 @@
 impl Settings {
     /// Settings of a lone instance, with pushed lists, reports in answers and no prices. Set the others as
     /// needed.
+    #[must_use]
     pub fn new(zone: ZoneId, classes: Vec<Class>) -> Self {
         Settings {
             balancers: 1,
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -45,6 +45,7 @@
     }
 
     /// All settings that make no sense, as [`Settings::check`] has it.
+    #[must_use]
     pub fn faults(&self) -> Vec<SettingsError> {
         let mut faults = Vec::new();
         if self.balancers == 0 {
@@ -126,7 +127,7 @@
         self.time("rules.drain_grace", rules.drain_grace);
         match settings.discovery {
             DiscoveryMode::OnRequest => {
-                self.positive_time("rules.poll_interval", rules.poll_interval)
+                self.positive_time("rules.poll_interval", rules.poll_interval);
             }
             DiscoveryMode::Pushed => self.time("rules.poll_interval", rules.poll_interval),
         }
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -26,6 +26,7 @@
 
 impl Balancer {
     /// How the instance stands.
+    #[must_use]
     pub fn status(&self, now: Timestamp) -> BalancerStatus {
         let mut status = BalancerStatus {
             open: self.requests.len(),
--- a/src/policy/time.rs
+++ b/src/policy/time.rs
@@ -12,14 +12,17 @@
 
 impl Timestamp {
     /// A point in time, in nanoseconds on the host's clock.
+    #[must_use]
     pub const fn from_nanos(nanos: u64) -> Self {
         Timestamp(nanos)
     }
     /// Nanoseconds on the host's clock.
+    #[must_use]
     pub const fn as_nanos(self) -> u64 {
         self.0
     }
     /// The time since `earlier`, or zero if `earlier` is later.
+    #[must_use]
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -47,7 +47,9 @@
     /// An attempt has ended.
     pub fn attempt_ended(&mut self, outcome: Outcome) {
         let position = OUTCOME_NAMES.iter().position(|(o, _)| *o == outcome);
-        position.into_iter().for_each(|p| self.outcomes[p] += 1);
+        if let Some(position) = position {
+            self.outcomes[position] += 1;
+        }
     }
 
     /// Takes the counts for a line, and begins anew with the figures as they now are.
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -95,7 +95,7 @@
         }
         let too_many_informational = limit_informational(&mut request);
         let response = tokio::select! {
-            response = self.sender.try_send_request(request) => response.map_err(|e| e.into_error())?,
+            response = self.sender.try_send_request(request) => response.map_err(hyper::client::conn::TrySendError::into_error)?,
             () = too_many_informational.notified() => return Err("it says too much ahead of its answer".into()),
         };
         if let Some(problem) = framing_problem(&response) {
--- a/src/sidecar/endpoint/forward.rs
+++ b/src/sidecar/endpoint/forward.rs
@@ -113,6 +113,8 @@
             kept.remove(name);
         }
     }
-    HOP_BY_HOP.iter().for_each(|name| drop(kept.remove(name)));
+    for name in &HOP_BY_HOP {
+        drop(kept.remove(name));
+    }
     kept
 }
--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -134,7 +134,7 @@
         match status {
             StatusCode::OK => add_one(&self.class.completed),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                add_one(&self.class.rejected)
+                add_one(&self.class.rejected);
             }
             _ if self.is_whole => add_one(&self.class.failed),
             _ => {}
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -132,9 +132,9 @@
         let disabled = directory
             .and_then(|directory| directory.disabled_endpoints())
             .unwrap_or_default();
-        disabled
-            .iter()
-            .for_each(|endpoint| self.set_disabled(endpoint.as_str().into(), true));
+        for endpoint in &disabled {
+            self.set_disabled(endpoint.as_str().into(), true);
+        }
     }
 
     /// Borrows the node, never across an await.
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -59,6 +59,7 @@
 }
 
 /// Runs the sidecar until it has stopped.
+#[must_use]
 pub fn main() -> ExitCode {
     match run_to_end() {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -141,7 +141,7 @@
                 )?;
             }
             Message::DiscoveryFailed(instance) => {
-                self.handle(now, instance, Event::DiscoveryFailed)?
+                self.handle(now, instance, Event::DiscoveryFailed)?;
             }
             Message::Event(instance, fields) => {
                 let event = parse_event(&fields, &self.instance(instance)?.names)?;
@@ -199,7 +199,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         let balancer = &mut self.instance(number)?.balancer;
         match catch_unwind(AssertUnwindSafe(|| {
-            balancer.handle(now, event, &mut actions)
+            balancer.handle(now, event, &mut actions);
         })) {
             Ok(()) => actions
                 .iter()
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -43,7 +43,7 @@
 }
 
 /// Reads an event.
-pub(super) fn parse_event(fields: &Fields, names: &Names) -> Result<Event, WireError> {
+pub(super) fn parse_event(fields: &Fields<'_>, names: &Names) -> Result<Event, WireError> {
     Ok(match fields.message() {
         "call" => Event::Request(parse_request(fields, names)?),
         "started" => Event::StreamStarted {
@@ -78,19 +78,19 @@
     })
 }
 
-fn request_id(fields: &Fields) -> Result<RequestId, WireError> {
+fn request_id(fields: &Fields<'_>) -> Result<RequestId, WireError> {
     Ok(fields.text("xid")?.into())
 }
 
-fn attempt(fields: &Fields) -> Result<AttemptNumber, WireError> {
+fn attempt(fields: &Fields<'_>) -> Result<AttemptNumber, WireError> {
     fields.number("attempt")
 }
 
-fn took(fields: &Fields) -> Result<Duration, WireError> {
+fn took(fields: &Fields<'_>) -> Result<Duration, WireError> {
     Ok(Duration::from_nanos(fields.number("timeTakenNs")?))
 }
 
-fn parse_request(fields: &Fields, names: &Names) -> Result<Request, WireError> {
+fn parse_request(fields: &Fields<'_>, names: &Names) -> Result<Request, WireError> {
     let class = fields.text("priority")?;
     let attributes = fields.number_or_zero("attrs")?;
     let hint = fields.number_or_zero("expectedNs")?;
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -86,7 +86,7 @@
     })
 }
 
-fn list_number(fields: &Fields) -> Result<usize, WireError> {
+fn list_number(fields: &Fields<'_>) -> Result<usize, WireError> {
     let value = fields.text("list")?;
     let number: usize = fields.number("list")?;
     if number < LIST_COUNT {
@@ -97,13 +97,13 @@
 }
 
 /// The seed has 64 bits, which may be written as a signed number.
-fn parse_seed(fields: &Fields) -> Result<u64, WireError> {
+fn parse_seed(fields: &Fields<'_>) -> Result<u64, WireError> {
     let text = fields.text("nonce64")?;
     let signed = || text.parse::<i64>().ok().map(i64::cast_unsigned);
     fields.parsed("nonce64", text, text.parse::<u64>().ok().or_else(signed))
 }
 
-fn parse_members<'a>(fields: &Fields) -> Result<Message<'a>, WireError> {
+fn parse_members<'a>(fields: &Fields<'_>) -> Result<Message<'a>, WireError> {
     let version = fields.number_or_zero("rev")?;
     let kind = match fields.text("kind")? {
         "F" => ListKind::Snapshot,
@@ -121,7 +121,7 @@
     })
 }
 
-fn parse_entry(fields: &Fields) -> Result<EndpointEntry, WireError> {
+fn parse_entry(fields: &Fields<'_>) -> Result<EndpointEntry, WireError> {
     let size = fields.find("size").unwrap_or("1");
     let is_size = |size: &f64| size.is_finite() && *size >= 0.0;
     Ok(EndpointEntry {
--- a/tests/command_line/main.rs
+++ b/tests/command_line/main.rs
@@ -9,9 +9,12 @@
 use std::process::{Command, Output};
 
 /// A folder of a test's own, removed at its end.
+#[derive(Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
+    /// Creates the folder for this run of one test.
+    #[must_use]
     pub fn new(name: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("{name}-{}", std::process::id()));
@@ -19,6 +22,8 @@
         Folder(path)
     }
 
+    /// Writes a file in the folder and returns its path.
+    #[must_use]
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, text).expect("a file");
@@ -33,6 +38,7 @@
 }
 
 /// A configuration that can be used.
+#[must_use]
 pub fn configuration() -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f",
@@ -55,6 +61,7 @@
 }
 
 /// Runs the program with these arguments, and nothing of the environment that it reads.
+#[must_use]
 pub fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
     command
@@ -63,14 +70,20 @@
     command.args(arguments).output().expect("the program runs")
 }
 
+/// Returns a path as an argument's text.
+#[must_use]
 pub fn text(path: &Path) -> &str {
     path.to_str().expect("a path in UTF-8")
 }
 
+/// Returns what a program wrote to standard output.
+#[must_use]
 pub fn stdout(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).expect("text")
 }
 
+/// Returns what a program wrote to standard error.
+#[must_use]
 pub fn stderr(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).expect("text")
 }
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -12,8 +12,7 @@
             discovery: DiscoveryMode::OnRequest,
             ..settings()
         };
-        let mut balancer =
-            balancer_sidecar::policy::Balancer::new(set, seed).expect("settings that make sense");
+        let mut balancer = Balancer::new(set, seed).expect("settings that make sense");
         let mut out = Vec::new();
         let empty = |kind| Event::EndpointList {
             version: 1,
@@ -106,8 +105,7 @@
             discovery: DiscoveryMode::OnRequest,
             ..settings()
         };
-        let mut balancer =
-            balancer_sidecar::policy::Balancer::new(set, seed).expect("settings that make sense");
+        let mut balancer = Balancer::new(set, seed).expect("settings that make sense");
         let failed = || Event::DiscoveryFailed;
         let mut out = Vec::new();
         (0..6).for_each(|_| balancer.handle(at(0), failed(), &mut out));
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -13,9 +13,9 @@
     let mut set = settings();
     set.limits.parallel_attempts = parallel;
     (set.rules.drain_close, set.rules.key_cooldown) = (Some(ms(200)), Some(ms(50)));
-    [1, 3, 4]
-        .iter()
-        .for_each(|c: &usize| set.classes[*c].by_arrival = true);
+    for c in &[1, 3, 4] {
+        set.classes[*c].by_arrival = true;
+    }
     set.prices.cross_zone = if seed.is_multiple_of(2) { 0.01 } else { 0.0 };
     set.discovery = if seed.is_multiple_of(3) {
         DiscoveryMode::OnRequest
--- a/tests/policy/legal_model.rs
+++ b/tests/policy/legal_model.rs
@@ -215,7 +215,7 @@
                 match self.set.classes[known.class].idempotency {
                     Idempotency::Idempotent => {}
                     Idempotency::Unsafe => {
-                        assert!(suspects.next().is_none(), "rule 2: unsafe sent again")
+                        assert!(suspects.next().is_none(), "rule 2: unsafe sent again");
                     }
                     Idempotency::Keyed { scope, window } => {
                         for s in suspects {
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -262,27 +262,27 @@
         ("classes", |s| s.classes.clear()),
         ("limits.max_attempts", |s| s.limits.max_attempts = 0),
         ("classes[1].priority_weight", |s| {
-            s.classes[1].priority_weight = f64::NAN
+            s.classes[1].priority_weight = f64::NAN;
         }),
         ("classes[0].late_value", |s| s.classes[0].late_value = 1.5),
         ("classes[2].objective", |s| {
-            s.classes[2].objective = Duration::ZERO
+            s.classes[2].objective = Duration::ZERO;
         }),
         ("classes[2].deadline", |s| {
-            s.classes[2].deadline = Duration::MAX
+            s.classes[2].deadline = Duration::MAX;
         }),
         ("rules.initial_capacity", |s| {
-            s.rules.initial_capacity = -0.1
+            s.rules.initial_capacity = -0.1;
         }),
         ("rules.overload_multiple", |s| {
-            s.rules.overload_multiple = f64::INFINITY
+            s.rules.overload_multiple = f64::INFINITY;
         }),
         ("rules.drain_close", |s| {
-            s.rules.drain_close = Some(Duration::MAX)
+            s.rules.drain_close = Some(Duration::MAX);
         }),
         ("prices.cross_zone", |s| s.prices.cross_zone = f64::NAN),
         ("rules.poll_interval", |s| {
-            (s.discovery, s.rules.poll_interval) = (DiscoveryMode::OnRequest, Duration::ZERO)
+            (s.discovery, s.rules.poll_interval) = (DiscoveryMode::OnRequest, Duration::ZERO);
         }),
     ];
     assert!(Balancer::new(settings(), 1).is_ok());
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -24,7 +24,7 @@
     let (before, actions) = host.request(0);
     assert_eq!(sends(&actions).len(), 1);
     let (ids, _) = retune(&mut host, |set| {
-        set.classes[0].idempotency = Idempotency::Unsafe
+        set.classes[0].idempotency = Idempotency::Unsafe;
     });
     assert_eq!(
         ids[1..],
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -14,8 +14,7 @@
             instance: PeerId(seed as u32),
             ..settings()
         };
-        let mut balancer =
-            balancer_sidecar::policy::Balancer::new(set, seed).expect("settings that make sense");
+        let mut balancer = Balancer::new(set, seed).expect("settings that make sense");
         let mut out = Vec::new();
         let mut entries = listings(10);
         entries[3].started_at = Some(at(0));
--- a/tests/sidecar/callers.rs
+++ b/tests/sidecar/callers.rs
@@ -237,7 +237,9 @@
     discovery.next_watch();
     let log = sidecar.log().join("\n");
     assert!(!log.contains("could not be accepted"), "{log}");
-    kept.iter().for_each(|k| drop(k.shutdown(Shutdown::Both)));
+    for k in &kept {
+        drop(k.shutdown(Shutdown::Both));
+    }
     std::fs::remove_file(path).expect("the file goes");
 }
 
--- a/tests/sidecar/crossings.rs
+++ b/tests/sidecar/crossings.rs
@@ -258,8 +258,9 @@
     config["limits"]["sockets"] = json!(64);
     let sidecar = Sidecar::start(&config);
     let mut idle: Vec<Client> = (0..16).map(|_| sidecar.client()).collect();
-    idle.iter_mut()
-        .for_each(|client| assert_eq!(client.ask(READY).status(), 200));
+    for client in &mut idle {
+        assert_eq!(client.ask(READY).status(), 200);
+    }
     sidecar.freezes();
     let mut new: Vec<TcpStream> = (0..24)
         .map(|_| TcpStream::connect(sidecar.address).expect("the backlog has room"))
--- a/tests/sidecar/crossings_of_stops.rs
+++ b/tests/sidecar/crossings_of_stops.rs
@@ -94,7 +94,9 @@
         let from = Instant::now();
         sidecar.thaws();
         awaits("they are let in", || sidecar.descriptors() > before + 11);
-        late.iter_mut().for_each(|client| client.write(&get("3")));
+        for client in &mut late {
+            client.write(&get("3"));
+        }
         let in_time = from.elapsed() < Duration::from_millis(250);
         for client in &mut late {
             let answer = client.read().map(|answer| answer.status());
--- a/tests/sidecar/leaving.rs
+++ b/tests/sidecar/leaving.rs
@@ -24,9 +24,9 @@
     }
     let all = leave.len() + stay.len();
     holds.has_pending(all);
-    leave
-        .into_iter()
-        .for_each(|(how, client)| client.leaves(how));
+    for (how, client) in leave {
+        client.leaves(how);
+    }
     holds.has_pending(stay.len());
     holds.lets_go();
     assert!(
@@ -102,9 +102,9 @@
     let request = get("60");
     let mut stays = Waits::with(&holds.sidecar, &request);
     holds.has_pending(2 + WAYS.len() + 1);
-    leave
-        .into_iter()
-        .for_each(|(how, client)| client.leaves(how));
+    for (how, client) in leave {
+        client.leaves(how);
+    }
     holds.has_pending(3);
     assert_eq!(busy.requests(), 0, "all of them have waited");
     (0..2).for_each(|_| tell.send(()).expect("it waits"));
@@ -199,7 +199,7 @@
         let pending = |n| {
             awaits(&format!("{n} pending"), || {
                 sidecar.figure("pending") == Some(n)
-            })
+            });
         };
         let leave: Vec<_> = WAYS
             .into_iter()
@@ -208,9 +208,9 @@
         let request = get("10");
         let stays = Waits::with(&sidecar, &request);
         pending(9);
-        leave
-            .into_iter()
-            .for_each(|(how, client)| client.leaves(how));
+        for (how, client) in leave {
+            client.leaves(how);
+        }
         pending(1);
         // Those that were given up come up too where nothing may be called off, with nothing written on them.
         assert!(
@@ -290,9 +290,9 @@
         let mut stays = Waits::with(&holds.sidecar, &request); // the last, so that those before it would go first
         holds.has_pending(9);
         let next = changes(word, &holds.sidecar, &folder, &holds.endpoint);
-        leave
-            .into_iter()
-            .for_each(|(how, client)| client.leaves(how));
+        for (how, client) in leave {
+            client.leaves(how);
+        }
         holds.has_pending(1);
         holds.lets_go();
         assert!(stays.is_served(), "{word}");
@@ -322,7 +322,7 @@
         let pending = |n| {
             awaits(&format!("{word}: {n} pending"), || {
                 sidecar.figure("pending") == Some(n)
-            })
+            });
         };
         let request = get("10");
         let stays = Waits::with(&sidecar, &request);
@@ -332,9 +332,9 @@
             .collect();
         pending(9);
         let next = changes(word, &sidecar, &folder, &endpoint);
-        leave
-            .into_iter()
-            .for_each(|(how, client)| client.leaves(how));
+        for (how, client) in leave {
+            client.leaves(how);
+        }
         pending(1);
         assert!(
             late.next_written().contains(&id(&request)),
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -63,9 +63,9 @@
     };
     let children: Vec<Child> = paths.iter().map(start).collect();
     let sidecars = children.into_iter().map(Sidecar::of).collect();
-    paths
-        .iter()
-        .for_each(|path| std::fs::remove_file(path).expect("the file goes"));
+    for path in &paths {
+        std::fs::remove_file(path).expect("the file goes");
+    }
     sidecars
 }
 
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -101,7 +101,7 @@
     sidecar.awaits_log("the configuration stays as it was");
     assert_eq!(sidecar.client().ask(&get("2")).status(), 200);
 
-    let mut other = good.clone();
+    let mut other = good;
     other["listen"] = json!("127.0.0.1:1");
     other["settings"]["bounds"]["sendCap"] = json!(2);
     write(&path, &other);
@@ -270,7 +270,7 @@
                     .as_object_mut()
                     .expect("an object")
                     .remove(key),
-            )
+            );
         })
     };
     let set = |at: &'static str, to: Value| {
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -70,12 +70,12 @@
     let sidecar = Sidecar::start(&config);
     let mut clients: Vec<Client> = (0..AT_ONCE).map(|_| sidecar.client()).collect();
     let mut burst = || -> BTreeSet<usize> {
-        clients
-            .iter_mut()
-            .for_each(|client| client.write(&get("10")));
-        clients
-            .iter_mut()
-            .for_each(|client| assert_eq!(client.read().expect("an answer").status(), 200));
+        for client in &mut clients {
+            client.write(&get("10"));
+        }
+        for client in &mut clients {
+            assert_eq!(client.read().expect("an answer").status(), 200);
+        }
         (0..AT_ONCE).map(|_| endpoint.next_request().0).collect()
     };
     let first = burst();
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -160,7 +160,9 @@
 fn several_processes_act_as_one_does() {
     let body = |instances: &[usize]| {
         let mut input = String::from("frame momentNs=1000000000\n");
-        instances.iter().for_each(|n| input += &start(*n));
+        for n in instances {
+            input += &start(*n);
+        }
         input += "go\n";
         for step in 1..60u64 {
             let now = 1_000_000_000 + step * 5_000_000;
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -134,9 +134,9 @@
             break;
         }
         imports.retain(|module, _| !free.contains(module));
-        imports
-            .values_mut()
-            .for_each(|imported| imported.retain(|module| !free.contains(module)));
+        for imported in imports.values_mut() {
+            imported.retain(|module| !free.contains(module));
+        }
     }
     // And those that are imported by none of the rest.
     loop {
