--- a/fleet-lab/src/endpoint/options.rs
+++ b/fleet-lab/src/endpoint/options.rs
@@ -44,6 +44,7 @@
     /// How long it works on a request.
     pub service_time: ServiceTime,
     /// How its capacity grows after its start.
+    #[serde(rename = "cold_ramp")]
     pub slow_start: Option<SlowStart>,
     /// Whether its answers carry a load report, and probes are answered.
     pub load_reports: bool,
--- a/fleet-lab/src/endpoint/usage.rs
+++ b/fleet-lab/src/endpoint/usage.rs
@@ -14,9 +14,11 @@
     /// Requests that were answered 200.
     pub served: u64,
     /// Requests that were turned away.
+    #[serde(rename = "turned_away")]
     pub rejected_early: u64,
     /// Requests whose call to the next tier failed, answered 500.
     pub failed: u64,
     /// Probes (`/health` and `/status/load`).
+    #[serde(rename = "probes")]
     pub health_checks: u64,
 }
--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -127,6 +127,7 @@
     /// Numbers of reloads.
     pub reloads: Vec<u32>,
     /// Rates of calls at which probes are counted, where load reports come with probes alone.
+    #[serde(rename = "probing_rates")]
     pub health_check_rates: Vec<f64>,
     /// Seconds of each measurement.
     pub seconds: f64,
--- a/fleet-lab/src/report.rs
+++ b/fleet-lab/src/report.rs
@@ -38,6 +38,7 @@
     /// How long it took, in seconds.
     pub seconds: f64,
     /// Its figures.
+    #[serde(rename = "figures")]
     pub metrics: Vec<Figure>,
     /// What went wrong without ending it.
     pub problems: Vec<String>,
--- a/fleet-lab/src/sidecar/hollow/usage.rs
+++ b/fleet-lab/src/sidecar/hollow/usage.rs
@@ -14,6 +14,7 @@
     /// Calls that were refused or failed.
     pub not_served: u64,
     /// Probes that the modules started.
+    #[serde(rename = "probes")]
     pub health_checks: u64,
     /// Calls of discovery that failed, and watches that were lost.
     pub discovery_failures: u64,
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -3,6 +3,7 @@
 mod config;
 mod difference;
 mod document;
+mod document_path;
 mod explanation;
 mod fault;
 mod flat;
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -1,9 +1,9 @@
 //! Reading a configuration's text, at the start, at SIGHUP and in `check` alike.
 
 use super::document::ConfigurationDocument;
+use super::document_path::document_path;
 use super::fault::{Fault, Faults};
 use super::schema;
-use super::settings_document::document_path;
 use crate::policy::Settings;
 use serde_json::Value;
 use std::fmt;
