--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -36,7 +36,7 @@
         self.tell(&format!("request {id} comes in"), Event::Request(request))
     }
 
-    fn served(&mut self, id: &str, depth: f64) -> Vec<Action> {
+    fn served(&mut self, id: &str, queue_length: f64) -> Vec<Action> {
         self.now = self.now + Duration::from_millis(20);
         let ended = AttemptEnd {
             request: id.into(),
@@ -45,12 +45,12 @@
             took: Duration::from_millis(20),
             request_ended: true,
             report: Some(LoadReport {
-                depth: Some(depth),
+                queue_length: Some(queue_length),
                 ..LoadReport::default()
             }),
         };
         self.tell(
-            &format!("request {id} was served, {depth} requests wait there"),
+            &format!("request {id} was served, {queue_length} requests wait there"),
             Event::AttemptEnded(ended),
         )
     }
@@ -87,7 +87,7 @@
         now: Timestamp::from_nanos(1_000_000_000),
     };
 
-    host.list(Readiness::Up);
+    host.list(Readiness::Serving);
     host.request("a", 1); // sent
     host.served("a", 0.9); // past the onset of the lower level only
     host.request("b", 1); // the worthier class is still sent
--- a/fleet-lab/src/sidecar/hollow/endpoints.rs
+++ b/fleet-lab/src/sidecar/hollow/endpoints.rs
@@ -84,7 +84,7 @@
         let in_flight = self.in_flight.load(Ordering::Relaxed);
         let waiting = in_flight.saturating_sub(CORES);
         LoadReport {
-            depth: Some(waiting as f64),
+            queue_length: Some(waiting as f64),
             in_flight: Some(in_flight as f64),
             ..LoadReport::default()
         }
--- a/fleet-lab/src/sidecar/hollow/member/actions.rs
+++ b/fleet-lab/src/sidecar/hollow/member/actions.rs
@@ -28,9 +28,10 @@
             Action::Reject { request, .. } | Action::Fail { request } => self.not_served(&request),
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
             // An agent that pushes is followed unasked.
-            Action::Subscribe(_) if self.settings.discovery == DiscoveryMode::Pushed => {}
-            Action::Subscribe(false) => self.end_watch(),
-            Action::Subscribe(true) => {
+            Action::Subscribe | Action::Unsubscribe
+                if self.settings.discovery == DiscoveryMode::Pushed => {}
+            Action::Unsubscribe => self.end_watch(),
+            Action::Subscribe => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
                 if self.watch.as_ref().is_none_or(Task::is_over) {
                     self.begin_watch(handle);
--- a/fleet-lab/src/sidecar/hollow/member/discovery.rs
+++ b/fleet-lab/src/sidecar/hollow/member/discovery.rs
@@ -75,7 +75,7 @@
         }
         drop(member);
         let kind = if list.snapshot {
-            ListKind::Snapshot
+            ListKind::Full
         } else {
             ListKind::Changes
         };
--- a/fleet-lab/src/sidecar/hollow/plan.rs
+++ b/fleet-lab/src/sidecar/hollow/plan.rs
@@ -27,7 +27,7 @@
         let settings = parse_settings(&settings_document.to_string());
         let settings = settings.map_err(|error| invalid(&configuration.name, error))?;
         settings
-            .check()
+            .validate()
             .map_err(|error| invalid(&configuration.name, error))?;
         Ok(MemberPlan {
             settings,
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -111,9 +111,9 @@
 fn the_decision_module_accepts_the_settings() {
     let mut configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
     let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
-    settings.check().expect("settings that make sense");
+    settings.validate().expect("settings that make sense");
     assert_eq!(
-        (settings.balancers, settings.instance.0, settings.zones),
+        (settings.balancers, settings.peer_id.0, settings.zones),
         (3, 1, 2)
     );
     assert_eq!((settings.tier, settings.tiers), (0, 2));
--- a/src/configuration/document_path.rs
+++ b/src/configuration/document_path.rs
@@ -10,7 +10,7 @@
     ("late_value", "lateShare"),
     ("priority_weight", "worth"),
     ("tenants", "customers"),
-    ("share", "portion"),
+    ("quota_share", "portion"),
     ("quota_per_s", "quotaPerS"),
     ("over_share_value", "overShareWorth"),
     ("tick", "granularityNs"),
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -38,7 +38,7 @@
     let settings = document.settings.clone().settings();
     let settings = settings.map_err(|error| Faults(vec![settings_fault(error.to_string())]))?;
     let faults: Vec<Fault> = settings
-        .faults()
+        .validation_errors()
         .into_iter()
         .map(|error| {
             let path = format!("settings.{}", document_path(&error.field));
--- a/src/configuration/settings_document.rs
+++ b/src/configuration/settings_document.rs
@@ -41,12 +41,12 @@
     pub fn settings(self) -> Result<Settings, SettingsDocumentError> {
         Ok(Settings {
             balancers: self.balancers,
-            instance: PeerId(self.my_number),
+            peer_id: PeerId(self.my_number),
             zone: self.zone.as_str().into(),
             zones: self.dcs.len(),
             tier: self.tier,
             tiers: self.stages.len(),
-            passes_deadline: self.family_info.passes_deadline,
+            propagates_deadline: self.family_info.passes_deadline,
             warm_keys: self.family_info.warm_keys,
             classes: self
                 .categories
@@ -303,7 +303,7 @@
             late_value: self.late_share,
             idempotency,
             stream: self.stream,
-            by_arrival: self.by_arrival,
+            is_key_ordered: self.by_arrival,
         })
     }
 }
@@ -333,7 +333,7 @@
     fn tenant(self) -> Tenant {
         Tenant {
             name: self.name,
-            share: self.portion,
+            quota_share: self.portion,
             quota_per_s: self.quota_per_s,
         }
     }
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -2,7 +2,7 @@
 
 use crate::backoff::ExponentialBackoff;
 use crate::policy::random::SeededRandom;
-use crate::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
+use crate::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
 use std::time::Duration;
 
 /// Its mean is 0.3 s after the first failure in a row, and so often doubled as long as [`LONGEST_PAUSE`] allows.
@@ -12,7 +12,7 @@
 };
 /// The longest pause: a call that follows one that failed at once can be waited for as long as any before a change has
 /// to be in force. Longer pauses put off all sidecars after an outage, and only a discovery that turns calls away gains.
-const LONGEST_PAUSE: Duration = CHANGE_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
+const LONGEST_PAUSE: Duration = CHANGE_PROPAGATION_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
 
 /// Pauses between calls of discovery: exponential backoff with jitter after failures, and the time after which a call
 /// that has no answer yet gets another beside it. Each caller has a seed of its own, so that a fleet that lost
@@ -39,19 +39,19 @@
     }
 
     /// The pause after a call that failed after this long. Its mean doubles with each failure in a row, up to a longest
-    /// pause and as far as the next call still begins within [`NEXT_CALL_WITHIN`] of the beginning of the failed one.
+    /// pause and as far as the next call still begins within [`MAX_CALL_INTERVAL`] of the beginning of the failed one.
     pub fn pause_after(&mut self, took: Duration) -> Duration {
-        let longest = LONGEST_PAUSE.min(NEXT_CALL_WITHIN.saturating_sub(took));
+        let longest = LONGEST_PAUSE.min(MAX_CALL_INTERVAL.saturating_sub(took));
         let pause = AFTER_FAILURE.pause(self.failures, longest.as_secs_f64(), self.random.unit());
         self.failures = self.failures.saturating_add(1);
         Duration::from_secs_f64(pause)
     }
 
     /// The time from the beginning of a call that is not answered to that of another beside it: from
-    /// [`DISCOVERY_TIMEOUT`] to [`NEXT_CALL_WITHIN`]. It cannot grow: the calls that are out may have been lost on the
+    /// [`DISCOVERY_TIMEOUT`] to [`MAX_CALL_INTERVAL`]. It cannot grow: the calls that are out may have been lost on the
     /// network, and discovery may be reachable again.
     pub fn time_to_next_call(&mut self) -> Duration {
-        let spread = NEXT_CALL_WITHIN - DISCOVERY_TIMEOUT;
+        let spread = MAX_CALL_INTERVAL - DISCOVERY_TIMEOUT;
         DISCOVERY_TIMEOUT + spread.mul_f64(self.random.unit())
     }
 }
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -68,7 +68,7 @@
             kind: self.kind.as_str().into(),
             group: GroupId(self.group),
             readiness: match self.status {
-                Status::Serving => Readiness::Up,
+                Status::Serving => Readiness::Serving,
                 Status::Draining => Readiness::Draining,
                 Status::Deleted => Readiness::Removed,
             },
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -76,7 +76,7 @@
         let serving = self
             .members
             .iter()
-            .filter(|(_, member)| member.readiness == Readiness::Up);
+            .filter(|(_, member)| member.readiness == Readiness::Serving);
         serving.map(|(endpoint, _)| endpoint)
     }
 
@@ -136,7 +136,7 @@
                 before.address == member.address && before.started_at == member.started_at
             };
             let is_known = self.members.get(&entry.endpoint).is_some_and(is_same);
-            if member.readiness != Readiness::Up || !is_known {
+            if member.readiness != Readiness::Serving || !is_known {
                 outdated.push(entry.endpoint.clone());
             }
             if member.readiness == Readiness::Removed {
@@ -155,7 +155,7 @@
         for member in self
             .members
             .values()
-            .filter(|member| member.readiness == Readiness::Up)
+            .filter(|member| member.readiness == Readiness::Serving)
         {
             let latest = latest_starts.entry(member.address).or_default();
             *latest = (*latest).max(member.started_at);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,7 @@
 //!     zone: "here".into(),
 //!     kind: "box".into(),
 //!     group: GroupId(0),
-//!     readiness: Readiness::Up,
+//!     readiness: Readiness::Serving,
 //!     size: 1.0,
 //!     started_at: None,
 //! }];
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -42,8 +42,10 @@
         /// Comes back with the event.
         token: u64,
     },
-    /// Ask for changes of the list from now on, or no longer.
-    Subscribe(bool),
+    /// Open a watch on the endpoint list, unless one is open.
+    Subscribe,
+    /// End the watch on the endpoint list.
+    Unsubscribe,
     /// Ask for the whole list once.
     FetchList,
     /// Check an endpoint.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -31,7 +31,7 @@
         // A key is kept only for its order.
         request
             .key
-            .take_if(|_| !self.settings.classes[request.class.0].by_arrival);
+            .take_if(|_| !self.settings.classes[request.class.0].is_key_ordered);
         let rate_fade = self.arrival_rate.count(now);
         self.retry_budget.earn(RETRIES_PER_REQUEST);
         self.earn_health_checks();
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -98,12 +98,12 @@
         if ended.outcome == Outcome::Served {
             self.learn_answer_time(e, request, ended);
         }
-        let reported = ended.report.as_ref().map(Self::reported_depth);
+        let reported = ended.report.as_ref().map(Self::reported_queue_length);
         // A broken connection or answer is a failure, and says nothing of the queue either.
         let met_queue = matches!(ended.outcome, Outcome::Rejected | Outcome::TimedOut);
         let stand_in = met_queue.then_some(self.thresholds.highest_onset());
-        if let Some(depth) = reported.into_iter().chain(stand_in).reduce(f64::max) {
-            self.judge(now, e, depth);
+        if let Some(queue_length) = reported.into_iter().chain(stand_in).reduce(f64::max) {
+            self.judge(now, e, queue_length);
         }
     }
 }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -6,7 +6,7 @@
 use super::endpoint::{Endpoint, EndpointIndex};
 use super::id::{EndpointId, RequestId};
 use super::key_order::KeyOrder;
-use super::mean_depths::MeanDepths;
+use super::mean_queue_lengths::MeanQueueLengths;
 use super::pending::PendingRequest;
 use super::queued_requests::QueuedRequests;
 use super::random::SeededRandom;
@@ -33,7 +33,7 @@
     pub(super) subset: Vec<EndpointIndex>,
     pub(super) remote_subset: Vec<EndpointIndex>,
     pub(super) thresholds: Thresholds,
-    pub(super) mean_depths: MeanDepths,
+    pub(super) mean_queue_lengths: MeanQueueLengths,
     /// The tier's mean answer time over the unloaded one.
     pub(super) mean_slowdown: f64,
     /// By class, also those that have left the settings.
@@ -84,7 +84,7 @@
             subset: Vec::new(),
             remote_subset: Vec::new(),
             thresholds: Thresholds::default(),
-            mean_depths: MeanDepths::default(),
+            mean_queue_lengths: MeanQueueLengths::default(),
             mean_slowdown: 1.0,
             classes,
             tenant_rates: vec![0.0; settings.tenants.len()],
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -6,10 +6,11 @@
 use std::time::Duration;
 
 /// A change of the list is in force at the latest this long after discovery had it and could be reached.
-pub const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
+pub const CHANGE_PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
 /// A call of discovery begins within this of the one that failed before it: discovery may have come back just
 /// after that one began, and the new call takes its part of the time that is left.
-pub const NEXT_CALL_WITHIN: Duration = CHANGE_DEADLINE.saturating_sub(Duration::from_secs(1));
+pub const MAX_CALL_INTERVAL: Duration =
+    CHANGE_PROPAGATION_DEADLINE.saturating_sub(Duration::from_secs(1));
 /// A call of discovery that is not answered for this long has failed, and a watch that is silent for as long
 /// is lost: two of its heartbeats of 2 s, and a little.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(4_200);
@@ -40,7 +41,7 @@
         };
         let schedule = &mut self.discovery_schedule;
         let since_last_failure = now.since(schedule.last_failure);
-        let longest = NEXT_CALL_WITHIN
+        let longest = MAX_CALL_INTERVAL
             .saturating_sub(since_last_failure)
             .as_secs_f64();
         let pause = backoff.pause(schedule.failures_in_row, longest, self.random.unit());
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -32,7 +32,7 @@
     /// Own attempts.
     pub(super) in_flight: u32,
     /// Queue length as last judged.
-    pub(super) depth: f64,
+    pub(super) queue_length: f64,
     /// Answer time over the least usual one, a mean.
     pub(super) slowdown: f64,
     /// Worth levels that are held to the gap, from the lowest.
@@ -72,7 +72,7 @@
             in_subset: false,
             is_remote: false,
             in_flight: 0,
-            depth: 0.0,
+            queue_length: 0.0,
             slowdown: 1.0,
             gapping_levels: 0,
             discarding_levels: 0,
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -19,7 +19,7 @@
         known.is_listed = entry.readiness != Readiness::Removed;
         known.size = if entry.size > 0.0 { entry.size } else { 1.0 };
         known.is_remote = is_remote;
-        known.is_serving = entry.readiness == Readiness::Up;
+        known.is_serving = entry.readiness == Readiness::Serving;
         known.is_available = known.is_serving && !is_disabled;
         // One that has left the list may finish what it drained with all the same.
         let was_draining = known.is_draining || entry.readiness == Readiness::Draining;
@@ -85,7 +85,7 @@
 
     /// Whether an endpoint is listed, or disabled by the operators.
     #[must_use]
-    pub fn knows(&self, endpoint: &EndpointId) -> bool {
+    pub fn is_listed_or_disabled(&self, endpoint: &EndpointId) -> bool {
         let place = self.endpoint_index.get(endpoint);
         place.is_some_and(|e| self.endpoints[*e].is_listed) || self.is_disabled(endpoint)
     }
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -34,7 +34,11 @@
         kind: ListKind::Changes,
         entries: entries.into(),
     };
-    tell(&mut balancer, 1, delta(vec![entry("first", Readiness::Up)]));
+    tell(
+        &mut balancer,
+        1,
+        delta(vec![entry("first", Readiness::Serving)]),
+    );
     let request = Request {
         id: "r".into(),
         class: ClassId(0),
@@ -57,7 +61,7 @@
             3 + n,
             delta(vec![
                 entry(&last, Readiness::Removed),
-                entry(&next, Readiness::Up),
+                entry(&next, Readiness::Serving),
             ]),
         );
         last = next;
@@ -95,8 +99,8 @@
         602,
         Event::EndpointList {
             version: 2,
-            kind: ListKind::Snapshot,
-            entries: [entry("z", Readiness::Up)].into(),
+            kind: ListKind::Full,
+            entries: [entry("z", Readiness::Serving)].into(),
         },
     );
     assert_eq!(balancer.endpoint_index.len(), 1);
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// It does.
-    Up,
+    Serving,
     /// It finishes what it has.
     Draining,
     /// It has left the list.
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// The whole list as of now.
-    Snapshot,
+    Full,
     /// The whole list as last seen, perhaps long ago.
     Cached,
     /// The entries that have changed.
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests waiting.
-    pub depth: Option<f64>,
+    pub queue_length: Option<f64>,
     /// Requests being handled.
     pub in_flight: Option<f64>,
     /// Part of the CPU in use.
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -63,8 +63,8 @@
         };
         let met_queue = matches!(outcome, Outcome::TimedOut | Outcome::Rejected);
         let stand_in = met_queue.then_some(self.thresholds.highest_onset());
-        if let Some(depth) = report.map(Self::reported_depth).or(stand_in) {
-            self.judge(now, e, depth);
+        if let Some(queue_length) = report.map(Self::reported_queue_length).or(stand_in) {
+            self.judge(now, e, queue_length);
         }
     }
 }
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -18,9 +18,9 @@
     /// A fresh instance. The same settings, seed and events give the same actions.
     ///
     /// # Errors
-    /// Settings that make no sense are named; see [`Settings::check`].
+    /// Settings that make no sense are named; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let classes = settings.classes.iter().map(new_class).collect();
         let budgets = Budgets {
             retries: TokenBudget::new(MAX_SAVED_RETRIES),
@@ -43,7 +43,7 @@
         settings: Settings,
         actions: &mut Vec<Action>,
     ) -> Result<Vec<ClassId>, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let had_tenants = !self.settings.tenants.is_empty();
         let ids = self.replace_settings(now, settings);
         let queued = self.queued.take_all();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -55,7 +55,7 @@
 mod in_flight;
 mod instance;
 mod key_order;
-mod mean_depths;
+mod mean_queue_lengths;
 mod membership;
 mod outlier;
 mod overload_state;
@@ -80,7 +80,7 @@
 
 pub use action::Action;
 pub use balancer::Balancer;
-pub use discovery_calls::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
+pub use discovery_calls::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
 pub use event::{
     AttemptEnd, EndpointEntry, Event, ListKind, LoadReport, Outcome, Readiness, Request,
 };
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -38,7 +38,7 @@
 impl Balancer {
     /// The queue length that a report speaks of, or the nearest stand-in. Guards against servers that work on
     /// all they hold: they hardly queue, but when fully busy the work unfinished piles up in them.
-    pub(super) fn reported_depth(report: &LoadReport) -> f64 {
+    pub(super) fn reported_queue_length(report: &LoadReport) -> f64 {
         let utilisation = report.utilisation.unwrap_or(1.0);
         let stand_in = report
             .in_flight
@@ -46,25 +46,25 @@
         let busy_share = report
             .utilisation
             .map_or(0.0, |u| (u.min(1.0) - BUSY) / (1.0 - BUSY));
-        let depth = report.depth.or(stand_in).unwrap_or(0.0);
-        depth
+        let queue_length = report.queue_length.or(stand_in).unwrap_or(0.0);
+        queue_length
             .max(busy_share * HIGHEST_DISCARD)
             .clamp(0.0, LONGEST_QUEUE)
     }
 
     /// Moves an endpoint between clear, gapping and discarding. Gapping starts at onset and ends below
     /// abatement, discarding starts at discard and ends below onset.
-    pub(super) fn judge(&mut self, now: Timestamp, e: EndpointIndex, depth: f64) {
-        let reached = self.thresholds.reached(depth);
+    pub(super) fn judge(&mut self, now: Timestamp, e: EndpointIndex, queue_length: f64) {
+        let reached = self.thresholds.reached(queue_length);
         let lapse = self.unloaded_time()
             * LAPSE_TIMES
             * (SHORTEST_LAPSE + LAPSE_SPREAD * self.random.unit());
-        self.mean_depths
-            .count(self.endpoints[e].is_remote, depth, MEAN_WEIGHT);
-        let gap = self.gap(now, depth);
+        self.mean_queue_lengths
+            .count(self.endpoints[e].is_remote, queue_length, MEAN_WEIGHT);
+        let gap = self.gap(now, queue_length);
         let before = self.judged(now, e);
         let known = &mut self.endpoints[e];
-        known.depth = depth;
+        known.queue_length = queue_length;
         known.gapping_levels = reached.onset.max(before.gapping.min(reached.abatement));
         known.discarding_levels = reached.discard.max(before.discarding.min(reached.onset));
         known.state_expires = now + duration_from_seconds(lapse);
@@ -76,7 +76,7 @@
     /// Judges every endpoint anew by its last known queue, under thresholds that have changed.
     pub(super) fn judge_by_new_thresholds(&mut self) {
         for known in &mut self.endpoints {
-            let LevelsReached { onset, discard, .. } = self.thresholds.reached(known.depth);
+            let LevelsReached { onset, discard, .. } = self.thresholds.reached(known.queue_length);
             known.gapping_levels = onset;
             known.discarding_levels = discard;
         }
@@ -84,8 +84,8 @@
 
     /// The least time between own sends to a gapping endpoint: the usual time, times the severity. It follows
     /// the instance's own rate, so that any number of instances together cut by the same factor.
-    pub(super) fn gap(&mut self, now: Timestamp, depth: f64) -> Duration {
-        let severity = (depth / self.thresholds.lowest_onset()).max(1.0);
+    pub(super) fn gap(&mut self, now: Timestamp, queue_length: f64) -> Duration {
+        let severity = (queue_length / self.thresholds.lowest_onset()).max(1.0);
         let usual = self.subset.len() as f64 / self.arrival_rate.per_second(now).max(LEAST_RATE);
         duration_from_seconds(severity * usual * (SHORTEST_GAP + self.random.unit()))
     }
@@ -94,7 +94,7 @@
     /// and a flush of held requests would otherwise all go where the last was good. A lapsed state is the
     /// tier's mean: instances too quiet to follow one endpoint can follow all of them.
     pub(super) fn throttling(&self, now: Timestamp, e: EndpointIndex) -> Throttling {
-        let reached = self.thresholds.reached(self.estimated_depth(now, e));
+        let reached = self.thresholds.reached(self.estimated_queue_length(now, e));
         let judged = self.judged(now, e);
         Throttling {
             gapping: judged.gapping.max(reached.onset),
@@ -103,13 +103,13 @@
     }
 
     /// The queue at an endpoint with own attempts in flight.
-    pub(super) fn estimated_depth(&self, now: Timestamp, e: EndpointIndex) -> f64 {
+    pub(super) fn estimated_queue_length(&self, now: Timestamp, e: EndpointIndex) -> f64 {
         let known = &self.endpoints[e];
         let is_current = now < known.state_expires;
         let judged = if is_current {
-            known.depth
+            known.queue_length
         } else {
-            self.mean_depths.of(known.is_remote)
+            self.mean_queue_lengths.of(known.is_remote)
         };
         judged + self.queue_per_attempt() * f64::from(known.in_flight)
     }
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -205,8 +205,9 @@
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
         let load =
             |e: EndpointIndex| f64::from(self.endpoints[e].in_flight + 1) / self.endpoints[e].size;
-        let wait =
-            |e: EndpointIndex| (self.estimated_depth(now, e) + 1.0) * self.endpoints[e].slowdown;
+        let wait = |e: EndpointIndex| {
+            (self.estimated_queue_length(now, e) + 1.0) * self.endpoints[e].slowdown
+        };
         let order = load(a)
             .total_cmp(&load(b))
             .then(wait(a).total_cmp(&wait(b)));
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -65,7 +65,7 @@
         self.tenant_rates[tenant] += 1.0;
         let all: f64 = self.tenant_rates.iter().sum();
         let over_share =
-            1.0 - self.settings.tenants[tenant].share * all / self.tenant_rates[tenant];
+            1.0 - self.settings.tenants[tenant].quota_share * all / self.tenant_rates[tenant];
         let is_over = all > f64::from(FEW_ANSWERS) && self.random.unit() < over_share;
         if is_over { OVER_SHARE_LEVEL } else { level }
     }
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -23,7 +23,7 @@
         };
         self.advance_slow_start(pending);
         self.occupy_slot(e);
-        let gap = self.gap(now, self.endpoints[e].depth);
+        let gap = self.gap(now, self.endpoints[e].queue_length);
         let slow_start_slot = self.draw_slow_start_slot(now, e);
         let timeout = self.attempt_timeout(now, pending);
         let known = &mut self.endpoints[e];
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -50,7 +50,7 @@
     /// The answer comes as a stream.
     pub stream: bool,
     /// Requests with the same key take turns, in the order in which this instance took them.
-    pub by_arrival: bool,
+    pub is_key_ordered: bool,
 }
 
 impl Class {
@@ -72,7 +72,7 @@
             late_value: 0.0,
             idempotency,
             stream: false,
-            by_arrival: false,
+            is_key_ordered: false,
         }
     }
 }
@@ -83,7 +83,7 @@
     /// Its name on the host's side.
     pub name: String,
     /// Its part of the whole.
-    pub share: f64,
+    pub quota_share: f64,
     /// Requests a second within that share, over all instances.
     pub quota_per_s: f64,
 }
@@ -244,7 +244,7 @@
     /// Instances in this tier.
     pub balancers: u32,
     /// This instance's number among them.
-    pub instance: PeerId,
+    pub peer_id: PeerId,
     /// Its zone.
     pub zone: ZoneId,
     /// How many zones there are.
@@ -254,7 +254,7 @@
     /// How many tiers there are.
     pub tiers: usize,
     /// Calls from the tier above carry the time left (not the class's whole deadline).
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// Endpoints do less work for keys that they met lately.
     pub warm_keys: bool,
     /// The kinds of requests.
@@ -290,12 +290,12 @@
     pub fn new(zone: ZoneId, classes: Vec<Class>) -> Self {
         Settings {
             balancers: 1,
-            instance: PeerId(0),
+            peer_id: PeerId(0),
             zone,
             zones: 1,
             tier: 0,
             tiers: 1,
-            passes_deadline: true,
+            propagates_deadline: true,
             warm_keys: false,
             classes,
             tenants: Vec::new(),
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -40,13 +40,16 @@
     /// Names the first setting that makes no sense: no instance or class, two classes of one name, an attempt limit
     /// of zero, a share, price, worth or fraction outside its range or not a number, a time of more than a year, or
     /// none where one is needed.
-    pub fn check(&self) -> Result<(), SettingsError> {
-        self.faults().into_iter().next().map_or(Ok(()), Err)
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        self.validation_errors()
+            .into_iter()
+            .next()
+            .map_or(Ok(()), Err)
     }
 
-    /// All settings that make no sense, as [`Settings::check`] has it.
+    /// All settings that make no sense, as [`Settings::validate`] has it.
     #[must_use]
-    pub fn faults(&self) -> Vec<SettingsError> {
+    pub fn validation_errors(&self) -> Vec<SettingsError> {
         let mut faults = Vec::new();
         if self.balancers == 0 {
             faults.push(fault("balancers", "is zero"));
@@ -169,7 +172,10 @@
     fn add_tenants(&mut self, settings: &Settings) {
         self.fraction("over_share_value", settings.over_share_value);
         for (position, tenant) in settings.tenants.iter().enumerate() {
-            self.fraction(format!("tenants[{position}].share"), tenant.share);
+            self.fraction(
+                format!("tenants[{position}].quota_share"),
+                tenant.quota_share,
+            );
             self.amount(
                 format!("tenants[{position}].quota_per_s"),
                 tenant.quota_per_s,
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BalancerStatus {
     /// Requests kept, answered or not.
-    pub open: usize,
+    pub pending: usize,
     /// Requests that wait to be sent.
     pub queued: usize,
     /// Attempts in flight, and those timed out that may run on.
@@ -19,9 +19,9 @@
     /// Endpoints at which some level is discarded.
     pub discarding: usize,
     /// Endpoints whose state was told and has not lapsed.
-    pub informed: usize,
+    pub current_states: usize,
     /// Listed endpoints that get nothing now: they drain, are disabled, or discard every worth level.
-    pub avoided: usize,
+    pub unavailable: usize,
 }
 
 impl Balancer {
@@ -29,10 +29,10 @@
     #[must_use]
     pub fn status(&self, now: Timestamp) -> BalancerStatus {
         let mut status = BalancerStatus {
-            open: self.requests.len(),
+            pending: self.requests.len(),
             queued: self.queued.len(),
             in_flight: self.attempts_in_flight as usize,
-            avoided: self
+            unavailable: self
                 .endpoints
                 .iter()
                 .filter(|e| e.is_listed && !e.is_available)
@@ -44,8 +44,9 @@
             status.clear += usize::from(throttling.gapping == 0);
             status.gapping += usize::from(throttling.gapping > 0);
             status.discarding += usize::from(throttling.discarding > 0);
-            status.informed += usize::from(now < self.endpoints[e].state_expires);
-            status.avoided += usize::from(throttling.discarding == self.thresholds.level_count());
+            status.current_states += usize::from(now < self.endpoints[e].state_expires);
+            status.unavailable +=
+                usize::from(throttling.discarding == self.thresholds.level_count());
         }
         status
     }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -49,7 +49,7 @@
         let mut ring = endpoints.to_vec();
         ring.sort_by_cached_key(|e| shuffle_key(&self.endpoints[*e].id));
         let length = ring.len().max(1);
-        let start = self.settings.instance.0 as usize * length / self.settings.balancers as usize;
+        let start = self.settings.peer_id.0 as usize * length / self.settings.balancers as usize;
         ring.rotate_left(start % length);
         ring
     }
--- a/src/policy/thresholds.rs
+++ b/src/policy/thresholds.rs
@@ -49,9 +49,12 @@
         self.0.last().map_or(0.0, |level| level.onset)
     }
 
-    pub(super) fn reached(&self, depth: f64) -> LevelsReached {
+    pub(super) fn reached(&self, queue_length: f64) -> LevelsReached {
         let count = |threshold: fn(&LevelThresholds) -> f64| {
-            self.0.iter().filter(|l| depth >= threshold(l)).count()
+            self.0
+                .iter()
+                .filter(|l| queue_length >= threshold(l))
+                .count()
         };
         LevelsReached {
             abatement: count(|level| level.abatement),
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -8,7 +8,7 @@
     /// Asks for a watch where it is due, and sets the timer where something is due before it.
     pub(super) fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.discovery_schedule.take_due(now) {
-            actions.push(Action::Subscribe(true));
+            actions.push(Action::Subscribe);
         }
         let queued = (!self.queued.is_empty()).then(|| self.next_chance(now));
         let due = self
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -36,7 +36,10 @@
         let report = result.report.expect("a report");
         assert_eq!(result.outcome, outcome, "{status}");
         assert_eq!(report.in_flight, Some(7.0));
-        assert_eq!((report.depth, report.utilisation), (Some(2.0), Some(0.61)));
+        assert_eq!(
+            (report.queue_length, report.utilisation),
+            (Some(2.0), Some(0.61))
+        );
         assert_eq!(report.served_per_s, None, "what is no number is left out");
     }
 }
@@ -60,5 +63,5 @@
     let report = ended(200, &[("x-load", "TEXT depth=-3, concurrent=4")])
         .report
         .expect("a report");
-    assert_eq!((report.depth, report.in_flight), (None, Some(4.0)));
+    assert_eq!((report.queue_length, report.in_flight), (None, Some(4.0)));
 }
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -22,7 +22,7 @@
         let up_to = |most: f64| value.filter(|v| (0.0..=most).contains(v));
         match name.trim() {
             "concurrent" | "inflight" => report.in_flight = up_to(MOST_REQUESTS),
-            "depth" | "queue" => report.depth = up_to(MOST_REQUESTS),
+            "depth" | "queue" => report.queue_length = up_to(MOST_REQUESTS),
             "load_share" | "util" => report.utilisation = up_to(MOST_UTILISATION),
             "mean_ms" | "latency_ms" => {
                 report.mean_time = up_to(MOST_REQUESTS).map(|ms| Duration::from_secs_f64(ms / 1e3));
@@ -33,6 +33,6 @@
         }
     }
     let speaks_of_queue = QUEUE_METRICS.iter().any(|name| text.contains(name));
-    let queue_is_known = report.depth.or(report.in_flight).is_some() || !speaks_of_queue;
+    let queue_is_known = report.queue_length.or(report.in_flight).is_some() || !speaks_of_queue;
     (report != LoadReport::default() && queue_is_known).then_some(report)
 }
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -32,9 +32,10 @@
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
             // An agent that pushes is followed unasked.
-            Action::Subscribe(_) if self.settings.current().discovery == DiscoveryMode::Pushed => {}
-            Action::Subscribe(false) => self.watches.end(),
-            Action::Subscribe(true) => {
+            Action::Subscribe | Action::Unsubscribe
+                if self.settings.current().discovery == DiscoveryMode::Pushed => {}
+            Action::Unsubscribe => self.watches.end(),
+            Action::Subscribe => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
                 if !self.watches.is_followed() {
                     self.begin_watch(handle);
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -27,7 +27,7 @@
         self.membership.get(&target.endpoint).is_some_and(|member| {
             let is_same =
                 member.started_at == target.started_at && member.address == target.address;
-            member.readiness == Readiness::Up && is_same
+            member.readiness == Readiness::Serving && is_same
         }) && !self.is_disabled(&target.endpoint)
     }
 
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -71,7 +71,7 @@
         }
         drop(node);
         let kind = if list.snapshot {
-            ListKind::Snapshot
+            ListKind::Full
         } else {
             ListKind::Changes
         };
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -29,7 +29,7 @@
         disabled: bool,
     ) -> Result<(), UnknownEndpoint> {
         let node = self.borrow();
-        if !node.balancer.knows(&endpoint) {
+        if !node.balancer.is_listed_or_disabled(&endpoint) {
             return Err(UnknownEndpoint);
         }
         let message = ProcessMessage::Disabled {
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -242,7 +242,7 @@
     pub fn member_counts(&self) -> MemberCounts {
         MemberCounts {
             listed: self.membership.len(),
-            unavailable: self.balancer_status().avoided,
+            unavailable: self.balancer_status().unavailable,
         }
     }
 }
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -31,19 +31,19 @@
         return;
     }
     let BalancerStatus {
-        open,
+        pending,
         queued,
         in_flight,
         clear,
         gapping,
         discarding,
-        informed,
-        avoided,
+        current_states,
+        unavailable,
     } = status;
     log!(
-        "counts {line}; now open={open} queued={queued} in_flight={in_flight} callers={callers} \
+        "counts {line}; now open={pending} queued={queued} in_flight={in_flight} callers={callers} \
          connections={endpoints} clear={clear} gapping={gapping} discarding={discarding} \
-         informed={informed} avoided={avoided}",
+         informed={current_states} avoided={unavailable}",
         callers = connections.callers,
         endpoints = connections.endpoints,
     );
--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -67,11 +67,8 @@
                 at.as_nanos()
             )
         }
-        Action::Subscribe(on) => write!(
-            reply,
-            "track sidecarId=sidecar/{n} active={}",
-            u8::from(*on)
-        ),
+        Action::Subscribe => write!(reply, "track sidecarId=sidecar/{n} active=1"),
+        Action::Unsubscribe => write!(reply, "track sidecarId=sidecar/{n} active=0"),
         Action::FetchList => write!(reply, "fetch sidecarId=sidecar/{n}"),
         Action::HealthCheck { endpoint } => {
             write!(reply, "poll sidecarId=sidecar/{n} endpoint={}", endpoint.0)
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -149,7 +149,7 @@
             let (name, value) =
                 self.parsed("pressure", text, parsed.filter(|(_, v)| v.is_finite()))?;
             match name {
-                "depth" => report.depth = Some(value),
+                "depth" => report.queue_length = Some(value),
                 "concurrent" => report.in_flight = Some(value),
                 "load_share" => report.utilisation = Some(value),
                 "mean_ms" => {
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -106,7 +106,7 @@
 fn parse_members<'a>(fields: &Fields<'_>) -> Result<Message<'a>, WireError> {
     let version = fields.number_or_zero("rev")?;
     let kind = match fields.text("kind")? {
-        "F" => ListKind::Snapshot,
+        "F" => ListKind::Full,
         "C" => ListKind::Cached,
         "D" => ListKind::Changes,
         "X" => return Ok(Message::DiscoveryFailed(fields.instance()?)),
@@ -130,7 +130,7 @@
         kind: fields.find("familyType").unwrap_or_default().into(),
         group: GroupId(fields.number_or_zero("pack")?),
         readiness: match fields.text("readiness")? {
-            "U" => Readiness::Up,
+            "U" => Readiness::Serving,
             "L" => Readiness::Draining,
             "D" => Readiness::Removed,
             other => return Err(fields.out_of_range("readiness", other, "is not known")),
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -1,7 +1,7 @@
 //! The pauses between calls of discovery.
 
 use balancer_sidecar::discovery::Backoff;
-use balancer_sidecar::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
+use balancer_sidecar::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
 use std::time::Duration;
 
 const SEEDS: std::ops::Range<u64> = 0..200;
@@ -32,17 +32,17 @@
         AT_ONCE,
         Duration::from_secs(2),
         DISCOVERY_TIMEOUT,
-        NEXT_CALL_WITHIN,
-        10 * NEXT_CALL_WITHIN,
+        MAX_CALL_INTERVAL,
+        10 * MAX_CALL_INTERVAL,
     ] {
         for pause in SEEDS.flat_map(|seed| pauses(seed, took)) {
             assert!(pause >= shortest, "{pause:?} after {took:?}");
             assert!(
-                pause + DISCOVERY_TIMEOUT <= CHANGE_DEADLINE,
+                pause + DISCOVERY_TIMEOUT <= CHANGE_PROPAGATION_DEADLINE,
                 "{pause:?} after {took:?}"
             );
             assert!(
-                pause <= soon || took + pause <= NEXT_CALL_WITHIN,
+                pause <= soon || took + pause <= MAX_CALL_INTERVAL,
                 "{pause:?} after {took:?}"
             );
         }
@@ -100,7 +100,7 @@
         for _ in 0..FAILURES {
             let time = backoff.time_to_next_call();
             assert!(
-                (DISCOVERY_TIMEOUT..=NEXT_CALL_WITHIN).contains(&time),
+                (DISCOVERY_TIMEOUT..=MAX_CALL_INTERVAL).contains(&time),
                 "{time:?}"
             );
         }
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -27,10 +27,10 @@
         );
         out.clear();
         balancer.handle(first, Event::Timer { token }, &mut out);
-        assert!(out.contains(&Action::Subscribe(true)));
+        assert!(out.contains(&Action::Subscribe));
         out.clear();
         balancer.handle(first, Event::DiscoveryFailed, &mut out);
-        assert!(!out.contains(&Action::Subscribe(true)), "not at once");
+        assert!(!out.contains(&Action::Subscribe), "not at once");
         times.push((timers(&out)[0].0.since(first), first));
     }
     assert!(times.iter().all(|(again, _)| *again < ms(10_000)));
@@ -48,7 +48,7 @@
             let mut set = settings();
             (set.discovery, set.rules.poll_interval) = (DiscoveryMode::OnRequest, ms(within));
             let mut host = Host::new(set, listings(1));
-            host.members(ListKind::Snapshot, listings(1));
+            host.members(ListKind::Full, listings(1));
             let actions = host.discovery_failed();
             let again = timers(&actions)
                 .iter()
@@ -80,13 +80,13 @@
                 host.now = asks;
                 assert!(
                     host.tell(Event::Timer { token })
-                        .contains(&Action::Subscribe(true))
+                        .contains(&Action::Subscribe)
                 );
                 host.now = asks + took;
                 actions = host.discovery_failed();
                 let (again, _) = *timers(&actions).last().expect("a time to ask again");
                 let since = again.since(asks);
-                let in_time = since + for_the_answer <= CHANGE_DEADLINE;
+                let in_time = since + for_the_answer <= CHANGE_PROPAGATION_DEADLINE;
                 assert!(
                     in_time,
                     "{within} ms, {took:?} a call, {failed} failed: {since:?}"
@@ -113,9 +113,9 @@
         let given_up = begun + DISCOVERY_TIMEOUT;
         let (mut now, mut told) = (begun, false);
         // Its timers in their order, and in between the failure of the host's call.
-        while !(told && out.contains(&Action::Subscribe(true))) {
+        while !(told && out.contains(&Action::Subscribe)) {
             let next = timers(&out).into_iter().filter(|(at, _)| *at > now).min();
-            out.retain(|action| *action != Action::Subscribe(true));
+            out.retain(|action| *action != Action::Subscribe);
             match next.filter(|(at, _)| told || *at < given_up) {
                 Some((at, token)) => {
                     now = at;
@@ -129,7 +129,7 @@
         }
         let since = now.since(begun);
         assert!(
-            since + ms(1_000) <= CHANGE_DEADLINE,
+            since + ms(1_000) <= CHANGE_PROPAGATION_DEADLINE,
             "seed {seed}: {since:?}"
         );
     }
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -8,7 +8,7 @@
     host: &mut Host,
     requests: usize,
     outcome: Outcome,
-    depth: Option<f64>,
+    queue_length: Option<f64>,
 ) -> Vec<EndpointId> {
     let mut all = Vec::new();
     for _ in 0..requests {
@@ -28,8 +28,8 @@
         host.tell(Event::ClientDisconnected { request: id });
         for endpoint in probed(&actions) {
             all.push(endpoint.clone());
-            let report = depth.map(|d| LoadReport {
-                depth: Some(d),
+            let report = queue_length.map(|d| LoadReport {
+                queue_length: Some(d),
                 ..LoadReport::default()
             });
             host.tell(Event::HealthCheckEnded {
@@ -59,14 +59,14 @@
     );
     assert!(is_sent(&mut host, 0), "all are told to be empty");
     // A deep queue, and a probe that met one, throttle the least worthy; without a word the state lapses.
-    for (outcome, depth) in [
+    for (outcome, queue_length) in [
         (Outcome::Served, Some(2.0)),
         (Outcome::Rejected, None),
         (Outcome::TimedOut, None),
     ] {
         let mut host = health_check(0.01);
-        serve_and_answer(&mut host, 400, outcome, depth);
-        assert!(!is_sent(&mut host, 0), "{outcome:?} {depth:?}");
+        serve_and_answer(&mut host, 400, outcome, queue_length);
+        assert!(!is_sent(&mut host, 0), "{outcome:?} {queue_length:?}");
     }
     let mut host = health_check(0.01);
     serve_and_answer(&mut host, 400, Outcome::Reset, None);
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -22,7 +22,7 @@
         late_value: 0.0,
         idempotency,
         stream: false,
-        by_arrival: false,
+        is_key_ordered: false,
     }
 }
 
@@ -33,12 +33,12 @@
     };
     Settings {
         balancers: 4,
-        instance: PeerId(0),
+        peer_id: PeerId(0),
         zone: "a".into(),
         zones: 1,
         tier: 0,
         tiers: 1,
-        passes_deadline: true,
+        propagates_deadline: true,
         warm_keys: false,
         classes: vec![
             class("safe", 1.0, Idempotency::Idempotent),
@@ -89,7 +89,7 @@
         zone: zone.into(),
         kind: "box".into(),
         group: GroupId(group),
-        readiness: Readiness::Up,
+        readiness: Readiness::Serving,
         size: 1.0,
         started_at: None,
     }
@@ -178,10 +178,10 @@
         attempt: usize,
         outcome: Outcome,
         took: u64,
-        depth: f64,
+        queue_length: f64,
     ) -> Vec<Action> {
         let report = Some(LoadReport {
-            depth: Some(depth),
+            queue_length: Some(queue_length),
             ..LoadReport::default()
         });
         self.tell(Event::AttemptEnded(AttemptEnd {
@@ -195,14 +195,14 @@
     }
 
     /// Serves requests of the safe class until all endpoints have told of this depth.
-    pub fn soak(&mut self, rounds: usize, depth: f64) {
+    pub fn soak(&mut self, rounds: usize, queue_length: f64) {
         for _ in 0..rounds {
             let (id, actions) = self.request(1);
             self.now = self.now + ms(10);
             if sends(&actions).is_empty() {
                 continue;
             }
-            self.end(&id, 0, Outcome::Served, 10, depth);
+            self.end(&id, 0, Outcome::Served, 10, queue_length);
         }
     }
 }
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -7,7 +7,7 @@
 fn ordered() -> Host {
     let mut set = settings();
     set.rules.key_cooldown = Some(ms(50));
-    (set.classes[1].by_arrival, set.classes[3].by_arrival) = (true, true);
+    (set.classes[1].is_key_ordered, set.classes[3].is_key_ordered) = (true, true);
     Host::new(set, listings(6))
 }
 
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -14,7 +14,7 @@
     set.limits.parallel_attempts = parallel;
     (set.rules.drain_close, set.rules.key_cooldown) = (Some(ms(200)), Some(ms(50)));
     for c in &[1, 3, 4] {
-        set.classes[*c].by_arrival = true;
+        set.classes[*c].is_key_ordered = true;
     }
     set.prices.cross_zone = if seed.is_multiple_of(2) { 0.01 } else { 0.0 };
     set.discovery = if seed.is_multiple_of(3) {
@@ -36,7 +36,7 @@
         seed,
     };
     let mut arrived = 0;
-    let all = (0..6).map(|i| world.entry(i, Readiness::Up)).collect();
+    let all = (0..6).map(|i| world.entry(i, Readiness::Serving)).collect();
     world.members(ListKind::Cached, all);
     for step in steps {
         match step {
@@ -72,11 +72,11 @@
             Step::End {
                 pick,
                 outcome,
-                depth,
+                queue_length,
             } => {
                 let out = world.out();
                 if let Some((_, id, n)) = out.get(pick % out.len().max(1)).cloned() {
-                    world.end(&id, n, OUTCOMES[outcome], f64::from(depth));
+                    world.end(&id, n, OUTCOMES[outcome], f64::from(queue_length));
                 }
             }
             Step::Gone { pick } => {
@@ -95,9 +95,9 @@
                 endpoint,
                 readiness,
             } => {
-                let readiness = [Readiness::Up, Readiness::Draining, Readiness::Removed]
+                let readiness = [Readiness::Serving, Readiness::Draining, Readiness::Removed]
                     [usize::from(readiness)];
-                world.up[endpoint] = readiness == Readiness::Up;
+                world.up[endpoint] = readiness == Readiness::Serving;
                 world.told(endpoint, readiness);
                 let entry = world.entry(endpoint, readiness);
                 world.members(ListKind::Changes, vec![entry]);
@@ -110,21 +110,21 @@
                         if i == missing {
                             Readiness::Removed
                         } else {
-                            Readiness::Up
+                            Readiness::Serving
                         },
                     );
                 });
                 let list = (0..6)
                     .filter(|i| *i != missing)
-                    .map(|i| world.entry(i, Readiness::Up))
+                    .map(|i| world.entry(i, Readiness::Serving))
                     .collect();
-                world.members(ListKind::Snapshot, list);
+                world.members(ListKind::Full, list);
             }
             Step::Restart { endpoint } => {
                 world.since[endpoint] = Some(world.now);
                 world.up[endpoint] = true;
-                world.told(endpoint, Readiness::Up);
-                let entry = world.entry(endpoint, Readiness::Up);
+                world.told(endpoint, Readiness::Serving);
+                let entry = world.entry(endpoint, Readiness::Serving);
                 world.members(ListKind::Changes, vec![entry]);
             }
             Step::LostNews => world.discovery_failed(),
@@ -143,13 +143,13 @@
     // Each book is empty again, however requests and attempts ended: nothing was freed twice, or not at all.
     world.tell(Event::Timer { token: 0 });
     let BalancerStatus {
-        open,
+        pending,
         queued,
         in_flight,
         ..
     } = world.balancer.status(world.now);
     assert_eq!(
-        (open, queued, in_flight),
+        (pending, queued, in_flight),
         (0, 0, 0),
         "open, held and in flight"
     );
--- a/tests/policy/legal_model.rs
+++ b/tests/policy/legal_model.rs
@@ -17,7 +17,7 @@
     End {
         pick: usize,
         outcome: usize,
-        depth: u8,
+        queue_length: u8,
     },
     Gone {
         pick: usize,
@@ -44,7 +44,7 @@
     let step = prop_oneof![
         6 => (0..5usize, 1..2500u64, prop::option::of(0..200u64), prop::option::of(0..3u8))
             .prop_map(|(class, left, hint, key)| Step::Arrive { class, left, hint, key }),
-        8 => (0..64usize, 0..8usize, 0..6u8).prop_map(|(pick, outcome, depth)| Step::End { pick, outcome, depth }),
+        8 => (0..64usize, 0..8usize, 0..6u8).prop_map(|(pick, outcome, queue_length)| Step::End { pick, outcome, queue_length }),
         1 => (0..64usize).prop_map(|pick| Step::Gone { pick }),
         1 => (0..6usize, 0..3u8).prop_map(|(endpoint, readiness)| Step::Ready { endpoint, readiness }),
         1 => (0..6usize).prop_map(|missing| Step::List { missing }),
@@ -122,7 +122,7 @@
     ours: &Known,
     now: Timestamp,
 ) {
-    let takes_turns = |k: &Known| set.classes[k.class].by_arrival && k.key.is_some();
+    let takes_turns = |k: &Known| set.classes[k.class].is_key_ordered && k.key.is_some();
     if !takes_turns(ours) {
         return;
     }
@@ -282,7 +282,7 @@
                     .expect("an endpoint that was listed");
                 self.links[e].idle = false;
             }
-            Action::Subscribe(_) | Action::FetchList | Action::Log(_) => {}
+            Action::Subscribe | Action::Unsubscribe | Action::FetchList | Action::Log(_) => {}
         }
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// Ends an attempt with this outcome, and tells the module.
-    pub fn end(&mut self, id: &RequestId, attempt: usize, outcome: Outcome, depth: f64) {
+    pub fn end(&mut self, id: &RequestId, attempt: usize, outcome: Outcome, queue_length: f64) {
         let now = self.now;
         let known = self.requests.get_mut(id).expect("known");
         known.tries[attempt].ended = Some((outcome, now));
@@ -308,7 +308,7 @@
         known.over |= outcome == Outcome::Served;
         let request_ended = known.over;
         let report = Some(LoadReport {
-            depth: Some(depth),
+            queue_length: Some(queue_length),
             ..LoadReport::default()
         });
         self.tell(Event::AttemptEnded(AttemptEnd {
@@ -391,7 +391,7 @@
         self.links = vec![Links::default(); 6];
         let all = (0..6)
             .filter(|i| self.up[*i])
-            .map(|i| self.entry(i, Readiness::Up))
+            .map(|i| self.entry(i, Readiness::Serving))
             .collect();
         self.members(ListKind::Cached, all);
     }
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -12,7 +12,7 @@
     for (kind, entries) in [
         (ListKind::Changes, vec![with(Readiness::Draining)]),
         (ListKind::Changes, vec![with(Readiness::Removed)]),
-        (ListKind::Snapshot, vec![listing("e1", "a", 0)]),
+        (ListKind::Full, vec![listing("e1", "a", 0)]),
     ] {
         let mut host = Host::new(settings(), listings(2));
         let (id, actions) = host.request(0);
@@ -63,14 +63,14 @@
         "after its outcome"
     );
     // Gone meanwhile: it is still the drain that was told of.
-    host.members(ListKind::Changes, with(Readiness::Up));
+    host.members(ListKind::Changes, with(Readiness::Serving));
     let (id, actions) = host.request(0);
     assert_eq!(sends(&actions), std::slice::from_ref(&e0));
     host.members(ListKind::Changes, with(Readiness::Draining));
-    host.members(ListKind::Snapshot, Vec::new());
+    host.members(ListKind::Full, Vec::new());
     assert_eq!(closes(&host.end(&id, 0, Outcome::Reset, 1, 0.0)), [e0]);
     // Back up: nothing is closed any more.
-    host.members(ListKind::Changes, with(Readiness::Up));
+    host.members(ListKind::Changes, with(Readiness::Serving));
     host.now = host.now + ms(20_000);
     let (id, actions) = host.request(1);
     assert_eq!(sends(&actions).len(), 1);
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -23,7 +23,7 @@
         "its idle connections go"
     );
     assert_eq!(got(&mut host, "e1", 60), 0);
-    host.members(ListKind::Snapshot, listings(3));
+    host.members(ListKind::Full, listings(3));
     let restarted = EndpointEntry {
         started_at: Some(at(0)),
         ..listing("e1", "a", 0)
@@ -31,13 +31,13 @@
     host.members(ListKind::Changes, vec![restarted]);
     assert_eq!(got(&mut host, "e1", 60), 0);
     host.members(
-        ListKind::Snapshot,
+        ListKind::Full,
         listings(3)
             .into_iter()
             .filter(|l| l.endpoint != "e1".into())
             .collect(),
     );
-    host.members(ListKind::Snapshot, listings(3));
+    host.members(ListKind::Full, listings(3));
     assert_eq!(
         got(&mut host, "e1", 60),
         0,
@@ -47,7 +47,10 @@
     ban(&mut host, "e1", false);
     assert!(got(&mut host, "e1", 200) > 0, "one call back undoes both");
     ban(&mut host, "never-listed", false);
-    assert!(host.balancer.knows(&"e1".into()) && !host.balancer.knows(&"never-listed".into()));
+    assert!(
+        host.balancer.is_listed_or_disabled(&"e1".into())
+            && !host.balancer.is_listed_or_disabled(&"never-listed".into())
+    );
 }
 
 /// Guards held calls and retries: neither finds its way to an endpoint that has been taken out meanwhile.
@@ -109,7 +112,7 @@
         after > 0 && after * 3 < before * 2,
         "{after} of 200, {before} when it was warm"
     );
-    host.members(ListKind::Snapshot, listings(4));
+    host.members(ListKind::Full, listings(4));
     let later = got(&mut host, "e1", 200);
     assert!(
         later * 5 < before * 6,
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -4,12 +4,12 @@
 use balancer_sidecar::policy::*;
 
 /// Tells the one endpoint's queue by serving a request of the worthier class, then asks what each class does.
-fn told(host: &mut Host, depth: f64) {
+fn told(host: &mut Host, queue_length: f64) {
     for _ in 0..40 {
         host.now = host.now + ms(50);
         let (id, actions) = host.request(1);
         if sends(&actions).len() == 1 {
-            host.end(&id, 0, Outcome::Served, 50, depth);
+            host.end(&id, 0, Outcome::Served, 50, queue_length);
             return;
         }
         host.tell(Event::ClientDisconnected { request: id });
@@ -66,19 +66,19 @@
     for n in 0..30 {
         host.now = host.now + ms(20);
         if n == 5 {
-            host.members(ListKind::Snapshot, listings(3)); // the subset is all three once the rate is known
+            host.members(ListKind::Full, listings(3)); // the subset is all three once the rate is known
         }
         let (id, actions) = host.request(1);
         let to = sends(&actions)[0].clone();
         if n >= 10 {
             assert_eq!(to, EndpointId::from("e2"), "the one that told of no queue");
         }
-        let depth = if to == EndpointId::from("e2") {
+        let queue_length = if to == EndpointId::from("e2") {
             0.0
         } else {
             0.25
         };
-        host.end(&id, 0, Outcome::Served, 20, depth);
+        host.end(&id, 0, Outcome::Served, 20, queue_length);
         last = Some(to);
     }
     assert!(last.is_some());
@@ -118,7 +118,7 @@
             let (id, actions) = host.request(0);
             *sent += sends(&actions).len();
             let report = LoadReport {
-                depth: Some(0.0),
+                queue_length: Some(0.0),
                 utilisation: Some(busy),
                 ..LoadReport::default()
             };
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -38,7 +38,7 @@
         assert_eq!(answered(&actions, &high), 0);
     }
     assert!(!shed.is_empty(), "past the queue limit the low ones go");
-    let actions = host.members(ListKind::Snapshot, listings(4));
+    let actions = host.members(ListKind::Full, listings(4));
     let first = actions.iter().find_map(|a| match a {
         Action::Send { request, .. } => Some(request.clone()),
         _ => None,
@@ -65,7 +65,7 @@
             "nothing is owed or out"
         );
         let census = host.balancer.status(host.now);
-        assert_eq!((census.queued, census.open), (1, 1));
+        assert_eq!((census.queued, census.pending), (1, 1));
         host.tell(Event::ClientDisconnected { request: id });
     }
     let actions = host.members(ListKind::Changes, listings(1));
@@ -77,7 +77,7 @@
     let mut set = two_levels();
     let tenant = |name: &str, share| Tenant {
         name: name.into(),
-        share,
+        quota_share: share,
         quota_per_s: 10.0,
     };
     set.tenants = vec![tenant("small", 0.1), tenant("large", 0.9)];
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -40,8 +40,8 @@
 
 fn report() -> impl Strategy<Value = Option<LoadReport>> {
     prop::option::of((number(), number(), number())).prop_map(|r| {
-        r.map(|(depth, in_flight, busy)| LoadReport {
-            depth: Some(depth),
+        r.map(|(queue_length, in_flight, busy)| LoadReport {
+            queue_length: Some(queue_length),
             in_flight: Some(in_flight),
             utilisation: Some(busy),
             ..LoadReport::default()
@@ -51,12 +51,12 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let kind = prop_oneof![
-        Just(ListKind::Snapshot),
+        Just(ListKind::Full),
         Just(ListKind::Cached),
         Just(ListKind::Changes)
     ];
     let ready = prop_oneof![
-        Just(Readiness::Up),
+        Just(Readiness::Serving),
         Just(Readiness::Draining),
         Just(Readiness::Removed)
     ];
@@ -148,7 +148,7 @@
     (0..n)
         .map(|n| Tenant {
             name: format!("t{n}"),
-            share: 0.0,
+            quota_share: 0.0,
             quota_per_s: 0.0,
         })
         .collect()
@@ -167,7 +167,10 @@
     TestRunner::new(config)
         .run(&input, |(seed, events)| {
             let mut set = settings();
-            (set.classes[1].by_arrival, set.classes[0].objective_per_work) = (true, 1e9);
+            (
+                set.classes[1].is_key_ordered,
+                set.classes[0].objective_per_work,
+            ) = (true, 1e9);
             set.rules.key_cooldown = Some(ms(50));
             set.rules.drain_close = Some(ms(50));
             set.discovery = if seed.is_multiple_of(2) {
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -60,7 +60,7 @@
     });
     assert_eq!(answered(&out, &plain) + answered(&out, &worthy), 0);
     let (newest, _) = host.request(ids[1].0);
-    let mut sent_to = host.members(ListKind::Snapshot, listings(4));
+    let mut sent_to = host.members(ListKind::Full, listings(4));
     for _ in 0..40 {
         host.now = host.now + ms(5);
         sent_to.extend(host.tell(Event::Timer { token: 0 }));
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -11,7 +11,7 @@
     for seed in 0..copies {
         let set = Settings {
             balancers: copies as u32,
-            instance: PeerId(seed as u32),
+            peer_id: PeerId(seed as u32),
             ..settings()
         };
         let mut balancer = Balancer::new(set, seed).expect("settings that make sense");
@@ -43,7 +43,7 @@
             all += to.len();
             cold += to.iter().filter(|e| **e == EndpointId::from("e3")).count();
             let report = Some(LoadReport {
-                depth: Some(0.0),
+                queue_length: Some(0.0),
                 ..LoadReport::default()
             });
             let took = ms(20);
@@ -99,13 +99,13 @@
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
         for to in sends(&actions) {
-            let depth = if to == EndpointId::from("e3") {
+            let queue_length = if to == EndpointId::from("e3") {
                 0.0
             } else {
                 5.0
             };
-            cold += usize::from(depth == 0.0);
-            host.end(&id, 0, Outcome::Served, 5, depth);
+            cold += usize::from(queue_length == 0.0);
+            host.end(&id, 0, Outcome::Served, 5, queue_length);
         }
         host.tell(Event::ClientDisconnected { request: id });
     }
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -29,7 +29,7 @@
     Ends {
         attempt: Attempt,
         outcome: Outcome,
-        depth: Option<f64>,
+        queue_length: Option<f64>,
     },
     Timer {
         instance: usize,
@@ -223,8 +223,8 @@
             Step::Ends {
                 attempt,
                 outcome,
-                depth,
-            } => self.end(attempt, outcome, depth),
+                queue_length,
+            } => self.end(attempt, outcome, queue_length),
         }
     }
 
@@ -233,7 +233,7 @@
     pub fn start(&mut self, instance: usize) {
         let set = Settings {
             balancers: INSTANCES as u32,
-            instance: PeerId(instance as u32),
+            peer_id: PeerId(instance as u32),
             classes: vec![class("safe", 1.0, Idempotency::Idempotent)],
             rules: self.scenario.rules.clone(),
             ..settings()
@@ -359,14 +359,14 @@
             Step::Ends {
                 attempt: attempt.clone(),
                 outcome: Outcome::TimedOut,
-                depth: None,
+                queue_length: None,
             },
         );
         self.after(NETWORK_DELAY, Step::Reaches(attempt));
     }
 
     /// Ends an attempt, unless it has ended before.
-    pub fn end(&mut self, attempt: Attempt, outcome: Outcome, depth: Option<f64>) {
+    pub fn end(&mut self, attempt: Attempt, outcome: Outcome, queue_length: Option<f64>) {
         let Some(open) = self.open.get_mut(&attempt.request) else {
             return;
         };
@@ -378,8 +378,8 @@
         if request_ended {
             self.open.remove(&attempt.request);
         }
-        let report = depth.map(|depth| LoadReport {
-            depth: Some(depth),
+        let report = queue_length.map(|queue_length| LoadReport {
+            queue_length: Some(queue_length),
             ..LoadReport::default()
         });
         let ended = AttemptEnd {
@@ -434,7 +434,7 @@
             Step::Ends {
                 attempt,
                 outcome,
-                depth: Some(waiting as f64),
+                queue_length: Some(waiting as f64),
             },
         );
     }
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -33,7 +33,7 @@
     let used = |me| {
         let set = Settings {
             balancers: 40,
-            instance: PeerId(me),
+            peer_id: PeerId(me),
             ..settings()
         };
         let mut host = Host::new(set, entries.to_vec());
--- a/tests/policy/warming_tier.rs
+++ b/tests/policy/warming_tier.rs
@@ -52,7 +52,7 @@
     let mut host = Host::new(settings(), listings(4));
     attempts(&mut host, 100, &[]);
     let all: Vec<EndpointEntry> = (0..4).map(|n| started(&host, &format!("e{n}"))).collect();
-    host.members(ListKind::Snapshot, all);
+    host.members(ListKind::Full, all);
     let sent = attempts(&mut host, 200, &[]);
     assert!(sent.len() > 100, "{} of 200 requests were sent", sent.len());
     for name in ["e0", "e1", "e2", "e3"] {
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -347,7 +347,7 @@
         "report_failure sidecarId=sidecar/3 xid=r\n"
     );
     assert_eq!(
-        written(Action::Subscribe(false)),
+        written(Action::Unsubscribe),
         "track sidecarId=sidecar/3 active=0\n"
     );
     assert_eq!(written(Action::FetchList), "fetch sidecarId=sidecar/3\n");
@@ -392,7 +392,7 @@
         (plain.rules.drain_close, plain.rules.key_cooldown),
         (None, None)
     );
-    assert!(plain.classes.iter().all(|c| !c.by_arrival));
+    assert!(plain.classes.iter().all(|c| !c.is_key_ordered));
     let further = params(0)
         .replace(
             "\"rules\": {",
@@ -409,7 +409,7 @@
         further
             .classes
             .iter()
-            .map(|c| c.by_arrival)
+            .map(|c| c.is_key_ordered)
             .collect::<Vec<_>>(),
         [false, true]
     );
