--- a/fleet-lab/src/sidecar/hollow/member.rs
+++ b/fleet-lab/src/sidecar/hollow/member.rs
@@ -102,7 +102,7 @@
         let known = plan.known_list();
         let asks_at_once = known.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
         if let Some(known) = known {
-            member.borrow().membership.assume_version(known.index);
+            member.borrow().membership.set_cached_version(known.index);
             member.learn(known, ListKind::Cached);
         }
         if asks_at_once {
@@ -127,7 +127,7 @@
                 address: plan.discovery,
                 generation,
             };
-            let has_spoken = member.membership.forget_version();
+            let has_spoken = member.membership.clear_version();
             let watch = member.watch.take();
             if has_spoken {
                 member.watch_before = watch;
--- a/fleet-lab/src/sidecar/hollow/member/discovery.rs
+++ b/fleet-lab/src/sidecar/hollow/member/discovery.rs
@@ -4,7 +4,7 @@
 use super::super::task::Task;
 use super::{Identity, Member, MemberHandle};
 use balancer_sidecar::discovery::{
-    self, DiscoveryError, EndpointList, ListConsumer, OlderList, Source,
+    self, DiscoveryError, EndpointList, ListConsumer, Source, StaleListError,
 };
 use balancer_sidecar::policy::{DiscoveryMode, Event, ListKind};
 use std::fmt;
@@ -39,7 +39,7 @@
     pub(super) fn begin_watch(&mut self, handle: &MemberHandle) {
         let (consumer, source) = (handle.clone(), self.source);
         self.watch = Some(match self.settings.discovery {
-            DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
+            DiscoveryMode::Pushed => Task::spawn(discovery::watch_agent(consumer, source)),
             DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
                 consumer,
                 source,
@@ -65,7 +65,7 @@
             .filter(|_| source == member.source)
     }
 
-    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
+    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), StaleListError> {
         let mut member = self.borrow();
         if source == member.source {
             member.membership.accept(&mut list)?;
--- a/fleet-lab/src/sidecar/hollow/plan.rs
+++ b/fleet-lab/src/sidecar/hollow/plan.rs
@@ -3,7 +3,7 @@
 use crate::discovery::{EndpointEntry, EndpointStatus};
 use crate::sidecar::configuration::SidecarConfiguration;
 use balancer_sidecar::configuration::settings_document::parse_settings;
-use balancer_sidecar::discovery::{EndpointList, Entry, Status};
+use balancer_sidecar::discovery::{EndpointList, EntryStatus, ListEntry};
 use balancer_sidecar::policy::Settings;
 use serde_json::Value;
 use std::io;
@@ -57,17 +57,17 @@
 }
 
 /// An entry in the form of the discovery client.
-fn client_entry(entry: &EndpointEntry) -> Entry {
-    Entry {
+fn client_entry(entry: &EndpointEntry) -> ListEntry {
+    ListEntry {
         name: entry.name.clone(),
         address: entry.address,
         zone: entry.zone.to_string(),
         kind: entry.kind.clone(),
         group: entry.group,
         status: match entry.status {
-            EndpointStatus::Serving => Status::Serving,
-            EndpointStatus::Draining => Status::Draining,
-            EndpointStatus::Deleted => Status::Deleted,
+            EndpointStatus::Serving => EntryStatus::Serving,
+            EndpointStatus::Draining => EntryStatus::Draining,
+            EndpointStatus::Deleted => EntryStatus::Deleted,
         },
         weight: entry.weight,
         since_ms: entry.since_ms,
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -5,14 +5,14 @@
 use crate::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
 use std::time::Duration;
 
-/// Its mean is 0.3 s after the first failure in a row, and so often doubled as long as [`LONGEST_PAUSE`] allows.
-const AFTER_FAILURE: ExponentialBackoff = ExponentialBackoff {
+/// Its mean is 0.3 s after the first failure in a row, and so often doubled as long as [`MAX_DELAY`] allows.
+const FAILURE_BACKOFF: ExponentialBackoff = ExponentialBackoff {
     first: 0.3,
     max_doublings: 2,
 };
 /// The longest pause: a call that follows one that failed at once can be waited for as long as any before a change has
 /// to be in force. Longer pauses put off all sidecars after an outage, and only a discovery that turns calls away gains.
-const LONGEST_PAUSE: Duration = CHANGE_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
+const MAX_DELAY: Duration = CHANGE_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
 
 /// Pauses between calls of discovery: exponential backoff with jitter after failures, and the time after which a call
 /// that has no answer yet gets another beside it. Each caller has a seed of its own, so that a fleet that lost
@@ -40,9 +40,9 @@
 
     /// The pause after a call that failed after this long. Its mean doubles with each failure in a row, up to a longest
     /// pause and as far as the next call still begins within [`NEXT_CALL_WITHIN`] of the beginning of the failed one.
-    pub fn pause_after(&mut self, took: Duration) -> Duration {
-        let longest = LONGEST_PAUSE.min(NEXT_CALL_WITHIN.saturating_sub(took));
-        let pause = AFTER_FAILURE.pause(self.failures, longest.as_secs_f64(), self.random.unit());
+    pub fn delay_after(&mut self, took: Duration) -> Duration {
+        let longest = MAX_DELAY.min(NEXT_CALL_WITHIN.saturating_sub(took));
+        let pause = FAILURE_BACKOFF.pause(self.failures, longest.as_secs_f64(), self.random.unit());
         self.failures = self.failures.saturating_add(1);
         Duration::from_secs_f64(pause)
     }
@@ -50,7 +50,7 @@
     /// The time from the beginning of a call that is not answered to that of another beside it: from
     /// [`DISCOVERY_TIMEOUT`] to [`NEXT_CALL_WITHIN`]. It cannot grow: the calls that are out may have been lost on the
     /// network, and discovery may be reachable again.
-    pub fn time_to_next_call(&mut self) -> Duration {
+    pub fn hedge_delay(&mut self) -> Duration {
         let spread = NEXT_CALL_WITHIN - DISCOVERY_TIMEOUT;
         DISCOVERY_TIMEOUT + spread.mul_f64(self.random.unit())
     }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -3,8 +3,8 @@
 use super::backoff::Backoff;
 use super::consumer::ListConsumer;
 use super::error::DiscoveryError;
+use super::hedged_call;
 use super::list::EndpointList;
-use super::patient_call;
 use super::source::Source;
 use crate::policy::DISCOVERY_TIMEOUT;
 use bytes::{Buf, BytesMut};
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// The longest list or change of it that is taken, in bytes. The largest fleets need a fiftieth of it.
-const LONGEST_LIST: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 /// The path of the whole list.
 const LIST_PATH: &str = "/v1/endpoints";
 
@@ -31,7 +31,7 @@
 
 /// Follows an agent that pushes lists, without end. Nobody else decides there when it is called again. It says nothing
 /// while discovery is down, so that is not told to the consumer.
-pub async fn follow_agent<C: ListConsumer>(consumer: C, source: Source) {
+pub async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     loop {
         let begun = Instant::now();
@@ -48,14 +48,14 @@
         } else {
             begun.elapsed()
         };
-        sleep(backoff.pause_after(took)).await;
+        sleep(backoff.delay_after(took)).await;
     }
 }
 
 /// Asks for the whole list once.
 pub async fn fetch<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
-    let received = match whole_list(&consumer, source, &mut backoff).await {
+    let received = match fetch_full_list(&consumer, source, &mut backoff).await {
         Ok(list) => consumer
             .list_received(source, list)
             .map_err(DiscoveryError::from),
@@ -68,18 +68,18 @@
     }
 }
 
-async fn whole_list<C: ListConsumer>(
+async fn fetch_full_list<C: ListConsumer>(
     consumer: &C,
     source: Source,
     backoff: &mut Backoff,
 ) -> Result<EndpointList, DiscoveryError> {
-    let body = patient_call::ask(source.address, LIST_PATH, backoff, || {
-        consumer.call_is_late(source);
+    let body = hedged_call::fetch_with_hedging(source.address, LIST_PATH, backoff, || {
+        consumer.call_hedged(source);
     })
     .await?;
     let body = timeout(
         DISCOVERY_TIMEOUT,
-        Limited::new(body, LONGEST_LIST).collect(),
+        Limited::new(body, MAX_LIST_BYTES).collect(),
     )
     .await?;
     let body = body.map_err(limited_body_error)?;
@@ -137,15 +137,15 @@
     let since = match since {
         Some(since) => since,
         None => {
-            let list = whole_list(consumer, source, backoff).await?;
+            let list = fetch_full_list(consumer, source, backoff).await?;
             let since = list.index;
             consumer.list_received(source, list)?;
             since
         }
     };
     let path = format!("{LIST_PATH}?follow=1&since={since}");
-    let body = patient_call::ask(source.address, &path, backoff, || {
-        consumer.call_is_late(source);
+    let body = hedged_call::fetch_with_hedging(source.address, &path, backoff, || {
+        consumer.call_hedged(source);
     })
     .await?;
     consumer.watch_opened(source);
@@ -183,7 +183,7 @@
         if read > 0 || unread.is_empty() {
             silent_from = Instant::now();
         }
-        if unread.len() > LONGEST_LIST {
+        if unread.len() > MAX_LIST_BYTES {
             return Err(DiscoveryError::TooLong);
         }
     }
--- a/src/discovery/consumer.rs
+++ b/src/discovery/consumer.rs
@@ -1,6 +1,6 @@
 //! Who hears of lists, watches and failures.
 
-use super::error::{DiscoveryError, OlderList};
+use super::error::{DiscoveryError, StaleListError};
 use super::list::EndpointList;
 use super::source::Source;
 use std::fmt;
@@ -14,7 +14,7 @@
     ///
     /// # Errors
     /// It is older than what the source told before, and nothing of it is taken.
-    fn list_received(&self, source: Source, list: EndpointList) -> Result<(), OlderList>;
+    fn list_received(&self, source: Source, list: EndpointList) -> Result<(), StaleListError>;
 
     /// A watch is open.
     fn watch_opened(&self, source: Source);
@@ -29,7 +29,7 @@
     fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {}
 
     /// A call has no answer yet, and another is made beside it; for consumers that count or log them.
-    fn call_is_late(&self, _source: Source) {}
+    fn call_hedged(&self, _source: Source) {}
 
     /// The seed of the jitter between calls: another for each sidecar of a fleet, lest they call in step.
     fn jitter_seed(&self) -> u64;
--- a/src/discovery/error.rs
+++ b/src/discovery/error.rs
@@ -1,41 +1,41 @@
-//! What can go wrong with a call of discovery.
+//! Errors of the discovery client.
 
 use hyper::StatusCode;
 use std::io;
 
-/// A list that is older than its source's last one.
+/// A list was rejected because its version is older than that of its source's last list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("it tells what is older than what it told before")]
-pub struct OlderList;
+#[error("the list is older than the previous one")]
+pub struct StaleListError;
 
 /// Why a call of discovery failed, or a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// No connection could be made.
-    #[error(transparent)]
-    Connect(io::Error),
-    /// The request could not be formed.
-    #[error(transparent)]
+    /// The connection could not be established.
+    #[error("cannot connect: {0}")]
+    Connect(#[source] io::Error),
+    /// The request could not be built.
+    #[error("cannot build the request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The connection broke, or did not speak HTTP.
-    #[error(transparent)]
+    /// The connection broke, or the peer does not speak HTTP.
+    #[error("HTTP exchange failed: {0}")]
     Http(#[from] hyper::Error),
-    /// It answered with another status than 200.
-    #[error("discovery answered {0}")]
+    /// The response has a status other than 200.
+    #[error("unexpected response status {0}")]
     Status(StatusCode),
-    /// Nothing came for as long as [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT).
-    #[error("deadline has elapsed")]
+    /// Nothing was received within [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT).
+    #[error("timed out")]
     TimedOut(#[from] tokio::time::error::Elapsed),
-    /// It ended the watch.
-    #[error("discovery closed it")]
+    /// Discovery ended the watch.
+    #[error("closed by discovery")]
     Closed,
-    /// What came is no list.
-    #[error(transparent)]
+    /// A message is not an endpoint list.
+    #[error("malformed list: {0}")]
     Json(#[from] serde_json::Error),
-    /// A list is longer than any fleet needs.
-    #[error("a list is too long")]
+    /// A message exceeds the maximum size of a list.
+    #[error("the list exceeds the maximum size")]
     TooLong,
-    /// A list is older than the one before.
+    /// A list is older than the previous one.
     #[error(transparent)]
-    OlderList(#[from] OlderList),
+    StaleList(#[from] StaleListError),
 }
--- a/src/discovery/patient_call.rs
+++ b/src/discovery/hedged_call.rs
@@ -25,24 +25,24 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Calls that are out at once: the oldest, which is the next in turn, and the newest.
-const MOST_CALLS: usize = 2;
+const MAX_CONCURRENT_CALLS: usize = 2;
 /// A call without an answer gives its place to the next after this long. One that was lost on the network is never
 /// answered, and while it is kept the newest is made anew before a long queue comes to its turn. A queue in which 500
 /// sidecars wait for a discovery that answers 20 calls a second is shorter.
-const LONGEST_KEPT: Duration = Duration::from_secs(30);
+const MAX_CALL_AGE: Duration = Duration::from_secs(30);
 
 /// Asks discovery for a path until a call is answered, or every call that is out has failed. `late` is told of each
 /// further call that is made because none was answered in time.
-pub(super) async fn ask(
+pub(super) async fn fetch_with_hedging(
     address: SocketAddr,
     path: &str,
     backoff: &mut Backoff,
     late: impl Fn(),
 ) -> Result<Incoming, DiscoveryError> {
-    let mut calls = CallsOut::default();
+    let mut calls = OutstandingCalls::default();
     loop {
         calls.begin(address, path);
-        let next_call = Instant::now() + backoff.time_to_next_call();
+        let next_call = Instant::now() + backoff.hedge_delay();
         loop {
             tokio::select! {
                 biased;
@@ -60,7 +60,7 @@
 
 /// The calls that are out, oldest first.
 #[derive(Default)]
-struct CallsOut(VecDeque<Call>);
+struct OutstandingCalls(VecDeque<Call>);
 
 /// A call without an answer. Dropped, it closes its connection.
 struct Call {
@@ -70,13 +70,13 @@
     answer: Pin<Box<dyn Future<Output = Result<Incoming, DiscoveryError>>>>,
 }
 
-impl CallsOut {
+impl OutstandingCalls {
     /// Begins a call and drops those that it replaces: all but the oldest that waits for its turn.
     fn begin(&mut self, address: SocketAddr, path: &str) {
         let keeps_place =
-            |call: &Call| call.is_connected.get() && call.begun.elapsed() < LONGEST_KEPT;
+            |call: &Call| call.is_connected.get() && call.begun.elapsed() < MAX_CALL_AGE;
         self.0.retain(keeps_place);
-        self.0.truncate(MOST_CALLS - 1);
+        self.0.truncate(MAX_CONCURRENT_CALLS - 1);
         self.0.push_back(Call::begin(address, path));
     }
 
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -1,80 +1,85 @@
-//! Discovery's messages.
+//! The messages of the discovery protocol, as they are sent in JSON.
 
 use crate::policy::{EndpointEntry, GroupId, Readiness, Timestamp};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One message of discovery: the whole list, or what has changed.
+/// One message of discovery: the full endpoint list, or the changes since an earlier version.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list; it grows with each change.
     pub index: u64,
-    /// It is the whole list.
+    /// Whether `endpoints` is the full list. Otherwise it holds only the entries that have changed.
     pub snapshot: bool,
-    /// The endpoints in it.
-    pub endpoints: Vec<Entry>,
+    /// The endpoints, or those of them that have changed.
+    pub endpoints: Vec<ListEntry>,
 }
 
-/// An endpoint in discovery's form.
+/// One endpoint in a message of discovery.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-pub struct Entry {
-    /// Its name, identical at every sidecar.
+pub struct ListEntry {
+    /// The endpoint's name, which is the same at every sidecar.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the endpoint listens; it may differ between sidecars.
     #[schemars(with = "String")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone in which the endpoint runs.
     pub zone: String,
-    /// What sort of machine it is.
+    /// The machine type of the endpoint.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The group of endpoints that it belongs to.
+    /// The number of the endpoint's group.
     pub group: u64,
-    /// Whether it takes work.
-    pub status: Status,
-    /// Its weight.
+    /// Whether the endpoint takes requests.
+    pub status: EntryStatus,
+    /// The endpoint's weight relative to the others.
     pub weight: f64,
-    /// Its last start in Unix time; 0 for long ago.
+    /// The endpoint's last start in Unix time, in milliseconds; 0 if it started long ago.
     pub since_ms: u64,
 }
 
-/// Whether an endpoint takes work, as discovery lists it.
+/// Whether an endpoint takes requests, according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum Status {
-    /// It does.
+pub enum EntryStatus {
+    /// The endpoint takes requests.
     Serving,
-    /// It finishes what it has.
+    /// The endpoint finishes its requests and takes no new ones.
     Draining,
-    /// It is no more; among changes only.
+    /// The endpoint has been removed. Only changes contain this status.
     Deleted,
 }
 
-impl Entry {
-    /// It does not serve again under the same start.
-    pub fn go_on_draining(&mut self) {
-        if self.status == Status::Serving {
-            self.status = Status::Draining;
+impl From<EntryStatus> for Readiness {
+    fn from(status: EntryStatus) -> Self {
+        match status {
+            EntryStatus::Serving => Readiness::Up,
+            EntryStatus::Draining => Readiness::Draining,
+            EntryStatus::Deleted => Readiness::Removed,
         }
     }
+}
 
-    /// The entry as the decision module knows it, on a clock that gives Unix time: starts need no mapping then.
+impl ListEntry {
+    /// Returns the time of the endpoint's last start, or `None` if it started long ago. The clock of the decision
+    /// module gives Unix time here, so the value needs no conversion between clocks.
     #[must_use]
-    pub fn endpoint_entry(&self) -> EndpointEntry {
+    pub fn started_at(&self) -> Option<Timestamp> {
+        (self.since_ms > 0).then(|| Timestamp::from_nanos(self.since_ms.saturating_mul(1_000_000)))
+    }
+}
+
+impl From<&ListEntry> for EndpointEntry {
+    fn from(entry: &ListEntry) -> Self {
         EndpointEntry {
-            endpoint: self.name.as_str().into(),
-            zone: self.zone.as_str().into(),
-            kind: self.kind.as_str().into(),
-            group: GroupId(self.group),
-            readiness: match self.status {
-                Status::Serving => Readiness::Up,
-                Status::Draining => Readiness::Draining,
-                Status::Deleted => Readiness::Removed,
-            },
-            size: self.weight,
-            started_at: (self.since_ms > 0)
-                .then(|| Timestamp::from_nanos(self.since_ms.saturating_mul(1_000_000))),
+            endpoint: entry.name.as_str().into(),
+            zone: entry.zone.as_str().into(),
+            kind: entry.kind.as_str().into(),
+            group: GroupId(entry.group),
+            readiness: entry.status.into(),
+            size: entry.weight,
+            started_at: entry.started_at(),
         }
     }
 }
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -1,77 +1,87 @@
-//! The endpoints that discovery lists, and the version of its list.
+//! The endpoints that discovery lists, and the version of their list.
 
-use super::error::OlderList;
-use super::list::{EndpointList, Entry};
+use super::error::StaleListError;
+use super::list::{EndpointList, EntryStatus, ListEntry};
 use crate::policy::{EndpointEntry, EndpointId, GroupId, ListKind, Readiness, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// The endpoints known, and the version of their list.
+/// The listed endpoints with their addresses, and the version of the list.
+///
+/// The decision module has an endpoint table of its own, which knows no addresses; [`Membership::update`] returns what
+/// it has to be notified of.
 #[derive(Debug, Default)]
 pub struct Membership {
     members: HashMap<EndpointId, Member>,
-    /// The version of the list that the present discovery gave; none of another's counts there.
+    /// The version of the last list from the current source. Versions of different sources are not comparable.
     version: Option<u64>,
-    /// Its last list was older than that, and was not believed.
-    has_told_older: bool,
+    /// Whether the last list from the current source was a full list that was rejected as stale.
+    has_rejected_stale_snapshot: bool,
 }
 
-/// What discovery last said of an endpoint.
+/// The last listed state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Whether it takes work.
+    /// Whether the endpoint takes requests.
     pub readiness: Readiness,
-    /// When its process started.
+    /// When the endpoint's process started, or `None` if that is long ago.
     pub started_at: Option<Timestamp>,
 }
 
-/// What a list changes.
+impl Member {
+    /// Returns whether both states are of the same process.
+    fn is_same_process(&self, other: &Member) -> bool {
+        self.address == other.address && self.started_at == other.started_at
+    }
+}
+
+/// The effect of a list on the membership.
 #[derive(Debug)]
 pub struct ListUpdate {
-    /// Its endpoints, as the decision module knows them.
+    /// The changed endpoints, in the form that the decision module takes.
     pub entries: Vec<EndpointEntry>,
-    /// Endpoints whose processes take no more work, or are others now: idle connections to them are of no use.
-    pub outdated: Vec<EndpointId>,
+    /// Endpoints that take no more requests or whose process was replaced. Idle connections to them must be closed.
+    pub stale_endpoints: Vec<EndpointId>,
 }
 
 impl Membership {
-    /// The version of the list that the present discovery gave.
+    /// Returns the version of the last list from the current source, if it has sent one.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Sets the version of a list that was known before discovery was asked.
-    pub fn assume_version(&mut self, version: u64) {
+    /// Sets the version of the cached list, which counts as the current source's until that sends a list.
+    pub fn set_cached_version(&mut self, version: u64) {
         self.version = Some(version);
     }
 
-    /// Forgets the version, as discovery has moved; tells whether there was one.
-    pub fn forget_version(&mut self) -> bool {
+    /// Clears the version because the source has changed, and returns whether there was one.
+    pub fn clear_version(&mut self) -> bool {
         self.version.take().is_some()
     }
 
-    /// What is known of an endpoint.
+    /// Returns the last listed state of an endpoint.
     #[must_use]
     pub fn get(&self, endpoint: &EndpointId) -> Option<&Member> {
         self.members.get(endpoint)
     }
 
-    /// How many endpoints are listed.
+    /// Returns the number of listed endpoints.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether none is listed.
+    /// Returns whether no endpoint is listed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The endpoints that take work, by the list.
+    /// Returns the endpoints that are listed as serving.
     pub fn serving(&self) -> impl Iterator<Item = &EndpointId> {
         let serving = self
             .members
@@ -80,86 +90,103 @@
         serving.map(|(endpoint, _)| endpoint)
     }
 
-    /// Takes a list's version, unless it is older than the one before. A discovery that was set back sends its whole
-    /// list again when it is asked again, which is believed. In the first list after a move, or after discovery was set
-    /// back, what drains goes on draining.
+    /// Checks a list's version against the last one and records it.
+    ///
+    /// A stale list is rejected once: it may come from a replica that lags behind. If the next list is a stale full list
+    /// again, discovery itself was reset to an older state, and the list is accepted. In the first list of a source, and
+    /// in the first one after a reset, endpoints that are draining stay so, whatever the list says.
     ///
     /// # Errors
-    /// The list is older than the one before.
-    pub fn accept(&mut self, list: &mut EndpointList) -> Result<(), OlderList> {
-        let is_older = self.version.is_some_and(|version| list.index < version);
-        if is_older && !(list.snapshot && self.has_told_older) {
-            self.has_told_older = list.snapshot;
-            return Err(OlderList);
+    /// Returns [`StaleListError`] if the list is rejected; it must not be applied then.
+    pub fn accept(&mut self, list: &mut EndpointList) -> Result<(), StaleListError> {
+        let is_stale = self.version.is_some_and(|version| list.index < version);
+        if is_stale && !(list.snapshot && self.has_rejected_stale_snapshot) {
+            self.has_rejected_stale_snapshot = list.snapshot;
+            return Err(StaleListError);
         }
-        self.has_told_older = false;
-        if self.version.replace(list.index).is_none() || is_older {
-            list.endpoints
-                .iter_mut()
-                .for_each(|entry| self.keep_draining(entry));
+        self.has_rejected_stale_snapshot = false;
+        let is_first = self.version.replace(list.index).is_none();
+        if is_first || is_stale {
+            for entry in &mut list.endpoints {
+                self.preserve_draining(entry);
+            }
         }
         Ok(())
     }
 
-    /// What drains does so for as long as its process lives.
-    fn keep_draining(&self, entry: &mut Entry) {
-        let listed = entry.endpoint_entry();
-        let known = self.members.get(&listed.endpoint);
-        if known.is_some_and(|k| {
-            k.readiness == Readiness::Draining && k.started_at == listed.started_at
-        }) {
-            entry.go_on_draining();
+    /// Marks an entry as draining if the same process of the endpoint is known to drain: a process that drains does not
+    /// serve again.
+    fn preserve_draining(&self, entry: &mut ListEntry) {
+        let member = self.members.get(&EndpointId::from(entry.name.as_str()));
+        let is_draining = member.is_some_and(|member| {
+            member.readiness == Readiness::Draining && member.started_at == entry.started_at()
+        });
+        if is_draining && entry.status == EntryStatus::Serving {
+            entry.status = EntryStatus::Draining;
         }
     }
 
-    /// Takes over a list's endpoints.
+    /// Applies a list and returns what it changes.
     pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
-        let entries: Vec<EndpointEntry> =
-            list.endpoints.iter().map(Entry::endpoint_entry).collect();
-        let mut outdated = Vec::new();
+        let entries: Vec<EndpointEntry> = list.endpoints.iter().map(EndpointEntry::from).collect();
+        let mut stale_endpoints = Vec::new();
         if kind != ListKind::Changes {
-            // What a whole list does not name has left it.
-            let listed: HashSet<&EndpointId> =
-                entries.iter().map(|entry| &entry.endpoint).collect();
-            let removed = self
-                .members
-                .extract_if(|endpoint, _| !listed.contains(endpoint));
-            outdated.extend(removed.map(|(endpoint, _)| endpoint));
+            self.remove_unlisted(&entries, &mut stale_endpoints);
         }
-        for (Entry { address, .. }, entry) in list.endpoints.iter().zip(&entries) {
+        for (ListEntry { address, .. }, entry) in list.endpoints.iter().zip(&entries) {
             let member = Member {
                 address: *address,
                 readiness: entry.readiness,
                 started_at: entry.started_at,
             };
-            let is_same = |before: &Member| {
-                before.address == member.address && before.started_at == member.started_at
-            };
-            let is_known = self.members.get(&entry.endpoint).is_some_and(is_same);
-            if member.readiness != Readiness::Up || !is_known {
-                outdated.push(entry.endpoint.clone());
-            }
-            if member.readiness == Readiness::Removed {
-                self.members.remove(&entry.endpoint);
-            } else {
-                self.members.insert(entry.endpoint.clone(), member);
-            }
+            self.update_member(&entry.endpoint, member, &mut stale_endpoints);
+        }
+        ListUpdate {
+            entries,
+            stale_endpoints,
         }
-        ListUpdate { entries, outdated }
     }
 
-    /// Removes endpoints at whose address another has started since: the change that removes them comes later, or got lost, and what
-    /// is sent there meanwhile goes to the other, which is cold.
-    pub fn remove_replaced(&mut self, update: &mut ListUpdate) {
-        let mut latest_starts: HashMap<SocketAddr, Option<Timestamp>> = HashMap::new();
-        for member in self
+    /// Removes the endpoints that a full list does not name.
+    fn remove_unlisted(
+        &mut self,
+        entries: &[EndpointEntry],
+        stale_endpoints: &mut Vec<EndpointId>,
+    ) {
+        let listed: HashSet<&EndpointId> = entries.iter().map(|entry| &entry.endpoint).collect();
+        let unlisted = self
             .members
-            .values()
-            .filter(|member| member.readiness == Readiness::Up)
-        {
-            let latest = latest_starts.entry(member.address).or_default();
-            *latest = (*latest).max(member.started_at);
+            .extract_if(|endpoint, _| !listed.contains(endpoint));
+        stale_endpoints.extend(unlisted.map(|(endpoint, _)| endpoint));
+    }
+
+    /// Applies one entry of a list.
+    fn update_member(
+        &mut self,
+        endpoint: &EndpointId,
+        member: Member,
+        stale_endpoints: &mut Vec<EndpointId>,
+    ) {
+        let is_same_process = self
+            .members
+            .get(endpoint)
+            .is_some_and(|previous| previous.is_same_process(&member));
+        if member.readiness != Readiness::Up || !is_same_process {
+            stale_endpoints.push(endpoint.clone());
         }
+        if member.readiness == Readiness::Removed {
+            self.members.remove(endpoint);
+        } else {
+            self.members.insert(endpoint.clone(), member);
+        }
+    }
+
+    /// Removes endpoints at whose address a later process serves under another name.
+    ///
+    /// The change that removes the former endpoint may be late or lost. Until then, its requests would reach the new
+    /// process on top of its own share while that is still warming up.
+    pub fn remove_replaced(&mut self, update: &mut ListUpdate) {
+        let latest_starts = self.latest_start_by_address();
         let is_replaced = |member: &Member| {
             latest_starts
                 .get(&member.address)
@@ -167,13 +194,25 @@
         };
         for (endpoint, _) in self.members.extract_if(|_, member| is_replaced(member)) {
             update.entries.retain(|entry| entry.endpoint != endpoint);
-            update.entries.push(removed(endpoint.clone()));
-            update.outdated.push(endpoint);
+            update.entries.push(removal_of(endpoint.clone()));
+            update.stale_endpoints.push(endpoint);
+        }
+    }
+
+    /// Returns the latest start of a serving process for each address. `None`, for long ago, is the earliest start.
+    fn latest_start_by_address(&self) -> HashMap<SocketAddr, Option<Timestamp>> {
+        let mut latest_starts: HashMap<SocketAddr, Option<Timestamp>> = HashMap::new();
+        let is_serving = |member: &&Member| member.readiness == Readiness::Up;
+        for member in self.members.values().filter(is_serving) {
+            let latest = latest_starts.entry(member.address).or_default();
+            *latest = (*latest).max(member.started_at);
         }
+        latest_starts
     }
 }
 
-fn removed(endpoint: EndpointId) -> EndpointEntry {
+/// Returns the entry that removes an endpoint; its other fields have no meaning.
+fn removal_of(endpoint: EndpointId) -> EndpointEntry {
     EndpointEntry {
         endpoint,
         zone: "".into(),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,22 +1,22 @@
 //! The client of discovery: the whole list when it is asked for, and watches on its changes.
 //!
 //! The client holds no list itself. What it receives goes to a [`ListConsumer`], which feeds it to its decision
-//! module and asks for calls ([`fetch`]) and watches ([`watch`], [`follow_agent`]) as the module says. All of them
+//! module and asks for calls ([`fetch`]) and watches ([`watch`], [`watch_agent`]) as the module says. All of them
 //! run on the current thread and need a [`tokio::task::LocalSet`].
 
 mod backoff;
 mod client;
 mod consumer;
 mod error;
+mod hedged_call;
 mod list;
 mod membership;
-mod patient_call;
 mod source;
 
 pub use backoff::Backoff;
-pub use client::{fetch, follow_agent, watch};
+pub use client::{fetch, watch, watch_agent};
 pub use consumer::ListConsumer;
-pub use error::{DiscoveryError, OlderList};
-pub use list::{EndpointList, Entry, Status};
+pub use error::{DiscoveryError, StaleListError};
+pub use list::{EndpointList, EntryStatus, ListEntry};
 pub use membership::{ListUpdate, Member, Membership};
 pub use source::Source;
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -1,7 +1,7 @@
 //! The node as the client of discovery sees it.
 
 use super::state::{Node, NodeHandle};
-use crate::discovery::{self, EndpointList, ListConsumer, OlderList, Source};
+use crate::discovery::{self, EndpointList, ListConsumer, Source, StaleListError};
 use crate::policy::{DiscoveryMode, Event, ListKind};
 use crate::sidecar::task::Task;
 use std::fmt;
@@ -18,7 +18,7 @@
         let mut update = node.membership.update(list, kind);
         node.membership.remove_replaced(&mut update);
         update
-            .outdated
+            .stale_endpoints
             .iter()
             .for_each(|endpoint| node.pool.close_idle(endpoint));
         drop(node);
@@ -42,7 +42,7 @@
         let (consumer, source) = (handle.clone(), self.watches.source());
         self.watches
             .follow(match self.settings.current().discovery {
-                DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
+                DiscoveryMode::Pushed => Task::spawn(discovery::watch_agent(consumer, source)),
                 DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
                     consumer,
                     source,
@@ -60,7 +60,7 @@
             .filter(|_| source == node.watches.source())
     }
 
-    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
+    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), StaleListError> {
         let mut node = self.borrow();
         if source == node.watches.source() {
             node.membership.accept(&mut list)?;
@@ -104,7 +104,7 @@
     }
 
     /// An agent says nothing while discovery is down.
-    fn call_is_late(&self, _source: Source) {
+    fn call_hedged(&self, _source: Source) {
         if self.borrow().settings.current().discovery == DiscoveryMode::OnRequest {
             log!("discovery is late with an answer and is called again");
         }
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -52,7 +52,7 @@
         if config.discovery == node.watches.source().address {
             return false;
         }
-        let had_spoken = node.membership.forget_version();
+        let had_spoken = node.membership.clear_version();
         node.watches.move_to(config.discovery, had_spoken);
         node.begin_watch(self);
         true
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -113,7 +113,7 @@
         // The module asks once what it was told is old, which with nothing told never comes.
         let knows_nothing = known.is_none();
         if let Some(known) = known {
-            node.borrow().membership.assume_version(known.index);
+            node.borrow().membership.set_cached_version(known.index);
             node.take_list(&known, ListKind::Cached);
         }
         let is_pushed = node.borrow().settings.current().discovery == DiscoveryMode::Pushed;
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -10,7 +10,7 @@
 
 fn pauses(seed: u64, took: Duration) -> Vec<Duration> {
     let mut backoff = Backoff::new(seed);
-    (0..FAILURES).map(|_| backoff.pause_after(took)).collect()
+    (0..FAILURES).map(|_| backoff.delay_after(took)).collect()
 }
 
 /// The mean over all seeds of the pause after so many failures before.
@@ -65,10 +65,10 @@
     for seed in SEEDS {
         let mut backoff = Backoff::new(seed);
         for _ in 0..FAILURES {
-            let _ = backoff.pause_after(AT_ONCE);
+            let _ = backoff.delay_after(AT_ONCE);
         }
         backoff.reset();
-        assert!(backoff.pause_after(AT_ONCE) <= first_longest);
+        assert!(backoff.delay_after(AT_ONCE) <= first_longest);
     }
 }
 
@@ -86,8 +86,8 @@
             seed + 1
         );
         assert_ne!(
-            Backoff::new(seed).time_to_next_call(),
-            Backoff::new(seed + 1).time_to_next_call()
+            Backoff::new(seed).hedge_delay(),
+            Backoff::new(seed + 1).hedge_delay()
         );
     }
 }
@@ -98,7 +98,7 @@
     for seed in SEEDS {
         let mut backoff = Backoff::new(seed);
         for _ in 0..FAILURES {
-            let time = backoff.time_to_next_call();
+            let time = backoff.hedge_delay();
             assert!(
                 (DISCOVERY_TIMEOUT..=NEXT_CALL_WITHIN).contains(&time),
                 "{time:?}"
