--- a/tests/sidecar/bans.rs
+++ b/tests/sidecar/bans.rs
@@ -7,43 +7,47 @@
 /// How many of so many requests an endpoint saw.
 fn saw(sidecar: &Sidecar, endpoint: &Endpoint, requests: usize) -> usize {
     let mut client = sidecar.client();
-    endpoint.requests();
+    endpoint.take_request_count();
     for _ in 0..requests {
-        let answer = client.ask(&get("5"));
+        let answer = client.exchange(&get_request("5"));
         assert_eq!(answer.status(), 200);
         if answer.header("connection") == Some("close") {
             client = sidecar.client();
         }
     }
-    endpoint.requests()
+    endpoint.take_request_count()
 }
 
 /// Guards the call out and back: from the yes on nothing comes, whatever the list says; twice out is as once; the idle
 /// connections go; the figures tell of it.
 #[test]
 fn an_endpoint_is_taken_out_and_back() {
-    let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("")));
-    let (sidecar, discovery) = Sidecar::with_admin(&[&endpoints[0], &endpoints[1]]);
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
+    let (sidecar, discovery) = Sidecar::start_with_admin(&[&endpoints[0], &endpoints[1]]);
     let mut watch = discovery.next_watch();
     assert!(saw(&sidecar, &endpoints[0], 30) > 0);
-    assert!(sidecar.says_yes("DISABLE e0"));
-    endpoints[0].next_close();
+    assert!(sidecar.call_is_yes("DISABLE e0"));
+    endpoints[0].next_connection_close();
     assert_eq!(saw(&sidecar, &endpoints[0], 30), 0);
     assert_eq!(
-        ["members", "members_unavailable"].map(|f| sidecar.figure(f)),
+        ["members", "members_unavailable"].map(|f| sidecar.metric(f)),
         [Some(2), Some(1)]
     );
-    watch.write_line(&list(42, true, &serving(&[&endpoints[0], &endpoints[1]])));
+    watch.write_line(&list(
+        42,
+        true,
+        &serving_entries(&[&endpoints[0], &endpoints[1]]),
+    ));
     drop(watch);
     assert!(
         discovery.next_watch().asked.contains("since=42 "),
         "the list is known"
     );
     assert_eq!(saw(&sidecar, &endpoints[0], 30), 0);
-    assert!(sidecar.says_yes("DISABLE e0"));
-    assert!(sidecar.says_yes("ENABLE e0"));
+    assert!(sidecar.call_is_yes("DISABLE e0"));
+    assert!(sidecar.call_is_yes("ENABLE e0"));
     assert!(saw(&sidecar, &endpoints[0], 10) > 0, "it is looked for");
-    assert_eq!(sidecar.figure("members_unavailable"), Some(0));
+    assert_eq!(sidecar.metric("members_unavailable"), Some(0));
     for call in [
         "DISABLE e9",
         "ENABLE e9",
@@ -51,10 +55,10 @@
         "DISABLE",
         "ENABLE  ",
     ] {
-        assert!(!sidecar.says_yes(call), "{call}");
+        assert!(!sidecar.call_is_yes(call), "{call}");
     }
     assert_eq!(
-        sidecar.figure("members_unavailable"),
+        sidecar.metric("members_unavailable"),
         Some(0),
         "none of these did anything"
     );
@@ -63,11 +67,11 @@
 /// Guards readiness: with all taken out there is nowhere to send.
 #[test]
 fn with_all_taken_out_it_is_not_ready() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::with_admin(&[&endpoint]);
-    assert!(sidecar.says_yes("DISABLE e0") && !sidecar.says_yes("READY"));
-    assert!(sidecar.says_yes("ENABLE e0") && sidecar.says_yes("READY"));
-    assert_eq!(sidecar.client().ask(&get("5")).status(), 200);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
+    assert!(sidecar.call_is_yes("DISABLE e0") && !sidecar.call_is_yes("READY"));
+    assert!(sidecar.call_is_yes("ENABLE e0") && sidecar.call_is_yes("READY"));
+    assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
 }
 
 fn start(
@@ -76,43 +80,43 @@
     endpoints: &[&Endpoint],
     at: Option<&Sidecar>,
 ) -> Sidecar {
-    let mut config = with_admin(config(discovery.address, &serving(endpoints)));
+    let mut config = with_admin_address(config(discovery.address, &serving_entries(endpoints)));
     config["listen"] = json!(at.map_or("127.0.0.1:0".into(), |s| s.address.to_string()));
-    Sidecar::start_in(folder, &config)
+    Sidecar::start_in_directory(folder, &config)
 }
 
 /// Guards the word over an upgrade: the next process has it from the start, both follow what either is told while there
 /// are two, and the last one goes on with it.
 #[test]
 fn what_is_taken_out_stays_out_over_an_upgrade() {
-    let (folder, discovery) = (folder(), Discovery::start());
-    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let (folder, discovery) = (temporary_directory(), Discovery::start());
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let all = [&endpoints[0], &endpoints[1], &endpoints[2]];
     let mut before = start(&folder, &discovery, &all, None);
-    assert!(before.says_yes("DISABLE e0"));
+    assert!(before.call_is_yes("DISABLE e0"));
     let next = start(&folder, &discovery, &all, Some(&before));
-    awaits("it is ready", || next.says_yes("READY"));
+    wait_until("it is ready", || next.call_is_yes("READY"));
     assert_eq!(
-        next.figure("members_unavailable"),
+        next.metric("members_unavailable"),
         Some(1),
         "from the start"
     );
-    assert!(before.says_yes("DISABLE e1"));
-    awaits("the newer one follows", || {
-        next.figure("members_unavailable") == Some(2)
+    assert!(before.call_is_yes("DISABLE e1"));
+    wait_until("the newer one follows", || {
+        next.metric("members_unavailable") == Some(2)
     });
-    assert!(next.says_yes("ENABLE e0"));
-    awaits("the older one follows", || {
-        before.figure("members_unavailable") == Some(1)
+    assert!(next.call_is_yes("ENABLE e0"));
+    wait_until("the older one follows", || {
+        before.metric("members_unavailable") == Some(1)
     });
     before.terminate();
     assert!(before.wait().success());
     assert_eq!(saw(&next, &endpoints[1], 30), 0);
     drop(next);
     let last = start(&folder, &discovery, &all, None);
-    assert_eq!(last.figure("members_unavailable"), Some(1));
+    assert_eq!(last.metric("members_unavailable"), Some(1));
     assert_eq!(saw(&last, &endpoints[1], 30), 0);
-    assert!(last.says_yes("ENABLE e1"));
+    assert!(last.call_is_yes("ENABLE e1"));
     std::fs::remove_dir_all(folder).expect("it goes");
 }
 
@@ -120,35 +124,35 @@
 /// of another, and each is told what any of them is.
 #[test]
 fn three_processes_tell_each_other() {
-    let (folder, discovery) = (folder(), Discovery::start());
-    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let (folder, discovery) = (temporary_directory(), Discovery::start());
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let all = [&endpoints[0], &endpoints[1], &endpoints[2]];
     let first = start(&folder, &discovery, &all, None);
     let second = start(&folder, &discovery, &all, Some(&first));
-    first.awaits_log("callers go over");
-    second.awaits_log("takes over");
+    first.wait_for_log("callers go over");
+    second.wait_for_log("takes over");
     let third = start(&folder, &discovery, &all, Some(&second));
-    second.awaits_log("callers go over");
-    let out = |sidecar: &Sidecar| sidecar.figure("members_unavailable");
+    second.wait_for_log("callers go over");
+    let out = |sidecar: &Sidecar| sidecar.metric("members_unavailable");
     for (n, told) in [&first, &second, &third].into_iter().enumerate() {
-        assert!(told.says_yes(&format!("DISABLE e{n}")));
+        assert!(told.call_is_yes(&format!("DISABLE e{n}")));
         let follow = || {
             [&first, &second, &third]
                 .into_iter()
                 .all(|s| out(s) == Some(n as u64 + 1))
         };
-        awaits("all follow", follow);
+        wait_until("all follow", follow);
     }
     drop(first);
-    second.awaits_log("the process before has ended");
-    assert!(second.says_yes("ENABLE e2"));
-    awaits("the third follows", || out(&third) == Some(2));
+    second.wait_for_log("the process before has ended");
+    assert!(second.call_is_yes("ENABLE e2"));
+    wait_until("the third follows", || out(&third) == Some(2));
     drop(third);
-    second.awaits_log("callers are let in here again");
+    second.wait_for_log("callers are let in here again");
     assert_eq!(
         second
             .client()
-            .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
@@ -158,8 +162,8 @@
 /// Guards the start against a file that something has spoilt: it is one line of the log, and ignored.
 #[test]
 fn a_spoilt_file_of_what_is_taken_out_is_ignored() {
-    let (folder, discovery) = (folder(), Discovery::start());
-    let endpoint = Endpoint::start(|_| ok(""));
+    let (folder, discovery) = (temporary_directory(), Discovery::start());
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     for text in [
         &b""[..],
         b"[\"e0",
@@ -169,8 +173,8 @@
     ] {
         std::fs::write(folder.join("pipittray.disabled"), text).expect("a file");
         let sidecar = start(&folder, &discovery, &[&endpoint], None);
-        assert!(sidecar.says_yes("READY"));
-        assert!(sidecar.says_yes("DISABLE e0") && sidecar.says_yes("ENABLE e0"));
+        assert!(sidecar.call_is_yes("READY"));
+        assert!(sidecar.call_is_yes("DISABLE e0") && sidecar.call_is_yes("ENABLE e0"));
         let kept =
             std::fs::read_to_string(folder.join("pipittray.disabled")).expect("it is written anew");
         assert_eq!(kept, "[]");
--- a/tests/sidecar/bulk.rs
+++ b/tests/sidecar/bulk.rs
@@ -63,26 +63,26 @@
     {
         send(
             &mut client,
-            get("15")
+            get_request("15")
                 .replace("/api", &format!("/api?{framing}"))
                 .as_bytes(),
         );
         let head = read_head(&mut client).expect("the beginning, before the end is there");
         assert_eq!(status(&head), "200");
-        assert_eq!(sidecar.figure("pending"), Some(1), "it has not ended");
+        assert_eq!(sidecar.metric("pending"), Some(1), "it has not ended");
         release.send(()).expect("the endpoint waits");
         assert!(
             read_body(&head, &mut client).expect("all of it") == **body,
             "{framing}"
         );
-        awaits("it is served", || {
-            sidecar.ended("completed", "safe") == Some(n as u64 + 1)
+        wait_until("it is served", || {
+            sidecar.requests_ended("completed", "safe") == Some(n as u64 + 1)
         });
     }
     assert_eq!(
         (
-            sidecar.figure("pending"),
-            sidecar.figure("upstream_requests")
+            sidecar.metric("pending"),
+            sidecar.metric("upstream_requests")
         ),
         (Some(0), Some(4))
     );
@@ -106,14 +106,14 @@
     let before = sidecar.memory_kb();
     let mut clients: Vec<Stream> = (0..8).map(|_| connect(&sidecar)).collect();
     for client in &mut clients {
-        send(client, get("15").as_bytes());
+        send(client, get_request("15").as_bytes());
         let head = read_head(client).expect("the beginning");
         assert_eq!(status(&head), "200");
     }
     assert_eq!(
         sidecar
             .client()
-            .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
@@ -125,8 +125,8 @@
             client.read_exact(&mut piece).expect("the rest");
         }
     }
-    awaits("all are served", || {
-        sidecar.ended("completed", "safe") == Some(8)
+    wait_until("all are served", || {
+        sidecar.requests_ended("completed", "safe") == Some(8)
     });
 }
 
@@ -169,11 +169,11 @@
             "{begun}"
         );
         assert_eq!(
-            sidecar.figure("upstream_requests"),
+            sidecar.metric("upstream_requests"),
             Some(n as u64),
             "it is not whole"
         );
-        assert_eq!(sidecar.figure("pending"), Some(0), "nor has it come");
+        assert_eq!(sidecar.metric("pending"), Some(0), "nor has it come");
         send(
             &mut client,
             &if chunked { chunk(rest) } else { rest.into() },
@@ -183,7 +183,7 @@
         }
         let head = read_head(&mut client).expect("an answer");
         assert_eq!(status(&head), "200", "{head}");
-        assert_eq!(sidecar.figure("upstream_requests"), Some(n as u64 + 1));
+        assert_eq!(sidecar.metric("upstream_requests"), Some(n as u64 + 1));
         if !chunked {
             let mut two = [0; 2];
             client.read_exact(&mut two).expect("the answer's body");
@@ -192,7 +192,7 @@
             assert_eq!(status(&read_head(&mut client).expect("an answer")), "200");
         }
     }
-    assert_eq!(sidecar.ended("completed", "keyed"), Some(3));
+    assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(3));
 }
 
 /// Guards `Expect`: a caller that waits for the word gets it, and its body goes through.
@@ -247,11 +247,11 @@
         );
         let attempts: usize = endpoints.iter().map(|e| e.heads.try_iter().count()).sum();
         assert_eq!(
-            (attempts, sidecar.figure("upstream_requests")),
+            (attempts, sidecar.metric("upstream_requests")),
             (1, Some(0)),
             "{class}"
         );
-        assert_eq!(sidecar.ended("rejected", class), Some(1));
+        assert_eq!(sidecar.requests_ended("rejected", class), Some(1));
     }
 }
 
@@ -287,7 +287,11 @@
             "refused where the module grants no retry: {answer}"
         );
     }
-    assert!(sidecar.ended("completed", "keyed").is_some_and(|n| n >= 6));
+    assert!(
+        sidecar
+            .requests_ended("completed", "keyed")
+            .is_some_and(|n| n >= 6)
+    );
 }
 
 /// Guards memory and endpoints against bodies beyond all that there should be: said ahead, they are turned down at
@@ -330,10 +334,10 @@
     writes.join().expect("it ends");
     assert!(
         !whole
-            .recv_timeout(LONG)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the endpoint saw the beginning")
     );
-    assert_eq!(sidecar.figure("upstream_requests"), Some(0));
+    assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
 /// Guards endpoints and memory against callers that stop in the middle of a large body, or spoil it: they are told, and
@@ -351,7 +355,7 @@
     });
     let (sidecar, _discovery) = over(&[endpoint.address]);
     let ended = || {
-        ends.recv_timeout(LONG)
+        ends.recv_timeout(TEST_TIMEOUT)
             .expect("the endpoint's connection ends")
     };
     let begin = |framing: &str, body: &[u8]| {
@@ -373,9 +377,9 @@
     // It leaves.
     drop(begin("Content-Length: 500000", &pattern(100_000)));
     assert!(!ended());
-    awaits("nothing is open", || sidecar.figure("pending") == Some(0));
-    assert_eq!(sidecar.ended("completed", "keyed"), Some(0));
-    assert_eq!(sidecar.figure("upstream_requests"), Some(0));
+    wait_until("nothing is open", || sidecar.metric("pending") == Some(0));
+    assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(0));
+    assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
 /// Guards slow callers: a large body at 64 kB a second is waited for, though it takes longer than a small one may.
@@ -433,12 +437,12 @@
         });
         let (sidecar, _discovery) = over(&[endpoints[0].address, endpoints[1].address]);
         let mut client = connect(&sidecar);
-        send(&mut client, get("15").as_bytes());
+        send(&mut client, get_request("15").as_bytes());
         let head = read_head(&mut client).expect("the beginning");
         assert_eq!(status(&head), "200");
         assert_eq!(read_body(&head, &mut client), None, "{framing}");
-        awaits("it is counted", || {
-            sidecar.ended("failed", "safe") == Some(1)
+        wait_until("it is counted", || {
+            sidecar.requests_ended("failed", "safe") == Some(1)
         });
         assert_eq!(
             endpoints
@@ -447,7 +451,7 @@
                 .sum::<usize>(),
             1
         );
-        assert_eq!(sidecar.figure("pending"), Some(0));
+        assert_eq!(sidecar.metric("pending"), Some(0));
     }
 }
 
@@ -466,7 +470,7 @@
         }
     });
     let discovery = Discovery::start();
-    let mut config = with_admin(config(
+    let mut config = with_admin_address(config(
         discovery.address,
         &[entry("e0", endpoint.address, "SERVING")],
     ));
@@ -474,12 +478,12 @@
     let sidecar = Sidecar::start(&config);
     let mut client = connect(&sidecar);
     for _ in 0..3 {
-        send(&mut client, get("15").as_bytes());
+        send(&mut client, get_request("15").as_bytes());
         let head = read_head(&mut client).expect("an answer");
         assert_eq!(status(&head), "200");
         assert!(read_body(&head, &mut client).expect("all of it") == **body);
     }
-    awaits("they are served", || {
-        sidecar.ended("completed", "safe") == Some(3)
+    wait_until("they are served", || {
+        sidecar.requests_ended("completed", "safe") == Some(3)
     });
 }
--- a/tests/sidecar/callers.rs
+++ b/tests/sidecar/callers.rs
@@ -11,7 +11,7 @@
 /// What a connection reads to its end after it has written this; an error where it was reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
-    stream.set_read_timeout(Some(LONG))?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     let _ = stream.write_all(text); // the answer may come, and the end with it, before all is written
     let mut read = Vec::new();
     stream.read_to_end(&mut read)?;
@@ -28,9 +28,9 @@
 /// nothing behind it is read as a request, and no endpoint sees any of it.
 #[test]
 fn a_body_whose_length_is_not_clear_is_turned_down() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
-    let hidden = get("5");
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let hidden = get_request("5");
     for lines in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
@@ -49,7 +49,7 @@
         assert!(read.starts_with("HTTP/1.1 400 "), "{lines}: {read}");
         assert_eq!(read.matches("HTTP/1.1 ").count(), 1, "{lines}: {read}");
     }
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.take_request_count(), 0);
     // A body in chunks is one all the same, and two requests written at once are two.
     let chunked = format!(
         "{}5\r\nhello\r\n0\r\n\r\n",
@@ -64,8 +64,8 @@
     let mut client = sidecar.client();
     client.write(&format!(
         "{}{}",
-        post("unsafe", "5", "first"),
-        post("unsafe", "5", "second")
+        post_request("unsafe", "5", "first"),
+        post_request("unsafe", "5", "second")
     ));
     for body in ["first", "second"] {
         assert_eq!(client.read().expect("an answer").status(), 200);
@@ -77,8 +77,8 @@
 /// silence; what cannot be read is told at once. A request in time on a connection that was in use before is served.
 #[test]
 fn what_does_not_end_is_ended() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let texts = [
         (
             "GET /api HTTP/1.1\r\nX-Half: 1\r\n".to_string(),
@@ -117,15 +117,15 @@
         "the requests' own deadline: {:?}",
         begun.elapsed()
     );
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.take_request_count(), 0);
 }
 
 /// Guards the answer to what is turned down early: with the rest unread, closing at once would reset the connection, and
 /// the answer would be lost. 60 MB are not kept, either.
 #[test]
 fn an_early_answer_can_be_read() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let body = "x".repeat(60_000_000);
     for (text, start) in [
         (
@@ -143,34 +143,36 @@
         let read = exchange(&sidecar, text.as_bytes()).expect("no reset");
         assert!(read.starts_with(start), "{read}");
     }
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.take_request_count(), 0);
 }
 
 /// Guards what is kept of a request: ids and keys have a bound, and a deadline is no longer than its class allows.
 #[test]
 fn ids_and_deadlines_have_a_bound() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let mut client = sidecar.client();
     let long = "i".repeat(300);
     let with = |id: &str, line: &str| {
-        get("1e9")
+        get_request("1e9")
             .replace("X-Class", &format!("{line}X-Class"))
             .replace("id-", id)
     };
-    assert_eq!(client.ask(&with(&long, "")).status(), 400);
+    assert_eq!(client.exchange(&with(&long, "")).status(), 400);
     assert_eq!(
         client
-            .ask(&with("id-", &format!("Idempotency-Key: {long}\r\n")))
+            .exchange(&with("id-", &format!("Idempotency-Key: {long}\r\n")))
             .status(),
         400
     );
     assert_eq!(
-        client.ask(&with("id-", "X-Request-Id: other\r\n")).status(),
+        client
+            .exchange(&with("id-", "X-Request-Id: other\r\n"))
+            .status(),
         400
     );
-    assert_eq!(endpoint.requests(), 0);
-    assert_eq!(client.ask(&with("id-", "")).status(), 200);
+    assert_eq!(endpoint.take_request_count(), 0);
+    assert_eq!(client.exchange(&with("id-", "")).status(), 200);
     let left = endpoint
         .next_request()
         .1
@@ -186,20 +188,20 @@
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |_| {
         let _ = released.lock().expect("the only one").recv();
-        ok("first")
+        respond_ok("first")
     });
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
-    let request = post("unsafe", "8", "x");
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let request = post_request("unsafe", "8", "x");
     let mut first = sidecar.client();
     first.write(&request);
     endpoint.next_request();
     for _ in 0..3 {
         let mut second = sidecar.client();
-        assert_eq!(second.ask(&request).status(), 409);
+        assert_eq!(second.exchange(&request).status(), 409);
     }
     release.send(()).expect("the endpoint waits");
     assert_eq!(first.read().expect("an answer").body, b"first");
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.take_request_count(), 0);
 }
 
 /// Guards the descriptors against those who connect and say nothing, or half a request: with hundreds of them there, a
@@ -207,7 +209,7 @@
 #[test]
 fn a_flood_leaves_room_for_requests() {
     let endpoint = Endpoint::start(|_| {
-        Does::AnswersAndCloses("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
+        EndpointAction::RespondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
     });
     let discovery = Discovery::start();
     let mut config = config(
@@ -215,8 +217,8 @@
         &[entry("e0", endpoint.address, "SERVING")],
     );
     config["limits"]["sockets"] = json!(256);
-    let path = file(&config.to_string());
-    let sidecar = Sidecar::limited(&path, 256);
+    let path = temporary_file(&config.to_string());
+    let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
     let mut kept = Vec::new();
     for n in 0..600 {
         let mut stream = TcpStream::connect(sidecar.address).expect("the backlog has room");
@@ -226,7 +228,7 @@
         kept.push(stream);
         if n % 20 == 19 {
             assert_eq!(
-                sidecar.client().ask(&get("5")).status(),
+                sidecar.client().exchange(&get_request("5")).status(),
                 200,
                 "after {n}: {:?}",
                 sidecar.log()
@@ -246,7 +248,7 @@
 /// Guards slow callers in a crowd: one whose head comes in pieces is not closed to make room while others stand idle.
 #[test]
 fn a_slow_head_outlives_idle_connections_in_a_crowd() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -255,8 +257,9 @@
     config["limits"]["sockets"] = json!(96);
     let sidecar = Sidecar::start(&config);
     let mut slow = TcpStream::connect(sidecar.address).expect("it accepts");
-    slow.set_read_timeout(Some(LONG)).expect("a time-out");
-    let request = get("5");
+    slow.set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
+    let request = get_request("5");
     let mut idle = Vec::new();
     for piece in request.as_bytes().chunks(request.len().div_ceil(5)) {
         slow.write_all(piece).expect("it is open");
@@ -265,7 +268,7 @@
             let mut client = sidecar.client();
             assert_eq!(
                 client
-                    .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+                    .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
                     .status(),
                 200
             );
@@ -281,7 +284,7 @@
 /// while others stand idle. A machine that stalls between may spoil a round, not five.
 #[test]
 fn new_connections_do_not_close_each_other() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -301,8 +304,10 @@
         std::thread::sleep(Duration::from_millis(50));
         let ask = |stream: &mut TcpStream| {
             let mut answer = [0; 12];
-            stream.set_read_timeout(Some(LONG)).expect("a time-out");
-            let asked = stream.write_all(get("5").as_bytes());
+            stream
+                .set_read_timeout(Some(TEST_TIMEOUT))
+                .expect("a time-out");
+            let asked = stream.write_all(get_request("5").as_bytes());
             asked
                 .and_then(|()| stream.read_exact(&mut answer))
                 .is_ok_and(|()| &answer == b"HTTP/1.1 200")
--- a/tests/sidecar/cancellation_support/clients.rs
+++ b/tests/sidecar/cancellation_support/clients.rs
@@ -41,7 +41,9 @@
     /// Connects to the sidecar and writes this.
     pub fn with(sidecar: &Sidecar, request: &str) -> Self {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         stream.write_all(request.as_bytes()).expect("it is written");
         Waits(stream)
     }
@@ -52,8 +54,8 @@
         let text = match behind {
             Behind::Nothing => String::new(),
             Behind::HalfAHead => "GET /api HTTP/1.1\r\nX-Ha".into(),
-            Behind::AWholeRequest => get("10"),
-            Behind::MoreThanIsRead => get("10").repeat(400),
+            Behind::AWholeRequest => get_request("10"),
+            Behind::MoreThanIsRead => get_request("10").repeat(400),
         };
         self.0.write_all(text.as_bytes()).expect("it is open");
         if let Leaves::ByReset(_) = how {
--- a/tests/sidecar/cancellation_support/holding.rs
+++ b/tests/sidecar/cancellation_support/holding.rs
@@ -20,7 +20,7 @@
     /// The same, with a sidecar that `start` makes from the configuration.
     pub fn start(change: impl FnOnce(&mut Value), start: impl FnOnce(&Value) -> Sidecar) -> Self {
         let discovery = Discovery::start();
-        let mut config = with_admin(config(discovery.address, &[]));
+        let mut config = with_admin_address(config(discovery.address, &[]));
         config["settings"]["categories"]
             .as_array_mut()
             .expect("a list")
@@ -34,15 +34,15 @@
         let watch = discovery.next_watch();
         Holds {
             sidecar,
-            endpoint: Endpoint::start(|_| ok("x")),
+            endpoint: Endpoint::start(|_| respond_ok("x")),
             watch,
             discovery,
         }
     }
 
     /// Waits until something is so; discovery shows that it is there meanwhile.
-    pub fn awaits(&mut self, what: &str, is_so: impl Fn(&Sidecar) -> bool) {
-        awaits(what, || {
+    pub fn wait_until(&mut self, what: &str, is_so: impl Fn(&Sidecar) -> bool) {
+        wait_until(what, || {
             self.watch.says(&self.discovery, "");
             is_so(&self.sidecar)
         });
@@ -55,20 +55,20 @@
 
     /// Waits until so many requests are pending.
     pub fn has_pending(&mut self, n: usize) {
-        self.awaits(&format!("{n} are pending"), |sidecar| {
-            sidecar.figure("pending") == Some(n as u64)
+        self.wait_until(&format!("{n} are pending"), |sidecar| {
+            sidecar.metric("pending") == Some(n as u64)
         });
     }
 
     /// Lists the endpoint, so that what is held is sent there.
     pub fn lets_go(&mut self) {
-        self.says(&list(42, false, &serving(&[&self.endpoint])));
+        self.says(&list(42, false, &serving_entries(&[&self.endpoint])));
     }
 
     /// What the endpoint has seen of the ids of these requests, when all are answered.
     pub fn saw(&self) -> Vec<String> {
         self.endpoint
-            .messages()
+            .take_requests()
             .iter()
             .filter_map(|m| m.header("x-request-id").map(String::from))
             .collect()
--- a/tests/sidecar/cancellation_support/late.rs
+++ b/tests/sidecar/cancellation_support/late.rs
@@ -42,7 +42,9 @@
         while let Ok((stream, peer)) = self.listener.accept() {
             if !ours(peer) {
                 stream.set_nonblocking(false).expect("an option");
-                stream.set_read_timeout(Some(LONG)).expect("a time-out");
+                stream
+                    .set_read_timeout(Some(TEST_TIMEOUT))
+                    .expect("a time-out");
                 return Some(stream);
             }
         }
@@ -52,7 +54,7 @@
     /// What is written on the next connection of the sidecar's on which something is.
     pub fn next_written(&self) -> String {
         let mut written = String::new();
-        awaits("something is written", || {
+        wait_until("something is written", || {
             let mut bytes = [0; 4096];
             let n = self
                 .now()
--- a/tests/sidecar/cancellation_support/replacement.rs
+++ b/tests/sidecar/cancellation_support/replacement.rs
@@ -17,17 +17,20 @@
     endpoint: &Endpoint,
 ) -> Option<Sidecar> {
     if word == "upgrade" {
-        let mut config = with_admin(config(Discovery::start().address, &serving(&[endpoint])));
+        let mut config = with_admin_address(config(
+            Discovery::start().address,
+            &serving_entries(&[endpoint]),
+        ));
         config["listen"] = json!(sidecar.address.to_string());
-        let next = Sidecar::start_in(folder, &config);
-        sidecar.awaits_log("callers go over to the process after");
+        let next = Sidecar::start_in_directory(folder, &config);
+        sidecar.wait_for_log("callers go over to the process after");
         return Some(next);
     }
     match word {
-        "DRAIN" => assert!(sidecar.says_yes("DRAIN")),
+        "DRAIN" => assert!(sidecar.call_is_yes("DRAIN")),
         _ => sidecar.terminate(),
     }
-    awaits("it takes no more callers", || !sidecar.says_yes("READY"));
+    wait_until("it takes no more callers", || !sidecar.call_is_yes("READY"));
     None
 }
 
@@ -56,8 +59,10 @@
 impl Replaceable {
     /// Starts the sidecar after this change to its configuration.
     pub fn start(change: impl FnOnce(&mut Value)) -> Self {
-        let folder = folder();
-        let holds = Holds::start(change, |config| Sidecar::start_in(&folder, config));
+        let folder = temporary_directory();
+        let holds = Holds::start(change, |config| {
+            Sidecar::start_in_directory(&folder, config)
+        });
         Replaceable {
             holds,
             folder,
@@ -78,7 +83,7 @@
 
     /// Attempts that have been written to endpoints, by this process and the next.
     pub fn attempts(&self) -> u64 {
-        let written = |sidecar: &Sidecar| sidecar.figure("upstream_requests").expect("a figure");
+        let written = |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a figure");
         written(&self.holds.sidecar) + self.next.as_ref().map_or(0, written)
     }
 }
--- a/tests/sidecar/churn.rs
+++ b/tests/sidecar/churn.rs
@@ -7,11 +7,11 @@
 /// Guards memory: what is gone from the list is kept nowhere. Tens of thousands of endpoints come and go.
 #[test]
 fn endpoints_that_are_gone_leave_nothing_behind() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, discovery) = Sidecar::start_over(&[&endpoint]);
     let mut watch = discovery.next_watch();
     // A connection that stands idle while all that is read is closed after 15 s: on a busy machine it takes longer.
-    let ask = |deadline: &str| sidecar.client().ask(&get(deadline)).status();
+    let ask = |deadline: &str| sidecar.client().exchange(&get_request(deadline)).status();
     // Versions rise: an older word than the last is not believed.
     let mut versions = 42..;
     let mut churn = |from: usize, to: usize| {
@@ -61,24 +61,24 @@
 /// predecessor's end is yet to come, is that other endpoint's alone.
 #[test]
 fn an_address_that_is_taken_over_gets_new_connections() {
-    let endpoint = Endpoint::start(|_| ok(""));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut old = entry("old", endpoint.address, "SERVING");
     old["since_ms"] = json!(1_000);
     let sidecar = Sidecar::start(&config(discovery.address, &[old]));
     let mut client = sidecar.client();
-    assert_eq!(client.ask(&get("2")).status(), 200);
+    assert_eq!(client.exchange(&get_request("2")).status(), 200);
     assert_eq!(endpoint.next_request().0, 0);
     let mut new = entry("new", endpoint.address, "SERVING");
     new["since_ms"] = json!(2_000_000);
     discovery.next_watch().write_line(&list(42, false, &[new]));
     assert_eq!(
-        endpoint.next_close(),
+        endpoint.next_connection_close(),
         0,
         "the idle connection was the old one's"
     );
     for _ in 0..5 {
-        assert_eq!(client.ask(&get("2")).status(), 200);
+        assert_eq!(client.exchange(&get_request("2")).status(), 200);
         assert_eq!(endpoint.next_request().0, 1);
         std::thread::sleep(Duration::from_millis(100)); // it settles
     }
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -46,10 +46,10 @@
                 .iter()
                 .find(|(body, _)| message.body == body.as_bytes());
             let Some((_, gate)) = gate else {
-                return ok("x");
+                return respond_ok("x");
             };
             let _ = gate.lock().expect("the only one").recv();
-            Does::AnswersAndCloses(TURNED_AWAY.into())
+            EndpointAction::RespondThenClose(TURNED_AWAY.into())
         });
         TurnsAway {
             endpoint,
@@ -61,12 +61,12 @@
     /// Turns the leaver's request away; the answer is on its connection when this returns.
     fn turns_leaver_away(&self) {
         self.leaver.send(()).expect("it waits");
-        self.endpoint.next_close();
+        self.endpoint.next_connection_close();
     }
 
     fn turns_stayer_away(&self) {
         self.stayer.send(()).expect("it waits");
-        self.endpoint.next_close();
+        self.endpoint.next_connection_close();
     }
 }
 
@@ -86,17 +86,20 @@
     fn start(cancel: bool) -> Self {
         let turns_away = TurnsAway::start();
         let mut sidecar = Replaceable::start(|config| {
-            config["known"]["endpoints"] = json!(serving(&[&turns_away.endpoint]));
+            config["known"]["endpoints"] = json!(serving_entries(&[&turns_away.endpoint]));
             config["settings"]["bounds"]["cancel"] = json!(cancel);
             config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         });
         let mut earns = sidecar.holds.sidecar.client();
         for _ in 0..EARNING {
-            assert_eq!(earns.ask(&get("60")).status(), 200);
+            assert_eq!(earns.exchange(&get_request("60")).status(), 200);
             turns_away.endpoint.next_request();
         }
-        let request = post("unsafe", "60", STAYS);
-        let leaver = Waits::with(&sidecar.holds.sidecar, &post("unsafe", "60", LEAVES));
+        let request = post_request("unsafe", "60", STAYS);
+        let leaver = Waits::with(
+            &sidecar.holds.sidecar,
+            &post_request("unsafe", "60", LEAVES),
+        );
         let stayer = Waits::with(&sidecar.holds.sidecar, &request);
         (0..2).for_each(|_| drop(turns_away.endpoint.next_request()));
         sidecar.holds.has_pending(2);
@@ -130,8 +133,8 @@
     fn lists(&mut self, entry: Value) {
         let holds = &mut self.sidecar.holds;
         holds.says(&list(42, false, &[entry]));
-        holds.awaits("it is listed", |sidecar| {
-            sidecar.figure("members") == Some(2)
+        holds.wait_until("it is listed", |sidecar| {
+            sidecar.metric("members") == Some(2)
         });
     }
 
@@ -206,18 +209,18 @@
             both.both_are_turned_away();
             let late = Late::start();
             both.lists(late.entry());
-            awaits("both are dialled", || dialling(&late) == 2);
+            wait_until("both are dialled", || dialling(&late) == 2);
             both.sidecar.enters(phase);
             let _half = both.leaver_closes(Close::Whole);
             // Called off, the leaver's never comes up.
             let come_up = if cancel { 1 } else { 2 };
             let mut connections = Vec::new();
-            awaits("all have come up", || {
+            wait_until("all have come up", || {
                 connections.extend(late.now());
                 connections.len() == come_up && dialling(&late) == 0
             });
             let mut seen = String::new();
-            awaits("the stayer's is written", || {
+            wait_until("the stayer's is written", || {
                 seen += &written(&mut connections);
                 seen.contains(STAYS)
             });
@@ -248,36 +251,44 @@
         let throttled = Endpoint::start(|message| {
             if message.body == b"throttles" {
                 thread::sleep(QUIET);
-                return Does::Answers(THROTTLED.into());
+                return EndpointAction::Respond(THROTTLED.into());
             }
-            ok("x")
+            respond_ok("x")
         });
         let mut sidecar = Replaceable::start(|config| {
-            config["known"]["endpoints"] = json!(serving(&[&throttled]));
+            config["known"]["endpoints"] = json!(serving_entries(&[&throttled]));
         });
-        let throttles = sidecar
-            .holds
-            .sidecar
-            .client()
-            .ask(&post("unsafe", "60", "throttles"));
+        let throttles =
+            sidecar
+                .holds
+                .sidecar
+                .client()
+                .exchange(&post_request("unsafe", "60", "throttles"));
         assert_eq!(throttles.status(), 200);
         throttled.next_request();
         let leavers = CLOSES.map(|how| {
             (
                 how,
-                Waits::with(&sidecar.holds.sidecar, &post("unsafe", "60", LEAVES)),
+                Waits::with(
+                    &sidecar.holds.sidecar,
+                    &post_request("unsafe", "60", LEAVES),
+                ),
             )
         });
-        let request = post("unsafe", "60", STAYS);
+        let request = post_request("unsafe", "60", STAYS);
         let mut stayer = Waits::with(&sidecar.holds.sidecar, &request);
         sidecar.holds.has_pending(CLOSES.len() + 1);
         sidecar.enters(phase);
         let _half = leavers.map(|(how, client)| close(client.0, how));
         sidecar.holds.has_pending(1);
-        assert_eq!(throttled.requests(), 0, "{phase:?}: the gap is not over");
+        assert_eq!(
+            throttled.take_request_count(),
+            0,
+            "{phase:?}: the gap is not over"
+        );
         assert!(stayer.is_served(), "{phase:?}");
         let seen: Vec<_> = throttled
-            .messages()
+            .take_requests()
             .iter()
             .map(|m| m.body.clone())
             .collect();
@@ -290,26 +301,32 @@
 /// What comes on a connection at once, with the close right behind it.
 fn arrivals() -> Vec<(&'static str, String)> {
     let chunked = |end: &str| {
-        let head =
-            post("unsafe", "60", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+        let head = post_request("unsafe", "60", "")
+            .replace("Content-Length: 0", "Transfer-Encoding: chunked");
         format!("{head}5\r\nhello\r\n{end}")
     };
     let part_of_a_body = |length: usize, part: usize| {
-        let head = post("unsafe", "60", "")
+        let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", &format!("Content-Length: {length}"));
         format!("{head}{}", "x".repeat(part))
     };
     vec![
-        ("a request", get("60")),
-        ("a request with its body", post("unsafe", "60", "hello")),
+        ("a request", get_request("60")),
+        (
+            "a request with its body",
+            post_request("unsafe", "60", "hello"),
+        ),
         (
             "a request and half a head",
-            format!("{}GET /api HTTP/1.1\r\nX-Ha", get("60")),
+            format!("{}GET /api HTTP/1.1\r\nX-Ha", get_request("60")),
+        ),
+        (
+            "two requests",
+            format!("{}{}", get_request("60"), get_request("60")),
         ),
-        ("two requests", format!("{}{}", get("60"), get("60"))),
         (
             "a request and part of the next one's body",
-            format!("{}{}", get("60"), part_of_a_body(9, 4)),
+            format!("{}{}", get_request("60"), part_of_a_body(9, 4)),
         ),
         ("part of a body", part_of_a_body(1000, 10)),
         (
@@ -323,7 +340,9 @@
 
 /// Has the connection asked something, and all of the answer read: a close over unread bytes would be a reset.
 fn has_asked(connection: &mut TcpStream) {
-    connection.set_read_timeout(Some(LONG)).expect("a time-out");
+    connection
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     connection
         .write_all(b"GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
         .expect("it is open");
@@ -336,9 +355,10 @@
 #[test]
 fn a_request_that_is_read_together_with_its_close_is_not_sent() {
     for cancel in [true, false] {
-        let endpoint = Endpoint::start(|_| ok("x"));
+        let endpoint = Endpoint::start(|_| respond_ok("x"));
         let discovery = Discovery::start();
-        let mut config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+        let mut config =
+            with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         let sidecar = Sidecar::start(&config);
         for how in CLOSES {
@@ -350,16 +370,23 @@
                         has_asked(&mut leaver);
                     }
                     let from = leaver.local_addr().expect("an address");
-                    sidecar.freezes();
+                    sidecar.suspend();
                     leaver.write_all(text.as_bytes()).expect("it is open");
                     let _half = close(leaver, how);
-                    awaits("the close is there", || has_ended(from, sidecar.address));
-                    sidecar.thaws();
+                    wait_until("the close is there", || has_ended(from, sidecar.address));
+                    sidecar.resume();
                     assert_eq!(
-                        sidecar.client().ask(&post("unsafe", "10", STAYS)).status(),
+                        sidecar
+                            .client()
+                            .exchange(&post_request("unsafe", "10", STAYS))
+                            .status(),
                         200
                     );
-                    let seen: Vec<_> = endpoint.messages().iter().map(|m| m.body.clone()).collect();
+                    let seen: Vec<_> = endpoint
+                        .take_requests()
+                        .iter()
+                        .map(|m| m.body.clone())
+                        .collect();
                     assert_eq!(seen, [STAYS.as_bytes()], "{context}");
                 }
             }
@@ -380,8 +407,8 @@
         });
         let discovery = Discovery::start();
         let known = [entry("later", later.sidecar.address, "SERVING")];
-        let mut earlier = Sidecar::start(&with_admin(config(discovery.address, &known)));
-        let leaver = Waits::with(&earlier, &get("10"));
+        let mut earlier = Sidecar::start(&with_admin_address(config(discovery.address, &known)));
+        let leaver = Waits::with(&earlier, &get_request("10"));
         later.has_pending(1);
         let _open = if caller_dies {
             earlier.kill();
@@ -390,7 +417,7 @@
             close(leaver.0, Close::Whole).map(Waits)
         };
         later.has_pending(0);
-        let request = get("60");
+        let request = get_request("60");
         let mut stayer = Waits::with(&later.sidecar, &request);
         later.has_pending(1);
         later.lets_go();
--- a/tests/sidecar/crossings.rs
+++ b/tests/sidecar/crossings.rs
@@ -38,17 +38,17 @@
     for (text, status) in [(whole, 200), (&whole[..whole.len() - 1], 502), ("", 502)] {
         let (listener, known) = raw();
         let discovery = Discovery::start();
-        let sidecar = Sidecar::start(&with_admin(config(discovery.address, &[known])));
+        let sidecar = Sidecar::start(&with_admin_address(config(discovery.address, &[known])));
         let mut client = sidecar.client();
-        client.write(&post("unsafe", "9", "x"));
+        client.write(&post_request("unsafe", "9", "x"));
         let (_, mut stream) = asked(&listener);
-        sidecar.freezes();
+        sidecar.suspend();
         stream.write_all(text.as_bytes()).expect("it is open");
         resets(stream);
-        sidecar.thaws();
+        sidecar.resume();
         assert_eq!(client.read().expect("an answer").status(), status, "{text}");
-        assert_eq!(sidecar.figure("upstream_requests"), Some(1));
-        assert_eq!(sidecar.figure("pending"), Some(0));
+        assert_eq!(sidecar.metric("upstream_requests"), Some(1));
+        assert_eq!(sidecar.metric("pending"), Some(0));
     }
 }
 
@@ -64,9 +64,9 @@
         ] {
             let (listener, known) = raw();
             let discovery = Discovery::start();
-            let sidecar = Sidecar::start(&with_admin(config(discovery.address, &[known])));
+            let sidecar = Sidecar::start(&with_admin_address(config(discovery.address, &[known])));
             let mut client = sidecar.client();
-            client.write(&post("unsafe", "9", "x"));
+            client.write(&post_request("unsafe", "9", "x"));
             let (_, mut stream) = asked(&listener);
             stream.write_all(text.as_bytes()).expect("it is open");
             std::thread::sleep(Duration::from_millis(50)); // it is read before the end comes, and after
@@ -83,7 +83,7 @@
                     text.split_once("\r\n\r\n").expect("a head").1.as_bytes()
                 );
             }
-            assert_eq!(sidecar.figure("upstream_requests"), Some(1));
+            assert_eq!(sidecar.metric("upstream_requests"), Some(1));
         }
     }
 }
@@ -98,26 +98,26 @@
     config["known"]["endpoints"] = json!([known]);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
-    client.write(&post("unsafe", "1", "x"));
+    client.write(&post_request("unsafe", "1", "x"));
     let (_, mut stream) = asked(&listener);
-    sidecar.freezes();
+    sidecar.suspend();
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         .expect("it is open");
     std::thread::sleep(Duration::from_millis(1_200));
-    sidecar.thaws();
+    sidecar.resume();
     let answer = client.read().expect("an answer");
     assert!(matches!(answer.status(), 200 | 504), "{}", answer.status());
     assert_eq!(
-        client.ask(READY).status(),
+        client.exchange(READY).status(),
         200,
         "the next answer is the next request's"
     );
-    awaits("it is over", || sidecar.figure("pending") == Some(0));
-    assert_eq!(sidecar.figure("upstream_requests"), Some(1));
+    wait_until("it is over", || sidecar.metric("pending") == Some(0));
+    assert_eq!(sidecar.metric("upstream_requests"), Some(1));
     let ends: u64 = ["completed", "failed"]
         .iter()
-        .filter_map(|how| sidecar.ended(how, "unsafe"))
+        .filter_map(|how| sidecar.requests_ended(how, "unsafe"))
         .sum();
     assert_eq!(ends, 1);
 }
@@ -135,9 +135,12 @@
 impl Retuned {
     fn start() -> Self {
         let (told, discovery) = (Told::start(), Discovery::start());
-        let config = with_admin(config(discovery.address, &serving(&[&told.endpoint])));
-        let path = file(&config.to_string());
-        let sidecar = Sidecar::start_with(&path);
+        let config = with_admin_address(config(
+            discovery.address,
+            &serving_entries(&[&told.endpoint]),
+        ));
+        let path = temporary_file(&config.to_string());
+        let sidecar = Sidecar::start_with_file(&path);
         let watch = discovery.next_watch();
         told.earns_retries(&mut sidecar.client());
         Retuned {
@@ -169,14 +172,14 @@
                 .expect("a list"),
         );
         std::fs::write(&self.path, self.config.to_string()).expect("the file is written");
-        self.sidecar.signal("HUP");
-        awaits("it is taken", || {
-            self.sidecar.figure("config_reloads") == Some(1)
+        self.sidecar.send_signal("HUP");
+        wait_until("it is taken", || {
+            self.sidecar.metric("config_reloads") == Some(1)
         });
     }
 
     fn fails(&self) {
-        self.told.does(Does::Answers(
+        self.told.does(EndpointAction::Respond(
             "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
         ));
     }
@@ -192,32 +195,37 @@
 /// that must not run twice is not sent again because others of its name now may.
 #[test]
 fn a_new_effect_does_not_reach_an_attempt_that_is_out() {
-    let (mut retuned, other) = (Retuned::start(), Endpoint::start(|_| ok("other")));
-    let mut client = retuned.asks(&post("unsafe", "9", "x"));
-    retuned.lists(&list(42, true, &serving(&[&retuned.told.endpoint, &other])));
-    awaits("the other is listed", || {
-        retuned.sidecar.figure("members") == Some(2)
+    let (mut retuned, other) = (Retuned::start(), Endpoint::start(|_| respond_ok("other")));
+    let mut client = retuned.asks(&post_request("unsafe", "9", "x"));
+    retuned.lists(&list(
+        42,
+        true,
+        &serving_entries(&[&retuned.told.endpoint, &other]),
+    ));
+    wait_until("the other is listed", || {
+        retuned.sidecar.metric("members") == Some(2)
     });
     retuned.retunes(|classes| classes[1]["effect"] = json!("free"));
     retuned.fails();
     assert_eq!(client.read().expect("an answer").status(), 502);
-    assert_eq!(other.requests(), 0, "it is not sent again");
+    assert_eq!(other.take_request_count(), 0, "it is not sent again");
 }
 
 /// Guards attempts that are out against fewer worth levels from SIGHUP: a request keeps its worth among those that are left,
 /// be it retried, or its client gone.
 #[test]
 fn fewer_levels_do_not_reach_an_attempt_that_is_out() {
-    let (mut retuned, other) = (Retuned::start(), Endpoint::start(|_| ok("other")));
-    let keyed = || post("keyed", "9", "x").replace("X-Class", "Idempotency-Key: k\r\nX-Class");
+    let (mut retuned, other) = (Retuned::start(), Endpoint::start(|_| respond_ok("other")));
+    let keyed =
+        || post_request("keyed", "9", "x").replace("X-Class", "Idempotency-Key: k\r\nX-Class");
     let (mut client, gone) = (retuned.asks(&keyed()), retuned.asks(&keyed()));
     retuned.lists(&list(
         42,
         false,
         &[entry("e0", retuned.told.endpoint.address, "DRAINING")],
     ));
-    awaits("it drains", || {
-        retuned.sidecar.figure("members_unavailable") == Some(1)
+    wait_until("it drains", || {
+        retuned.sidecar.metric("members_unavailable") == Some(1)
     });
     retuned.retunes(|classes| {
         // Only one class is left beside theirs, and worth as much.
@@ -225,8 +233,8 @@
         classes[0]["worth"] = json!(2.0);
     });
     drop(gone);
-    awaits("it has left", || {
-        retuned.sidecar.figure("pending") == Some(1)
+    wait_until("it has left", || {
+        retuned.sidecar.metric("pending") == Some(1)
     });
     (0..2).for_each(|_| retuned.fails());
     std::thread::sleep(Duration::from_millis(100)); // the retry waits
@@ -236,7 +244,11 @@
         (answer.status(), answer.body.as_slice()),
         (200, "other".as_bytes())
     );
-    assert_eq!(client.ask(&get("5")).status(), 200, "and all is as ever");
+    assert_eq!(
+        client.exchange(&get_request("5")).status(),
+        200,
+        "and all is as ever"
+    );
     assert!(
         !retuned
             .sidecar
@@ -252,24 +264,24 @@
 /// with nothing on it, and then its request was not sent on.
 #[test]
 fn a_close_to_make_room_and_the_next_request_do_not_cross() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &serving(&[&endpoint]));
+    let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
     config["limits"]["sockets"] = json!(64);
     let sidecar = Sidecar::start(&config);
     let mut idle: Vec<Client> = (0..16).map(|_| sidecar.client()).collect();
     for client in &mut idle {
-        assert_eq!(client.ask(READY).status(), 200);
+        assert_eq!(client.exchange(READY).status(), 200);
     }
-    sidecar.freezes();
+    sidecar.suspend();
     let mut new: Vec<TcpStream> = (0..24)
         .map(|_| TcpStream::connect(sidecar.address).expect("the backlog has room"))
         .collect();
-    let requests: Vec<String> = idle.iter().map(|_| get("9")).collect();
+    let requests: Vec<String> = idle.iter().map(|_| get_request("9")).collect();
     idle.iter_mut()
         .zip(&requests)
         .for_each(|(client, request)| client.write(request));
-    sidecar.thaws();
+    sidecar.resume();
     let mut answered = 0;
     for client in &mut idle {
         match client.read() {
@@ -281,7 +293,7 @@
         }
     }
     assert_eq!(
-        endpoint.requests(),
+        endpoint.take_request_count(),
         answered,
         "what was closed on was not sent on"
     );
--- a/tests/sidecar/crossings_of_stops.rs
+++ b/tests/sidecar/crossings_of_stops.rs
@@ -12,24 +12,26 @@
 /// it has come whole, and a second SIGTERM, a DRAIN and its end in between change nothing.
 #[test]
 fn a_stop_waits_for_requests_that_are_half_read() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut sidecar = Sidecar::start(&brief(&discovery, &[&endpoint], Duration::from_secs(1)));
     let mut idle = sidecar.client();
-    assert_eq!(idle.ask(READY).status(), 200);
-    let requests = [get("1"), post("unsafe", "1", "hello")];
+    assert_eq!(idle.exchange(READY).status(), 200);
+    let requests = [get_request("1"), post_request("unsafe", "1", "hello")];
     let mut half: Vec<(Client, &str)> = Vec::new();
     sidecar.terminate();
-    awaits("it stops", || sidecar.client().ask(READY).status() == 503);
+    wait_until("it stops", || {
+        sidecar.client().exchange(READY).status() == 503
+    });
     for (request, at) in requests.iter().zip([20, requests[1].len() - 3]) {
         let mut client = sidecar.client();
         client.write(&request[..at]);
         half.push((client, &request[at..]));
     }
     sidecar.terminate();
-    assert!(sidecar.says_yes("DRAIN") && !sidecar.says_yes("READY"));
+    assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
     assert!(
-        sidecar.says_yes("UNDRAIN") && !sidecar.says_yes("READY"),
+        sidecar.call_is_yes("UNDRAIN") && !sidecar.call_is_yes("READY"),
         "it stops all the same"
     );
     assert!(idle.is_closed(), "connections between requests close");
@@ -44,23 +46,23 @@
 /// Guards the listener's end: what stands in the kernel's backlog by then is let in and answered, not reset.
 #[test]
 fn a_stop_answers_what_waits_in_the_backlog_as_the_listener_closes() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut sidecar = Sidecar::start(&brief(&discovery, &[&endpoint], Duration::from_secs(3)));
     let mut idle = sidecar.client();
-    assert_eq!(idle.ask(READY).status(), 200);
+    assert_eq!(idle.exchange(READY).status(), 200);
     sidecar.terminate();
     assert!(idle.is_closed(), "the last step before has begun");
-    sidecar.freezes();
+    sidecar.suspend();
     let mut late: Vec<Client> = (0..12)
         .map(|_| {
             let mut client = sidecar.client();
-            client.write(&get("3"));
+            client.write(&get_request("3"));
             client
         })
         .collect();
     std::thread::sleep(Duration::from_millis(900)); // past the last step
-    sidecar.thaws();
+    sidecar.resume();
     for client in &mut late {
         // Served, or refused as the time in which all has to be answered is over.
         let answer = client.read().map(|answer| answer.status());
@@ -77,25 +79,27 @@
 /// still, and ask a moment after it goes on. Those that never ask keep nobody waiting.
 #[test]
 fn a_stop_answers_callers_that_have_just_been_let_in() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     // A moment is 0.3 s at the most, which a busy machine may take longer for; then all is done once more.
-    awaits("they ask in time", || {
+    wait_until("they ask in time", || {
         let discovery = Discovery::start();
         let mut sidecar = Sidecar::start(&brief(&discovery, &[&endpoint], Duration::from_secs(3)));
         let mut idle = sidecar.client();
-        assert_eq!(idle.ask(READY).status(), 200);
+        assert_eq!(idle.exchange(READY).status(), 200);
         sidecar.terminate();
         assert!(idle.is_closed(), "the last step before has begun");
-        sidecar.freezes();
-        let before = sidecar.descriptors();
+        sidecar.suspend();
+        let before = sidecar.descriptor_count();
         let mut late: Vec<Client> = (0..12).map(|_| sidecar.client()).collect();
         let mut silent = sidecar.client();
         std::thread::sleep(Duration::from_millis(900)); // past the last step
         let from = Instant::now();
-        sidecar.thaws();
-        awaits("they are let in", || sidecar.descriptors() > before + 11);
+        sidecar.resume();
+        wait_until("they are let in", || {
+            sidecar.descriptor_count() > before + 11
+        });
         for client in &mut late {
-            client.write(&get("3"));
+            client.write(&get_request("3"));
         }
         let in_time = from.elapsed() < Duration::from_millis(250);
         for client in &mut late {
@@ -117,7 +121,7 @@
 #[test]
 fn a_stop_answers_what_is_held_out_or_retried() {
     let told = Told::start();
-    let (discovery, other) = (Discovery::start(), Endpoint::start(|_| ok("other")));
+    let (discovery, other) = (Discovery::start(), Endpoint::start(|_| respond_ok("other")));
     let mut sidecar = Sidecar::start(&brief(
         &discovery,
         &[&told.endpoint],
@@ -131,28 +135,28 @@
         client.write(&request);
         client
     };
-    let mut retried = ask(get("9"));
+    let mut retried = ask(get_request("9"));
     told.endpoint.next_request();
-    let mut out = ask(post("unsafe", "9", "x"));
+    let mut out = ask(post_request("unsafe", "9", "x"));
     told.endpoint.next_request();
     watch.write_line(&list(
         42,
         false,
         &[entry("e0", told.endpoint.address, "DRAINING")],
     ));
-    awaits("it drains", || {
-        sidecar.figure("members_unavailable") == Some(1)
+    wait_until("it drains", || {
+        sidecar.metric("members_unavailable") == Some(1)
     });
-    let mut held = ask(get("9"));
-    awaits("all are there", || sidecar.figure("pending") == Some(3));
+    let mut held = ask(get_request("9"));
+    wait_until("all are there", || sidecar.metric("pending") == Some(3));
     sidecar.terminate();
-    awaits("nobody is let in any more", || {
+    wait_until("nobody is let in any more", || {
         TcpStream::connect(sidecar.address).is_err()
     });
-    told.does(Does::Answers(
+    told.does(EndpointAction::Respond(
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
     ));
-    told.does(ok("out"));
+    told.does(respond_ok("out"));
     watch.write_line(&list(43, false, &[entry("e1", other.address, "SERVING")]));
     // Which of the two the stub answers first is the stub's; both are known by their class.
     for (client, bodies) in [
@@ -176,30 +180,33 @@
 /// has passed it on. The test is that process.
 #[test]
 fn a_ban_outlives_the_process_that_was_told_and_died() {
-    let folder = folder();
-    let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("")));
+    let folder = temporary_directory();
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Discovery::start();
-    let all = serving(&[&endpoints[0], &endpoints[1]]);
-    let sidecar = Sidecar::start_in(&folder, &with_admin(config(discovery.address, &all)));
+    let all = serving_entries(&[&endpoints[0], &endpoints[1]]);
+    let sidecar = Sidecar::start_in_directory(
+        &folder,
+        &with_admin_address(config(discovery.address, &all)),
+    );
     let socket = folder.join("pipittray.sock");
-    awaits("it offers to hand over", || socket.exists());
+    wait_until("it offers to hand over", || socket.exists());
     let newer = UnixStream::connect(&socket).expect("it hands over");
     let mut byte = [0];
     (&newer)
         .read_exact(&mut byte)
         .expect("the socket comes with a byte");
     let (bans, out) = (folder.join("pipittray.disabled"), || {
-        sidecar.figure("members_unavailable")
+        sidecar.metric("members_unavailable")
     });
     std::fs::write(&bans, "[\"e1\"]").expect("the word is kept");
     assert_eq!(out(), Some(0));
     drop(newer);
-    awaits("it is taken out here too", || out() == Some(1));
+    wait_until("it is taken out here too", || out() == Some(1));
     let mut client = sidecar.client();
     for _ in 0..20 {
-        assert_eq!(client.ask(&get("5")).status(), 200);
+        assert_eq!(client.exchange(&get_request("5")).status(), 200);
     }
-    assert_eq!(endpoints[1].requests(), 0);
+    assert_eq!(endpoints[1].take_request_count(), 0);
     // Back in, told to the next newer one; but a file that cannot be read says nothing.
     let mut dies = |text: &str, told: &str| {
         let newer = UnixStream::connect(&socket).expect("it hands over");
@@ -209,19 +216,19 @@
         std::fs::write(&bans, text).expect("the word is kept");
         assert_eq!(out(), Some(1));
         if !told.is_empty() {
-            assert!(sidecar.says_yes(told));
+            assert!(sidecar.call_is_yes(told));
         }
         drop(newer);
     };
     dies("[\"e1", "");
-    sidecar.awaits_log("file of disabled endpoints is ignored");
+    sidecar.wait_for_log("file of disabled endpoints is ignored");
     assert_eq!(out(), Some(1));
     dies("[]", "");
-    awaits("it is back here too", || out() == Some(0));
+    wait_until("it is back here too", || out() == Some(0));
     // Each told something of its own at once.
-    assert!(sidecar.says_yes("DISABLE e1"));
+    assert!(sidecar.call_is_yes("DISABLE e1"));
     dies("[\"e0\",\"e1\"]", "ENABLE e1");
-    sidecar.awaits_log("endpoint e0 is disabled by hand");
+    sidecar.wait_for_log("endpoint e0 is disabled by hand");
     assert_eq!(out(), Some(1));
     assert_eq!(
         std::fs::read_to_string(&bans).expect("it is kept"),
@@ -237,19 +244,19 @@
     discovery: &Discovery,
     newer: impl FnOnce(&Path),
 ) -> (Sidecar, Client) {
-    let folder = folder();
+    let folder = temporary_directory();
     let config = brief(discovery, &[&told.endpoint], Duration::from_secs(15));
-    let sidecar = Sidecar::start_in(&folder, &config);
+    let sidecar = Sidecar::start_in_directory(&folder, &config);
     let socket = folder.join("pipittray.sock");
-    awaits("it offers to hand over", || socket.exists());
+    wait_until("it offers to hand over", || socket.exists());
     newer(&socket);
     let mut out = sidecar.client();
-    out.write(&post("unsafe", "15", "x"));
+    out.write(&post_request("unsafe", "15", "x"));
     told.endpoint.next_request();
-    let listeners = sidecar.listeners();
+    let listeners = sidecar.listener_count();
     sidecar.terminate();
-    awaits("it lets nobody in any more", || {
-        sidecar.listeners() < listeners
+    wait_until("it lets nobody in any more", || {
+        sidecar.listener_count() < listeners
     });
     std::fs::remove_dir_all(folder).expect("it goes");
     (sidecar, out)
@@ -265,7 +272,7 @@
         TcpStream::connect(sidecar.address).is_err(),
         "nobody lets it in"
     );
-    told.does(ok("x"));
+    told.does(respond_ok("x"));
     assert_eq!(out.read().expect("an answer").status(), 200);
     assert!(sidecar.wait().success());
 }
@@ -286,7 +293,7 @@
     let mut waits: Vec<Client> = (0..3)
         .map(|_| {
             let mut client = sidecar.client();
-            client.write(&get("9"));
+            client.write(&get_request("9"));
             client
         })
         .collect();
@@ -300,10 +307,10 @@
             sidecar.log()
         );
     }
-    awaits("nobody is let in any more", || {
+    wait_until("nobody is let in any more", || {
         TcpStream::connect(sidecar.address).is_err()
     });
-    told.does(ok("x"));
+    told.does(respond_ok("x"));
     assert_eq!(out.read().expect("an answer").status(), 200);
     assert!(sidecar.wait().success());
 }
@@ -314,7 +321,7 @@
 fn the_timer_of_a_hold_that_is_over_answers_nobody() {
     let told = Told::start();
     let discovery = Discovery::start();
-    let mut config = with_admin(config(discovery.address, &[]));
+    let mut config = with_admin_address(config(discovery.address, &[]));
     // Held for 2 s at the most, and worth waiting for longer.
     config["settings"]["categories"][0]["objectiveNs"] = json!(2_000_000_000u64);
     config["settings"]["categories"][0]["lateShare"] = json!(0.5);
@@ -322,23 +329,27 @@
     let mut watch = discovery.next_watch();
     let [mut over, mut out] = [0, 1].map(|n| {
         let mut client = sidecar.client();
-        client.write(&get("9"));
-        awaits("it is held", || sidecar.figure("pending") == Some(n + 1));
+        client.write(&get_request("9"));
+        wait_until("it is held", || sidecar.metric("pending") == Some(n + 1));
         client
     });
-    watch.write_line(&list(42, false, &serving(&[&told.endpoint])));
+    watch.write_line(&list(42, false, &serving_entries(&[&told.endpoint])));
     told.endpoint.next_request();
-    told.does(ok("x"));
+    told.does(respond_ok("x"));
     assert_eq!(over.read().expect("an answer").status(), 200);
     std::thread::sleep(Duration::from_millis(2_500)); // both holds are over
     let drains = entry("e1", "127.0.0.1:1".parse().expect("an address"), "DRAINING");
     watch.write_line(&list(43, false, &[drains]));
-    awaits("the module has looked at the time", || {
-        sidecar.figure("members") == Some(2)
+    wait_until("the module has looked at the time", || {
+        sidecar.metric("members") == Some(2)
     });
-    told.does(ok("x"));
+    told.does(respond_ok("x"));
     assert_eq!(out.read().expect("an answer").status(), 200);
-    assert_eq!(over.ask(READY).status(), 200, "nothing more came before");
-    let ended = ["completed", "rejected", "failed"].map(|how| sidecar.ended(how, "safe"));
+    assert_eq!(
+        over.exchange(READY).status(),
+        200,
+        "nothing more came before"
+    );
+    let ended = ["completed", "rejected", "failed"].map(|how| sidecar.requests_ended(how, "safe"));
     assert_eq!(ended, [Some(2), Some(0), Some(0)]);
 }
--- a/tests/sidecar/customers.rs
+++ b/tests/sidecar/customers.rs
@@ -41,7 +41,7 @@
 }
 
 fn read(class: &str, deadline: &str, more: &str) -> String {
-    get(deadline).replace("X-Class: safe", &format!("X-Class: {class}{more}"))
+    get_request(deadline).replace("X-Class: safe", &format!("X-Class: {class}{more}"))
 }
 
 /// How long an endpoint was told that it may take.
@@ -55,27 +55,27 @@
 
 fn is_bakery(sidecar: &Sidecar, endpoint: &Endpoint) {
     let mut client = sidecar.client();
-    endpoint.requests();
+    endpoint.take_request_count();
     assert_eq!(
-        client.ask(&read("menu", "9", "")).status(),
+        client.exchange(&read("menu", "9", "")).status(),
         200,
         "no tenant is asked for"
     );
     assert!(left(endpoint) <= 0.9, "the class's own deadline");
     assert_eq!(
-        client.ask(&post("pay", "9", "x")).status(),
+        client.exchange(&post_request("pay", "9", "x")).status(),
         200,
         "nor a key"
     );
     assert!(left(endpoint) > 7.0);
-    let refused = client.ask(&read("menu", "0", ""));
+    let refused = client.exchange(&read("menu", "0", ""));
     assert_eq!(
         (refused.status(), refused.header("retry-after")),
         (503, Some("3.5"))
     );
     assert_eq!(
         client
-            .ask(&read("fetch", "9", "\r\nX-Tenant: north"))
+            .exchange(&read("fetch", "9", "\r\nX-Tenant: north"))
             .status(),
         400
     );
@@ -84,29 +84,30 @@
 fn is_archive(sidecar: &Sidecar, endpoint: &Endpoint) {
     let mut client = sidecar.client();
     let north = "\r\nX-Tenant: north";
-    awaits("what may be late is over", || {
-        client.ask(&read("menu", "9", north)).status() == 400
+    wait_until("what may be late is over", || {
+        client.exchange(&read("menu", "9", north)).status() == 400
     });
-    endpoint.requests();
-    assert_eq!(client.ask(&read("fetch", "9", north)).status(), 200);
+    endpoint.take_request_count();
+    assert_eq!(client.exchange(&read("fetch", "9", north)).status(), 200);
     let given = left(endpoint);
     assert!(given <= 5.0 && given > 3.0, "{given}");
     assert_eq!(
-        client.ask(&read("fetch", "9", "")).status(),
+        client.exchange(&read("fetch", "9", "")).status(),
         400,
         "whose it is"
     );
     assert_eq!(
         client
-            .ask(&read("fetch", "9", "\r\nX-Tenant: west"))
+            .exchange(&read("fetch", "9", "\r\nX-Tenant: west"))
             .status(),
         400
     );
-    let unkeyed = post("pay", "9", "x").replace("pay", &format!("pay{north}"));
-    assert_eq!(sidecar.client().ask(&unkeyed).status(), 400);
-    let keyed = post("pay", "9", "x").replace("pay", &format!("pay{north}\r\nIdempotency-Key: k"));
-    assert_eq!(client.ask(&keyed).status(), 200);
-    let refused = client.ask(&read("fetch", "0", north));
+    let unkeyed = post_request("pay", "9", "x").replace("pay", &format!("pay{north}"));
+    assert_eq!(sidecar.client().exchange(&unkeyed).status(), 400);
+    let keyed =
+        post_request("pay", "9", "x").replace("pay", &format!("pay{north}\r\nIdempotency-Key: k"));
+    assert_eq!(client.exchange(&keyed).status(), 200);
+    let refused = client.exchange(&read("fetch", "0", north));
     assert_eq!(
         (refused.status(), refused.header("retry-after")),
         (503, None)
@@ -118,16 +119,17 @@
 #[test]
 fn what_is_turned_away_for_want_of_room_says_when_to_come_back() {
     for (allowed, told) in [(true, Some("2")), (false, None)] {
-        let endpoint = Endpoint::start(|_| Does::Hangs);
+        let endpoint = Endpoint::start(|_| EndpointAction::Hang);
         let discovery = Discovery::start();
-        let mut config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+        let mut config =
+            with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
         config["settings"]["bounds"]["maxOpen"] = json!(1);
         config["settings"]["bounds"]["retryAfter"] = json!(allowed);
         let sidecar = Sidecar::start(&config);
         let mut waits = sidecar.client();
-        waits.write(&post("unsafe", "9", "x"));
-        awaits("it is open", || sidecar.figure("pending") == Some(1));
-        let refused = sidecar.client().ask(&get("9"));
+        waits.write(&post_request("unsafe", "9", "x"));
+        wait_until("it is open", || sidecar.metric("pending") == Some(1));
+        let refused = sidecar.client().exchange(&get_request("9"));
         assert_eq!(
             (refused.status(), refused.header("retry-after")),
             (503, told)
@@ -135,7 +137,7 @@
         config["limits"]["memory_mb"] = json!(0);
         let refused = Sidecar::start(&config)
             .client()
-            .ask(&post("unsafe", "9", "x"));
+            .exchange(&post_request("unsafe", "9", "x"));
         assert_eq!(
             (refused.status(), refused.header("retry-after")),
             (503, told)
@@ -153,34 +155,37 @@
         if message.body == b"waits" {
             let _ = released.lock().expect("the only one").recv();
         }
-        ok("x")
+        respond_ok("x")
     });
     let discovery = Discovery::start();
-    let plain = with_admin(config(discovery.address, &serving(&[&endpoint])));
+    let plain = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
     let (bakery, archive) = (bakery(plain.clone()), archive(plain));
     is_archive(&Sidecar::start(&archive), &endpoint);
 
-    let path = file(&bakery.to_string());
-    let sidecar = Sidecar::start_with(&path);
+    let path = temporary_file(&bakery.to_string());
+    let sidecar = Sidecar::start_with_file(&path);
     let retunes = |config: &Value, times| {
         std::fs::write(&path, config.to_string()).expect("the file is written");
-        sidecar.signal("HUP");
-        awaits("it is taken", || {
-            sidecar.figure("config_reloads") == Some(times)
+        sidecar.send_signal("HUP");
+        wait_until("it is taken", || {
+            sidecar.metric("config_reloads") == Some(times)
         });
     };
     is_bakery(&sidecar, &endpoint);
     let mut waits = sidecar.client();
-    waits.write(&post("pay", "19", "waits"));
+    waits.write(&post_request("pay", "19", "waits"));
     assert!(left(&endpoint) > 15.0);
     // A connection that stands idle from here on, which the first customer's limits keep for 42 s.
-    assert_eq!(sidecar.client().ask(&read("menu", "9", "")).status(), 200);
+    assert_eq!(
+        sidecar.client().exchange(&read("menu", "9", "")).status(),
+        200
+    );
     let (kept, _) = endpoint.next_request();
     retunes(&archive, 1);
     std::thread::sleep(Duration::from_millis(800)); // past 0.7 s, which is what the second's limits keep one
-    let asked =
-        post("pay", "9", "x").replace("pay", "pay\r\nX-Tenant: north\r\nIdempotency-Key: k");
-    assert_eq!(sidecar.client().ask(&asked).status(), 200);
+    let asked = post_request("pay", "9", "x")
+        .replace("pay", "pay\r\nX-Tenant: north\r\nIdempotency-Key: k");
+    assert_eq!(sidecar.client().exchange(&asked).status(), 200);
     assert_ne!(
         endpoint.next_request().0,
         kept,
@@ -193,10 +198,10 @@
         200
     );
     retunes(&bakery, 2);
-    awaits("what may be late is over", || {
+    wait_until("what may be late is over", || {
         sidecar
             .client()
-            .ask(&read("fetch", "9", "\r\nX-Tenant: north"))
+            .exchange(&read("fetch", "9", "\r\nX-Tenant: north"))
             .status()
             == 400
     });
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -114,9 +114,9 @@
     /// Waits until so many further connections have been opened that none is left that could be.
     fn fills_up(&self, sidecar: &Sidecar) {
         let before = self.connected.load(Ordering::Relaxed);
-        awaits("the crowd has all", || {
+        wait_until("the crowd has all", || {
             self.connected.load(Ordering::Relaxed) >= before + TURNOVER
-                && sidecar.descriptors() >= SHORT
+                && sidecar.descriptor_count() >= SHORT
         });
     }
 }
@@ -130,7 +130,7 @@
 
 /// A sidecar with so few descriptors over these endpoints.
 fn limited(discovery: &Calls, endpoints: &[&Endpoint], mode: &str) -> Sidecar {
-    let mut config = with_admin(config(discovery.address(), &serving(endpoints)));
+    let mut config = with_admin_address(config(discovery.address(), &serving_entries(endpoints)));
     config["limits"]["sockets"] = json!(LIMIT);
     config["settings"]["discovery"] = json!(mode);
     for class in config["settings"]["categories"]
@@ -140,8 +140,8 @@
         class["objectiveNs"] = json!(120_000_000_000u64);
         class["hardLimitNs"] = json!(120_000_000_000u64);
     }
-    let path = file(&config.to_string());
-    let sidecar = Sidecar::limited(&path, LIMIT);
+    let path = temporary_file(&config.to_string());
+    let sidecar = Sidecar::start_with_descriptor_limit(&path, LIMIT);
     std::fs::remove_file(path).expect("the file goes");
     sidecar
 }
@@ -151,13 +151,16 @@
     let text = std::str::from_utf8(STAYS).expect("text");
     let open = |_| {
         let mut client = sidecar.client();
-        client.write(&post("unsafe", "100", text));
+        client.write(&post_request("unsafe", "100", text));
         client
     };
     let clients = (0..OPEN_REQUESTS).map(open).collect();
     let mut seen = 0;
-    awaits("the requests are at their endpoints", || {
-        seen += endpoints.iter().map(Endpoint::requests).sum::<usize>();
+    wait_until("the requests are at their endpoints", || {
+        seen += endpoints
+            .iter()
+            .map(Endpoint::take_request_count)
+            .sum::<usize>();
         seen == OPEN_REQUESTS
     });
     clients
@@ -165,18 +168,20 @@
 
 /// Asks once more on a new connection where one was closed or reset unread, as clients do.
 fn is_served(sidecar: &Sidecar) {
-    awaits("a request is served", || {
+    wait_until("a request is served", || {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        let is_written = stream.write_all(get("20").as_bytes()).is_ok();
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
+        let is_written = stream.write_all(get_request("20").as_bytes()).is_ok();
         let answer = read_message(&mut BufReader::new(stream));
         is_written && answer.is_some_and(|answer| answer.status() == 200)
     });
 }
 
 fn operators_are_answered(sidecar: &Sidecar) {
-    assert!(sidecar.says_yes("READY"));
-    assert_eq!(sidecar.figure("pending"), Some(OPEN_REQUESTS as u64));
+    assert!(sidecar.call_is_yes("READY"));
+    assert_eq!(sidecar.metric("pending"), Some(OPEN_REQUESTS as u64));
 }
 
 /// Guards the descriptors that callers may not have: while discovery is down they take all others, what its watch held
@@ -186,9 +191,9 @@
     let start = format!("{network_address}:0").parse().expect("an address");
     let answer = |message: &Message| {
         if message.body == STAYS {
-            Does::Hangs
+            EndpointAction::Hang
         } else {
-            ok("")
+            respond_ok("")
         }
     };
     let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|_| Endpoint::start(answer)).collect();
@@ -201,19 +206,19 @@
     crowd.fills_up(&sidecar);
     let address = discovery.address();
     drop((discovery, watch));
-    sidecar.awaits_log("the watch on discovery");
+    sidecar.wait_for_log("the watch on discovery");
     crowd.fills_up(&sidecar);
     operators_are_answered(&sidecar);
     is_served(&sidecar);
-    let started = Endpoint::start(|_| ok(""));
+    let started = Endpoint::start(|_| respond_ok(""));
     let changed: Vec<Value> = vec![entry("started", started.address, "SERVING")];
     let discovery = Calls::at(address);
     let mut watch = discovery.next_open();
     assert!(watch.follows(41), "{}", watch.asked);
     watch.writes(HEAD);
     watch.chunk(&format!("{}\n", list(42, true, &changed)));
-    awaits("the list is current", || {
-        sidecar.figure("members") == Some(1)
+    wait_until("the list is current", || {
+        sidecar.metric("members") == Some(1)
     });
     crowd.fills_up(&sidecar);
     operators_are_answered(&sidecar);
@@ -243,22 +248,22 @@
     watch.writes(HEAD);
     let connect = |_| {
         let mut client = sidecar.client();
-        client.write(&get("100"));
+        client.write(&get_request("100"));
         client
     };
     // All have come before it reads the first.
-    sidecar.freezes();
+    sidecar.suspend();
     let mut clients: Vec<Client> = (0..LIMIT).map(connect).collect();
-    sidecar.thaws();
+    sidecar.resume();
     // Each has been refused or closed by then, or is held.
-    awaits("all have been read", || {
+    wait_until("all have been read", || {
         let silent = clients.iter().filter(|client| client.is_silent()).count();
-        sidecar.figure("pending") == Some(silent as u64)
+        sidecar.metric("pending") == Some(silent as u64)
     });
     clients.retain(Client::is_silent);
     assert!(clients.len() >= HELD_REQUESTS, "{}", clients.len());
     let endpoints: Vec<Endpoint> = (0..ENDPOINTS)
-        .map(|_| Endpoint::start(|_| ok("")))
+        .map(|_| Endpoint::start(|_| respond_ok("")))
         .collect();
     if !watch.is_open() {
         watch = discovery.next_open();
@@ -266,7 +271,11 @@
     }
     watch.chunk(&format!(
         "{}\n",
-        list(42, false, &serving(&endpoints.iter().collect::<Vec<_>>()))
+        list(
+            42,
+            false,
+            &serving_entries(&endpoints.iter().collect::<Vec<_>>())
+        )
     ));
     for client in &mut clients {
         assert_eq!(client.read().map(|answer| answer.status()), Some(200));
@@ -277,22 +286,22 @@
 /// others do. All have come before the sidecar reads the first, and none leaves by itself.
 #[test]
 fn early_answers_leave_descriptors_for_the_rest() {
-    let endpoint = Endpoint::start(|_| ok(""));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Calls::start();
     let sidecar = limited(&discovery, &[&endpoint], "automatic");
     let connect = |_| {
         let mut client = sidecar.client();
-        client.write(&post("no-class", "5", "half").replace("Length: 4", "Length: 50"));
+        client.write(&post_request("no-class", "5", "half").replace("Length: 4", "Length: 50"));
         client
     };
-    sidecar.freezes();
+    sidecar.suspend();
     let clients: Vec<Client> = (0..2 * LIMIT).map(connect).collect();
-    sidecar.thaws();
-    awaits("all are answered or closed", || {
+    sidecar.resume();
+    wait_until("all are answered or closed", || {
         clients.iter().all(|client| !client.is_silent())
     });
-    assert!(sidecar.says_yes("READY"));
-    assert!(sidecar.descriptors() < LIMIT);
+    assert!(sidecar.call_is_yes("READY"));
+    assert!(sidecar.descriptor_count() < LIMIT);
     let log = sidecar.log().join("\n");
     assert!(!log.contains("Too many open files"), "{log}");
 }
--- a/tests/sidecar/dials.rs
+++ b/tests/sidecar/dials.rs
@@ -84,7 +84,7 @@
 /// which is written once. The first alone would be up after 1 s.
 #[test]
 fn a_request_goes_over_the_first_dial_that_comes_up() {
-    for request in [get("5"), post("unsafe", "5", "hello")] {
+    for request in [get_request("5"), post_request("unsafe", "5", "hello")] {
         let endpoint = FullEndpoint::start();
         let (sidecar, _discovery) = over(&endpoint);
         let mut client = sidecar.client();
@@ -113,7 +113,10 @@
     let (mut sidecar, _discovery) = over(&endpoint);
     let asked = Instant::now();
     assert_eq!(
-        sidecar.client().ask(&post("unsafe", "5", "hello")).status(),
+        sidecar
+            .client()
+            .exchange(&post_request("unsafe", "5", "hello"))
+            .status(),
         503
     );
     let took = asked.elapsed();
@@ -123,8 +126,8 @@
     );
     sidecar.terminate();
     sidecar.wait();
-    awaits("the last counts are told", || {
-        sidecar.counted("connects") > 0
+    wait_until("the last counts are told", || {
+        sidecar.logged_count("connects") > 0
     });
-    assert_eq!(sidecar.counted("connects"), 3);
+    assert_eq!(sidecar.logged_count("connects"), 3);
 }
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -49,12 +49,12 @@
 
 impl Site {
     fn start(mode: &'static str, discovery: SocketAddr) -> Self {
-        let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
-        let known = serving(&[&endpoints[0], &endpoints[1]]);
-        let mut config = with_admin(config(discovery, &known));
+        let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
+        let known = serving_entries(&[&endpoints[0], &endpoints[1]]);
+        let mut config = with_admin_address(config(discovery, &known));
         config["settings"]["discovery"] = json!(mode);
-        let path = file(&config.to_string());
-        let sidecar = Sidecar::start_with(&path);
+        let path = temporary_file(&config.to_string());
+        let sidecar = Sidecar::start_with_file(&path);
         Site {
             mode,
             endpoints,
@@ -71,7 +71,7 @@
 
     fn reloads(&self) {
         std::fs::write(&self.path, self.config.to_string()).expect("the file is written");
-        self.sidecar.signal("HUP");
+        self.sidecar.send_signal("HUP");
     }
 
     /// The first endpoint drains and the third is new.
@@ -98,17 +98,22 @@
 
     fn awaits_change(&self) {
         is_out(&self.sidecar, 1);
-        awaits("the third is known", || {
-            self.sidecar.figure("members") == Some(3)
+        wait_until("the third is known", || {
+            self.sidecar.metric("members") == Some(3)
         });
-        self.endpoints.iter().for_each(|e| drop(e.messages()));
+        self.endpoints.iter().for_each(|e| drop(e.take_requests()));
         let mut client = self.sidecar.client();
-        awaits("the third serves", || {
-            assert_eq!(client.ask(&get("5")).status(), 200, "{}", self.mode);
-            self.endpoints[2].requests() > 0
+        wait_until("the third serves", || {
+            assert_eq!(
+                client.exchange(&get_request("5")).status(),
+                200,
+                "{}",
+                self.mode
+            );
+            self.endpoints[2].take_request_count() > 0
         });
         assert_eq!(
-            self.endpoints[0].requests(),
+            self.endpoints[0].take_request_count(),
             0,
             "{}: the first drains",
             self.mode
@@ -163,7 +168,7 @@
         let site = Site::start(mode, down.address());
         let refused =
             |line: &&String| line.contains("the watch on discovery") && line.contains("refused");
-        awaits("calls are refused", || {
+        wait_until("calls are refused", || {
             site.sidecar.log().iter().filter(refused).count() >= MANY_FAILED
         });
         let discovery = down.comes_back();
@@ -205,7 +210,7 @@
         let mut spoilt = opens_watch(&discovery, 41);
         spoilt.chunk("{\"index\":50,\"snapshot\":true,\"endpoints\":[");
         let mut anew = None;
-        awaits("a watch is opened anew", || {
+        wait_until("a watch is opened anew", || {
             spoilt.beats();
             anew = discovery.try_next();
             anew.is_some()
@@ -231,7 +236,7 @@
         site.config["settings"]["bounds"]["sendCap"] = json!(2);
         site.reloads();
         site.sidecar
-            .awaits_log("discovery stays, settings change in bounds");
+            .wait_for_log("discovery stays, settings change in bounds");
         out.writes(HEAD);
         out.chunk(&format!("{}\n", site.whole_list(60)));
         site.awaits_change();
@@ -249,7 +254,7 @@
         let _watch = opens_watch(&old, 41);
         site.moves_discovery(down.address());
         let refused = |line: &&String| line.contains("refused");
-        awaits("calls are refused", || {
+        wait_until("calls are refused", || {
             site.sidecar.log().iter().filter(refused).count() >= MANY_FAILED
         });
         let new = down.comes_back();
@@ -266,7 +271,7 @@
         stays_open.writes(&half);
         let whole = next_whole_list(&new);
         assert_eq!(
-            site.sidecar.figure("members"),
+            site.sidecar.metric("members"),
             Some(2),
             "half a list counts for nothing"
         );
@@ -285,16 +290,19 @@
         let (old, down) = (Calls::start(), Down::start());
         let mut site = Site::start(mode, old.address());
         let mut out = old.next();
-        site.sidecar.freezes();
+        site.sidecar.suspend();
         site.moves_discovery(down.address());
         out.writes(HEAD);
         out.chunk(&format!("{}\n", list(42, false, &site.change())));
-        site.sidecar.thaws();
-        site.sidecar.awaits_log("configuration read again");
+        site.sidecar.resume();
+        site.sidecar.wait_for_log("configuration read again");
         site.awaits_change();
         let new = down.comes_back();
         let all = site.endpoints.each_ref();
-        answers_whole(next_whole_list(&new), &list(7, true, &serving(&all)));
+        answers_whole(
+            next_whole_list(&new),
+            &list(7, true, &serving_entries(&all)),
+        );
         let _watch = opens_watch(&new, 7);
         site.awaits_change();
     }
@@ -307,11 +315,11 @@
     for mode in MODES {
         let (old, down) = (Down::start(), Down::start());
         let mut site = Site::start(mode, old.address());
-        site.sidecar.awaits_log("refused");
-        site.sidecar.freezes();
+        site.sidecar.wait_for_log("refused");
+        site.sidecar.suspend();
         site.moves_discovery(down.address());
         let new = down.comes_back();
-        site.sidecar.thaws();
+        site.sidecar.resume();
         answers_whole(next_whole_list(&new), &site.whole_list(7));
         let _watch = opens_watch(&new, 7);
         site.awaits_change();
--- a/tests/sidecar/discovery_resync.rs
+++ b/tests/sidecar/discovery_resync.rs
@@ -17,8 +17,9 @@
 
 impl Site {
     fn start(mode: &str) -> Self {
-        let (endpoint, discovery) = (Endpoint::start(|_| ok("")), Calls::start());
-        let mut config = with_admin(config(discovery.address(), &serving(&[&endpoint])));
+        let (endpoint, discovery) = (Endpoint::start(|_| respond_ok("")), Calls::start());
+        let mut config =
+            with_admin_address(config(discovery.address(), &serving_entries(&[&endpoint])));
         config["settings"]["discovery"] = json!(mode);
         let sidecar = Sidecar::start(&config);
         Site {
@@ -46,7 +47,7 @@
 }
 
 fn closes(call: &Call) {
-    awaits("the call is closed", || !call.is_open());
+    wait_until("the call is closed", || !call.is_open());
 }
 
 /// Guards the place of a call in discovery's queue: one that is late is not given up, and its answer counts though another
--- a/tests/sidecar/leaving.rs
+++ b/tests/sidecar/leaving.rs
@@ -14,10 +14,10 @@
     let mut holds = Holds::with(change);
     let (mut stay, mut leave, mut ids) = (Vec::new(), Vec::new(), Vec::new());
     for how in WAYS {
-        let request = get("60");
+        let request = get_request("60");
         leave.push((how, Waits::with(&holds.sidecar, &request)));
         if let Leaves::ByItsEnd(_) = how {
-            let request = post("unsafe", "60", "x");
+            let request = post_request("unsafe", "60", "x");
             ids.push(id(&request));
             stay.push(Waits::with(&holds.sidecar, &request));
         }
@@ -42,8 +42,8 @@
     let mut sidecar = holds.sidecar;
     sidecar.terminate();
     assert!(sidecar.wait().success());
-    let count = |name: &str| sidecar.counted(name);
-    awaits("the counts are told", || count("requests") == all as u64);
+    let count = |name: &str| sidecar.logged_count(name);
+    wait_until("the counts are told", || count("requests") == all as u64);
     assert_eq!(
         (count("disconnected"), count("served")),
         (WAYS.len() as u64, ids.len() as u64),
@@ -86,31 +86,32 @@
         if message.header("x-class") == Some("unsafe") {
             let _ = told.lock().expect("the only one").recv();
         }
-        ok("x")
+        respond_ok("x")
     });
-    let mut holds = Holds::with(|config| config["known"]["endpoints"] = json!(serving(&[&busy])));
+    let mut holds =
+        Holds::with(|config| config["known"]["endpoints"] = json!(serving_entries(&[&busy])));
     let mut out = [0, 1].map(|_| {
-        let client = Waits::with(&holds.sidecar, &post("unsafe", "60", "x"));
+        let client = Waits::with(&holds.sidecar, &post_request("unsafe", "60", "x"));
         busy.next_request();
         client
     });
-    let requests = WAYS.map(|how| (how, get("60")));
+    let requests = WAYS.map(|how| (how, get_request("60")));
     let leave: Vec<_> = requests
         .iter()
         .map(|(how, request)| (*how, Waits::with(&holds.sidecar, request)))
         .collect();
-    let request = get("60");
+    let request = get_request("60");
     let mut stays = Waits::with(&holds.sidecar, &request);
     holds.has_pending(2 + WAYS.len() + 1);
     for (how, client) in leave {
         client.leaves(how);
     }
     holds.has_pending(3);
-    assert_eq!(busy.requests(), 0, "all of them have waited");
+    assert_eq!(busy.take_request_count(), 0, "all of them have waited");
     (0..2).for_each(|_| tell.send(()).expect("it waits"));
     assert!(out.iter_mut().all(Waits::is_served) && stays.is_served());
     let saw: Vec<_> = busy
-        .messages()
+        .take_requests()
         .iter()
         .filter_map(|m| m.header("x-request-id").map(String::from))
         .collect();
@@ -123,13 +124,13 @@
 fn nor_while_its_body_waits_or_comes() {
     let mut holds = Holds::with(|_| {});
     let large = |length: usize, part: usize| {
-        let head = post("unsafe", "60", "")
+        let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", &format!("Content-Length: {length}"));
         format!("{head}{}", "x".repeat(part))
     };
     let chunked = |end: &str| {
-        let head =
-            post("unsafe", "60", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+        let head = post_request("unsafe", "60", "")
+            .replace("Content-Length: 0", "Transfer-Encoding: chunked");
         format!("{head}5\r\nhello\r\n{end}")
     };
     let ways = [
@@ -153,7 +154,7 @@
         }
     }
     for how in behind {
-        let behind = get("60");
+        let behind = get_request("60");
         leave.push((
             how,
             Waits::with(&holds.sidecar, &format!("{}{behind}", chunked("0\r\n\r\n"))),
@@ -165,20 +166,20 @@
         .into_iter()
         .collect();
     half.extend(ways.map(|how| (how, Waits::with(&holds.sidecar, &chunked("5\r\nhel")))));
-    let request = post("unsafe", "60", &"y".repeat(90_000));
+    let request = post_request("unsafe", "60", &"y".repeat(90_000));
     let mut stays = Waits::with(&holds.sidecar, &request);
     // A large body that is held is not whole, so that it does not count as pending yet.
     holds.has_pending(4);
-    holds.awaits("all that is large is taken", |sidecar| {
-        sidecar.counted("requests") == 9
+    holds.wait_until("all that is large is taken", |sidecar| {
+        sidecar.logged_count("requests") == 9
     });
     leave
         .into_iter()
         .chain(half)
         .for_each(|(how, client)| client.leaves(how));
     holds.has_pending(0);
-    holds.awaits("all of them have left", |sidecar| {
-        sidecar.counted("disconnected") == 8
+    holds.wait_until("all of them have left", |sidecar| {
+        sidecar.logged_count("disconnected") == 8
     });
     holds.lets_go();
     assert!(stays.is_served());
@@ -192,20 +193,20 @@
     for cancel in [true, false] {
         let late = Late::start();
         let discovery = Discovery::start();
-        let mut config = with_admin(config(discovery.address, &[late.entry()]));
+        let mut config = with_admin_address(config(discovery.address, &[late.entry()]));
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start(&config);
         let pending = |n| {
-            awaits(&format!("{n} pending"), || {
-                sidecar.figure("pending") == Some(n)
+            wait_until(&format!("{n} pending"), || {
+                sidecar.metric("pending") == Some(n)
             });
         };
         let leave: Vec<_> = WAYS
             .into_iter()
-            .map(|how| (how, Waits::with(&sidecar, &get("10"))))
+            .map(|how| (how, Waits::with(&sidecar, &get_request("10"))))
             .collect();
-        let request = get("10");
+        let request = get_request("10");
         let stays = Waits::with(&sidecar, &request);
         pending(9);
         for (how, client) in leave {
@@ -225,7 +226,7 @@
                 "nothing is written on others"
             );
         }
-        assert_eq!(sidecar.figure("upstream_requests"), Some(1));
+        assert_eq!(sidecar.metric("upstream_requests"), Some(1));
         drop(stays);
         pending(0);
     }
@@ -235,23 +236,28 @@
 #[test]
 fn a_retry_that_waits_is_not_sent_once_the_client_has_left() {
     let fails = Endpoint::start(|message| match message.header("x-class") {
-        Some("safe") => Does::Answers("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into()),
-        _ => ok("x"),
+        Some("safe") => {
+            EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
+        }
+        _ => respond_ok("x"),
     });
     let mut holds = Holds::with(|config| {
-        config["known"]["endpoints"] = json!(serving(&[&fails]));
+        config["known"]["endpoints"] = json!(serving_entries(&[&fails]));
     });
     // The module grants a retry for so many requests.
     let mut earns = holds.sidecar.client();
     for _ in 0..20 {
-        assert_eq!(earns.ask(&post("unsafe", "10", "x")).status(), 200);
+        assert_eq!(
+            earns.exchange(&post_request("unsafe", "10", "x")).status(),
+            200
+        );
         fails.next_request();
     }
     for how in [
         Leaves::ByItsEnd(Behind::AWholeRequest),
         Leaves::ByReset(Behind::Nothing),
     ] {
-        let request = get("60");
+        let request = get_request("60");
         let client = Waits::with(&holds.sidecar, &request);
         assert_eq!(
             fails.next_request().1.header("x-request-id"),
@@ -268,10 +274,10 @@
         .map(|(n, e)| entry(n, e.address, "SERVING"))
         .collect();
     holds.says(&list(42, false, &all));
-    holds.awaits("the other is listed", |sidecar| {
-        sidecar.figure("members") == Some(2)
+    holds.wait_until("the other is listed", |sidecar| {
+        sidecar.metric("members") == Some(2)
     });
-    let mut neighbour = Waits::with(&holds.sidecar, &get("60"));
+    let mut neighbour = Waits::with(&holds.sidecar, &get_request("60"));
     assert!(neighbour.is_served(), "a retry goes there");
     assert_eq!(holds.saw().len(), 1, "and nothing else did");
 }
@@ -280,13 +286,16 @@
 #[test]
 fn nor_one_that_the_module_holds_over_these() {
     for word in CHANGES {
-        let folder = folder();
-        let mut holds = Holds::start(|_| {}, |config| Sidecar::start_in(&folder, config));
+        let folder = temporary_directory();
+        let mut holds = Holds::start(
+            |_| {},
+            |config| Sidecar::start_in_directory(&folder, config),
+        );
         let leave: Vec<_> = WAYS
             .into_iter()
-            .map(|how| (how, Waits::with(&holds.sidecar, &get("60"))))
+            .map(|how| (how, Waits::with(&holds.sidecar, &get_request("60"))))
             .collect();
-        let request = get("60");
+        let request = get_request("60");
         let mut stays = Waits::with(&holds.sidecar, &request); // the last, so that those before it would go first
         holds.has_pending(9);
         let next = changes(word, &holds.sidecar, &folder, &holds.endpoint);
@@ -299,7 +308,7 @@
         assert_eq!(holds.saw(), [id(&request)], "{word}");
         assert_eq!(
             next.map_or(0, |next| next
-                .figure("upstream_requests")
+                .metric("upstream_requests")
                 .expect("a figure")),
             0
         );
@@ -312,23 +321,23 @@
 #[test]
 fn a_held_request_whose_client_leaves_is_not_sent_over_a_drain_or_a_stop() {
     for word in CHANGES {
-        let folder = folder();
+        let folder = temporary_directory();
         let discovery = Discovery::start();
-        let endpoint = Endpoint::start(|_| ok("x"));
+        let endpoint = Endpoint::start(|_| respond_ok("x"));
         let late = Late::start();
-        let mut config = with_admin(config(discovery.address, &[late.entry()]));
+        let mut config = with_admin_address(config(discovery.address, &[late.entry()]));
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
-        let sidecar = Sidecar::start_in(&folder, &config);
+        let sidecar = Sidecar::start_in_directory(&folder, &config);
         let pending = |n| {
-            awaits(&format!("{word}: {n} pending"), || {
-                sidecar.figure("pending") == Some(n)
+            wait_until(&format!("{word}: {n} pending"), || {
+                sidecar.metric("pending") == Some(n)
             });
         };
-        let request = get("10");
+        let request = get_request("10");
         let stays = Waits::with(&sidecar, &request);
         let leave: Vec<_> = WAYS
             .into_iter()
-            .map(|how| (how, Waits::with(&sidecar, &get("10"))))
+            .map(|how| (how, Waits::with(&sidecar, &get_request("10"))))
             .collect();
         pending(9);
         let next = changes(word, &sidecar, &folder, &endpoint);
@@ -340,10 +349,10 @@
             late.next_written().contains(&id(&request)),
             "{word}: it is that of the one that stays"
         );
-        assert_eq!(sidecar.figure("upstream_requests"), Some(1), "{word}");
+        assert_eq!(sidecar.metric("upstream_requests"), Some(1), "{word}");
         assert_eq!(
             next.map_or(0, |next| next
-                .figure("upstream_requests")
+                .metric("upstream_requests")
                 .expect("a figure")),
             0
         );
--- a/tests/sidecar/lists.rs
+++ b/tests/sidecar/lists.rs
@@ -11,8 +11,8 @@
 fn nothing_goes_to_an_endpoint_that_drains_or_is_gone() {
     let changes = [Some("DRAINING"), Some("DELETED"), None];
     for change in changes {
-        let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("")));
-        let (sidecar, discovery) = Sidecar::over(&[&endpoints[0], &endpoints[1]]);
+        let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
+        let (sidecar, discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
         let mut watch = discovery.next_watch();
         assert!(
             watch
@@ -22,27 +22,27 @@
             watch.asked
         );
         let mut client = sidecar.client();
-        while endpoints[0].requests() == 0 {
-            assert_eq!(client.ask(&get("2")).status(), 200);
+        while endpoints[0].take_request_count() == 0 {
+            assert_eq!(client.exchange(&get_request("2")).status(), 200);
         }
         watch.write_line("");
         watch.write_line(&match change {
             Some(status) => list(42, false, &[entry("e0", endpoints[0].address, status)]),
             None => list(42, true, &[entry("e1", endpoints[1].address, "SERVING")]),
         });
-        endpoints[0].next_close();
+        endpoints[0].next_connection_close();
         for _ in 0..20 {
-            assert_eq!(client.ask(&get("2")).status(), 200);
+            assert_eq!(client.exchange(&get_request("2")).status(), 200);
         }
-        assert_eq!(endpoints[0].requests(), 0);
+        assert_eq!(endpoints[0].take_request_count(), 0);
     }
 }
 
 /// Guards against half-read news: a broken line fails the watch and leaves no trace in the list.
 #[test]
 fn a_broken_line_fails_the_watch_and_the_next_goes_on_from_the_last_version() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, discovery) = Sidecar::start_over(&[&endpoint]);
     let mut watch = discovery.next_watch();
     watch.write_line(&list(57, true, &[entry("e0", endpoint.address, "SERVING")]));
     watch.write_line(r#"{"index":58,"snapshot":false,"endpoints":[{"name":"e0"}]}"#);
@@ -50,14 +50,14 @@
         discovery.next_watch().asked.contains("since=57 "),
         "version 58 was not taken"
     );
-    sidecar.awaits_log("watch on discovery ended");
-    assert_eq!(sidecar.client().ask(&get("2")).status(), 200);
+    sidecar.wait_for_log("watch on discovery ended");
+    assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 }
 
 /// Guards pushed lists: the agent is followed unasked, and again where its watch ends.
 #[test]
 fn an_agent_that_pushes_lists_is_followed() {
-    let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -66,15 +66,15 @@
     config["settings"]["discovery"] = json!("automatic");
     let sidecar = Sidecar::start(&config);
     let mut watch = discovery.next_watch();
-    assert_eq!(sidecar.client().ask(&get("2")).status(), 200);
+    assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
     watch.write_line(&list(
         42,
         true,
         &[entry("e1", endpoints[1].address, "SERVING")],
     ));
-    assert_eq!(endpoints[0].next_close(), 0);
-    assert_eq!(sidecar.client().ask(&get("2")).status(), 200);
-    assert_eq!(endpoints[1].requests(), 1);
+    assert_eq!(endpoints[0].next_connection_close(), 0);
+    assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
+    assert_eq!(endpoints[1].take_request_count(), 1);
     drop(watch);
     assert!(discovery.next_watch().asked.contains("since=42 "));
 }
@@ -82,8 +82,8 @@
 /// Guards against a discovery that has vanished with its machine: it says nothing, and its connection stays open.
 #[test]
 fn a_silent_watch_is_asked_for_again() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (_sidecar, discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (_sidecar, discovery) = Sidecar::start_over(&[&endpoint]);
     let _silent = discovery.next_watch();
     assert!(discovery.next_watch().asked.contains("since=41 "));
 }
@@ -104,12 +104,12 @@
     let sidecar = Sidecar::start(&config);
     let mut watch = discovery.next_watch();
     let mut client = sidecar.client();
-    client.write(&post("unsafe", "15", "x"));
+    client.write(&post_request("unsafe", "15", "x"));
     // What the sidecar answers to later callers it answers with the request taken.
     assert_eq!(
         sidecar
             .client()
-            .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
@@ -131,7 +131,7 @@
     };
     let mut written = Vec::new();
     from_sidecar
-        .set_read_timeout(Some(LONG))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
     from_sidecar
         .read_to_end(&mut written)
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -26,7 +26,7 @@
         let status = self
             .sidecar
             .client()
-            .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status();
         assert!(matches!(status, 200 | 503), "{status}");
         status == 200
@@ -35,7 +35,7 @@
     /// Its one call that waits for an answer. A second one beside it would cost discovery an answer for nothing.
     fn only_call(&self) -> Call {
         let mut calls = Vec::new();
-        awaits("a call", || {
+        wait_until("a call", || {
             calls = self.discovery.waiting();
             !calls.is_empty()
         });
@@ -53,16 +53,16 @@
 fn start_at_once(configs: &[Value]) -> Vec<Sidecar> {
     let paths: Vec<_> = configs
         .iter()
-        .map(|config| file(&config.to_string()))
+        .map(|config| temporary_file(&config.to_string()))
         .collect();
     let start = |path| {
-        command()
+        sidecar_command()
             .env("ROUTER_CONFIG", path)
             .spawn()
             .expect("the program starts")
     };
     let children: Vec<Child> = paths.iter().map(start).collect();
-    let sidecars = children.into_iter().map(Sidecar::of).collect();
+    let sidecars = children.into_iter().map(Sidecar::from_child).collect();
     for path in &paths {
         std::fs::remove_file(path).expect("the file goes");
     }
@@ -74,7 +74,7 @@
 fn fleet(network_address: &str, mode: &str, known: &Value) -> Vec<Member> {
     let discoveries: Vec<Calls> = (0..SIDECARS).map(|_| Calls::start()).collect();
     let configure = |(number, discovery): (usize, &Calls)| {
-        let mut config = with_admin(config(discovery.address(), &[]));
+        let mut config = with_admin_address(config(discovery.address(), &[]));
         config["listen"] = json!(format!("{network_address}:0"));
         config["known"] = known.clone();
         config["settings"]["discovery"] = json!(mode);
@@ -113,15 +113,22 @@
 /// Guards the start with known endpoints: all serve before discovery has answered anyone, a call that fails leaves them
 /// serving, and each is current with the first answer that it gets. One call a process waits at any time.
 fn known_endpoints_are_enough(network_address: &str, mode: &str) {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let mut fleet = fleet(network_address, mode, &known(&serving(&[&endpoint])));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let mut fleet = fleet(
+        network_address,
+        mode,
+        &known(&serving_entries(&[&endpoint])),
+    );
     let connected: Vec<Client> = fleet.iter().map(|member| member.sidecar.client()).collect();
     restart_at_once(&mut fleet);
     drop(connected);
     let serves = |member: &Member| {
         assert!(member.is_ready(), "{mode}: {:?}", member.sidecar.log());
-        assert!(member.sidecar.says_yes("READY"));
-        assert_eq!(member.sidecar.client().ask(&get("5")).status(), 200);
+        assert!(member.sidecar.call_is_yes("READY"));
+        assert_eq!(
+            member.sidecar.client().exchange(&get_request("5")).status(),
+            200
+        );
     };
     fleet.iter().for_each(serves);
     for member in &fleet {
@@ -135,10 +142,14 @@
         assert!(watch.follows(41), "{mode}: {}", watch.asked);
         serves(member);
         watch.writes(HEAD);
-        let started = entry("started", Endpoint::start(|_| ok("")).address, "SERVING");
+        let started = entry(
+            "started",
+            Endpoint::start(|_| respond_ok("")).address,
+            "SERVING",
+        );
         watch.chunk(&format!("{}\n", list(42, false, &[started])));
-        awaits("the list is current", || {
-            member.sidecar.figure("members") == Some(2)
+        wait_until("the list is current", || {
+            member.sidecar.metric("members") == Some(2)
         });
         assert_eq!(
             member.discovery.waiting().len(),
@@ -162,7 +173,7 @@
 /// Guards the start with no known endpoint: each is ready with the one whole list that it asks for, and does not wait for
 /// the answer to the watch that follows. So many answers make so many ready.
 fn one_answer_is_enough(network_address: &str, mode: &str) {
-    let endpoint = Endpoint::start(|_| ok(""));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     let mut fleet = fleet(network_address, mode, &Value::Null);
     restart_at_once(&mut fleet);
     assert!(fleet.iter().all(|member| !member.is_ready()));
@@ -174,13 +185,16 @@
             call.asked
         );
         assert_eq!(fleet.iter().filter(|m| m.is_ready()).count(), answers);
-        let text = list(42, true, &serving(&[&endpoint]));
+        let text = list(42, true, &serving_entries(&[&endpoint]));
         call.writes(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
         ));
-        awaits("it is ready", || member.is_ready());
-        assert_eq!(member.sidecar.client().ask(&get("5")).status(), 200);
+        wait_until("it is ready", || member.is_ready());
+        assert_eq!(
+            member.sidecar.client().exchange(&get_request("5")).status(),
+            200
+        );
         let watch = member.only_call();
         assert!(watch.follows(42), "{mode}: {}", watch.asked);
     }
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -10,7 +10,7 @@
 /// Guards the budget of descriptors: idle connections make room, so that every caller is accepted and served.
 #[test]
 fn idle_connections_make_room_for_new_ones() {
-    let endpoint = Endpoint::start(|_| ok(""));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -21,7 +21,7 @@
     let mut kept = Vec::new();
     for _ in 0..150 {
         let mut client = sidecar.client();
-        assert_eq!(client.ask(&get("2")).status(), 200);
+        assert_eq!(client.exchange(&get_request("2")).status(), 200);
         kept.push(client);
     }
     assert!(kept[0].is_closed(), "the oldest has made room");
@@ -37,21 +37,22 @@
         if message.header("x-class") == Some("unsafe") {
             let _ = released.lock().expect("the only one").recv();
         }
-        ok("late")
+        respond_ok("late")
     });
-    let (mut sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let (mut sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let mut idle = sidecar.client();
     assert_eq!(
-        idle.ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status(),
+        idle.exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status(),
         200
     );
     let mut waits = sidecar.client();
-    waits.write(&post("unsafe", "10", "x"));
+    waits.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
     assert!(idle.is_closed(), "it was between requests");
     assert_eq!(
-        sidecar.client().ask(&get("2")).status(),
+        sidecar.client().exchange(&get_request("2")).status(),
         200,
         "a connection that comes after the word"
     );
@@ -75,7 +76,7 @@
         (false, "TEXT load_share=0.1, depth=0"),
     ] {
         let endpoint = Endpoint::start(move |message| {
-            ok(if message.first == "GET /status/load HTTP/1.1" {
+            respond_ok(if message.start_line == "GET /status/load HTTP/1.1" {
                 report
             } else {
                 "served"
@@ -91,21 +92,21 @@
         let sidecar = Sidecar::start(&config);
         let mut client = sidecar.client();
         for _ in 0..40 {
-            let answer = client.ask(&get("2"));
+            let answer = client.exchange(&get_request("2"));
             assert_eq!(
                 (answer.status(), answer.body.as_slice()),
                 (200, "served".as_bytes())
             );
         }
-        let count = |name: &str| sidecar.counted(name);
-        awaits("the counts are told", || {
+        let count = |name: &str| sidecar.logged_count(name);
+        wait_until("the counts are told", || {
             count("requests") == 40 && (count("probes") > 0) == allowed
         });
         let health_checks = endpoint
-            .messages()
+            .take_requests()
             .into_iter()
             .filter(|m| m.header("x-request-id").is_none());
-        let health_checks: Vec<String> = health_checks.map(|m| m.first).collect();
+        let health_checks: Vec<String> = health_checks.map(|m| m.start_line).collect();
         assert!(
             health_checks
                 .iter()
@@ -117,7 +118,7 @@
         } else {
             0
         };
-        awaits("all reports are told", || {
+        wait_until("all reports are told", || {
             count("probes") == health_checks.len() as u64 && count("reports") == told
         });
     }
@@ -126,14 +127,23 @@
 /// Guards the operators' eyes: what was asked, how it ended and what is held stand in the log, and not the silence after.
 #[test]
 fn the_log_counts_what_was_asked_and_how_it_ended() {
-    let endpoint =
-        Endpoint::start(|_| Does::Answers("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into()));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| {
+        EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
+    });
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let mut client = sidecar.client();
-    assert_eq!(client.ask(&post("unsafe", "2", "x")).status(), 502);
-    assert_eq!(client.ask(&post("unsafe", "0.001", "x")).status(), 503);
-    let count = |name: &str| sidecar.counted(name);
-    awaits("both are told", || {
+    assert_eq!(
+        client.exchange(&post_request("unsafe", "2", "x")).status(),
+        502
+    );
+    assert_eq!(
+        client
+            .exchange(&post_request("unsafe", "0.001", "x"))
+            .status(),
+        503
+    );
+    let count = |name: &str| sidecar.logged_count(name);
+    wait_until("both are told", || {
         count("requests") == 2 && count("error") == 1 && count("refused") == 1
     });
     assert_eq!(
@@ -148,10 +158,12 @@
 /// order.
 #[test]
 fn it_serves_on_where_nobody_reads_its_log() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let path = file(&with_admin(config(discovery.address, &serving(&[&endpoint]))).to_string());
-    let mut child = command()
+    let path = temporary_file(
+        &with_admin_address(config(discovery.address, &serving_entries(&[&endpoint]))).to_string(),
+    );
+    let mut child = sidecar_command()
         .env("ROUTER_CONFIG", &path)
         .spawn()
         .expect("the program starts");
@@ -161,15 +173,15 @@
     let listens = lines.find_map(|line| line.split_once("listens on ")?.1.parse().ok());
     drop(lines);
     let mut client = Client::connect(listens.expect("it tells where it listens"));
-    assert_eq!(client.ask(&get("5")).status(), 200);
+    assert_eq!(client.exchange(&get_request("5")).status(), 200);
     for _ in 0..2 {
         drop(discovery.next_watch()); // a line each
     }
-    signal(&child, "HUP");
+    send_signal(&child, "HUP");
     discovery.next_watch();
-    signal(&child, "TERM");
+    send_signal(&child, "TERM");
     assert_eq!(
-        client.ask(&get("5")).status(),
+        client.exchange(&get_request("5")).status(),
         200,
         "its connections serve on for a while"
     );
@@ -183,31 +195,31 @@
 fn connections_serve_on_for_a_while_after_a_stop() {
     let endpoint = Endpoint::start(|message| {
         if message.header("x-class") == Some("unsafe") {
-            Does::Hangs
+            EndpointAction::Hang
         } else {
-            ok("served")
+            respond_ok("served")
         }
     });
-    let (mut sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let (mut sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let (mut first, mut second) = (sidecar.client(), sidecar.client());
-    assert_eq!(first.ask(&get("2")).status(), 200);
-    assert_eq!(second.ask(&get("2")).status(), 200);
+    assert_eq!(first.exchange(&get_request("2")).status(), 200);
+    assert_eq!(second.exchange(&get_request("2")).status(), 200);
     sidecar.terminate();
     let ready = || {
         sidecar
             .client()
-            .ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status()
     };
-    awaits("no new callers are asked for", || ready() == 503);
+    wait_until("no new callers are asked for", || ready() == 503);
     let stopped = Instant::now();
     assert_eq!(
-        first.ask(&get("2")).status(),
+        first.exchange(&get_request("2")).status(),
         200,
         "its connection was kept"
     );
     assert_eq!(
-        second.ask(&post("unsafe", "10", "x")).status(),
+        second.exchange(&post_request("unsafe", "10", "x")).status(),
         504,
         "an answer, before the sidecar is gone"
     );
@@ -237,10 +249,10 @@
         &unknown.to_string(),
         &seedless.to_string(),
     ] {
-        files.push(Some(file(text)));
+        files.push(Some(temporary_file(text)));
     }
     for path in files {
-        let mut command = command();
+        let mut command = sidecar_command();
         if let Some(path) = &path {
             command.env("ROUTER_CONFIG", path);
         }
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -20,10 +20,10 @@
 fn discovery_moves_without_a_gap() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
-    let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let slow = Endpoint::start(move |_| {
         let _ = released.lock().expect("the only one").recv();
-        ok("late")
+        respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
     let all = |status: &str| {
@@ -32,15 +32,16 @@
         all[0]["status"] = json!(status);
         all
     };
-    let path = file(&config(old.address, &[entry("slow", slow.address, "SERVING")]).to_string());
-    let sidecar = Sidecar::start_with(&path);
+    let path =
+        temporary_file(&config(old.address, &[entry("slow", slow.address, "SERVING")]).to_string());
+    let sidecar = Sidecar::start_with_file(&path);
     let mut watch = old.next_watch();
     let mut waits = sidecar.client();
-    waits.write(&post("unsafe", "15", "x"));
+    waits.write(&post_request("unsafe", "15", "x"));
     slow.next_request();
 
     write(&path, &config(new.address, &all("SERVING")));
-    sidecar.signal("HUP");
+    sidecar.send_signal("HUP");
     let mut next = new.next_watch();
     assert!(
         next.asked.starts_with("GET /v1/endpoints "),
@@ -50,7 +51,7 @@
     // The old one still has something to tell.
     watch.write_line(&list(42, true, &all("DRAINING")));
     let mut client = sidecar.client();
-    while client.ask(&get("2")).status() != 200 {}
+    while client.exchange(&get_request("2")).status() != 200 {}
     next.write_line(&list(7, true, &all("SERVING")));
     next.finish();
     let mut next = new.next_watch();
@@ -64,10 +65,10 @@
         "the old one is let go once the new one has spoken"
     );
     for _ in 0..20 {
-        assert_eq!(client.ask(&get("2")).status(), 200);
+        assert_eq!(client.exchange(&get_request("2")).status(), 200);
     }
     assert_eq!(
-        endpoints[0].requests(),
+        endpoints[0].take_request_count(),
         0,
         "it drains, whatever an older list or the file say"
     );
@@ -87,30 +88,30 @@
 /// line of the log, and the old one goes on. Two signals in a row are as one.
 #[test]
 fn what_cannot_be_taken_over_is_named() {
-    let endpoint = Endpoint::start(|_| ok(""));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let good = config(
         discovery.address,
         &[entry("e0", endpoint.address, "SERVING")],
     );
-    let path = file(&good.to_string());
-    let sidecar = Sidecar::start_with(&path);
+    let path = temporary_file(&good.to_string());
+    let sidecar = Sidecar::start_with_file(&path);
     let _watch = discovery.next_watch();
     std::fs::write(&path, "{").expect("the file is written");
-    sidecar.signal("HUP");
-    sidecar.awaits_log("the configuration stays as it was");
-    assert_eq!(sidecar.client().ask(&get("2")).status(), 200);
+    sidecar.send_signal("HUP");
+    sidecar.wait_for_log("the configuration stays as it was");
+    assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 
     let mut other = good;
     other["listen"] = json!("127.0.0.1:1");
     other["settings"]["bounds"]["sendCap"] = json!(2);
     write(&path, &other);
-    sidecar.signal("HUP");
-    sidecar.signal("HUP");
-    sidecar.awaits_log(
+    sidecar.send_signal("HUP");
+    sidecar.send_signal("HUP");
+    sidecar.wait_for_log(
         "discovery stays, settings change in bounds; only a restart takes over: listen",
     );
-    assert_eq!(sidecar.client().ask(&get("2")).status(), 200);
+    assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
     std::fs::remove_file(path).expect("the file goes");
 }
 
@@ -121,24 +122,25 @@
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |_| {
         let _ = released.lock().expect("the only one").recv();
-        ok("late")
+        respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
     let known = [entry("e0", endpoint.address, "SERVING")];
-    let path = file(&config(old.address, &known).to_string());
-    let mut sidecar = Sidecar::start_with(&path);
+    let path = temporary_file(&config(old.address, &known).to_string());
+    let mut sidecar = Sidecar::start_with_file(&path);
     let mut idle = sidecar.client();
     assert_eq!(
-        idle.ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status(),
+        idle.exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status(),
         200
     );
     let mut waits = sidecar.client();
-    waits.write(&post("unsafe", "10", "x"));
+    waits.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
     assert!(idle.is_closed(), "it stops");
     write(&path, &config(new.address, &known));
-    sidecar.signal("HUP");
+    sidecar.send_signal("HUP");
     assert!(new.next_watch().asked.starts_with("GET /v1/endpoints "));
     release.send(()).expect("the endpoint waits");
     assert_eq!(
@@ -167,25 +169,28 @@
 fn settings_change_while_it_serves() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
-    let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("x")));
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("x")));
     let slow = Endpoint::start(move |message| {
         if message.header("x-class") == Some("keyed") {
             let _ = released.lock().expect("the only one").recv();
         }
-        ok("late")
+        respond_ok("late")
     });
     let discovery = Discovery::start();
-    let mut known = serving(&[&endpoints[0], &endpoints[1]]);
+    let mut known = serving_entries(&[&endpoints[0], &endpoints[1]]);
     known.push(entry("slow", slow.address, "SERVING"));
-    let mut config = with_admin(config(discovery.address, &known));
-    let path = file(&config.to_string());
-    let sidecar = Sidecar::start_with(&path);
-    let reloads = || sidecar.figure("config_reloads").expect("a figure");
+    let mut config = with_admin_address(config(discovery.address, &known));
+    let path = temporary_file(&config.to_string());
+    let sidecar = Sidecar::start_with_file(&path);
+    let reloads = || sidecar.metric("config_reloads").expect("a figure");
     let mut client = sidecar.client();
-    let keyed =
-        |class: &str| post(class, "15", "x").replace("Host: s", "Host: s\r\nIdempotency-Key: k");
+    let keyed = |class: &str| {
+        post_request(class, "15", "x").replace("Host: s", "Host: s\r\nIdempotency-Key: k")
+    };
     assert_eq!(
-        client.ask(&keyed("safe").replace("POST", "GET")).status(),
+        client
+            .exchange(&keyed("safe").replace("POST", "GET"))
+            .status(),
         200
     );
     // Under way while its class changes.
@@ -196,8 +201,8 @@
             client
         })
         .collect();
-    awaits("some wait", || {
-        sidecar.figure("pending").is_some_and(|n| n > 0)
+    wait_until("some wait", || {
+        sidecar.metric("pending").is_some_and(|n| n > 0)
     });
 
     let new = named("new", &classes(&mut config)[0]);
@@ -205,13 +210,20 @@
     classes(&mut config)[2]["effect"] = json!("single_shot"); // `keyed`
     config["settings"]["bounds"]["sendCap"] = json!(1);
     write(&path, &config);
-    sidecar.signal("HUP");
-    awaits("it is taken", || reloads() == 1);
-    sidecar.awaits_log("settings change in bounds, categories");
-    assert_eq!(sidecar.ended("completed", "new"), Some(0));
-    assert_eq!(client.ask(&get("5").replace("safe", "new")).status(), 200);
+    sidecar.send_signal("HUP");
+    wait_until("it is taken", || reloads() == 1);
+    sidecar.wait_for_log("settings change in bounds, categories");
+    assert_eq!(sidecar.requests_ended("completed", "new"), Some(0));
+    assert_eq!(
+        client
+            .exchange(&get_request("5").replace("safe", "new"))
+            .status(),
+        200
+    );
     assert_ne!(
-        client.ask(&post("keyed", "0.001", "x")).status(),
+        client
+            .exchange(&post_request("keyed", "0.001", "x"))
+            .status(),
         400,
         "it needs no key any more"
     );
@@ -225,20 +237,27 @@
     // `safe` vanishes; a moment later nothing of it is served.
     classes(&mut config).remove(0);
     write(&path, &config);
-    sidecar.signal("HUP");
-    awaits("it is taken", || reloads() == 2);
-    awaits("what may be late is over", || {
-        client.ask(&get("5")).status() == 400
+    sidecar.send_signal("HUP");
+    wait_until("it is taken", || reloads() == 2);
+    wait_until("what may be late is over", || {
+        client.exchange(&get_request("5")).status() == 400
     });
-    assert_eq!(client.ask(&get("5").replace("safe", "new")).status(), 200);
+    assert_eq!(
+        client
+            .exchange(&get_request("5").replace("safe", "new"))
+            .status(),
+        200
+    );
     assert!(
-        sidecar.ended("completed", "safe").is_some_and(|n| n >= 1),
+        sidecar
+            .requests_ended("completed", "safe")
+            .is_some_and(|n| n >= 1),
         "its count stays"
     );
     // The same file again is taken, and changes nothing.
-    sidecar.signal("HUP");
-    awaits("it is taken", || reloads() == 3);
-    assert_eq!(sidecar.figure("config_reload_errors"), Some(0));
+    sidecar.send_signal("HUP");
+    wait_until("it is taken", || reloads() == 3);
+    assert_eq!(sidecar.metric("config_reload_errors"), Some(0));
     std::fs::remove_file(path).expect("the file goes");
 }
 
@@ -246,12 +265,12 @@
 /// what is wrong.
 #[test]
 fn a_broken_file_leaves_all_as_it_was() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (discovery, other) = (Discovery::start(), Discovery::start());
-    let good = with_admin(config(discovery.address, &serving(&[&endpoint])));
-    let path = file(&good.to_string());
-    let sidecar = Sidecar::start_with(&path);
-    let errors = || sidecar.figure("config_reload_errors").expect("a figure");
+    let good = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
+    let path = temporary_file(&good.to_string());
+    let sidecar = Sidecar::start_with_file(&path);
+    let errors = || sidecar.metric("config_reload_errors").expect("a figure");
     let with = |change: &dyn Fn(&mut Value)| {
         let mut broken = good.clone();
         // Good news beside what is broken is not to be taken either.
@@ -321,33 +340,41 @@
     let mut client = sidecar.client();
     for (n, text) in files.iter().enumerate() {
         std::fs::write(&path, text).expect("the file is written");
-        sidecar.signal("HUP");
-        awaits(&format!("it is turned down: {text}"), || {
+        sidecar.send_signal("HUP");
+        wait_until(&format!("it is turned down: {text}"), || {
             errors() == n as u64 + 1
         });
-        assert_eq!(client.ask(&get("5")).status(), 200);
-        assert_eq!(client.ask(&get("5").replace("safe", "new")).status(), 400);
+        assert_eq!(client.exchange(&get_request("5")).status(), 200);
+        assert_eq!(
+            client
+                .exchange(&get_request("5").replace("safe", "new"))
+                .status(),
+            400
+        );
     }
     std::fs::remove_file(&path).expect("the file goes");
-    sidecar.signal("HUP");
-    awaits("a missing file is turned down", || {
+    sidecar.send_signal("HUP");
+    wait_until("a missing file is turned down", || {
         errors() == files.len() as u64 + 1
     });
-    assert_eq!(sidecar.figure("config_reloads"), Some(0));
+    assert_eq!(sidecar.metric("config_reloads"), Some(0));
     // The log is read beside the calls, and may be a line behind what they tell.
     let told = |l: &&String| l.contains("the configuration stays as it was: ");
-    awaits("each has its line", || {
+    wait_until("each has its line", || {
         sidecar.log().iter().filter(told).count() > files.len()
     });
     assert_eq!(sidecar.log().iter().filter(told).count(), files.len() + 1);
     write(&path, &serde_json::from_str(&text).expect("it is good"));
-    sidecar.signal("HUP");
+    sidecar.send_signal("HUP");
     assert!(
         other.next_watch().asked.starts_with("GET /v1/endpoints "),
         "the whole of it is taken"
     );
-    awaits("the class is there", || {
-        client.ask(&get("5").replace("safe", "new")).status() == 200
+    wait_until("the class is there", || {
+        client
+            .exchange(&get_request("5").replace("safe", "new"))
+            .status()
+            == 200
     });
     std::fs::remove_file(path).expect("the file goes");
 }
@@ -356,10 +383,11 @@
 /// SIGTERM is an end in order. The file is a pipe, so that the program waits for it as long as the test likes.
 #[test]
 fn a_signal_that_comes_as_the_program_starts_is_heard() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let config = with_admin(config(discovery.address, &serving(&[&endpoint]))).to_string();
-    let pipe = folder().join("config");
+    let config =
+        with_admin_address(config(discovery.address, &serving_entries(&[&endpoint]))).to_string();
+    let pipe = temporary_directory().join("config");
     assert!(
         Command::new("mkfifo")
             .arg(&pipe)
@@ -375,24 +403,24 @@
             .expect("it is read")
     };
     let starts = |name: &str| {
-        let child = command()
+        let child = sidecar_command()
             .env("ROUTER_CONFIG", &pipe)
             .spawn()
             .expect("the program starts");
         let mut write = open();
-        signal(&child, name);
+        send_signal(&child, name);
         write.write_all(config.as_bytes()).expect("it is read");
         drop(write);
-        Sidecar::of(child)
+        Sidecar::from_child(child)
     };
     let sidecar = starts("HUP");
     open()
         .write_all(config.as_bytes())
         .expect("it is read again");
-    awaits("it is taken", || {
-        sidecar.figure("config_reloads") == Some(1)
+    wait_until("it is taken", || {
+        sidecar.metric("config_reloads") == Some(1)
     });
-    assert_eq!(sidecar.client().ask(&get("5")).status(), 200);
+    assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
     assert!(starts("TERM").wait().success());
     std::fs::remove_dir_all(pipe.parent().expect("its folder")).expect("it goes");
 }
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -11,9 +11,9 @@
 /// Guards what goes on to an endpoint, and that its answer comes back as it was.
 #[test]
 fn requests_and_answers_pass_unchanged() {
-    let endpoint = Endpoint::start(|_| ok("made by the endpoint"));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
-    let answer = sidecar.client().ask(
+    let endpoint = Endpoint::start(|_| respond_ok("made by the endpoint"));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let answer = sidecar.client().exchange(
         "POST /api?copy=7&x=%20 HTTP/1.1\r\nHost: s\r\nX-Request-Id: r-1\r\nX-Class: keyed\r\nX-Deadline: 2.5\r\n\
          Idempotency-Key: k-1\r\nConnection: keep-alive, X-Private\r\nX-Private: 1\r\nContent-Length: 5\r\n\r\nhello",
     );
@@ -22,7 +22,7 @@
         (200, "made by the endpoint".as_bytes())
     );
     let (_, request) = endpoint.next_request();
-    assert_eq!(request.first, "POST /api?copy=7&x=%20 HTTP/1.1");
+    assert_eq!(request.start_line, "POST /api?copy=7&x=%20 HTTP/1.1");
     assert_eq!(request.header("x-request-id"), Some("r-1"));
     assert_eq!(request.header("idempotency-key"), Some("k-1"));
     assert_eq!(
@@ -41,11 +41,11 @@
 /// Guards the pool: a connection that has carried one attempt carries the next that may be repeated.
 #[test]
 fn connections_are_used_again() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let mut client = sidecar.client();
     for _ in 0..5 {
-        assert_eq!(client.ask(&get("2")).status(), 200);
+        assert_eq!(client.exchange(&get_request("2")).status(), 200);
         assert_eq!(endpoint.next_request().0, 0, "the first connection");
         std::thread::sleep(Duration::from_millis(100)); // it settles
     }
@@ -60,10 +60,10 @@
     let all_have_come = Barrier::new(AT_ONCE);
     let endpoint = Endpoint::start(move |_| {
         all_have_come.wait();
-        ok("")
+        respond_ok("")
     });
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &serving(&[&endpoint]));
+    let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
     // Worth most, and at an endpoint that calls a further tier, so many are let out at once.
     config["settings"]["stages"] = json!(["one", "two"]);
     config["settings"]["categories"][0]["worth"] = json!(3.0);
@@ -71,7 +71,7 @@
     let mut clients: Vec<Client> = (0..AT_ONCE).map(|_| sidecar.client()).collect();
     let mut burst = || -> BTreeSet<usize> {
         for client in &mut clients {
-            client.write(&get("10"));
+            client.write(&get_request("10"));
         }
         for client in &mut clients {
             assert_eq!(client.read().expect("an answer").status(), 200);
@@ -83,7 +83,7 @@
     std::thread::sleep(Duration::from_millis(100)); // they settle
     assert_eq!(burst(), first);
     let spare: BTreeSet<usize> = (KEPT_WHEN_QUIET..AT_ONCE)
-        .map(|_| endpoint.next_close())
+        .map(|_| endpoint.next_connection_close())
         .collect();
     assert!(spare.is_subset(&first));
     let kept: BTreeSet<usize> = first.difference(&spare).copied().collect();
@@ -94,12 +94,15 @@
 #[test]
 fn a_connection_that_the_endpoint_closed_is_not_used() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    let endpoint = Endpoint::start(move |_| Does::AnswersAndCloses(answer.into()));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenClose(answer.into()));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let mut client = sidecar.client();
     for number in 0..5 {
-        assert_eq!(client.ask(&post("unsafe", "2", "")).status(), 200);
-        assert_eq!(endpoint.next_close(), number);
+        assert_eq!(
+            client.exchange(&post_request("unsafe", "2", "")).status(),
+            200
+        );
+        assert_eq!(endpoint.next_connection_close(), number);
     }
 }
 
@@ -108,20 +111,23 @@
 #[test]
 fn an_unsafe_request_is_not_written_to_a_kept_connection() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    let endpoint = Endpoint::start(move |_| Does::AnswersOnce(answer.into()));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenReset(answer.into()));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let mut client = sidecar.client();
     for _ in 0..8 {
-        assert_eq!(client.ask(&post("unsafe", "2", "x")).status(), 200);
+        assert_eq!(
+            client.exchange(&post_request("unsafe", "2", "x")).status(),
+            200
+        );
         std::thread::sleep(Duration::from_millis(60)); // what is kept has settled
     }
-    assert_eq!(endpoint.requests(), 8);
+    assert_eq!(endpoint.take_request_count(), 8);
 }
 
 /// Guards the pool's clock: an idle connection goes before the endpoint would close it, by the sidecar's doing.
 #[test]
 fn an_idle_connection_is_given_up_first() {
-    let endpoint = Endpoint::start(|_| ok(""));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -131,8 +137,11 @@
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
     for number in 0..2 {
-        assert_eq!(client.ask(&post("unsafe", "2", "x")).status(), 200);
-        assert_eq!(endpoint.next_close(), number);
+        assert_eq!(
+            client.exchange(&post_request("unsafe", "2", "x")).status(),
+            200
+        );
+        assert_eq!(endpoint.next_connection_close(), number);
     }
 }
 
@@ -149,13 +158,16 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", // chunks with no end
         "nothing that is HTTP\r\n\r\n",
     ] {
-        let endpoints =
-            [0, 1].map(|_| Endpoint::start(move |_| Does::AnswersAndCloses(answer.into())));
-        let (sidecar, _discovery) = Sidecar::over(&[&endpoints[0], &endpoints[1]]);
-        let reply = sidecar.client().ask(&post("unsafe", "2", "x"));
+        let endpoints = [0, 1]
+            .map(|_| Endpoint::start(move |_| EndpointAction::RespondThenClose(answer.into())));
+        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
+        let reply = sidecar.client().exchange(&post_request("unsafe", "2", "x"));
         assert_eq!(reply.status(), 502, "{answer}");
         assert_eq!(
-            endpoints.iter().map(Endpoint::requests).sum::<usize>(),
+            endpoints
+                .iter()
+                .map(Endpoint::take_request_count)
+                .sum::<usize>(),
             1,
             "{answer}"
         );
@@ -174,22 +186,31 @@
                 if message.header("x-class") == Some("unsafe")
                     && unseen.swap(false, Ordering::Relaxed)
                 {
-                    Does::Answers(format!(
+                    EndpointAction::Respond(format!(
                         "HTTP/1.1 {status} No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
                     ))
                 } else {
-                    ok("done")
+                    respond_ok("done")
                 }
             })
         });
-        let (sidecar, _discovery) = Sidecar::over(&[&endpoints[0], &endpoints[1]]);
+        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
         // The module grants a further attempt for so many requests.
         for _ in 0..10 {
-            assert_eq!(client.ask(&get("2")).status(), 200);
+            assert_eq!(client.exchange(&get_request("2")).status(), 200);
         }
-        assert_eq!(client.ask(&post("unsafe", "2", "x")).status(), 200);
-        assert_eq!(endpoints.iter().map(Endpoint::requests).sum::<usize>(), 12);
+        assert_eq!(
+            client.exchange(&post_request("unsafe", "2", "x")).status(),
+            200
+        );
+        assert_eq!(
+            endpoints
+                .iter()
+                .map(Endpoint::take_request_count)
+                .sum::<usize>(),
+            12
+        );
     }
 }
 
@@ -205,7 +226,10 @@
         &[entry("dead", closed, "SERVING")],
     ));
     assert_eq!(
-        sidecar.client().ask(&post("unsafe", "2", "x")).status(),
+        sidecar
+            .client()
+            .exchange(&post_request("unsafe", "2", "x"))
+            .status(),
         503
     );
 }
@@ -214,7 +238,7 @@
 /// connection. The module answers, and not the backstop at the deadline, which logs.
 #[test]
 fn silence_is_answered_in_time() {
-    let endpoint = Endpoint::start(|_| Does::Hangs);
+    let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -223,11 +247,14 @@
     config["settings"]["categories"][1]["objectiveNs"] = json!(300_000_000);
     let sidecar = Sidecar::start(&config);
     assert_eq!(
-        sidecar.client().ask(&post("unsafe", "10", "x")).status(),
+        sidecar
+            .client()
+            .exchange(&post_request("unsafe", "10", "x"))
+            .status(),
         504
     );
-    assert_eq!(endpoint.next_request().0, endpoint.next_close());
-    assert_eq!(endpoint.requests(), 0, "no second attempt");
+    assert_eq!(endpoint.next_request().0, endpoint.next_connection_close());
+    assert_eq!(endpoint.take_request_count(), 0, "no second attempt");
     let log = sidecar.log();
     assert!(
         log.iter()
@@ -239,42 +266,44 @@
 /// Guards abandoning: a client that goes takes its attempt with it, which ends by its connection.
 #[test]
 fn a_client_that_goes_ends_its_attempt() {
-    for request in [get("10"), post("unsafe", "10", "x")] {
-        let endpoint = Endpoint::start(|_| Does::Hangs);
-        let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    for request in [get_request("10"), post_request("unsafe", "10", "x")] {
+        let endpoint = Endpoint::start(|_| EndpointAction::Hang);
+        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
         let mut client = sidecar.client();
         client.write(&request);
         let (number, _) = endpoint.next_request();
         let asked = Instant::now();
         drop(client);
-        assert_eq!(endpoint.next_close(), number);
+        assert_eq!(endpoint.next_connection_close(), number);
         assert!(
             asked.elapsed() < Duration::from_secs(8),
             "before the attempt's time-out"
         );
-        assert_eq!(endpoint.requests(), 0);
+        assert_eq!(endpoint.take_request_count(), 0);
     }
 }
 
 /// Guards the refusal: it comes at once, and tells the client when to come back.
 #[test]
 fn a_hopeless_request_is_refused_with_advice() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
-    let reply = sidecar.client().ask(&post("unsafe", "0.001", "x"));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let reply = sidecar
+        .client()
+        .exchange(&post_request("unsafe", "0.001", "x"));
     assert_eq!(
         (reply.status(), reply.header("retry-after")),
         (503, Some("2"))
     );
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.take_request_count(), 0);
 }
 
 /// Guards the caller's side against what is no request: it fails in words, on a connection that goes on, and is
 /// never a refusal, which would have it tried again.
 #[test]
 fn what_is_no_request_fails() {
-    let endpoint = Endpoint::start(|_| ok(""));
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
     let with = |line: &str, headers: &str| format!("{line} HTTP/1.1\r\nHost: s\r\n{headers}\r\n");
     let good = "X-Request-Id: r\r\nX-Class: safe\r\nX-Deadline: 1\r\n";
     let mut client = sidecar.client();
@@ -299,11 +328,11 @@
         (with("GET /api", &good.replace(": 1", ": NaN")), 400),
         (with("POST /api", &good.replace("safe", "keyed")), 400),
     ] {
-        assert_eq!(client.ask(&request).status(), status, "{request}");
+        assert_eq!(client.exchange(&request).status(), status, "{request}");
     }
     assert_eq!(
         client
-            .ask(&with("GET /api", &good.replace(": 1", ": 1e300")))
+            .exchange(&with("GET /api", &good.replace(": 1", ": 1e300")))
             .status(),
         200,
         "however long"
@@ -313,20 +342,23 @@
         good.replace("safe", "unsafe")
     );
     assert_eq!(
-        sidecar.client().ask(&with("POST /api", &large)).status(),
+        sidecar
+            .client()
+            .exchange(&with("POST /api", &large))
+            .status(),
         413
     );
-    assert_eq!(endpoint.requests(), 1);
+    assert_eq!(endpoint.take_request_count(), 1);
 }
 
 /// Guards the module's ids: a second request with an open one's would never be answered.
 #[test]
 fn an_open_request_s_id_is_not_taken_again() {
-    let endpoint = Endpoint::start(|_| Does::Hangs);
-    let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
-    let request = get("3");
+    let endpoint = Endpoint::start(|_| EndpointAction::Hang);
+    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let request = get_request("3");
     let mut first = sidecar.client();
     first.write(&request);
     endpoint.next_request();
-    assert_eq!(sidecar.client().ask(&request).status(), 409);
+    assert_eq!(sidecar.client().exchange(&request).status(), 409);
 }
--- a/tests/sidecar/spoilt.rs
+++ b/tests/sidecar/spoilt.rs
@@ -29,15 +29,15 @@
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{load}\r\n\r\n");
         let clear = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Load: TEXT concurrent=0, depth=0, load_share=0\r\n\r\n";
         let endpoints = [
-            Endpoint::start(move |_| Does::Answers(text.clone())),
-            Endpoint::start(|_| Does::Answers(clear.into())),
+            Endpoint::start(move |_| EndpointAction::Respond(text.clone())),
+            Endpoint::start(|_| EndpointAction::Respond(clear.into())),
         ];
-        let (sidecar, _discovery) = Sidecar::over(&[&endpoints[0], &endpoints[1]]);
+        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
         for _ in 0..20 {
-            client.ask(&get("2")); // the module may refuse some: one of two is overloaded
+            client.exchange(&get_request("2")); // the module may refuse some: one of two is overloaded
         }
-        let sent = endpoints[0].requests();
+        let sent = endpoints[0].take_request_count();
         assert_eq!(sent <= 2, believed, "{load}: {sent} of 20");
     }
 }
@@ -64,14 +64,18 @@
         &hints,
     ] {
         let text = answer.to_string();
-        let endpoint = Endpoint::start(move |_| Does::Answers(text.clone()));
-        let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+        let endpoint = Endpoint::start(move |_| EndpointAction::Respond(text.clone()));
+        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
         // Were it waited for, the answer would be 504 and not 502.
-        let reply = sidecar.client().ask(&post("unsafe", "5", "x"));
+        let reply = sidecar.client().exchange(&post_request("unsafe", "5", "x"));
         let shown = &answer[..answer.len().min(90)];
         assert_eq!(reply.status(), 502, "{shown}");
-        assert_eq!(endpoint.next_request().0, endpoint.next_close(), "{shown}");
-        assert_eq!(endpoint.requests(), 0, "{shown}");
+        assert_eq!(
+            endpoint.next_request().0,
+            endpoint.next_connection_close(),
+            "{shown}"
+        );
+        assert_eq!(endpoint.take_request_count(), 0, "{shown}");
     }
 }
 
@@ -89,16 +93,16 @@
     for kind in 0..3 {
         let endpoint = Endpoint::start(move |message| {
             let good = good(message.header("x-request-id").expect("an id"));
-            Does::Answers(match kind {
+            EndpointAction::Respond(match kind {
                 0 => format!("{good}{good}"),
                 1 => format!("{good}noise that is no answer"),
                 _ => format!("{hints}{good}"),
             })
         });
-        let (sidecar, _discovery) = Sidecar::over(&[&endpoint]);
+        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
         let mut client = sidecar.client();
         for _ in 1..9 {
-            let reply = client.ask(&get("5"));
+            let reply = client.exchange(&get_request("5"));
             let id = endpoint
                 .next_request()
                 .1
@@ -153,7 +157,7 @@
         ));
         let mut client = sidecar.client();
         // The second comes with the first, so that it is sent as soon as that is answered.
-        let requests = [0, 1, 2, 3].map(|_| get("5"));
+        let requests = [0, 1, 2, 3].map(|_| get_request("5"));
         client.write(&requests[..2].concat());
         for (n, request) in requests.iter().enumerate() {
             if n >= 2 {
--- a/tests/sidecar/stubs/caller.rs
+++ b/tests/sidecar/stubs/caller.rs
@@ -12,7 +12,9 @@
 impl Client {
     pub fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).expect("the sidecar accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         Client {
             stream: BufReader::new(stream),
         }
@@ -29,7 +31,7 @@
         read_message(&mut self.stream)
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub fn exchange(&mut self, text: &str) -> Message {
         self.write(text);
         self.read().expect("a whole answer")
     }
@@ -48,19 +50,19 @@
 
 static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
 
-pub fn fresh_id() -> String {
+pub fn unique_id() -> String {
     format!("id-{}", NEXT_ID.fetch_add(1, Ordering::Relaxed))
 }
 
-pub fn get(deadline: &str) -> String {
-    let id = fresh_id();
+pub fn get_request(deadline: &str) -> String {
+    let id = unique_id();
     format!(
         "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: {id}\r\nX-Class: safe\r\nX-Deadline: {deadline}\r\n\r\n"
     )
 }
 
-pub fn post(class: &str, deadline: &str, body: &str) -> String {
-    let (id, length) = (fresh_id(), body.len());
+pub fn post_request(class: &str, deadline: &str, body: &str) -> String {
+    let (id, length) = (unique_id(), body.len());
     format!(
         "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: {id}\r\nX-Class: {class}\r\nX-Deadline: {deadline}\r\n\
          Content-Length: {length}\r\n\r\n{body}"
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -41,7 +41,9 @@
                 };
                 let mut stream = reader.into_inner();
                 let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                if stream.write_all(head).is_ok() && tell.send((message.first, stream)).is_err() {
+                if stream.write_all(head).is_ok()
+                    && tell.send((message.start_line, stream)).is_err()
+                {
                     break;
                 }
             }
@@ -52,7 +54,7 @@
     pub fn next_watch(&self) -> Watch {
         let (asked, stream) = self
             .watches
-            .recv_timeout(LONG)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the sidecar opens a watch");
         Watch { asked, stream }
     }
@@ -62,7 +64,7 @@
     /// Whether the sidecar has closed it.
     pub fn is_closed(&mut self) -> bool {
         self.stream
-            .set_read_timeout(Some(LONG))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
--- a/tests/sidecar/stubs/message.rs
+++ b/tests/sidecar/stubs/message.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than anything here takes: where it runs out, what was awaited does not come.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Whether a connection has not ended so far, and nothing has come on it that was not read.
 pub fn is_open_and_silent(stream: &TcpStream) -> bool {
@@ -19,8 +19,8 @@
 }
 
 /// Waits until something is so.
-pub fn awaits(what: &str, mut is_so: impl FnMut() -> bool) {
-    let until = Instant::now() + LONG;
+pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
+    let until = Instant::now() + TEST_TIMEOUT;
     while !is_so() {
         assert!(Instant::now() < until, "not in time: {what}");
         thread::sleep(Duration::from_millis(2));
@@ -30,7 +30,7 @@
 /// A request or an answer as it was read.
 #[derive(Clone, Debug)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -44,7 +44,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|s| s.parse().ok())
@@ -59,7 +59,7 @@
         from.read_line(&mut text).ok().filter(|n| *n > 0)?;
         Some(text.trim_end().to_string())
     };
-    let first = line()?;
+    let start_line = line()?;
     let mut headers = Vec::new();
     loop {
         let text = line()?;
@@ -69,7 +69,7 @@
         headers.push((name.to_string(), value.trim().to_string()));
     }
     let mut message = Message {
-        first,
+        start_line,
         headers,
         body: Vec::new(),
     };
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -46,20 +46,20 @@
 }
 
 /// The same with a second address.
-pub fn with_admin(mut config: Value) -> Value {
+pub fn with_admin_address(mut config: Value) -> Value {
     config["admin_addr"] = json!("127.0.0.1:0");
     config
 }
 
 /// These endpoints, as a list has them.
-pub fn serving(endpoints: &[&Endpoint]) -> Vec<Value> {
+pub fn serving_entries(endpoints: &[&Endpoint]) -> Vec<Value> {
     let names = endpoints.iter().enumerate();
     names
         .map(|(n, e)| entry(&format!("e{n}"), e.address, "SERVING"))
         .collect()
 }
 
-pub fn command() -> Command {
+pub fn sidecar_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
     isolate(&mut command);
     command
@@ -77,22 +77,22 @@
 }
 
 /// An empty folder of this test's own.
-pub fn folder() -> std::path::PathBuf {
-    let name = format!("tmp-{}-{}", std::process::id(), fresh_id());
+pub fn temporary_directory() -> std::path::PathBuf {
+    let name = format!("tmp-{}-{}", std::process::id(), unique_id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir(&path).expect("a folder");
     path
 }
 
 /// A file of this test's own with the text.
-pub fn file(text: &str) -> std::path::PathBuf {
-    let name = format!("config-{}-{}.json", std::process::id(), fresh_id());
+pub fn temporary_file(text: &str) -> std::path::PathBuf {
+    let name = format!("config-{}-{}.json", std::process::id(), unique_id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a file");
     path
 }
 
-pub fn signal(child: &Child, name: &str) {
+pub fn send_signal(child: &Child, name: &str) {
     let sent = Command::new("kill")
         .args(["-s", name, &child.id().to_string()])
         .status();
@@ -101,42 +101,46 @@
 
 impl Sidecar {
     pub fn start(config: &Value) -> Self {
-        let path = file(&config.to_string());
-        let sidecar = Self::start_with(&path);
+        let path = temporary_file(&config.to_string());
+        let sidecar = Self::start_with_file(&path);
         std::fs::remove_file(path).expect("the file goes");
         sidecar
     }
 
     /// One whose configuration stays where it is, to be read again.
-    pub fn start_with(path: &std::path::Path) -> Self {
-        Self::run(command().env("ROUTER_CONFIG", path))
+    pub fn start_with_file(path: &std::path::Path) -> Self {
+        Self::spawn(sidecar_command().env("ROUTER_CONFIG", path))
     }
 
     /// One that shares a folder with those before and after it.
-    pub fn start_in(folder: &std::path::Path, config: &Value) -> Self {
-        let path = file(&config.to_string());
-        let sidecar = Self::run(command().env("ROUTER_CONFIG", &path).env("TMPDIR", folder));
+    pub fn start_in_directory(folder: &std::path::Path, config: &Value) -> Self {
+        let path = temporary_file(&config.to_string());
+        let sidecar = Self::spawn(
+            sidecar_command()
+                .env("ROUTER_CONFIG", &path)
+                .env("TMPDIR", folder),
+        );
         std::fs::remove_file(path).expect("the file goes");
         sidecar
     }
 
     /// One that may hold so many descriptors.
-    pub fn limited(path: &std::path::Path, descriptors: usize) -> Self {
+    pub fn start_with_descriptor_limit(path: &std::path::Path, descriptors: usize) -> Self {
         let script = format!(
             "ulimit -n {descriptors}; exec {}",
             env!("CARGO_BIN_EXE_balancer-sidecar")
         );
         let mut command = Command::new("sh");
         isolate(&mut command);
-        Self::run(command.args(["-c", &script]).env("ROUTER_CONFIG", path))
+        Self::spawn(command.args(["-c", &script]).env("ROUTER_CONFIG", path))
     }
 
-    pub fn run(command: &mut Command) -> Self {
-        Self::of(command.spawn().expect("the program starts"))
+    pub fn spawn(command: &mut Command) -> Self {
+        Self::from_child(command.spawn().expect("the program starts"))
     }
 
     /// One that has been started, once it listens.
-    pub fn of(mut child: Child) -> Self {
+    pub fn from_child(mut child: Child) -> Self {
         let mut lines = BufReader::new(child.stderr.take().expect("its log"))
             .lines()
             .map_while(Result::ok);
@@ -160,19 +164,22 @@
     }
 
     /// One that the operators can call, with a discovery that says nothing.
-    pub fn with_admin(endpoints: &[&Endpoint]) -> (Self, Discovery) {
+    pub fn start_with_admin(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
-            Self::start(&with_admin(config(discovery.address, &serving(endpoints)))),
+            Self::start(&with_admin_address(config(
+                discovery.address,
+                &serving_entries(endpoints),
+            ))),
             discovery,
         )
     }
 
     /// One that knows these endpoints, all serving, and of a discovery that says nothing.
-    pub fn over(endpoints: &[&Endpoint]) -> (Self, Discovery) {
+    pub fn start_over(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
-            Self::start(&config(discovery.address, &serving(endpoints))),
+            Self::start(&config(discovery.address, &serving_entries(endpoints))),
             discovery,
         )
     }
@@ -186,9 +193,11 @@
     }
 
     /// What it answers to these bytes on a connection of their own, up to its end.
-    pub fn calls(&self, bytes: &[u8]) -> String {
+    pub fn call_raw(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.admin()).expect("it accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         stream.write_all(bytes).expect("the call is written");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer); // what it closes with bytes unread is reset
@@ -197,10 +206,10 @@
 
     /// Calls with one word, and perhaps an id.
     pub fn call(&self, call: &str) -> String {
-        self.calls(format!("{call}\n").as_bytes())
+        self.call_raw(format!("{call}\n").as_bytes())
     }
 
-    pub fn says_yes(&self, call: &str) -> bool {
+    pub fn call_is_yes(&self, call: &str) -> bool {
         let answer = self.call(call);
         assert!(
             answer.starts_with("YES") || answer.starts_with("NO"),
@@ -210,7 +219,7 @@
     }
 
     /// One of its figures; none where it tells of no such.
-    pub fn figure(&self, name: &str) -> Option<u64> {
+    pub fn metric(&self, name: &str) -> Option<u64> {
         let stats = self.call("STATS");
         assert!(stats.ends_with("\nEND\n"), "{stats}");
         let line = stats.lines().find_map(|l| {
@@ -222,27 +231,27 @@
     }
 
     /// How many requests of a class ended so.
-    pub fn ended(&self, how: &str, class: &str) -> Option<u64> {
-        self.figure(&format!("{how}{{lane=\"{class}\"}}"))
+    pub fn requests_ended(&self, how: &str, class: &str) -> Option<u64> {
+        self.metric(&format!("{how}{{lane=\"{class}\"}}"))
     }
 
-    pub fn signal(&self, name: &str) {
-        signal(&self.child, name);
+    pub fn send_signal(&self, name: &str) {
+        send_signal(&self.child, name);
     }
 
-    /// Has it do nothing until [`Sidecar::thaws`], so that what comes meanwhile has all come at once.
-    pub fn freezes(&self) {
-        self.signal("STOP");
+    /// Has it do nothing until [`Sidecar::resume`], so that what comes meanwhile has all come at once.
+    pub fn suspend(&self) {
+        self.send_signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        awaits("it stands", || {
+        wait_until("it stands", || {
             std::fs::read_to_string(&stat)
                 .expect("it is there")
                 .contains(") T ")
         });
     }
 
-    pub fn thaws(&self) {
-        self.signal("CONT");
+    pub fn resume(&self) {
+        self.send_signal("CONT");
     }
 
     /// What its open descriptors are.
@@ -252,12 +261,12 @@
         links.map(|link| link.display().to_string()).collect()
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         self.open_files().len()
     }
 
     /// How many of its sockets listen.
-    pub fn listeners(&self) -> usize {
+    pub fn listener_count(&self) -> usize {
         let sockets =
             std::fs::read_to_string(format!("/proc/{}/net/tcp", self.child.id())).expect("it runs");
         let listening = sockets.lines().filter_map(|line| {
@@ -291,11 +300,11 @@
     }
 
     pub fn terminate(&self) {
-        self.signal("TERM");
+        self.send_signal("TERM");
     }
 
     /// The sum of a count over all periods that the log has told of.
-    pub fn counted(&self, name: &str) -> u64 {
+    pub fn logged_count(&self, name: &str) -> u64 {
         let value = |field: &str| {
             field
                 .strip_prefix(name)?
@@ -312,8 +321,8 @@
     }
 
     /// Waits for a line of the log.
-    pub fn awaits_log(&self, part: &str) {
-        awaits(&format!("a line says {part:?}"), || {
+    pub fn wait_for_log(&self, part: &str) {
+        wait_until(&format!("a line says {part:?}"), || {
             self.log().iter().any(|line| line.contains(part))
         });
     }
--- a/tests/sidecar/stubs/raw_http.rs
+++ b/tests/sidecar/stubs/raw_http.rs
@@ -31,7 +31,9 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (tell, does) = (tell.clone(), does.clone());
-                stream.set_read_timeout(Some(LONG)).expect("a time-out");
+                stream
+                    .set_read_timeout(Some(TEST_TIMEOUT))
+                    .expect("a time-out");
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while let Some(head) = read_head(&mut stream) {
@@ -46,7 +48,9 @@
 
     /// The head of the next request; fails the test if none comes.
     pub fn next_head(&self) -> String {
-        self.heads.recv_timeout(LONG).expect("a request comes")
+        self.heads
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a request comes")
     }
 }
 
@@ -107,7 +111,7 @@
         .map(|(n, a)| entry(&format!("e{n}"), *a, "SERVING"))
         .collect();
     (
-        Sidecar::start(&with_admin(config(discovery.address, &known))),
+        Sidecar::start(&with_admin_address(config(discovery.address, &known))),
         discovery,
     )
 }
@@ -115,7 +119,9 @@
 /// Opens a connection to the sidecar, with a time-out for reads.
 pub fn connect(sidecar: &Sidecar) -> Stream {
     let stream = TcpStream::connect(sidecar.address).expect("it accepts");
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     BufReader::new(stream)
 }
 
@@ -136,7 +142,7 @@
 
 /// The head of a request with a body.
 pub fn head(class: &str, framing: &str) -> String {
-    let bare = post(class, "15", "");
+    let bare = post_request(class, "15", "");
     bare.replace(
         "Content-Length: 0",
         &format!("Idempotency-Key: k\r\n{framing}"),
--- a/tests/sidecar/stubs/scripted.rs
+++ b/tests/sidecar/stubs/scripted.rs
@@ -14,31 +14,31 @@
 /// An endpoint that writes what the test says when it says so, on the connection of the request that is next.
 pub struct Told {
     pub endpoint: Endpoint,
-    tell: Sender<Does>,
+    tell: Sender<EndpointAction>,
 }
 
 impl Told {
     pub fn start() -> Self {
-        let (tell, told): (_, Receiver<Does>) = channel();
+        let (tell, told): (_, Receiver<EndpointAction>) = channel();
         let told = Mutex::new(told);
         let endpoint = Endpoint::start(move |_| {
             told.lock()
                 .expect("the only one")
                 .recv()
-                .unwrap_or(Does::Hangs)
+                .unwrap_or(EndpointAction::Hang)
         });
         Told { endpoint, tell }
     }
 
-    pub fn does(&self, what: Does) {
+    pub fn does(&self, what: EndpointAction) {
         self.tell.send(what).expect("it waits");
     }
 
     /// Serves as many requests as the module grants a few retries for.
     pub fn earns_retries(&self, client: &mut Client) {
         for _ in 0..10 {
-            client.write(&get("5"));
-            self.does(ok("x"));
+            client.write(&get_request("5"));
+            self.does(respond_ok("x"));
             assert_eq!(client.read().expect("an answer").status(), 200);
             self.endpoint.next_request();
         }
@@ -47,7 +47,7 @@
 
 /// A sidecar with a short longest deadline, so that a stop has short steps.
 pub fn brief(discovery: &Discovery, endpoints: &[&Endpoint], deadline: Duration) -> Value {
-    let mut config = with_admin(config(discovery.address, &serving(endpoints)));
+    let mut config = with_admin_address(config(discovery.address, &serving_entries(endpoints)));
     for class in config["settings"]["categories"]
         .as_array_mut()
         .expect("a list")
--- a/tests/sidecar/warming_endpoint.rs
+++ b/tests/sidecar/warming_endpoint.rs
@@ -34,7 +34,7 @@
 fn send_burst(sidecar: &Sidecar) {
     let mut client = sidecar.client();
     for _ in 0..REQUESTS_EACH {
-        let answer = client.ask(&get("10"));
+        let answer = client.exchange(&get_request("10"));
         assert_eq!(answer.status(), 200);
         if answer.header("connection") == Some("close") {
             client = sidecar.client();
@@ -48,10 +48,10 @@
 fn several_sidecars_spare_a_cold_endpoint() {
     let discovery = Discovery::start();
     let warm: Vec<Endpoint> = (0..WARM_ENDPOINTS)
-        .map(|_| Endpoint::start(|_| ok("")))
+        .map(|_| Endpoint::start(|_| respond_ok("")))
         .collect();
-    let cold = Endpoint::start(|_| ok(""));
-    let mut entries = serving(&warm.iter().collect::<Vec<_>>());
+    let cold = Endpoint::start(|_| respond_ok(""));
+    let mut entries = serving_entries(&warm.iter().collect::<Vec<_>>());
     let mut started_now = entry("cold", cold.address, "SERVING");
     started_now["since_ms"] = json!(now_ms());
     entries.push(started_now);
@@ -62,7 +62,7 @@
             scope.spawn(|| send_burst(sidecar));
         }
     });
-    let reached = cold.requests();
+    let reached = cold.take_request_count();
     let fair_share = (SIDECARS * REQUESTS_EACH) as f64 / (WARM_ENDPOINTS + 1) as f64;
     let allowed = FALL_MULTIPLE * INITIAL_CAPACITY * fair_share;
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
--- a/tests/sidecar/watches.rs
+++ b/tests/sidecar/watches.rs
@@ -49,7 +49,7 @@
     /// The call that waits now, or the next that comes.
     pub fn next_open(&self) -> Call {
         let mut call = None;
-        awaits("a call", || {
+        wait_until("a call", || {
             call = self.waiting().pop();
             call.is_some()
         });
@@ -58,7 +58,7 @@
 
     pub fn next(&self) -> Call {
         let mut call = None;
-        awaits("a call", || {
+        wait_until("a call", || {
             call = self.try_next();
             call.is_some()
         });
@@ -77,7 +77,7 @@
     fn read(stream: TcpStream) -> Option<Self> {
         stream.set_nonblocking(false).expect("an option");
         let mut reader = BufReader::new(stream);
-        let asked = read_message(&mut reader)?.first;
+        let asked = read_message(&mut reader)?.start_line;
         Some(Call {
             asked,
             stream: reader.into_inner(),
@@ -115,9 +115,9 @@
 }
 
 fn over(discovery: &Calls, endpoints: &[&Endpoint]) -> Sidecar {
-    Sidecar::start(&with_admin(config(
+    Sidecar::start(&with_admin_address(config(
         discovery.address(),
-        &serving(endpoints),
+        &serving_entries(endpoints),
     )))
 }
 
@@ -127,8 +127,8 @@
 }
 
 pub fn is_out(sidecar: &Sidecar, endpoints: u64) {
-    awaits(&format!("{endpoints} are out"), || {
-        sidecar.figure("members_unavailable") == Some(endpoints)
+    wait_until(&format!("{endpoints} are out"), || {
+        sidecar.metric("members_unavailable") == Some(endpoints)
     });
 }
 
@@ -136,7 +136,7 @@
 /// the next has come with it, and half a list counts for nothing.
 #[test]
 fn a_list_may_be_indented_and_come_in_pieces() {
-    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Calls::start();
     let sidecar = over(&discovery, &[&endpoints[0], &endpoints[1], &endpoints[2]]);
     let mut watch = discovery.next();
@@ -158,7 +158,7 @@
         watch.chunk(std::str::from_utf8(piece).expect("text"));
     }
     // The sidecar has read this far when it answers a call that comes later.
-    assert_eq!(sidecar.figure("members_unavailable"), Some(1));
+    assert_eq!(sidecar.metric("members_unavailable"), Some(1));
     watch.chunk(end);
     is_out(&sidecar, 2);
     watch.chunk(&third);
@@ -171,7 +171,7 @@
 /// first word of a discovery that is back.
 #[test]
 fn a_watch_is_opened_anew_whatever_became_of_it_and_of_the_next() {
-    let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Calls::start();
     let sidecar = over(&discovery, &[&endpoints[0], &endpoints[1]]);
     let spoilt = [
@@ -212,18 +212,18 @@
     is_out(&sidecar, 1);
     drop((silent, hangs));
     for _ in 0..20 {
-        assert_eq!(sidecar.client().ask(&get("5")).status(), 200);
+        assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
     }
-    assert_eq!(endpoints[0].requests(), 0);
+    assert_eq!(endpoints[0].take_request_count(), 0);
 }
 
 /// Guards the next call after a watch that was opened: however often one was lost before, with nothing told on any, the
 /// next is asked for as soon as after the first. Word of what it misses has its time from when it was lost.
 #[test]
 fn a_watch_that_was_opened_makes_good_for_calls_that_failed_before() {
-    let endpoint = Endpoint::start(|_| ok(""));
+    let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Calls::start();
-    let mut config = config(discovery.address(), &serving(&[&endpoint]));
+    let mut config = config(discovery.address(), &serving_entries(&[&endpoint]));
     config["settings"]["rules"]["askWithinNs"] = json!(10_000_000_000u64);
     let _sidecar = Sidecar::start(&config);
     let loses = || {
@@ -248,10 +248,10 @@
 /// what was told to drain goes on draining.
 #[test]
 fn an_older_list_after_a_newer_one_takes_nothing_back() {
-    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Calls::start();
     let sidecar = over(&discovery, &[&endpoints[0], &endpoints[1], &endpoints[2]]);
-    let all = serving(&[&endpoints[0], &endpoints[1], &endpoints[2]]);
+    let all = serving_entries(&[&endpoints[0], &endpoints[1], &endpoints[2]]);
     let mut newer = all.clone();
     newer[0]["status"] = json!("DRAINING");
     newer.truncate(2); // the third is gone
@@ -268,11 +268,11 @@
     lags.chunk(&format!("{}\n", list(44, true, &all)));
     let mut set_back = discovery.next();
     assert!(set_back.follows(50), "{}", set_back.asked);
-    assert_eq!(sidecar.figure("members"), Some(2));
+    assert_eq!(sidecar.metric("members"), Some(2));
     is_out(&sidecar, 1);
     set_back.writes(HEAD);
     set_back.chunk(&format!("{}\n", list(44, true, &all)));
-    awaits("it is believed", || sidecar.figure("members") == Some(3));
+    wait_until("it is believed", || sidecar.metric("members") == Some(3));
     is_out(&sidecar, 1);
     drop(set_back);
     assert!(discovery.next().follows(44));
@@ -282,16 +282,16 @@
 /// the new one has spoken is not taken.
 #[test]
 fn a_call_that_is_out_as_discovery_moves_tells_nothing_later() {
-    let endpoints = [0, 1].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let (old, new) = (Calls::start(), Calls::start());
-    let all = serving(&[&endpoints[0], &endpoints[1]]);
-    let mut config = with_admin(config(old.address(), &all));
-    let path = file(&config.to_string());
-    let sidecar = Sidecar::start_with(&path);
+    let all = serving_entries(&[&endpoints[0], &endpoints[1]]);
+    let mut config = with_admin_address(config(old.address(), &all));
+    let path = temporary_file(&config.to_string());
+    let sidecar = Sidecar::start_with_file(&path);
     let mut hangs = old.next();
     config["discovery"] = json!(new.address().to_string());
     std::fs::write(&path, config.to_string()).expect("the file is written");
-    sidecar.signal("HUP");
+    sidecar.send_signal("HUP");
     let mut whole = new.next();
     assert!(
         whole.asked.starts_with("GET /v1/endpoints "),
@@ -313,12 +313,12 @@
         .stream
         .write_all(format!("{HEAD}{:x}\r\n{late}\r\n", late.len()).as_bytes());
     for _ in 0..20 {
-        assert_eq!(sidecar.client().ask(&get("5")).status(), 200);
+        assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
     }
     assert_eq!(
         (
-            endpoints[0].requests(),
-            sidecar.figure("members_unavailable")
+            endpoints[0].take_request_count(),
+            sidecar.metric("members_unavailable")
         ),
         (0, Some(1))
     );
