--- a/src/sidecar/caller/inbound.rs
+++ b/src/sidecar/caller/inbound.rs
@@ -14,7 +14,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+use tokio::io::{AsyncRead, Interest, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
@@ -38,7 +38,7 @@
     StandIn { given: usize },
 }
 
-/// A caller's connection as hyper reads and writes it.
+/// A caller's connection as hyper reads it.
 pub struct Inbound {
     stream: Rc<TcpStream>,
     traffic: Rc<Traffic>,
@@ -225,35 +225,3 @@
         }
     }
 }
-
-impl AsyncWrite for Inbound {
-    fn poll_write(
-        self: Pin<&mut Self>,
-        context: &mut Context<'_>,
-        bytes: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        self.poll_write_vectored(context, &[io::IoSlice::new(bytes)])
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        context: &mut Context<'_>,
-        parts: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        let written = sockets::poll_write(&self.stream, context, parts);
-        self.traffic.wrote(written.is_ready());
-        written
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(sockets::end(&self.stream))
-    }
-}
--- a/src/sidecar/caller/traffic.rs
+++ b/src/sidecar/caller/traffic.rs
@@ -1,8 +1,10 @@
 //! How a caller's connection stands, for those that must tell silence from work.
 
+use crate::sidecar::sockets::WriteObserver;
 use std::cell::{Cell, RefCell};
+use std::io;
 use std::rc::Rc;
-use std::task::Waker;
+use std::task::{Poll, Waker};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -114,16 +116,6 @@
         !self.has_asked.get() && Instant::now() < self.opened + FIRST_REQUEST_TIME
     }
 
-    /// A write was taken, or has to wait.
-    pub fn wrote(&self, is_taken: bool) {
-        let blocked_since = if is_taken {
-            None
-        } else {
-            Some(self.blocked_since.get().unwrap_or_else(Instant::now))
-        };
-        self.blocked_since.set(blocked_since);
-    }
-
     /// Whether the other side leaves unread what was written.
     pub fn is_blocked(&self) -> bool {
         self.blocked_since.get().is_some()
@@ -153,3 +145,14 @@
         }
     }
 }
+
+impl WriteObserver for Traffic {
+    fn on_write(&self, result: &Poll<io::Result<usize>>) {
+        let blocked_since = if result.is_ready() {
+            None
+        } else {
+            Some(self.blocked_since.get().unwrap_or_else(Instant::now))
+        };
+        self.blocked_since.set(blocked_since);
+    }
+}
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -5,7 +5,7 @@
 use super::reply::{Reply, ReplyBody, plain};
 use super::request_error::RequestError;
 use crate::sidecar::caller::{HeadFault, Inbound, Traffic, client_left};
-use crate::sidecar::sockets;
+use crate::sidecar::sockets::{self, ObservedSocket};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
-use tokio::io::ReadBuf;
+use tokio::io::{ReadBuf, join};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep_until, timeout};
@@ -63,10 +63,12 @@
     let traffic = &*caller.traffic;
     let service =
         service_fn(async |request| Ok::<Reply, Infallible>(caller.serve_one(request).await));
-    let inbound = Inbound::new(stream.clone(), caller.traffic.clone());
+    let reader = Inbound::new(stream.clone(), caller.traffic.clone());
+    let writer = ObservedSocket::new(stream.clone(), caller.traffic.clone());
     let mut builder = http1::Builder::new();
     builder.keep_alive(!once).max_buf_size(READ_BUFFER);
-    let mut connection = pin!(builder.serve_connection(TokioIo::new(inbound), service));
+    let mut connection =
+        pin!(builder.serve_connection(TokioIo::new(join(reader, writer)), service));
     let mut timer = pin!(sleep_until(traffic.first_head_due()));
     let mut client_left = pin!(client_left(stream, traffic));
     loop {
