--- a/src/sidecar/body/mod.rs
+++ b/src/sidecar/body/mod.rs
@@ -4,11 +4,11 @@
 //! be found broken before a client has seen any of it. Of a larger one no more than that is ever held: the rest is read
 //! when the other side has taken what came before.
 
+mod buffered_response;
 mod limits;
-mod pace;
-mod received;
 mod upload;
+mod upload_deadline;
 
+pub use buffered_response::{ReceivedAnswer, receive_answer};
 pub use limits::{BodyFailure, MAX_BODY, MAX_KEPT};
-pub use received::{ReceivedAnswer, receive_answer};
 pub use upload::{BodyError, ReceivedBody, Upload, UploadRest, receive_body};
--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -3,12 +3,12 @@
 use super::attempt_result::{AnswerBody, AttemptResult};
 use super::connect::connect;
 use super::connection::{EndpointConnection, Exchange};
-use super::dial::hedged;
-use super::forward::{AttemptOrder, ForwardedRequest};
+use super::forwarded_request::{AttemptOrder, ForwardedRequest};
+use super::hedged_dial::hedged;
 use super::host::EndpointHost;
-use super::outgoing::OutgoingBody;
+use super::request_body::OutgoingBody;
 use super::response::EndpointResponse;
-use super::streamed::StreamedAnswer;
+use super::streamed_response::StreamedAnswer;
 use crate::policy::Outcome;
 use crate::sidecar::body::{BodyFailure, ReceivedAnswer};
 use hyper::StatusCode;
@@ -134,9 +134,9 @@
                 let (host, target) = (self.host.clone(), self.order.target.clone());
                 let return_connection =
                     move |connection| host.return_connection(connection, &target);
-                let streamed =
+                let streamed_response =
                     StreamedAnswer::new(first, rest, length, connection, return_connection);
-                Some(AnswerBody::Streamed(Box::new(streamed)))
+                Some(AnswerBody::Streamed(Box::new(streamed_response)))
             }
             Ok(ReceivedAnswer::Begun { .. }) | Err(_) => None,
         };
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -1,8 +1,8 @@
 //! What an endpoint's response means for its attempt.
 
-use super::forward::end_to_end;
+use super::forwarded_request::end_to_end;
 use super::load_report::parse_load_report;
-use super::streamed::StreamedAnswer;
+use super::streamed_response::StreamedAnswer;
 use crate::policy::{LoadReport, Outcome};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an endpoint.
 
-use super::outgoing::OutgoingBody;
+use super::request_body::OutgoingBody;
 use super::response::{EndpointResponse, framing_problem};
 use super::write_progress::WriteProgress;
 use crate::sidecar::body::{BodyFailure, MAX_KEPT, receive_answer};
--- a/src/sidecar/endpoint/forward.rs
+++ b/src/sidecar/endpoint/forwarded_request.rs
@@ -1,6 +1,6 @@
 //! Requests as they go on to endpoints.
 
-use super::outgoing::OutgoingBody;
+use super::request_body::OutgoingBody;
 use crate::policy::{AttemptNumber, EndpointId, RequestId, Timestamp};
 use crate::sidecar::body::Upload;
 use crate::sidecar::memory::MemoryReservation;
--- a/src/sidecar/endpoint/health_check.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -3,9 +3,9 @@
 use super::attempt_result::AttemptResult;
 use super::connect::connect;
 use super::connection::Exchange;
-use super::forward::Target;
+use super::forwarded_request::Target;
 use super::host::EndpointHost;
-use super::outgoing::OutgoingBody;
+use super::request_body::OutgoingBody;
 use super::response::EndpointResponse;
 use crate::policy::Outcome;
 use crate::sidecar::body::ReceivedAnswer;
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
-use super::forward::{AttemptOrder, Target};
+use super::forwarded_request::{AttemptOrder, Target};
 use crate::policy::{EndpointId, Timestamp};
 use crate::sidecar::clock::Clock;
 use crate::sidecar::descriptors::DescriptorPermit;
