--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -1,7 +1,7 @@
 //! Callers' bodies: received whole, or as far as they are kept.
 
 use super::limits::{MAX_BODY, MAX_KEPT};
-use super::pace::PaceLimit;
+use super::upload_deadline::PaceLimit;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
