--- a/src/sidecar/caller/traffic.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -9,18 +9,18 @@
 use tokio::time::Instant;
 
 /// From a connection's start to its first head, and from a head's first byte to its last.
-const HEAD_TIME: Duration = Duration::from_millis(2_100);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
 /// A connection may stand so long between requests before it is closed.
-const IDLE_TIME: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// The first request of a new connection is on its way for so long at the most.
-pub const FIRST_REQUEST_TIME: Duration = Duration::from_millis(300);
+pub const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
 /// A caller may leave what has been written to it unread for so long. What the kernel holds of it takes a slow one many
 /// seconds, in which no more can be written.
-const UNREAD_TIME: Duration = Duration::from_secs(60);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Why a head is not handed on. Nothing after it is read as a request.
 #[derive(Clone, Copy, PartialEq)]
-pub enum HeadFault {
+pub enum HeadError {
     /// Where its body ends depends on who reads it.
     Framing,
     /// It is over the longest head.
@@ -30,9 +30,9 @@
 }
 
 /// A connection's standing.
-pub struct Traffic {
+pub struct ConnectionState {
     /// When it was accepted.
-    pub opened: Instant,
+    pub accepted_at: Instant,
     /// Since when it has been between requests.
     pub idle_since: Cell<Option<Instant>>,
     /// When the first byte of the request came that the service has not seen yet.
@@ -40,40 +40,40 @@
     /// When the last byte came of a head that was awaited.
     pub last_byte_at: Cell<Instant>,
     /// A whole head has come on it.
-    pub has_asked: Cell<bool>,
+    pub has_received_head: Cell<bool>,
     /// A head has gone on to the service, which has not answered it yet.
     is_answering: Cell<bool>,
     /// Who waits for that answer before reading on.
     reader: RefCell<Option<Waker>>,
     /// What the service answers the head that stands in for a bad one with.
-    pub fault: Cell<Option<HeadFault>>,
+    pub head_error: Cell<Option<HeadError>>,
     /// The connection ends with the request that is being answered.
     pub is_last_request: Cell<bool>,
     /// The other side has sent its end.
-    pub has_ended: Cell<bool>,
+    pub peer_has_ended: Cell<bool>,
     /// Since when nothing could be written to it, as the other side reads nothing.
     blocked_since: Cell<Option<Instant>>,
     /// It was closed for standing idle, or to make room: there is nothing to be read on it.
-    pub is_closed_idle: Cell<bool>,
+    pub is_closing_idle: Cell<bool>,
 }
 
-impl Traffic {
+impl ConnectionState {
     /// A connection that was just accepted.
     pub fn new() -> Rc<Self> {
         let now = Instant::now();
-        Rc::new(Traffic {
-            opened: now,
+        Rc::new(ConnectionState {
+            accepted_at: now,
             idle_since: Cell::new(Some(now)),
             head_since: Cell::new(None),
             last_byte_at: Cell::new(now),
-            has_asked: Cell::new(false),
+            has_received_head: Cell::new(false),
             is_answering: Cell::new(false),
             reader: RefCell::new(None),
-            fault: Cell::new(None),
+            head_error: Cell::new(None),
             is_last_request: Cell::new(false),
-            has_ended: Cell::new(false),
+            peer_has_ended: Cell::new(false),
             blocked_since: Cell::new(None),
-            is_closed_idle: Cell::new(false),
+            is_closing_idle: Cell::new(false),
         })
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Has the reader woken when the request is answered.
-    pub fn wake_when_answered(&self, reader: &Waker) {
+    pub fn wake_reader_when_answered(&self, reader: &Waker) {
         *self.reader.borrow_mut() = Some(reader.clone());
     }
 
@@ -112,8 +112,8 @@
     }
 
     /// Whether it was accepted so short a time ago that its first request may be on its way.
-    pub fn is_fresh(&self) -> bool {
-        !self.has_asked.get() && Instant::now() < self.opened + FIRST_REQUEST_TIME
+    pub fn is_awaiting_first_request(&self) -> bool {
+        !self.has_received_head.get() && Instant::now() < self.accepted_at + FIRST_REQUEST_GRACE
     }
 
     /// Whether the other side leaves unread what was written.
@@ -122,31 +122,31 @@
     }
 
     /// When the first head has to have come.
-    pub fn first_head_due(&self) -> Instant {
-        self.opened + HEAD_TIME
+    pub fn first_head_deadline(&self) -> Instant {
+        self.accepted_at + HEAD_TIMEOUT
     }
 
     /// When the time for it is over, as things stand; never while a request is open, which has its own time, but where its
     /// answer is not read.
-    pub fn due(&self) -> Option<Instant> {
+    pub fn deadline(&self) -> Option<Instant> {
         if let Some(since) = self.blocked_since.get() {
-            return Some(since + UNREAD_TIME);
+            return Some(since + WRITE_TIMEOUT);
         }
         let idle_since = self
             .idle_since
             .get()
-            .filter(|_| !self.is_closed_idle.get())?;
+            .filter(|_| !self.is_closing_idle.get())?;
         match self.head_since.get() {
-            Some(_) if self.fault.get().is_some() => None,
-            Some(begun) => Some(begun + HEAD_TIME),
-            None if self.has_asked.get() => Some(idle_since + IDLE_TIME),
-            None if self.is_last_request.get() => Some(self.opened + FIRST_REQUEST_TIME),
-            None => Some(idle_since + HEAD_TIME),
+            Some(_) if self.head_error.get().is_some() => None,
+            Some(begun) => Some(begun + HEAD_TIMEOUT),
+            None if self.has_received_head.get() => Some(idle_since + IDLE_TIMEOUT),
+            None if self.is_last_request.get() => Some(self.accepted_at + FIRST_REQUEST_GRACE),
+            None => Some(idle_since + HEAD_TIMEOUT),
         }
     }
 }
 
-impl WriteObserver for Traffic {
+impl WriteObserver for ConnectionState {
     fn on_write(&self, result: &Poll<io::Result<usize>>) {
         let blocked_since = if result.is_ready() {
             None
--- a/src/sidecar/caller/drain_state.rs
+++ b/src/sidecar/caller/drain_state.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum DrainState {
     /// The front has to ask first, and callers still come: all as ever.
-    Begun,
+    NotReady,
     /// Each connection closes with its next answer.
-    Leaving,
+    ClosingAfterResponses,
     /// None is kept.
-    Empty,
+    ClosingIdle,
 }
--- a/src/sidecar/caller/head.rs
+++ b/src/sidecar/caller/head.rs
@@ -3,17 +3,17 @@
 //! Own parsing, as hyper cannot do it: it drops a Content-Length beside a Transfer-Encoding without a word (so that the
 //! service cannot tell), takes repeated lengths, and has one clock for the wait before a head and for the head.
 
-use super::traffic::HeadFault;
+use super::connection_state::HeadError;
 
 /// The longest head. Honest ones are a twentieth of it.
-pub const LONGEST_HEAD: usize = 16 << 10;
+pub const MAX_HEAD_LENGTH: usize = 16 << 10;
 /// Up to this length a head that is not whole yet is parsed too, to find one that never will be.
-const EARLY_CHECK: usize = 4 << 10;
+const MAX_EARLY_PARSE_LENGTH: usize = 4 << 10;
 /// As many headers as hyper takes.
 const MAX_HEADERS: usize = 100;
 
 /// What the bytes of a head say.
-pub enum Judgement {
+pub enum HeadValidation {
     /// It is not whole. So many bytes are known not to hold its end.
     Incomplete {
         /// How many.
@@ -26,19 +26,19 @@
     /// It is whole, and no head. hyper says what is wrong with it, and ends there.
     Malformed,
     /// It is not whole, and never will be a head. hyper says what is wrong with it, and ends there.
-    NeverWhole,
+    NeverComplete,
     /// It must not be read.
-    Fault(HeadFault),
+    Rejected(HeadError),
 }
 
-impl Judgement {
+impl HeadValidation {
     /// Whether all of the head has come.
-    pub fn is_of_whole_head(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         !matches!(
             self,
-            Judgement::Incomplete { .. }
-                | Judgement::NeverWhole
-                | Judgement::Fault(HeadFault::TooLong)
+            HeadValidation::Incomplete { .. }
+                | HeadValidation::NeverComplete
+                | HeadValidation::Rejected(HeadError::TooLong)
         )
     }
 }
@@ -51,31 +51,31 @@
 }
 
 /// Judges the head that some bytes begin with, of which so many were searched for its end before.
-pub fn judge(bytes: &[u8], searched: usize) -> Judgement {
+pub fn validate_head(bytes: &[u8], searched: usize) -> HeadValidation {
     let Some(end) = head_end(bytes, searched) else {
-        return judge_incomplete(bytes);
+        return validate_incomplete_head(bytes);
     };
     let Ok(Some(framing)) = parse(&bytes[..end]) else {
-        return Judgement::Malformed;
+        return HeadValidation::Malformed;
     };
     if framing.head_length != end {
-        return Judgement::Fault(HeadFault::Framing);
+        return HeadValidation::Rejected(HeadError::Framing);
     }
     match (
         &framing.content_lengths[..],
         &framing.transfer_encodings[..],
     ) {
-        ([], []) => Judgement::Length(end as u64),
+        ([], []) => HeadValidation::Length(end as u64),
         ([], [encoding]) if encoding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
-            Judgement::Chunked
+            HeadValidation::Chunked
         }
         ([length], []) => {
             match parse_length(length).and_then(|length| length.checked_add(end as u64)) {
-                Some(length) => Judgement::Length(length),
-                None => Judgement::Fault(HeadFault::Framing),
+                Some(length) => HeadValidation::Length(length),
+                None => HeadValidation::Rejected(HeadError::Framing),
             }
         }
-        _ => Judgement::Fault(HeadFault::Framing),
+        _ => HeadValidation::Rejected(HeadError::Framing),
     }
 }
 
@@ -97,15 +97,15 @@
     })
 }
 
-fn judge_incomplete(bytes: &[u8]) -> Judgement {
-    if bytes.len() >= LONGEST_HEAD {
-        return Judgement::Fault(HeadFault::TooLong);
+fn validate_incomplete_head(bytes: &[u8]) -> HeadValidation {
+    if bytes.len() >= MAX_HEAD_LENGTH {
+        return HeadValidation::Rejected(HeadError::TooLong);
     }
-    if bytes.len() <= EARLY_CHECK && parse(bytes).is_err() {
-        return Judgement::NeverWhole; // there is nothing to wait for
+    if bytes.len() <= MAX_EARLY_PARSE_LENGTH && parse(bytes).is_err() {
+        return HeadValidation::NeverComplete; // there is nothing to wait for
     }
     // The last two bytes may begin the end.
-    Judgement::Incomplete {
+    HeadValidation::Incomplete {
         searched: bytes.len().saturating_sub(2),
     }
 }
--- a/src/sidecar/caller/mod.rs
+++ b/src/sidecar/caller/mod.rs
@@ -1,12 +1,12 @@
 //! Callers' connections: what comes in on them, how they stand, and which of them have to go.
 
+mod connection_state;
 mod drain_state;
 mod head;
-mod inbound;
+mod request_reader;
 mod table;
-mod traffic;
 
+pub use connection_state::{ConnectionState, HeadError};
 pub use drain_state::DrainState;
-pub use inbound::{Inbound, client_left};
+pub use request_reader::{RequestReader, client_disconnected};
 pub use table::CallerTable;
-pub use traffic::{HeadFault, Traffic};
--- a/src/sidecar/caller/inbound.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -6,8 +6,8 @@
 //! While a request is answered what comes behind it is kept here, as hyper looks for the other side's end only where it
 //! has nothing unread; and where nobody reads on, the socket is asked whether the other side has left.
 
-use super::head::{Judgement, LONGEST_HEAD, judge};
-use super::traffic::{HeadFault, Traffic};
+use super::connection_state::{ConnectionState, HeadError};
+use super::head::{HeadValidation, MAX_HEAD_LENGTH, validate_head};
 use crate::sidecar::sockets;
 use std::future::poll_fn;
 use std::io;
@@ -19,9 +19,9 @@
 use tokio::time::Instant;
 
 /// Read at once while a head is awaited.
-const PIECE: usize = 4 << 10;
+const READ_CHUNK: usize = 4 << 10;
 /// What hyper reads in place of a head that it must not.
-const STAND_IN: &[u8] = b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n";
+const REPLACEMENT_HEAD: &[u8] = b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n";
 
 /// What is being read.
 #[derive(Clone, Copy)]
@@ -29,26 +29,26 @@
     /// A head. So many of the unread bytes are known not to hold its end.
     Head { searched: usize },
     /// So much goes on to hyper as it comes: a judged head and its body.
-    PassingOn { left: u64 },
+    Forwarding { remaining: u64 },
     /// All goes on: a body in chunks, whose end only hyper knows. The connection ends with it.
-    PassingAll,
+    ForwardingAll,
     /// The request has gone on whole, and is not answered yet.
-    AwaitingAnswer,
+    AwaitingResponse,
     /// The stand-in for a bad head, of which so much has gone on, and nothing after it.
-    StandIn { given: usize },
+    ReplacementHead { given: usize },
 }
 
 /// A caller's connection as hyper reads it.
-pub struct Inbound {
+pub struct RequestReader {
     stream: Rc<TcpStream>,
-    traffic: Rc<Traffic>,
+    connection: Rc<ConnectionState>,
     state: ReadState,
     unread: Vec<u8>,
 }
 
 /// Waits until the other side has left, by its end or by a reset, while a request of its is being answered. hyper finds
 /// that out where it reads on; this also where it does not, as for a body that nobody takes yet.
-pub async fn client_left(stream: &TcpStream, traffic: &Traffic) {
+pub async fn client_disconnected(stream: &TcpStream, connection: &ConnectionState) {
     // Of these readiness has no more than what says that nothing more will come.
     if stream
         .ready(Interest::PRIORITY | Interest::ERROR)
@@ -56,7 +56,7 @@
         .is_ok()
     {
         poll_fn(|_| {
-            if traffic.is_answering() {
+            if connection.is_answering() {
                 Poll::Ready(())
             } else {
                 Poll::Pending
@@ -66,78 +66,80 @@
     }
 }
 
-impl Inbound {
+impl RequestReader {
     /// For a connection that was just accepted.
-    pub fn new(stream: Rc<TcpStream>, traffic: Rc<Traffic>) -> Self {
-        Inbound {
+    pub fn new(stream: Rc<TcpStream>, connection: Rc<ConnectionState>) -> Self {
+        RequestReader {
             stream,
-            traffic,
+            connection,
             state: ReadState::Head { searched: 0 },
             unread: Vec::new(),
         }
     }
 
     /// Judges the head that the unread bytes begin with; returns what is read next, if it is whole.
-    fn judge(&mut self, searched: usize) -> Option<ReadState> {
-        let judgement = judge(&self.unread, searched);
-        if judgement.is_of_whole_head() {
-            self.traffic.has_asked.set(true);
+    fn validate_head(&mut self, searched: usize) -> Option<ReadState> {
+        let judgement = validate_head(&self.unread, searched);
+        if judgement.is_complete() {
+            self.connection.has_received_head.set(true);
         }
         match judgement {
-            Judgement::Incomplete { searched } => {
+            HeadValidation::Incomplete { searched } => {
                 self.state = ReadState::Head { searched };
                 None
             }
-            Judgement::Length(left) => Some(ReadState::PassingOn { left }),
-            Judgement::Chunked => {
-                self.traffic.is_last_request.set(true);
-                Some(ReadState::PassingAll)
+            HeadValidation::Length(remaining) => Some(ReadState::Forwarding { remaining }),
+            HeadValidation::Chunked => {
+                self.connection.is_last_request.set(true);
+                Some(ReadState::ForwardingAll)
             }
-            Judgement::Malformed | Judgement::NeverWhole => Some(ReadState::PassingAll),
-            Judgement::Fault(fault) => Some(self.refuse(fault)),
+            HeadValidation::Malformed | HeadValidation::NeverComplete => {
+                Some(ReadState::ForwardingAll)
+            }
+            HeadValidation::Rejected(head_error) => Some(self.reject_head(head_error)),
         }
     }
 
-    fn refuse(&self, fault: HeadFault) -> ReadState {
-        self.traffic.fault.set(Some(fault));
-        self.traffic.is_last_request.set(true);
-        ReadState::StandIn { given: 0 }
+    fn reject_head(&self, head_error: HeadError) -> ReadState {
+        self.connection.head_error.set(Some(head_error));
+        self.connection.is_last_request.set(true);
+        ReadState::ReplacementHead { given: 0 }
     }
 
     /// Moves on from a head, if it is whole or its time is up; else reads more of it. True at the other side's end.
     fn poll_head(&mut self, searched: usize, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        if let Some(fault) = self.traffic.fault.get() {
-            self.state = self.refuse(fault);
+        if let Some(head_error) = self.connection.head_error.get() {
+            self.state = self.reject_head(head_error);
             return Poll::Ready(Ok(false));
         }
         let next = if self.unread.is_empty() {
             None
         } else {
-            self.judge(searched)
+            self.validate_head(searched)
         };
         if let Some(next) = next {
-            self.traffic
-                .set_answering(!matches!(next, ReadState::StandIn { .. }));
+            self.connection
+                .set_answering(!matches!(next, ReadState::ReplacementHead { .. }));
             self.state = next;
             return Poll::Ready(Ok(false));
         }
-        let received = ready!(self.poll_more(context))?;
+        let received = ready!(self.poll_receive(context))?;
         Poll::Ready(Ok(received == 0))
     }
 
     /// Reads into the unread bytes; 0 at the other side's end.
-    fn poll_more(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let read = sockets::poll_append(&self.stream, context, &mut self.unread, PIECE);
+    fn poll_receive(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        let read = sockets::poll_append(&self.stream, context, &mut self.unread, READ_CHUNK);
         if self.unread.is_empty() {
             self.unread = Vec::new(); // most connections are idle most of the time
         }
         let received = ready!(read)?;
-        self.traffic.received(received);
+        self.connection.received(received);
         Poll::Ready(Ok(received))
     }
 
     /// Gives up to `most` of what has been read, or else of what comes; 0 at the other side's end.
-    fn poll_pass_on(
+    fn poll_forward(
         &mut self,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
@@ -160,17 +162,17 @@
     }
 
     /// Waits for the answer, and keeps what comes meanwhile. True at the other side's end.
-    fn poll_behind(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        self.traffic.wake_when_answered(context.waker());
-        if self.unread.len() >= LONGEST_HEAD {
-            return Poll::Pending; // enough is kept; [`client_left`] hears of the end
+    fn poll_while_answering(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
+        self.connection.wake_reader_when_answered(context.waker());
+        if self.unread.len() >= MAX_HEAD_LENGTH {
+            return Poll::Pending; // enough is kept; [`client_disconnected`] hears of the end
         }
-        let received = ready!(self.poll_more(context))?;
+        let received = ready!(self.poll_receive(context))?;
         Poll::Ready(Ok(received == 0))
     }
 }
 
-impl AsyncRead for Inbound {
+impl AsyncRead for RequestReader {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -180,47 +182,47 @@
             match self.state {
                 ReadState::Head { searched } => {
                     if ready!(self.poll_head(searched, context))? {
-                        self.traffic.has_ended.set(true);
+                        self.connection.peer_has_ended.set(true);
                         return Poll::Ready(Ok(()));
                     }
                 }
-                ReadState::PassingOn { left: 0 } => self.state = ReadState::AwaitingAnswer,
-                ReadState::PassingOn { left } => {
-                    let given = ready!(self.poll_pass_on(context, buffer, left))?;
-                    self.state = ReadState::PassingOn {
-                        left: left - given as u64,
+                ReadState::Forwarding { remaining: 0 } => self.state = ReadState::AwaitingResponse,
+                ReadState::Forwarding { remaining } => {
+                    let given = ready!(self.poll_forward(context, buffer, remaining))?;
+                    self.state = ReadState::Forwarding {
+                        remaining: remaining - given as u64,
                     };
-                    self.traffic.has_ended.set(given == 0);
+                    self.connection.peer_has_ended.set(given == 0);
                     return Poll::Ready(Ok(()));
                 }
-                ReadState::PassingAll => {
-                    let given = ready!(self.poll_pass_on(context, buffer, u64::MAX))?;
-                    self.traffic.has_ended.set(given == 0);
+                ReadState::ForwardingAll => {
+                    let given = ready!(self.poll_forward(context, buffer, u64::MAX))?;
+                    self.connection.peer_has_ended.set(given == 0);
                     return Poll::Ready(Ok(()));
                 }
-                ReadState::AwaitingAnswer if self.traffic.is_answering() => {
-                    if ready!(self.poll_behind(context))? {
-                        self.traffic.has_ended.set(true);
+                ReadState::AwaitingResponse if self.connection.is_answering() => {
+                    if ready!(self.poll_while_answering(context))? {
+                        self.connection.peer_has_ended.set(true);
                         return Poll::Ready(Ok(()));
                     }
                 }
-                ReadState::AwaitingAnswer => {
+                ReadState::AwaitingResponse => {
                     // Of the next one; while it had to wait its clock stood still.
-                    self.traffic
+                    self.connection
                         .head_since
                         .set((!self.unread.is_empty()).then(Instant::now));
                     self.state = ReadState::Head { searched: 0 };
                 }
-                ReadState::StandIn { given } if given < STAND_IN.len() => {
-                    let count = buffer.remaining().min(STAND_IN.len() - given);
-                    buffer.put_slice(&STAND_IN[given..given + count]);
-                    self.state = ReadState::StandIn {
+                ReadState::ReplacementHead { given } if given < REPLACEMENT_HEAD.len() => {
+                    let count = buffer.remaining().min(REPLACEMENT_HEAD.len() - given);
+                    buffer.put_slice(&REPLACEMENT_HEAD[given..given + count]);
+                    self.state = ReadState::ReplacementHead {
                         given: given + count,
                     };
                     return Poll::Ready(Ok(()));
                 }
                 // The service answers at once, and the connection ends with that: nobody waits for this.
-                ReadState::StandIn { .. } => return Poll::Pending,
+                ReadState::ReplacementHead { .. } => return Poll::Pending,
             }
         }
     }
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -1,7 +1,7 @@
 //! The callers' connections, and which of them have to go.
 
+use super::connection_state::{ConnectionState, FIRST_REQUEST_GRACE};
 use super::drain_state::DrainState;
-use super::traffic::{FIRST_REQUEST_TIME, Traffic};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     connections: HashMap<u64, Caller>,
     next_number: u64,
     /// The sidecar stops: each connection closes once it is between requests.
-    is_stopping: bool,
+    is_shutting_down: bool,
     all_closed: Rc<Notify>,
     /// Another process accepts callers: each connection here closes with its next answer.
     accepted_elsewhere: watch::Sender<bool>,
@@ -28,7 +28,7 @@
 }
 
 struct Caller {
-    traffic: Rc<Traffic>,
+    state: Rc<ConnectionState>,
     /// It was asked to make room, once.
     is_asked_to_close: bool,
     close: Rc<Notify>,
@@ -39,7 +39,7 @@
     /// Its number in the table.
     pub number: u64,
     /// How it stands.
-    pub traffic: Rc<Traffic>,
+    pub state: Rc<ConnectionState>,
     /// Tells it to close.
     pub close: Rc<Notify>,
     /// It closes with its first answer.
@@ -60,14 +60,14 @@
 impl Caller {
     fn closing_rank(&self, now: Instant) -> Option<(ClosingRank, Instant)> {
         let idle_since = self
-            .traffic
+            .state
             .idle_since
             .get()
             .filter(|_| !self.is_asked_to_close)?;
-        let last_byte_at = self.traffic.last_byte_at.get();
-        let is_in_head = self.traffic.head_since.get().is_some();
-        Some(match (is_in_head, self.traffic.has_asked.get()) {
-            (false, false) if now >= idle_since + FIRST_REQUEST_TIME => {
+        let last_byte_at = self.state.last_byte_at.get();
+        let is_in_head = self.state.head_since.get().is_some();
+        Some(match (is_in_head, self.state.has_received_head.get()) {
+            (false, false) if now >= idle_since + FIRST_REQUEST_GRACE => {
                 (ClosingRank::NeverAsked, idle_since)
             }
             (false, true) if now >= idle_since + SPARED_IDLE => (ClosingRank::LongIdle, idle_since),
@@ -83,18 +83,18 @@
     pub fn add(&mut self, is_rejected_early: bool) -> AcceptedCaller {
         let number = self.next_number;
         self.next_number += 1;
-        let (close, traffic) = (Rc::new(Notify::new()), Traffic::new());
+        let (close, state) = (Rc::new(Notify::new()), ConnectionState::new());
         let caller = Caller {
-            traffic: traffic.clone(),
+            state: state.clone(),
             is_asked_to_close: false,
             close: close.clone(),
         };
         self.connections.insert(number, caller);
-        let is_empty = self.drain == Some(DrainState::Empty);
-        let is_for_one_request = self.is_stopping || is_rejected_early || is_empty;
+        let is_empty = self.drain == Some(DrainState::ClosingIdle);
+        let is_for_one_request = self.is_shutting_down || is_rejected_early || is_empty;
         AcceptedCaller {
             number,
-            traffic,
+            state,
             close,
             is_for_one_request,
         }
@@ -103,13 +103,13 @@
     /// Removes a connection that has closed.
     pub fn remove(&mut self, number: u64) {
         self.connections.remove(&number);
-        if self.is_stopping && self.connections.is_empty() {
+        if self.is_shutting_down && self.connections.is_empty() {
             self.all_closed.notify_one();
         }
     }
 
     /// Asks one connection to make room; false where all have requests open.
-    pub fn make_room(&mut self) -> bool {
+    pub fn evict_one(&mut self) -> bool {
         let now = Instant::now();
         let ranks = self
             .connections
@@ -120,15 +120,15 @@
         };
         self.connections.get_mut(&number).is_some_and(|caller| {
             caller.is_asked_to_close = true;
-            caller.traffic.is_closed_idle.set(true);
+            caller.state.is_closing_idle.set(true);
             caller.close.notify_one();
             true
         })
     }
 
     /// From now on connections close between requests.
-    pub fn stop(&mut self) {
-        self.is_stopping = true;
+    pub fn begin_shutdown(&mut self) {
+        self.is_shutting_down = true;
         self.close_idle();
     }
 
@@ -146,19 +146,19 @@
     /// Begins, moves on or ends a drain.
     pub fn set_drain_state(&mut self, state: Option<DrainState>) {
         self.drain = state;
-        if state == Some(DrainState::Empty) {
+        if state == Some(DrainState::ClosingIdle) {
             self.close_idle();
         }
     }
 
     /// Another process accepts callers from now on.
-    pub fn hand_over(&mut self) {
+    pub fn suspend_accepting(&mut self) {
         self.accepted_elsewhere.send_replace(true);
     }
 
     /// That process is gone, or about to be; true where callers are accepted here again.
-    pub fn take_back(&mut self) -> bool {
-        self.accepted_elsewhere.send_replace(false) && !self.is_stopping
+    pub fn resume_accepting(&mut self) -> bool {
+        self.accepted_elsewhere.send_replace(false) && !self.is_shutting_down
     }
 
     /// Whether another process accepts callers.
@@ -172,18 +172,21 @@
     }
 
     /// Whether a connection closes with its answer, so that its caller comes again elsewhere.
-    pub fn are_sent_away(&self) -> bool {
-        let is_draining = matches!(self.drain, Some(DrainState::Leaving | DrainState::Empty));
+    pub fn close_after_responses(&self) -> bool {
+        let is_draining = matches!(
+            self.drain,
+            Some(DrainState::ClosingAfterResponses | DrainState::ClosingIdle)
+        );
         self.are_accepted_elsewhere() || is_draining
     }
 
     /// Whether connections close between requests.
-    pub fn are_stopped(&self) -> bool {
-        self.is_stopping
+    pub fn are_shutting_down(&self) -> bool {
+        self.is_shutting_down
     }
 
     /// Whether no connection is left.
-    pub fn are_closed(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -146,11 +146,14 @@
         let (is_taken_back, is_stopped) = {
             let mut node = node.borrow();
             node.pool.set_keeps_idle(true);
-            (node.callers.take_back(), node.callers.are_stopped())
+            (
+                node.callers.resume_accepting(),
+                node.callers.are_shutting_down(),
+            )
         };
         if is_stopped {
             // Perhaps the last part of it that is open: what waits there is accepted by nobody else.
-            return server::accept_waiting(&node, listener);
+            return server::accept_backlog(&node, listener);
         }
         let callers = if is_taken_back {
             "; callers are let in here again"
@@ -315,13 +318,13 @@
                 descriptors.set_other_processes(other_processes.held_connections());
             }
             ProcessMessage::Serving => {
-                callers.hand_over();
+                callers.suspend_accepting();
                 pool.set_keeps_idle(false);
                 log!("callers go over to the process after");
             }
             // Told by the process before, it is no news: callers go over from there.
             ProcessMessage::Stopping => {
-                if other_processes.is_after(from) && callers.take_back() {
+                if other_processes.is_after(from) && callers.resume_accepting() {
                     pool.set_keeps_idle(true);
                     log!("the process after stops; callers are let in here again");
                 }
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -33,7 +33,7 @@
 
     fn dial_permit(&self) -> Option<DialPermit> {
         let mut node = self.borrow();
-        if node.descriptors.are_spent() && !node.pool.close_oldest() && !node.callers.make_room() {
+        if node.descriptors.are_spent() && !node.pool.close_oldest() && !node.callers.evict_one() {
             return None;
         }
         node.counters.connects += 1;
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -70,7 +70,7 @@
         log!("drains by hand");
         let steps = Task::spawn(drain_steps(self.clone()));
         let mut node = self.borrow();
-        node.callers.set_drain_state(Some(DrainState::Begun));
+        node.callers.set_drain_state(Some(DrainState::NotReady));
         node.drain_steps = Some(steps);
     }
 
@@ -91,9 +91,9 @@
     sleep(STILL_SENT).await;
     node.borrow()
         .callers
-        .set_drain_state(Some(DrainState::Leaving));
+        .set_drain_state(Some(DrainState::ClosingAfterResponses));
     sleep(LEAVING).await;
     node.borrow()
         .callers
-        .set_drain_state(Some(DrainState::Empty));
+        .set_drain_state(Some(DrainState::ClosingIdle));
 }
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -196,7 +196,7 @@
         server::accept(node.clone(), &listener),
     )
     .await;
-    node.borrow().callers.stop();
+    node.borrow().callers.begin_shutdown();
     // It never ends by itself, so this only ever times out.
     let _ = timeout(STILL_COMING, server::accept(node.clone(), &listener)).await;
     // With nobody to take it, the part of it on offer would keep it open, and callers waiting there.
@@ -206,9 +206,9 @@
     }
     let is_last = !node.borrow().callers.are_accepted_elsewhere();
     if let Some(listener) = listener.into_std().ok().filter(|_| is_last) {
-        server::accept_waiting(node, listener);
+        server::accept_backlog(node, listener);
     }
-    node.borrow().callers.stop(); // also those that have come since
+    node.borrow().callers.begin_shutdown(); // also those that have come since
     if timeout_at(end, all_closed(node)).await.is_err() {
         log!("some connections were still open at the last moment");
     }
@@ -228,7 +228,7 @@
 /// Waits until the last connection of a caller has closed.
 async fn all_closed(node: &NodeHandle) {
     let closed = node.borrow().callers.all_closed();
-    while !node.borrow().callers.are_closed() {
+    while !node.borrow().callers.is_empty() {
         closed.notified().await;
     }
 }
--- a/src/sidecar/server/caller_connection.rs
+++ b/src/sidecar/server/caller_connection.rs
@@ -1,7 +1,7 @@
 //! A caller's connection, as those see it who answer its requests.
 
-use super::reply::{Reply, refused};
-use crate::sidecar::caller::Traffic;
+use super::reply::{Reply, rejected};
+use crate::sidecar::caller::ConnectionState;
 use crate::sidecar::descriptors::DescriptorPermit;
 use crate::sidecar::node::NodeHandle;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 pub struct CallerConnection {
     pub node: NodeHandle,
     pub number: u64,
-    pub traffic: Rc<Traffic>,
+    pub state: Rc<ConnectionState>,
     /// There are no descriptors for it: whatever it asks is refused.
     pub is_rejected_early: bool,
     pub _permit: DescriptorPermit,
@@ -27,6 +27,6 @@
     pub fn reject_early(&self) -> Reply {
         let mut node = self.node.borrow();
         node.counters.rejected_early += 1;
-        refused(node.retry_after())
+        rejected(node.retry_after())
     }
 }
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -4,7 +4,7 @@
 use super::forward;
 use super::reply::{Reply, ReplyBody, plain};
 use super::request_error::RequestError;
-use crate::sidecar::caller::{HeadFault, Inbound, Traffic, client_left};
+use crate::sidecar::caller::{ConnectionState, HeadError, RequestReader, client_disconnected};
 use crate::sidecar::sockets::{self, ObservedSocket};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -25,21 +25,21 @@
 
 /// A connection that ended with an early answer is read on for so long, unless its descriptor is needed: closed with bytes
 /// unread, it would be reset, and the answer lost with it.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Read at once while it lingers.
-const LINGER_BUFFER: usize = 16 << 10;
+const LINGER_BUFFER_SIZE: usize = 16 << 10;
 /// What hyper may have of a caller's unread: a head, and a piece of a body.
-const READ_BUFFER: usize = 32 << 10;
+const READ_BUFFER_SIZE: usize = 32 << 10;
 
 /// What a connection does next.
 #[derive(PartialEq)]
-enum Next {
+enum NextStep {
     /// It is served on.
-    ServeOn,
+    Continue,
     /// It closes once it is between requests.
-    ShutDown,
+    GracefulShutdown,
     /// It is over.
-    End,
+    Terminate,
 }
 
 /// Serves a connection until it ends; `close` asks it to.
@@ -47,10 +47,10 @@
     let _ = stream.set_nodelay(true); // slower without, no worse
     let stream = Rc::new(stream);
     serve_requests(&caller, &stream, &close, once).await;
-    let traffic = &caller.traffic;
-    if !traffic.has_ended.get() && !traffic.is_closed_idle.get() {
+    let state = &caller.state;
+    if !state.peer_has_ended.get() && !state.is_closing_idle.get() {
         let _ = sockets::end(&stream); // the answer ends, also for one who reads to the end
-        linger(&stream, traffic, &close).await;
+        lingering_close(&stream, state, &close).await;
     }
 }
 
@@ -60,81 +60,85 @@
     close: &Notify,
     once: bool,
 ) {
-    let traffic = &*caller.traffic;
+    let state = &*caller.state;
     let service =
         service_fn(async |request| Ok::<Reply, Infallible>(caller.serve_one(request).await));
-    let reader = Inbound::new(stream.clone(), caller.traffic.clone());
-    let writer = ObservedSocket::new(stream.clone(), caller.traffic.clone());
+    let reader = RequestReader::new(stream.clone(), caller.state.clone());
+    let writer = ObservedSocket::new(stream.clone(), caller.state.clone());
     let mut builder = http1::Builder::new();
-    builder.keep_alive(!once).max_buf_size(READ_BUFFER);
+    builder.keep_alive(!once).max_buf_size(READ_BUFFER_SIZE);
     let mut connection =
         pin!(builder.serve_connection(TokioIo::new(join(reader, writer)), service));
-    let mut timer = pin!(sleep_until(traffic.first_head_due()));
-    let mut client_left = pin!(client_left(stream, traffic));
+    let mut timer = pin!(sleep_until(state.first_head_deadline()));
+    let mut client_disconnected = pin!(client_disconnected(stream, state));
     loop {
         let next = tokio::select! {
             // What has been read goes first: a request that has come is no longer between requests.
             biased;
             // A caller that breaks its connection off is no news beyond what its request makes of it.
-            _ = connection.as_mut() => Next::End,
-            () = client_left.as_mut() => {
-                traffic.has_ended.set(true);
-                Next::End
+            _ = connection.as_mut() => NextStep::Terminate,
+            () = client_disconnected.as_mut() => {
+                state.peer_has_ended.set(true);
+                NextStep::Terminate
             }
-            () = close.notified() => asked_to_close(stream, traffic),
-            () = poll_fn(|context| poll_due(traffic, timer.as_mut(), context)) => time_is_up(traffic),
+            () = close.notified() => close_requested(stream, state),
+            () = poll_fn(|context| poll_deadline(state, timer.as_mut(), context)) => deadline_reached(state),
         };
         match next {
-            Next::ServeOn => {}
-            Next::ShutDown => connection.as_mut().graceful_shutdown(),
-            Next::End => return,
+            NextStep::Continue => {}
+            NextStep::GracefulShutdown => connection.as_mut().graceful_shutdown(),
+            NextStep::Terminate => return,
         }
     }
 }
 
 /// Ready when the connection's time is up, as it now stands.
-fn poll_due(traffic: &Traffic, mut timer: Pin<&mut Sleep>, context: &mut Context<'_>) -> Poll<()> {
-    let Some(due) = traffic.due() else {
+fn poll_deadline(
+    state: &ConnectionState,
+    mut timer: Pin<&mut Sleep>,
+    context: &mut Context<'_>,
+) -> Poll<()> {
+    let Some(deadline) = state.deadline() else {
         return Poll::Pending;
     };
-    if timer.deadline() != due {
-        timer.as_mut().reset(due);
+    if timer.deadline() != deadline {
+        timer.as_mut().reset(deadline);
     }
     timer.as_mut().poll(context)
 }
 
-fn asked_to_close(stream: &TcpStream, traffic: &Traffic) -> Next {
-    let is_closed_idle = traffic.is_closed_idle.get();
-    if traffic.head_since.get().is_some() {
-        if is_closed_idle {
-            return Next::End;
+fn close_requested(stream: &TcpStream, state: &ConnectionState) -> NextStep {
+    let is_closing_idle = state.is_closing_idle.get();
+    if state.head_since.get().is_some() {
+        if is_closing_idle {
+            return NextStep::Terminate;
         }
-        traffic.is_last_request.set(true); // its request is on the way, and is answered
-        return Next::ServeOn;
+        state.is_last_request.set(true); // its request is on the way, and is answered
+        return NextStep::Continue;
     }
     // One that was just accepted has not been read yet, or its request is on its way; what has come on it counts as taken.
-    if !is_closed_idle && (traffic.is_fresh() || sockets::has_unread(stream)) {
-        traffic.is_last_request.set(true);
-        return Next::ServeOn;
+    if !is_closing_idle && (state.is_awaiting_first_request() || sockets::has_unread(stream)) {
+        state.is_last_request.set(true);
+        return NextStep::Continue;
     }
-    Next::ShutDown
+    NextStep::GracefulShutdown
 }
 
-fn time_is_up(traffic: &Traffic) -> Next {
-    if traffic.is_blocked() {
-        return Next::End;
+fn deadline_reached(state: &ConnectionState) -> NextStep {
+    if state.is_blocked() {
+        return NextStep::Terminate;
     }
-    if traffic.head_since.get().is_some() {
-        traffic.fault.set(Some(HeadFault::TooSlow));
-        return Next::ServeOn;
+    if state.head_since.get().is_some() {
+        state.head_error.set(Some(HeadError::TooSlow));
+        return NextStep::Continue;
     }
-    traffic.is_closed_idle.set(true);
-    Next::ShutDown
+    state.is_closing_idle.set(true);
+    NextStep::GracefulShutdown
 }
 
 /// Reads on and throws away. A stop lets it read on, one that needs its descriptor does not.
-async fn linger(stream: &TcpStream, traffic: &Traffic, close: &Notify) {
-    let mut unread = vec![0; LINGER_BUFFER];
+async fn lingering_close(stream: &TcpStream, state: &ConnectionState, close: &Notify) {
+    let mut unread = vec![0; LINGER_BUFFER_SIZE];
     let mut read_on = async || loop {
         let mut unread = ReadBuf::new(&mut unread);
         let read = poll_fn(|context| sockets::poll_read(stream, context, &mut unread)).await;
@@ -143,12 +147,12 @@
         }
     };
     let makes_room = async {
-        while !traffic.is_closed_idle.get() {
+        while !state.is_closing_idle.get() {
             close.notified().await;
         }
     };
     tokio::select! {
-        _ = timeout(LINGER, read_on()) => {}
+        _ = timeout(LINGER_TIMEOUT, read_on()) => {}
         () = makes_room => {}
     }
 }
@@ -156,25 +160,25 @@
 impl CallerConnection {
     /// Answers one request, and settles whether the connection goes on.
     async fn serve_one(&self, request: Request<Incoming>) -> Reply {
-        let traffic = &self.traffic;
-        traffic.idle_since.set(None);
-        let begun = traffic.head_since.take().unwrap_or_else(Instant::now);
+        let state = &self.state;
+        state.idle_since.set(None);
+        let begun = state.head_since.take().unwrap_or_else(Instant::now);
         let mut reply = self.answer(request, begun).await;
-        traffic.answered();
-        if traffic.is_last_request.get() || self.node.borrow().callers.are_sent_away() {
+        state.answered();
+        if state.is_last_request.get() || self.node.borrow().callers.close_after_responses() {
             reply
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         if let ReplyBody::Whole(_) = reply.body() {
-            traffic.set_idle();
+            state.set_idle();
         }
         reply
     }
 
     async fn answer(&self, request: Request<Incoming>, begun: Instant) -> Reply {
-        if let Some(fault) = self.traffic.fault.get() {
-            return RequestError::from(fault).reply();
+        if let Some(head_error) = self.state.head_error.get() {
+            return RequestError::from(head_error).reply();
         }
         match (request.uri().path(), request.method()) {
             ("/ready", &Method::GET | &Method::HEAD) => self.readiness(),
@@ -188,7 +192,7 @@
                     .unwrap_or_else(|error| {
                         // With a body that was not read to its end the next request's start is not known.
                         if error.body_is_unread {
-                            self.traffic.is_last_request.set(true);
+                            self.state.is_last_request.set(true);
                         }
                         error.reply()
                     })
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -40,7 +40,7 @@
             ReplyBody::Whole(_) => None,
         });
     match (count, streamed) {
-        (Some(count), Some(streamed)) => streamed.count_for(count, &caller.traffic),
+        (Some(count), Some(streamed)) => streamed.count_for(count, &caller.state),
         (Some(count), None) => {
             count.end(
                 answer
@@ -75,10 +75,10 @@
         parse(node, &head, begun).map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
     let count = count.insert(node.borrow().metrics.begin(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
-        caller.traffic.is_last_request.set(true);
+        caller.state.is_last_request.set(true);
         return Ok(caller.reject_early());
     };
-    let is_chunked = caller.traffic.is_last_request.get();
+    let is_chunked = caller.state.is_last_request.get();
     let received = receive_body(body, begun).await?;
     if received.upload.is_none() {
         count.set_whole();
@@ -87,7 +87,7 @@
     let wait = parsed.wait(node, is_chunked);
     let upload = received.upload.clone();
     let forwarded = parsed.forwarded(head, received, memory);
-    let mut pending = match PendingAnswer::begin(node, parsed.request, forwarded) {
+    let mut pending = match PendingRequest::begin(node, parsed.request, forwarded) {
         Ok(pending) => pending,
         Err(RequestRejected::TooMany) => return Ok(caller.reject_early()),
         Err(RequestRejected::Repeated) => return Err(repeated_id()),
@@ -115,10 +115,10 @@
     }
 
     /// How long its answer is waited for.
-    fn wait(&self, node: &NodeHandle, is_chunked: bool) -> Wait {
+    fn wait(&self, node: &NodeHandle, is_chunked: bool) -> ResponseTimeout {
         let slack = self.settings.settings.rules.answer_slack;
         let until = node.borrow().clock.instant(self.request.deadline) + slack;
-        Wait {
+        ResponseTimeout {
             until,
             after_upload: self.time_left + slack,
             is_chunked,
@@ -183,7 +183,7 @@
 }
 
 /// How long an answer is waited for.
-struct Wait {
+struct ResponseTimeout {
     until: Instant,
     /// From an upload's last byte on.
     after_upload: Duration,
@@ -191,7 +191,7 @@
     is_chunked: bool,
 }
 
-impl Wait {
+impl ResponseTimeout {
     /// Waits for an answer while the body comes.
     async fn with_upload(
         &self,
@@ -201,13 +201,13 @@
         count: &mut RequestCount,
     ) -> Result<Option<Result<FinalAnswer, RecvError>>, RequestError> {
         // Answered before it has come whole, the connection ends with the answer.
-        caller.traffic.is_last_request.set(true);
+        caller.state.is_last_request.set(true);
         let answer = pin!(upload.within(self.after_upload, answer));
         let failed = async {
             if let Err(error) = upload.end().await {
                 return error;
             }
-            caller.traffic.is_last_request.set(self.is_chunked);
+            caller.state.is_last_request.set(self.is_chunked);
             count.set_whole();
             std::future::pending().await
         };
@@ -223,13 +223,13 @@
 
 /// A request that waits for its answer. Its connection's end drops it, which is how a client goes. Once it has its answer
 /// it is over, and its id may be another request's.
-struct PendingAnswer<'a> {
+struct PendingRequest<'a> {
     node: &'a NodeHandle,
     id: RequestId,
     answer: oneshot::Receiver<FinalAnswer>,
 }
 
-impl<'a> PendingAnswer<'a> {
+impl<'a> PendingRequest<'a> {
     /// Hands a request to the node.
     fn begin(
         node: &'a NodeHandle,
@@ -238,7 +238,7 @@
     ) -> Result<Self, RequestRejected> {
         let id = request.id.clone();
         let answer = node.take(request, forwarded)?;
-        Ok(PendingAnswer { node, id, answer })
+        Ok(PendingRequest { node, id, answer })
     }
 
     /// The reply that an answer makes, or that there was none in time.
@@ -251,7 +251,7 @@
     }
 }
 
-impl Drop for PendingAnswer<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if self
             .answer
--- a/src/sidecar/server/forward_tests.rs
+++ b/src/sidecar/server/forward_tests.rs
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderMap, HeaderValue};
 use tokio::task::LocalSet;
 
-fn request(node: &NodeHandle) -> PendingAnswer<'_> {
+fn request(node: &NodeHandle) -> PendingRequest<'_> {
     let now = node.borrow().clock.now();
     let memory = node
         .borrow()
@@ -39,7 +39,7 @@
     let answer = node
         .take(request, forwarded)
         .unwrap_or_else(|_| panic!("it is taken"));
-    PendingAnswer { node, id, answer }
+    PendingRequest { node, id, answer }
 }
 
 /// Guards a request against the end of an earlier one's connection, where both have one id and the earlier one was
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -41,7 +41,7 @@
 
 /// Accepts what waits in the kernel's backlog, and closes the listener: with a connection there it would be reset, and a
 /// request that has come on it lost. The socket is asked, as the runtime hears of it later.
-pub fn accept_waiting(node: &NodeHandle, listener: std::net::TcpListener) {
+pub fn accept_backlog(node: &NodeHandle, listener: std::net::TcpListener) {
     while let Ok((stream, _)) = listener.accept() {
         if stream.set_nonblocking(true).is_ok()
             && let Ok(stream) = TcpStream::from_std(stream)
@@ -62,7 +62,7 @@
     } = &mut *guard;
     let is_full = descriptors.callers_have_their_part();
     let has_made_room =
-        is_full && ((descriptors.are_spent() && pool.close_oldest()) || callers.make_room());
+        is_full && ((descriptors.are_spent() && pool.close_oldest()) || callers.evict_one());
     let is_rejected_early = is_full && !has_made_room;
     if is_rejected_early && descriptors.callers_are_overdrawn() {
         return; // closed unread: nothing of it was taken, and the descriptors left are for what was
@@ -71,11 +71,11 @@
     let accepted = callers.add(is_rejected_early);
     drop(guard);
     let (close, once) = (accepted.close, accepted.is_for_one_request);
-    let (number, traffic) = (accepted.number, accepted.traffic);
+    let (number, state) = (accepted.number, accepted.state);
     let connection = CallerConnection {
         node: node.clone(),
         number,
-        traffic,
+        state,
         is_rejected_early,
         _permit: permit,
     };
--- a/src/sidecar/server/mod.rs
+++ b/src/sidecar/server/mod.rs
@@ -8,4 +8,4 @@
 mod request;
 mod request_error;
 
-pub use listener::{accept, accept_waiting};
+pub use listener::{accept, accept_backlog};
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -1,7 +1,7 @@
 //! What callers are answered.
 
 use crate::sidecar::body::BodyFailure;
-use crate::sidecar::caller::Traffic;
+use crate::sidecar::caller::ConnectionState;
 use crate::sidecar::endpoint::{AnswerBody, StreamedAnswer};
 use crate::sidecar::metrics::RequestCount;
 use crate::sidecar::node::FinalAnswer;
@@ -32,14 +32,14 @@
     /// Its request's count, until it has ended.
     count: Option<RequestCount>,
     /// The connection that it goes on to.
-    traffic: Option<Rc<Traffic>>,
+    state: Option<Rc<ConnectionState>>,
 }
 
 impl StreamedReply {
     /// Has it count for a request, and its end for the connection that it goes to.
-    pub fn count_for(&mut self, count: RequestCount, traffic: &Rc<Traffic>) {
+    pub fn count_for(&mut self, count: RequestCount, state: &Rc<ConnectionState>) {
         self.count = Some(count);
-        self.traffic = Some(traffic.clone());
+        self.state = Some(state.clone());
     }
 
     fn poll_frame(
@@ -64,7 +64,7 @@
 /// Its connection is between requests again.
 impl Drop for StreamedReply {
     fn drop(&mut self) {
-        self.traffic.iter().for_each(|traffic| traffic.set_idle());
+        self.state.iter().for_each(|state| state.set_idle());
     }
 }
 
@@ -109,7 +109,7 @@
                     let streamed = StreamedReply {
                         answer: *answer,
                         count: None,
-                        traffic: None,
+                        state: None,
                     };
                     ReplyBody::Streamed(Box::new(streamed))
                 }
@@ -117,7 +117,7 @@
             *reply.headers_mut() = served.headers;
             reply
         }
-        FinalAnswer::Rejected { retry_after } => refused(retry_after),
+        FinalAnswer::Rejected { retry_after } => rejected(retry_after),
         FinalAnswer::Failed { timed_out: true } => {
             plain(StatusCode::GATEWAY_TIMEOUT, "no endpoint answered in time")
         }
@@ -128,7 +128,7 @@
 }
 
 /// Says that trying again is harmless, and when.
-pub fn refused(retry_after: Option<Duration>) -> Reply {
+pub fn rejected(retry_after: Option<Duration>) -> Reply {
     let mut reply = plain(
         StatusCode::SERVICE_UNAVAILABLE,
         "refused; trying again is harmless",
--- a/src/sidecar/server/request_error.rs
+++ b/src/sidecar/server/request_error.rs
@@ -2,7 +2,7 @@
 
 use super::reply::{Reply, plain};
 use crate::sidecar::body::BodyError;
-use crate::sidecar::caller::HeadFault;
+use crate::sidecar::caller::HeadError;
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
 
@@ -57,15 +57,15 @@
     }
 }
 
-impl From<HeadFault> for RequestError {
-    fn from(fault: HeadFault) -> Self {
-        let (status, text) = match fault {
-            HeadFault::Framing => (StatusCode::BAD_REQUEST, "the body's length is not clear"),
-            HeadFault::TooLong => (
+impl From<HeadError> for RequestError {
+    fn from(head_error: HeadError) -> Self {
+        let (status, text) = match head_error {
+            HeadError::Framing => (StatusCode::BAD_REQUEST, "the body's length is not clear"),
+            HeadError::TooLong => (
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 "the head is over 16 KiB",
             ),
-            HeadFault::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the head did not come in time"),
+            HeadError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the head did not come in time"),
         };
         RequestError::new(status, text)
     }
