--- a/src/sidecar/body/mod.rs
+++ b/src/sidecar/body/mod.rs
@@ -1,6 +1,6 @@
 //! Bodies on their way through: what is kept of them, and what goes on as it comes.
 //!
-//! A body of up to [`MAX_KEPT`] bytes is received whole first, so that an attempt can be made again with it, or its answer
+//! A body of up to [`MAX_BUFFERED_BODY`] bytes is received whole first, so that an attempt can be made again with it, or its answer
 //! be found broken before a client has seen any of it. Of a larger one no more than that is ever held: the rest is read
 //! when the other side has taken what came before.
 
@@ -9,6 +9,6 @@
 mod upload;
 mod upload_deadline;
 
-pub use buffered_response::{ReceivedAnswer, receive_answer};
-pub use limits::{BodyFailure, MAX_BODY, MAX_KEPT};
-pub use upload::{BodyError, ReceivedBody, Upload, UploadRest, receive_body};
+pub use buffered_response::{ReceivedResponse, receive_response};
+pub use limits::{BodyTransferError, MAX_BODY, MAX_BUFFERED_BODY};
+pub use upload::{ReceivedRequestBody, RemainingUpload, Upload, UploadError, receive_request_body};
--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -1,7 +1,7 @@
 //! Callers' bodies: received whole, or as far as they are kept.
 
-use super::limits::{MAX_BODY, MAX_KEPT};
-use super::upload_deadline::PaceLimit;
+use super::limits::{MAX_BODY, MAX_BUFFERED_BODY};
+use super::upload_deadline::UploadDeadline;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -16,17 +16,17 @@
 
 /// What is wrong with a caller's body.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum BodyError {
+pub enum UploadError {
     /// It did not come at the least pace.
     TooSlow,
     /// It is over [`MAX_BODY`].
     TooLarge,
     /// It broke off.
-    NotWhole,
+    Incomplete,
 }
 
 /// A caller's body as far as it is kept: all of it, or its beginning and what is to come.
-pub struct ReceivedBody {
+pub struct ReceivedRequestBody {
     /// All of it, or its beginning.
     pub kept: Bytes,
     /// What is to come.
@@ -37,30 +37,35 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub async fn receive_body(mut body: Incoming, begun: Instant) -> Result<ReceivedBody, BodyError> {
+pub async fn receive_request_body(
+    mut body: Incoming,
+    begun: Instant,
+) -> Result<ReceivedRequestBody, UploadError> {
     let length = body.size_hint().exact();
     if body.size_hint().lower() > MAX_BODY {
-        return Err(BodyError::TooLarge);
+        return Err(UploadError::TooLarge);
     }
-    let mut pace = PaceLimit::new(begun);
+    let mut pace = UploadDeadline::new(begun);
     let mut kept = BytesMut::new();
     loop {
         let data = match timeout_at(pace.wait(), body.frame()).await {
-            Err(_) => return Err(BodyError::TooSlow),
+            Err(_) => return Err(UploadError::TooSlow),
             Ok(None) => {
-                return Ok(ReceivedBody {
+                return Ok(ReceivedRequestBody {
                     kept: kept.freeze(),
                     upload: None,
                 });
             }
-            Ok(Some(Err(_))) => return Err(BodyError::NotWhole),
+            Ok(Some(Err(_))) => return Err(UploadError::Incomplete),
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(), // trailers go no further
         };
         pace.received(data.len());
         kept.extend_from_slice(&data);
-        if kept.len() > MAX_KEPT || length.is_some_and(|length| length > MAX_KEPT as u64) {
-            let upload = Upload::new(UploadRest { body, pace }, length, kept.len() as u64);
-            return Ok(ReceivedBody {
+        if kept.len() > MAX_BUFFERED_BODY
+            || length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64)
+        {
+            let upload = Upload::new(RemainingUpload { body, pace }, length, kept.len() as u64);
+            return Ok(ReceivedRequestBody {
                 kept: kept.freeze(),
                 upload: Some(Rc::new(upload)),
             });
@@ -71,7 +76,7 @@
 /// A body that is too large to be kept, and goes on to one endpoint as it comes.
 pub struct Upload {
     /// Until an attempt has taken it: from then on no other can be made.
-    rest: RefCell<Option<UploadRest>>,
+    rest: RefCell<Option<RemainingUpload>>,
     length: Option<u64>,
     received: Cell<u64>,
     /// When the last piece went on.
@@ -81,22 +86,22 @@
 }
 
 /// What is to come of an upload.
-pub struct UploadRest {
+pub struct RemainingUpload {
     /// The rest of the body.
     pub body: Incoming,
     /// How long the caller may take over it.
-    pub pace: PaceLimit,
+    pub pace: UploadDeadline,
 }
 
 /// How an upload ended, and when.
 #[derive(Clone, Copy)]
 struct UploadEnd {
-    result: Result<(), BodyError>,
+    result: Result<(), UploadError>,
     at: Instant,
 }
 
 impl Upload {
-    fn new(rest: UploadRest, length: Option<u64>, received: u64) -> Self {
+    fn new(rest: RemainingUpload, length: Option<u64>, received: u64) -> Self {
         Upload {
             rest: RefCell::new(Some(rest)),
             length,
@@ -113,7 +118,7 @@
     }
 
     /// Takes what is to come, for the one attempt that may.
-    pub fn take_rest(&self) -> Option<UploadRest> {
+    pub fn take_rest(&self) -> Option<RemainingUpload> {
         self.rest.borrow_mut().take()
     }
 
@@ -128,7 +133,7 @@
     }
 
     /// When its last byte had come.
-    pub fn whole_at(&self) -> Option<Instant> {
+    pub fn completed_at(&self) -> Option<Instant> {
         self.end
             .get()
             .filter(|end| end.result.is_ok())
@@ -149,18 +154,18 @@
     ///
     /// # Errors
     /// It is too large now.
-    pub fn passed(&self, bytes: usize) -> Result<(), BodyError> {
+    pub fn passed(&self, bytes: usize) -> Result<(), UploadError> {
         self.last_piece.set(Instant::now());
         self.received.set(self.received.get() + bytes as u64);
         if self.received.get() <= MAX_BODY {
             Ok(())
         } else {
-            Err(BodyError::TooLarge)
+            Err(UploadError::TooLarge)
         }
     }
 
     /// It has ended.
-    pub fn set_ended(&self, result: Result<(), BodyError>) {
+    pub fn set_ended(&self, result: Result<(), UploadError>) {
         self.end.set(Some(UploadEnd {
             result,
             at: Instant::now(),
@@ -170,8 +175,8 @@
 
     /// When something that may take so long after the body's last byte is overdue, as things stand.
     fn due(&self, after: Duration) -> Instant {
-        match self.whole_at() {
-            Some(whole_at) => whole_at + after,
+        match self.completed_at() {
+            Some(completed_at) => completed_at + after,
             None => self.last_piece.get() + after.max(UPLOAD_PAUSE),
         }
     }
@@ -193,7 +198,7 @@
     ///
     /// # Errors
     /// What was wrong with it.
-    pub async fn end(&self) -> Result<(), BodyError> {
+    pub async fn end(&self) -> Result<(), UploadError> {
         loop {
             let ended = self.ended.notified();
             if let Some(end) = self.end.get() {
--- a/src/sidecar/body/upload_deadline.rs
+++ b/src/sidecar/body/upload_deadline.rs
@@ -14,17 +14,17 @@
 const AFTER_LARGE_PIECE: Duration = Duration::from_secs(1);
 
 /// How long a caller may still take over its body. Only waiting for the caller counts.
-pub struct PaceLimit {
+pub struct UploadDeadline {
     due: Instant,
     /// Since when it has been waited for, or it has not.
     since: Instant,
     is_waiting: bool,
 }
 
-impl PaceLimit {
+impl UploadDeadline {
     /// For a request whose first byte came at an instant.
     pub fn new(begun: Instant) -> Self {
-        PaceLimit {
+        UploadDeadline {
             due: begun + BODY_TIME,
             since: Instant::now(),
             is_waiting: true,
--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -12,7 +12,7 @@
 const ENDPOINTS_EIGHTHS: usize = 3;
 
 /// The budget, and who holds how much of it.
-pub struct Descriptors {
+pub struct DescriptorBudget {
     budget: usize,
     reserved: usize,
     /// What other processes hold of the budget, while several are one sidecar.
@@ -35,25 +35,25 @@
 
 /// How many connections are held.
 #[derive(Clone, Copy)]
-pub struct HeldConnections {
+pub struct OpenConnections {
     /// To callers.
     pub callers: usize,
     /// To endpoints.
     pub endpoints: usize,
 }
 
-impl HeldConnections {
+impl OpenConnections {
     /// All of them.
     pub fn total(&self) -> usize {
         self.callers + self.endpoints
     }
 }
 
-impl Descriptors {
+impl DescriptorBudget {
     /// For a process that may hold so many, of which some more are reserved.
     pub fn new(limit: usize, reserved: usize) -> Self {
         let reserved = RESERVED + reserved;
-        Descriptors {
+        DescriptorBudget {
             budget: limit.saturating_sub(reserved).max(limit / 2),
             reserved,
             other_processes: Cell::default(),
@@ -73,15 +73,15 @@
     }
 
     /// What this process holds.
-    pub fn held(&self) -> HeldConnections {
-        HeldConnections {
+    pub fn in_use(&self) -> OpenConnections {
+        OpenConnections {
             callers: self.callers.get(),
             endpoints: self.endpoints.get(),
         }
     }
 
     /// Each other process holds so many connections, and what it has reserved.
-    pub fn set_other_processes(&self, connections: impl Iterator<Item = usize>) {
+    pub fn set_other_process_connections(&self, connections: impl Iterator<Item = usize>) {
         self.other_processes
             .set(connections.map(|n| n + self.reserved).sum());
     }
@@ -94,18 +94,18 @@
     }
 
     /// Whether all are in use.
-    pub fn are_spent(&self) -> bool {
-        self.held().total() >= self.own_budget()
+    pub fn is_exhausted(&self) -> bool {
+        self.in_use().total() >= self.own_budget()
     }
 
     /// Whether a further caller would take what attempts need: each open request may have one in flight, so the callers'
     /// connections may not take up all.
-    pub fn callers_have_their_part(&self) -> bool {
-        self.are_spent() || self.callers.get() >= self.callers_part()
+    pub fn is_caller_limit_reached(&self) -> bool {
+        self.is_exhausted() || self.callers.get() >= self.callers_part()
     }
 
     /// Whether callers have more than their part by as much as can be lent.
-    pub fn callers_are_overdrawn(&self) -> bool {
+    pub fn is_caller_overcommit_reached(&self) -> bool {
         self.callers.get() >= self.callers_part() + OVERDRAFT
     }
 
--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -1,21 +1,21 @@
 //! One attempt of a request at an endpoint.
 
-use super::attempt_result::{AnswerBody, AttemptResult};
+use super::attempt_result::{AttemptResult, ResponseBody};
 use super::connect::connect;
 use super::connection::{EndpointConnection, Exchange};
-use super::forwarded_request::{AttemptOrder, ForwardedRequest};
+use super::forwarded_request::{AttemptSpec, ForwardedRequest};
 use super::hedged_dial::hedged;
 use super::host::EndpointHost;
 use super::request_body::OutgoingBody;
 use super::response::EndpointResponse;
-use super::streamed_response::StreamedAnswer;
+use super::streamed_response::StreamedResponse;
 use crate::policy::Outcome;
-use crate::sidecar::body::{BodyFailure, ReceivedAnswer};
+use crate::sidecar::body::{BodyTransferError, ReceivedResponse};
 use hyper::StatusCode;
 use tokio::time::{Instant, timeout_at};
 
 /// Makes an attempt and tells the host how it ended. Dropped midway, it closes its connection.
-pub async fn attempt(host: impl EndpointHost, order: AttemptOrder) {
+pub async fn run_attempt(host: impl EndpointHost, order: AttemptSpec) {
     let result = Attempt {
         host: &host,
         order: &order,
@@ -27,7 +27,7 @@
 
 struct Attempt<'a, Host> {
     host: &'a Host,
-    order: &'a AttemptOrder,
+    order: &'a AttemptSpec,
 }
 
 /// A connection for an attempt.
@@ -43,12 +43,12 @@
         let connect_until = until.min(Instant::now() + self.host.connect_timeout());
         loop {
             let Some(mut acquired) = self.acquire(connect_until).await else {
-                return AttemptResult::without_answer(Outcome::ConnectFailed);
+                return AttemptResult::without_response(Outcome::ConnectFailed);
             };
             if !self.host.may_write(self.order) || self.forwarded().is_consumed() {
                 self.host
                     .return_connection(acquired.connection, &self.order.target);
-                return AttemptResult::without_answer(Outcome::NotSent);
+                return AttemptResult::without_response(Outcome::NotSent);
             }
             let written_before = acquired.connection.progress().written();
             let response = self.exchange(&mut acquired.connection, until).await;
@@ -66,7 +66,7 @@
                 Some(Err(_)) => Outcome::Reset,
                 None => Outcome::TimedOut,
             };
-            return AttemptResult::without_answer(outcome);
+            return AttemptResult::without_response(outcome);
         }
     }
 
@@ -89,7 +89,7 @@
         }
         // Only the first dial may take room from idle connections and callers.
         let dial = || connect(self.host, target.address);
-        let may_hedge = || !self.host.descriptors_are_spent();
+        let may_hedge = || !self.host.descriptors_exhausted();
         let connection = hedged(dial, may_hedge, self.host.connect_timeout(), until).await?;
         Some(Acquired {
             connection,
@@ -102,7 +102,7 @@
         &self,
         connection: &mut EndpointConnection,
         until: Instant,
-    ) -> Option<Result<EndpointResponse, BodyFailure>> {
+    ) -> Option<Result<EndpointResponse, BodyTransferError>> {
         let forwarded = self.forwarded();
         let left = self.order.until.since(self.host.now());
         let memory = self.host.answer_memory();
@@ -122,11 +122,11 @@
     ) -> AttemptResult {
         let EndpointResponse { head, body } = response;
         let body = match body {
-            Ok(ReceivedAnswer::Whole(body)) => {
+            Ok(ReceivedResponse::Whole(body)) => {
                 self.host.return_connection(connection, &self.order.target);
-                Some(AnswerBody::Whole(body))
+                Some(ResponseBody::Whole(body))
             }
-            Ok(ReceivedAnswer::Begun {
+            Ok(ReceivedResponse::Begun {
                 first,
                 rest,
                 length,
@@ -135,11 +135,11 @@
                 let return_connection =
                     move |connection| host.return_connection(connection, &target);
                 let streamed_response =
-                    StreamedAnswer::new(first, rest, length, connection, return_connection);
-                Some(AnswerBody::Streamed(Box::new(streamed_response)))
+                    StreamedResponse::new(first, rest, length, connection, return_connection);
+                Some(ResponseBody::Streamed(Box::new(streamed_response)))
             }
-            Ok(ReceivedAnswer::Begun { .. }) | Err(_) => None,
+            Ok(ReceivedResponse::Begun { .. }) | Err(_) => None,
         };
-        AttemptResult::of_attempt(&head, body)
+        AttemptResult::from_response(&head, body)
     }
 }
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -1,8 +1,8 @@
 //! What an endpoint's response means for its attempt.
 
-use super::forwarded_request::end_to_end;
+use super::forwarded_request::end_to_end_headers;
 use super::load_report::parse_load_report;
-use super::streamed_response::StreamedAnswer;
+use super::streamed_response::StreamedResponse;
 use crate::policy::{LoadReport, Outcome};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
@@ -12,19 +12,19 @@
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
 /// An endpoint's answer to pass on.
-pub struct ServedAnswer {
+pub struct ServedResponse {
     /// Without those that belong to the endpoint's connection.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 /// The body of an endpoint's answer.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it.
     Whole(Bytes),
     /// Too large to be kept, or there is no room to keep it: it goes on as it comes.
-    Streamed(Box<StreamedAnswer>),
+    Streamed(Box<StreamedResponse>),
 }
 
 /// How an attempt or a probe ended.
@@ -34,12 +34,12 @@
     /// The endpoint's load report, if one came along.
     pub report: Option<LoadReport>,
     /// With [`Outcome::Served`] of an attempt.
-    pub answer: Option<ServedAnswer>,
+    pub answer: Option<ServedResponse>,
 }
 
 impl AttemptResult {
     /// The end of one that got no answer.
-    pub fn without_answer(outcome: Outcome) -> Self {
+    pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
             report: None,
@@ -48,7 +48,7 @@
     }
 
     /// The end of an attempt whose answer has this head; its body is none where it was not to be had.
-    pub fn of_attempt(head: &Response<()>, body: Option<AnswerBody>) -> Self {
+    pub fn from_response(head: &Response<()>, body: Option<ResponseBody>) -> Self {
         let (status, headers) = (head.status(), head.headers());
         let mut reports = headers
             .get_all(LOAD)
@@ -62,9 +62,9 @@
         );
         let (outcome, answer) = match (status, body) {
             (StatusCode::OK, Some(body)) => {
-                let mut headers = end_to_end(headers);
+                let mut headers = end_to_end_headers(headers);
                 headers.remove(LOAD);
-                (Outcome::Served, Some(ServedAnswer { headers, body }))
+                (Outcome::Served, Some(ServedResponse { headers, body }))
             }
             (StatusCode::OK, None) => (Outcome::Reset, None),
             _ if rejected_early && has_not_run => (Outcome::Rejected, None),
@@ -78,14 +78,14 @@
     }
 
     /// The end of a probe, whose answer is the report.
-    pub fn of_health_check(head: &Response<()>, body: Option<Bytes>) -> Self {
+    pub fn from_health_check(head: &Response<()>, body: Option<Bytes>) -> Self {
         let text = body
             .as_ref()
             .and_then(|bytes| std::str::from_utf8(bytes).ok());
         let in_body = text.and_then(parse_load_report);
         let AttemptResult {
             outcome, report, ..
-        } = Self::of_attempt(head, body.map(AnswerBody::Whole));
+        } = Self::from_response(head, body.map(ResponseBody::Whole));
         let report = report.or(in_body.filter(|_| outcome == Outcome::Served));
         AttemptResult {
             outcome,
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -8,7 +8,7 @@
         head = head.header(*name, *value);
     }
     let head = head.body(()).expect("an answer");
-    AttemptResult::of_attempt(&head, Some(AnswerBody::Whole(Bytes::new())))
+    AttemptResult::from_response(&head, Some(ResponseBody::Whole(Bytes::new())))
 }
 
 /// Guards the module's eyes: reports come along with every answer, and most of all with bad ones.
--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -16,7 +16,7 @@
     address: SocketAddr,
 ) -> io::Result<EndpointConnection> {
     let permit = host
-        .dial_permit()
+        .connect_permit()
         .ok_or_else(|| io::Error::other("no descriptors left"))?;
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -3,7 +3,7 @@
 use super::request_body::OutgoingBody;
 use super::response::{EndpointResponse, framing_problem};
 use super::write_progress::WriteProgress;
-use crate::sidecar::body::{BodyFailure, MAX_KEPT, receive_answer};
+use crate::sidecar::body::{BodyTransferError, MAX_BUFFERED_BODY, receive_response};
 use crate::sidecar::descriptors::DescriptorPermit;
 use crate::sidecar::memory::MemoryBudget;
 use crate::sidecar::sockets;
@@ -88,7 +88,7 @@
         &mut self,
         mut request: Request<OutgoingBody>,
         exchange: Exchange<'_>,
-    ) -> Result<EndpointResponse, BodyFailure> {
+    ) -> Result<EndpointResponse, BodyTransferError> {
         match exchange {
             Exchange::Attempt(_) => self.progress.attempt_begins(),
             Exchange::HealthCheck => self.progress.health_check_begins(),
@@ -102,10 +102,9 @@
             return Err(problem.into());
         }
         let (head, body) = response.into_parts();
-        let most = body
-            .size_hint()
-            .exact()
-            .map_or(MAX_KEPT, |n| n.min(MAX_KEPT as u64) as usize);
+        let most = body.size_hint().exact().map_or(MAX_BUFFERED_BODY, |n| {
+            n.min(MAX_BUFFERED_BODY as u64) as usize
+        });
         let (is_kept, _memory) = match exchange {
             Exchange::Attempt(memory) => {
                 let reservation = memory.reserve(most);
@@ -113,7 +112,7 @@
             }
             Exchange::HealthCheck => (true, None),
         };
-        let body = receive_answer(body, is_kept).await;
+        let body = receive_response(body, is_kept).await;
         Ok(EndpointResponse {
             head: hyper::Response::from_parts(head, ()),
             body,
--- a/src/sidecar/endpoint/forwarded_request.rs
+++ b/src/sidecar/endpoint/forwarded_request.rs
@@ -45,7 +45,7 @@
 }
 
 /// An attempt to be made.
-pub struct AttemptOrder {
+pub struct AttemptSpec {
     /// Of which request.
     pub request: RequestId,
     /// Which attempt of it.
@@ -90,7 +90,7 @@
 }
 
 /// A copy of a message's headers without those that belong to its connection, or that the next one sets itself.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     const HOP_BY_HOP: [HeaderName; 10] = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
--- a/src/sidecar/endpoint/health_check.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -8,7 +8,7 @@
 use super::request_body::OutgoingBody;
 use super::response::EndpointResponse;
 use crate::policy::Outcome;
-use crate::sidecar::body::ReceivedAnswer;
+use crate::sidecar::body::ReceivedResponse;
 use bytes::Bytes;
 use hyper::{Request, Uri};
 use std::time::Duration;
@@ -23,7 +23,7 @@
 pub async fn check_health(host: impl EndpointHost, target: Target) {
     let sent = Instant::now();
     let result = timeout_at(sent + HEALTH_CHECK_TIMEOUT, ask_load(&host, &target)).await;
-    let result = result.unwrap_or(AttemptResult::without_answer(Outcome::TimedOut));
+    let result = result.unwrap_or(AttemptResult::without_response(Outcome::TimedOut));
     host.health_check_ended(&target, sent.elapsed(), result);
 }
 
@@ -31,12 +31,12 @@
     let mut connection = match host.take_connection(&target.endpoint) {
         Some(connection) => connection,
         // It is not worth another's connection.
-        None if host.descriptors_are_spent() => {
-            return AttemptResult::without_answer(Outcome::ConnectFailed);
+        None if host.descriptors_exhausted() => {
+            return AttemptResult::without_response(Outcome::ConnectFailed);
         }
         None => match connect(host, target.address).await {
             Ok(connection) => connection,
-            Err(_) => return AttemptResult::without_answer(Outcome::ConnectFailed),
+            Err(_) => return AttemptResult::without_response(Outcome::ConnectFailed),
         },
     };
     let body = OutgoingBody::new(Bytes::new(), None, connection.progress().clone());
@@ -45,12 +45,12 @@
     match connection.carry(request, Exchange::HealthCheck).await {
         Ok(EndpointResponse {
             head,
-            body: Ok(ReceivedAnswer::Whole(body)),
+            body: Ok(ReceivedResponse::Whole(body)),
         }) => {
             host.return_connection(connection, target);
-            AttemptResult::of_health_check(&head, Some(body))
+            AttemptResult::from_health_check(&head, Some(body))
         }
-        Ok(EndpointResponse { head, .. }) => AttemptResult::of_health_check(&head, None),
-        Err(_) => AttemptResult::without_answer(Outcome::Reset),
+        Ok(EndpointResponse { head, .. }) => AttemptResult::from_health_check(&head, None),
+        Err(_) => AttemptResult::without_response(Outcome::Reset),
     }
 }
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
-use super::forwarded_request::{AttemptOrder, Target};
+use super::forwarded_request::{AttemptSpec, Target};
 use crate::policy::{EndpointId, Timestamp};
 use crate::sidecar::clock::Clock;
 use crate::sidecar::descriptors::DescriptorPermit;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Leave to open a connection.
-pub struct DialPermit {
+pub struct ConnectPermit {
     /// Its share of the descriptors.
     pub descriptor: DescriptorPermit,
     /// The figure of attempts that were written whole.
@@ -31,10 +31,10 @@
     fn answer_memory(&self) -> MemoryBudget;
 
     /// Whether all descriptors are in use.
-    fn descriptors_are_spent(&self) -> bool;
+    fn descriptors_exhausted(&self) -> bool;
 
     /// Leave to open a connection, for which room may be made; `None` where there is none.
-    fn dial_permit(&self) -> Option<DialPermit>;
+    fn connect_permit(&self) -> Option<ConnectPermit>;
 
     /// An idle connection to an endpoint, out of the pool.
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection>;
@@ -44,10 +44,10 @@
 
     /// Whether an attempt may still be written: asked just before its first byte, as everything may have changed while its
     /// connection was made.
-    fn may_write(&self, order: &AttemptOrder) -> bool;
+    fn may_write(&self, order: &AttemptSpec) -> bool;
 
     /// An attempt has ended.
-    fn attempt_ended(&self, order: &AttemptOrder, result: AttemptResult);
+    fn attempt_ended(&self, order: &AttemptSpec, result: AttemptResult);
 
     /// A probe has ended.
     fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult);
--- a/src/sidecar/endpoint/mod.rs
+++ b/src/sidecar/endpoint/mod.rs
@@ -18,11 +18,13 @@
 mod streamed_response;
 mod write_progress;
 
-pub use attempt::attempt;
-pub use attempt_result::{AnswerBody, AttemptResult, ServedAnswer};
+pub use attempt::run_attempt;
+pub use attempt_result::{AttemptResult, ResponseBody, ServedResponse};
 pub use connection::EndpointConnection;
-pub use forwarded_request::{AttemptOrder, DEADLINE_HEADER, ForwardedRequest, Target, end_to_end};
+pub use forwarded_request::{
+    AttemptSpec, DEADLINE_HEADER, ForwardedRequest, Target, end_to_end_headers,
+};
 pub use health_check::check_health;
-pub use host::{DialPermit, EndpointHost};
-pub use pool::{ConnectionPool, SweepSchedule};
-pub use streamed_response::StreamedAnswer;
+pub use host::{ConnectPermit, EndpointHost};
+pub use pool::{ConnectionPool, SweepTask};
+pub use streamed_response::StreamedResponse;
--- a/src/sidecar/endpoint/request_body.rs
+++ b/src/sidecar/endpoint/request_body.rs
@@ -1,7 +1,7 @@
 //! What an attempt writes of its request's body.
 
 use super::write_progress::WriteProgress;
-use crate::sidecar::body::{BodyError, BodyFailure, Upload, UploadRest};
+use crate::sidecar::body::{BodyTransferError, RemainingUpload, Upload, UploadError};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
@@ -26,7 +26,7 @@
     /// What was kept, until it has gone on.
     first: Option<Bytes>,
     upload: Rc<Upload>,
-    rest: Option<UploadRest>,
+    rest: Option<RemainingUpload>,
     timer: Pin<Box<Sleep>>,
 }
 
@@ -54,11 +54,11 @@
     fn poll_frame(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
-        if self.upload.whole_at().is_some() {
+        if self.upload.completed_at().is_some() {
             return Poll::Ready(None);
         }
         if self.rest.is_none() {
@@ -87,16 +87,16 @@
 
     /// Whether all of it has gone on.
     fn is_whole(&self) -> bool {
-        self.first.is_none() && self.upload.whole_at().is_some()
+        self.first.is_none() && self.upload.completed_at().is_some()
     }
 }
 
 /// The next piece of an upload, none at its end.
 fn poll_piece(
-    rest: &mut UploadRest,
+    rest: &mut RemainingUpload,
     mut timer: Pin<&mut Sleep>,
     context: &mut Context<'_>,
-) -> Poll<Result<Option<Bytes>, BodyError>> {
+) -> Poll<Result<Option<Bytes>, UploadError>> {
     loop {
         let due = rest.pace.wait();
         match Pin::new(&mut rest.body).poll_frame(context) {
@@ -108,13 +108,13 @@
                 return Poll::Ready(Ok(Some(data)));
             }
             Poll::Ready(None) => return Poll::Ready(Ok(None)),
-            Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(BodyError::NotWhole)),
+            Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(UploadError::Incomplete)),
             Poll::Pending => {
                 if timer.deadline() != due {
                     timer.as_mut().reset(due);
                 }
                 ready!(timer.as_mut().poll(context));
-                return Poll::Ready(Err(BodyError::TooSlow));
+                return Poll::Ready(Err(UploadError::TooSlow));
             }
         }
     }
@@ -122,12 +122,12 @@
 
 impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = BodyFailure;
+    type Error = BodyTransferError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
         match &mut self.source {
             Source::Kept(body) => Pin::new(body)
                 .poll_frame(context)
--- a/src/sidecar/endpoint/response.rs
+++ b/src/sidecar/endpoint/response.rs
@@ -1,6 +1,6 @@
 //! An endpoint's response as it came.
 
-use crate::sidecar::body::{BodyFailure, MAX_BODY, ReceivedAnswer};
+use crate::sidecar::body::{BodyTransferError, MAX_BODY, ReceivedResponse};
 use hyper::body::{Body, Incoming};
 use hyper::{Response, header};
 
@@ -9,7 +9,7 @@
     /// Its status and headers.
     pub head: Response<()>,
     /// An error where it came short, or is too large.
-    pub body: Result<ReceivedAnswer, BodyFailure>,
+    pub body: Result<ReceivedResponse, BodyTransferError>,
 }
 
 /// Why an answer's end cannot be known, or is not worth waiting for: a reader that believes one length where the next
--- a/src/sidecar/endpoint/streamed_response.rs
+++ b/src/sidecar/endpoint/streamed_response.rs
@@ -1,7 +1,7 @@
 //! Answers that go on to their callers as they come.
 
 use super::connection::EndpointConnection;
-use crate::sidecar::body::{BodyFailure, MAX_BODY};
+use crate::sidecar::body::{BodyTransferError, MAX_BODY};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::pin::Pin;
@@ -16,7 +16,7 @@
 type ReturnConnection = Box<dyn FnOnce(EndpointConnection)>;
 
 /// A body that goes on to its caller as it comes. What goes wrong from now on the caller is left to see.
-pub struct StreamedAnswer {
+pub struct StreamedResponse {
     first: Bytes,
     rest: Incoming,
     length: Option<u64>,
@@ -27,7 +27,7 @@
     connection: Option<(EndpointConnection, ReturnConnection)>,
 }
 
-impl StreamedAnswer {
+impl StreamedResponse {
     /// An answer of which some has come on a connection.
     pub fn new(
         first: Bytes,
@@ -37,7 +37,7 @@
         return_connection: impl FnOnce(EndpointConnection) + 'static,
     ) -> Self {
         let connection = Some((connection, Box::new(return_connection) as ReturnConnection));
-        StreamedAnswer {
+        StreamedResponse {
             first,
             rest,
             length,
@@ -62,7 +62,7 @@
     fn poll_piece(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Result<Option<Bytes>, BodyFailure>> {
+    ) -> Poll<Result<Option<Bytes>, BodyTransferError>> {
         loop {
             match Pin::new(&mut self.rest).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) => {
@@ -85,14 +85,14 @@
     }
 }
 
-impl Body for StreamedAnswer {
+impl Body for StreamedResponse {
     type Data = Bytes;
-    type Error = BodyFailure;
+    type Error = BodyTransferError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
         if !self.first.is_empty() {
             let first = std::mem::take(&mut self.first);
             self.passed += first.len() as u64;
--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -224,7 +224,7 @@
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => {
-                let held = node.borrow().descriptors.held().total();
+                let held = node.borrow().descriptors.in_use().total();
                 if last_reported.replace(held) == Some(held) {
                     continue;
                 }
@@ -279,7 +279,7 @@
         let mut node = self.borrow();
         node.other_processes.remove(number);
         node.descriptors
-            .set_other_processes(node.other_processes.held_connections());
+            .set_other_process_connections(node.other_processes.held_connections());
         let Some(directory) = node.directory.clone() else {
             return;
         };
@@ -312,7 +312,7 @@
             }
             ProcessMessage::Holds(connections) => {
                 other_processes.set_held(from, connections);
-                descriptors.set_other_processes(other_processes.held_connections());
+                descriptors.set_other_process_connections(other_processes.held_connections());
             }
             ProcessMessage::Serving => {
                 callers.hand_over();
--- a/src/sidecar/memory.rs
+++ b/src/sidecar/memory.rs
@@ -18,7 +18,7 @@
 
 impl MemoryBudget {
     /// One of so many equal parts of the process's memory.
-    pub fn part_of(memory_mb: usize, parts: usize) -> Self {
+    pub fn fraction_of(memory_mb: usize, parts: usize) -> Self {
         MemoryBudget {
             limit: (memory_mb << 20) / parts,
             reserved: Rc::default(),
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -6,7 +6,7 @@
     AttemptEnd, AttemptNumber, EndpointId, Event, LoadReport, Outcome, Readiness, RequestId,
     Timestamp,
 };
-use crate::sidecar::endpoint::{self, AttemptOrder, Target};
+use crate::sidecar::endpoint::{self, AttemptSpec, Target};
 use crate::sidecar::task::Task;
 use std::time::Duration;
 
@@ -48,14 +48,17 @@
         if let Some(target) = target.filter(|_| open.is_unanswered()) {
             let until = timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
             let forwarded = open.forwarded.clone();
-            let order = AttemptOrder {
+            let order = AttemptSpec {
                 request: request.clone(),
                 attempt,
                 target,
                 until,
                 forwarded,
             };
-            open.begin_attempt(now, Task::spawn(endpoint::attempt(handle.clone(), order)));
+            open.begin_attempt(
+                now,
+                Task::spawn(endpoint::run_attempt(handle.clone(), order)),
+            );
         } else {
             open.skip_attempt();
             let event = self.attempt_end(&request, attempt, now, Outcome::NotSent, None);
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -6,8 +6,7 @@
 use crate::sidecar::clock::Clock;
 use crate::sidecar::descriptors::Side;
 use crate::sidecar::endpoint::{
-    AttemptOrder, AttemptResult, DialPermit, EndpointConnection, EndpointHost, SweepSchedule,
-    Target,
+    AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, SweepTask, Target,
 };
 use crate::sidecar::memory::MemoryBudget;
 use std::time::Duration;
@@ -27,18 +26,19 @@
         self.borrow().answer_memory.clone()
     }
 
-    fn descriptors_are_spent(&self) -> bool {
-        self.borrow().descriptors.are_spent()
+    fn descriptors_exhausted(&self) -> bool {
+        self.borrow().descriptors.is_exhausted()
     }
 
-    fn dial_permit(&self) -> Option<DialPermit> {
+    fn connect_permit(&self) -> Option<ConnectPermit> {
         let mut node = self.borrow();
-        if node.descriptors.are_spent() && !node.pool.close_oldest() && !node.callers.make_room() {
+        if node.descriptors.is_exhausted() && !node.pool.close_oldest() && !node.callers.make_room()
+        {
             return None;
         }
         node.counters.connects += 1;
         let descriptor = node.descriptors.permit(Side::Endpoints);
-        Some(DialPermit {
+        Some(ConnectPermit {
             descriptor,
             attempts: node.metrics.attempts.clone(),
         })
@@ -53,12 +53,12 @@
         if !node.takes_work(target) {
             return;
         }
-        if node.pool.put_back(&target.endpoint, connection) == SweepSchedule::Needed {
+        if node.pool.put(&target.endpoint, connection) == SweepTask::Needed {
             spawn_local(sweep_pool(self.clone()));
         }
     }
 
-    fn may_write(&self, order: &AttemptOrder) -> bool {
+    fn may_write(&self, order: &AttemptSpec) -> bool {
         let node = self.borrow();
         let Some(open) = node.open.get(&order.request) else {
             return false;
@@ -71,7 +71,7 @@
     }
 
     /// The first attempt served is the request's answer.
-    fn attempt_ended(&self, order: &AttemptOrder, result: AttemptResult) {
+    fn attempt_ended(&self, order: &AttemptSpec, result: AttemptResult) {
         let mut guard = self.borrow();
         let node = &mut *guard;
         let Some(open) = node.open.get_mut(&order.request) else {
@@ -81,13 +81,13 @@
             return; // cancelled, and the module knows
         };
         // It ran from when the endpoint had all of it.
-        let whole_at = order
+        let completed_at = order
             .forwarded
             .upload
             .as_ref()
-            .and_then(|upload| upload.whole_at());
-        let whole_at = whole_at.map(|instant| node.clock.timestamp(instant));
-        let sent = whole_at.map_or(sent, |at| at.max(sent));
+            .and_then(|upload| upload.completed_at());
+        let completed_at = completed_at.map(|instant| node.clock.timestamp(instant));
+        let sent = completed_at.map_or(sent, |at| at.max(sent));
         open.has_timed_out = result.outcome == Outcome::TimedOut;
         if let Some(answer) = result.answer {
             node.answer(&order.request, FinalAnswer::Served(answer));
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -1,7 +1,7 @@
 //! Requests that are unanswered or have attempts in flight.
 
 use crate::policy::{AttemptNumber, Timestamp};
-use crate::sidecar::endpoint::{ForwardedRequest, ServedAnswer};
+use crate::sidecar::endpoint::{ForwardedRequest, ServedResponse};
 use crate::sidecar::task::Task;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 /// The one final answer to a request.
 pub enum FinalAnswer {
     /// An endpoint's.
-    Served(ServedAnswer),
+    Served(ServedResponse),
     /// Trying again is harmless.
     Rejected {
         /// When to come back.
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -12,7 +12,7 @@
 use crate::sidecar::caller::CallerTable;
 use crate::sidecar::clock::Clock;
 use crate::sidecar::counters::Counters;
-use crate::sidecar::descriptors::Descriptors;
+use crate::sidecar::descriptors::DescriptorBudget;
 use crate::sidecar::endpoint::ConnectionPool;
 use crate::sidecar::memory::MemoryBudget;
 use crate::sidecar::metrics::{MemberCounts, Metrics};
@@ -44,7 +44,7 @@
     /// Idle connections to endpoints.
     pub pool: ConnectionPool,
     /// Shared by both.
-    pub descriptors: Descriptors,
+    pub descriptors: DescriptorBudget,
     /// Room for callers' bodies.
     pub request_memory: MemoryBudget,
     /// Room for endpoints' answers.
@@ -178,9 +178,9 @@
             seed: config.seed,
             callers: CallerTable::default(),
             pool: ConnectionPool::new(&config.settings.limits),
-            descriptors: Descriptors::new(config.sockets, reserved_descriptors),
-            request_memory: MemoryBudget::part_of(config.memory_mb, REQUEST_MEMORY_PARTS),
-            answer_memory: MemoryBudget::part_of(config.memory_mb, ANSWER_MEMORY_PARTS),
+            descriptors: DescriptorBudget::new(config.sockets, reserved_descriptors),
+            request_memory: MemoryBudget::fraction_of(config.memory_mb, REQUEST_MEMORY_PARTS),
+            answer_memory: MemoryBudget::fraction_of(config.memory_mb, ANSWER_MEMORY_PARTS),
             counters: Counters::default(),
             metrics,
             settings: SettingsHistory::new(config.settings),
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -24,7 +24,7 @@
         (
             guard.counters.take(answered),
             guard.balancer_status(),
-            guard.descriptors.held(),
+            guard.descriptors.in_use(),
         )
     };
     if line.is_empty() {
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -5,8 +5,8 @@
 use super::request::parse_request;
 use super::request_error::RequestError;
 use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
-use crate::sidecar::body::{MAX_KEPT, ReceivedBody, Upload, receive_body};
-use crate::sidecar::endpoint::{ForwardedRequest, end_to_end};
+use crate::sidecar::body::{MAX_BUFFERED_BODY, ReceivedRequestBody, Upload, receive_request_body};
+use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
 use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected, SettingsInForce};
@@ -79,7 +79,7 @@
         return Ok(caller.reject_early());
     };
     let is_chunked = caller.traffic.is_last_request.get();
-    let received = receive_body(body, begun).await?;
+    let received = receive_request_body(body, begun).await?;
     if received.upload.is_none() {
         count.set_whole();
     }
@@ -105,7 +105,9 @@
 /// Room for as much of a body as it declares, or as may be kept.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
     let length = body.size_hint().exact();
-    let most = length.map_or(MAX_KEPT, |length| length.min(MAX_KEPT as u64) as usize);
+    let most = length.map_or(MAX_BUFFERED_BODY, |length| {
+        length.min(MAX_BUFFERED_BODY as u64) as usize
+    });
     node.borrow().request_memory.reserve(most)
 }
 
@@ -129,7 +131,7 @@
     fn forwarded(
         &self,
         head: Parts,
-        body: ReceivedBody,
+        body: ReceivedRequestBody,
         memory: MemoryReservation,
     ) -> ForwardedRequest {
         ForwardedRequest {
@@ -139,7 +141,7 @@
                 .into_parts()
                 .path_and_query
                 .unwrap_or(PathAndQuery::from_static("/api")),
-            headers: end_to_end(&head.headers),
+            headers: end_to_end_headers(&head.headers),
             body: body.kept,
             upload: body.upload,
             is_repeatable: self.class().idempotency != Idempotency::Unsafe,
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -60,11 +60,11 @@
         descriptors,
         ..
     } = &mut *guard;
-    let is_full = descriptors.callers_have_their_part();
+    let is_full = descriptors.is_caller_limit_reached();
     let has_made_room =
-        is_full && ((descriptors.are_spent() && pool.close_oldest()) || callers.make_room());
+        is_full && ((descriptors.is_exhausted() && pool.close_oldest()) || callers.make_room());
     let is_rejected_early = is_full && !has_made_room;
-    if is_rejected_early && descriptors.callers_are_overdrawn() {
+    if is_rejected_early && descriptors.is_caller_overcommit_reached() {
         return; // closed unread: nothing of it was taken, and the descriptors left are for what was
     }
     let permit = descriptors.permit(Side::Callers);
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -1,8 +1,8 @@
 //! What callers are answered.
 
-use crate::sidecar::body::BodyFailure;
+use crate::sidecar::body::BodyTransferError;
 use crate::sidecar::caller::Traffic;
-use crate::sidecar::endpoint::{AnswerBody, StreamedAnswer};
+use crate::sidecar::endpoint::{ResponseBody, StreamedResponse};
 use crate::sidecar::metrics::RequestCount;
 use crate::sidecar::node::FinalAnswer;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 
 /// An endpoint's answer that goes on to a caller as it comes.
 pub struct StreamedReply {
-    answer: StreamedAnswer,
+    answer: StreamedResponse,
     /// Its request's count, until it has ended.
     count: Option<RequestCount>,
     /// The connection that it goes on to.
@@ -45,7 +45,7 @@
     fn poll_frame(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFailure>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
         let frame = Pin::new(&mut self.answer).poll_frame(context);
         let status = match &frame {
             Poll::Ready(Some(Err(_))) => Some(StatusCode::BAD_GATEWAY),
@@ -70,7 +70,7 @@
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = BodyFailure;
+    type Error = BodyTransferError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
@@ -104,8 +104,8 @@
     match answer {
         FinalAnswer::Served(served) => {
             let mut reply = Response::new(match served.body {
-                AnswerBody::Whole(body) => ReplyBody::Whole(Full::new(body)),
-                AnswerBody::Streamed(answer) => {
+                ResponseBody::Whole(body) => ReplyBody::Whole(Full::new(body)),
+                ResponseBody::Streamed(answer) => {
                     let streamed = StreamedReply {
                         answer: *answer,
                         count: None,
--- a/src/sidecar/server/request_error.rs
+++ b/src/sidecar/server/request_error.rs
@@ -1,7 +1,7 @@
 //! Why a request is not taken, in words for whoever wrote the caller.
 
 use super::reply::{Reply, plain};
-use crate::sidecar::body::BodyError;
+use crate::sidecar::body::UploadError;
 use crate::sidecar::caller::HeadFault;
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
@@ -71,12 +71,12 @@
     }
 }
 
-impl From<BodyError> for RequestError {
-    fn from(error: BodyError) -> Self {
+impl From<UploadError> for RequestError {
+    fn from(error: UploadError) -> Self {
         let (status, text) = match error {
-            BodyError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 40 MiB"),
-            BodyError::NotWhole => (StatusCode::BAD_REQUEST, "the body is not whole"),
-            BodyError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+            UploadError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 40 MiB"),
+            UploadError::Incomplete => (StatusCode::BAD_REQUEST, "the body is not whole"),
+            UploadError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
         };
         RequestError::new(status, text)
     }
