--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -32,7 +32,7 @@
 
     fn connect_permit(&self) -> Option<ConnectPermit> {
         let mut node = self.borrow();
-        if node.descriptors.is_exhausted() && !node.pool.close_oldest() && !node.callers.make_room()
+        if node.descriptors.is_exhausted() && !node.pool.close_oldest() && !node.callers.evict_one()
         {
             return None;
         }
