--- a/tests/sidecar/bans.rs
+++ b/tests/sidecar/bans.rs
@@ -40,7 +40,7 @@
     ));
     drop(watch);
     assert!(
-        discovery.next_watch().asked.contains("since=42 "),
+        discovery.next_watch().request_line.contains("since=42 "),
         "the list is known"
     );
     assert_eq!(saw(&sidecar, &endpoints[0], 30), 0);
--- a/tests/sidecar/cancellation_support/holding.rs
+++ b/tests/sidecar/cancellation_support/holding.rs
@@ -43,14 +43,14 @@
     /// Waits until something is so; discovery shows that it is there meanwhile.
     pub fn wait_until(&mut self, what: &str, is_so: impl Fn(&Sidecar) -> bool) {
         wait_until(what, || {
-            self.watch.says(&self.discovery, "");
+            self.watch.write_line_reconnecting(&self.discovery, "");
             is_so(&self.sidecar)
         });
     }
 
     /// Has discovery write a line to the sidecar.
     pub fn says(&mut self, line: &str) {
-        self.watch.says(&self.discovery, line);
+        self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
     /// Waits until so many requests are pending.
--- a/tests/sidecar/crossings.rs
+++ b/tests/sidecar/crossings.rs
@@ -94,7 +94,7 @@
 fn a_time_out_and_the_answer_at_once_are_one_end() {
     let (listener, known) = raw();
     let discovery = Discovery::start();
-    let mut config = brief(&discovery, &[], Duration::from_secs(1));
+    let mut config = config_with_deadline(&discovery, &[], Duration::from_secs(1));
     config["known"]["endpoints"] = json!([known]);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
@@ -109,7 +109,7 @@
     let answer = client.read().expect("an answer");
     assert!(matches!(answer.status(), 200 | 504), "{}", answer.status());
     assert_eq!(
-        client.exchange(READY).status(),
+        client.exchange(READY_REQUEST).status(),
         200,
         "the next answer is the next request's"
     );
@@ -124,7 +124,7 @@
 
 /// A sidecar over an endpoint that answers as told, with a few retries earned, which can be given other settings.
 struct Retuned {
-    told: Told,
+    told: ScriptedEndpoint,
     sidecar: Sidecar,
     discovery: Discovery,
     watch: Watch,
@@ -134,7 +134,7 @@
 
 impl Retuned {
     fn start() -> Self {
-        let (told, discovery) = (Told::start(), Discovery::start());
+        let (told, discovery) = (ScriptedEndpoint::start(), Discovery::start());
         let config = with_admin_address(config(
             discovery.address,
             &serving_entries(&[&told.endpoint]),
@@ -142,7 +142,7 @@
         let path = temporary_file(&config.to_string());
         let sidecar = Sidecar::start_with_file(&path);
         let watch = discovery.next_watch();
-        told.earns_retries(&mut sidecar.client());
+        told.earn_retries(&mut sidecar.client());
         Retuned {
             told,
             sidecar,
@@ -162,7 +162,7 @@
     }
 
     fn lists(&mut self, line: &str) {
-        self.watch.says(&self.discovery, line);
+        self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
     fn retunes(&mut self, change: impl FnOnce(&mut Vec<Value>)) {
@@ -179,7 +179,7 @@
     }
 
     fn fails(&self) {
-        self.told.does(EndpointAction::Respond(
+        self.told.respond_next(EndpointAction::Respond(
             "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
         ));
     }
@@ -271,7 +271,7 @@
     let sidecar = Sidecar::start(&config);
     let mut idle: Vec<Client> = (0..16).map(|_| sidecar.client()).collect();
     for client in &mut idle {
-        assert_eq!(client.exchange(READY).status(), 200);
+        assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     }
     sidecar.suspend();
     let mut new: Vec<TcpStream> = (0..24)
--- a/tests/sidecar/crossings_of_stops.rs
+++ b/tests/sidecar/crossings_of_stops.rs
@@ -14,14 +14,18 @@
 fn a_stop_waits_for_requests_that_are_half_read() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut sidecar = Sidecar::start(&brief(&discovery, &[&endpoint], Duration::from_secs(1)));
+    let mut sidecar = Sidecar::start(&config_with_deadline(
+        &discovery,
+        &[&endpoint],
+        Duration::from_secs(1),
+    ));
     let mut idle = sidecar.client();
-    assert_eq!(idle.exchange(READY).status(), 200);
+    assert_eq!(idle.exchange(READY_REQUEST).status(), 200);
     let requests = [get_request("1"), post_request("unsafe", "1", "hello")];
     let mut half: Vec<(Client, &str)> = Vec::new();
     sidecar.terminate();
     wait_until("it stops", || {
-        sidecar.client().exchange(READY).status() == 503
+        sidecar.client().exchange(READY_REQUEST).status() == 503
     });
     for (request, at) in requests.iter().zip([20, requests[1].len() - 3]) {
         let mut client = sidecar.client();
@@ -48,9 +52,13 @@
 fn a_stop_answers_what_waits_in_the_backlog_as_the_listener_closes() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut sidecar = Sidecar::start(&brief(&discovery, &[&endpoint], Duration::from_secs(3)));
+    let mut sidecar = Sidecar::start(&config_with_deadline(
+        &discovery,
+        &[&endpoint],
+        Duration::from_secs(3),
+    ));
     let mut idle = sidecar.client();
-    assert_eq!(idle.exchange(READY).status(), 200);
+    assert_eq!(idle.exchange(READY_REQUEST).status(), 200);
     sidecar.terminate();
     assert!(idle.is_closed(), "the last step before has begun");
     sidecar.suspend();
@@ -83,9 +91,13 @@
     // A moment is 0.3 s at the most, which a busy machine may take longer for; then all is done once more.
     wait_until("they ask in time", || {
         let discovery = Discovery::start();
-        let mut sidecar = Sidecar::start(&brief(&discovery, &[&endpoint], Duration::from_secs(3)));
+        let mut sidecar = Sidecar::start(&config_with_deadline(
+            &discovery,
+            &[&endpoint],
+            Duration::from_secs(3),
+        ));
         let mut idle = sidecar.client();
-        assert_eq!(idle.exchange(READY).status(), 200);
+        assert_eq!(idle.exchange(READY_REQUEST).status(), 200);
         sidecar.terminate();
         assert!(idle.is_closed(), "the last step before has begun");
         sidecar.suspend();
@@ -120,16 +132,16 @@
 /// soon as the last has.
 #[test]
 fn a_stop_answers_what_is_held_out_or_retried() {
-    let told = Told::start();
+    let told = ScriptedEndpoint::start();
     let (discovery, other) = (Discovery::start(), Endpoint::start(|_| respond_ok("other")));
-    let mut sidecar = Sidecar::start(&brief(
+    let mut sidecar = Sidecar::start(&config_with_deadline(
         &discovery,
         &[&told.endpoint],
         Duration::from_secs(10),
     ));
     let mut watch = discovery.next_watch();
     let mut client = sidecar.client();
-    told.earns_retries(&mut client);
+    told.earn_retries(&mut client);
     let ask = |request: String| {
         let mut client = sidecar.client();
         client.write(&request);
@@ -153,10 +165,10 @@
     wait_until("nobody is let in any more", || {
         TcpStream::connect(sidecar.address).is_err()
     });
-    told.does(EndpointAction::Respond(
+    told.respond_next(EndpointAction::Respond(
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
     ));
-    told.does(respond_ok("out"));
+    told.respond_next(respond_ok("out"));
     watch.write_line(&list(43, false, &[entry("e1", other.address, "SERVING")]));
     // Which of the two the stub answers first is the stub's; both are known by their class.
     for (client, bodies) in [
@@ -240,12 +252,12 @@
 /// One that may be replaced, about to stop, with a request out that keeps it from ending: all callers are let in that were
 /// to be, and its own part of the listening socket is closed.
 fn stops_with_one_out(
-    told: &Told,
+    told: &ScriptedEndpoint,
     discovery: &Discovery,
     newer: impl FnOnce(&Path),
 ) -> (Sidecar, Client) {
     let folder = temporary_directory();
-    let config = brief(discovery, &[&told.endpoint], Duration::from_secs(15));
+    let config = config_with_deadline(discovery, &[&told.endpoint], Duration::from_secs(15));
     let sidecar = Sidecar::start_in_directory(&folder, &config);
     let socket = folder.join("pipittray.sock");
     wait_until("it offers to hand over", || socket.exists());
@@ -266,13 +278,13 @@
 /// that callers are refused and go elsewhere, and do not wait for an answer up to the process's end.
 #[test]
 fn a_stop_closes_the_listener_also_where_it_may_be_handed_over() {
-    let (told, discovery) = (Told::start(), Discovery::start());
+    let (told, discovery) = (ScriptedEndpoint::start(), Discovery::start());
     let (mut sidecar, mut out) = stops_with_one_out(&told, &discovery, |_| {});
     assert!(
         TcpStream::connect(sidecar.address).is_err(),
         "nobody lets it in"
     );
-    told.does(respond_ok("x"));
+    told.respond_next(respond_ok("x"));
     assert_eq!(out.read().expect("an answer").status(), 200);
     assert!(sidecar.wait().success());
 }
@@ -281,7 +293,7 @@
 /// have is the older one's again, and is answered. The test is the newer process.
 #[test]
 fn a_process_that_stops_answers_what_a_newer_one_that_died_left_in_the_backlog() {
-    let (told, discovery) = (Told::start(), Discovery::start());
+    let (told, discovery) = (ScriptedEndpoint::start(), Discovery::start());
     let mut newer = None;
     let (mut sidecar, mut out) = stops_with_one_out(&told, &discovery, |socket| {
         let mut stream = UnixStream::connect(socket).expect("it hands over");
@@ -310,7 +322,7 @@
     wait_until("nobody is let in any more", || {
         TcpStream::connect(sidecar.address).is_err()
     });
-    told.does(respond_ok("x"));
+    told.respond_next(respond_ok("x"));
     assert_eq!(out.read().expect("an answer").status(), 200);
     assert!(sidecar.wait().success());
 }
@@ -319,7 +331,7 @@
 /// that is over gets nothing more.
 #[test]
 fn the_timer_of_a_hold_that_is_over_answers_nobody() {
-    let told = Told::start();
+    let told = ScriptedEndpoint::start();
     let discovery = Discovery::start();
     let mut config = with_admin_address(config(discovery.address, &[]));
     // Held for 2 s at the most, and worth waiting for longer.
@@ -335,7 +347,7 @@
     });
     watch.write_line(&list(42, false, &serving_entries(&[&told.endpoint])));
     told.endpoint.next_request();
-    told.does(respond_ok("x"));
+    told.respond_next(respond_ok("x"));
     assert_eq!(over.read().expect("an answer").status(), 200);
     std::thread::sleep(Duration::from_millis(2_500)); // both holds are over
     let drains = entry("e1", "127.0.0.1:1".parse().expect("an address"), "DRAINING");
@@ -343,10 +355,10 @@
     wait_until("the module has looked at the time", || {
         sidecar.metric("members") == Some(2)
     });
-    told.does(respond_ok("x"));
+    told.respond_next(respond_ok("x"));
     assert_eq!(out.read().expect("an answer").status(), 200);
     assert_eq!(
-        over.exchange(READY).status(),
+        over.exchange(READY_REQUEST).status(),
         200,
         "nothing more came before"
     );
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -1,7 +1,6 @@
 //! A sidecar that is short of descriptors, as idle clients and open requests hold all that they may.
 
 use crate::stubs::*;
-use crate::watches::{Calls, HEAD};
 use serde_json::{Value, json};
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -129,7 +128,7 @@
 }
 
 /// A sidecar with so few descriptors over these endpoints.
-fn limited(discovery: &Calls, endpoints: &[&Endpoint], mode: &str) -> Sidecar {
+fn limited(discovery: &ManualDiscovery, endpoints: &[&Endpoint], mode: &str) -> Sidecar {
     let mut config = with_admin_address(config(discovery.address(), &serving_entries(endpoints)));
     config["limits"]["sockets"] = json!(LIMIT);
     config["settings"]["discovery"] = json!(mode);
@@ -197,10 +196,10 @@
         }
     };
     let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|_| Endpoint::start(answer)).collect();
-    let discovery = Calls::at(start);
+    let discovery = ManualDiscovery::start_at(start);
     let sidecar = limited(&discovery, &endpoints.iter().collect::<Vec<_>>(), mode);
-    let mut watch = discovery.next();
-    watch.writes(HEAD);
+    let mut watch = discovery.next_call();
+    watch.open_watch();
     let _open = open_requests(&sidecar, &endpoints);
     let crowd = Crowd::gather(&sidecar);
     crowd.fills_up(&sidecar);
@@ -212,11 +211,11 @@
     is_served(&sidecar);
     let started = Endpoint::start(|_| respond_ok(""));
     let changed: Vec<Value> = vec![entry("started", started.address, "SERVING")];
-    let discovery = Calls::at(address);
-    let mut watch = discovery.next_open();
-    assert!(watch.follows(41), "{}", watch.asked);
-    watch.writes(HEAD);
-    watch.chunk(&format!("{}\n", list(42, true, &changed)));
+    let discovery = ManualDiscovery::start_at(address);
+    let mut watch = discovery.next_open_call();
+    assert!(watch.is_watch_since(41), "{}", watch.request_line);
+    watch.open_watch();
+    watch.write_line(&list(42, true, &changed));
     wait_until("the list is current", || {
         sidecar.metric("members") == Some(1)
     });
@@ -242,10 +241,10 @@
 /// have, each is served once an endpoint is listed.
 #[test]
 fn held_requests_leave_descriptors_for_their_attempts() {
-    let discovery = Calls::start();
+    let discovery = ManualDiscovery::start();
     let sidecar = limited(&discovery, &[], "automatic");
-    let mut watch = discovery.next();
-    watch.writes(HEAD);
+    let mut watch = discovery.next_call();
+    watch.open_watch();
     let connect = |_| {
         let mut client = sidecar.client();
         client.write(&get_request("100"));
@@ -266,16 +265,13 @@
         .map(|_| Endpoint::start(|_| respond_ok("")))
         .collect();
     if !watch.is_open() {
-        watch = discovery.next_open();
-        watch.writes(HEAD);
+        watch = discovery.next_open_call();
+        watch.open_watch();
     }
-    watch.chunk(&format!(
-        "{}\n",
-        list(
-            42,
-            false,
-            &serving_entries(&endpoints.iter().collect::<Vec<_>>())
-        )
+    watch.write_line(&list(
+        42,
+        false,
+        &serving_entries(&endpoints.iter().collect::<Vec<_>>()),
     ));
     for client in &mut clients {
         assert_eq!(client.read().map(|answer| answer.status()), Some(200));
@@ -287,7 +283,7 @@
 #[test]
 fn early_answers_leave_descriptors_for_the_rest() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let discovery = Calls::start();
+    let discovery = ManualDiscovery::start();
     let sidecar = limited(&discovery, &[&endpoint], "automatic");
     let connect = |_| {
         let mut client = sidecar.client();
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -2,15 +2,12 @@
 //! is in force, whether lists are asked for or pushed.
 
 use crate::stubs::*;
-use crate::watches::{Call, Calls, HEAD, is_out};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
-/// Lists that are asked for, and lists that an agent pushes, as the settings name them.
-const MODES: [&str; 2] = ["subscribe", "automatic"];
-/// Calls that fail before discovery is back: so many that every later wait is as long as the longest.
+/// ManualDiscovery that fail before discovery is back: so many that every later wait is as long as the longest.
 const MANY_FAILED: usize = 6;
 
 /// A discovery that is down: its port refuses connections, and nobody else is given it.
@@ -32,9 +29,9 @@
             .expect("an address")
     }
 
-    fn comes_back(self) -> Calls {
+    fn comes_back(self) -> ManualDiscovery {
         self.0.listen(128).expect("it listens");
-        Calls::on(TcpListener::from(self.0))
+        ManualDiscovery::from_listener(TcpListener::from(self.0))
     }
 }
 
@@ -97,7 +94,7 @@
     }
 
     fn awaits_change(&self) {
-        is_out(&self.sidecar, 1);
+        wait_for_unavailable(&self.sidecar, 1);
         wait_until("the third is known", || {
             self.sidecar.metric("members") == Some(3)
         });
@@ -127,34 +124,34 @@
     }
 }
 
-fn opens_watch(discovery: &Calls, since: u64) -> Call {
-    let mut watch = discovery.next();
-    assert!(watch.follows(since), "{}", watch.asked);
-    watch.writes(HEAD);
+fn opens_watch(discovery: &ManualDiscovery, since: u64) -> DiscoveryCall {
+    let mut watch = discovery.next_call();
+    assert!(watch.is_watch_since(since), "{}", watch.request_line);
+    watch.open_watch();
     watch
 }
 
-fn next_whole_list(discovery: &Calls) -> Call {
-    let call = discovery.next();
+fn next_whole_list(discovery: &ManualDiscovery) -> DiscoveryCall {
+    let call = discovery.next_call();
     assert!(
-        call.asked.starts_with("GET /v1/endpoints "),
+        call.request_line.starts_with("GET /v1/endpoints "),
         "{}",
-        call.asked
+        call.request_line
     );
     call
 }
 
-fn answers_whole(mut call: Call, text: &str) {
-    call.writes(&format!(
+fn answers_whole(mut call: DiscoveryCall, text: &str) {
+    call.write(&format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
         text.len()
     ));
 }
 
 /// A failed call, whose body counts for nothing though it is a list.
-fn answers_unavailable(call: &mut Call) {
+fn answers_unavailable(call: &mut DiscoveryCall) {
     let body = list(99, true, &[]);
-    call.writes(&format!(
+    call.write(&format!(
         "HTTP/1.1 503 No\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ));
@@ -163,7 +160,7 @@
 /// Guards the call after one that was refused, however many were: discovery that is back is asked, and its change holds.
 #[test]
 fn discovery_that_refused_calls_is_called_until_it_is_back() {
-    for mode in MODES {
+    for mode in DISCOVERY_MODES {
         let down = Down::start();
         let site = Site::start(mode, down.address());
         let refused =
@@ -173,7 +170,7 @@
         });
         let discovery = down.comes_back();
         let mut watch = opens_watch(&discovery, 41);
-        watch.chunk(&format!("{}\n", list(42, false, &site.change())));
+        watch.write_line(&list(42, false, &site.change()));
         site.awaits_change();
     }
 }
@@ -183,20 +180,20 @@
 /// for.
 #[test]
 fn a_watch_on_an_agent_is_opened_anew_whatever_became_of_the_one_before() {
-    let discovery = Calls::start();
+    let discovery = ManualDiscovery::start();
     let site = Site::start("automatic", discovery.address());
     let half = "{\"index\":50,\"snapshot\":true,\"endpoints\":[";
-    let mut refuses = discovery.next();
+    let mut refuses = discovery.next_call();
     answers_unavailable(&mut refuses);
-    discovery.next().resets();
-    drop(discovery.next());
-    opens_watch(&discovery, 41).chunk(half);
+    discovery.next_call().reset();
+    drop(discovery.next_call());
+    opens_watch(&discovery, 41).write_chunk(half);
     let mut spoilt = opens_watch(&discovery, 41);
-    spoilt.chunk("no JSON\n"); // held open, so that nothing but the text ends it
-    let unanswered = discovery.next();
+    spoilt.write_chunk("no JSON\n"); // held open, so that nothing but the text ends it
+    let unanswered = discovery.next_call();
     let silent = opens_watch(&discovery, 41);
     let mut watch = opens_watch(&discovery, 41);
-    watch.chunk(&format!("{}\n", list(51, false, &site.change())));
+    watch.write_line(&list(51, false, &site.change()));
     site.awaits_change();
     drop((refuses, spoilt, unanswered, silent));
 }
@@ -204,21 +201,21 @@
 /// Guards against half a list with beats behind it, which is no silence: the rest never comes, and the watch is lost.
 #[test]
 fn half_a_list_with_beats_behind_it_does_not_keep_a_watch() {
-    for mode in MODES {
-        let discovery = Calls::start();
+    for mode in DISCOVERY_MODES {
+        let discovery = ManualDiscovery::start();
         let site = Site::start(mode, discovery.address());
         let mut spoilt = opens_watch(&discovery, 41);
-        spoilt.chunk("{\"index\":50,\"snapshot\":true,\"endpoints\":[");
+        spoilt.write_chunk("{\"index\":50,\"snapshot\":true,\"endpoints\":[");
         let mut anew = None;
         wait_until("a watch is opened anew", || {
-            spoilt.beats();
-            anew = discovery.try_next();
+            spoilt.try_write_heartbeat();
+            anew = discovery.try_next_call();
             anew.is_some()
         });
         let mut watch = anew.expect("a call");
-        assert!(watch.follows(41), "{}", watch.asked);
-        watch.writes(HEAD);
-        watch.chunk(&format!("{}\n", list(51, false, &site.change())));
+        assert!(watch.is_watch_since(41), "{}", watch.request_line);
+        watch.open_watch();
+        watch.write_line(&list(51, false, &site.change()));
         site.awaits_change();
     }
 }
@@ -227,18 +224,18 @@
 /// stays out, and what is then answered counts, with no further call.
 #[test]
 fn a_call_that_is_out_as_discovery_comes_back_is_answered() {
-    for mode in MODES {
-        let discovery = Calls::start();
+    for mode in DISCOVERY_MODES {
+        let discovery = ManualDiscovery::start();
         let mut site = Site::start(mode, discovery.address());
         drop(opens_watch(&discovery, 41));
-        let mut out = discovery.next();
-        assert!(out.follows(41), "{}", out.asked);
+        let mut out = discovery.next_call();
+        assert!(out.is_watch_since(41), "{}", out.request_line);
         site.config["settings"]["bounds"]["sendCap"] = json!(2);
         site.reloads();
         site.sidecar
             .wait_for_log("discovery stays, settings change in bounds");
-        out.writes(HEAD);
-        out.chunk(&format!("{}\n", site.whole_list(60)));
+        out.open_watch();
+        out.write_chunk(&format!("{}\n", site.whole_list(60)));
         site.awaits_change();
     }
 }
@@ -248,8 +245,8 @@
 /// meanwhile, and the whole list is asked for until it has come.
 #[test]
 fn a_discovery_that_moved_is_asked_until_its_whole_list_has_come() {
-    for mode in MODES {
-        let (old, down) = (Calls::start(), Down::start());
+    for mode in DISCOVERY_MODES {
+        let (old, down) = (ManualDiscovery::start(), Down::start());
         let mut site = Site::start(mode, old.address());
         let _watch = opens_watch(&old, 41);
         site.moves_discovery(down.address());
@@ -266,9 +263,9 @@
             text.len(),
             &text[..text.len() / 2]
         );
-        next_whole_list(&new).writes(&half);
+        next_whole_list(&new).write(&half);
         let mut stays_open = next_whole_list(&new);
-        stays_open.writes(&half);
+        stays_open.write(&half);
         let whole = next_whole_list(&new);
         assert_eq!(
             site.sidecar.metric("members"),
@@ -286,14 +283,14 @@
 /// out holds until the new one has spoken, and the older list of that one does not take the drain back.
 #[test]
 fn a_discovery_that_comes_back_as_a_reload_moves_away_is_still_heard() {
-    for mode in MODES {
-        let (old, down) = (Calls::start(), Down::start());
+    for mode in DISCOVERY_MODES {
+        let (old, down) = (ManualDiscovery::start(), Down::start());
         let mut site = Site::start(mode, old.address());
-        let mut out = old.next();
+        let mut out = old.next_call();
         site.sidecar.suspend();
         site.moves_discovery(down.address());
-        out.writes(HEAD);
-        out.chunk(&format!("{}\n", list(42, false, &site.change())));
+        out.open_watch();
+        out.write_line(&list(42, false, &site.change()));
         site.sidecar.resume();
         site.sidecar.wait_for_log("configuration read again");
         site.awaits_change();
@@ -312,7 +309,7 @@
 /// before refused and another due: it is asked for its whole list.
 #[test]
 fn a_discovery_that_comes_back_with_a_reload_under_way_is_asked() {
-    for mode in MODES {
+    for mode in DISCOVERY_MODES {
         let (old, down) = (Down::start(), Down::start());
         let mut site = Site::start(mode, old.address());
         site.sidecar.wait_for_log("refused");
--- a/tests/sidecar/discovery_resync.rs
+++ b/tests/sidecar/discovery_resync.rs
@@ -1,23 +1,22 @@
-//! Calls of discovery that are late while it handles those of a whole fleet in turn: they keep their place in its queue,
+//! ManualDiscovery of discovery that are late while it handles those of a whole fleet in turn: they keep their place in its queue,
 //! whether lists are asked for or pushed.
 
 use crate::stubs::*;
-use crate::watches::{Call, Calls, HEAD, is_out};
 use serde_json::json;
 
-/// Lists that are asked for, and lists that an agent pushes, as the settings name them.
-const MODES: [&str; 2] = ["subscribe", "automatic"];
-
 /// A sidecar that knows an endpoint, and its discovery.
 struct Site {
     endpoint: Endpoint,
-    discovery: Calls,
+    discovery: ManualDiscovery,
     sidecar: Sidecar,
 }
 
 impl Site {
     fn start(mode: &str) -> Self {
-        let (endpoint, discovery) = (Endpoint::start(|_| respond_ok("")), Calls::start());
+        let (endpoint, discovery) = (
+            Endpoint::start(|_| respond_ok("")),
+            ManualDiscovery::start(),
+        );
         let mut config =
             with_admin_address(config(discovery.address(), &serving_entries(&[&endpoint])));
         config["settings"]["discovery"] = json!(mode);
@@ -29,24 +28,25 @@
         }
     }
 
-    fn next_watch(&self) -> Call {
-        let call = self.discovery.next();
-        assert!(call.follows(41), "{}", call.asked);
+    fn next_watch(&self) -> DiscoveryCall {
+        let call = self.discovery.next_call();
+        assert!(call.is_watch_since(41), "{}", call.request_line);
         call
     }
 
     /// Answers with a watch that tells of a drain, and waits until that is in force.
-    fn is_current_by(&self, call: &mut Call) {
-        call.writes(HEAD);
-        call.chunk(&format!(
-            "{}\n",
-            list(42, false, &[entry("e0", self.endpoint.address, "DRAINING")])
+    fn is_current_by(&self, call: &mut DiscoveryCall) {
+        call.open_watch();
+        call.write_line(&list(
+            42,
+            false,
+            &[entry("e0", self.endpoint.address, "DRAINING")],
         ));
-        is_out(&self.sidecar, 1);
+        wait_for_unavailable(&self.sidecar, 1);
     }
 }
 
-fn closes(call: &Call) {
+fn closes(call: &DiscoveryCall) {
     wait_until("the call is closed", || !call.is_open());
 }
 
@@ -54,14 +54,14 @@
 /// call has been made since. That one is dropped, and no further call is made.
 #[test]
 fn the_late_answer_to_a_call_counts_after_another_was_made() {
-    for mode in MODES {
+    for mode in DISCOVERY_MODES {
         let site = Site::start(mode);
         let mut first = site.next_watch();
         let second = site.next_watch();
         site.is_current_by(&mut first);
         closes(&second);
         assert!(
-            first.is_open() && site.discovery.try_next().is_none(),
+            first.is_open() && site.discovery.try_next_call().is_none(),
             "{mode}"
         );
     }
@@ -70,14 +70,14 @@
 /// Guards a discovery that is reached by new calls alone: once the newer is answered the older is dropped.
 #[test]
 fn the_call_that_was_kept_is_closed_once_a_newer_is_answered() {
-    for mode in MODES {
+    for mode in DISCOVERY_MODES {
         let site = Site::start(mode);
         let first = site.next_watch();
         let mut second = site.next_watch();
         site.is_current_by(&mut second);
         closes(&first);
         assert!(
-            second.is_open() && site.discovery.try_next().is_none(),
+            second.is_open() && site.discovery.try_next_call().is_none(),
             "{mode}"
         );
     }
@@ -87,14 +87,14 @@
 /// which is the next in turn, and the newest. One that fails leaves the other, which is then the oldest.
 #[test]
 fn two_calls_at_most_are_out_while_discovery_is_silent() {
-    for mode in MODES {
+    for mode in DISCOVERY_MODES {
         let site = Site::start(mode);
         let first = site.next_watch();
         let second = site.next_watch();
         let third = site.next_watch();
         closes(&second);
         assert!(first.is_open() && third.is_open(), "{mode}");
-        first.resets();
+        first.reset();
         let mut fourth = site.next_watch();
         assert!(third.is_open(), "{mode}");
         site.is_current_by(&mut fourth);
--- /dev/null
+++ b/tests/sidecar/discovery_watch.rs
@@ -0,0 +1,217 @@
+//! The watch on discovery when its events are split, late, stale or missing.
+
+use crate::stubs::*;
+use serde_json::{Value, json};
+use std::time::{Duration, Instant};
+
+fn start_sidecar(discovery: &ManualDiscovery, endpoints: &[&Endpoint]) -> Sidecar {
+    Sidecar::start(&with_admin_address(config(
+        discovery.address(),
+        &serving_entries(endpoints),
+    )))
+}
+
+/// A list in JSON that is spread over many lines.
+fn indented_list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
+    let list = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
+    format!("{}\n", serde_json::to_string_pretty(&list).expect("JSON"))
+}
+
+/// Guards the parser of the watch against lists that are spread over lines and chunks: a complete list counts at once,
+/// even if a part of the next one came with it, and an incomplete list has no effect.
+#[test]
+fn list_is_read_when_indented_or_split_across_chunks() {
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
+    let discovery = ManualDiscovery::start();
+    let sidecar = start_sidecar(&discovery, &[&endpoints[0], &endpoints[1], &endpoints[2]]);
+    let mut watch = discovery.next_call();
+    assert!(watch.is_watch_since(41), "{}", watch.request_line);
+    watch.open_watch();
+    let draining_list = |number: usize, version| {
+        let name = format!("e{number}");
+        let entry = entry(&name, endpoints[number].address, "DRAINING");
+        indented_list(version, false, &[entry])
+    };
+    let first = draining_list(0, 42);
+    let second = draining_list(1, 43);
+    let third = draining_list(2, 44);
+    let (second_begin, second_rest) = second.split_at(second.len() / 2);
+
+    watch.write_chunk(&format!("\n{first}{second_begin}"));
+    wait_for_unavailable(&sidecar, 1);
+
+    let last_brace = second_rest.rfind('}').expect("its end");
+    let (second_middle, second_end) = second_rest.split_at(last_brace);
+    for piece in second_middle.as_bytes().chunks(7) {
+        watch.write_chunk(std::str::from_utf8(piece).expect("text"));
+    }
+    // The sidecar has read all of this before it answers a later call.
+    assert_eq!(sidecar.metric("members_unavailable"), Some(1));
+
+    watch.write_chunk(second_end);
+    wait_for_unavailable(&sidecar, 2);
+    watch.write_chunk(&third);
+    wait_for_unavailable(&sidecar, 3);
+    drop(watch);
+    assert!(
+        discovery.next_call().is_watch_since(44),
+        "and the watch was not lost before"
+    );
+}
+
+/// Guards the watch against each kind of failure, each followed by a failure of the next call, and the drain in the first
+/// event after discovery has recovered.
+#[test]
+fn watch_is_reopened_after_each_kind_of_failure() {
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
+    let discovery = ManualDiscovery::start();
+    let sidecar = start_sidecar(&discovery, &[&endpoints[0], &endpoints[1]]);
+    let malformed_lists = [
+        "{\"index\":50,\"snapshot\":false,\"endpoints\":[{\"name\":\"e0\"\n{\"index\":51,\"snapshot\":true,\"endpoints\":[]}\n",
+        "no JSON\n",
+        "{\"index\":50}\n",
+        "]}",
+    ];
+
+    for text in malformed_lists {
+        let mut watch = discovery.next_call();
+        assert!(watch.is_watch_since(41), "{text}: {}", watch.request_line);
+        watch.open_watch();
+        watch.write_chunk(text);
+        // The watch stays open meanwhile, so that only the text can have ended it.
+        let mut next = discovery.next_call();
+        assert!(next.is_watch_since(41), "{text}: {}", next.request_line);
+        next.write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+    }
+    discovery.next_call().reset();
+    drop(discovery.next_call());
+    let mut truncated = discovery.next_call();
+    truncated.open_watch();
+    truncated.write("40\r\n{\"index\":");
+    drop(truncated);
+    let mut ended = discovery.next_call();
+    ended.open_watch();
+    ended.write("0\r\n\r\n");
+    let mut silent = discovery.next_call();
+    silent.open_watch();
+    let unanswered = discovery.next_call();
+    let mut recovered = discovery.next_call();
+    assert!(recovered.is_watch_since(41), "{}", recovered.request_line);
+    recovered.open_watch();
+    recovered.write_line(&list(
+        60,
+        false,
+        &[entry("e0", endpoints[0].address, "DRAINING")],
+    ));
+
+    wait_for_unavailable(&sidecar, 1);
+    drop((silent, unanswered));
+    for _ in 0..20 {
+        assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
+    }
+    assert_eq!(endpoints[0].take_request_count(), 0);
+}
+
+/// Guards the backoff: a watch that was opened resets it, even if the watch is lost without an event. Changes that are
+/// missed meanwhile are due within a fixed time after the loss.
+#[test]
+fn opened_watch_resets_the_backoff() {
+    let endpoint = Endpoint::start(|_| respond_ok(""));
+    let discovery = ManualDiscovery::start();
+    let mut config = config(discovery.address(), &serving_entries(&[&endpoint]));
+    config["settings"]["rules"]["askWithinNs"] = json!(10_000_000_000u64);
+    let _sidecar = Sidecar::start(&config);
+    let open_and_lose_watch = || {
+        let mut watch = discovery.next_call();
+        watch.open_watch();
+        watch.write_chunk("\n");
+        drop(watch);
+    };
+    for _ in 0..5 {
+        open_and_lose_watch();
+    }
+
+    let lost_at = Instant::now();
+    open_and_lose_watch();
+
+    // The first pause is a twentieth of the poll interval with a jitter of a half; with earlier failures still counted it
+    // would be sixteen times as long.
+    let pause = lost_at.elapsed();
+    assert!(pause < Duration::from_millis(3_500), "{pause:?}");
+}
+
+/// Guards the list against older versions, in late changes or in the full list of a replica that lags behind: they have no
+/// effect, and the watch is reopened. If a stale full list comes again, discovery was reset and the list is accepted, but
+/// endpoints that drain go on doing so.
+#[test]
+fn stale_list_is_rejected_until_it_comes_again() {
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
+    let discovery = ManualDiscovery::start();
+    let sidecar = start_sidecar(&discovery, &[&endpoints[0], &endpoints[1], &endpoints[2]]);
+    let old_entries = serving_entries(&[&endpoints[0], &endpoints[1], &endpoints[2]]);
+    let mut new_entries = old_entries.clone();
+    new_entries[0]["status"] = json!("DRAINING");
+    new_entries.truncate(2); // the third is removed
+    let mut watch = discovery.next_call();
+    watch.open_watch();
+    watch.write_line(&list(50, true, &new_entries));
+    wait_for_unavailable(&sidecar, 1);
+
+    watch.write_line(&list(45, false, &old_entries));
+    let mut lagging = discovery.next_call();
+    assert!(lagging.is_watch_since(50), "{}", lagging.request_line);
+    lagging.open_watch();
+    // Changes of the same version are not stale; the full list that follows is.
+    lagging.write_line(&list(50, false, &[]));
+    lagging.write_line(&list(44, true, &old_entries));
+    let mut reset = discovery.next_call();
+    assert!(reset.is_watch_since(50), "{}", reset.request_line);
+    assert_eq!(sidecar.metric("members"), Some(2));
+    wait_for_unavailable(&sidecar, 1);
+
+    reset.open_watch();
+    reset.write_line(&list(44, true, &old_entries));
+    wait_until("the list is accepted", || {
+        sidecar.metric("members") == Some(3)
+    });
+    wait_for_unavailable(&sidecar, 1);
+    drop(reset);
+    assert!(discovery.next_call().is_watch_since(44));
+}
+
+/// Guards a reload that moves discovery while a call is outstanding: once the new source has answered, the answer of the
+/// previous one has no effect.
+#[test]
+fn late_answer_of_the_previous_source_is_ignored() {
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
+    let (old, new) = (ManualDiscovery::start(), ManualDiscovery::start());
+    let old_entries = serving_entries(&[&endpoints[0], &endpoints[1]]);
+    let mut new_entries = old_entries.clone();
+    new_entries[0]["status"] = json!("DRAINING");
+    let mut config = with_admin_address(config(old.address(), &old_entries));
+    let path = temporary_file(&config.to_string());
+    let sidecar = Sidecar::start_with_file(&path);
+    let mut outstanding = old.next_call();
+
+    config["discovery"] = json!(new.address().to_string());
+    std::fs::write(&path, config.to_string()).expect("the file is written");
+    sidecar.send_signal("HUP");
+    let mut fetch = new.next_call();
+    assert!(fetch.is_fetch(), "{}", fetch.request_line);
+    fetch.respond_with_list(&list(7, true, &new_entries));
+    let _watch = new.next_call();
+    wait_for_unavailable(&sidecar, 1);
+    outstanding.try_write_late_watch(&list(99, true, &old_entries));
+
+    for _ in 0..20 {
+        assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
+    }
+    assert_eq!(
+        (
+            endpoints[0].take_request_count(),
+            sidecar.metric("members_unavailable")
+        ),
+        (0, Some(1))
+    );
+    std::fs::remove_file(path).expect("the file goes");
+}
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -5,8 +5,6 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-const READY: &str = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
-
 /// When the rule on drains looks: 4 s after the call.
 const DUE: Duration = Duration::from_secs(4);
 
@@ -26,15 +24,15 @@
     let (mut busy, mut idle, mut waits) = (sidecar.client(), sidecar.client(), sidecar.client());
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
     let mut front = sidecar.client();
-    assert_eq!(front.exchange(READY).status(), 200);
+    assert_eq!(front.exchange(READY_REQUEST).status(), 200);
     waits.write(&post_request("unsafe", "15", "x"));
     while endpoint.next_request().1.header("x-class") != Some("unsafe") {}
     assert!(sidecar.call_is_yes("DRAIN"));
     let begun = Instant::now();
     assert!(sidecar.call_is_yes("DRAIN"), "twice is as once");
     assert!(!sidecar.call_is_yes("READY"));
-    assert_eq!(front.exchange(READY).status(), 503);
-    assert_eq!(sidecar.client().exchange(READY).status(), 503);
+    assert_eq!(front.exchange(READY_REQUEST).status(), 503);
+    assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 503);
     // Callers come back until they are told that their connection closes.
     loop {
         let answer = busy.exchange(&get_request("5"));
@@ -64,7 +62,7 @@
     assert!(sidecar.call_is_yes("UNDRAIN"));
     assert!(sidecar.call_is_yes("READY"));
     let mut client = sidecar.client();
-    assert_eq!(client.exchange(READY).status(), 200);
+    assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     for _ in 0..3 {
         let answer = client.exchange(&get_request("5"));
         assert_eq!((answer.status(), answer.header("connection")), (200, None));
@@ -78,7 +76,7 @@
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
     let mut idle = sidecar.client();
-    assert_eq!(idle.exchange(READY).status(), 200);
+    assert_eq!(idle.exchange(READY_REQUEST).status(), 200);
     assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
     assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
     std::thread::sleep(Duration::from_secs(3)); // past all steps of the one called off
--- a/tests/sidecar/lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -16,10 +16,10 @@
         let mut watch = discovery.next_watch();
         assert!(
             watch
-                .asked
+                .request_line
                 .starts_with("GET /v1/endpoints?follow=1&since=41 "),
             "{}",
-            watch.asked
+            watch.request_line
         );
         let mut client = sidecar.client();
         while endpoints[0].take_request_count() == 0 {
@@ -47,7 +47,7 @@
     watch.write_line(&list(57, true, &[entry("e0", endpoint.address, "SERVING")]));
     watch.write_line(r#"{"index":58,"snapshot":false,"endpoints":[{"name":"e0"}]}"#);
     assert!(
-        discovery.next_watch().asked.contains("since=57 "),
+        discovery.next_watch().request_line.contains("since=57 "),
         "version 58 was not taken"
     );
     sidecar.wait_for_log("watch on discovery ended");
@@ -76,7 +76,7 @@
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
     assert_eq!(endpoints[1].take_request_count(), 1);
     drop(watch);
-    assert!(discovery.next_watch().asked.contains("since=42 "));
+    assert!(discovery.next_watch().request_line.contains("since=42 "));
 }
 
 /// Guards against a discovery that has vanished with its machine: it says nothing, and its connection stays open.
@@ -85,7 +85,7 @@
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (_sidecar, discovery) = Sidecar::start_over(&[&endpoint]);
     let _silent = discovery.next_watch();
-    assert!(discovery.next_watch().asked.contains("since=41 "));
+    assert!(discovery.next_watch().request_line.contains("since=41 "));
 }
 
 /// Guards the check before the first byte: nothing is written to an endpoint that drains by the time that its
@@ -116,7 +116,7 @@
     watch.write_line(&list(42, false, &[entry("e0", address, "DRAINING")]));
     drop(watch);
     assert!(
-        discovery.next_watch().asked.contains("since=42 "),
+        discovery.next_watch().request_line.contains("since=42 "),
         "the drain is known"
     );
     let ours: Vec<_> = fillers
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -2,7 +2,6 @@
 //! and none makes more calls than it has to.
 
 use crate::stubs::*;
-use crate::watches::{Call, Calls, HEAD};
 use serde_json::{Value, json};
 use std::process::Child;
 
@@ -17,7 +16,7 @@
 /// A sidecar, and discovery as it alone reaches it: whose a call is shows in where it comes.
 struct Member {
     sidecar: Sidecar,
-    discovery: Calls,
+    discovery: ManualDiscovery,
     config: Value,
 }
 
@@ -33,17 +32,17 @@
     }
 
     /// Its one call that waits for an answer. A second one beside it would cost discovery an answer for nothing.
-    fn only_call(&self) -> Call {
+    fn only_call(&self) -> DiscoveryCall {
         let mut calls = Vec::new();
         wait_until("a call", || {
-            calls = self.discovery.waiting();
+            calls = self.discovery.take_open_calls();
             !calls.is_empty()
         });
         assert_eq!(
             calls.len(),
             1,
             "{:?}",
-            calls.iter().map(|c| &c.asked).collect::<Vec<_>>()
+            calls.iter().map(|c| &c.request_line).collect::<Vec<_>>()
         );
         calls.remove(0)
     }
@@ -72,8 +71,9 @@
 /// A fleet that has just started, no call of which has been answered. No other test uses its network address, so that a
 /// port that a killed process had stays free: processes that the operators can call would share it unnoticed.
 fn fleet(network_address: &str, mode: &str, known: &Value) -> Vec<Member> {
-    let discoveries: Vec<Calls> = (0..SIDECARS).map(|_| Calls::start()).collect();
-    let configure = |(number, discovery): (usize, &Calls)| {
+    let discoveries: Vec<ManualDiscovery> =
+        (0..SIDECARS).map(|_| ManualDiscovery::start()).collect();
+    let configure = |(number, discovery): (usize, &ManualDiscovery)| {
         let mut config = with_admin_address(config(discovery.address(), &[]));
         config["listen"] = json!(format!("{network_address}:0"));
         config["known"] = known.clone();
@@ -133,26 +133,26 @@
     fleet.iter().for_each(serves);
     for member in &fleet {
         let mut call = member.only_call();
-        assert!(call.follows(41), "{mode}: {}", call.asked);
-        call.writes(OVERLOADED);
+        assert!(call.is_watch_since(41), "{mode}: {}", call.request_line);
+        call.write(OVERLOADED);
     }
     let mut watches = Vec::new();
     for member in &fleet {
         let mut watch = member.only_call();
-        assert!(watch.follows(41), "{mode}: {}", watch.asked);
+        assert!(watch.is_watch_since(41), "{mode}: {}", watch.request_line);
         serves(member);
-        watch.writes(HEAD);
+        watch.open_watch();
         let started = entry(
             "started",
             Endpoint::start(|_| respond_ok("")).address,
             "SERVING",
         );
-        watch.chunk(&format!("{}\n", list(42, false, &[started])));
+        watch.write_line(&list(42, false, &[started]));
         wait_until("the list is current", || {
             member.sidecar.metric("members") == Some(2)
         });
         assert_eq!(
-            member.discovery.waiting().len(),
+            member.discovery.take_open_calls().len(),
             0,
             "{mode}: it has all that it needs"
         );
@@ -180,13 +180,13 @@
     for (answers, member) in fleet.iter().enumerate() {
         let mut call = member.only_call();
         assert!(
-            call.asked.starts_with("GET /v1/endpoints "),
+            call.request_line.starts_with("GET /v1/endpoints "),
             "{mode}: {}",
-            call.asked
+            call.request_line
         );
         assert_eq!(fleet.iter().filter(|m| m.is_ready()).count(), answers);
         let text = list(42, true, &serving_entries(&[&endpoint]));
-        call.writes(&format!(
+        call.write(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
         ));
@@ -196,7 +196,7 @@
             200
         );
         let watch = member.only_call();
-        assert!(watch.follows(42), "{mode}: {}", watch.asked);
+        assert!(watch.is_watch_since(42), "{mode}: {}", watch.request_line);
     }
 }
 
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -44,9 +44,9 @@
     sidecar.send_signal("HUP");
     let mut next = new.next_watch();
     assert!(
-        next.asked.starts_with("GET /v1/endpoints "),
+        next.request_line.starts_with("GET /v1/endpoints "),
         "the whole list: {}",
-        next.asked
+        next.request_line
     );
     // The old one still has something to tell.
     watch.write_line(&list(42, true, &all("DRAINING")));
@@ -56,9 +56,9 @@
     next.finish();
     let mut next = new.next_watch();
     assert!(
-        next.asked.contains("?follow=1&since=7 "),
+        next.request_line.contains("?follow=1&since=7 "),
         "the new one's version counts now: {}",
-        next.asked
+        next.request_line
     );
     assert!(
         watch.is_closed(),
@@ -74,7 +74,7 @@
     );
     next.write_line(&list(8, false, &[]));
     drop(next);
-    assert!(new.next_watch().asked.contains("since=8 "));
+    assert!(new.next_watch().request_line.contains("since=8 "));
 
     release.send(()).expect("the endpoint waits");
     assert_eq!(
@@ -141,7 +141,11 @@
     assert!(idle.is_closed(), "it stops");
     write(&path, &config(new.address, &known));
     sidecar.send_signal("HUP");
-    assert!(new.next_watch().asked.starts_with("GET /v1/endpoints "));
+    assert!(
+        new.next_watch()
+            .request_line
+            .starts_with("GET /v1/endpoints ")
+    );
     release.send(()).expect("the endpoint waits");
     assert_eq!(
         waits.read().expect("what was taken is answered").body,
@@ -367,7 +371,10 @@
     write(&path, &serde_json::from_str(&text).expect("it is good"));
     sidecar.send_signal("HUP");
     assert!(
-        other.next_watch().asked.starts_with("GET /v1/endpoints "),
+        other
+            .next_watch()
+            .request_line
+            .starts_with("GET /v1/endpoints "),
         "the whole of it is taken"
     );
     wait_until("the class is there", || {
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -1,30 +1,32 @@
-//! Discovery, as the tests have it speak.
+//! A discovery that opens every watch at once and leaves its events to the test.
 
 use super::message::*;
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::{Receiver, channel};
+use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
+/// An entry of an endpoint list.
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "m", "group": 0,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
+/// An endpoint list: the full one if it is a snapshot, else changes.
 pub fn list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
     json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
 }
 
+/// A discovery that answers every call with a chunked response. Watches are received in the order of their calls.
 pub struct Discovery {
     pub address: SocketAddr,
-    watches: Receiver<(String, TcpStream)>,
+    watches: Receiver<Watch>,
 }
 
-/// A watch that the sidecar has opened.
+/// A call of discovery whose response has begun; a watch, unless the sidecar asked for the full list.
 pub struct Watch {
-    /// The request line with which it was.
-    pub asked: String,
+    pub request_line: String,
     stream: TcpStream,
 }
 
@@ -32,36 +34,43 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, watches) = channel();
-        thread::spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                let mut reader = BufReader::new(stream);
-                let Some(message) = read_message(&mut reader) else {
-                    continue;
-                };
-                let mut stream = reader.into_inner();
-                let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                if stream.write_all(head).is_ok()
-                    && tell.send((message.start_line, stream)).is_err()
-                {
-                    break;
-                }
-            }
-        });
+        let (opened, watches) = channel();
+        thread::spawn(move || accept_calls(&listener, &opened));
         Discovery { address, watches }
     }
 
+    /// Waits for the next call.
     pub fn next_watch(&self) -> Watch {
-        let (asked, stream) = self
-            .watches
+        self.watches
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the sidecar opens a watch");
-        Watch { asked, stream }
+            .expect("the sidecar opens a watch")
+    }
+}
+
+fn accept_calls(listener: &TcpListener, opened: &Sender<Watch>) {
+    for stream in listener.incoming().map_while(Result::ok) {
+        let Some(mut watch) = Watch::read(stream) else {
+            continue;
+        };
+        let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        if watch.stream.write_all(head).is_ok() && opened.send(watch).is_err() {
+            break;
+        }
     }
 }
 
 impl Watch {
-    /// Whether the sidecar has closed it.
+    /// Reads the request on a connection; returns `None` if the connection was closed before.
+    fn read(stream: TcpStream) -> Option<Self> {
+        let mut reader = BufReader::new(stream);
+        let request_line = read_message(&mut reader)?.start_line;
+        Some(Watch {
+            request_line,
+            stream: reader.into_inner(),
+        })
+    }
+
+    /// Waits until the sidecar closes the watch, and returns whether it has done so in time.
     pub fn is_closed(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(TEST_TIMEOUT))
@@ -69,24 +78,25 @@
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    /// Tells a line, on the next watch where the sidecar has given this one up for its silence.
-    pub fn says(&mut self, discovery: &Discovery, line: &str) {
+    /// Writes a line, on the next watch if the sidecar has closed this one because it was silent.
+    pub fn write_line_reconnecting(&mut self, discovery: &Discovery, line: &str) {
         if !self.is_open() {
             *self = discovery.next_watch();
         }
         self.write_line(line);
     }
 
-    /// Whether the sidecar has not closed it so far.
+    /// Returns whether the sidecar has left the connection open.
     fn is_open(&self) -> bool {
         is_open_and_silent(&self.stream)
     }
 
-    /// Ends it in order, as a list that was asked for once.
+    /// Ends the response in order, as that to a fetch.
     pub fn finish(&mut self) {
         self.stream.write_all(b"0\r\n\r\n").expect("it is open");
     }
 
+    /// Writes a line of the watch, empty for a heartbeat.
     pub fn write_line(&mut self, line: &str) {
         let length = line.len() + 1;
         self.stream
--- a/tests/sidecar/stubs/mod.rs
+++ b/tests/sidecar/stubs/mod.rs
@@ -3,14 +3,16 @@
 mod caller;
 mod discovery;
 mod endpoint;
+mod manual_discovery;
 mod message;
 mod program;
 pub mod raw_http;
-mod scripted;
+mod scripted_endpoint;
 
 pub use caller::*;
 pub use discovery::*;
 pub use endpoint::*;
+pub use manual_discovery::*;
 pub use message::*;
 pub use program::*;
-pub use scripted::*;
+pub use scripted_endpoint::*;
--- /dev/null
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -0,0 +1,69 @@
+//! An endpoint that answers when the test tells it to, and a sidecar with a short deadline.
+
+use super::caller::*;
+use super::discovery::*;
+use super::endpoint::*;
+use super::program::*;
+use serde_json::{Value, json};
+use std::sync::Mutex;
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::time::Duration;
+
+/// The readiness check of a front.
+pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
+
+/// Requests for which the retry budget earns a few retries.
+const REQUESTS_THAT_EARN_RETRIES: usize = 10;
+
+/// An endpoint that waits with each request until the test says how to respond.
+pub struct ScriptedEndpoint {
+    pub endpoint: Endpoint,
+    actions: Sender<EndpointAction>,
+}
+
+impl ScriptedEndpoint {
+    pub fn start() -> Self {
+        let (actions, script): (_, Receiver<EndpointAction>) = channel();
+        let script = Mutex::new(script);
+        let endpoint = Endpoint::start(move |_| {
+            script
+                .lock()
+                .expect("the only one")
+                .recv()
+                .unwrap_or(EndpointAction::Hang)
+        });
+        ScriptedEndpoint { endpoint, actions }
+    }
+
+    /// Sets the response to the next request, which may be waiting already.
+    pub fn respond_next(&self, action: EndpointAction) {
+        self.actions.send(action).expect("it waits");
+    }
+
+    /// Serves enough requests to earn a few retries.
+    pub fn earn_retries(&self, client: &mut Client) {
+        for _ in 0..REQUESTS_THAT_EARN_RETRIES {
+            client.write(&get_request("5"));
+            self.respond_next(respond_ok("x"));
+            assert_eq!(client.read().expect("an answer").status(), 200);
+            self.endpoint.next_request();
+        }
+    }
+}
+
+/// A configuration in which every class has this deadline, which also bounds the steps of a graceful shutdown.
+pub fn config_with_deadline(
+    discovery: &Discovery,
+    endpoints: &[&Endpoint],
+    deadline: Duration,
+) -> Value {
+    let mut config = with_admin_address(config(discovery.address, &serving_entries(endpoints)));
+    let classes = config["settings"]["categories"]
+        .as_array_mut()
+        .expect("a list");
+    for class in classes {
+        class["objectiveNs"] = json!(deadline.as_nanos() as u64);
+        class["hardLimitNs"] = json!(deadline.as_nanos() as u64);
+    }
+    config
+}
