--- a/fleet-lab/src/sidecar/hollow/calls.rs
+++ b/fleet-lab/src/sidecar/hollow/calls.rs
@@ -1,7 +1,7 @@
 //! Callers of a hollow sidecar: when calls arrive, and those that are open.
 
-use super::task::Task;
 use balancer_sidecar::policy::{AttemptNumber, RequestId, Timestamp};
+use balancer_sidecar::task::Task;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
--- a/fleet-lab/src/sidecar/hollow/member.rs
+++ b/fleet-lab/src/sidecar/hollow/member.rs
@@ -8,8 +8,7 @@
 use super::clock::Clock;
 use super::fleet_state::FleetState;
 use super::plan::MemberPlan;
-use super::task::Task;
-use balancer_sidecar::discovery::{Membership, Source};
+use balancer_sidecar::discovery::{SourceChange, Subscription};
 use balancer_sidecar::policy::*;
 use rand::{RngExt, SeedableRng};
 use rand_distr::Exp1;
@@ -41,11 +40,7 @@
     /// The module's ids of the settings' classes, in their order.
     classes: Vec<ClassId>,
     balancer: Balancer,
-    membership: Membership,
-    source: Source,
-    watch: Option<Task>,
-    /// The watch on the discovery before, which is followed until the present one has spoken.
-    watch_before: Option<Task>,
+    subscription: Subscription,
     calls: OpenCalls,
     calls_made: u64,
     /// Once callers have begun to call: when the sidecar is first ready, as they ask for that.
@@ -83,13 +78,7 @@
             settings_document: plan.settings_document.clone(),
             classes: (0..plan.settings.classes.len()).map(ClassId).collect(),
             balancer: Balancer::new(plan.settings.clone(), seed)?,
-            membership: Membership::default(),
-            source: Source {
-                address: plan.discovery,
-                generation: 0,
-            },
-            watch: None,
-            watch_before: None,
+            subscription: Subscription::new(plan.discovery),
             calls: OpenCalls::default(),
             calls_made: 0,
             has_callers: false,
@@ -102,7 +91,11 @@
         let known = plan.known_list();
         let asks_at_once = known.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
         if let Some(known) = known {
-            member.borrow().membership.assume_version(known.index);
+            member
+                .borrow()
+                .subscription
+                .membership_mut()
+                .assume_version(known.index);
             member.learn(known, ListKind::Cached);
         }
         if asks_at_once {
@@ -121,17 +114,7 @@
             );
         }
         let mut member = self.borrow();
-        if plan.discovery != member.source.address {
-            let generation = member.source.generation + 1;
-            member.source = Source {
-                address: plan.discovery,
-                generation,
-            };
-            let has_spoken = member.membership.forget_version();
-            let watch = member.watch.take();
-            if has_spoken {
-                member.watch_before = watch;
-            }
+        if member.subscription.move_to(plan.discovery) == SourceChange::Moved {
             member.begin_watch(self);
         }
     }
@@ -248,7 +231,8 @@
     /// When an endpoint last started; none where it is not listed. Answers in memory have no addresses, so an endpoint that
     /// starts at another's address does not replace it here.
     fn started_at(&self, endpoint: &EndpointId) -> Option<Option<Timestamp>> {
-        self.membership
+        self.subscription
+            .membership()
             .get(endpoint)
             .map(|member| member.started_at)
     }
--- a/fleet-lab/src/sidecar/hollow/member/actions.rs
+++ b/fleet-lab/src/sidecar/hollow/member/actions.rs
@@ -2,13 +2,13 @@
 
 use super::super::attempts::{self, Attempt, HealthCheck};
 use super::super::calls::NextAttempt;
-use super::super::task::Task;
 use super::{Member, MemberHandle};
 use balancer_sidecar::discovery;
 use balancer_sidecar::policy::{
     Action, AttemptEnd, AttemptNumber, DiscoveryMode, EndpointId, Event, Outcome, RequestId,
     Timestamp,
 };
+use balancer_sidecar::task::Task;
 use rand::RngExt;
 use rand_distr::Exp1;
 use std::time::Duration;
@@ -32,11 +32,14 @@
             Action::Subscribe(false) => self.end_watch(),
             Action::Subscribe(true) => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if self.watch.as_ref().is_none_or(Task::is_over) {
+                if !self.subscription.is_followed() {
                     self.begin_watch(handle);
                 }
             }
-            Action::FetchList => drop(spawn_local(discovery::fetch(handle.clone(), self.source))),
+            Action::FetchList => drop(spawn_local(discovery::fetch(
+                handle.clone(),
+                self.subscription.source(),
+            ))),
             Action::HealthCheck { endpoint } => self.check_health(handle, endpoint),
             Action::Log(text) => tracing::debug!(place = self.identity.place, "{text}"),
             // There are no connections, and no peers.
@@ -65,7 +68,7 @@
         let Some(next) = self.calls.next_attempt(&request) else {
             return;
         };
-        if next.call_is_answered || self.membership.get(&endpoint).is_none() {
+        if next.call_is_answered || self.subscription.membership().get(&endpoint).is_none() {
             self.calls.begin_attempt(&request, now, None);
             self.events.push_back(unsent(request, next));
             return;
--- a/fleet-lab/src/sidecar/hollow/member/discovery.rs
+++ b/fleet-lab/src/sidecar/hollow/member/discovery.rs
@@ -1,12 +1,11 @@
 //! The hollow sidecar as the client of discovery sees it: the lists it is told, and its watch.
 
 use super::super::calls;
-use super::super::task::Task;
 use super::{Identity, Member, MemberHandle};
 use balancer_sidecar::discovery::{
-    self, DiscoveryError, EndpointList, ListConsumer, OlderList, Source,
+    DiscoveryError, EndpointList, ListConsumer, ListOrigin, OlderList, Source,
 };
-use balancer_sidecar::policy::{DiscoveryMode, Event, ListKind};
+use balancer_sidecar::policy::{Event, ListKind};
 use std::fmt;
 use std::sync::Arc;
 use tokio::task::spawn_local;
@@ -15,11 +14,16 @@
     /// Takes over a list's endpoints, and has calls arrive once there is one that serves.
     pub(super) fn learn(&self, list: EndpointList, kind: ListKind) {
         let mut member = self.borrow();
-        let entries = member.membership.update(&list, kind).entries.into();
+        let entries = member
+            .subscription
+            .membership_mut()
+            .update(&list, kind)
+            .entries
+            .into();
         let Identity { place, start } = member.identity;
         let milestones = &member.fleet.milestones[place];
         milestones.has_version(start, list.index);
-        let is_ready = member.membership.serving().next().is_some();
+        let is_ready = member.subscription.membership().serving().next().is_some();
         milestones.is_ready(start, is_ready);
         if is_ready && !member.has_callers {
             member.has_callers = true;
@@ -37,41 +41,27 @@
 impl Member {
     /// Begins to follow discovery, in place of the watch that there was.
     pub(super) fn begin_watch(&mut self, handle: &MemberHandle) {
-        let (consumer, source) = (handle.clone(), self.source);
-        self.watch = Some(match self.settings.discovery {
-            DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
-            DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
-                consumer,
-                source,
-                self.membership.version(),
-            )),
-        });
+        self.subscription
+            .follow(handle.clone(), self.settings.discovery);
     }
 
     /// Follows discovery no more.
     pub(super) fn end_watch(&mut self) {
-        self.watch = None;
+        self.subscription.unfollow();
         let Identity { place, start } = self.identity;
-        self.fleet.milestones[place].lost_watch(start, self.source.generation);
+        self.fleet.milestones[place].lost_watch(start, self.subscription.source().generation);
     }
 }
 
 impl ListConsumer for MemberHandle {
     fn known_version(&self, source: Source) -> Option<u64> {
-        let member = self.borrow();
-        member
-            .membership
-            .version()
-            .filter(|_| source == member.source)
+        self.borrow().subscription.known_version(source)
     }
 
     fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
         let mut member = self.borrow();
-        if source == member.source {
-            member.membership.accept(&mut list)?;
-            member.watch_before = None;
-        } else if member.membership.version().is_some() {
-            return Ok(()); // the present one has spoken
+        if member.subscription.accept(source, &mut list)? == ListOrigin::Superseded {
+            return Ok(());
         }
         drop(member);
         let kind = if list.snapshot {
@@ -101,8 +91,8 @@
     /// That of a discovery that is no longer asked was to be.
     fn discovery_failed(&self, source: Source) {
         let mut member = self.borrow();
-        if source == member.source {
-            member.watch = None;
+        if source == member.subscription.source() {
+            member.subscription.unfollow();
             drop(member);
             self.tell(Event::DiscoveryFailed);
         }
--- a/fleet-lab/src/sidecar/hollow/mod.rs
+++ b/fleet-lab/src/sidecar/hollow/mod.rs
@@ -13,7 +13,6 @@
 mod member;
 mod milestones;
 mod plan;
-mod task;
 mod thread;
 mod usage;
 
--- a/fleet-lab/src/sidecar/hollow/thread.rs
+++ b/fleet-lab/src/sidecar/hollow/thread.rs
@@ -3,8 +3,8 @@
 use super::fleet_state::FleetState;
 use super::member::{Identity, MemberHandle};
 use super::plan::MemberPlan;
-use super::task::Task;
 use balancer_sidecar::policy::SettingsError;
+use balancer_sidecar::task::Task;
 use std::collections::HashMap;
 use std::future::pending;
 use std::io;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -12,6 +12,7 @@
 mod membership;
 mod patient_call;
 mod source;
+mod subscription;
 
 pub use backoff::Backoff;
 pub use client::{fetch, follow_agent, watch};
@@ -20,3 +21,4 @@
 pub use list::{EndpointList, Entry, Status};
 pub use membership::{ListUpdate, Member, Membership};
 pub use source::Source;
+pub use subscription::{ListOrigin, SourceChange, Subscription};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,7 @@
 //! | [`command_line`] | the program's commands |
 //! | [`simulator`] | the simulator's wire, and the adapter that speaks it |
 //! | [`sidecar`] | the sidecar: sockets, HTTP, connection pools, time |
+//! | [`task`] | local tasks that stop with their owner |
 //!
 //! ```
 //! use balancer_sidecar::policy::*;
@@ -56,3 +57,4 @@
 pub mod policy;
 pub mod sidecar;
 pub mod simulator;
+pub mod task;
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -7,7 +7,7 @@
 use crate::sidecar::descriptors::DescriptorPermit;
 use crate::sidecar::memory::MemoryBudget;
 use crate::sidecar::sockets;
-use crate::sidecar::task::Task;
+use crate::task::Task;
 use hyper::Request;
 use hyper::body::Body;
 use hyper::client::conn::http1::{self, SendRequest};
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! | layer | files |
 //! | --- | --- |
-//! | foundations | `log.rs`, `clock.rs`, `task.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
+//! | foundations | `log.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
 //! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `upgrade/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
@@ -29,7 +29,6 @@
 mod report;
 mod server;
 mod sockets;
-mod task;
 mod upgrade;
 
 pub use process::main;
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -33,16 +33,16 @@
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
             // An agent that pushes is followed unasked.
             Action::Subscribe(_) if self.settings.current().discovery == DiscoveryMode::Pushed => {}
-            Action::Subscribe(false) => self.watches.end(),
+            Action::Subscribe(false) => self.subscription.unfollow(),
             Action::Subscribe(true) => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if !self.watches.is_followed() {
+                if !self.subscription.is_followed() {
                     self.begin_watch(handle);
                 }
             }
             Action::FetchList => drop(spawn_local(discovery::fetch(
                 handle.clone(),
-                self.watches.source(),
+                self.subscription.source(),
             ))),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
             Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -7,13 +7,13 @@
     Timestamp,
 };
 use crate::sidecar::endpoint::{self, AttemptOrder, Target};
-use crate::sidecar::task::Task;
+use crate::task::Task;
 use std::time::Duration;
 
 impl Node {
     /// Where an endpoint listens, if it is listed.
     pub(super) fn target(&self, endpoint: &EndpointId) -> Option<Target> {
-        let member = self.membership.get(endpoint)?;
+        let member = self.subscription.membership().get(endpoint)?;
         let (address, started_at) = (member.address, member.started_at);
         Some(Target {
             endpoint: endpoint.clone(),
@@ -24,11 +24,15 @@
 
     /// Whether an endpoint's process takes work, by the list and by the operators.
     pub(super) fn takes_work(&self, target: &Target) -> bool {
-        self.membership.get(&target.endpoint).is_some_and(|member| {
-            let is_same =
-                member.started_at == target.started_at && member.address == target.address;
-            member.readiness == Readiness::Up && is_same
-        }) && !self.is_disabled(&target.endpoint)
+        self.subscription
+            .membership()
+            .get(&target.endpoint)
+            .is_some_and(|member| {
+                let is_same =
+                    member.started_at == target.started_at && member.address == target.address;
+                member.readiness == Readiness::Up && is_same
+            })
+            && !self.is_disabled(&target.endpoint)
     }
 
     /// Starts an attempt, if its request still wants an answer and its endpoint is still listed.
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -1,9 +1,8 @@
 //! The node as the client of discovery sees it.
 
 use super::state::{Node, NodeHandle};
-use crate::discovery::{self, EndpointList, ListConsumer, OlderList, Source};
+use crate::discovery::{EndpointList, ListConsumer, ListOrigin, OlderList, Source};
 use crate::policy::{DiscoveryMode, Event, ListKind};
-use crate::sidecar::task::Task;
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,8 +14,9 @@
     /// Takes over a list's endpoints.
     pub(super) fn take_list(&self, list: &EndpointList, kind: ListKind) {
         let mut node = self.borrow();
-        let mut update = node.membership.update(list, kind);
-        node.membership.remove_replaced(&mut update);
+        let membership = node.subscription.membership_mut();
+        let mut update = membership.update(list, kind);
+        membership.remove_replaced(&mut update);
         update
             .outdated
             .iter()
@@ -39,35 +39,22 @@
 
     /// Begins to follow discovery.
     pub(super) fn begin_watch(&mut self, handle: &NodeHandle) {
-        let (consumer, source) = (handle.clone(), self.watches.source());
-        self.watches
-            .follow(match self.settings.current().discovery {
-                DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
-                DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
-                    consumer,
-                    source,
-                    self.membership.version(),
-                )),
-            });
+        let mode = self.settings.current().discovery;
+        self.subscription.follow(handle.clone(), mode);
     }
 }
 
 impl ListConsumer for NodeHandle {
     fn known_version(&self, source: Source) -> Option<u64> {
-        let node = self.borrow();
-        node.membership
-            .version()
-            .filter(|_| source == node.watches.source())
+        self.borrow().subscription.known_version(source)
     }
 
     fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
         let mut node = self.borrow();
-        if source == node.watches.source() {
-            node.membership.accept(&mut list)?;
-            node.first_list_due = None;
-            node.watches.has_spoken();
-        } else if node.membership.version().is_some() {
-            return Ok(()); // the present one has spoken
+        match node.subscription.accept(source, &mut list)? {
+            ListOrigin::Current => node.first_list_due = None,
+            ListOrigin::Previous => {}
+            ListOrigin::Superseded => return Ok(()),
         }
         drop(node);
         let kind = if list.snapshot {
@@ -96,8 +83,8 @@
     /// That of a discovery that is no longer asked was to be.
     fn discovery_failed(&self, source: Source) {
         let mut node = self.borrow();
-        if source == node.watches.source() {
-            node.watches.end();
+        if source == node.subscription.source() {
+            node.subscription.unfollow();
             drop(node);
             self.handle(Event::DiscoveryFailed);
         }
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -117,7 +117,8 @@
         node.counters.health_checks += 1;
         node.counters.reports += u64::from(report.is_some());
         if node
-            .membership
+            .subscription
+            .membership()
             .get(&target.endpoint)
             .is_none_or(|m| m.started_at != target.started_at)
         {
--- a/src/sidecar/node/first_list_tests.rs
+++ b/src/sidecar/node/first_list_tests.rs
@@ -53,7 +53,7 @@
 fn a_silent_watch_makes_a_replacing_process_ready() {
     replacing(async |node| {
         assert!(!node.borrow().is_ready(), "discovery has not been reached");
-        let source = node.borrow().watches.source();
+        let source = node.borrow().subscription.source();
         node.watch_opened(source);
         assert!(!node.borrow().is_ready(), "the first list may follow");
         advance(Duration::from_millis(200)).await;
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -13,7 +13,6 @@
 mod requests;
 mod settings_in_force;
 mod state;
-mod watches;
 
 pub use open_request::{FinalAnswer, RequestRejected};
 pub use settings_in_force::SettingsInForce;
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::{AttemptNumber, Timestamp};
 use crate::sidecar::endpoint::{ForwardedRequest, ServedAnswer};
-use crate::sidecar::task::Task;
+use crate::task::Task;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -3,8 +3,8 @@
 use super::state::NodeHandle;
 use crate::policy::{EndpointId, Event};
 use crate::sidecar::caller::DrainState;
-use crate::sidecar::task::Task;
 use crate::sidecar::upgrade::ProcessMessage;
+use crate::task::Task;
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -3,6 +3,7 @@
 use super::settings_in_force::SettingsInForce;
 use super::state::NodeHandle;
 use crate::configuration::Config;
+use crate::discovery::SourceChange;
 use crate::policy::{Event, SettingsError};
 
 /// Why a configuration is not taken over.
@@ -26,12 +27,11 @@
     pub fn reload(&self, config: Config) -> Result<(), ReloadError> {
         let changed = self.change_settings(&config)?;
         self.borrow().metrics.reloads += 1;
-        let has_moved = self.move_discovery(&config);
+        let source_change = self.move_discovery(&config);
         let fixed = self.borrow().fixed.differences(&config.fixed).join(", ");
-        let discovery = if has_moved {
-            format!("moves to {}", config.discovery)
-        } else {
-            "stays".into()
+        let discovery = match source_change {
+            SourceChange::Moved => format!("moves to {}", config.discovery),
+            SourceChange::Unchanged => "stays".into(),
         };
         let restart = if fixed.is_empty() {
             String::new()
@@ -47,15 +47,13 @@
         Ok(())
     }
 
-    fn move_discovery(&self, config: &Config) -> bool {
+    fn move_discovery(&self, config: &Config) -> SourceChange {
         let mut node = self.borrow();
-        if config.discovery == node.watches.source().address {
-            return false;
+        let change = node.subscription.move_to(config.discovery);
+        if change == SourceChange::Moved {
+            node.begin_watch(self);
         }
-        let had_spoken = node.membership.forget_version();
-        node.watches.move_to(config.discovery, had_spoken);
-        node.begin_watch(self);
-        true
+        change
     }
 
     /// Goes on with the settings of a configuration, and returns the names of those that have changed.
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -2,9 +2,8 @@
 
 use super::open_request::OpenRequest;
 use super::settings_in_force::SettingsHistory;
-use super::watches::Watches;
 use crate::configuration::{Config, FixedValues};
-use crate::discovery::Membership;
+use crate::discovery::Subscription;
 use crate::policy::{
     Action, Balancer, BalancerStatus, DiscoveryMode, EndpointId, Event, ListKind, RequestId,
     SettingsError, Timestamp,
@@ -16,8 +15,8 @@
 use crate::sidecar::endpoint::ConnectionPool;
 use crate::sidecar::memory::MemoryBudget;
 use crate::sidecar::metrics::{MemberCounts, Metrics};
-use crate::sidecar::task::Task;
 use crate::sidecar::upgrade::{OtherProcesses, SharedDirectory};
+use crate::task::Task;
 use serde_json::Value;
 use std::cell::{RefCell, RefMut};
 use std::collections::{HashMap, VecDeque};
@@ -56,10 +55,9 @@
     pub(super) balancer: Balancer,
     /// The configuration's, of random numbers that the module does not draw.
     pub(super) seed: u64,
-    pub(super) membership: Membership,
+    pub(super) subscription: Subscription,
     pub(super) open: HashMap<RequestId, OpenRequest>,
     pub(super) unanswered: u64,
-    pub(super) watches: Watches,
     /// Once it stops: when nothing may be unanswered any more.
     pub last_answer: Option<Timestamp>,
     /// Until then callers are not asked for before discovery has spoken: another process serves them meanwhile.
@@ -113,7 +111,10 @@
         // The module asks once what it was told is old, which with nothing told never comes.
         let knows_nothing = known.is_none();
         if let Some(known) = known {
-            node.borrow().membership.assume_version(known.index);
+            node.borrow()
+                .subscription
+                .membership_mut()
+                .assume_version(known.index);
             node.take_list(&known, ListKind::Cached);
         }
         let is_pushed = node.borrow().settings.current().discovery == DiscoveryMode::Pushed;
@@ -186,10 +187,9 @@
             settings: SettingsHistory::new(config.settings),
             document: config.document,
             fixed: config.fixed,
-            membership: Membership::default(),
+            subscription: Subscription::new(config.discovery),
             open: HashMap::new(),
             unanswered: 0,
-            watches: Watches::new(config.discovery),
             last_answer: None,
             first_list_due: None,
             other_processes: OtherProcesses::default(),
@@ -230,7 +230,8 @@
         let waits_for_list = self
             .first_list_due
             .is_some_and(|due| self.clock.now() < due);
-        self.membership
+        self.subscription
+            .membership()
             .serving()
             .any(|endpoint| !self.is_disabled(endpoint))
             && self.last_answer.is_none()
@@ -241,7 +242,7 @@
     /// How many endpoints are listed, and how many of them get nothing now.
     pub fn member_counts(&self) -> MemberCounts {
         MemberCounts {
-            listed: self.membership.len(),
+            listed: self.subscription.membership().len(),
             unavailable: self.balancer_status().avoided,
         }
     }
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -5,10 +5,10 @@
 use super::operators;
 use super::report;
 use super::server;
-use super::task::Task;
 use super::upgrade::{ProcessMessage, SharedDirectory};
 use crate::configuration::{Config, ConfigError};
 use crate::policy::SettingsError;
+use crate::task::Task;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::AsFd;
@@ -202,7 +202,7 @@
     // With nobody to take it, the part of it on offer would keep it open, and callers waiting there.
     let nobody_has_it = !node.borrow().other_processes.has_one_after();
     if let Some(offer) = offer.take_if(|_| nobody_has_it) {
-        offer.end().await;
+        offer.stop().await;
     }
     let is_last = !node.borrow().callers.are_accepted_elsewhere();
     if let Some(listener) = listener.into_std().ok().filter(|_| is_last) {
