--- a/fleet-lab/src/sidecar/hollow/member.rs
+++ b/fleet-lab/src/sidecar/hollow/member.rs
@@ -95,7 +95,7 @@
                 .borrow()
                 .subscription
                 .membership_mut()
-                .assume_version(known.index);
+                .set_cached_version(known.index);
             member.learn(known, ListKind::Cached);
         }
         if asks_at_once {
--- a/fleet-lab/src/sidecar/hollow/member/discovery.rs
+++ b/fleet-lab/src/sidecar/hollow/member/discovery.rs
@@ -3,7 +3,7 @@
 use super::super::calls;
 use super::{Identity, Member, MemberHandle};
 use balancer_sidecar::discovery::{
-    DiscoveryError, EndpointList, ListConsumer, ListOrigin, OlderList, Source,
+    DiscoveryError, EndpointList, ListConsumer, ListOrigin, Source, StaleListError,
 };
 use balancer_sidecar::policy::{Event, ListKind};
 use std::fmt;
@@ -58,7 +58,7 @@
         self.borrow().subscription.known_version(source)
     }
 
-    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
+    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), StaleListError> {
         let mut member = self.borrow();
         if member.subscription.accept(source, &mut list)? == ListOrigin::Superseded {
             return Ok(());
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -1,8 +1,8 @@
 //! A subscription to the endpoint list: the endpoints listed, and the watches that keep them up to date.
 
-use super::client::{follow_agent, watch};
+use super::client::{watch, watch_agent};
 use super::consumer::ListConsumer;
-use super::error::OlderList;
+use super::error::StaleListError;
 use super::list::EndpointList;
 use super::membership::Membership;
 use super::source::Source;
@@ -93,7 +93,7 @@
     /// Starts a watch on the current source, in place of the one that there was.
     pub fn follow<C: ListConsumer>(&mut self, consumer: C, mode: DiscoveryMode) {
         self.watch = Some(match mode {
-            DiscoveryMode::Pushed => Task::spawn(follow_agent(consumer, self.source)),
+            DiscoveryMode::Pushed => Task::spawn(watch_agent(consumer, self.source)),
             DiscoveryMode::OnRequest => {
                 let version = self.membership.version();
                 Task::spawn(watch(consumer, self.source, version))
@@ -114,7 +114,7 @@
         &mut self,
         source: Source,
         list: &mut EndpointList,
-    ) -> Result<ListOrigin, OlderList> {
+    ) -> Result<ListOrigin, StaleListError> {
         if source == self.source {
             self.membership.accept(list)?;
             self.previous_watch = None;
@@ -137,7 +137,7 @@
             generation: self.source.generation + 1,
         };
         let watch = self.watch.take();
-        if self.membership.forget_version() {
+        if self.membership.clear_version() {
             self.previous_watch = watch;
         }
         SourceChange::Moved
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -1,7 +1,7 @@
 //! The node as the client of discovery sees it.
 
 use super::state::{Node, NodeHandle};
-use crate::discovery::{EndpointList, ListConsumer, ListOrigin, OlderList, Source};
+use crate::discovery::{EndpointList, ListConsumer, ListOrigin, Source, StaleListError};
 use crate::policy::{DiscoveryMode, Event, ListKind};
 use std::fmt;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
         let mut update = membership.update(list, kind);
         membership.remove_replaced(&mut update);
         update
-            .outdated
+            .stale_endpoints
             .iter()
             .for_each(|endpoint| node.pool.close_idle(endpoint));
         drop(node);
@@ -49,7 +49,7 @@
         self.borrow().subscription.known_version(source)
     }
 
-    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
+    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), StaleListError> {
         let mut node = self.borrow();
         match node.subscription.accept(source, &mut list)? {
             ListOrigin::Current => node.first_list_due = None,
@@ -91,7 +91,7 @@
     }
 
     /// An agent says nothing while discovery is down.
-    fn call_is_late(&self, _source: Source) {
+    fn call_hedged(&self, _source: Source) {
         if self.borrow().settings.current().discovery == DiscoveryMode::OnRequest {
             log!("discovery is late with an answer and is called again");
         }
