--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -12,6 +12,7 @@
 mod list;
 mod membership;
 mod source;
+mod subscription;
 
 pub use backoff::Backoff;
 pub use client::{fetch, watch, watch_agent};
@@ -20,3 +21,4 @@
 pub use list::{EndpointList, EntryStatus, ListEntry};
 pub use membership::{ListUpdate, Member, Membership};
 pub use source::Source;
+pub use subscription::{ListOrigin, SourceChange, Subscription};
