--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
-/// ManualDiscovery that fail before discovery is back: so many that every later wait is as long as the longest.
+/// Calls that fail before discovery is back: so many that every later wait is as long as the longest.
 const MANY_FAILED: usize = 6;
 
 /// A discovery that is down: its port refuses connections, and nobody else is given it.
--- a/tests/sidecar/discovery_resync.rs
+++ b/tests/sidecar/discovery_resync.rs
@@ -1,4 +1,4 @@
-//! ManualDiscovery of discovery that are late while it handles those of a whole fleet in turn: they keep their place in its queue,
+//! Calls of discovery that are late while it handles those of a whole fleet in turn: they keep their place in its queue,
 //! whether lists are asked for or pushed.
 
 use crate::stubs::*;
