--- a/src/sidecar/body/buffered_response.rs
+++ b/src/sidecar/body/buffered_response.rs
@@ -1,48 +1,58 @@
-//! Endpoints' answers: received whole, or as far as they are kept.
+//! Receiving endpoints' responses: completely, or as far as they are buffered.
 
-use super::limits::{BodyTransferError, MAX_BUFFERED_BODY};
+use super::error::BodyTransferError;
+use super::limits::exceeds_buffer;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-/// What is kept of an answer, and what is to come of it.
+/// A response body as far as it has been received.
+#[derive(Debug)]
 pub enum ReceivedResponse {
     /// All of it.
-    Whole(Bytes),
-    /// Its beginning.
-    Begun {
-        /// What has come.
-        first: Bytes,
-        /// What is to come.
-        rest: Incoming,
-        /// The length that it declares.
+    Complete(Bytes),
+    /// Its beginning; the rest is to be streamed.
+    Partial {
+        /// What has been received.
+        buffered: Bytes,
+        /// What is still to come.
+        remaining: Incoming,
+        /// The length that the response declares.
         length: Option<u64>,
     },
 }
 
-/// Receives an endpoint's answer until it is whole, or no more of it can be kept; where there is no room to `keep` it,
-/// until it has begun.
+/// How much of a response is received before it is passed on.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Buffering {
+    /// Up to [`super::limits::MAX_BUFFERED_BODY`] bytes.
+    UpToLimit,
+    /// Its first bytes alone: there is no memory for more.
+    FirstBytes,
+}
+
+/// Receives a response until it is complete, or as far as it may be buffered.
 ///
 /// # Errors
-/// It broke off.
+/// The response broke off.
 pub async fn receive_response(
     mut body: Incoming,
-    keep: bool,
+    buffering: Buffering,
 ) -> Result<ReceivedResponse, BodyTransferError> {
     let length = body.size_hint().exact();
-    let mut first = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        first.extend_from_slice(&frame?.into_data().unwrap_or_default());
-        let is_large = first.len() > MAX_BUFFERED_BODY
-            || length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64);
-        let is_whole = length == Some(first.len() as u64);
-        if !is_whole && !first.is_empty() && (is_large || !keep) {
-            return Ok(ReceivedResponse::Begun {
-                first: first.freeze(),
-                rest: body,
+        buffered.extend_from_slice(&frame?.into_data().unwrap_or_default());
+        let is_complete = length == Some(buffered.len() as u64);
+        let may_buffer_more =
+            buffering == Buffering::UpToLimit && !exceeds_buffer(length, buffered.len());
+        if !is_complete && !buffered.is_empty() && !may_buffer_more {
+            return Ok(ReceivedResponse::Partial {
+                buffered: buffered.freeze(),
+                remaining: body,
                 length,
             });
         }
     }
-    Ok(ReceivedResponse::Whole(first.freeze()))
+    Ok(ReceivedResponse::Complete(buffered.freeze()))
 }
--- a/src/sidecar/body/mod.rs
+++ b/src/sidecar/body/mod.rs
@@ -1,14 +1,18 @@
-//! Bodies on their way through: what is kept of them, and what goes on as it comes.
+//! Request and response bodies on their way through the sidecar.
 //!
-//! A body of up to [`MAX_BUFFERED_BODY`] bytes is received whole first, so that an attempt can be made again with it, or its answer
-//! be found broken before a client has seen any of it. Of a larger one no more than that is ever held: the rest is read
-//! when the other side has taken what came before.
+//! A body of up to [`MAX_BUFFERED_BODY`] bytes is received completely before it is forwarded: a request can then be sent
+//! again in another attempt, and a truncated response is discovered before the client has seen any of it. A larger body
+//! is streamed: at most that much of it is buffered, and more is read only when the receiver has taken what came before.
 
 mod buffered_response;
+mod error;
+mod frames;
 mod limits;
 mod upload;
 mod upload_deadline;
 
-pub use buffered_response::{ReceivedResponse, receive_response};
-pub use limits::{BodyTransferError, MAX_BODY, MAX_BUFFERED_BODY};
-pub use upload::{ReceivedRequestBody, RemainingUpload, Upload, UploadError, receive_request_body};
+pub use buffered_response::{Buffering, ReceivedResponse, receive_response};
+pub use error::{BodyTransferError, UploadError};
+pub use frames::poll_data;
+pub use limits::{MAX_BODY, buffer_size};
+pub use upload::{ReceivedRequestBody, RemainingUpload, Upload, receive_request_body};
--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -1,6 +1,7 @@
-//! Callers' bodies: received whole, or as far as they are kept.
+//! Receiving clients' request bodies: completely, or as far as they are buffered.
 
-use super::limits::{MAX_BODY, MAX_BUFFERED_BODY};
+use super::error::UploadError;
+use super::limits::{MAX_BODY, exceeds_buffer};
 use super::upload_deadline::UploadDeadline;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -11,151 +12,144 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// A body that goes on as it comes may pause so long, whoever is slow.
-const UPLOAD_PAUSE: Duration = Duration::from_secs(6);
-
-/// What is wrong with a caller's body.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum UploadError {
-    /// It did not come at the least pace.
-    TooSlow,
-    /// It is over [`MAX_BODY`].
-    TooLarge,
-    /// It broke off.
-    Incomplete,
-}
+/// How long a streamed request body may pause, whether the client or the endpoint is slow.
+const MAX_PAUSE: Duration = Duration::from_secs(6);
 
-/// A caller's body as far as it is kept: all of it, or its beginning and what is to come.
+/// A request body as far as it has been received.
+#[derive(Debug)]
 pub struct ReceivedRequestBody {
-    /// All of it, or its beginning.
-    pub kept: Bytes,
-    /// What is to come.
+    /// All of it, or its beginning where there is an upload.
+    pub buffered: Bytes,
+    /// The rest of a body that is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
 }
 
-/// Receives a caller's body until it is whole or no more of it can be kept.
+/// Receives a request body until it is complete or too large to be buffered. `started_at` is when the request's first
+/// byte arrived.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Why the body cannot be received.
 pub async fn receive_request_body(
     mut body: Incoming,
-    begun: Instant,
+    started_at: Instant,
 ) -> Result<ReceivedRequestBody, UploadError> {
     let length = body.size_hint().exact();
     if body.size_hint().lower() > MAX_BODY {
         return Err(UploadError::TooLarge);
     }
-    let mut pace = UploadDeadline::new(begun);
-    let mut kept = BytesMut::new();
+    let mut deadline = UploadDeadline::new(started_at);
+    let mut buffered = BytesMut::new();
     loop {
-        let data = match timeout_at(pace.wait(), body.frame()).await {
+        let data = match timeout_at(deadline.resume(), body.frame()).await {
             Err(_) => return Err(UploadError::TooSlow),
             Ok(None) => {
                 return Ok(ReceivedRequestBody {
-                    kept: kept.freeze(),
+                    buffered: buffered.freeze(),
                     upload: None,
                 });
             }
             Ok(Some(Err(_))) => return Err(UploadError::Incomplete),
-            Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(), // trailers go no further
+            Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(), // trailers are not forwarded
         };
-        pace.received(data.len());
-        kept.extend_from_slice(&data);
-        if kept.len() > MAX_BUFFERED_BODY
-            || length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64)
-        {
-            let upload = Upload::new(RemainingUpload { body, pace }, length, kept.len() as u64);
+        deadline.on_received(data.len());
+        buffered.extend_from_slice(&data);
+        if exceeds_buffer(length, buffered.len()) {
+            let remaining = RemainingUpload { body, deadline };
+            let upload = Upload::new(remaining, length, buffered.len() as u64);
             return Ok(ReceivedRequestBody {
-                kept: kept.freeze(),
+                buffered: buffered.freeze(),
                 upload: Some(Rc::new(upload)),
             });
         }
     }
 }
 
-/// A body that is too large to be kept, and goes on to one endpoint as it comes.
+/// A request body that is too large to be buffered and is streamed to one endpoint. The attempt that streams it and the
+/// task that waits for the response share it.
+#[derive(Debug)]
 pub struct Upload {
-    /// Until an attempt has taken it: from then on no other can be made.
-    rest: RefCell<Option<RemainingUpload>>,
+    /// Taken by the first attempt that streams the body; no other attempt can follow it.
+    remaining: RefCell<Option<RemainingUpload>>,
     length: Option<u64>,
     received: Cell<u64>,
-    /// When the last piece went on.
-    last_piece: Cell<Instant>,
-    end: Cell<Option<UploadEnd>>,
-    ended: Notify,
+    last_progress_at: Cell<Instant>,
+    finish: Cell<Option<UploadFinish>>,
+    finished: Notify,
 }
 
-/// What is to come of an upload.
+/// What is still to come of an upload.
+#[derive(Debug)]
 pub struct RemainingUpload {
     /// The rest of the body.
     pub body: Incoming,
-    /// How long the caller may take over it.
-    pub pace: UploadDeadline,
+    /// By when the client has to send more of it.
+    pub deadline: UploadDeadline,
 }
 
-/// How an upload ended, and when.
-#[derive(Clone, Copy)]
-struct UploadEnd {
+/// How and when an upload finished.
+#[derive(Clone, Copy, Debug)]
+struct UploadFinish {
     result: Result<(), UploadError>,
     at: Instant,
 }
 
 impl Upload {
-    fn new(rest: RemainingUpload, length: Option<u64>, received: u64) -> Self {
+    fn new(remaining: RemainingUpload, length: Option<u64>, received: u64) -> Self {
         Upload {
-            rest: RefCell::new(Some(rest)),
+            remaining: RefCell::new(Some(remaining)),
             length,
             received: Cell::new(received),
-            last_piece: Cell::new(Instant::now()),
-            end: Cell::new(None),
-            ended: Notify::new(),
+            last_progress_at: Cell::new(Instant::now()),
+            finish: Cell::new(None),
+            finished: Notify::new(),
         }
     }
 
-    /// Whether some of it has gone on that is kept nowhere.
+    /// Returns whether an attempt has begun to stream it. What was streamed is not buffered, so no other attempt can be
+    /// made.
     pub fn is_consumed(&self) -> bool {
-        self.rest.borrow().is_none()
+        self.remaining.borrow().is_none()
     }
 
-    /// Takes what is to come, for the one attempt that may.
-    pub fn take_rest(&self) -> Option<RemainingUpload> {
-        self.rest.borrow_mut().take()
+    /// Takes what is still to come, for the one attempt that may stream it.
+    pub fn take_remaining(&self) -> Option<RemainingUpload> {
+        self.remaining.borrow_mut().take()
     }
 
-    /// The length that it declares.
+    /// Returns the length that the request declares.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether all that it declares has come.
+    /// Returns whether as many bytes as the request declares have been received.
     pub fn has_declared_length(&self) -> bool {
         self.length == Some(self.received.get())
     }
 
-    /// When its last byte had come.
+    /// Returns when the last byte had been received, once the body is complete.
     pub fn completed_at(&self) -> Option<Instant> {
-        self.end
+        self.finish
             .get()
-            .filter(|end| end.result.is_ok())
-            .map(|end| end.at)
+            .filter(|finish| finish.result.is_ok())
+            .map(|finish| finish.at)
     }
 
-    /// Whether it has ended, whole or not.
-    pub fn has_ended(&self) -> bool {
-        self.end.get().is_some()
+    /// Returns whether the body is complete or has failed.
+    pub fn is_finished(&self) -> bool {
+        self.finish.get().is_some()
     }
 
-    /// An attempt begins with it: pauses count from now.
-    pub fn attempt_begins(&self) {
-        self.last_piece.set(Instant::now());
+    /// Notes that an attempt with this body begins: pauses are measured from now on.
+    pub fn on_attempt_started(&self) {
+        self.last_progress_at.set(Instant::now());
     }
 
-    /// So many bytes have come and go on.
+    /// Notes that so many bytes were received and are forwarded.
     ///
     /// # Errors
-    /// It is too large now.
-    pub fn passed(&self, bytes: usize) -> Result<(), UploadError> {
-        self.last_piece.set(Instant::now());
+    /// [`UploadError::TooLarge`] where the body has become larger than [`MAX_BODY`].
+    pub fn on_received(&self, bytes: usize) -> Result<(), UploadError> {
+        self.last_progress_at.set(Instant::now());
         self.received.set(self.received.get() + bytes as u64);
         if self.received.get() <= MAX_BODY {
             Ok(())
@@ -164,47 +158,48 @@
         }
     }
 
-    /// It has ended.
-    pub fn set_ended(&self, result: Result<(), UploadError>) {
-        self.end.set(Some(UploadEnd {
+    /// Notes that the body is complete or has failed, and wakes those that wait for it.
+    pub fn set_finished(&self, result: Result<(), UploadError>) {
+        self.finish.set(Some(UploadFinish {
             result,
             at: Instant::now(),
         }));
-        self.ended.notify_waiters();
+        self.finished.notify_waiters();
     }
 
-    /// When something that may take so long after the body's last byte is overdue, as things stand.
-    fn due(&self, after: Duration) -> Instant {
+    /// Returns the current deadline of work that may take `timeout` after the body's last byte.
+    fn deadline(&self, timeout: Duration) -> Instant {
         match self.completed_at() {
-            Some(completed_at) => completed_at + after,
-            None => self.last_piece.get() + after.max(UPLOAD_PAUSE),
+            Some(completed_at) => completed_at + timeout,
+            None => self.last_progress_at.get() + timeout.max(MAX_PAUSE),
         }
     }
 
-    /// What comes of some work before it is overdue.
-    pub async fn within<T>(&self, after: Duration, work: impl Future<Output = T>) -> Option<T> {
+    /// Awaits work that may take `timeout` after the body's last byte. While the body is still coming the deadline moves
+    /// with it. Returns `None` once the deadline has passed.
+    pub async fn timeout<T>(&self, timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
         let mut work = std::pin::pin!(work);
         loop {
-            let due = self.due(after);
-            match timeout_at(due, work.as_mut()).await {
-                Ok(done) => return Some(done),
-                Err(_) if self.due(after) > due => {}
+            let deadline = self.deadline(timeout);
+            match timeout_at(deadline, work.as_mut()).await {
+                Ok(output) => return Some(output),
+                Err(_) if self.deadline(timeout) > deadline => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// Waits for its end.
+    /// Waits until the body is complete.
     ///
     /// # Errors
-    /// What was wrong with it.
-    pub async fn end(&self) -> Result<(), UploadError> {
+    /// Why the body could not be received.
+    pub async fn wait_until_finished(&self) -> Result<(), UploadError> {
         loop {
-            let ended = self.ended.notified();
-            if let Some(end) = self.end.get() {
-                return end.result;
+            let finished = self.finished.notified();
+            if let Some(finish) = self.finish.get() {
+                return finish.result;
             }
-            ended.await;
+            finished.await;
         }
     }
 }
--- a/src/sidecar/body/upload_deadline.rs
+++ b/src/sidecar/body/upload_deadline.rs
@@ -1,52 +1,51 @@
-//! The least pace at which a caller has to send its body.
+//! The minimum rate at which a client has to send its request body.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// From a head's first byte a caller has so long for the body, and a second more for each [`LEAST_PACE`] bytes that have
-/// come.
-const BODY_TIME: Duration = Duration::from_millis(2_600);
-/// Bytes a second: half the pace of the slowest caller that is served.
-const LEAST_PACE: f64 = 32_000.0;
-/// So much at once is a sign that the caller was not waited for, but the endpoint.
+/// How long a client may take over a body, from the first byte of the request's head. Each [`MIN_RATE`] bytes received
+/// add a second.
+const BASE_TIME: Duration = Duration::from_millis(2_600);
+/// Bytes a second: half the rate of the slowest client that has to be served.
+const MIN_RATE: f64 = 32_000.0;
+/// A piece of at least so many bytes shows that they were waiting to be read: the endpoint was slow, not the client.
 const LARGE_PIECE: usize = 16 << 10;
-/// After a large piece a caller has so long at least.
-const AFTER_LARGE_PIECE: Duration = Duration::from_secs(1);
+/// The least time that is left to a client after a large piece.
+const MIN_TIME_AFTER_LARGE_PIECE: Duration = Duration::from_secs(1);
 
-/// How long a caller may still take over its body. Only waiting for the caller counts.
+/// The time by which a client has to have sent more of its body. It stands still while the sidecar does not wait for the
+/// client.
+#[derive(Debug)]
 pub struct UploadDeadline {
-    due: Instant,
-    /// Since when it has been waited for, or it has not.
-    since: Instant,
-    is_waiting: bool,
+    deadline: Instant,
+    /// Since when the client is not waited for, if it is not.
+    paused_since: Option<Instant>,
 }
 
 impl UploadDeadline {
-    /// For a request whose first byte came at an instant.
-    pub fn new(begun: Instant) -> Self {
+    /// Creates the deadline of a request whose first byte arrived at `started_at`; the client is waited for.
+    pub fn new(started_at: Instant) -> Self {
         UploadDeadline {
-            due: begun + BODY_TIME,
-            since: Instant::now(),
-            is_waiting: true,
+            deadline: started_at + BASE_TIME,
+            paused_since: None,
         }
     }
 
-    /// The caller is waited for from now on, if it was not; returns when it is too slow, if nothing comes.
-    pub fn wait(&mut self) -> Instant {
-        if !self.is_waiting {
-            self.due += self.since.elapsed();
-            self.is_waiting = true;
+    /// Notes that the client is waited for from now on, and returns the deadline.
+    pub fn resume(&mut self) -> Instant {
+        if let Some(paused_since) = self.paused_since.take() {
+            self.deadline += paused_since.elapsed();
         }
-        self.due
+        self.deadline
     }
 
-    /// So many bytes have come.
-    pub fn received(&mut self, bytes: usize) {
-        self.since = Instant::now();
-        self.is_waiting = false;
-        self.due += Duration::from_secs_f64(bytes as f64 / LEAST_PACE);
+    /// Notes that so many bytes were received, and that the client is not waited for until [`Self::resume`].
+    pub fn on_received(&mut self, bytes: usize) {
+        let now = Instant::now();
+        self.paused_since = Some(now);
+        self.deadline += Duration::from_secs_f64(bytes as f64 / MIN_RATE);
         if bytes >= LARGE_PIECE {
-            self.due = self.due.max(self.since + AFTER_LARGE_PIECE);
+            self.deadline = self.deadline.max(now + MIN_TIME_AFTER_LARGE_PIECE);
         }
     }
 }
--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -1,28 +1,29 @@
-//! The budget of file descriptors, which callers and endpoints share.
+//! The budget of file descriptors, which connections of callers and connections to endpoints share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are no connections: the standard streams, the runtime's, the listener and discovery, and a few
-/// connections that are on their way to being closed.
-const RESERVED: usize = 32;
-/// Connections over their part that callers may have while those asked to make room are still closing.
-const OVERDRAFT: usize = 8;
-/// The part of the budget that is kept for connections to endpoints, in eighths.
-const ENDPOINTS_EIGHTHS: usize = 3;
+/// Descriptors that are not budgeted: the standard streams, the runtime's, the listener, discovery, and a few connections
+/// that are about to be closed.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// How many connections beyond their limit callers may have while evicted ones are still closing.
+const CALLER_OVERCOMMIT: usize = 8;
+/// The fraction of the budget that is reserved for connections to endpoints, in eighths.
+const ENDPOINT_EIGHTHS: usize = 3;
 
-/// The budget, and who holds how much of it.
+/// The budget, and how much of it is in use.
+#[derive(Debug)]
 pub struct DescriptorBudget {
     budget: usize,
     reserved: usize,
-    /// What other processes hold of the budget, while several are one sidecar.
+    /// Descriptors that the sidecar's other processes use, during a hot restart.
     other_processes: Cell<usize>,
     callers: Rc<Cell<usize>>,
     endpoints: Rc<Cell<usize>>,
 }
 
-/// Whom a connection is to.
-#[derive(Clone, Copy)]
+/// The peer of a connection.
+#[derive(Clone, Copy, Debug)]
 pub enum Side {
     /// A caller.
     Callers,
@@ -30,29 +31,31 @@
     Endpoints,
 }
 
-/// One connection's share of the budget, for as long as its socket is open.
+/// One connection's descriptor, in use until this is dropped.
+#[derive(Debug)]
 pub struct DescriptorPermit(Rc<Cell<usize>>);
 
-/// How many connections are held.
-#[derive(Clone, Copy)]
+/// How many connections are open.
+#[derive(Clone, Copy, Debug)]
 pub struct OpenConnections {
-    /// To callers.
+    /// Those of callers.
     pub callers: usize,
-    /// To endpoints.
+    /// Those to endpoints.
     pub endpoints: usize,
 }
 
 impl OpenConnections {
-    /// All of them.
+    /// Returns the number of all connections.
     pub fn total(&self) -> usize {
         self.callers + self.endpoints
     }
 }
 
 impl DescriptorBudget {
-    /// For a process that may hold so many, of which some more are reserved.
+    /// Creates the budget of a process that may open `limit` descriptors, of which `reserved` are needed beside
+    /// [`RESERVED_DESCRIPTORS`].
     pub fn new(limit: usize, reserved: usize) -> Self {
-        let reserved = RESERVED + reserved;
+        let reserved = RESERVED_DESCRIPTORS + reserved;
         DescriptorBudget {
             budget: limit.saturating_sub(reserved).max(limit / 2),
             reserved,
@@ -62,17 +65,17 @@
         }
     }
 
-    /// A share for one more connection, whether or not there is room.
+    /// Returns a permit for one more connection. It does not check the budget.
     pub fn permit(&self, side: Side) -> DescriptorPermit {
-        let held = match side {
+        let open = match side {
             Side::Callers => &self.callers,
             Side::Endpoints => &self.endpoints,
         };
-        held.set(held.get() + 1);
-        DescriptorPermit(held.clone())
+        open.set(open.get() + 1);
+        DescriptorPermit(open.clone())
     }
 
-    /// What this process holds.
+    /// Returns this process's open connections.
     pub fn in_use(&self) -> OpenConnections {
         OpenConnections {
             callers: self.callers.get(),
@@ -80,38 +83,38 @@
         }
     }
 
-    /// Each other process holds so many connections, and what it has reserved.
+    /// Sets how many connections each other process of the sidecar has open. Their reserved descriptors are added.
     pub fn set_other_process_connections(&self, connections: impl Iterator<Item = usize>) {
-        self.other_processes
-            .set(connections.map(|n| n + self.reserved).sum());
+        let descriptors = connections.map(|open| open + self.reserved).sum();
+        self.other_processes.set(descriptors);
     }
 
-    /// The budget as far as it is this process's.
+    /// Returns the budget that is left to this process beside the other ones.
     fn own_budget(&self) -> usize {
         self.budget
             .saturating_sub(self.other_processes.get())
-            .max(OVERDRAFT)
+            .max(CALLER_OVERCOMMIT)
     }
 
-    /// Whether all are in use.
+    /// Returns whether all descriptors are in use.
     pub fn is_exhausted(&self) -> bool {
         self.in_use().total() >= self.own_budget()
     }
 
-    /// Whether a further caller would take what attempts need: each open request may have one in flight, so the callers'
-    /// connections may not take up all.
+    /// Returns whether another caller's connection would take a descriptor that attempts need: each pending request may
+    /// have one in flight, so callers may not use the whole budget.
     pub fn is_caller_limit_reached(&self) -> bool {
-        self.is_exhausted() || self.callers.get() >= self.callers_part()
+        self.is_exhausted() || self.callers.get() >= self.caller_limit()
     }
 
-    /// Whether callers have more than their part by as much as can be lent.
+    /// Returns whether callers are beyond their limit by as much as is tolerated.
     pub fn is_caller_overcommit_reached(&self) -> bool {
-        self.callers.get() >= self.callers_part() + OVERDRAFT
+        self.callers.get() >= self.caller_limit() + CALLER_OVERCOMMIT
     }
 
-    fn callers_part(&self) -> usize {
-        let own = self.own_budget();
-        own - own * ENDPOINTS_EIGHTHS / 8
+    fn caller_limit(&self) -> usize {
+        let own_budget = self.own_budget();
+        own_budget - own_budget * ENDPOINT_EIGHTHS / 8
     }
 }
 
--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -2,143 +2,158 @@
 
 use super::attempt_result::{AttemptResult, ResponseBody};
 use super::connect::connect;
-use super::connection::{EndpointConnection, Exchange};
+use super::connection::{EndpointConnection, ExchangeError, ExchangeKind};
 use super::forwarded_request::{AttemptSpec, ForwardedRequest};
-use super::hedged_dial::hedged;
+use super::hedged_dial::dial_hedged;
 use super::host::EndpointHost;
-use super::request_body::OutgoingBody;
+use super::request_body::RequestBody;
 use super::response::EndpointResponse;
 use super::streamed_response::StreamedResponse;
 use crate::policy::Outcome;
-use crate::sidecar::body::{BodyTransferError, ReceivedResponse};
+use crate::sidecar::body::ReceivedResponse;
 use hyper::StatusCode;
 use tokio::time::{Instant, timeout_at};
 
-/// Makes an attempt and tells the host how it ended. Dropped midway, it closes its connection.
-pub async fn run_attempt(host: impl EndpointHost, order: AttemptSpec) {
-    let result = Attempt {
+/// Makes an attempt and reports its result to the host. Dropping the future closes the attempt's connection.
+pub async fn run_attempt(host: impl EndpointHost, spec: AttemptSpec) {
+    let attempt = Attempt {
         host: &host,
-        order: &order,
-    }
-    .run()
-    .await;
-    host.attempt_ended(&order, result);
+        spec: &spec,
+    };
+    let result = attempt.run().await;
+    host.attempt_ended(&spec, result);
 }
 
 struct Attempt<'a, Host> {
     host: &'a Host,
-    order: &'a AttemptSpec,
+    spec: &'a AttemptSpec,
 }
 
 /// A connection for an attempt.
-struct Acquired {
+struct AcquiredConnection {
     connection: EndpointConnection,
-    /// It carried another attempt before.
-    is_reused: bool,
+    origin: ConnectionOrigin,
+}
+
+#[derive(PartialEq)]
+enum ConnectionOrigin {
+    /// It was idle in the pool, and the endpoint may have closed it meanwhile.
+    Pool,
+    /// It was opened for this attempt.
+    New,
 }
 
 impl<Host: EndpointHost> Attempt<'_, Host> {
     async fn run(&self) -> AttemptResult {
-        let until = self.host.clock().instant(self.order.until);
-        let connect_until = until.min(Instant::now() + self.host.connect_timeout());
+        let deadline = self.host.clock().instant(self.spec.deadline);
+        let connect_deadline = deadline.min(Instant::now() + self.host.connect_timeout());
         loop {
-            let Some(mut acquired) = self.acquire(connect_until).await else {
+            let Some(mut acquired) = self.acquire(connect_deadline).await else {
                 return AttemptResult::without_response(Outcome::ConnectFailed);
             };
-            if !self.host.may_write(self.order) || self.forwarded().is_consumed() {
+            if !self.host.may_write(self.spec) || self.forwarded().is_consumed() {
                 self.host
-                    .return_connection(acquired.connection, &self.order.target);
+                    .return_connection(acquired.connection, &self.spec.target);
                 return AttemptResult::without_response(Outcome::NotSent);
             }
-            let written_before = acquired.connection.progress().written();
-            let response = self.exchange(&mut acquired.connection, until).await;
-            let progress = acquired.connection.progress();
-            let is_unwritten = progress.written() == written_before;
-            let outcome = match response {
-                Some(Ok(response)) => return self.answered(response, acquired.connection),
-                // It had been closed while it stood idle, and the attempt has yet to begin.
-                Some(Err(_))
-                    if is_unwritten && acquired.is_reused && !self.forwarded().is_consumed() =>
-                {
-                    continue;
-                }
-                Some(Err(_)) | None if !progress.is_whole() => Outcome::ConnectFailed,
+            let written_before = acquired.connection.progress().bytes_written();
+            let failure = match self.exchange(&mut acquired.connection, deadline).await {
+                Some(Ok(response)) => return self.with_response(response, acquired.connection),
                 Some(Err(_)) => Outcome::Reset,
                 None => Outcome::TimedOut,
             };
-            return AttemptResult::without_response(outcome);
+            let progress = acquired.connection.progress();
+            let is_unwritten = progress.bytes_written() == written_before;
+            let was_closed_while_idle = failure == Outcome::Reset
+                && acquired.origin == ConnectionOrigin::Pool
+                && is_unwritten;
+            if was_closed_while_idle && !self.forwarded().is_consumed() {
+                continue; // nothing was sent: the attempt still has to begin
+            }
+            return AttemptResult::without_response(if progress.is_complete() {
+                failure
+            } else {
+                Outcome::ConnectFailed
+            });
         }
     }
 
     fn forwarded(&self) -> &ForwardedRequest {
-        &self.order.forwarded
+        &self.spec.forwarded
     }
 
-    /// An idle connection or a new one. An endpoint may close a kept connection whenever it likes, or reset it at the next
-    /// request; that request may have run for all one knows. One that must not run twice is lost with it, so it gets a new
-    /// connection.
-    async fn acquire(&self, until: Instant) -> Option<Acquired> {
-        let target = &self.order.target;
+    /// Takes an idle connection from the pool or opens a new one. An endpoint may close an idle connection at any time, or
+    /// reset it at the next request, which may have run by then. A request that must not run twice would be lost that way,
+    /// so it always gets a new connection.
+    async fn acquire(&self, deadline: Instant) -> Option<AcquiredConnection> {
+        let target = &self.spec.target;
         if self.forwarded().is_repeatable
             && let Some(connection) = self.host.take_connection(&target.endpoint)
         {
-            return Some(Acquired {
+            return Some(AcquiredConnection {
                 connection,
-                is_reused: true,
+                origin: ConnectionOrigin::Pool,
             });
         }
-        // Only the first dial may take room from idle connections and callers.
+        // Only the first dial may evict other connections for its descriptor.
         let dial = || connect(self.host, target.address);
         let may_hedge = || !self.host.descriptors_exhausted();
-        let connection = hedged(dial, may_hedge, self.host.connect_timeout(), until).await?;
-        Some(Acquired {
+        let connect_timeout = self.host.connect_timeout();
+        let connection = dial_hedged(dial, may_hedge, connect_timeout, deadline).await?;
+        Some(AcquiredConnection {
             connection,
-            is_reused: false,
+            origin: ConnectionOrigin::New,
         })
     }
 
-    /// Sends the request and receives the answer, or its beginning; `None` where it did not come in time.
+    /// Sends the request and receives the response, or its beginning. Returns `None` when it did not come in time.
     async fn exchange(
         &self,
         connection: &mut EndpointConnection,
-        until: Instant,
-    ) -> Option<Result<EndpointResponse, BodyTransferError>> {
+        deadline: Instant,
+    ) -> Option<Result<EndpointResponse, ExchangeError>> {
         let forwarded = self.forwarded();
-        let left = self.order.until.since(self.host.now());
-        let memory = self.host.answer_memory();
+        let time_left = self.spec.deadline.since(self.host.now());
+        let memory = self.host.response_memory();
         let progress = connection.progress().clone();
-        let body = OutgoingBody::new(forwarded.body.clone(), forwarded.upload.clone(), progress);
-        let carried = connection.carry(forwarded.request(left, body), Exchange::Attempt(&memory));
+        let body = RequestBody::new(forwarded.body.clone(), forwarded.upload.clone(), progress);
+        let request = forwarded.to_request(time_left, body);
+        let exchange = connection.exchange(request, ExchangeKind::Attempt(&memory));
         match &forwarded.upload {
-            Some(upload) => upload.within(left, carried).await,
-            None => timeout_at(until, carried).await.ok(),
+            Some(upload) => upload.timeout(time_left, exchange).await,
+            None => timeout_at(deadline, exchange).await.ok(),
         }
     }
 
-    fn answered(
+    fn with_response(
         &self,
         response: EndpointResponse,
         connection: EndpointConnection,
     ) -> AttemptResult {
         let EndpointResponse { head, body } = response;
         let body = match body {
-            Ok(ReceivedResponse::Whole(body)) => {
-                self.host.return_connection(connection, &self.order.target);
-                Some(ResponseBody::Whole(body))
+            Ok(ReceivedResponse::Complete(body)) => {
+                self.host.return_connection(connection, &self.spec.target);
+                Some(ResponseBody::Complete(body))
             }
-            Ok(ReceivedResponse::Begun {
-                first,
-                rest,
+            Ok(ReceivedResponse::Partial {
+                buffered,
+                remaining,
                 length,
             }) if head.status() == StatusCode::OK => {
-                let (host, target) = (self.host.clone(), self.order.target.clone());
+                let (host, target) = (self.host.clone(), self.spec.target.clone());
                 let return_connection =
                     move |connection| host.return_connection(connection, &target);
-                let streamed_response =
-                    StreamedResponse::new(first, rest, length, connection, return_connection);
-                Some(ResponseBody::Streamed(Box::new(streamed_response)))
+                let streamed = StreamedResponse::new(
+                    buffered,
+                    remaining,
+                    length,
+                    connection,
+                    return_connection,
+                );
+                Some(ResponseBody::Streamed(Box::new(streamed)))
             }
-            Ok(ReceivedResponse::Begun { .. }) | Err(_) => None,
+            Ok(ReceivedResponse::Partial { .. }) | Err(_) => None,
         };
         AttemptResult::from_response(&head, body)
     }
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -11,90 +11,104 @@
 const LOAD: HeaderName = HeaderName::from_static("x-load");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
-/// An endpoint's answer to pass on.
+/// An endpoint's response that is forwarded to the client.
+#[derive(Debug)]
 pub struct ServedResponse {
-    /// Without those that belong to the endpoint's connection.
+    /// Its headers, without those that belong to the endpoint's connection.
     pub headers: HeaderMap,
     /// Its body.
     pub body: ResponseBody,
 }
 
-/// The body of an endpoint's answer.
+/// The body of an endpoint's response.
+#[derive(Debug)]
 pub enum ResponseBody {
     /// All of it.
-    Whole(Bytes),
-    /// Too large to be kept, or there is no room to keep it: it goes on as it comes.
+    Complete(Bytes),
+    /// It is too large to be buffered, or there is no memory for it: it is forwarded while it is received.
     Streamed(Box<StreamedResponse>),
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
+#[derive(Debug)]
 pub struct AttemptResult {
     /// How it ended.
     pub outcome: Outcome,
-    /// The endpoint's load report, if one came along.
+    /// The endpoint's load report, if the response had one.
     pub report: Option<LoadReport>,
-    /// With [`Outcome::Served`] of an attempt.
-    pub answer: Option<ServedResponse>,
+    /// The response to forward: with [`Outcome::Served`] of an attempt, and only then.
+    pub response: Option<ServedResponse>,
 }
 
 impl AttemptResult {
-    /// The end of one that got no answer.
+    /// Creates the result of an attempt that got no response.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
             report: None,
-            answer: None,
+            response: None,
         }
     }
 
-    /// The end of an attempt whose answer has this head; its body is none where it was not to be had.
+    /// Creates the result of an attempt that got this response; `body` is `None` where it could not be received.
     pub fn from_response(head: &Response<()>, body: Option<ResponseBody>) -> Self {
-        let (status, headers) = (head.status(), head.headers());
-        let mut reports = headers
-            .get_all(LOAD)
-            .iter()
-            .filter_map(|value| value.to_str().ok());
-        let report = reports.find_map(parse_load_report); // one that cannot be read may stand beside one that can
-        let has_not_run = headers.get(NOT_RUN).is_some_and(|value| value == "1");
-        let rejected_early = matches!(
-            status,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
-        );
-        let (outcome, answer) = match (status, body) {
+        let (outcome, response) = match (head.status(), body) {
             (StatusCode::OK, Some(body)) => {
-                let mut headers = end_to_end_headers(headers);
+                let mut headers = end_to_end_headers(head.headers());
                 headers.remove(LOAD);
                 (Outcome::Served, Some(ServedResponse { headers, body }))
             }
             (StatusCode::OK, None) => (Outcome::Reset, None),
-            _ if rejected_early && has_not_run => (Outcome::Rejected, None),
+            _ if is_early_rejection(head) => (Outcome::Rejected, None),
             _ => (Outcome::Error, None),
         };
         AttemptResult {
             outcome,
-            report,
-            answer,
+            report: load_report(head.headers()),
+            response,
         }
     }
 
-    /// The end of a probe, whose answer is the report.
+    /// Creates the result of a health check, whose response body is the load report.
     pub fn from_health_check(head: &Response<()>, body: Option<Bytes>) -> Self {
         let text = body
             .as_ref()
             .and_then(|bytes| std::str::from_utf8(bytes).ok());
-        let in_body = text.and_then(parse_load_report);
+        let report_in_body = text.and_then(parse_load_report);
         let AttemptResult {
             outcome, report, ..
-        } = Self::from_response(head, body.map(ResponseBody::Whole));
-        let report = report.or(in_body.filter(|_| outcome == Outcome::Served));
+        } = Self::from_response(head, body.map(ResponseBody::Complete));
+        let report = report.or(report_in_body.filter(|_| outcome == Outcome::Served));
         AttemptResult {
             outcome,
             report,
-            answer: None,
+            response: None,
         }
     }
 }
 
+/// Returns the first load report that can be parsed; a malformed one may precede it.
+fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
+    headers
+        .get_all(LOAD)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .find_map(parse_load_report)
+}
+
+/// Returns whether the endpoint says that it rejected the request before running any of it.
+fn is_early_rejection(head: &Response<()>) -> bool {
+    let has_rejection_status = matches!(
+        head.status(),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+    );
+    has_rejection_status
+        && head
+            .headers()
+            .get(NOT_RUN)
+            .is_some_and(|value| value == "1")
+}
+
 #[cfg(test)]
 #[path = "attempt_result_tests.rs"]
 mod tests;
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -1,19 +1,19 @@
-//! How answers are read.
+//! Results of attempts: outcomes and load reports.
 
 use super::*;
 
-fn ended(status: u16, headers: &[(&'static str, &'static str)]) -> AttemptResult {
+fn result_of(status: u16, headers: &[(&'static str, &'static str)]) -> AttemptResult {
     let mut head = Response::builder().status(status);
     for (name, value) in headers {
         head = head.header(*name, *value);
     }
-    let head = head.body(()).expect("an answer");
-    AttemptResult::from_response(&head, Some(ResponseBody::Whole(Bytes::new())))
+    let head = head.body(()).expect("a response head");
+    AttemptResult::from_response(&head, Some(ResponseBody::Complete(Bytes::new())))
 }
 
-/// Guards the module's eyes: reports come along with every answer, and most of all with bad ones.
+/// Load reports come with every response, and matter most with errors.
 #[test]
-fn load_reports_are_read_on_every_answer() {
+fn load_reports_are_parsed_with_every_status() {
     let load = (
         "x-load",
         "TEXT concurrent=7, depth=2, load_share=0.61, other=1, tps=NaN",
@@ -32,20 +32,22 @@
         (504, vec![load, ("x-not-run", "1")], Outcome::Rejected),
         (504, vec![load, ("x-not-run", "0")], Outcome::Error),
     ] {
-        let result = ended(status, &headers);
+        let result = result_of(status, &headers);
         let report = result.report.expect("a report");
         assert_eq!(result.outcome, outcome, "{status}");
         assert_eq!(report.in_flight, Some(7.0));
         assert_eq!((report.depth, report.utilisation), (Some(2.0), Some(0.61)));
-        assert_eq!(report.served_per_s, None, "what is no number is left out");
+        assert_eq!(
+            report.served_per_s, None,
+            "a value that is not a number is ignored"
+        );
     }
 }
 
-/// Guards the module's means: what no endpoint can hold is no figure, and a report without one says nothing, not
-/// that the queue is empty.
+/// A value that no endpoint can have is ignored. A report without any valid value does not mean that the queue is empty.
 #[test]
-fn figures_that_cannot_be_are_left_out() {
-    assert_eq!(ended(200, &[]).report, None);
+fn impossible_values_are_ignored() {
+    assert_eq!(result_of(200, &[]).report, None);
     for text in [
         "JSON {}",
         "TEXT",
@@ -55,9 +57,9 @@
         "TEXT depth=-1",
         "TEXT depth=1e300, load_share=inf",
     ] {
-        assert_eq!(ended(200, &[("x-load", text)]).report, None, "{text}");
+        assert_eq!(result_of(200, &[("x-load", text)]).report, None, "{text}");
     }
-    let report = ended(200, &[("x-load", "TEXT depth=-3, concurrent=4")])
+    let report = result_of(200, &[("x-load", "TEXT depth=-3, concurrent=4")])
         .report
         .expect("a report");
     assert_eq!((report.depth, report.in_flight), (None, Some(4.0)));
--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Opens a connection, for which room may be made.
+/// Opens a connection. Another one may be closed for its descriptor.
 ///
 /// # Errors
-/// There is no room, or the connection does not come up.
+/// No descriptor is available, or the connection was not established.
 pub async fn connect(
     host: &impl EndpointHost,
     address: SocketAddr,
@@ -20,10 +20,6 @@
         .ok_or_else(|| io::Error::other("no descriptors left"))?;
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    EndpointConnection::begin(
-        stream,
-        WriteProgress::new(permit.attempts),
-        permit.descriptor,
-    )
-    .await
+    let progress = WriteProgress::new(permit.attempts_written);
+    EndpointConnection::handshake(stream, progress, permit.descriptor).await
 }
--- a/src/sidecar/endpoint/forwarded_request.rs
+++ b/src/sidecar/endpoint/forwarded_request.rs
@@ -1,6 +1,6 @@
-//! Requests as they go on to endpoints.
+//! Requests as they are forwarded to endpoints.
 
-use super::request_body::OutgoingBody;
+use super::request_body::RequestBody;
 use crate::policy::{AttemptNumber, EndpointId, RequestId, Timestamp};
 use crate::sidecar::body::Upload;
 use crate::sidecar::memory::MemoryReservation;
@@ -12,109 +12,114 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long whoever asks will wait, in seconds.
+/// How long the sender of a request waits for its response, in seconds.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline");
 
-/// What of a request goes on to endpoints, the same in each attempt.
+/// Headers that belong to a connection and not to the message, or that hyper sets itself.
+const HOP_BY_HOP_HEADERS: [HeaderName; 10] = [
+    header::CONNECTION,
+    header::CONTENT_LENGTH,
+    header::EXPECT,
+    header::PROXY_AUTHENTICATE,
+    header::PROXY_AUTHORIZATION,
+    header::TE,
+    header::TRAILER,
+    header::TRANSFER_ENCODING,
+    header::UPGRADE,
+    HeaderName::from_static("keep-alive"),
+];
+
+/// What of a request is forwarded. It is the same in each attempt.
+#[derive(Debug)]
 pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
     pub path: PathAndQuery,
-    /// Without those that belong to the caller's connection.
+    /// Its headers, without those that belong to the caller's connection.
     pub headers: HeaderMap,
-    /// As far as it is kept.
+    /// Its body as far as that is buffered.
     pub body: Bytes,
-    /// The rest, where it is too large to be kept.
+    /// The rest of a body that is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
-    /// It does no harm twice, so that an attempt that may have run can be followed by another.
+    /// Whether it may run twice, so that another attempt can follow one that may have run.
     pub is_repeatable: bool,
     /// The memory that the body takes.
     pub _memory: MemoryReservation,
 }
 
-/// Where an attempt or a probe goes.
-#[derive(Clone)]
+/// Where an attempt or a health check is sent.
+#[derive(Clone, Debug)]
 pub struct Target {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Which of the endpoint's processes it is meant for.
+    /// When the endpoint's process was started, which tells it from an earlier process of the same endpoint.
     pub started_at: Option<Timestamp>,
 }
 
 /// An attempt to be made.
+#[derive(Debug)]
 pub struct AttemptSpec {
-    /// Of which request.
+    /// The request that it belongs to.
     pub request: RequestId,
-    /// Which attempt of it.
+    /// Its number among the request's attempts.
     pub attempt: AttemptNumber,
-    /// Where it goes.
+    /// Where it is sent.
     pub target: Target,
-    /// How long its answer is waited for.
-    pub until: Timestamp,
+    /// When it times out.
+    pub deadline: Timestamp,
     /// What it sends.
     pub forwarded: Rc<ForwardedRequest>,
 }
 
 impl ForwardedRequest {
-    /// Whether some of it has gone on that is kept nowhere, so that no further attempt can be made.
+    /// Returns whether some of a body that is not buffered has been streamed, so that no other attempt can be made.
     pub fn is_consumed(&self) -> bool {
         self.upload
             .as_ref()
             .is_some_and(|upload| upload.is_consumed())
     }
 
-    /// The request of one attempt, with what is left of its time.
-    pub fn request(&self, left: Duration, body: OutgoingBody) -> Request<OutgoingBody> {
+    /// Creates the request of one attempt, with the time that is left to its deadline.
+    pub fn to_request(&self, time_left: Duration, body: RequestBody) -> Request<RequestBody> {
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.path.clone());
         *request.headers_mut() = self.headers.clone();
-        if self
-            .upload
-            .as_ref()
-            .is_some_and(|upload| upload.length().is_none())
-        {
+        if self.has_unknown_length() {
             request.headers_mut().insert(
                 header::TRANSFER_ENCODING,
                 HeaderValue::from_static("chunked"),
             );
         }
-        if let Ok(left) = HeaderValue::from_str(&format!("{:.3}", left.as_secs_f64())) {
-            request.headers_mut().insert(DEADLINE_HEADER, left);
+        let deadline = format!("{:.3}", time_left.as_secs_f64());
+        if let Ok(deadline) = HeaderValue::from_str(&deadline) {
+            request.headers_mut().insert(DEADLINE_HEADER, deadline);
         }
         request
     }
+
+    fn has_unknown_length(&self) -> bool {
+        self.upload
+            .as_ref()
+            .is_some_and(|upload| upload.length().is_none())
+    }
 }
 
-/// A copy of a message's headers without those that belong to its connection, or that the next one sets itself.
+/// Returns a message's headers without those that belong to its connection.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    const HOP_BY_HOP: [HeaderName; 10] = [
-        header::CONNECTION,
-        header::CONTENT_LENGTH,
-        header::EXPECT,
-        header::PROXY_AUTHENTICATE,
-        header::PROXY_AUTHORIZATION,
-        header::TE,
-        header::TRAILER,
-        header::TRANSFER_ENCODING,
-        header::UPGRADE,
-        HeaderName::from_static("keep-alive"),
-    ];
-    let mut kept = headers.clone();
-    for named in headers
+    let mut end_to_end = headers.clone();
+    let connection_values = headers
         .get_all(header::CONNECTION)
         .iter()
-        .filter_map(|value| value.to_str().ok())
-    {
-        for name in named.split(',').map(str::trim) {
-            kept.remove(name);
-        }
+        .filter_map(|value| value.to_str().ok());
+    for name in connection_values.flat_map(|value| value.split(',')) {
+        end_to_end.remove(name.trim());
     }
-    for name in &HOP_BY_HOP {
-        drop(kept.remove(name));
+    for name in &HOP_BY_HOP_HEADERS {
+        end_to_end.remove(name);
     }
-    kept
+    end_to_end
 }
--- a/src/sidecar/endpoint/health_check.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -1,11 +1,11 @@
-//! Probes: an endpoint is asked for its load report.
+//! Health checks: calls of an endpoint for its load report alone.
 
 use super::attempt_result::AttemptResult;
 use super::connect::connect;
-use super::connection::Exchange;
+use super::connection::ExchangeKind;
 use super::forwarded_request::Target;
 use super::host::EndpointHost;
-use super::request_body::OutgoingBody;
+use super::request_body::RequestBody;
 use super::response::EndpointResponse;
 use crate::policy::Outcome;
 use crate::sidecar::body::ReceivedResponse;
@@ -14,23 +14,25 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A probe that is not answered by then is given up.
+/// How long a health check may take.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Where endpoints give their load reports.
+/// The path at which endpoints publish their load reports.
 const LOAD_PATH: &str = "/status/load";
 
-/// Asks an endpoint for its load report and tells the host what came of it.
+/// Makes a health check and reports its result to the host.
 pub async fn check_health(host: impl EndpointHost, target: Target) {
-    let sent = Instant::now();
-    let result = timeout_at(sent + HEALTH_CHECK_TIMEOUT, ask_load(&host, &target)).await;
-    let result = result.unwrap_or(AttemptResult::without_response(Outcome::TimedOut));
-    host.health_check_ended(&target, sent.elapsed(), result);
+    let sent_at = Instant::now();
+    let fetch = fetch_load_report(&host, &target);
+    let result = timeout_at(sent_at + HEALTH_CHECK_TIMEOUT, fetch)
+        .await
+        .unwrap_or(AttemptResult::without_response(Outcome::TimedOut));
+    host.health_check_ended(&target, sent_at.elapsed(), result);
 }
 
-async fn ask_load(host: &impl EndpointHost, target: &Target) -> AttemptResult {
+async fn fetch_load_report(host: &impl EndpointHost, target: &Target) -> AttemptResult {
     let mut connection = match host.take_connection(&target.endpoint) {
         Some(connection) => connection,
-        // It is not worth another's connection.
+        // Unlike an attempt, a health check does not evict other connections.
         None if host.descriptors_exhausted() => {
             return AttemptResult::without_response(Outcome::ConnectFailed);
         }
@@ -39,13 +41,16 @@
             Err(_) => return AttemptResult::without_response(Outcome::ConnectFailed),
         },
     };
-    let body = OutgoingBody::new(Bytes::new(), None, connection.progress().clone());
+    let body = RequestBody::new(Bytes::new(), None, connection.progress().clone());
     let mut request = Request::new(body);
     *request.uri_mut() = Uri::from_static(LOAD_PATH);
-    match connection.carry(request, Exchange::HealthCheck).await {
+    match connection
+        .exchange(request, ExchangeKind::HealthCheck)
+        .await
+    {
         Ok(EndpointResponse {
             head,
-            body: Ok(ReceivedResponse::Whole(body)),
+            body: Ok(ReceivedResponse::Complete(body)),
         }) => {
             host.return_connection(connection, target);
             AttemptResult::from_health_check(&head, Some(body))
--- a/src/sidecar/endpoint/hedged_dial.rs
+++ b/src/sidecar/endpoint/hedged_dial.rs
@@ -1,5 +1,5 @@
-//! Hedged dials: while a connection does not come up, further ones are dialled to the same endpoint, and the first that
-//! is up is used. A request is written to that one alone, so that a dial is no attempt.
+//! Hedged dials: while a connection is not established, further ones are dialled to the same endpoint, and the first to
+//! be established is used. The request is written to that one alone, so a dial is not an attempt.
 
 use std::future::poll_fn;
 use std::io;
@@ -8,40 +8,39 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Dials for one connection at most: where a third of them come up late, one in 27 requests finds all three late.
-const MOST_DIALS: usize = 3;
+/// The most dials for one connection. Where a third of them are late, all three are late for one request in 27.
+const MAX_DIALS: usize = 3;
 
-/// Part of the connect time-out after which a dial is late. A connection takes one round trip, and the time-out leaves
-/// room for many.
-const LATE_PART: f64 = 0.1;
+/// The fraction of the connect timeout after which the next dial is started. A connection takes one round trip, and the
+/// timeout allows for many.
+const HEDGE_DELAY_FRACTION: f64 = 0.1;
 
-/// The first of some dials that comes up, or `None` when one is refused or none is up in time.
+/// Dials until one connection is established, and drops the other dials. Returns `None` where the first dial to end was
+/// refused, or none has ended by the deadline.
 ///
-/// `dial` makes one dial; `may_hedge` says whether there is room for one more beside those under way. The others are
-/// given up when one has ended.
-pub async fn hedged<Link, Dial>(
+/// `dial` starts one dial; `may_hedge` says whether descriptors allow one more beside those in progress.
+pub async fn dial_hedged<Connection, Dial>(
     dial: impl Fn() -> Dial,
     may_hedge: impl Fn() -> bool,
     connect_timeout: Duration,
-    until: Instant,
-) -> Option<Link>
+    deadline: Instant,
+) -> Option<Connection>
 where
-    Dial: Future<Output = io::Result<Link>>,
+    Dial: Future<Output = io::Result<Connection>>,
 {
-    let late = connect_timeout.mul_f64(LATE_PART);
+    let hedge_delay = connect_timeout.mul_f64(HEDGE_DELAY_FRACTION);
     let mut dials = vec![Box::pin(dial())];
     loop {
-        let is_last = dials.len() >= MOST_DIALS;
-        let wait_until = if is_last {
-            until
+        let wait_until = if dials.len() >= MAX_DIALS {
+            deadline
         } else {
-            until.min(Instant::now() + late)
+            deadline.min(Instant::now() + hedge_delay)
         };
-        let first = poll_fn(|context| poll_first(&mut dials, context));
-        if let Ok(ended) = timeout_at(wait_until, first).await {
-            return ended.ok();
+        let first_ended = poll_fn(|context| poll_first_ended(&mut dials, context));
+        if let Ok(result) = timeout_at(wait_until, first_ended).await {
+            return result.ok();
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return None;
         }
         if may_hedge() {
@@ -50,13 +49,13 @@
     }
 }
 
-/// Polls dials until one has ended, the oldest first.
-fn poll_first<Link, Dial>(
+/// Polls the dials, the oldest first, until one has ended.
+fn poll_first_ended<Connection, Dial>(
     dials: &mut [Pin<Box<Dial>>],
     context: &mut Context<'_>,
-) -> Poll<io::Result<Link>>
+) -> Poll<io::Result<Connection>>
 where
-    Dial: Future<Output = io::Result<Link>>,
+    Dial: Future<Output = io::Result<Connection>>,
 {
     let mut polled = dials.iter_mut().map(|dial| dial.as_mut().poll(context));
     polled.find(Poll::is_ready).unwrap_or(Poll::Pending)
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -1,4 +1,4 @@
-//! What attempts and probes need of the sidecar that makes them.
+//! The interface to the sidecar that attempts and health checks run in.
 
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
@@ -11,48 +11,49 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Leave to open a connection.
+/// Permission to open a connection.
+#[derive(Debug)]
 pub struct ConnectPermit {
-    /// Its share of the descriptors.
+    /// The connection's descriptor.
     pub descriptor: DescriptorPermit,
-    /// The figure of attempts that were written whole.
-    pub attempts: Rc<Cell<u64>>,
+    /// The metric of attempts that were written completely.
+    pub attempts_written: Rc<Cell<u64>>,
 }
 
-/// The sidecar, as attempts and probes see it. None of its methods waits.
+/// The sidecar, as attempts and health checks see it. None of its methods blocks.
 pub trait EndpointHost: Clone + 'static {
-    /// The sidecar's clock.
+    /// Returns the sidecar's clock.
     fn clock(&self) -> Clock;
 
-    /// A connection that is not up by then has failed.
+    /// Returns how long a connection may take to be established.
     fn connect_timeout(&self) -> Duration;
 
-    /// The memory for answers.
-    fn answer_memory(&self) -> MemoryBudget;
+    /// Returns the memory budget for responses.
+    fn response_memory(&self) -> MemoryBudget;
 
-    /// Whether all descriptors are in use.
+    /// Returns whether all descriptors are in use.
     fn descriptors_exhausted(&self) -> bool;
 
-    /// Leave to open a connection, for which room may be made; `None` where there is none.
+    /// Returns a permit to open a connection, for which another one may be closed; `None` where no descriptor is available.
     fn connect_permit(&self) -> Option<ConnectPermit>;
 
-    /// An idle connection to an endpoint, out of the pool.
+    /// Takes an idle connection to an endpoint from the pool.
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection>;
 
-    /// Returns a connection that carried an attempt or a probe to its end; kept if its endpoint still takes work.
+    /// Returns a connection whose exchange is complete to the pool, or closes it where its endpoint takes no more work.
     fn return_connection(&self, connection: EndpointConnection, target: &Target);
 
-    /// Whether an attempt may still be written: asked just before its first byte, as everything may have changed while its
-    /// connection was made.
-    fn may_write(&self, order: &AttemptSpec) -> bool;
+    /// Returns whether an attempt may still be written. It is called just before the first byte, as everything may have
+    /// changed while the connection was established.
+    fn may_write(&self, spec: &AttemptSpec) -> bool;
 
-    /// An attempt has ended.
-    fn attempt_ended(&self, order: &AttemptSpec, result: AttemptResult);
+    /// Reports that an attempt has ended.
+    fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult);
 
-    /// A probe has ended.
+    /// Reports that a health check has ended.
     fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult);
 
-    /// Now, by the sidecar's clock.
+    /// Returns the current time of the sidecar's clock.
     fn now(&self) -> Timestamp {
         self.clock().now()
     }
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -1,38 +1,43 @@
-//! Endpoints' load reports.
+//! Parsing of endpoints' load reports.
 
 use crate::policy::LoadReport;
 use std::time::Duration;
 
-/// Figures of a load report beyond these are none: no endpoint holds so much, and one such would stay in a mean.
-const MOST_REQUESTS: f64 = 1e5;
-const MOST_UTILISATION: f64 = 2.0;
-/// The names of figures that speak of the queue.
-const QUEUE_METRICS: [&str; 4] = ["concurrent", "inflight", "depth", "queue"];
+/// The largest plausible count, rate or time in milliseconds. A larger one is ignored: it would distort means for long.
+const MAX_VALUE: f64 = 1e5;
+/// The largest plausible utilisation.
+const MAX_UTILISATION: f64 = 2.0;
+/// The names of the fields that describe the queue.
+const QUEUE_FIELDS: [&str; 4] = ["concurrent", "inflight", "depth", "queue"];
 
-/// Reads `TEXT inflight=7, queue=2, util=0.61`, with the names that the settings give the fields or those of the
-/// protocol's example. A figure that cannot be is left out. A report is none where it has no figure, or none of those
-/// that it speaks of the queue with: it would be taken for an empty queue.
+/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61`. Field names are those of the settings or those of
+/// the protocol's example. Implausible values are ignored.
+///
+/// Returns `None` where no valid value is left, or where the report names queue fields but none of them is valid: such a
+/// report would be taken for an empty queue.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
-    for pair in text.trim().strip_prefix("TEXT")?.split(',') {
-        let Some((name, value)) = pair.split_once('=') else {
+    for field in text.trim().strip_prefix("TEXT")?.split(',') {
+        let Some((name, value)) = field.split_once('=') else {
             continue;
         };
         let value = value.trim().parse::<f64>().ok();
-        let up_to = |most: f64| value.filter(|v| (0.0..=most).contains(v));
+        let up_to = |max: f64| value.filter(|value| (0.0..=max).contains(value));
         match name.trim() {
-            "concurrent" | "inflight" => report.in_flight = up_to(MOST_REQUESTS),
-            "depth" | "queue" => report.depth = up_to(MOST_REQUESTS),
-            "load_share" | "util" => report.utilisation = up_to(MOST_UTILISATION),
+            "concurrent" | "inflight" => report.in_flight = up_to(MAX_VALUE),
+            "depth" | "queue" => report.depth = up_to(MAX_VALUE),
+            "load_share" | "util" => report.utilisation = up_to(MAX_UTILISATION),
             "mean_ms" | "latency_ms" => {
-                report.mean_time = up_to(MOST_REQUESTS).map(|ms| Duration::from_secs_f64(ms / 1e3));
+                let mean_ms = up_to(MAX_VALUE);
+                report.mean_time = mean_ms.map(|mean_ms| Duration::from_secs_f64(mean_ms / 1e3));
             }
-            "tps" | "qps" => report.served_per_s = up_to(MOST_REQUESTS),
-            "err_ps" | "eps" => report.errors_per_s = up_to(MOST_REQUESTS),
+            "tps" | "qps" => report.served_per_s = up_to(MAX_VALUE),
+            "err_ps" | "eps" => report.errors_per_s = up_to(MAX_VALUE),
             _ => {}
         }
     }
-    let speaks_of_queue = QUEUE_METRICS.iter().any(|name| text.contains(name));
-    let queue_is_known = report.depth.or(report.in_flight).is_some() || !speaks_of_queue;
-    (report != LoadReport::default() && queue_is_known).then_some(report)
+    let names_queue = QUEUE_FIELDS.iter().any(|name| text.contains(name));
+    let has_queue = report.depth.or(report.in_flight).is_some();
+    let is_valid = report != LoadReport::default() && (has_queue || !names_queue);
+    is_valid.then_some(report)
 }
--- a/src/sidecar/endpoint/mod.rs
+++ b/src/sidecar/endpoint/mod.rs
@@ -1,7 +1,8 @@
-//! Endpoints: connections to them, attempts and probes over these.
+//! Connections to endpoints, and the attempts and health checks made over them.
 //!
-//! A connection carries one attempt at a time and nothing is ever sent again here once a byte of it was written: what may
-//! have run is for the decision module to weigh. What attempts need of the sidecar is in [`EndpointHost`].
+//! A connection carries one exchange at a time. Nothing is sent again here once a byte of it was written: whether a
+//! request that may have run is tried again is for the decision module to decide. What attempts need of the sidecar is
+//! declared by [`EndpointHost`].
 
 mod attempt;
 mod attempt_result;
@@ -26,5 +27,5 @@
 };
 pub use health_check::check_health;
 pub use host::{ConnectPermit, EndpointHost};
-pub use pool::{ConnectionPool, SweepTask};
+pub use pool::{ConnectionPool, IdleConnections, SweepTask};
 pub use streamed_response::StreamedResponse;
--- a/src/sidecar/endpoint/pool.rs
+++ b/src/sidecar/endpoint/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to endpoints, kept for further attempts.
+//! The pool of idle connections to endpoints.
 
 use super::connection::EndpointConnection;
 use crate::policy::{EndpointId, Limits};
@@ -6,47 +6,60 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Part of an endpoint's idle time after which a connection is dropped: one that the endpoint closes just as it is written
-/// to is a reset, which loses an unsafe request.
+/// The fraction of an endpoint's idle timeout after which an idle connection is closed here. A request that is written
+/// just as the endpoint closes the connection is reset, and an unsafe one is lost that way.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// An endpoint may close a connection just after an answer, or answer once more, which was seen to come up to 4 ms later:
-/// used again at once, the connection would bring that to the next request. What comes within this time is seen while
-/// nobody has it. Longer costs more connections, of which some come up late.
+/// How long a connection rests after a response. An endpoint may close it just after the response, or send a second one,
+/// which was seen up to 4 ms later. If the connection were used again at once, that would hit the next request; within
+/// this time it is noticed. A longer time needs more connections, some of which are established late.
 const SETTLING_TIME: Duration = Duration::from_millis(20);
-/// Idle connections kept to an endpoint. Each takes room there; a burst's are not needed again soon.
+/// The most idle connections to an endpoint. Each takes a descriptor there, and those of a burst are not soon needed
+/// again.
 const MAX_IDLE_PER_ENDPOINT: usize = 4;
-/// Idle connections kept to an endpoint while it is busy: each request takes one for as long as [`SETTLING_TIME`] beside
-/// its own time, so that four carry 200 requests a second at the most.
+/// The most idle connections to an endpoint while it is busy. A request occupies one for [`SETTLING_TIME`] beside its own
+/// time, so four would carry 200 requests a second at most.
 const MAX_IDLE_PER_BUSY_ENDPOINT: usize = 16;
-/// How long those over [`MAX_IDLE_PER_ENDPOINT`] are kept after their last use.
+/// How long connections beyond [`MAX_IDLE_PER_ENDPOINT`] stay open after their last use.
 const BUSY_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Idle connections, the most recently used of an endpoint taken first, so that spare ones grow old and go.
+/// Idle connections by endpoint. The most recently used one is taken first, so that surplus ones reach their idle timeout.
+#[derive(Debug)]
 pub struct ConnectionPool {
+    /// Each endpoint's connections, the longest idle first.
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
     idle_timeout: Duration,
-    /// Idle connections kept to an endpoint.
     max_idle_per_endpoint: usize,
-    /// Somebody sweeps it.
+    /// Whether a task sweeps the pool.
     is_sweep_scheduled: bool,
 }
 
+#[derive(Debug)]
 struct IdleConnection {
     connection: EndpointConnection,
     idle_since: Instant,
 }
 
-/// Whether somebody sweeps a pool that holds connections.
-#[derive(PartialEq)]
+/// Whether the caller has to start a task that sweeps the pool.
+#[derive(Debug, PartialEq)]
+#[must_use]
 pub enum SweepTask {
-    /// Somebody does, or need not.
-    Scheduled,
-    /// Nobody does yet.
+    /// There is one, or nothing to sweep.
+    NotNeeded,
+    /// The pool holds connections, and there is none.
     Needed,
 }
 
+/// Whether a pool holds idle connections.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum IdleConnections {
+    /// Connections are pooled.
+    Pooled,
+    /// Connections are closed after their exchange: another process needs the descriptors more.
+    Closed,
+}
+
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(limits: &Limits) -> Self {
         ConnectionPool {
             idle: HashMap::new(),
@@ -56,113 +69,106 @@
         }
     }
 
-    /// Goes on with other limits, which hold for what is idle too.
+    /// Changes the limits, also for connections that are idle now.
     pub fn change_limits(&mut self, limits: &Limits) {
         self.idle_timeout = limits.idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
     }
 
-    /// The last used connection to an endpoint that has settled and is clean.
+    /// Takes the most recently used connection to an endpoint that has settled and is ready.
     pub fn take(&mut self, endpoint: &EndpointId) -> Option<EndpointConnection> {
-        let idle = self.idle.get_mut(endpoint)?;
+        let connections = self.idle.get_mut(endpoint)?;
         let now = Instant::now();
-        while let Some(last) = idle
+        while let Some(last) = connections
             .iter()
-            .rposition(|i| now >= i.idle_since + SETTLING_TIME)
+            .rposition(|idle| now >= idle.idle_since + SETTLING_TIME)
         {
-            let IdleConnection {
-                connection,
-                idle_since,
-            } = idle.remove(last);
-            if now < idle_since + self.idle_timeout && connection.is_clean() {
-                return Some(connection);
+            let idle = connections.remove(last);
+            if now < idle.idle_since + self.idle_timeout && idle.connection.is_ready() {
+                return Some(idle.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection, if there is room for it.
+    /// Pools a connection, or closes it where the endpoint has its most idle connections.
     pub fn put(&mut self, endpoint: &EndpointId, connection: EndpointConnection) -> SweepTask {
-        let kept = self.idle.entry(endpoint.clone()).or_default();
-        if connection.is_closed()
-            || !connection.progress().is_whole()
-            || kept.len() >= self.max_idle_per_endpoint
-        {
-            return SweepTask::Scheduled;
+        let connections = self.idle.entry(endpoint.clone()).or_default();
+        let is_usable = !connection.is_closed() && connection.progress().is_complete();
+        if !is_usable || connections.len() >= self.max_idle_per_endpoint {
+            return SweepTask::NotNeeded;
         }
-        kept.push(IdleConnection {
+        connections.push(IdleConnection {
             connection,
             idle_since: Instant::now(),
         });
         if std::mem::replace(&mut self.is_sweep_scheduled, true) {
-            SweepTask::Scheduled
+            SweepTask::NotNeeded
         } else {
             SweepTask::Needed
         }
     }
 
-    /// Whether idle connections are kept. They are room that another process may need more.
-    pub fn set_keeps_idle(&mut self, idle_timeout: bool) {
-        self.max_idle_per_endpoint = if idle_timeout {
-            MAX_IDLE_PER_BUSY_ENDPOINT
-        } else {
-            0
-        };
-        if !idle_timeout {
-            self.idle.clear();
+    /// Sets whether the pool holds idle connections. Those that it must not hold are closed.
+    pub fn set_idle_connections(&mut self, idle_connections: IdleConnections) {
+        match idle_connections {
+            IdleConnections::Pooled => self.max_idle_per_endpoint = MAX_IDLE_PER_BUSY_ENDPOINT,
+            IdleConnections::Closed => {
+                self.max_idle_per_endpoint = 0;
+                self.idle.clear();
+            }
         }
     }
 
-    /// Closes idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&mut self, endpoint: &EndpointId) {
         self.idle.remove(endpoint);
     }
 
-    /// Closes the connection that has been idle longest; false where none is.
+    /// Closes the connection that has been idle longest. Returns false where there is none.
     pub fn close_oldest(&mut self) -> bool {
         let oldest = self
             .idle
-            .iter()
-            .filter_map(|(e, idle)| Some((idle.first()?.idle_since, e)));
-        let Some(endpoint) = oldest
-            .min_by_key(|(idle_since, _)| *idle_since)
-            .map(|(_, e)| e.clone())
-        else {
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].idle_since);
+        let Some(connections) = oldest else {
             return false;
         };
-        self.idle
-            .get_mut(&endpoint)
-            .is_some_and(|idle| !idle.drain(..1).as_slice().is_empty())
+        connections.remove(0);
+        true
     }
 
-    /// Drops what has been idle too long; returns when the next will have been.
+    /// Closes what has been idle for too long. Returns when to sweep next, or `None` where the pool is empty.
     pub fn sweep(&mut self) -> Option<Instant> {
         let now = Instant::now();
         let idle_timeout = self.idle_timeout;
-        self.idle.retain(|_, idle| {
-            idle.retain(|i| now < i.idle_since + idle_timeout && !i.connection.is_closed());
-            while first_expires_at(idle, idle_timeout).is_some_and(|at| at <= now) {
-                idle.remove(0);
+        self.idle.retain(|_, connections| {
+            connections.retain(|idle| {
+                now < idle.idle_since + idle_timeout && !idle.connection.is_closed()
+            });
+            while first_expires_at(connections, idle_timeout).is_some_and(|at| at <= now) {
+                connections.remove(0);
             }
-            !idle.is_empty()
+            !connections.is_empty()
         });
         let next = self
             .idle
             .values()
-            .filter_map(|idle| first_expires_at(idle, idle_timeout))
+            .filter_map(|connections| first_expires_at(connections, idle_timeout))
             .min();
-        // Connections come back while it waits, and may have to go before what there is now.
+        // Connections that come back until then may expire before those that are idle now.
         let next = next.map(|at| at.min(now + idle_timeout.min(BUSY_IDLE_TIMEOUT)));
         self.is_sweep_scheduled = next.is_some();
         next
     }
 }
 
-/// When the first of an endpoint's idle connections has been idle too long.
-fn first_expires_at(idle: &[IdleConnection], idle_timeout: Duration) -> Option<Instant> {
-    let time = if idle.len() > MAX_IDLE_PER_ENDPOINT {
+/// Returns when the longest idle of an endpoint's connections expires.
+fn first_expires_at(connections: &[IdleConnection], idle_timeout: Duration) -> Option<Instant> {
+    let timeout = if connections.len() > MAX_IDLE_PER_ENDPOINT {
         idle_timeout.min(BUSY_IDLE_TIMEOUT)
     } else {
         idle_timeout
     };
-    idle.first().map(|first| first.idle_since + time)
+    connections.first().map(|first| first.idle_since + timeout)
 }
--- a/src/sidecar/endpoint/request_body.rs
+++ b/src/sidecar/endpoint/request_body.rs
@@ -1,126 +1,138 @@
-//! What an attempt writes of its request's body.
+//! The request body that an attempt writes.
 
 use super::write_progress::WriteProgress;
-use crate::sidecar::body::{BodyTransferError, RemainingUpload, Upload, UploadError};
+use crate::sidecar::body::{BodyTransferError, RemainingUpload, Upload, UploadError, poll_data};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, ready};
+use std::task::{Context, Poll};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// A request's body on its way to an endpoint. Its connection is told when hyper lets go of it whole: as soon as it has all
-/// of it, at once where there is none.
-pub struct OutgoingBody {
+/// A request body on its way to an endpoint. hyper drops it as soon as it has taken all of it, or at once where it is
+/// empty; the connection's [`WriteProgress`] is notified then.
+#[derive(Debug)]
+pub struct RequestBody {
     source: Source,
     progress: Rc<WriteProgress>,
 }
 
+#[derive(Debug)]
 enum Source {
-    Kept(Full<Bytes>),
+    Buffered(Full<Bytes>),
     Upload(UploadSource),
 }
 
+/// A body that is streamed while the client sends it.
+#[derive(Debug)]
 struct UploadSource {
-    /// What was kept, until it has gone on.
-    first: Option<Bytes>,
+    /// What was received before the attempt, until it has been forwarded.
+    buffered: Option<Bytes>,
     upload: Rc<Upload>,
-    rest: Option<RemainingUpload>,
-    timer: Pin<Box<Sleep>>,
+    remaining: Option<RemainingUpload>,
+    deadline_timer: Pin<Box<Sleep>>,
 }
 
-impl OutgoingBody {
-    /// A body that is kept, or the beginning of an upload.
-    pub fn new(kept: Bytes, upload: Option<Rc<Upload>>, progress: Rc<WriteProgress>) -> Self {
+impl RequestBody {
+    /// Creates a body: all of it is buffered, or its beginning where there is an upload.
+    pub fn new(buffered: Bytes, upload: Option<Rc<Upload>>, progress: Rc<WriteProgress>) -> Self {
         let source = match upload {
-            None => Source::Kept(Full::new(kept)),
-            Some(upload) => {
-                upload.attempt_begins();
-                let timer = Box::pin(sleep_until(Instant::now()));
-                Source::Upload(UploadSource {
-                    first: Some(kept),
-                    upload,
-                    rest: None,
-                    timer,
-                })
-            }
+            None => Source::Buffered(Full::new(buffered)),
+            Some(upload) => Source::Upload(UploadSource::new(buffered, upload)),
         };
-        OutgoingBody { source, progress }
+        RequestBody { source, progress }
     }
 }
 
 impl UploadSource {
+    fn new(buffered: Bytes, upload: Rc<Upload>) -> Self {
+        upload.on_attempt_started();
+        UploadSource {
+            buffered: Some(buffered),
+            upload,
+            remaining: None,
+            deadline_timer: Box::pin(sleep_until(Instant::now())),
+        }
+    }
+
     fn poll_frame(
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
         if self.upload.completed_at().is_some() {
             return Poll::Ready(None);
         }
-        if self.rest.is_none() {
-            self.rest = self.upload.take_rest();
+        if self.remaining.is_none() {
+            self.remaining = self.upload.take_remaining();
         }
-        let Some(rest) = &mut self.rest else {
-            return Poll::Ready(Some(Err("another attempt has taken the body".into())));
+        let Some(remaining) = &mut self.remaining else {
+            return Poll::Ready(Some(Err(BodyTransferError::UploadConsumed)));
+        };
+        let Poll::Ready(received) = poll_remaining(remaining, &mut self.deadline_timer, context)
+        else {
+            return Poll::Pending;
         };
-        let piece = ready!(poll_piece(rest, self.timer.as_mut(), context));
-        let passed = match piece {
-            Ok(Some(data)) => self.upload.passed(data.len()).map(|()| data),
+        let forwarded = received.and_then(|data| match data {
+            Some(data) => self.upload.on_received(data.len()).map(|()| Some(data)),
+            None => Ok(None),
+        });
+        match forwarded {
+            Ok(Some(data)) => Poll::Ready(Some(Ok(Frame::data(data)))),
             Ok(None) => {
-                self.upload.set_ended(Ok(()));
-                return Poll::Ready(None);
+                self.upload.set_finished(Ok(()));
+                Poll::Ready(None)
             }
-            Err(error) => Err(error),
-        };
-        Poll::Ready(Some(match passed {
-            Ok(data) => Ok(Frame::data(data)),
             Err(error) => {
-                self.upload.set_ended(Err(error));
-                Err("the caller's body cannot be received".into())
+                self.upload.set_finished(Err(error));
+                Poll::Ready(Some(Err(error.into())))
             }
-        }))
+        }
+    }
+
+    /// Returns whether all of it has been forwarded.
+    fn is_complete(&self) -> bool {
+        self.buffered.is_none() && self.upload.completed_at().is_some()
     }
 
-    /// Whether all of it has gone on.
-    fn is_whole(&self) -> bool {
-        self.first.is_none() && self.upload.completed_at().is_some()
+    /// Notes the end of an upload that hyper has stopped reading at its declared length, ahead of its end.
+    fn finish_at_declared_length(&self) {
+        if self.upload.has_declared_length() && !self.upload.is_finished() {
+            self.upload.set_finished(Ok(()));
+        }
     }
 }
 
-/// The next piece of an upload, none at its end.
-fn poll_piece(
-    rest: &mut RemainingUpload,
-    mut timer: Pin<&mut Sleep>,
+/// Polls for the next data of an upload, `None` at its end.
+fn poll_remaining(
+    remaining: &mut RemainingUpload,
+    deadline_timer: &mut Pin<Box<Sleep>>,
     context: &mut Context<'_>,
 ) -> Poll<Result<Option<Bytes>, UploadError>> {
-    loop {
-        let due = rest.pace.wait();
-        match Pin::new(&mut rest.body).poll_frame(context) {
-            Poll::Ready(Some(Ok(frame))) => {
-                let Ok(data) = frame.into_data() else {
-                    continue;
-                }; // trailers go no further
-                rest.pace.received(data.len());
-                return Poll::Ready(Ok(Some(data)));
-            }
-            Poll::Ready(None) => return Poll::Ready(Ok(None)),
-            Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(UploadError::Incomplete)),
-            Poll::Pending => {
-                if timer.deadline() != due {
-                    timer.as_mut().reset(due);
-                }
-                ready!(timer.as_mut().poll(context));
-                return Poll::Ready(Err(UploadError::TooSlow));
+    let deadline = remaining.deadline.resume();
+    match poll_data(&mut remaining.body, context) {
+        Poll::Ready(Some(Ok(data))) => {
+            remaining.deadline.on_received(data.len());
+            Poll::Ready(Ok(Some(data)))
+        }
+        Poll::Ready(Some(Err(_))) => Poll::Ready(Err(UploadError::Incomplete)),
+        Poll::Ready(None) => Poll::Ready(Ok(None)),
+        Poll::Pending => {
+            if deadline_timer.deadline() != deadline {
+                deadline_timer.as_mut().reset(deadline);
             }
+            deadline_timer
+                .as_mut()
+                .poll(context)
+                .map(|()| Err(UploadError::TooSlow))
         }
     }
 }
 
-impl Body for OutgoingBody {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = BodyTransferError;
 
@@ -129,23 +141,23 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
         match &mut self.source {
-            Source::Kept(body) => Pin::new(body)
+            Source::Buffered(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            Source::Upload(upload) => upload.poll_frame(context),
+            Source::Upload(source) => source.poll_frame(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.source {
-            Source::Kept(body) => body.is_end_stream(),
-            Source::Upload(upload) => upload.is_whole(),
+            Source::Buffered(body) => body.is_end_stream(),
+            Source::Upload(source) => source.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Kept(body) => body.size_hint(),
+            Source::Buffered(body) => body.size_hint(),
             Source::Upload(source) => source
                 .upload
                 .length()
@@ -155,16 +167,13 @@
     }
 }
 
-impl Drop for OutgoingBody {
+impl Drop for RequestBody {
     fn drop(&mut self) {
-        if let Source::Upload(UploadSource { upload, .. }) = &self.source
-            && upload.has_declared_length()
-            && !upload.has_ended()
-        {
-            upload.set_ended(Ok(())); // hyper asks for no more than was declared
+        if let Source::Upload(source) = &self.source {
+            source.finish_at_declared_length();
         }
         if self.is_end_stream() {
-            self.progress.request_taken();
+            self.progress.on_request_buffered();
         }
     }
 }
--- a/src/sidecar/endpoint/response.rs
+++ b/src/sidecar/endpoint/response.rs
@@ -1,34 +1,51 @@
-//! An endpoint's response as it came.
+//! An endpoint's response as it was received.
 
 use crate::sidecar::body::{BodyTransferError, MAX_BODY, ReceivedResponse};
 use hyper::body::{Body, Incoming};
 use hyper::{Response, header};
+use thiserror::Error;
 
-/// An endpoint's response as it came.
+/// An endpoint's response as it was received.
+#[derive(Debug)]
 pub struct EndpointResponse {
     /// Its status and headers.
     pub head: Response<()>,
-    /// An error where it came short, or is too large.
+    /// Its body, or why that could not be received.
     pub body: Result<ReceivedResponse, BodyTransferError>,
 }
 
-/// Why an answer's end cannot be known, or is not worth waiting for: a reader that believes one length where the next
-/// believes another passes on what is no answer. hyper reads repeated lengths, and chunks in spite of a length.
-pub fn framing_problem(head: &Response<Incoming>) -> Option<&'static str> {
-    let lengths: Vec<_> = head
-        .headers()
-        .get_all(header::CONTENT_LENGTH)
-        .iter()
-        .collect();
-    let is_chunked = head.headers().contains_key(header::TRANSFER_ENCODING);
+/// Why a response is not read: its end cannot be known, or is not worth waiting for.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub enum FramingError {
+    /// It declares its length more than once. Two readers that believe different lengths see different responses. hyper
+    /// accepts equal lengths, and chunked encoding in spite of a length.
+    #[error("the response declares more than one length")]
+    AmbiguousLength,
+    /// Its declared length is larger than [`MAX_BODY`].
+    #[error("the response is too large")]
+    TooLarge,
+    /// Its status is a 1xx that leaves HTTP.
+    #[error("the response switches protocols")]
+    ProtocolSwitch,
+}
+
+/// Checks that a response can be forwarded as it is framed.
+///
+/// # Errors
+/// Why it cannot.
+pub fn check_framing(response: &Response<Incoming>) -> Result<(), FramingError> {
+    let headers = response.headers();
+    let lengths: Vec<_> = headers.get_all(header::CONTENT_LENGTH).iter().collect();
+    let is_chunked = headers.contains_key(header::TRANSFER_ENCODING);
     let is_list = lengths.iter().any(|value| value.as_bytes().contains(&b','));
     if lengths.len() + usize::from(is_chunked) > 1 || is_list {
-        return Some("it has more than one length");
+        return Err(FramingError::AmbiguousLength);
+    }
+    if response.body().size_hint().lower() > MAX_BODY {
+        return Err(FramingError::TooLarge);
     }
-    if head.body().size_hint().lower() > MAX_BODY {
-        return Some("it is too large");
+    if response.status().is_informational() {
+        return Err(FramingError::ProtocolSwitch);
     }
-    head.status()
-        .is_informational()
-        .then_some("it changes the protocol")
+    Ok(())
 }
--- a/src/sidecar/endpoint/streamed_response.rs
+++ b/src/sidecar/endpoint/streamed_response.rs
@@ -1,87 +1,80 @@
-//! Answers that go on to their callers as they come.
+//! Responses that are forwarded to their clients while they are received.
 
 use super::connection::EndpointConnection;
-use crate::sidecar::body::{BodyTransferError, MAX_BODY};
+use crate::sidecar::body::{BodyTransferError, MAX_BODY, poll_data};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
+use std::fmt;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// An endpoint that has begun to answer may pause so long; it may have a tier behind it.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+/// How long an endpoint may pause in the middle of its response. It may be waiting for a further tier.
+const MAX_PAUSE: Duration = Duration::from_secs(10);
 
-/// What takes a connection back once its answer has come whole.
+/// Returns a connection to the pool once its response is complete.
 type ReturnConnection = Box<dyn FnOnce(EndpointConnection)>;
 
-/// A body that goes on to its caller as it comes. What goes wrong from now on the caller is left to see.
+/// A response body that is forwarded while it is received. Nothing can be tried again any more, so a failure from now on
+/// breaks off the client's response too.
 pub struct StreamedResponse {
-    first: Bytes,
-    rest: Incoming,
+    buffered: Bytes,
+    remaining: Incoming,
     length: Option<u64>,
-    passed: u64,
-    /// How long the endpoint may still pause, while it is waited for.
-    pause: Option<Pin<Box<Sleep>>>,
-    /// Until the answer has ended.
+    forwarded: u64,
+    /// Fires when the endpoint has paused for too long. `None` while data comes.
+    pause_timer: Option<Pin<Box<Sleep>>>,
+    /// `None` once the response is complete.
     connection: Option<(EndpointConnection, ReturnConnection)>,
 }
 
 impl StreamedResponse {
-    /// An answer of which some has come on a connection.
+    /// Creates a response of which `buffered` has been received on a connection.
     pub fn new(
-        first: Bytes,
-        rest: Incoming,
+        buffered: Bytes,
+        remaining: Incoming,
         length: Option<u64>,
         connection: EndpointConnection,
         return_connection: impl FnOnce(EndpointConnection) + 'static,
     ) -> Self {
         let connection = Some((connection, Box::new(return_connection) as ReturnConnection));
         StreamedResponse {
-            first,
-            rest,
+            buffered,
+            remaining,
             length,
-            passed: 0,
-            pause: None,
+            forwarded: 0,
+            pause_timer: None,
             connection,
         }
     }
 
-    /// Whether all of it has come. One that broke off is not whole, and no more of it comes.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether all of the response has been received. A response that broke off never is.
+    pub fn is_complete(&self) -> bool {
         self.connection.is_none()
     }
 
-    fn end_whole(&mut self) {
+    fn complete(&mut self) {
         if let Some((connection, return_connection)) = self.connection.take() {
             return_connection(connection);
         }
     }
 
-    /// The next piece, none at the end.
-    fn poll_piece(
+    /// Polls for the next data, `None` at the end.
+    fn poll_remaining(
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Result<Option<Bytes>, BodyTransferError>> {
-        loop {
-            match Pin::new(&mut self.rest).poll_frame(context) {
-                Poll::Ready(Some(Ok(frame))) => {
-                    self.pause = None;
-                    let Ok(data) = frame.into_data() else {
-                        continue;
-                    }; // trailers go no further
-                    return Poll::Ready(Ok(Some(data)));
-                }
-                Poll::Ready(None) => return Poll::Ready(Ok(None)),
-                Poll::Ready(Some(Err(failure))) => return Poll::Ready(Err(failure.into())),
-                Poll::Pending => {
-                    let pause = || Box::pin(sleep_until(Instant::now() + LONGEST_PAUSE));
-                    ready!(self.pause.get_or_insert_with(pause).as_mut().poll(context));
-                    let text = "the endpoint has stopped in the middle of its answer";
-                    return Poll::Ready(Err(text.into()));
-                }
-            }
-        }
+        let Poll::Ready(received) = poll_data(&mut self.remaining, context) else {
+            let start_timer = || Box::pin(sleep_until(Instant::now() + MAX_PAUSE));
+            let pause_timer = self.pause_timer.get_or_insert_with(start_timer);
+            return pause_timer
+                .as_mut()
+                .poll(context)
+                .map(|()| Err(BodyTransferError::ResponseStalled));
+        };
+        self.pause_timer = None;
+        Poll::Ready(received.transpose().map_err(BodyTransferError::from))
     }
 }
 
@@ -93,32 +86,43 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
-        if !self.first.is_empty() {
-            let first = std::mem::take(&mut self.first);
-            self.passed += first.len() as u64;
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+        if !self.buffered.is_empty() {
+            let buffered = std::mem::take(&mut self.buffered);
+            self.forwarded += buffered.len() as u64;
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        let Some(data) = ready!(self.poll_piece(context))? else {
-            self.end_whole();
+        let Some(data) = ready!(self.poll_remaining(context))? else {
+            self.complete();
             return Poll::Ready(None);
         };
-        self.passed += data.len() as u64;
-        if self.passed > MAX_BODY {
-            return Poll::Ready(Some(Err("the answer is too large".into())));
+        self.forwarded += data.len() as u64;
+        if self.forwarded > MAX_BODY {
+            return Poll::Ready(Some(Err(BodyTransferError::ResponseTooLarge)));
         }
-        if self.length == Some(self.passed) {
-            self.end_whole(); // hyper asks for no more
+        if self.length == Some(self.forwarded) {
+            self.complete(); // hyper does not poll again for the end
         }
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.connection.is_none() && self.first.is_empty()
+        self.is_complete() && self.buffered.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
         self.length
-            .map(|length| SizeHint::with_exact(length - self.passed))
+            .map(|length| SizeHint::with_exact(length - self.forwarded))
             .unwrap_or_default()
     }
 }
+
+impl fmt::Debug for StreamedResponse {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("StreamedResponse")
+            .field("length", &self.length)
+            .field("forwarded", &self.forwarded)
+            .field("is_complete", &self.is_complete())
+            .finish_non_exhaustive()
+    }
+}
--- a/src/sidecar/endpoint/write_progress.rs
+++ b/src/sidecar/endpoint/write_progress.rs
@@ -1,75 +1,83 @@
-//! How far the writing of an attempt on its connection has come.
+//! How much of an attempt has been written to its connection.
 
+use crate::sidecar::sockets::WriteObserver;
 use std::cell::Cell;
+use std::io;
 use std::rc::Rc;
+use std::task::Poll;
 
 /// How far the writing of an attempt has come.
-#[derive(Clone, Copy, PartialEq)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// None is being written, or it is counted.
+    /// No attempt is being written: there is none, or it has been written completely and counted.
     Idle,
-    /// hyper has not taken all of it yet.
-    Begun,
-    /// hyper has taken all of it, and may have some in its buffer.
-    Taken,
+    /// hyper has not taken the complete request yet.
+    Started,
+    /// hyper has taken the complete request; some of it may be in hyper's buffer.
+    Buffered,
 }
 
-/// What is known of the writing on a connection.
+/// Tracks what is written to a connection, and counts the attempts that were written completely. An attempt of which no
+/// byte was written never ran.
+#[derive(Debug)]
 pub struct WriteProgress {
-    /// Bytes: an attempt of which none was written never ran.
-    written: Cell<u64>,
+    bytes_written: Cell<u64>,
     stage: Cell<Stage>,
-    /// The figure of attempts that were written whole.
-    attempts: Rc<Cell<u64>>,
+    /// The metric of attempts that were written completely.
+    attempts_written: Rc<Cell<u64>>,
 }
 
 impl WriteProgress {
-    /// For a new connection.
-    pub fn new(attempts: Rc<Cell<u64>>) -> Self {
+    /// Creates the progress of a new connection.
+    pub fn new(attempts_written: Rc<Cell<u64>>) -> Self {
         WriteProgress {
-            written: Cell::new(0),
+            bytes_written: Cell::new(0),
             stage: Cell::new(Stage::Idle),
-            attempts,
+            attempts_written,
         }
     }
 
-    /// An attempt begins, which counts.
-    pub fn attempt_begins(&self) {
-        self.stage.set(Stage::Begun);
+    /// Notes that an attempt is about to be written. It is counted once that is complete.
+    pub fn on_attempt_started(&self) {
+        self.stage.set(Stage::Started);
     }
 
-    /// A probe begins, which does not count.
-    pub fn health_check_begins(&self) {
+    /// Notes that a health check is about to be written, which is not counted.
+    pub fn on_health_check_started(&self) {
         self.stage.set(Stage::Idle);
     }
 
-    /// hyper has taken the whole request, and writes it out before it flushes.
-    pub fn request_taken(&self) {
-        if self.stage.get() == Stage::Begun {
-            self.stage.set(Stage::Taken);
+    /// Notes that hyper has taken the complete request. hyper writes it out before it flushes.
+    pub fn on_request_buffered(&self) {
+        if self.stage.get() == Stage::Started {
+            self.stage.set(Stage::Buffered);
         }
     }
 
-    /// So many bytes were written.
-    pub fn wrote(&self, bytes: usize) {
-        self.written.set(self.written.get() + bytes as u64);
+    /// Returns how many bytes have been written to the connection.
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written.get()
     }
 
-    /// hyper flushes only what it has written out: an attempt that it had taken whole has its last byte written.
-    pub fn flushed(&self) {
-        if self.stage.get() == Stage::Taken {
-            self.stage.set(Stage::Idle);
-            self.attempts.set(self.attempts.get() + 1);
-        }
+    /// Returns whether the last attempt has been written completely.
+    pub fn is_complete(&self) -> bool {
+        self.stage.get() == Stage::Idle
     }
+}
 
-    /// Bytes written so far.
-    pub fn written(&self) -> u64 {
-        self.written.get()
+impl WriteObserver for WriteProgress {
+    fn on_write(&self, result: &Poll<io::Result<usize>>) {
+        if let Poll::Ready(Ok(bytes)) = result {
+            self.bytes_written
+                .set(self.bytes_written.get() + *bytes as u64);
+        }
     }
 
-    /// Whether all of the last attempt is written.
-    pub fn is_whole(&self) -> bool {
-        self.stage.get() == Stage::Idle
+    /// hyper flushes only what it has written out, so a request that it had taken completely is written to its last byte.
+    fn on_flush(&self) {
+        if self.stage.get() == Stage::Buffered {
+            self.stage.set(Stage::Idle);
+            self.attempts_written.set(self.attempts_written.get() + 1);
+        }
     }
 }
--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -5,6 +5,7 @@
 //! Once the newer one is ready it says so, and the older one stops accepting and asks its callers to come again. Until it
 //! ends, both tell each other what they hold of the limits that they share.
 
+use super::endpoint::IdleConnections;
 use super::node::{Node, NodeHandle};
 use super::server;
 use super::upgrade::{Order, ProcessMessage, ProcessNumber, SharedDirectory};
@@ -145,7 +146,7 @@
         node.process_ended(number);
         let (is_taken_back, is_stopped) = {
             let mut node = node.borrow();
-            node.pool.set_keeps_idle(true);
+            node.pool.set_idle_connections(IdleConnections::Pooled);
             (
                 node.callers.resume_accepting(),
                 node.callers.are_shutting_down(),
@@ -319,13 +320,13 @@
             }
             ProcessMessage::Serving => {
                 callers.suspend_accepting();
-                pool.set_keeps_idle(false);
+                pool.set_idle_connections(IdleConnections::Closed);
                 log!("callers go over to the process after");
             }
             // Told by the process before, it is no news: callers go over from there.
             ProcessMessage::Stopping => {
                 if other_processes.is_after(from) && callers.resume_accepting() {
-                    pool.set_keeps_idle(true);
+                    pool.set_idle_connections(IdleConnections::Pooled);
                     log!("the process after stops; callers are let in here again");
                 }
             }
--- a/src/sidecar/memory.rs
+++ b/src/sidecar/memory.rs
@@ -1,31 +1,32 @@
-//! The memory that bodies may take, of requests that are received or open, or of answers that are received.
+//! The memory budget of buffered bodies: of pending requests, or of responses that are being received.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A budget of bytes.
-#[derive(Clone)]
+/// A budget of bytes, shared by its clones.
+#[derive(Clone, Debug)]
 pub struct MemoryBudget {
     limit: usize,
     reserved: Rc<Cell<usize>>,
 }
 
-/// One body's share, until it is dropped.
+/// Bytes reserved for one body until it is dropped.
+#[derive(Debug)]
 pub struct MemoryReservation {
     size: usize,
     reserved: Rc<Cell<usize>>,
 }
 
 impl MemoryBudget {
-    /// One of so many equal parts of the process's memory.
-    pub fn fraction_of(memory_mb: usize, parts: usize) -> Self {
+    /// Creates a budget of the process's memory divided by `divisor`.
+    pub fn fraction_of(memory_mb: usize, divisor: usize) -> Self {
         MemoryBudget {
-            limit: (memory_mb << 20) / parts,
+            limit: (memory_mb << 20) / divisor,
             reserved: Rc::default(),
         }
     }
 
-    /// Reserves so many bytes, if there is room.
+    /// Reserves so many bytes. Returns `None` where they exceed the budget.
     pub fn reserve(&self, size: usize) -> Option<MemoryReservation> {
         let total = self.reserved.get() + size;
         if total > self.limit {
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -50,18 +50,19 @@
         };
         let attempt = open.next_attempt();
         if let Some(target) = target.filter(|_| open.is_unanswered()) {
-            let until = timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
+            let deadline =
+                timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
             let forwarded = open.forwarded.clone();
-            let order = AttemptSpec {
+            let spec = AttemptSpec {
                 request: request.clone(),
                 attempt,
                 target,
-                until,
+                deadline,
                 forwarded,
             };
             open.begin_attempt(
                 now,
-                Task::spawn(endpoint::run_attempt(handle.clone(), order)),
+                Task::spawn(endpoint::run_attempt(handle.clone(), spec)),
             );
         } else {
             open.skip_attempt();
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -22,7 +22,7 @@
         self.borrow().settings.current().limits.connect_timeout
     }
 
-    fn answer_memory(&self) -> MemoryBudget {
+    fn response_memory(&self) -> MemoryBudget {
         self.borrow().answer_memory.clone()
     }
 
@@ -40,7 +40,7 @@
         let descriptor = node.descriptors.permit(Side::Endpoints);
         Some(ConnectPermit {
             descriptor,
-            attempts: node.metrics.attempts.clone(),
+            attempts_written: node.metrics.attempts.clone(),
         })
     }
 
@@ -58,30 +58,30 @@
         }
     }
 
-    fn may_write(&self, order: &AttemptSpec) -> bool {
+    fn may_write(&self, spec: &AttemptSpec) -> bool {
         let node = self.borrow();
-        let Some(open) = node.open.get(&order.request) else {
+        let Some(open) = node.open.get(&spec.request) else {
             return false;
         };
-        let is_in_time = node.clock.now() < order.until;
+        let is_in_time = node.clock.now() < spec.deadline;
         open.is_unanswered()
-            && open.is_in_flight(order.attempt)
-            && node.takes_work(&order.target)
+            && open.is_in_flight(spec.attempt)
+            && node.takes_work(&spec.target)
             && is_in_time
     }
 
     /// The first attempt served is the request's answer.
-    fn attempt_ended(&self, order: &AttemptSpec, result: AttemptResult) {
+    fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult) {
         let mut guard = self.borrow();
         let node = &mut *guard;
-        let Some(open) = node.open.get_mut(&order.request) else {
+        let Some(open) = node.open.get_mut(&spec.request) else {
             return;
         };
-        let Some(sent) = open.end_attempt(order.attempt) else {
+        let Some(sent) = open.end_attempt(spec.attempt) else {
             return; // cancelled, and the module knows
         };
         // It ran from when the endpoint had all of it.
-        let completed_at = order
+        let completed_at = spec
             .forwarded
             .upload
             .as_ref()
@@ -89,24 +89,24 @@
         let completed_at = completed_at.map(|instant| node.clock.timestamp(instant));
         let sent = completed_at.map_or(sent, |at| at.max(sent));
         open.has_timed_out = result.outcome == Outcome::TimedOut;
-        if let Some(answer) = result.answer {
-            node.answer(&order.request, FinalAnswer::Served(answer));
+        if let Some(response) = result.response {
+            node.answer(&spec.request, FinalAnswer::Served(response));
         }
         let event = node.attempt_end(
-            &order.request,
-            order.attempt,
+            &spec.request,
+            spec.attempt,
             sent,
             result.outcome,
             result.report,
         );
         drop(guard);
-        if order.forwarded.is_consumed() {
+        if spec.forwarded.is_consumed() {
             self.handle(Event::BodyConsumed {
-                request: order.request.clone(),
+                request: spec.request.clone(),
             });
         }
         self.handle(event);
-        self.borrow().forget_if_over(&order.request);
+        self.borrow().forget_if_over(&spec.request);
     }
 
     fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -49,7 +49,7 @@
     serve_requests(&caller, &stream, &close, once).await;
     let state = &caller.state;
     if !state.peer_has_ended.get() && !state.is_closing_idle.get() {
-        let _ = sockets::end(&stream); // the answer ends, also for one who reads to the end
+        let _ = sockets::shutdown_write(&stream); // the answer ends, also for one who reads to the end
         lingering_close(&stream, state, &close).await;
     }
 }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -5,7 +5,7 @@
 use super::request::parse_request;
 use super::request_error::RequestError;
 use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
-use crate::sidecar::body::{MAX_BUFFERED_BODY, ReceivedRequestBody, Upload, receive_request_body};
+use crate::sidecar::body::{ReceivedRequestBody, Upload, buffer_size, receive_request_body};
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
@@ -102,13 +102,9 @@
     Ok(pending.reply(answer))
 }
 
-/// Room for as much of a body as it declares, or as may be kept.
+/// Reserves the memory that buffering a body can take.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
-    let length = body.size_hint().exact();
-    let most = length.map_or(MAX_BUFFERED_BODY, |length| {
-        length.min(MAX_BUFFERED_BODY as u64) as usize
-    });
-    node.borrow().request_memory.reserve(most)
+    node.borrow().request_memory.reserve(buffer_size(body))
 }
 
 impl ParsedRequest {
@@ -142,7 +138,7 @@
                 .path_and_query
                 .unwrap_or(PathAndQuery::from_static("/api")),
             headers: end_to_end_headers(&head.headers),
-            body: body.kept,
+            body: body.buffered,
             upload: body.upload,
             is_repeatable: self.class().idempotency != Idempotency::Unsafe,
             _memory: memory,
@@ -204,9 +200,9 @@
     ) -> Result<Option<Result<FinalAnswer, RecvError>>, RequestError> {
         // Answered before it has come whole, the connection ends with the answer.
         caller.state.is_last_request.set(true);
-        let answer = pin!(upload.within(self.after_upload, answer));
+        let answer = pin!(upload.timeout(self.after_upload, answer));
         let failed = async {
-            if let Err(error) = upload.end().await {
+            if let Err(error) = upload.wait_until_finished().await {
                 return error;
             }
             caller.state.is_last_request.set(self.is_chunked);
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -49,7 +49,7 @@
         let frame = Pin::new(&mut self.answer).poll_frame(context);
         let status = match &frame {
             Poll::Ready(Some(Err(_))) => Some(StatusCode::BAD_GATEWAY),
-            _ => self.answer.is_whole().then_some(StatusCode::OK),
+            _ => self.answer.is_complete().then_some(StatusCode::OK),
         };
         if let Some(status) = status {
             self.count
@@ -104,7 +104,7 @@
     match answer {
         FinalAnswer::Served(served) => {
             let mut reply = Response::new(match served.body {
-                ResponseBody::Whole(body) => ReplyBody::Whole(Full::new(body)),
+                ResponseBody::Complete(body) => ReplyBody::Whole(Full::new(body)),
                 ResponseBody::Streamed(answer) => {
                     let streamed = StreamedReply {
                         answer: *answer,
--- a/src/sidecar/sockets.rs
+++ b/src/sidecar/sockets.rs
@@ -1,4 +1,4 @@
-//! Reading and writing on a socket that more than one part of the program looks at.
+//! Reading from and writing to sockets that are shared by more than one owner.
 
 use bytes::BufMut;
 use socket2::SockRef;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Reads into the buffer's unfilled part, which need not be initialised.
+/// Reads into the unfilled part of a buffer, which need not be initialised.
 pub fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -20,57 +20,65 @@
     loop {
         ready!(stream.poll_read_ready(context))?;
         match stream.try_read_buf(buffer) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            read => return Poll::Ready(read.map(drop)),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            result => return Poll::Ready(result.map(drop)),
         }
     }
 }
 
-/// Reads up to `most` bytes onto the end of some, which take room for them only once there are any; 0 at the other
-/// side's end.
+/// Appends up to `max` received bytes to a vector, which grows only once there are any. Returns 0 at the peer's end.
 pub fn poll_append(
     stream: &TcpStream,
     context: &mut Context<'_>,
     bytes: &mut Vec<u8>,
-    most: usize,
+    max: usize,
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_read_ready(context))?;
-        bytes.reserve(most);
-        match stream.try_read_buf(&mut (&mut *bytes).limit(most)) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            read => return Poll::Ready(read),
+        bytes.reserve(max);
+        match stream.try_read_buf(&mut (&mut *bytes).limit(max)) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            result => return Poll::Ready(result),
         }
     }
 }
 
+/// Writes as much of the slices as the socket's send buffer takes.
 pub fn poll_write(
     stream: &TcpStream,
     context: &mut Context<'_>,
-    parts: &[io::IoSlice<'_>],
+    slices: &[io::IoSlice<'_>],
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(context))?;
-        match stream.try_write_vectored(parts) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            written => return Poll::Ready(written),
+        match stream.try_write_vectored(slices) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// Whether something has come that was not read. The socket is asked, as the runtime hears of it later.
+/// Returns whether received bytes are unread. It asks the kernel, as the runtime is notified later.
 pub fn has_unread(stream: &TcpStream) -> bool {
-    SockRef::from(stream)
-        .peek(&mut [MaybeUninit::uninit()])
-        .is_ok_and(|n| n > 0)
+    peek(stream).is_ok_and(|count| count > 0)
 }
 
-/// Tells the other side that nothing more comes.
-pub fn end(stream: &TcpStream) -> io::Result<()> {
+/// Returns whether the peer has not closed the connection and no received bytes are unread. It asks the kernel, as the
+/// runtime is notified later.
+pub fn is_open_without_unread(stream: &TcpStream) -> bool {
+    peek(stream).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+}
+
+fn peek(stream: &TcpStream) -> io::Result<usize> {
+    SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
+}
+
+/// Shuts down the sending side, so that the peer reads the end.
+pub fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).shutdown(Shutdown::Write)
 }
 
-/// Is notified of the writes on an [`ObservedSocket`].
+/// Observes the writes to an [`ObservedSocket`].
 pub trait WriteObserver {
     /// A write was attempted; it is pending where the socket's send buffer is full.
     fn on_write(&self, result: &Poll<io::Result<usize>>);
@@ -80,6 +88,7 @@
 }
 
 /// A shared socket whose writes are reported to an observer.
+#[derive(Debug)]
 pub struct ObservedSocket<O> {
     stream: Rc<TcpStream>,
     observer: Rc<O>,
@@ -131,6 +140,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(end(&self.stream))
+        Poll::Ready(shutdown_write(&self.stream))
     }
 }
