--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -1,8 +1,8 @@
 //! What a fleet's timeline says of a fault.
 
-use crate::scenario::fleet::add_arrivals;
+use crate::scenario::fleet::add_convergence_times;
 use crate::scenario::series::Series;
-use crate::sidecar::hollow::{Arrivals, HollowSecond};
+use crate::sidecar::simulated::{ConvergenceTimes, SecondCounts};
 use std::time::Duration;
 
 /// How long the list may take to be current everywhere after a fault's end.
@@ -17,7 +17,7 @@
     /// Calls, over all seconds.
     pub calls: u64,
     /// Calls that were refused or failed.
-    pub not_served: u64,
+    pub unserved: u64,
     /// Attempts that were started.
     pub attempts: u64,
     /// The largest share of calls not served within one second.
@@ -27,19 +27,19 @@
     /// Seconds until the share was below [`RECOVERED_SHARE`] for good.
     pub seconds_until_recovered: usize,
     /// When each sidecar knew the fault's last change after its end.
-    pub current: Option<Arrivals>,
+    pub current: Option<ConvergenceTimes>,
 }
 
 impl FaultCost {
     /// What these seconds cost.
-    pub fn over(seconds: &[HollowSecond]) -> Self {
-        let total = |count: fn(&HollowSecond) -> u64| seconds.iter().map(count).sum();
+    pub fn over(seconds: &[SecondCounts]) -> Self {
+        let total = |count: fn(&SecondCounts) -> u64| seconds.iter().map(count).sum();
         let last_bad = seconds
             .iter()
             .rposition(|second| share(second) >= RECOVERED_SHARE);
         FaultCost {
             calls: total(|second| second.calls),
-            not_served: total(|second| second.not_served),
+            unserved: total(|second| second.unserved),
             attempts: total(|second| second.attempts),
             worst_share: seconds.iter().map(share).fold(0.0, f64::max),
             worst_further_attempts: seconds
@@ -54,8 +54,8 @@
 
 /// The share of a second's calls that were not served. A call counts in the second of its end, so an end of calls
 /// that came a second earlier may exceed all.
-fn share(second: &HollowSecond) -> f64 {
-    ratio(second.not_served, second.calls).min(1.0)
+fn share(second: &SecondCounts) -> f64 {
+    ratio(second.unserved, second.calls).min(1.0)
 }
 
 /// Attempts beyond one, for each call. A call that was refused has none, and one that came in the last millisecond may
@@ -73,11 +73,11 @@
     let number = fault as f64;
     let mut add = |name: &str, unit: &str, value: f64| series.add(name, unit, number, value);
     add("calls", "calls", cost.calls as f64);
-    add("calls not served", "calls", cost.not_served as f64);
+    add("calls not served", "calls", cost.unserved as f64);
     add(
         "calls not served, share",
         "share",
-        ratio(cost.not_served, cost.calls),
+        ratio(cost.unserved, cost.calls),
     );
     add(
         "calls not served, share in the worst second",
@@ -101,7 +101,7 @@
         cost.worst_further_attempts,
     );
     if let Some(current) = &cost.current {
-        add_arrivals(
+        add_convergence_times(
             series,
             "list current after the fault's end",
             &[("last", 1.0)],
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -3,13 +3,13 @@
 
 mod metrics;
 
-pub(super) use metrics::{add_arrivals, add_discovery_calls, merge};
+pub(super) use metrics::{add_convergence_times, add_discovery_calls, merge};
 
 use super::findings::ScenarioError;
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use crate::experiment::{DiscoveryCapacity, Fleet};
 use crate::sidecar::configuration::{RequestClass, SidecarConfiguration};
-use crate::sidecar::hollow::{HollowFleet, HollowLoad, HollowSecond};
+use crate::sidecar::simulated::{SecondCounts, SimulatedFleet, SimulatedLoad};
 use crate::topology::ZoneName;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -106,11 +106,11 @@
         )
         .map_err(ScenarioError::step("starting discovery"))?;
         let started = Instant::now();
-        let load = HollowLoad {
+        let load = SimulatedLoad {
             calls_per_second: self.calls_per_second,
             mean_service_time: MEAN_SERVICE_TIME,
         };
-        let sidecars = HollowFleet::start_with_rates(
+        let sidecars = SimulatedFleet::start_with_rates(
             self.configurations(&discovery),
             load,
             rate_multiple,
@@ -176,7 +176,7 @@
 /// A fleet at work. The sidecars end before discovery does.
 pub(super) struct RunningFleet {
     /// The sidecars.
-    pub sidecars: HollowFleet,
+    pub sidecars: SimulatedFleet,
     /// What they watch.
     pub discovery: DiscoveryServer,
     /// How many sidecars there are.
@@ -202,7 +202,7 @@
     }
 
     /// The timeline from this second on, up to the present one, which is not over yet.
-    pub fn seconds_since(&self, from: usize) -> Vec<HollowSecond> {
+    pub fn seconds_since(&self, from: usize) -> Vec<SecondCounts> {
         let mut seconds = self.sidecars.timeline();
         seconds.pop();
         seconds.split_off(from.min(seconds.len()))
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::DiscoveryUsage;
 use crate::scenario::series::Series;
-use crate::sidecar::hollow::Arrivals;
+use crate::sidecar::simulated::ConvergenceTimes;
 use std::time::Duration;
 
 /// What is said of a figure made from a quantile of arrivals where some are missing.
@@ -12,19 +12,19 @@
 
 /// Adds the times at which this share of the sidecars had arrived, for each of these shares, and how many were
 /// missing at the end of a wait of `longest`.
-pub(in crate::scenario) fn add_arrivals(
+pub(in crate::scenario) fn add_convergence_times(
     series: &mut Series,
     what: &str,
     shares: &[(&str, f64)],
     size: f64,
-    arrivals: &Arrivals,
+    times: &ConvergenceTimes,
     longest: Duration,
 ) {
     for (label, share) in shares {
         let name = format!("{what}: {label}");
-        let time = quantile(arrivals, *share).unwrap_or(longest);
+        let time = quantile(times, *share).unwrap_or(longest);
         series.add(&name, "ms", size, milliseconds(time));
-        if arrivals.missing > 0 {
+        if times.missing > 0 {
             series.note(&name, MISSING_NOTE);
             series.leave_without_line(&name);
         }
@@ -33,7 +33,7 @@
         &format!("{what}: missing"),
         "sidecars",
         size,
-        arrivals.missing as f64,
+        times.missing as f64,
     );
 }
 
@@ -63,10 +63,10 @@
 }
 
 /// Adds the arrivals of another wait to these.
-pub(in crate::scenario) fn merge(arrivals: &mut Arrivals, other: Arrivals) {
-    arrivals.after.extend(other.after);
-    arrivals.after.sort();
-    arrivals.missing += other.missing;
+pub(in crate::scenario) fn merge(times: &mut ConvergenceTimes, other: ConvergenceTimes) {
+    times.reached_after.extend(other.reached_after);
+    times.reached_after.sort();
+    times.missing += other.missing;
 }
 
 /// A duration in milliseconds.
@@ -75,8 +75,8 @@
 }
 
 /// The time at which this share of all sidecars had arrived, by nearest rank; none if not so many did.
-fn quantile(arrivals: &Arrivals, share: f64) -> Option<Duration> {
-    let all = arrivals.after.len() + arrivals.missing;
+fn quantile(times: &ConvergenceTimes, share: f64) -> Option<Duration> {
+    let all = times.reached_after.len() + times.missing;
     let rank = (share * all as f64).ceil() as usize;
-    arrivals.after.get(rank.max(1) - 1).copied()
+    times.reached_after.get(rank.max(1) - 1).copied()
 }
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -1,7 +1,9 @@
 //! Time until all sidecars are ready that restart at once, by fleet size.
 
 use super::findings::{Findings, ScenarioError};
-use super::fleet::{FleetPlan, KnownEndpoints, RunningFleet, add_arrivals, add_discovery_calls};
+use super::fleet::{
+    FleetPlan, KnownEndpoints, RunningFleet, add_convergence_times, add_discovery_calls,
+};
 use super::series::Series;
 use crate::experiment::FleetRestart;
 use std::time::{Duration, Instant};
@@ -46,7 +48,7 @@
     let watching = fleet.sidecars.wait_until_watching(restarted, longest);
     let after = fleet.discovery.usage();
 
-    add_arrivals(
+    add_convergence_times(
         series,
         &format!("ready, {label}"),
         &SHARES,
@@ -54,7 +56,7 @@
         &ready,
         longest,
     );
-    add_arrivals(
+    add_convergence_times(
         series,
         &format!("watching, {label}"),
         &SHARES,
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -1,7 +1,9 @@
 //! Time until the list is current everywhere after discovery was down, by fleet size.
 
 use super::findings::{Findings, ScenarioError};
-use super::fleet::{FleetPlan, KnownEndpoints, RunningFleet, add_arrivals, add_discovery_calls};
+use super::fleet::{
+    FleetPlan, KnownEndpoints, RunningFleet, add_convergence_times, add_discovery_calls,
+};
 use super::series::Series;
 use crate::experiment::Outage;
 use std::thread;
@@ -35,15 +37,15 @@
     let before = fleet.discovery.usage();
     let returned = Instant::now();
     fleet.discovery.end_outage();
-    let arrivals = fleet.sidecars.wait_for_version(version, returned, longest);
+    let times = fleet.sidecars.wait_for_version(version, returned, longest);
     let after = fleet.discovery.usage();
 
-    add_arrivals(
+    add_convergence_times(
         series,
         "list current after the outage",
         &SHARES,
         size,
-        &arrivals,
+        &times,
         longest,
     );
     add_discovery_calls(series, "until the last is current", size, &before, &after);
--- a/fleet-lab/src/scenario/propagation.rs
+++ b/fleet-lab/src/scenario/propagation.rs
@@ -1,11 +1,11 @@
 //! Time until a change is known everywhere, and what it costs discovery, by fleet size.
 
 use super::findings::{Findings, ScenarioError};
-use super::fleet::{FleetPlan, KnownEndpoints, RunningFleet, add_arrivals, merge};
+use super::fleet::{FleetPlan, KnownEndpoints, RunningFleet, add_convergence_times, merge};
 use super::series::Series;
 use crate::discovery::DiscoveryUsage;
 use crate::experiment::Propagation;
-use crate::sidecar::hollow::Arrivals;
+use crate::sidecar::simulated::ConvergenceTimes;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -48,23 +48,23 @@
 /// Publishes the changes one after another, each once the one before is known everywhere.
 fn measure_changes(plan: &Propagation, fleet: &RunningFleet, series: &mut Series) {
     let longest = Duration::from_secs_f64(plan.longest_seconds);
-    let mut arrivals = Arrivals::default();
+    let mut times = ConvergenceTimes::default();
     let before = fleet.discovery.usage();
     for number in 0..plan.changes {
         let published = Instant::now();
         let version = fleet.publish_change(number);
         merge(
-            &mut arrivals,
+            &mut times,
             fleet.sidecars.wait_for_version(version, published, longest),
         );
     }
     let after = fleet.discovery.usage();
-    add_arrivals(
+    add_convergence_times(
         series,
         "change known",
         &SHARES,
         fleet.size as f64,
-        &arrivals,
+        &times,
         longest,
     );
     record_cost(plan.changes, fleet, &before, &after, series);
--- a/fleet-lab/src/sidecar/mod.rs
+++ b/fleet-lab/src/sidecar/mod.rs
@@ -2,5 +2,5 @@
 
 mod child;
 pub mod configuration;
-pub mod hollow;
 pub mod process;
+pub mod simulated;
--- a/fleet-lab/src/sidecar/hollow/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -17,10 +17,10 @@
 /// Who is told how attempts and probes end.
 pub(super) trait AttemptOwner {
     /// An attempt has ended.
-    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: Ending);
+    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: AttemptResult);
 
     /// A probe has ended.
-    fn health_check_ended(&self, check_health: &HealthCheck, took: Duration, ending: Ending);
+    fn health_check_ended(&self, check_health: &HealthCheck, took: Duration, ending: AttemptResult);
 }
 
 /// An attempt to be made.
@@ -47,14 +47,14 @@
 }
 
 /// How an attempt or a probe ended.
-pub(super) struct Ending {
+pub(super) struct AttemptResult {
     pub outcome: Outcome,
     pub report: Option<LoadReport>,
 }
 
-impl Ending {
+impl AttemptResult {
     fn without_answer(outcome: Outcome) -> Self {
-        Ending {
+        AttemptResult {
             outcome,
             report: None,
         }
@@ -68,11 +68,11 @@
 }
 
 impl Attempt {
-    async fn answer(&self, fleet: &FleetState) -> Ending {
+    async fn answer(&self, fleet: &FleetState) -> AttemptResult {
         let begun = Instant::now();
         if self.endpoint.is_unreachable() {
             sleep_until(self.until.min(begun + self.connect_timeout)).await;
-            return Ending::without_answer(Outcome::ConnectFailed);
+            return AttemptResult::without_answer(Outcome::ConnectFailed);
         }
         fleet
             .endpoints
@@ -84,10 +84,10 @@
         drop(in_flight);
         if finished > self.until || self.endpoint.losses() != losses {
             sleep_until(self.until).await;
-            return Ending::without_answer(Outcome::TimedOut);
+            return AttemptResult::without_answer(Outcome::TimedOut);
         }
         let reports = self.reporting == Reporting::WithAnswers;
-        Ending {
+        AttemptResult {
             outcome: Outcome::Served,
             report: reports.then(|| self.endpoint.report()),
         }
@@ -102,14 +102,14 @@
 }
 
 impl HealthCheck {
-    async fn answer(&self) -> Ending {
+    async fn answer(&self) -> AttemptResult {
         if self.simulated.is_unreachable() {
             sleep(self.connect_timeout.min(HEALTH_CHECK_TIMEOUT)).await;
-            return Ending::without_answer(Outcome::ConnectFailed);
+            return AttemptResult::without_answer(Outcome::ConnectFailed);
         }
         sleep(HEALTH_CHECK_ANSWER_TIME).await;
         let reports = self.reporting != Reporting::Off;
-        Ending {
+        AttemptResult {
             outcome: Outcome::Served,
             report: reports.then(|| self.simulated.report()),
         }
--- a/fleet-lab/src/sidecar/hollow/counters.rs
+++ b/fleet-lab/src/sidecar/simulated/counters.rs
@@ -1,6 +1,6 @@
 //! What a fleet counts, in all and for each second.
 
-use super::usage::{HollowSecond, HollowUsage};
+use super::usage::{FleetUsage, SecondCounts};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
@@ -12,8 +12,8 @@
 
 #[derive(Default)]
 struct Counts {
-    usage: HollowUsage,
-    seconds: Vec<HollowSecond>,
+    usage: FleetUsage,
+    seconds: Vec<SecondCounts>,
 }
 
 impl Counters {
@@ -29,59 +29,59 @@
         self.started.elapsed().as_secs()
     }
 
-    pub fn call(&self) {
+    pub fn count_call(&self) {
         self.count(|usage, second| {
             usage.calls += 1;
             second.calls += 1;
         });
     }
 
-    pub fn attempt(&self) {
+    pub fn count_attempt(&self) {
         self.count(|usage, second| {
             usage.attempts += 1;
             second.attempts += 1;
         });
     }
 
-    pub fn served(&self) {
+    pub fn count_served(&self) {
         self.count(|usage, second| {
             usage.served += 1;
             second.served += 1;
         });
     }
 
-    pub fn not_served(&self, calls: u64) {
+    pub fn count_unserved(&self, calls: u64) {
         self.count(|usage, second| {
-            usage.not_served += calls;
-            second.not_served += calls;
+            usage.unserved += calls;
+            second.unserved += calls;
         });
     }
 
-    pub fn check_health(&self) {
+    pub fn count_health_check(&self) {
         self.lock().usage.health_checks += 1;
     }
 
-    pub fn discovery_failure(&self) {
+    pub fn count_discovery_failure(&self) {
         self.lock().usage.discovery_failures += 1;
     }
 
-    pub fn usage(&self) -> HollowUsage {
+    pub fn usage(&self) -> FleetUsage {
         self.lock().usage
     }
 
     /// One entry for each second since the start, the present one included.
-    pub fn timeline(&self) -> Vec<HollowSecond> {
+    pub fn timeline(&self) -> Vec<SecondCounts> {
         let mut seconds = self.lock().seconds.clone();
         let present = usize::try_from(self.second()).unwrap_or(usize::MAX);
-        seconds.resize(seconds.len().max(present + 1), HollowSecond::default());
+        seconds.resize(seconds.len().max(present + 1), SecondCounts::default());
         seconds
     }
 
-    fn count(&self, add: impl FnOnce(&mut HollowUsage, &mut HollowSecond)) {
+    fn count(&self, add: impl FnOnce(&mut FleetUsage, &mut SecondCounts)) {
         let mut counts = self.lock();
         let second = usize::try_from(self.second()).unwrap_or(usize::MAX);
         if counts.seconds.len() <= second {
-            counts.seconds.resize(second + 1, HollowSecond::default());
+            counts.seconds.resize(second + 1, SecondCounts::default());
         }
         let Counts { usage, seconds } = &mut *counts;
         add(usage, &mut seconds[second]);
--- a/fleet-lab/src/sidecar/hollow/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(super) struct EndpointTable {
     endpoints: RwLock<HashMap<EndpointId, Arc<SimulatedEndpoint>>>,
-    most_attempts_in_a_second: AtomicU64,
+    max_attempts_in_a_second: AtomicU64,
 }
 
 /// One endpoint, as all sidecars of the fleet meet it.
@@ -52,13 +52,13 @@
     /// Counts an attempt that reaches an endpoint in a second since the fleet's start.
     pub fn count_attempt(&self, endpoint: &SimulatedEndpoint, second: u64) {
         let attempts = endpoint.count_attempt(second);
-        self.most_attempts_in_a_second
+        self.max_attempts_in_a_second
             .fetch_max(attempts, Ordering::Relaxed);
     }
 
     /// The most attempts that reached one endpoint within one second.
-    pub fn most_attempts_in_a_second(&self) -> u64 {
-        self.most_attempts_in_a_second.load(Ordering::Relaxed)
+    pub fn max_attempts_in_a_second(&self) -> u64 {
+        self.max_attempts_in_a_second.load(Ordering::Relaxed)
     }
 }
 
--- a/fleet-lab/src/sidecar/hollow/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -1,15 +1,15 @@
 //! A fleet of hollow sidecars as experiments hold it.
 
-use super::arrivals::Arrivals;
+use super::convergence_times::ConvergenceTimes;
 use super::counters::Counters;
 use super::endpoints::EndpointTable;
 use super::fleet_state::FleetState;
-use super::load::HollowLoad;
-use super::member::Identity;
+use super::load::SimulatedLoad;
 use super::milestones::{self, Milestones};
-use super::plan::MemberPlan;
+use super::sidecar::Incarnation;
+use super::sidecar_plan::SidecarPlan;
 use super::thread::{Command, HostThread};
-use super::usage::{HollowSecond, HollowUsage};
+use super::usage::{FleetUsage, SecondCounts};
 use crate::sidecar::configuration::SidecarConfiguration;
 use crate::topology::EndpointName;
 use balancer_sidecar::policy::EndpointId;
@@ -18,21 +18,21 @@
 use std::time::{Duration, Instant};
 
 /// A fleet of hollow sidecars on threads of its own, ended when it is dropped.
-pub struct HollowFleet {
+pub struct SimulatedFleet {
     state: Arc<FleetState>,
     /// What each sidecar is started from.
-    plans: Mutex<Vec<Arc<MemberPlan>>>,
+    plans: Mutex<Vec<Arc<SidecarPlan>>>,
     threads: Vec<HostThread>,
 }
 
-impl HollowFleet {
+impl SimulatedFleet {
     /// Starts one hollow sidecar for each configuration, all at once, spread over so many threads.
     ///
     /// # Errors
     /// No threads could be had, or settings that the decision module turns down.
     pub fn start(
         configurations: Vec<SidecarConfiguration>,
-        load: HollowLoad,
+        load: SimulatedLoad,
         threads: usize,
     ) -> io::Result<Self> {
         Self::start_with_rates(configurations, load, |_| 1.0, threads)
@@ -42,16 +42,16 @@
     /// in the configurations.
     ///
     /// # Errors
-    /// As [`HollowFleet::start`].
+    /// As [`SimulatedFleet::start`].
     pub fn start_with_rates(
         configurations: Vec<SidecarConfiguration>,
-        load: HollowLoad,
+        load: SimulatedLoad,
         rate_multiple: impl Fn(usize) -> f64,
         threads: usize,
     ) -> io::Result<Self> {
         let plans = configurations
             .into_iter()
-            .map(|c| MemberPlan::from_configuration(c).map(Arc::new));
+            .map(|c| SidecarPlan::from_configuration(c).map(Arc::new));
         let plans = plans.collect::<io::Result<Vec<_>>>()?;
         let state = Arc::new(FleetState {
             load,
@@ -62,15 +62,15 @@
         });
         let threads = (0..threads.max(1)).map(|number| HostThread::start(number, state.clone()));
         let threads = threads.collect::<io::Result<Vec<_>>>()?;
-        let fleet = HollowFleet {
+        let fleet = SimulatedFleet {
             state,
             plans: Mutex::new(plans),
             threads,
         };
-        for (place, plan) in fleet.plans().iter().enumerate() {
-            let identity = Identity { place, start: 0 };
-            fleet.thread(place).send(Command::Start {
-                identity,
+        for (index, plan) in fleet.plans().iter().enumerate() {
+            let incarnation = Incarnation { index, restarts: 0 };
+            fleet.thread(index).send(Command::Start {
+                incarnation,
                 plan: plan.clone(),
             });
         }
@@ -79,19 +79,24 @@
 
     /// Waits until every sidecar has been told this version or a later one, for `longest` at most. Times count from
     /// `since`; a sidecar that had it earlier counts as zero.
-    pub fn wait_for_version(&self, version: u64, since: Instant, longest: Duration) -> Arrivals {
+    pub fn wait_for_version(
+        &self,
+        version: u64,
+        since: Instant,
+        longest: Duration,
+    ) -> ConvergenceTimes {
         milestones::wait(&self.state.milestones, since, longest, |m| {
             m.version_at(version)
         })
     }
 
     /// Waits until every sidecar is ready: it knows an endpoint that takes work.
-    pub fn wait_until_ready(&self, since: Instant, longest: Duration) -> Arrivals {
+    pub fn wait_until_ready(&self, since: Instant, longest: Duration) -> ConvergenceTimes {
         milestones::wait(&self.state.milestones, since, longest, Milestones::ready_at)
     }
 
     /// Waits until every sidecar has an open watch.
-    pub fn wait_until_watching(&self, since: Instant, longest: Duration) -> Arrivals {
+    pub fn wait_until_watching(&self, since: Instant, longest: Duration) -> ConvergenceTimes {
         milestones::wait(
             &self.state.milestones,
             since,
@@ -104,12 +109,12 @@
     /// but their configuration.
     pub fn restart(&self, which: &[usize]) {
         let plans = self.plans();
-        for place in which.iter().copied() {
-            let start = self.state.milestones[place].restart();
-            let identity = Identity { place, start };
-            self.thread(place).send(Command::Start {
-                identity,
-                plan: plans[place].clone(),
+        for index in which.iter().copied() {
+            let restarts = self.state.milestones[index].restart();
+            let incarnation = Incarnation { index, restarts };
+            self.thread(index).send(Command::Start {
+                incarnation,
+                plan: plans[index].clone(),
             });
         }
     }
@@ -118,19 +123,19 @@
     /// down is logged, and its sidecar goes on as before.
     pub fn reload(&self, which: &[usize], configuration: impl Fn(usize) -> SidecarConfiguration) {
         let mut plans = self.plans();
-        for place in which.iter().copied() {
-            let plan = match MemberPlan::from_configuration(configuration(place)) {
+        for index in which.iter().copied() {
+            let plan = match SidecarPlan::from_configuration(configuration(index)) {
                 Ok(plan) => Arc::new(plan),
                 Err(problem) => {
-                    tracing::warn!(place, "configuration not taken: {problem}");
+                    tracing::warn!(index, "configuration not taken: {problem}");
                     continue;
                 }
             };
-            if plan.discovery != plans[place].discovery {
-                self.state.milestones[place].move_source();
+            if plan.discovery != plans[index].discovery {
+                self.state.milestones[index].record_discovery_change();
             }
-            plans[place] = plan.clone();
-            self.thread(place).send(Command::Reload { place, plan });
+            plans[index] = plan.clone();
+            self.thread(index).send(Command::Reload { index, plan });
         }
     }
 
@@ -144,23 +149,23 @@
     }
 
     /// What the fleet did in each second since its start.
-    pub fn timeline(&self) -> Vec<HollowSecond> {
+    pub fn timeline(&self) -> Vec<SecondCounts> {
         self.state.counters.timeline()
     }
 
     /// What the fleet has done so far.
-    pub fn usage(&self) -> HollowUsage {
-        HollowUsage {
-            most_attempts_at_an_endpoint: self.state.endpoints.most_attempts_in_a_second(),
+    pub fn usage(&self) -> FleetUsage {
+        FleetUsage {
+            max_attempts_at_an_endpoint: self.state.endpoints.max_attempts_in_a_second(),
             ..self.state.counters.usage()
         }
     }
 
-    fn plans(&self) -> MutexGuard<'_, Vec<Arc<MemberPlan>>> {
+    fn plans(&self) -> MutexGuard<'_, Vec<Arc<SidecarPlan>>> {
         self.plans.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn thread(&self, place: usize) -> &HostThread {
-        &self.threads[place % self.threads.len()]
+    fn thread(&self, index: usize) -> &HostThread {
+        &self.threads[index % self.threads.len()]
     }
 }
--- a/fleet-lab/src/sidecar/hollow/milestones.rs
+++ b/fleet-lab/src/sidecar/simulated/milestones.rs
@@ -1,6 +1,6 @@
 //! When each sidecar of a fleet had a version of the list, was ready, and had an open watch.
 
-use super::arrivals::Arrivals;
+use super::convergence_times::ConvergenceTimes;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct State {
     /// How often the sidecar was started again.
-    start: u64,
+    restarts: u64,
     /// How often its discovery has moved since.
     source: u64,
     /// Versions that it was told, in order.
@@ -29,31 +29,31 @@
     /// Forgets what was reached; returns the number of the next start.
     pub fn restart(&self) -> u64 {
         let mut state = self.lock();
-        let start = state.start + 1;
+        let restarts = state.restarts + 1;
         *state = State {
-            start,
+            restarts,
             ..State::default()
         };
-        start
+        restarts
     }
 
     /// The sidecar's discovery has moved: a watch on the one before no longer counts.
-    pub fn move_source(&self) {
+    pub fn record_discovery_change(&self) {
         self.lock().source += 1;
     }
 
-    pub fn has_version(&self, start: u64, version: u64) {
-        self.note(start, |state, now| state.versions.push((version, now)));
+    pub fn record_version(&self, restarts: u64, version: u64) {
+        self.record(restarts, |state, now| state.versions.push((version, now)));
     }
 
-    pub fn is_ready(&self, start: u64, ready: bool) {
-        self.note(start, |state, now| {
+    pub fn record_readiness(&self, restarts: u64, ready: bool) {
+        self.record(restarts, |state, now| {
             state.ready = ready.then(|| state.ready.unwrap_or(now));
         });
     }
 
-    pub fn watches(&self, start: u64, source: u64) {
-        self.note(start, |state, now| {
+    pub fn record_watch_opened(&self, restarts: u64, source: u64) {
+        self.record(restarts, |state, now| {
             // One on the discovery before may open late.
             if state.watch.is_none_or(|(open, _)| open <= source) {
                 state.watch = Some((source, now));
@@ -61,8 +61,8 @@
         });
     }
 
-    pub fn lost_watch(&self, start: u64, source: u64) {
-        self.note(start, |state, _| {
+    pub fn record_watch_lost(&self, restarts: u64, source: u64) {
+        self.record(restarts, |state, _| {
             state.watch.take_if(|(open, _)| *open == source);
         });
     }
@@ -89,9 +89,9 @@
             .map(|(_, at)| at)
     }
 
-    fn note(&self, start: u64, change: impl FnOnce(&mut State, Instant)) {
+    fn record(&self, restarts: u64, change: impl FnOnce(&mut State, Instant)) {
         let mut state = self.lock();
-        if state.start == start {
+        if state.restarts == restarts {
             change(&mut state, Instant::now());
         }
     }
@@ -107,25 +107,25 @@
     since: Instant,
     longest: Duration,
     reached_at: impl Fn(&Milestones) -> Option<Instant>,
-) -> Arrivals {
+) -> ConvergenceTimes {
     let give_up = Instant::now() + longest;
     loop {
         let reached: Vec<Instant> = fleet.iter().filter_map(&reached_at).collect();
         if reached.len() == fleet.len() || Instant::now() >= give_up {
-            return arrivals(fleet.len(), since, &reached);
+            return convergence_times(fleet.len(), since, &reached);
         }
         sleep(POLL_INTERVAL);
     }
 }
 
-fn arrivals(expected: usize, since: Instant, reached: &[Instant]) -> Arrivals {
-    let mut after: Vec<Duration> = reached
+fn convergence_times(expected: usize, since: Instant, reached: &[Instant]) -> ConvergenceTimes {
+    let mut reached_after: Vec<Duration> = reached
         .iter()
         .map(|at| at.saturating_duration_since(since))
         .collect();
-    after.sort();
-    Arrivals {
-        missing: expected - after.len(),
-        after,
+    reached_after.sort();
+    ConvergenceTimes {
+        missing: expected - reached_after.len(),
+        reached_after,
     }
 }
--- a/fleet-lab/src/sidecar/hollow/mod.rs
+++ b/fleet-lab/src/sidecar/simulated/mod.rs
@@ -1,23 +1,23 @@
 //! Hollow sidecars: hundreds in one process, each with the real decision module and the real discovery client over
 //! real loopback sockets, while its calls are answered in memory.
 
-mod arrivals;
 mod attempts;
-mod calls;
 mod clock;
+mod convergence_times;
 mod counters;
 mod endpoints;
 mod fleet;
 mod fleet_state;
 mod load;
-mod member;
 mod milestones;
-mod plan;
+mod pending_calls;
+mod sidecar;
+mod sidecar_plan;
 mod task;
 mod thread;
 mod usage;
 
-pub use arrivals::Arrivals;
-pub use fleet::HollowFleet;
-pub use load::HollowLoad;
-pub use usage::{HollowSecond, HollowUsage};
+pub use convergence_times::ConvergenceTimes;
+pub use fleet::SimulatedFleet;
+pub use load::SimulatedLoad;
+pub use usage::{FleetUsage, SecondCounts};
--- a/fleet-lab/src/sidecar/hollow/calls.rs
+++ b/fleet-lab/src/sidecar/simulated/pending_calls.rs
@@ -10,7 +10,7 @@
 const LONGEST_GAP: Duration = Duration::from_secs(3600);
 
 /// Whose calls arrive.
-pub(super) trait Callee {
+pub(super) trait CallTarget {
     /// The time between two calls; none where no calls come.
     fn time_to_next_call(&self) -> Option<Duration>;
 
@@ -19,26 +19,26 @@
 }
 
 /// Makes calls without end, as a Poisson process: whether earlier ones were answered makes no difference.
-pub(super) async fn arrivals(callee: impl Callee) {
+pub(super) async fn generate_calls(target: impl CallTarget) {
     let mut due = Instant::now();
-    while let Some(gap) = callee.time_to_next_call() {
+    while let Some(gap) = target.time_to_next_call() {
         due += gap.min(LONGEST_GAP);
         sleep_until(due).await;
-        callee.call();
+        target.call();
     }
 }
 
 /// The calls of a sidecar that are unanswered or have attempts out.
 #[derive(Default)]
-pub(super) struct OpenCalls(HashMap<RequestId, OpenCall>);
+pub(super) struct PendingCalls(HashMap<RequestId, PendingCall>);
 
-struct OpenCall {
+struct PendingCall {
     deadline: Timestamp,
     is_answered: bool,
-    attempts: Vec<OpenAttempt>,
+    attempts: Vec<AttemptRecord>,
 }
 
-struct OpenAttempt {
+struct AttemptRecord {
     sent: Timestamp,
     /// Gone once the attempt has ended.
     task: Option<Task>,
@@ -59,11 +59,11 @@
     pub call_is_answered: bool,
 }
 
-impl OpenCalls {
+impl PendingCalls {
     pub fn insert(&mut self, request: RequestId, deadline: Timestamp) {
         self.0.insert(
             request,
-            OpenCall {
+            PendingCall {
                 deadline,
                 is_answered: false,
                 attempts: Vec::new(),
@@ -71,7 +71,7 @@
         );
     }
 
-    pub fn unanswered(&self) -> u64 {
+    pub fn unanswered_count(&self) -> u64 {
         self.0
             .values()
             .map(|call| u64::from(!call.is_answered))
@@ -91,7 +91,7 @@
     /// Adds a call's next attempt; one without a task has ended already.
     pub fn begin_attempt(&mut self, request: &RequestId, sent: Timestamp, task: Option<Task>) {
         if let Some(call) = self.0.get_mut(request) {
-            call.attempts.push(OpenAttempt { sent, task });
+            call.attempts.push(AttemptRecord { sent, task });
         }
     }
 
@@ -124,10 +124,10 @@
     }
 
     /// Kept as long as the decision module keeps it: until it is answered and none of its attempts is out.
-    pub fn forget_if_over(&mut self, request: &RequestId) {
-        let is_over =
-            |call: &OpenCall| call.is_answered && call.attempts.iter().all(|a| a.task.is_none());
-        if self.0.get(request).is_some_and(is_over) {
+    pub fn remove_if_complete(&mut self, request: &RequestId) {
+        let is_finished =
+            |call: &PendingCall| call.is_answered && call.attempts.iter().all(|a| a.task.is_none());
+        if self.0.get(request).is_some_and(is_finished) {
             self.0.remove(request);
         }
     }
--- a/fleet-lab/src/sidecar/hollow/member.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -3,11 +3,11 @@
 mod actions;
 mod discovery;
 
-use super::attempts::{AttemptOwner, Ending, HealthCheck};
-use super::calls::{Callee, OpenCalls};
+use super::attempts::{AttemptOwner, AttemptResult, HealthCheck};
 use super::clock::Clock;
 use super::fleet_state::FleetState;
-use super::plan::MemberPlan;
+use super::pending_calls::{CallTarget, PendingCalls};
+use super::sidecar_plan::SidecarPlan;
 use super::task::Task;
 use balancer_sidecar::discovery::{Membership, Source};
 use balancer_sidecar::policy::*;
@@ -25,15 +25,15 @@
 
 /// Which sidecar of the fleet it is, and which of its starts.
 #[derive(Clone, Copy)]
-pub(super) struct Identity {
+pub(super) struct Incarnation {
     /// Its place in the configurations.
-    pub place: usize,
+    pub index: usize,
     /// How often it was started before.
-    pub start: u64,
+    pub restarts: u64,
 }
 
-struct Member {
-    identity: Identity,
+struct SimulatedSidecar {
+    incarnation: Incarnation,
     fleet: Arc<FleetState>,
     clock: Clock,
     settings: Settings,
@@ -45,11 +45,11 @@
     source: Source,
     watch: Option<Task>,
     /// The watch on the discovery before, which is followed until the present one has spoken.
-    watch_before: Option<Task>,
-    calls: OpenCalls,
-    calls_made: u64,
+    previous_watch: Option<Task>,
+    pending_calls: PendingCalls,
+    calls_started: u64,
     /// Once callers have begun to call: when the sidecar is first ready, as they ask for that.
-    has_callers: bool,
+    callers_started: bool,
     /// Seed of this start's random numbers.
     seed: u64,
     random: Pcg64,
@@ -59,24 +59,24 @@
 
 /// What tasks hold of a sidecar. Its methods borrow it, pass an event on, carry out the actions and let go.
 #[derive(Clone)]
-pub(super) struct MemberHandle(Rc<RefCell<Member>>);
+pub(super) struct SidecarHandle(Rc<RefCell<SimulatedSidecar>>);
 
-impl MemberHandle {
+impl SidecarHandle {
     /// Starts a sidecar on the local tasks that the caller has entered. It is told the endpoints in the plan, and
     /// follows discovery as its module decides; at once where lists are pushed, and where it knows no endpoints.
     ///
     /// # Errors
     /// Settings that the decision module turns down.
     pub fn start(
-        identity: Identity,
+        incarnation: Incarnation,
         fleet: Arc<FleetState>,
-        plan: &MemberPlan,
+        plan: &SidecarPlan,
     ) -> Result<Self, SettingsError> {
         let seed = plan
             .seed
-            .wrapping_add(identity.start.wrapping_mul(SEED_STEP));
-        let member = MemberHandle(Rc::new(RefCell::new(Member {
-            identity,
+            .wrapping_add(incarnation.restarts.wrapping_mul(SEED_STEP));
+        let sidecar = SidecarHandle(Rc::new(RefCell::new(SimulatedSidecar {
+            incarnation,
             fleet,
             clock: Clock::start(),
             settings: plan.settings.clone(),
@@ -89,153 +89,160 @@
                 generation: 0,
             },
             watch: None,
-            watch_before: None,
-            calls: OpenCalls::default(),
-            calls_made: 0,
-            has_callers: false,
+            previous_watch: None,
+            pending_calls: PendingCalls::default(),
+            calls_started: 0,
+            callers_started: false,
             seed,
             random: Pcg64::seed_from_u64(seed),
             events: VecDeque::new(),
             actions: Vec::new(),
         })));
         // The module asks once what it was told is old, which with nothing told never comes.
-        let known = plan.known_list();
-        let asks_at_once = known.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
+        let known = plan.cached_list();
+        let follows_at_once = known.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
         if let Some(known) = known {
-            member.borrow().membership.assume_version(known.index);
-            member.learn(known, ListKind::Cached);
+            sidecar.borrow().membership.assume_version(known.index);
+            sidecar.apply_list(known, ListKind::Cached);
         }
-        if asks_at_once {
-            member.borrow().begin_watch(&member);
+        if follows_at_once {
+            sidecar.borrow().begin_watch(&sidecar);
         }
-        Ok(member)
+        Ok(sidecar)
     }
 
     /// Takes over what a configuration now says: settings first, then a discovery that has moved, which is asked at
     /// once; until it has spoken the one before is listened to.
-    pub fn reload(&self, plan: &MemberPlan) {
-        if let Err(problem) = self.retune(plan) {
+    pub fn reload(&self, plan: &SidecarPlan) {
+        if let Err(problem) = self.change_settings(plan) {
             return tracing::warn!(
-                place = self.borrow().identity.place,
+                index = self.borrow().incarnation.index,
                 "configuration not taken: {problem}"
             );
         }
-        let mut member = self.borrow();
-        if plan.discovery != member.source.address {
-            let generation = member.source.generation + 1;
-            member.source = Source {
+        let mut sidecar = self.borrow();
+        if plan.discovery != sidecar.source.address {
+            let generation = sidecar.source.generation + 1;
+            sidecar.source = Source {
                 address: plan.discovery,
                 generation,
             };
-            let has_spoken = member.membership.forget_version();
-            let watch = member.watch.take();
-            if has_spoken {
-                member.watch_before = watch;
+            let received_list = sidecar.membership.forget_version();
+            let watch = sidecar.watch.take();
+            if received_list {
+                sidecar.previous_watch = watch;
             }
-            member.begin_watch(self);
+            sidecar.begin_watch(self);
         }
     }
 
-    fn retune(&self, plan: &MemberPlan) -> Result<(), SettingsError> {
-        let mut member = self.borrow();
-        if plan.settings_document == member.settings_document {
+    fn change_settings(&self, plan: &SidecarPlan) -> Result<(), SettingsError> {
+        let mut sidecar = self.borrow();
+        if plan.settings_document == sidecar.settings_document {
             return Ok(());
         }
-        let now = member.clock.now();
+        let now = sidecar.clock.now();
         let mut actions = Vec::new();
-        member.classes =
-            member
+        sidecar.classes =
+            sidecar
                 .balancer
                 .change_settings(now, plan.settings.clone(), &mut actions)?;
-        let asks = member.settings.discovery != plan.settings.discovery;
-        member.settings = plan.settings.clone();
-        member.settings_document = plan.settings_document.clone();
+        let mode_changed = sidecar.settings.discovery != plan.settings.discovery;
+        sidecar.settings = plan.settings.clone();
+        sidecar.settings_document = plan.settings_document.clone();
         for action in actions {
-            member.carry_out(self, action);
+            sidecar.execute(self, action);
         }
-        if asks {
-            member.begin_watch(self);
+        if mode_changed {
+            sidecar.begin_watch(self);
         }
-        drop(member);
-        self.tell(Event::Timer { token: 0 }); // what carrying out has brought goes on to the module
+        drop(sidecar);
+        self.handle_event(Event::Timer { token: 0 }); // what carrying out has brought goes on to the module
         Ok(())
     }
 
-    fn borrow(&self) -> RefMut<'_, Member> {
+    fn borrow(&self) -> RefMut<'_, SimulatedSidecar> {
         self.0.borrow_mut()
     }
 
     /// Passes an event on and carries out what comes of it, in order.
-    fn tell(&self, event: Event) {
-        let mut member = self.borrow();
-        member.events.push_back(event);
-        while let Some(event) = member.events.pop_front() {
-            let now = member.clock.now();
-            let mut actions = std::mem::take(&mut member.actions);
-            member.balancer.handle(now, event, &mut actions);
+    fn handle_event(&self, event: Event) {
+        let mut sidecar = self.borrow();
+        sidecar.events.push_back(event);
+        while let Some(event) = sidecar.events.pop_front() {
+            let now = sidecar.clock.now();
+            let mut actions = std::mem::take(&mut sidecar.actions);
+            sidecar.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                member.carry_out(self, action);
+                sidecar.execute(self, action);
             }
-            member.actions = actions;
+            sidecar.actions = actions;
         }
     }
 }
 
-impl Callee for MemberHandle {
+impl CallTarget for SidecarHandle {
     /// The time between two calls; none where no calls come.
     fn time_to_next_call(&self) -> Option<Duration> {
-        let mut member = self.borrow();
-        let fleet = &member.fleet;
-        let rate = fleet.load.calls_per_second * fleet.rate_multiples[member.identity.place];
-        let unit_time: f64 = member.random.sample(Exp1);
+        let mut sidecar = self.borrow();
+        let fleet = &sidecar.fleet;
+        let rate = fleet.load.calls_per_second * fleet.rate_multiples[sidecar.incarnation.index];
+        let unit_time: f64 = sidecar.random.sample(Exp1);
         (rate > 0.0).then(|| Duration::try_from_secs_f64(unit_time / rate).unwrap_or(Duration::MAX))
     }
 
     /// A call arrives, of any class with the same chance.
     fn call(&self) {
-        let mut member = self.borrow();
-        member.fleet.counters.call();
-        if member.calls.unanswered() >= member.settings.limits.max_open {
-            return member.fleet.counters.not_served(1);
+        let mut sidecar = self.borrow();
+        sidecar.fleet.counters.count_call();
+        if sidecar.pending_calls.unanswered_count() >= sidecar.settings.limits.max_open {
+            return sidecar.fleet.counters.count_unserved(1);
         }
-        let request = member.new_request();
-        member.calls.insert(request.id.clone(), request.deadline);
-        drop(member);
-        self.tell(Event::Request(request));
+        let request = sidecar.new_request();
+        sidecar
+            .pending_calls
+            .insert(request.id.clone(), request.deadline);
+        drop(sidecar);
+        self.handle_event(Event::Request(request));
     }
 }
 
-impl AttemptOwner for MemberHandle {
+impl AttemptOwner for SidecarHandle {
     /// An attempt has ended. The first one served is its call's answer.
-    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: Ending) {
-        let mut member = self.borrow();
+    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: AttemptResult) {
+        let mut sidecar = self.borrow();
         let served = ending.outcome == Outcome::Served;
-        let Some(ended) = member.calls.end_attempt(request, attempt, served) else {
+        let Some(ended) = sidecar.pending_calls.end_attempt(request, attempt, served) else {
             return;
         };
-        if served && member.calls.answer(request) {
-            member.fleet.counters.served();
+        if served && sidecar.pending_calls.answer(request) {
+            sidecar.fleet.counters.count_served();
         }
         let event = Event::AttemptEnded(AttemptEnd {
             request: request.clone(),
             attempt,
             outcome: ending.outcome,
-            took: member.clock.now().since(ended.sent),
+            took: sidecar.clock.now().since(ended.sent),
             request_ended: ended.call_is_answered,
             report: ending.report,
         });
-        drop(member);
-        self.tell(event);
-        self.borrow().calls.forget_if_over(request);
+        drop(sidecar);
+        self.handle_event(event);
+        self.borrow().pending_calls.remove_if_complete(request);
     }
 
     /// A probe has ended. It says nothing of a process that has been started since.
-    fn health_check_ended(&self, check_health: &HealthCheck, took: Duration, ending: Ending) {
+    fn health_check_ended(
+        &self,
+        check_health: &HealthCheck,
+        took: Duration,
+        ending: AttemptResult,
+    ) {
         if self.borrow().started_at(&check_health.endpoint) != Some(check_health.started_at) {
             return;
         }
-        let (endpoint, Ending { outcome, report }) = (check_health.endpoint.clone(), ending);
-        self.tell(Event::HealthCheckEnded {
+        let (endpoint, AttemptResult { outcome, report }) = (check_health.endpoint.clone(), ending);
+        self.handle_event(Event::HealthCheckEnded {
             endpoint,
             outcome,
             took,
@@ -244,22 +251,22 @@
     }
 }
 
-impl Member {
+impl SimulatedSidecar {
     /// When an endpoint last started; none where it is not listed. Answers in memory have no addresses, so an endpoint that
     /// starts at another's address does not replace it here.
     fn started_at(&self, endpoint: &EndpointId) -> Option<Option<Timestamp>> {
         self.membership
             .get(endpoint)
-            .map(|member| member.started_at)
+            .map(|sidecar| sidecar.started_at)
     }
 
     fn new_request(&mut self) -> Request {
         let class = self.random.random_range(0..self.classes.len());
-        let Identity { place, start } = self.identity;
-        let number = self.calls_made;
-        self.calls_made += 1;
+        let Incarnation { index, restarts } = self.incarnation;
+        let number = self.calls_started;
+        self.calls_started += 1;
         Request {
-            id: format!("{place}-{start}-{number}").as_str().into(),
+            id: format!("{index}-{restarts}-{number}").as_str().into(),
             class: self.classes[class],
             tenant: None,
             key: None,
@@ -271,9 +278,11 @@
     }
 }
 
-impl Drop for Member {
+impl Drop for SimulatedSidecar {
     /// What a sidecar has open when it ends is lost.
     fn drop(&mut self) {
-        self.fleet.counters.not_served(self.calls.unanswered());
+        self.fleet
+            .counters
+            .count_unserved(self.pending_calls.unanswered_count());
     }
 }
--- /dev/null
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -0,0 +1,129 @@
+//! The hollow sidecar as the client of discovery sees it: the lists it is told, and its watch.
+
+use super::super::pending_calls;
+use super::super::task::Task;
+use super::{Incarnation, SidecarHandle, SimulatedSidecar};
+use balancer_sidecar::discovery::{
+    self, DiscoveryError, EndpointList, ListConsumer, OlderList, Source,
+};
+use balancer_sidecar::policy::{DiscoveryMode, Event, ListKind};
+use std::fmt;
+use std::sync::Arc;
+use tokio::task::spawn_local;
+
+impl SidecarHandle {
+    /// Takes over a list's endpoints, and has calls arrive once there is one that serves.
+    pub(super) fn apply_list(&self, list: EndpointList, kind: ListKind) {
+        let mut sidecar = self.borrow();
+        let entries = sidecar.membership.update(&list, kind).entries.into();
+        let Incarnation { index, restarts } = sidecar.incarnation;
+        let milestones = &sidecar.fleet.milestones[index];
+        milestones.record_version(restarts, list.index);
+        let is_ready = sidecar.membership.serving().next().is_some();
+        milestones.record_readiness(restarts, is_ready);
+        if is_ready && !sidecar.callers_started {
+            sidecar.callers_started = true;
+            spawn_local(pending_calls::generate_calls(self.clone()));
+        }
+        drop(sidecar);
+        self.handle_event(Event::EndpointList {
+            version: list.index,
+            kind,
+            entries,
+        });
+    }
+}
+
+impl SimulatedSidecar {
+    /// Begins to follow discovery, in place of the watch that there was.
+    pub(super) fn begin_watch(&mut self, handle: &SidecarHandle) {
+        let (consumer, source) = (handle.clone(), self.source);
+        self.watch = Some(match self.settings.discovery {
+            DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
+            DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
+                consumer,
+                source,
+                self.membership.version(),
+            )),
+        });
+    }
+
+    /// Follows discovery no more.
+    pub(super) fn end_watch(&mut self) {
+        self.watch = None;
+        let Incarnation { index, restarts } = self.incarnation;
+        self.fleet.milestones[index].record_watch_lost(restarts, self.source.generation);
+    }
+}
+
+impl ListConsumer for SidecarHandle {
+    fn known_version(&self, source: Source) -> Option<u64> {
+        let sidecar = self.borrow();
+        sidecar
+            .membership
+            .version()
+            .filter(|_| source == sidecar.source)
+    }
+
+    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
+        let mut sidecar = self.borrow();
+        if source == sidecar.source {
+            sidecar.membership.accept(&mut list)?;
+            sidecar.previous_watch = None;
+        } else if sidecar.membership.version().is_some() {
+            return Ok(()); // the present one has spoken
+        }
+        drop(sidecar);
+        let kind = if list.snapshot {
+            ListKind::Snapshot
+        } else {
+            ListKind::Changes
+        };
+        self.apply_list(list, kind);
+        Ok(())
+    }
+
+    /// That is no less than word that nothing has changed, which may not come before the first change.
+    fn watch_opened(&self, source: Source) {
+        let sidecar = self.borrow();
+        sidecar.fleet.milestones[sidecar.incarnation.index]
+            .record_watch_opened(sidecar.incarnation.restarts, source.generation);
+        drop(sidecar);
+        if let Some(version) = self.known_version(source) {
+            self.handle_event(Event::EndpointList {
+                version,
+                kind: ListKind::Changes,
+                entries: Arc::from([]),
+            });
+        }
+    }
+
+    /// That of a discovery that is no longer asked was to be.
+    fn discovery_failed(&self, source: Source) {
+        let mut sidecar = self.borrow();
+        if source == sidecar.source {
+            sidecar.watch = None;
+            drop(sidecar);
+            self.handle_event(Event::DiscoveryFailed);
+        }
+    }
+
+    fn jitter_seed(&self) -> u64 {
+        self.borrow().seed
+    }
+
+    fn log(&self, line: fmt::Arguments<'_>) {
+        tracing::debug!(index = self.borrow().incarnation.index, "{line}");
+    }
+
+    fn watch_ended(&self, source: Source, _failure: &DiscoveryError) {
+        let sidecar = self.borrow();
+        sidecar.fleet.counters.count_discovery_failure();
+        sidecar.fleet.milestones[sidecar.incarnation.index]
+            .record_watch_lost(sidecar.incarnation.restarts, source.generation);
+    }
+
+    fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {
+        self.borrow().fleet.counters.count_discovery_failure();
+    }
+}
--- a/fleet-lab/src/sidecar/hollow/plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// A configuration in the decision module's form.
-pub(super) struct MemberPlan {
+pub(super) struct SidecarPlan {
     pub settings: Settings,
     /// The settings as the configuration has them, to tell whether a reload changes them.
     pub settings_document: Value,
@@ -19,7 +19,7 @@
     pub seed: u64,
 }
 
-impl MemberPlan {
+impl SidecarPlan {
     /// # Errors
     /// Settings that the decision module turns down.
     pub fn from_configuration(configuration: SidecarConfiguration) -> io::Result<Self> {
@@ -29,7 +29,7 @@
         settings
             .check()
             .map_err(|error| invalid(&configuration.name, error))?;
-        Ok(MemberPlan {
+        Ok(SidecarPlan {
             settings,
             settings_document,
             discovery: configuration.discovery,
@@ -39,7 +39,7 @@
     }
 
     /// The endpoints as the sidecar last had them, as a list from discovery.
-    pub fn known_list(&self) -> Option<EndpointList> {
+    pub fn cached_list(&self) -> Option<EndpointList> {
         let (index, entries) = self.known.as_ref()?;
         Some(EndpointList {
             index: *index,
--- a/fleet-lab/src/sidecar/hollow/task.rs
+++ b/fleet-lab/src/sidecar/simulated/task.rs
@@ -10,7 +10,7 @@
         Task(spawn_local(work).abort_handle())
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.0.is_finished()
     }
 }
--- a/fleet-lab/src/sidecar/hollow/thread.rs
+++ b/fleet-lab/src/sidecar/simulated/thread.rs
@@ -1,8 +1,8 @@
 //! Threads that host hollow sidecars, each sidecar on a set of local tasks of its own, which end with it.
 
 use super::fleet_state::FleetState;
-use super::member::{Identity, MemberHandle};
-use super::plan::MemberPlan;
+use super::sidecar::{Incarnation, SidecarHandle};
+use super::sidecar_plan::SidecarPlan;
 use super::task::Task;
 use balancer_sidecar::policy::SettingsError;
 use std::collections::HashMap;
@@ -20,16 +20,16 @@
     /// Start a sidecar, in place of the one that runs there.
     Start {
         /// Which sidecar, and which of its starts.
-        identity: Identity,
+        incarnation: Incarnation,
         /// What it is started from.
-        plan: Arc<MemberPlan>,
+        plan: Arc<SidecarPlan>,
     },
     /// Have a sidecar take over a configuration.
     Reload {
         /// Its place.
-        place: usize,
+        index: usize,
         /// The configuration.
-        plan: Arc<MemberPlan>,
+        plan: Arc<SidecarPlan>,
     },
 }
 
@@ -81,21 +81,21 @@
 
 /// Carries out commands until their sender is gone.
 async fn host(fleet: Arc<FleetState>, mut commands: UnboundedReceiver<Command>) {
-    let mut members: HashMap<usize, HostedMember> = HashMap::new();
+    let mut sidecars: HashMap<usize, HostedSidecar> = HashMap::new();
     while let Some(command) = commands.recv().await {
         match command {
-            Command::Start { identity, plan } => {
-                members.remove(&identity.place);
-                match HostedMember::start(identity, fleet.clone(), &plan) {
-                    Ok(member) => drop(members.insert(identity.place, member)),
+            Command::Start { incarnation, plan } => {
+                sidecars.remove(&incarnation.index);
+                match HostedSidecar::start(incarnation, fleet.clone(), &plan) {
+                    Ok(sidecar) => drop(sidecars.insert(incarnation.index, sidecar)),
                     Err(problem) => {
-                        tracing::error!(place = identity.place, "not started: {problem}");
+                        tracing::error!(index = incarnation.index, "not started: {problem}");
                     }
                 }
             }
-            Command::Reload { place, plan } => {
-                if let Some(member) = members.get(&place) {
-                    member.reload(&plan);
+            Command::Reload { index, plan } => {
+                if let Some(sidecar) = sidecars.get(&index) {
+                    sidecar.reload(&plan);
                 }
             }
         }
@@ -103,33 +103,33 @@
 }
 
 /// A sidecar with its tasks. Dropped, it ends at once: its connections are closed, and what it has open is lost.
-struct HostedMember {
-    handle: MemberHandle,
+struct HostedSidecar {
+    handle: SidecarHandle,
     tasks: Rc<LocalSet>,
     _driver: Task,
 }
 
-impl HostedMember {
+impl HostedSidecar {
     fn start(
-        identity: Identity,
+        incarnation: Incarnation,
         fleet: Arc<FleetState>,
-        plan: &MemberPlan,
+        plan: &SidecarPlan,
     ) -> Result<Self, SettingsError> {
         let tasks = Rc::new(LocalSet::new());
         let handle = {
             let _entered = tasks.enter();
-            MemberHandle::start(identity, fleet, plan)?
+            SidecarHandle::start(incarnation, fleet, plan)?
         };
         let driven = tasks.clone();
         let driver = Task::spawn(async move { driven.run_until(pending::<()>()).await });
-        Ok(HostedMember {
+        Ok(HostedSidecar {
             handle,
             tasks,
             _driver: driver,
         })
     }
 
-    fn reload(&self, plan: &MemberPlan) {
+    fn reload(&self, plan: &SidecarPlan) {
         let _entered = self.tasks.enter();
         self.handle.reload(plan);
     }
--- a/fleet-lab/tests/hollow.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -2,7 +2,7 @@
 
 use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use fleet_lab::sidecar::configuration::{RequestClass, SidecarConfiguration};
-use fleet_lab::sidecar::hollow::{Arrivals, HollowFleet, HollowLoad, HollowUsage};
+use fleet_lab::sidecar::simulated::{ConvergenceTimes, FleetUsage, SimulatedFleet, SimulatedLoad};
 use fleet_lab::topology::{EndpointName, ZoneName};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 const LONGEST: Duration = Duration::from_secs(20);
 /// How long a state is watched that is not to come.
 const SHORT: Duration = Duration::from_millis(300);
-const LOAD: HollowLoad = HollowLoad {
+const LOAD: SimulatedLoad = SimulatedLoad {
     calls_per_second: 20.0,
     mean_service_time: Duration::from_millis(5),
 };
@@ -79,24 +79,24 @@
     }
 }
 
-fn fleet(discovery: &DiscoveryServer, lists_are_pushed: bool) -> HollowFleet {
+fn fleet(discovery: &DiscoveryServer, lists_are_pushed: bool) -> SimulatedFleet {
     let configurations = (0..SIDECARS)
         .map(|n| configuration(n, discovery, lists_are_pushed))
         .collect();
-    HollowFleet::start(configurations, LOAD, THREADS).expect("a fleet")
+    SimulatedFleet::start(configurations, LOAD, THREADS).expect("a fleet")
 }
 
-fn assert_all_arrived(arrivals: &Arrivals) {
+fn assert_all_reached(times: &ConvergenceTimes) {
     assert_eq!(
-        (arrivals.after.len(), arrivals.missing),
+        (times.reached_after.len(), times.missing),
         (SIDECARS as usize, 0)
     );
-    assert!(arrivals.after.is_sorted());
+    assert!(times.reached_after.is_sorted());
 }
 
-fn assert_none_arrived(arrivals: &Arrivals) {
+fn assert_none_reached(times: &ConvergenceTimes) {
     assert_eq!(
-        (arrivals.after.len(), arrivals.missing),
+        (times.reached_after.len(), times.missing),
         (0, SIDECARS as usize)
     );
 }
@@ -109,18 +109,18 @@
     }
 }
 
-fn wait_until_watching(fleet: &HollowFleet, discovery: &DiscoveryServer) {
-    assert_all_arrived(&fleet.wait_until_watching(Instant::now(), LONGEST));
+fn wait_until_watching(fleet: &SimulatedFleet, discovery: &DiscoveryServer) {
+    assert_all_reached(&fleet.wait_until_watching(Instant::now(), LONGEST));
     wait_until("a watch of each", || {
         discovery.usage().watches_open == u64::from(SIDECARS)
     });
 }
 
 /// Waits for a moment at which no call is open, as counts add up exactly then.
-fn wait_until_calls_add_up(fleet: &HollowFleet) -> HollowUsage {
+fn wait_until_calls_add_up(fleet: &SimulatedFleet) -> FleetUsage {
     wait_until("every call is answered", || {
         let usage = fleet.usage();
-        usage.calls > 0 && usage.served + usage.not_served == usage.calls
+        usage.calls > 0 && usage.served + usage.unserved == usage.calls
     });
     fleet.usage()
 }
@@ -129,14 +129,14 @@
     let discovery = discovery(8);
     let started = Instant::now();
     let fleet = fleet(&discovery, lists_are_pushed);
-    assert_all_arrived(&fleet.wait_until_ready(started, LONGEST));
+    assert_all_reached(&fleet.wait_until_ready(started, LONGEST));
     wait_until_watching(&fleet, &discovery);
-    assert_none_arrived(&fleet.wait_for_version(2, started, SHORT));
+    assert_none_reached(&fleet.wait_for_version(2, started, SHORT));
     for change in 0..3 {
         let published = Instant::now();
         let version = discovery.publish(vec![endpoint(change, EndpointStatus::Draining)]);
         assert_eq!(version, u64::from(change) + 2);
-        assert_all_arrived(&fleet.wait_for_version(version, published, LONGEST));
+        assert_all_reached(&fleet.wait_for_version(version, published, LONGEST));
     }
     let usage = discovery.usage();
     assert_eq!(
@@ -146,7 +146,7 @@
     assert_eq!(fleet.usage().discovery_failures, 0);
     // Had it been told before, it counts as zero.
     let late = fleet.wait_for_version(1, Instant::now(), LONGEST);
-    assert_eq!(late.after, vec![Duration::ZERO; SIDECARS as usize]);
+    assert_eq!(late.reached_after, vec![Duration::ZERO; SIDECARS as usize]);
 }
 
 #[test]
@@ -166,7 +166,7 @@
     wait_until("100 calls are served", || fleet.usage().served >= 100);
     let usage = wait_until_calls_add_up(&fleet);
     assert!(usage.attempts >= usage.served, "{usage:?}");
-    assert!(usage.most_attempts_at_an_endpoint >= 1, "{usage:?}");
+    assert!(usage.max_attempts_at_an_endpoint >= 1, "{usage:?}");
     assert_eq!(usage.health_checks, 0);
     let (before, seconds, after) = (fleet.usage(), fleet.timeline(), fleet.usage());
     let calls: u64 = seconds.iter().map(|second| second.calls).sum();
@@ -186,10 +186,10 @@
             ..configuration(n, &discovery, false)
         })
         .collect();
-    let fleet = HollowFleet::start(configurations, LOAD, THREADS).expect("a fleet");
-    assert_all_arrived(&fleet.wait_until_ready(Instant::now(), LONGEST));
-    assert_all_arrived(&fleet.wait_for_version(1, Instant::now(), LONGEST));
-    assert_none_arrived(&fleet.wait_until_watching(Instant::now(), SHORT));
+    let fleet = SimulatedFleet::start(configurations, LOAD, THREADS).expect("a fleet");
+    assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_for_version(1, Instant::now(), LONGEST));
+    assert_none_reached(&fleet.wait_until_watching(Instant::now(), SHORT));
     wait_until("calls are served", || fleet.usage().served > 0);
 }
 
@@ -198,10 +198,10 @@
     let discovery = discovery(4);
     discovery.begin_outage();
     let fleet = fleet(&discovery, true);
-    assert_none_arrived(&fleet.wait_until_ready(Instant::now(), SHORT));
+    assert_none_reached(&fleet.wait_until_ready(Instant::now(), SHORT));
     assert_eq!(fleet.usage().calls, 0);
     discovery.end_outage();
-    assert_all_arrived(&fleet.wait_until_ready(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
     wait_until("calls are served", || fleet.usage().served > 0);
 }
 
@@ -211,12 +211,12 @@
     let fleet = fleet(&discovery, true);
     wait_until_watching(&fleet, &discovery);
     fleet.restart(&[1, 4]);
-    assert_all_arrived(&fleet.wait_until_ready(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
     wait_until_watching(&fleet, &discovery);
     assert_eq!(discovery.usage().watches_opened, u64::from(SIDECARS) + 2);
     assert_eq!(fleet.usage().discovery_failures, 0);
     let version = discovery.publish(vec![endpoint(0, EndpointStatus::Draining)]);
-    assert_all_arrived(&fleet.wait_for_version(version, Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_for_version(version, Instant::now(), LONGEST));
     wait_until_calls_add_up(&fleet);
 }
 
@@ -226,11 +226,11 @@
     wait_until_watching(&fleet, &discovery);
     discovery.begin_outage();
     let version = discovery.publish(vec![endpoint(0, EndpointStatus::Draining)]);
-    assert_none_arrived(&fleet.wait_for_version(version, Instant::now(), SHORT));
-    assert_none_arrived(&fleet.wait_until_watching(Instant::now(), Duration::ZERO));
+    assert_none_reached(&fleet.wait_for_version(version, Instant::now(), SHORT));
+    assert_none_reached(&fleet.wait_until_watching(Instant::now(), Duration::ZERO));
     let returned = Instant::now();
     discovery.end_outage();
-    assert_all_arrived(&fleet.wait_for_version(version, returned, LONGEST));
+    assert_all_reached(&fleet.wait_for_version(version, returned, LONGEST));
     wait_until_watching(&fleet, &discovery);
     assert!(fleet.usage().discovery_failures >= u64::from(SIDECARS));
 }
@@ -255,7 +255,7 @@
         let number = u32::try_from(place).expect("a small number");
         configuration(number, &second, true)
     });
-    assert_all_arrived(&fleet.wait_until_watching(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_watching(Instant::now(), LONGEST));
     wait_until("watches have moved", || {
         (first.usage().watches_open, second.usage().watches_open) == (5, 3)
     });
@@ -263,7 +263,7 @@
     wait_until("those that moved are told", || {
         fleet
             .wait_for_version(version, Instant::now(), Duration::ZERO)
-            .after
+            .reached_after
             .len()
             == moved.len()
     });
@@ -276,13 +276,13 @@
     wait_until("calls are served", || fleet.usage().served >= 20);
     let only: [EndpointName; 1] = ["endpoint-0".into()];
     fleet.set_unreachable(&only, true);
-    let not_served = fleet.usage().not_served;
+    let unserved = fleet.usage().unserved;
     wait_until("calls are not served", || {
-        fleet.usage().not_served >= not_served + 10
+        fleet.usage().unserved >= unserved + 10
     });
     let served = fleet.usage().served;
     wait_until("further calls are not served", || {
-        fleet.usage().not_served >= not_served + 60
+        fleet.usage().unserved >= unserved + 60
     });
     assert_eq!(fleet.usage().served, served);
     fleet.set_unreachable(&only, false);
@@ -298,18 +298,18 @@
     let configurations = (0..SIDECARS)
         .map(|n| configuration(n, &discovery, true))
         .collect();
-    let slow = HollowLoad {
+    let slow = SimulatedLoad {
         mean_service_time: Duration::from_millis(60),
         ..LOAD
     };
-    let fleet = HollowFleet::start(configurations, slow, THREADS).expect("a fleet");
+    let fleet = SimulatedFleet::start(configurations, slow, THREADS).expect("a fleet");
     wait_until("calls are served", || fleet.usage().served >= 20);
     fleet.set_unreachable(&["endpoint-0".into()], true);
-    let HollowUsage {
-        served, not_served, ..
+    let FleetUsage {
+        served, unserved, ..
     } = fleet.usage();
     wait_until("calls are not served", || {
-        fleet.usage().not_served >= not_served + 60
+        fleet.usage().unserved >= unserved + 60
     });
     // Some ten were in flight; each thread may have been about to count one that had come back before.
     let served_since = fleet.usage().served - served;
--- a/fleet-lab/tests/small_run.rs
+++ b/fleet-lab/tests/small_run.rs
@@ -113,15 +113,15 @@
 
     let faults: Vec<f64> = (0..=5).map(f64::from).collect();
     let calls: Vec<f64> = values(&report, "calls").collect();
-    let not_served: Vec<f64> = values(&report, "calls not served").collect();
+    let unserved: Vec<f64> = values(&report, "calls not served").collect();
     assert_eq!(sizes(figure(&report, "calls")), faults);
     assert!(calls.iter().all(|calls| *calls > 0.0), "{calls:?}");
     assert!(
         calls
             .iter()
-            .zip(&not_served)
-            .all(|(calls, not_served)| not_served <= calls),
-        "{not_served:?}"
+            .zip(&unserved)
+            .all(|(calls, unserved)| unserved <= calls),
+        "{unserved:?}"
     );
     assert!(values(&report, "attempts").all(|attempts| attempts > 0.0));
     assert_eq!(
