--- a/fleet-lab/src/discovery/connection.rs
+++ b/fleet-lab/src/discovery/connection.rs
@@ -1,8 +1,8 @@
-//! One accepted connection: it answers requests one after another until one of them opens a watch.
+//! One accepted connection, which serves requests one after another until one of them opens a watch.
 
 use super::protocol::{self, Call, Request};
 use super::registry::Change;
-use super::service::{CountGuard, Service, WaitOutcome};
+use super::service::{CountGuard, QueueOutcome, Service};
 use super::zone_state::ZoneState;
 use bytes::BytesMut;
 use socket2::SockRef;
@@ -16,57 +16,59 @@
 use tokio::sync::broadcast::error::RecvError;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Bytes read at once from a caller that has opened a watch and has nothing more to say.
+/// Bytes read at once from a client whose further input is discarded.
 const DISCARDED_READ_BYTES: usize = 64;
-/// Room for a usual request's head, in bytes.
-const USUAL_REQUEST_BYTES: usize = 512;
-/// How long the rest of a bad request is read.
+/// Initial buffer capacity: enough for the head of a typical request.
+const TYPICAL_REQUEST_BYTES: usize = 512;
+/// How long the rest of a malformed request is read.
 const BAD_REQUEST_LINGER: Duration = Duration::from_secs(1);
 
-/// Serves a connection that [`prepare`] has readied, until it ends. Dropped earlier, it resets the connection.
+/// Serves a connection until it ends; [`configure`] was called on it. Dropping the future earlier resets the connection.
 pub(super) async fn serve(mut stream: TcpStream, zone: Rc<ZoneState>, service: Rc<Service>) {
-    let mut silence = zone.silent.subscribe();
-    let conversation = Conversation {
+    let mut partition = zone.is_partitioned.subscribe();
+    let session = Session {
         stream: &mut stream,
         zone: &zone,
         service: &service,
     };
     tokio::select! {
         biased;
-        // The sender lives as long as the zone, so there is no error.
-        _ = silence.wait_for(|silent| *silent) => {}
-        ended = conversation.run() => {
-            if ended.is_ok() {
-                close_in_order(&stream);
+        // The sender lives as long as the zone, so this does not fail.
+        _ = partition.wait_for(|is_partitioned| *is_partitioned) => {}
+        result = session.run() => {
+            if result.is_ok() {
+                disable_reset(&stream);
             }
             return;
         }
     }
-    // Cut off: the connection stays open and quiet until the zone is joined again and this task is ended.
+    // The connection of a partitioned zone stays open without traffic until the zone heals and aborts this task.
     pending::<()>().await;
 }
 
-/// Readies an accepted connection: small messages go out at once, and an end that is not in order is a reset.
-pub(super) fn prepare(stream: &TcpStream) -> io::Result<()> {
+/// Configures an accepted connection: small messages are sent at once, and closing it resets it until
+/// [`disable_reset`] is called.
+pub(super) fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-fn close_in_order(stream: &TcpStream) {
-    // If it fails, the caller has a reset in place of an end.
+/// Has the connection close with an orderly shutdown instead of a reset.
+fn disable_reset(stream: &TcpStream) {
+    // After a failure the client sees a reset, which it has to cope with anyway.
     let _ = SockRef::from(stream).set_linger(None);
 }
 
-/// A connection while it is served.
-struct Conversation<'a> {
+/// A connection with the state that its requests are served from.
+struct Session<'a> {
     stream: &'a mut TcpStream,
     zone: &'a ZoneState,
     service: &'a Service,
 }
 
-impl Conversation<'_> {
+impl Session<'_> {
     async fn run(mut self) -> io::Result<()> {
-        let mut unread = BytesMut::with_capacity(USUAL_REQUEST_BYTES);
+        let mut unread = BytesMut::with_capacity(TYPICAL_REQUEST_BYTES);
         loop {
             let request = match protocol::take_request(&mut unread) {
                 Ok(Some(request)) => request,
@@ -77,8 +79,8 @@
                     continue;
                 }
                 Err(problem) => {
-                    tracing::debug!(%problem, "bad request");
-                    return self.turn_down().await;
+                    tracing::debug!(%problem, "malformed request");
+                    return self.reject_malformed().await;
                 }
             };
             self.answer(request, &mut unread).await?;
@@ -92,23 +94,24 @@
         if request.call == Call::NotFound {
             return self.write(protocol::NOT_FOUND).await;
         }
-        let outcome = self.service.wait_for_turn().await;
-        if self.caller_has_left(unread) {
-            self.service.count(|usage| usage.abandoned += 1);
+        let outcome = self.service.wait_in_queue().await;
+        if self.client_disconnected(unread) {
+            self.service.count(|usage| usage.disconnected += 1);
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         match (outcome, request.call) {
-            (WaitOutcome::TooLate, _) => {
+            (QueueOutcome::TimedOut, _) => {
                 self.service.count(|usage| usage.rejected += 1);
                 self.write(protocol::UNAVAILABLE).await
             }
-            (WaitOutcome::Turn, Call::Watch { since }) => self.watch(since).await,
-            (WaitOutcome::Turn, _) => self.list().await,
+            (QueueOutcome::Handled, Call::Watch { since }) => self.watch(since).await,
+            (QueueOutcome::Handled, _) => self.list().await,
         }
     }
 
-    /// Whether the caller has closed or reset the connection. What it may have sent meanwhile is kept.
-    fn caller_has_left(&self, unread: &mut BytesMut) -> bool {
+    /// Returns whether the client has closed or reset the connection. Bytes that it has sent meanwhile are added to
+    /// `unread`.
+    fn client_disconnected(&self, unread: &mut BytesMut) -> bool {
         match self.stream.try_read_buf(unread) {
             Ok(length) => length == 0,
             Err(error) => error.kind() != io::ErrorKind::WouldBlock,
@@ -117,7 +120,7 @@
 
     async fn list(&mut self) -> io::Result<()> {
         self.service.count(|usage| usage.lists += 1);
-        let body = self.service.registry.borrow_mut().whole_list();
+        let body = self.service.registry.borrow_mut().full_list();
         self.write(protocol::list_head(body.len()).as_bytes())
             .await?;
         self.write(&body).await
@@ -126,7 +129,7 @@
     async fn watch(&mut self, since: Option<u64>) -> io::Result<()> {
         self.service.count(|usage| usage.watches_opened += 1);
         let _open = CountGuard::new(&self.zone.watches);
-        // No change comes between these steps: they wait for nothing.
+        // These steps run without a suspension point, so no change is published between them.
         let mut changes = self.service.subscribe();
         let mut written_version = self.service.registry.borrow().version();
         let first = self.service.registry.borrow_mut().chunk_since(since);
@@ -145,7 +148,7 @@
             };
             match change {
                 None => self.write_heartbeat().await?,
-                // It came before the whole list that was written in place of others.
+                // The change is part of the full list that was written after a lag.
                 Some(Ok(Change { version, .. })) if version <= written_version => continue,
                 Some(Ok(Change { version, chunk })) => {
                     written_version = version;
@@ -153,7 +156,7 @@
                 }
                 Some(Err(RecvError::Lagged(_))) => {
                     written_version = self.service.registry.borrow().version();
-                    let chunk = self.service.registry.borrow_mut().whole_list_chunk();
+                    let chunk = self.service.registry.borrow_mut().full_list_chunk();
                     self.write(&chunk).await?;
                 }
                 Some(Err(RecvError::Closed)) => return Ok(()),
@@ -169,9 +172,9 @@
         Ok(())
     }
 
-    /// Answers a bad request and ends sending. The rest of it is read, as a close over unread bytes would be a reset
-    /// that can overtake the answer.
-    async fn turn_down(&mut self) -> io::Result<()> {
+    /// Answers a malformed request and closes the sending side. The rest of the request is read, because closing a socket
+    /// with unread bytes sends a reset that can overtake the answer.
+    async fn reject_malformed(&mut self) -> io::Result<()> {
         self.write(protocol::BAD_REQUEST).await?;
         self.stream.shutdown().await?;
         let (mut reader, _) = self.stream.split();
@@ -179,7 +182,7 @@
         Ok(())
     }
 
-    /// Writes all of it, and counts what was written also where it breaks off.
+    /// Writes all bytes, and counts those that were written also where the write fails.
     async fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             let written = self.stream.write(bytes).await?;
@@ -194,7 +197,7 @@
     }
 }
 
-/// Reads and discards until the caller is gone.
+/// Reads and discards input until the client disconnects.
 async fn read_until_end(reader: &mut ReadHalf<'_>) {
     let mut discarded = [0; DISCARDED_READ_BYTES];
     while let Ok(1..) = reader.read(&mut discarded).await {}
--- a/fleet-lab/src/discovery/entry.rs
+++ b/fleet-lab/src/discovery/entry.rs
@@ -1,39 +1,39 @@
-//! Endpoints in the form that discovery lists them.
+//! Endpoints in the form in which discovery publishes them.
 
 use crate::topology::ZoneName;
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Whether an endpoint takes work, as discovery lists it.
+/// Whether an endpoint takes requests, as discovery publishes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EndpointStatus {
     /// It takes requests.
     Serving,
-    /// It finishes what it has and wants nothing new.
+    /// It completes the requests that it has and takes no new ones.
     Draining,
-    /// It is gone; used in changes only.
+    /// It is removed from the list; sent in changes only.
     Deleted,
 }
 
-/// One endpoint in discovery's form.
+/// One endpoint of the published list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EndpointEntry {
     /// Its name, identical at every sidecar.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// What sort of machine it is.
+    /// Its machine type.
     #[serde(rename = "type")]
     pub kind: String,
     /// The group of endpoints that it belongs to.
     pub group: u64,
-    /// Whether it takes work.
+    /// Whether it takes requests.
     pub status: EndpointStatus,
-    /// Its weight.
+    /// Its load balancing weight.
     pub weight: f64,
-    /// Its last start, in Unix time milliseconds; 0 is long ago.
+    /// Its last start in Unix time, in milliseconds; 0 is long ago.
     pub since_ms: u64,
 }
--- a/fleet-lab/src/discovery/handle.rs
+++ b/fleet-lab/src/discovery/handle.rs
@@ -1,4 +1,4 @@
-//! A discovery service as experiments hold it.
+//! The handle with which experiments control a simulated discovery service.
 
 use super::entry::EndpointEntry;
 use super::options::DiscoveryOptions;
@@ -14,11 +14,12 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-/// A running discovery service on a thread of its own, with one listening address for each zone. It ends when it is
-/// dropped, and resets its connections.
+/// A running discovery service on a thread of its own, with one listening address for each zone. Dropping it stops the
+/// service and resets its connections.
+#[derive(Debug)]
 pub struct DiscoveryServer {
     addresses: BTreeMap<ZoneName, SocketAddr>,
-    /// None once the service is to end.
+    /// None once the service is being stopped.
     commands: Option<UnboundedSender<Command>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -27,8 +28,8 @@
     /// Starts the service with these endpoints as version 1.
     ///
     /// # Errors
-    /// No address or thread could be had, or the options make no sense: no calls a second, or no time between empty
-    /// lines.
+    /// Fails where no address can be reserved or no thread started, and where the options are invalid: a rate of zero
+    /// calls a second, or a heartbeat of zero.
     pub fn start(
         options: DiscoveryOptions,
         zones: &[ZoneName],
@@ -38,7 +39,7 @@
         if options.heartbeat.is_zero() {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                "no time between empty lines",
+                "the heartbeat must be longer than zero",
             ));
         }
         let mut addresses = BTreeMap::new();
@@ -58,7 +59,7 @@
                 .map(|(name, address)| Zone::new(name, address))
                 .collect();
             server::run(received_commands, &started, || {
-                Server::new(&options, time_per_call, zones, endpoints)
+                Server::new(&options, time_per_call, zones, &endpoints)
             });
         };
         let thread = thread::Builder::new().name("discovery".into()).spawn(run)?;
@@ -72,97 +73,106 @@
         })
     }
 
-    /// Where the sidecars of a zone find it. Addresses stay the same over an outage.
+    /// Returns the address of the service in a zone. Addresses stay the same over an outage.
     ///
     /// # Panics
-    /// The zone was not named at the start.
+    /// Panics if the service was started without this zone.
     #[must_use]
     pub fn address(&self, zone: &ZoneName) -> SocketAddr {
         let address = self.addresses.get(zone);
         *address.unwrap_or_else(|| panic!("discovery has no zone {zone}"))
     }
 
-    /// The whole list as it stands, by name, for a sidecar's configuration: the version and its endpoints.
+    /// Returns the current version and all its endpoints, ordered by name, for a sidecar's configuration.
     #[must_use]
     pub fn snapshot(&self) -> (u64, Vec<EndpointEntry>) {
-        self.ask(|reply| Command::Snapshot { reply })
+        self.call(|reply| Command::Snapshot { reply })
     }
 
-    /// Publishes changes as one new version, which it returns.
+    /// Publishes changes as one new version and returns that version.
     #[expect(clippy::must_use_candidate, reason = "callers publish for the effect")]
     pub fn publish(&self, changes: Vec<EndpointEntry>) -> u64 {
-        self.ask(|reply| Command::Publish { changes, reply })
+        self.call(|reply| Command::Publish { changes, reply })
     }
 
-    /// Changes how many calls it answers a second; those that wait keep their turns.
+    /// Changes the number of calls handled a second. Calls that are already queued keep their slots.
     ///
     /// # Errors
-    /// No calls a second.
+    /// Fails if the rate is not positive.
     pub fn set_calls_per_second(&self, calls_per_second: f64) -> io::Result<()> {
         let time_per_call = time_per_call(calls_per_second)?;
-        self.ask(|reply| Command::SetTimePerCall {
+        self.call(|reply| Command::SetTimePerCall {
             time_per_call,
             reply,
         });
         Ok(())
     }
 
-    /// Ends all connections with a reset and refuses new ones until [`DiscoveryServer::end_outage`]. Changes may be
-    /// published meanwhile.
+    /// Resets all connections and refuses new ones until [`DiscoveryServer::end_outage`]. Changes may be published
+    /// meanwhile.
     pub fn begin_outage(&self) {
-        self.ask(|reply| Command::BeginOutage { reply });
+        self.call(|reply| Command::BeginOutage { reply });
     }
 
     /// Listens again at the same addresses.
     ///
     /// # Panics
-    /// No socket could be had.
+    /// Panics if the service cannot listen.
     pub fn end_outage(&self) {
-        let listening = self.ask(|reply| Command::EndOutage { reply });
-        listening.expect("discovery listens again at an address that it has kept");
+        let listening = self.call(|reply| Command::EndOutage { reply });
+        listening.expect("discovery can listen at its reserved addresses");
     }
 
-    /// Cuts a zone off, or joins it again: connections stay open and quiet, new ones are accepted and not answered.
-    /// When the zone is joined again, connections that were cut are reset.
+    /// Partitions a zone from discovery until [`DiscoveryServer::heal_zone`]: its connections stay open without traffic,
+    /// and new ones are accepted and get no answer.
     ///
     /// # Panics
-    /// The zone was not named at the start.
-    pub fn set_silent(&self, zone: &ZoneName, silent: bool) {
-        assert!(
-            self.addresses.contains_key(zone),
-            "discovery has no zone {zone}"
-        );
-        let zone = zone.clone();
-        self.ask(|reply| Command::SetSilent {
-            zone,
-            silent,
-            reply,
-        });
+    /// Panics if the service was started without this zone.
+    pub fn partition_zone(&self, zone: &ZoneName) {
+        let zone = self.checked_zone(zone);
+        self.call(|reply| Command::PartitionZone { zone, reply });
+    }
+
+    /// Ends a zone's partition and resets the connections that it affected.
+    ///
+    /// # Panics
+    /// Panics if the service was started without this zone.
+    pub fn heal_zone(&self, zone: &ZoneName) {
+        let zone = self.checked_zone(zone);
+        self.call(|reply| Command::HealZone { zone, reply });
     }
 
-    /// What it has done so far.
+    /// Returns the counters.
     #[must_use]
     pub fn usage(&self) -> DiscoveryUsage {
-        self.ask(|reply| Command::Usage { reply })
+        self.call(|reply| Command::Usage { reply })
     }
 
-    /// Watches open now, by zone, without those of zones that are cut off.
+    /// Returns the number of open watches by zone, without those of partitioned zones.
     #[must_use]
     pub fn watches_by_zone(&self) -> BTreeMap<ZoneName, u64> {
-        self.ask(|reply| Command::WatchesByZone { reply })
+        self.call(|reply| Command::WatchesByZone { reply })
+    }
+
+    fn checked_zone(&self, zone: &ZoneName) -> ZoneName {
+        assert!(
+            self.addresses.contains_key(zone),
+            "discovery has no zone {zone}"
+        );
+        zone.clone()
     }
 
-    /// Has the service's thread carry out a command and waits for its reply.
-    fn ask<T>(&self, command: impl FnOnce(mpsc::SyncSender<T>) -> Command) -> T {
+    /// Sends a command to the service's thread and waits for its reply.
+    fn call<T>(&self, command: impl FnOnce(mpsc::SyncSender<T>) -> Command) -> T {
         let (reply, replied) = mpsc::sync_channel(1);
         let commands = self
             .commands
             .as_ref()
-            .expect("the service ends only when it is dropped");
+            .expect("the service is stopped only when it is dropped");
         commands
             .send(command(reply))
-            .expect("the discovery thread runs");
-        replied.recv().expect("the discovery thread runs")
+            .expect("the discovery thread is running");
+        replied.recv().expect("the discovery thread is running")
     }
 }
 
@@ -181,7 +191,7 @@
     let problem = || {
         io::Error::new(
             io::ErrorKind::InvalidInput,
-            "no sensible number of calls a second",
+            "the number of calls a second must be positive and finite",
         )
     };
     if calls_per_second.is_nan() || calls_per_second <= 0.0 {
--- a/fleet-lab/src/discovery/mod.rs
+++ b/fleet-lab/src/discovery/mod.rs
@@ -1,9 +1,10 @@
-//! A stand-in for the discovery service, which speaks the published discovery protocol over HTTP/1.1.
+//! A simulated discovery service that speaks the published discovery protocol over HTTP/1.1.
 //!
-//! `GET /v1/endpoints` returns the whole list, `GET /v1/endpoints?follow=1&since=N` a watch: a chunked answer that
-//! stays open, with one JSON object for each change and an empty line every heartbeat. Calls are handled in turn at
-//! a limited rate.
+//! `GET /v1/endpoints` returns the full list. `GET /v1/endpoints?follow=1&since=N` opens a watch: a chunked answer that
+//! stays open, with one JSON object for each change and an empty line every heartbeat. Calls are handled in order of
+//! arrival at a limited rate.
 
+mod call_queue;
 mod connection;
 mod entry;
 mod handle;
@@ -12,7 +13,6 @@
 mod registry;
 mod server;
 mod service;
-mod turns;
 mod usage;
 mod zone;
 mod zone_state;
--- a/fleet-lab/src/discovery/options.rs
+++ b/fleet-lab/src/discovery/options.rs
@@ -1,16 +1,16 @@
-//! How a discovery service behaves.
+//! Options of a simulated discovery service.
 
 use std::time::Duration;
 
-/// How a discovery service behaves.
+/// Capacity and timing of a simulated discovery service.
 #[derive(Clone, Debug)]
 pub struct DiscoveryOptions {
-    /// Calls (whole lists and watches) that it answers a second, in turn.
+    /// Calls (full lists and new watches) that the service handles a second, in order of arrival.
     pub calls_per_second: f64,
-    /// A call that has waited so long without its turn is answered 503.
-    pub longest_wait: Duration,
-    /// Time between empty lines on a watch on which nothing changes.
+    /// How long a call may be queued; then it is answered 503.
+    pub queue_timeout: Duration,
+    /// Time between the empty lines on a watch without changes.
     pub heartbeat: Duration,
-    /// How many past versions it remembers; a watch that asks for an older version gets the whole list.
-    pub remembered_changes: usize,
+    /// Number of past versions whose changes are retained; a watch from an older version gets the full list.
+    pub retained_changes: usize,
 }
--- a/fleet-lab/src/discovery/protocol.rs
+++ b/fleet-lab/src/discovery/protocol.rs
@@ -1,93 +1,93 @@
-//! The protocol's text: requests as they are read, and answers and chunks as they are written.
+//! The text of the discovery protocol: parsing of requests, and serialization of answers and chunks.
 
 use super::entry::EndpointEntry;
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::Uri;
 use serde::Serialize;
 
-/// The longest head of a request, in bytes; a longer one is a bad request.
-const LONGEST_REQUEST_HEAD: usize = 16 << 10;
-/// The most headers of a request.
-const MOST_REQUEST_HEADERS: usize = 64;
+/// The longest head of a request, in bytes; a longer one is malformed.
+const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
+/// The largest number of headers of a request.
+const MAX_REQUEST_HEADERS: usize = 64;
 
-/// The empty line that a watch gets while nothing changes, as a chunk.
+/// The empty line that is sent on a watch without changes, as a chunk.
 pub(super) const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
 /// The head of a watch's answer.
 pub(super) const WATCH_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// The answer to a call that has waited too long.
+/// The answer to a call that was queued for too long.
 pub(super) const UNAVAILABLE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// The answer to a request for anything but the list.
+/// The answer to a request for another path than that of the list.
 pub(super) const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-/// The answer to a request that is not understood, after which the connection is closed.
+/// The answer to a malformed request, after which the connection is closed.
 pub(super) const BAD_REQUEST: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// What a request asks for.
+/// What is called by a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Call {
-    /// The whole list.
+    /// The full list.
     List,
     /// A watch.
     Watch {
-        /// The version that the caller has, if it told one.
+        /// The version that the client has, if the request names one.
         since: Option<u64>,
     },
-    /// Something that is not here.
+    /// An unknown path.
     NotFound,
 }
 
-/// A request that was read whole.
+/// A complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Request {
-    /// What it asks for.
+    /// What is called.
     pub(super) call: Call,
-    /// Whether the connection ends with the answer.
+    /// Whether the connection is closed after the answer.
     pub(super) closes: bool,
 }
 
-/// A request that is not understood.
+/// Why a request cannot be served.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum BadRequest {
+pub(super) enum MalformedRequest {
     /// It is not HTTP.
     #[error("not HTTP/1.1: {0}")]
     Http(#[from] httparse::Error),
-    /// It has another version, method or query than discovery takes, or a body.
+    /// Its version, method or query is not supported, or it has a body.
     #[error("{0}")]
     Unsupported(&'static str),
 }
 
-/// Takes the next request out of what was read, or none if it has not come whole.
-pub(super) fn take_request(unread: &mut BytesMut) -> Result<Option<Request>, BadRequest> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_REQUEST_HEADERS];
+/// Removes the next request from the unread bytes; none while it is incomplete.
+pub(super) fn take_request(unread: &mut BytesMut) -> Result<Option<Request>, MalformedRequest> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_REQUEST_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(unread)? {
         httparse::Status::Complete(length) => length,
-        httparse::Status::Partial if unread.len() > LONGEST_REQUEST_HEAD => {
-            return Err(BadRequest::Unsupported("the head is too long"));
+        httparse::Status::Partial if unread.len() > MAX_REQUEST_HEAD_BYTES => {
+            return Err(MalformedRequest::Unsupported("the head is too long"));
         }
         httparse::Status::Partial => return Ok(None),
     };
-    let request = understand(&head)?;
+    let request = parse_request(&head)?;
     unread.advance(length);
     Ok(Some(request))
 }
 
-fn understand(head: &httparse::Request<'_, '_>) -> Result<Request, BadRequest> {
+fn parse_request(head: &httparse::Request<'_, '_>) -> Result<Request, MalformedRequest> {
     if head.version != Some(1) {
-        return Err(BadRequest::Unsupported("the version is not 1.1"));
+        return Err(MalformedRequest::Unsupported("the version is not 1.1"));
     }
     if head.method != Some("GET") {
-        return Err(BadRequest::Unsupported("the method is not GET"));
+        return Err(MalformedRequest::Unsupported("the method is not GET"));
     }
     if has_body(head) {
-        return Err(BadRequest::Unsupported("it has a body"));
+        return Err(MalformedRequest::Unsupported("it has a body"));
     }
     let target = head.path.unwrap_or_default().parse::<Uri>();
-    let target = target.map_err(|_| BadRequest::Unsupported("the target is not a URI"))?;
+    let target = target.map_err(|_| MalformedRequest::Unsupported("the target is not a URI"))?;
     let call = match target.path() {
-        "/v1/endpoints" => call(target.query().unwrap_or_default())?,
+        "/v1/endpoints" => parse_call(target.query().unwrap_or_default())?,
         _ => Call::NotFound,
     };
     let closes =
@@ -95,15 +95,16 @@
     Ok(Request { call, closes })
 }
 
-fn call(query: &str) -> Result<Call, BadRequest> {
+fn parse_call(query: &str) -> Result<Call, MalformedRequest> {
     match parameter(query, "follow") {
         None => Ok(Call::List),
         Some("1") => {
             let since = parameter(query, "since").map(str::parse).transpose();
-            let since = since.map_err(|_| BadRequest::Unsupported("since is not a version"))?;
+            let since =
+                since.map_err(|_| MalformedRequest::Unsupported("since is not a version"))?;
             Ok(Call::Watch { since })
         }
-        Some(_) => Err(BadRequest::Unsupported("follow is not 1")),
+        Some(_) => Err(MalformedRequest::Unsupported("follow is not 1")),
     }
 }
 
@@ -128,7 +129,7 @@
         .map(|header| header.value)
 }
 
-/// The head of an answer with the whole list.
+/// Returns the head of an answer with the full list.
 pub(super) fn list_head(length: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n")
 }
@@ -141,8 +142,8 @@
     endpoints: Vec<&'a EndpointEntry>,
 }
 
-/// The whole list as one line.
-pub(super) fn whole_list<'a>(
+/// Serializes the full list as one line.
+pub(super) fn full_list<'a>(
     version: u64,
     endpoints: impl Iterator<Item = &'a EndpointEntry>,
 ) -> Vec<u8> {
@@ -153,7 +154,7 @@
     })
 }
 
-/// Changes that lead to a version as one line.
+/// Serializes the changes that lead to a version as one line.
 pub(super) fn changes<'a>(
     version: u64,
     changed: impl Iterator<Item = &'a EndpointEntry>,
@@ -166,12 +167,12 @@
 }
 
 fn line(message: &Message<'_>) -> Vec<u8> {
-    let mut line = serde_json::to_vec(message).expect("entries are plain data");
+    let mut line = serde_json::to_vec(message).expect("entries can be serialized");
     line.push(b'\n');
     line
 }
 
-/// Text as one chunk of a chunked answer.
+/// Frames text as one chunk of a chunked answer.
 pub(super) fn chunk(text: &[u8]) -> Bytes {
     let mut chunk = format!("{:x}\r\n", text.len()).into_bytes();
     chunk.extend_from_slice(text);
--- a/fleet-lab/src/discovery/server.rs
+++ b/fleet-lab/src/discovery/server.rs
@@ -1,4 +1,4 @@
-//! The service's thread: it carries out the commands of other threads, next to the tasks of its connections.
+//! The service's thread, which executes the commands of other threads and hosts the tasks of the connections.
 
 use super::entry::EndpointEntry;
 use super::options::DiscoveryOptions;
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::LocalSet;
 
-/// What another thread wants done; the reply comes once it is.
+/// A command from another thread. The reply is sent when the command is complete.
 pub(super) enum Command {
     Snapshot {
         reply: SyncSender<(u64, Vec<EndpointEntry>)>,
@@ -35,9 +35,12 @@
     EndOutage {
         reply: SyncSender<io::Result<()>>,
     },
-    SetSilent {
+    PartitionZone {
+        zone: ZoneName,
+        reply: SyncSender<()>,
+    },
+    HealZone {
         zone: ZoneName,
-        silent: bool,
         reply: SyncSender<()>,
     },
     Usage {
@@ -48,7 +51,8 @@
     },
 }
 
-/// The body of the service's thread. It tells whether it has started, and ends with the channel of commands.
+/// Runs the service on the current thread: reports whether it has started, then executes commands until their channel
+/// is closed.
 pub(super) fn run(
     commands: UnboundedReceiver<Command>,
     started: &SyncSender<io::Result<()>>,
@@ -65,24 +69,24 @@
         let has_failed = listening.is_err();
         reply_to(started, listening);
         if !has_failed {
-            server.carry_out_all(commands).await;
+            server.execute_all(commands).await;
         }
     });
 }
 
-/// The service with its zones.
+/// The service and its zones.
 pub(super) struct Server {
     service: Rc<Service>,
     zones: Vec<Zone>,
 }
 
 impl Server {
-    /// A server that does not listen yet.
+    /// Creates a server that does not listen yet.
     pub(super) fn new(
         options: &DiscoveryOptions,
         time_per_call: Duration,
         zones: Vec<Zone>,
-        endpoints: Vec<EndpointEntry>,
+        endpoints: &[EndpointEntry],
     ) -> Self {
         Server {
             service: Rc::new(Service::new(options, time_per_call, endpoints)),
@@ -96,14 +100,14 @@
             .try_for_each(|zone| zone.listen(&self.service))
     }
 
-    async fn carry_out_all(&mut self, mut commands: UnboundedReceiver<Command>) {
+    async fn execute_all(&mut self, mut commands: UnboundedReceiver<Command>) {
         while let Some(command) = commands.recv().await {
-            self.carry_out(command).await;
+            self.execute(command).await;
         }
-        self.go_down().await;
+        self.shut_down().await;
     }
 
-    async fn carry_out(&mut self, command: Command) {
+    async fn execute(&mut self, command: Command) {
         match command {
             Command::Snapshot { reply } => {
                 let registry = self.service.registry.borrow();
@@ -118,17 +122,19 @@
                 reply_to(&reply, ());
             }
             Command::BeginOutage { reply } => {
-                self.go_down().await;
+                self.shut_down().await;
                 reply_to(&reply, ());
             }
             Command::EndOutage { reply } => reply_to(&reply, self.listen()),
-            Command::SetSilent {
-                zone,
-                silent,
-                reply,
-            } => {
-                if let Some(zone) = self.zones.iter_mut().find(|known| *known.name() == zone) {
-                    zone.set_silent(silent).await;
+            Command::PartitionZone { zone, reply } => {
+                if let Some(zone) = self.zone(&zone) {
+                    zone.partition();
+                }
+                reply_to(&reply, ());
+            }
+            Command::HealZone { zone, reply } => {
+                if let Some(zone) = self.zone(&zone) {
+                    zone.heal().await;
                 }
                 reply_to(&reply, ());
             }
@@ -137,9 +143,13 @@
         }
     }
 
-    async fn go_down(&mut self) {
+    fn zone(&self, name: &ZoneName) -> Option<&Zone> {
+        self.zones.iter().find(|zone| zone.name() == name)
+    }
+
+    async fn shut_down(&mut self) {
         for zone in &mut self.zones {
-            zone.go_down().await;
+            zone.shut_down().await;
         }
         self.service.clear_queue();
     }
@@ -160,7 +170,7 @@
     }
 }
 
-/// Whoever no longer waits for a reply needs none.
+/// Sends a reply. A receiver that has stopped waiting needs none, so a failure is ignored.
 fn reply_to<T>(reply: &SyncSender<T>, value: T) {
     let _ = reply.send(value);
 }
--- a/fleet-lab/src/discovery/service.rs
+++ b/fleet-lab/src/discovery/service.rs
@@ -1,9 +1,9 @@
-//! What all connections share: the registry, the queue of calls, the stream of changes and the counts.
+//! The state that all connections share: the registry, the call queue, the stream of changes and the counters.
 
+use super::call_queue::{Admission, CallQueue};
 use super::entry::EndpointEntry;
 use super::options::DiscoveryOptions;
 use super::registry::{Change, Registry};
-use super::turns::{Turn, Turns};
 use super::usage::DiscoveryUsage;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,47 +11,48 @@
 use tokio::sync::broadcast;
 use tokio::time::{Instant, sleep_until};
 
-/// Changes that a watch may lag behind before it is given the whole list in their place.
+/// Changes that a watch may lag behind before it gets the full list in their place.
 const CHANGES_IN_FLIGHT: usize = 1024;
 
-/// How the wait for a turn ended.
+/// How a call left the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum WaitOutcome {
-    /// It is the call's turn.
-    Turn,
-    /// The call has waited too long.
-    TooLate,
+pub(super) enum QueueOutcome {
+    /// The call is to be handled now.
+    Handled,
+    /// The call was queued for longer than the queue timeout.
+    TimedOut,
 }
 
-/// The state of the service's thread.
+/// The state that all connections share, on the service's thread.
 pub(super) struct Service {
-    /// Time between empty lines on a watch.
+    /// Time between the empty lines on a watch.
     pub(super) heartbeat: Duration,
-    /// The endpoints.
+    /// The endpoints and their version.
     pub(super) registry: RefCell<Registry>,
-    /// Counts; open watches and processor time are put in when they are asked for.
+    /// The counters, without open watches and processor time, which are read on demand.
     pub(super) usage: RefCell<DiscoveryUsage>,
-    turns: RefCell<Turns>,
-    waiting: Rc<Cell<u64>>,
+    call_queue: RefCell<CallQueue>,
+    queued: Rc<Cell<u64>>,
     changes: broadcast::Sender<Change>,
 }
 
 impl Service {
+    /// Creates the service with these endpoints as its first version.
     pub(super) fn new(
         options: &DiscoveryOptions,
         time_per_call: Duration,
-        endpoints: Vec<EndpointEntry>,
+        endpoints: &[EndpointEntry],
     ) -> Self {
         Service {
             heartbeat: options.heartbeat,
-            registry: RefCell::new(Registry::new(endpoints, options.remembered_changes)),
+            registry: RefCell::new(Registry::new(endpoints, options.retained_changes)),
             usage: RefCell::default(),
-            turns: RefCell::new(Turns::new(
+            call_queue: RefCell::new(CallQueue::new(
                 time_per_call,
-                options.longest_wait,
+                options.queue_timeout,
                 Instant::now(),
             )),
-            waiting: Rc::default(),
+            queued: Rc::default(),
             changes: broadcast::Sender::new(CHANGES_IN_FLIGHT),
         }
     }
@@ -60,53 +61,57 @@
     pub(super) fn publish(&self, changes: Vec<EndpointEntry>) -> u64 {
         let change = self.registry.borrow_mut().publish(changes);
         let version = change.version;
-        // Without watches there is nobody to tell.
+        // The error only says that no watch is open.
         let _ = self.changes.send(change);
         version
     }
 
-    /// All changes from now on.
+    /// Returns the stream of all changes from now on.
     pub(super) fn subscribe(&self) -> broadcast::Receiver<Change> {
         self.changes.subscribe()
     }
 
-    /// Waits in the queue for a call's turn.
-    pub(super) async fn wait_for_turn(&self) -> WaitOutcome {
+    /// Queues a call and waits until it is handled or times out.
+    pub(super) async fn wait_in_queue(&self) -> QueueOutcome {
         let now = Instant::now();
-        let turn = self.turns.borrow_mut().enter(now);
-        let (until, outcome) = match turn {
-            Turn::At(turn) => (turn, WaitOutcome::Turn),
-            Turn::TooLate(until) => (until, WaitOutcome::TooLate),
+        let admission = self.call_queue.borrow_mut().enqueue(now);
+        let (until, outcome) = match admission {
+            Admission::HandledAt(slot) => (slot, QueueOutcome::Handled),
+            Admission::TimesOutAt(timeout) => (timeout, QueueOutcome::TimedOut),
         };
         if until > now {
-            let _waiting = CountGuard::new(&self.waiting);
-            self.count(|usage| usage.longest_queue = usage.longest_queue.max(self.waiting.get()));
+            let _queued = CountGuard::new(&self.queued);
+            let length = self.queued.get();
+            self.count(|usage| usage.max_queue_length = usage.max_queue_length.max(length));
             sleep_until(until).await;
         }
         outcome
     }
 
-    /// Changes the rate at which calls are handled; those that wait keep their turns.
+    /// Changes the rate at which calls are handled. Calls that are already queued keep their slots.
     pub(super) fn set_time_per_call(&self, time_per_call: Duration) {
-        self.turns.borrow_mut().set_time_per_call(time_per_call);
+        self.call_queue
+            .borrow_mut()
+            .set_time_per_call(time_per_call);
     }
 
-    /// Forgets the calls that wait, and how many did.
+    /// Removes all queued calls and resets the longest queue.
     pub(super) fn clear_queue(&self) {
-        self.turns.borrow_mut().clear(Instant::now());
-        self.count(|usage| usage.longest_queue = 0);
+        self.call_queue.borrow_mut().clear(Instant::now());
+        self.count(|usage| usage.max_queue_length = 0);
     }
 
-    /// Changes the counts.
+    /// Updates the counters.
     pub(super) fn count(&self, change: impl FnOnce(&mut DiscoveryUsage)) {
         change(&mut self.usage.borrow_mut());
     }
 }
 
-/// Counts one in for as long as it lives.
+/// Raises a count by one until it is dropped.
 pub(super) struct CountGuard(Rc<Cell<u64>>);
 
 impl CountGuard {
+    /// Raises a count.
     pub(super) fn new(count: &Rc<Cell<u64>>) -> Self {
         count.set(count.get() + 1);
         CountGuard(count.clone())
--- a/fleet-lab/src/discovery/usage.rs
+++ b/fleet-lab/src/discovery/usage.rs
@@ -1,4 +1,4 @@
-//! What a discovery service has done.
+//! Counters of a simulated discovery service.
 
 use serde::Serialize;
 use std::time::Duration;
@@ -6,23 +6,25 @@
 /// Counts since the service started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DiscoveryUsage {
-    /// Connections that were accepted.
+    /// Accepted connections.
     pub connections: u64,
-    /// Whole lists that were answered.
+    /// Full lists that were sent as an answer.
     pub lists: u64,
     /// Watches that were opened.
     pub watches_opened: u64,
-    /// Watches open now, without those of zones that are cut off.
+    /// Watches open now, without those of partitioned zones.
     pub watches_open: u64,
     /// Calls that were answered 503.
     pub rejected: u64,
-    /// Calls whose caller had left before its turn came; the turn was spent all the same.
-    pub abandoned: u64,
-    /// The most calls that waited at once, since the start or the last outage.
-    pub longest_queue: u64,
-    /// Bytes of answers and watches, with their heads and chunk framing.
+    /// Calls whose client disconnected while they were queued. Each used its slot all the same.
+    #[serde(rename = "abandoned")]
+    pub disconnected: u64,
+    /// The longest queue since the start or the last outage, in calls.
+    #[serde(rename = "longest_queue")]
+    pub max_queue_length: u64,
+    /// Bytes of answers and watches, including heads and chunk framing.
     pub bytes_written: u64,
-    /// Bytes of empty lines among them, with their chunk framing.
+    /// Bytes of the empty lines among them, including chunk framing.
     pub heartbeat_bytes: u64,
     /// Processor time of the service's thread.
     pub processor_time: Duration,
--- a/fleet-lab/src/discovery/zone.rs
+++ b/fleet-lab/src/discovery/zone.rs
@@ -1,4 +1,4 @@
-//! A zone's address: its listener and the connections that came in through it.
+//! A zone's address with its listener and the connections that were accepted there.
 
 use super::connection;
 use super::service::Service;
@@ -15,21 +15,21 @@
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 use tokio::time::sleep;
 
-/// Connections that may wait for being accepted.
+/// Connections that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 4096;
-/// Pause after a connection could not be accepted, as when descriptors have run out.
+/// Pause after a failed accept, for example when descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// An address of loopback that stays taken while nothing listens there.
+/// A loopback address that stays reserved while nothing listens there.
 ///
-/// Its socket is bound and never listens: connections are refused, and the system gives the port to nobody else.
+/// Its socket is bound and never listens, so connections are refused and the system does not assign the port again.
 pub(super) struct ReservedAddress {
     address: SocketAddr,
     _socket: Socket,
 }
 
 impl ReservedAddress {
-    /// Takes an address of the system's choice.
+    /// Reserves an address that the system chooses.
     pub(super) fn reserve() -> io::Result<Self> {
         let socket = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         let address = socket
@@ -42,12 +42,12 @@
         })
     }
 
-    /// The address.
+    /// Returns the address.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Listens there.
+    /// Starts to listen at the address.
     fn listen(&self) -> io::Result<TcpListener> {
         let socket = bind(self.address)?;
         socket.listen(LISTEN_BACKLOG)?;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Several sockets may be bound to an address in this way, of which one may listen.
+/// Binds a socket. Several sockets may be bound to one address in this way, and one of them may listen.
 fn bind(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -66,7 +66,7 @@
 
 type Connections = Rc<RefCell<JoinSet<()>>>;
 
-/// A zone: its address, its listener unless discovery is down, and its connections.
+/// A zone: its address, its listener (none while discovery is down) and its connections.
 pub(super) struct Zone {
     name: ZoneName,
     address: ReservedAddress,
@@ -78,7 +78,7 @@
 impl Zone {
     pub(super) fn new(name: ZoneName, address: ReservedAddress) -> Self {
         let state = ZoneState {
-            silent: watch::Sender::new(false),
+            is_partitioned: watch::Sender::new(false),
             watches: Rc::default(),
         };
         Zone {
@@ -94,12 +94,12 @@
         &self.name
     }
 
-    /// Watches that are open and not cut off.
+    /// Returns the number of open watches; a partitioned zone has none.
     pub(super) fn watches(&self) -> u64 {
         self.state.watches.get()
     }
 
-    /// Accepts connections, if it does not yet.
+    /// Starts to accept connections, unless the zone already does.
     pub(super) fn listen(&mut self, service: &Rc<Service>) -> io::Result<()> {
         if self.listener.is_none() {
             let listener = self.address.listen()?;
@@ -114,20 +114,24 @@
         Ok(())
     }
 
-    /// Refuses connections from now on, and resets those that are open.
-    pub(super) async fn go_down(&mut self) {
+    /// Stops listening, so that new connections are refused, and resets the open ones.
+    pub(super) async fn shut_down(&mut self) {
         if let Some(listener) = self.listener.take() {
             listener.abort();
-            // It ends as aborted, with its socket closed.
+            // The result is that of an aborted task; the wait ensures that its socket is closed.
             let _ = listener.await;
         }
         self.reset_connections().await;
     }
 
-    /// Cuts all connections off, also those to come; or resets these and serves new ones.
-    pub(super) async fn set_silent(&mut self, silent: bool) {
-        let was_silent = self.state.silent.send_replace(silent);
-        if was_silent && !silent {
+    /// Partitions the zone: open and new connections stay open and get no answer.
+    pub(super) fn partition(&self) {
+        self.state.is_partitioned.send_replace(true);
+    }
+
+    /// Ends a partition: resets the connections that it affected and serves new ones.
+    pub(super) async fn heal(&self) {
+        if self.state.is_partitioned.send_replace(false) {
             self.reset_connections().await;
         }
     }
@@ -150,7 +154,7 @@
             continue;
         };
         service.count(|usage| usage.connections += 1);
-        if connection::prepare(&stream).is_err() {
+        if connection::configure(&stream).is_err() {
             continue;
         }
         let mut connections = connections.borrow_mut();
--- a/fleet-lab/src/discovery/zone_state.rs
+++ b/fleet-lab/src/discovery/zone_state.rs
@@ -1,13 +1,13 @@
-//! What a zone's connections see of it.
+//! The state that a zone shares with the tasks of its connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What a zone's connections see of it.
+/// The state that a zone shares with the tasks of its connections.
 pub(super) struct ZoneState {
-    /// Whether the zone is cut off.
-    pub(super) silent: watch::Sender<bool>,
-    /// Watches that are open and not cut off.
+    /// Whether the zone is partitioned from discovery.
+    pub(super) is_partitioned: watch::Sender<bool>,
+    /// Open watches, without those of a partitioned zone.
     pub(super) watches: Rc<Cell<u64>>,
 }
--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -150,8 +150,8 @@
             let Some(answer) = self.answer(&endpoint, &request).await else {
                 return Ok(Ending::Closed);
             };
-            if endpoint.state.is_silent() {
-                return self.stay_silent().await;
+            if endpoint.state.is_hanging() {
+                return self.hang().await;
             }
             endpoint.count(answer);
             self.write(answer, request.closes).await?;
@@ -226,12 +226,13 @@
         self.stream.write_all(&self.output).await
     }
 
-    /// Owes an answer until the silence ends, which resets the connection; its sender may close it first.
-    async fn stay_silent(&mut self) -> io::Result<Ending> {
+    /// Leaves a request without an answer until the endpoint resumes, which resets the connection. The client may close
+    /// it first.
+    async fn hang(&mut self) -> io::Result<Ending> {
         let endpoint = Rc::clone(&self.endpoint);
         tokio::select! {
             biased;
-            () = endpoint.state.end_of_silence() => Ok(Ending::Reset),
+            () = endpoint.state.resumed() => Ok(Ending::Reset),
             ended = discard(&mut self.stream) => ended.map(|()| Ending::Closed),
         }
     }
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -106,13 +106,17 @@
         self.listen()
     }
 
-    /// Has it accept and read but answer nothing, as a machine that was cut off, or answer again. A connection that
-    /// owes an answer from the time of its silence is reset at the end of it.
-    pub fn set_silent(&self, silent: bool) {
-        self.state.set_silent(silent);
+    /// Makes the endpoint hang: it accepts connections and reads requests but answers none of them.
+    pub fn hang(&self) {
+        self.state.hang();
     }
 
-    /// What it has done so far.
+    /// Ends [`EndpointHandle::hang`]. Connections with a request that was not answered are reset.
+    pub fn resume(&self) {
+        self.state.resume();
+    }
+
+    /// Returns the counters.
     #[must_use]
     pub fn usage(&self) -> EndpointUsage {
         self.state.counters.usage()
--- a/fleet-lab/src/endpoint/state.rs
+++ b/fleet-lab/src/endpoint/state.rs
@@ -29,7 +29,7 @@
     _reservation: Socket,
     since_ms: AtomicU64,
     restarts: AtomicU64,
-    silent: watch::Sender<bool>,
+    is_hanging: watch::Sender<bool>,
 }
 
 impl EndpointState {
@@ -57,7 +57,7 @@
             _reservation: reservation,
             since_ms: AtomicU64::new(since_ms),
             restarts: AtomicU64::new(0),
-            silent: watch::Sender::new(false),
+            is_hanging: watch::Sender::new(false),
         })
     }
 
@@ -89,19 +89,26 @@
         Pcg64::new(host_seed.into(), stream)
     }
 
-    pub fn set_silent(&self, silent: bool) {
-        self.silent.send_replace(silent);
+    /// Stops answering requests.
+    pub fn hang(&self) {
+        self.is_hanging.send_replace(true);
     }
 
-    pub fn is_silent(&self) -> bool {
-        *self.silent.borrow()
+    /// Answers requests again.
+    pub fn resume(&self) {
+        self.is_hanging.send_replace(false);
     }
 
-    /// Waits until it is not silent.
-    pub async fn end_of_silence(&self) {
-        let mut silent = self.silent.subscribe();
-        // The sender lives as long as `self`, so that the wait can't fail.
-        let _ = silent.wait_for(|silent| !silent).await;
+    /// Returns whether requests are left without an answer.
+    pub fn is_hanging(&self) -> bool {
+        *self.is_hanging.borrow()
+    }
+
+    /// Waits until requests are answered again.
+    pub async fn resumed(&self) {
+        let mut is_hanging = self.is_hanging.subscribe();
+        // The sender lives as long as `self`, so the wait cannot fail.
+        let _ = is_hanging.wait_for(|is_hanging| !is_hanging).await;
     }
 }
 
--- a/fleet-lab/src/fault.rs
+++ b/fleet-lab/src/fault.rs
@@ -40,7 +40,7 @@
     /// Endpoints whose machines vanish or restart.
     pub endpoints: Vec<EndpointName>,
     /// Zones that are cut off from discovery.
-    pub silent_zones: Vec<ZoneName>,
+    pub partitioned_zones: Vec<ZoneName>,
     /// The rack that was hit, if it was one.
     pub rack: Option<RackName>,
     /// The region that was hit, if it was one.
@@ -95,7 +95,7 @@
     let endpoints = endpoints_where(topology, |placement| placement.zone == zone);
     Impact {
         endpoints,
-        silent_zones: vec![zone],
+        partitioned_zones: vec![zone],
         ..Impact::default()
     }
 }
@@ -115,9 +115,9 @@
         .iter()
         .filter(|placement| placement.region == region);
     let zones: BTreeSet<&ZoneName> = in_region.map(|placement| &placement.zone).collect();
-    let silent_zones = zones.into_iter().cloned().collect();
+    let partitioned_zones = zones.into_iter().cloned().collect();
     Impact {
-        silent_zones,
+        partitioned_zones,
         region: Some(region),
         ..Impact::default()
     }
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -117,7 +117,7 @@
         }
         Fault::RegionCut => format!(
             "a region of {} zones is cut off from discovery, but not from the other region's endpoints",
-            impact.silent_zones.len()
+            impact.partitioned_zones.len()
         ),
         Fault::DiscoveryOutage => "discovery is down".to_owned(),
     }
--- a/fleet-lab/src/scenario/failures/injection.rs
+++ b/fleet-lab/src/scenario/failures/injection.rs
@@ -39,12 +39,12 @@
 
     /// Machines vanish, are missed, and come back cold. Zones that were silent are heard again before.
     fn lose_machines(&self, impact: &Impact) -> u64 {
-        self.fleet.sidecars.set_unreachable(&impact.endpoints, true);
-        self.set_silent(impact, true);
+        self.fleet.sidecars.make_unreachable(&impact.endpoints);
+        self.partition_zones(impact);
         thread::sleep(DETECTION_DELAY);
         self.publish_status(&impact.endpoints, EndpointStatus::Deleted);
         thread::sleep(self.duration.saturating_sub(DETECTION_DELAY));
-        self.set_silent(impact, false);
+        self.heal_zones(impact);
         self.bring_back(&impact.endpoints)
     }
 
@@ -54,7 +54,7 @@
         for endpoints in endpoints.chunks(wave.max(1) as usize) {
             self.publish_status(endpoints, EndpointStatus::Draining);
             thread::sleep(DRAIN_TIME);
-            self.fleet.sidecars.set_unreachable(endpoints, true);
+            self.fleet.sidecars.make_unreachable(endpoints);
             self.publish_status(endpoints, EndpointStatus::Deleted);
             thread::sleep(RESTART_TIME);
             version = self.bring_back(endpoints);
@@ -64,9 +64,9 @@
 
     /// Zones hear nothing of discovery while one change is published.
     fn cut_off(&self, impact: &Impact) -> u64 {
-        self.set_silent(impact, true);
+        self.partition_zones(impact);
         let version = self.publish_change_halfway();
-        self.set_silent(impact, false);
+        self.heal_zones(impact);
         version
     }
 
@@ -87,14 +87,20 @@
 
     /// Machines come back, and their endpoints and sidecars with them.
     fn bring_back(&self, endpoints: &[EndpointName]) -> u64 {
-        self.fleet.sidecars.set_unreachable(endpoints, false);
+        self.fleet.sidecars.make_reachable(endpoints);
         self.fleet.sidecars.restart(&self.numbers(endpoints));
         self.publish_status(endpoints, EndpointStatus::Serving)
     }
 
-    fn set_silent(&self, impact: &Impact, silent: bool) {
-        for zone in &impact.silent_zones {
-            self.fleet.discovery.set_silent(zone, silent);
+    fn partition_zones(&self, impact: &Impact) {
+        for zone in &impact.partitioned_zones {
+            self.fleet.discovery.partition_zone(zone);
+        }
+    }
+
+    fn heal_zones(&self, impact: &Impact) {
+        for zone in &impact.partitioned_zones {
+            self.fleet.discovery.heal_zone(zone);
         }
     }
 
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -19,7 +19,7 @@
 /// Time between the empty lines of an idle watch, as the protocol page has it.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Past changes that discovery remembers: more than any experiment publishes.
-const REMEMBERED_CHANGES: usize = 1000;
+const RETAINED_CHANGES: usize = 1000;
 /// Threads that drive a fleet.
 const FLEET_THREADS: usize = 2;
 /// Mean time that an endpoint takes for a call.
@@ -139,9 +139,9 @@
     fn discovery_options(&self) -> DiscoveryOptions {
         DiscoveryOptions {
             calls_per_second: START_CALLS_PER_SECOND,
-            longest_wait: Duration::from_secs_f64(self.capacity.longest_wait_seconds),
+            queue_timeout: Duration::from_secs_f64(self.capacity.longest_wait_seconds),
             heartbeat: HEARTBEAT,
-            remembered_changes: REMEMBERED_CHANGES,
+            retained_changes: RETAINED_CHANGES,
         }
     }
 
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -54,7 +54,7 @@
             after.watches_opened,
         ),
         ("calls rejected", before.rejected, after.rejected),
-        ("calls abandoned", before.abandoned, after.abandoned),
+        ("calls abandoned", before.disconnected, after.disconnected),
     ];
     for (what, before, after) in counts {
         let name = format!("{what} {when}");
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -53,6 +53,6 @@
         "longest queue until the last is current",
         "calls",
         size,
-        after.longest_queue as f64,
+        after.max_queue_length as f64,
     );
 }
--- a/fleet-lab/src/scenario/single.rs
+++ b/fleet-lab/src/scenario/single.rs
@@ -168,9 +168,9 @@
 ) -> Result<DiscoveryServer, ScenarioError> {
     let options = DiscoveryOptions {
         calls_per_second: 1_000.0,
-        longest_wait: Duration::from_secs(5),
+        queue_timeout: Duration::from_secs(5),
         heartbeat: Duration::from_secs(2),
-        remembered_changes: 1_000,
+        retained_changes: 1_000,
     };
     let entries: Vec<EndpointEntry> = endpoints.iter().map(EndpointHandle::entry).collect();
     DiscoveryServer::start(options, &[ZoneName::from(ZONE)], entries)
--- a/fleet-lab/src/sidecar/simulated/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -63,13 +63,20 @@
 }
 
 impl SimulatedEndpoint {
-    pub fn set_unreachable(&self, unreachable: bool) {
-        let was_unreachable = self.is_unreachable.swap(unreachable, Ordering::Relaxed);
-        if unreachable && !was_unreachable {
+    /// Makes the endpoint unreachable. Requests in flight are never answered.
+    pub fn make_unreachable(&self) {
+        let was_unreachable = self.is_unreachable.swap(true, Ordering::Relaxed);
+        if !was_unreachable {
             self.losses.fetch_add(1, Ordering::Relaxed);
         }
     }
 
+    /// Makes the endpoint reachable again.
+    pub fn make_reachable(&self) {
+        self.is_unreachable.store(false, Ordering::Relaxed);
+    }
+
+    /// Returns whether new attempts cannot connect.
     pub fn is_unreachable(&self) -> bool {
         self.is_unreachable.load(Ordering::Relaxed)
     }
--- a/fleet-lab/src/sidecar/simulated/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::convergence_times::ConvergenceTimes;
 use super::counters::Counters;
-use super::endpoints::EndpointTable;
+use super::endpoints::{EndpointTable, SimulatedEndpoint};
 use super::fleet_state::FleetState;
 use super::load::SimulatedLoad;
 use super::milestones::{self, Milestones};
@@ -139,15 +139,25 @@
         }
     }
 
-    /// Has the machines of these endpoints vanish (attempts time out) or come back, for all sidecars. That they come
-    /// back cold is for discovery to tell, by their last start.
-    pub fn set_unreachable(&self, endpoints: &[EndpointName], unreachable: bool) {
+    /// Makes these endpoints unreachable for all sidecars, as if their machines had failed: attempts in flight time out,
+    /// and new ones cannot connect.
+    pub fn make_unreachable(&self, endpoints: &[EndpointName]) {
         for endpoint in endpoints {
-            let name = EndpointId::from(endpoint.as_str());
-            self.state.endpoints.get(&name).set_unreachable(unreachable);
+            self.endpoint(endpoint).make_unreachable();
         }
     }
 
+    /// Makes these endpoints reachable again. That they are warming up is published by discovery, in their last start.
+    pub fn make_reachable(&self, endpoints: &[EndpointName]) {
+        for endpoint in endpoints {
+            self.endpoint(endpoint).make_reachable();
+        }
+    }
+
+    fn endpoint(&self, name: &EndpointName) -> Arc<SimulatedEndpoint> {
+        self.state.endpoints.get(&EndpointId::from(name.as_str()))
+    }
+
     /// What the fleet did in each second since its start.
     pub fn timeline(&self) -> Vec<SecondCounts> {
         self.state.counters.timeline()
--- a/fleet-lab/src/tier.rs
+++ b/fleet-lab/src/tier.rs
@@ -126,8 +126,8 @@
 fn discovery_options() -> DiscoveryOptions {
     DiscoveryOptions {
         calls_per_second: 100.0,
-        longest_wait: Duration::from_secs(5),
+        queue_timeout: Duration::from_secs(5),
         heartbeat: Duration::from_secs(2),
-        remembered_changes: 100,
+        retained_changes: 100,
     }
 }
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -1,9 +1,9 @@
-//! The discovery service over real sockets: lists, watches, its capacity, outages and silences.
+//! The discovery service over real sockets: lists, watches, capacity, outages and partitions.
 
 #[path = "support/discovery_client.rs"]
 mod discovery_client;
 
-use discovery_client::{Caller, LIST, LONGEST_WAIT, told, zones};
+use discovery_client::{Client, LIST, TIMEOUT, summarize, zones};
 use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use hyper::body::Incoming;
 use serde_json::Value;
@@ -15,9 +15,9 @@
 fn options() -> DiscoveryOptions {
     DiscoveryOptions {
         calls_per_second: 10_000.0,
-        longest_wait: LONGEST_WAIT,
-        heartbeat: LONGEST_WAIT,
-        remembered_changes: 3,
+        queue_timeout: TIMEOUT,
+        heartbeat: TIMEOUT,
+        retained_changes: 3,
     }
 }
 
@@ -45,17 +45,17 @@
 fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < LONGEST_WAIT, "not reached: {what}");
+        assert!(started.elapsed() < TIMEOUT, "not reached: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
 #[test]
-fn the_whole_list_has_the_published_form() {
+fn the_full_list_has_the_published_form() {
     let server = start(options());
-    let mut caller = Caller::connect(&server, 0);
-    caller.get(LIST);
-    let (status, body) = caller.answer();
+    let mut client = Client::connect(&server, 0);
+    client.get(LIST);
+    let (status, body) = client.answer();
     assert_eq!(status, 200);
     let message: Value = serde_json::from_str(&body).unwrap();
     let first = serde_json::json!({
@@ -63,26 +63,26 @@
         "status": "SERVING", "weight": 1.0, "since_ms": 0,
     });
     assert_eq!(message["endpoints"][0], first);
-    assert_eq!(told(&body), "1 list a=SERVING b=SERVING");
+    assert_eq!(summarize(&body), "1 list a=SERVING b=SERVING");
 
     server.publish(vec![entry("a", EndpointStatus::Deleted), serving("c")]);
-    caller.get(LIST);
-    assert_eq!(told(&caller.answer().1), "2 list b=SERVING c=SERVING");
+    client.get(LIST);
+    assert_eq!(summarize(&client.answer().1), "2 list b=SERVING c=SERVING");
     assert_eq!(server.snapshot(), (2, vec![serving("b"), serving("c")]));
     let usage = server.usage();
     assert_eq!(
         (usage.connections, usage.lists, usage.bytes_written),
-        (1, 2, caller.bytes_read)
+        (1, 2, client.bytes_read)
     );
 }
 
 #[test]
-fn a_watch_tells_what_changed_since_and_then_each_change_in_order() {
+fn a_watch_sends_the_changes_since_its_version_and_then_each_change_in_order() {
     let server = start(options());
     server.publish(vec![serving("c"), entry("a", EndpointStatus::Draining)]);
     server.publish(vec![entry("a", EndpointStatus::Deleted)]);
-    let mut behind = Caller::watch(&server, 0, "&since=1");
-    let mut current = Caller::watch(&server, 1, "&since=3");
+    let mut behind = Client::watch(&server, 0, "&since=1");
+    let mut current = Client::watch(&server, 1, "&since=3");
     assert_eq!(behind.message(), "3 changes a=DELETED c=SERVING");
     current.assert_is_quiet();
 
@@ -112,21 +112,21 @@
 }
 
 #[test]
-fn a_watch_from_an_unknown_version_gets_the_whole_list() {
+fn a_watch_from_an_unretained_version_gets_the_full_list() {
     let server = start(options());
     for _ in 0..4 {
         server.publish(vec![entry("b", EndpointStatus::Draining)]);
     }
-    let whole_list = "5 list a=SERVING b=DRAINING";
+    let full_list = "5 list a=SERVING b=DRAINING";
     for query in ["", "&since=0", "&since=1", "&since=6"] {
         assert_eq!(
-            Caller::watch(&server, 0, query).message(),
-            whole_list,
+            Client::watch(&server, 0, query).message(),
+            full_list,
             "{query}"
         );
     }
-    let remembered = "5 changes b=DRAINING";
-    assert_eq!(Caller::watch(&server, 0, "&since=2").message(), remembered);
+    let retained = "5 changes b=DRAINING";
+    assert_eq!(Client::watch(&server, 0, "&since=2").message(), retained);
 }
 
 #[test]
@@ -135,7 +135,7 @@
         heartbeat: Duration::from_millis(5),
         ..options()
     });
-    let mut watch = Caller::watch(&server, 0, "&since=1");
+    let mut watch = Client::watch(&server, 0, "&since=1");
     let head_bytes = watch.bytes_read;
     for _ in 0..3 {
         assert_eq!(watch.chunk(), "");
@@ -149,10 +149,10 @@
 }
 
 #[test]
-fn a_watch_that_lags_too_far_behind_gets_the_whole_list_and_goes_on_from_there() {
+fn a_lagging_watch_gets_the_full_list_and_resumes_from_it() {
     const VERSIONS: u64 = 3_000;
     let server = start(options());
-    let mut watch = Caller::watch(&server, 0, "&since=1");
+    let mut watch = Client::watch(&server, 0, "&since=1");
     let long = EndpointEntry {
         kind: "x".repeat(20 << 10),
         ..serving("a")
@@ -184,41 +184,41 @@
 #[test]
 fn calls_beyond_the_capacity_are_rejected() {
     const CALLERS: u64 = 40;
-    let longest_wait = Duration::from_millis(100);
+    let queue_timeout = Duration::from_millis(100);
     let server = start(DiscoveryOptions {
         calls_per_second: 2.0,
-        longest_wait,
+        queue_timeout,
         ..options()
     });
-    let mut callers: Vec<_> = (0..CALLERS).map(|_| Caller::connect(&server, 0)).collect();
-    for caller in &mut callers {
-        caller.get(LIST);
+    let mut clients: Vec<_> = (0..CALLERS).map(|_| Client::connect(&server, 0)).collect();
+    for client in &mut clients {
+        client.get(LIST);
     }
-    let answers: Vec<u16> = callers.iter_mut().map(|caller| caller.answer().0).collect();
+    let answers: Vec<u16> = clients.iter_mut().map(|client| client.answer().0).collect();
     let count = |status| answers.iter().filter(|answer| **answer == status).count() as u64;
     let usage = server.usage();
     assert_eq!((usage.lists, usage.rejected), (count(200), count(503)));
     assert_eq!(usage.lists + usage.rejected, CALLERS);
     assert!(usage.lists > 0 && usage.rejected > 0, "{usage:?}");
-    assert!((1..CALLERS).contains(&usage.longest_queue), "{usage:?}");
-    // A connection goes on after a rejection.
+    assert!((1..CALLERS).contains(&usage.max_queue_length), "{usage:?}");
+    // A connection can be used again after a rejection.
     wait_until("a list again", || {
-        callers[0].get(LIST);
-        callers[0].answer().0 == 200
+        clients[0].get(LIST);
+        clients[0].answer().0 == 200
     });
 }
 
 #[test]
-fn a_capacity_that_is_changed_holds_for_the_calls_that_come_after() {
-    let longest_wait = Duration::from_millis(100);
+fn a_changed_capacity_applies_to_later_calls() {
+    let queue_timeout = Duration::from_millis(100);
     let server = start(DiscoveryOptions {
-        longest_wait,
+        queue_timeout,
         ..options()
     });
-    let mut caller = Caller::connect(&server, 0);
+    let mut client = Client::connect(&server, 0);
     let mut list_status = || {
-        caller.get(LIST);
-        caller.answer().0
+        client.get(LIST);
+        client.answer().0
     };
     assert_eq!([list_status(), list_status()], [200, 200]);
     server.set_calls_per_second(0.01).unwrap();
@@ -227,24 +227,28 @@
 }
 
 #[test]
-fn a_caller_that_leaves_before_its_turn_is_counted_as_abandoned() {
+fn a_client_that_disconnects_while_queued_is_counted_and_uses_its_slot() {
     let server = start(DiscoveryOptions {
         calls_per_second: 1.0,
         ..options()
     });
-    let [mut first, mut leaving, mut last] = [(); 3].map(|()| Caller::connect(&server, 0));
+    let [mut first, mut disconnecting, mut last] = [(); 3].map(|()| Client::connect(&server, 0));
     first.get(LIST);
     assert_eq!(first.answer().0, 200);
-    leaving.get(LIST);
-    wait_until("one waits in turn", || server.usage().longest_queue == 1);
+    disconnecting.get(LIST);
+    wait_until("one call is queued", || {
+        server.usage().max_queue_length == 1
+    });
     last.get(LIST);
-    wait_until("two wait in turn", || server.usage().longest_queue == 2);
-    drop(leaving);
+    wait_until("two calls are queued", || {
+        server.usage().max_queue_length == 2
+    });
+    drop(disconnecting);
     assert_eq!(last.answer().0, 200);
     assert_eq!(
         (
             server.usage().lists,
-            server.usage().abandoned,
+            server.usage().disconnected,
             server.usage().rejected
         ),
         (2, 1, 0)
@@ -252,11 +256,11 @@
 }
 
 #[test]
-fn an_outage_resets_all_and_refuses_until_its_end() {
+fn an_outage_resets_connections_and_refuses_new_ones_until_its_end() {
     let server = start(options());
     let address = server.address(&zones()[0]);
-    let mut watch = Caller::watch(&server, 0, "&since=1");
-    let mut idle = Caller::connect(&server, 1);
+    let mut watch = Client::watch(&server, 0, "&since=1");
+    let mut idle = Client::connect(&server, 1);
     server.begin_outage();
     watch.assert_is_reset();
     idle.assert_is_reset();
@@ -269,21 +273,21 @@
     server.publish(vec![serving("c")]);
     server.end_outage();
     assert_eq!(server.address(&zones()[0]), address);
-    let mut again = Caller::watch(&server, 0, "&since=1");
+    let mut again = Client::watch(&server, 0, "&since=1");
     assert_eq!(again.message(), "2 changes c=SERVING");
 }
 
 #[test]
-fn a_zone_that_is_cut_off_is_quiet_and_reset_when_it_is_joined_again() {
+fn a_partitioned_zone_has_no_traffic_and_its_connections_are_reset_when_it_heals() {
     let server = start(options());
     let [cut, other] = [&zones()[0], &zones()[1]];
-    let mut cut_watch = Caller::watch(&server, 0, "&since=1");
-    let mut other_watch = Caller::watch(&server, 1, "&since=1");
-    server.set_silent(cut, true);
+    let mut cut_watch = Client::watch(&server, 0, "&since=1");
+    let mut other_watch = Client::watch(&server, 1, "&since=1");
+    server.partition_zone(cut);
     assert_eq!(server.publish(vec![serving("c")]), 2);
     let change = "2 changes c=SERVING";
     assert_eq!(other_watch.message(), change);
-    let mut new = Caller::connect(&server, 0);
+    let mut new = Client::connect(&server, 0);
     new.get(LIST);
     wait_until("the new connection is accepted", || {
         server.usage().connections == 3
@@ -298,16 +302,16 @@
         (0, 1)
     );
 
-    server.set_silent(cut, false);
+    server.heal_zone(cut);
     cut_watch.assert_is_reset();
     new.assert_is_reset();
-    assert_eq!(Caller::watch(&server, 0, "&since=1").message(), change);
+    assert_eq!(Client::watch(&server, 0, "&since=1").message(), change);
     server.publish(vec![serving("d")]);
     assert_eq!(other_watch.message(), "3 changes d=SERVING");
 }
 
 #[test]
-fn what_is_no_call_of_discovery_is_turned_down() {
+fn malformed_and_unknown_requests_are_rejected() {
     let server = start(options());
     let long_header = format!("GET {LIST} HTTP/1.1\r\nX: {}\r\n", "x".repeat(20 << 10));
     let bad = [
@@ -320,22 +324,22 @@
         long_header.as_str(),
     ];
     for request in bad {
-        let mut caller = Caller::connect(&server, 0);
-        caller.send(request);
-        assert_eq!(caller.answer().0, 400, "{request}");
-        assert_eq!(caller.ending().unwrap(), 0, "{request}");
+        let mut client = Client::connect(&server, 0);
+        client.send(request);
+        assert_eq!(client.answer().0, 400, "{request}");
+        assert_eq!(client.ending().unwrap(), 0, "{request}");
     }
-    let mut caller = Caller::connect(&server, 0);
-    caller.get("/v1/elsewhere");
-    assert_eq!(caller.answer().0, 404);
-    caller.send("GET /v1/endpoints HTTP/1.1\r\nConnection: close\r\n\r\n");
-    assert_eq!(caller.answer().0, 200);
-    assert_eq!(caller.ending().unwrap(), 0);
+    let mut client = Client::connect(&server, 0);
+    client.get("/v1/elsewhere");
+    assert_eq!(client.answer().0, 404);
+    client.send("GET /v1/endpoints HTTP/1.1\r\nConnection: close\r\n\r\n");
+    assert_eq!(client.answer().0, 200);
+    assert_eq!(client.ending().unwrap(), 0);
     assert_eq!((server.usage().lists, server.usage().rejected), (1, 0));
 }
 
 #[test]
-fn options_that_make_no_sense_are_turned_down() {
+fn invalid_options_are_rejected() {
     let rates = [0.0, -1.0, f64::NAN, 1e-300];
     let bad_rates = rates.map(|calls_per_second| DiscoveryOptions {
         calls_per_second,
@@ -351,7 +355,7 @@
 }
 
 #[tokio::test]
-async fn a_hyper_client_as_the_sidecars_follows_a_watch() {
+async fn a_hyper_client_like_that_of_the_sidecars_follows_a_watch() {
     use http_body_util::{BodyExt, Empty};
     use hyper::Request;
     use hyper::body::Bytes;
@@ -374,7 +378,7 @@
         .into_body();
     let list = list.collect().await.unwrap().to_bytes();
     assert_eq!(
-        told(std::str::from_utf8(&list).unwrap()),
+        summarize(std::str::from_utf8(&list).unwrap()),
         "1 list a=SERVING b=SERVING"
     );
 
@@ -388,11 +392,11 @@
         server.publish(vec![serving("c")]);
         let line = watch.frame().await.unwrap().unwrap().into_data().unwrap();
         let text = std::str::from_utf8(&line).unwrap();
-        assert_eq!(told(text), format!("{version} changes c=SERVING"));
+        assert_eq!(summarize(text), format!("{version} changes c=SERVING"));
     }
     drop(watch);
     drop(sender);
-    let ended = tokio::time::timeout(LONGEST_WAIT, connection).await;
+    let ended = tokio::time::timeout(TIMEOUT, connection).await;
     assert!(ended.is_ok(), "the client's connection ends with the call");
     wait_until("the watch's end", || server.usage().watches_open == 0);
 }
--- a/fleet-lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -313,11 +313,11 @@
     let address = endpoint.entry().address;
     let mut resting = Connection::open(address);
     assert_eq!(resting.call(&get("1f")).status(), "200");
-    endpoint.set_silent(true);
+    endpoint.hang();
     let mut cut = Connection::open(address);
     cut.send(&get("2f"));
     wait_until("request read", || endpoint.usage().requests == 2);
-    endpoint.set_silent(false);
+    endpoint.resume();
     assert_eq!(
         cut.receive().err().unwrap().kind(),
         io::ErrorKind::ConnectionReset
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -25,9 +25,9 @@
 fn discovery(endpoints: u32) -> DiscoveryServer {
     let options = DiscoveryOptions {
         calls_per_second: 400.0,
-        longest_wait: Duration::from_secs(2),
+        queue_timeout: Duration::from_secs(2),
         heartbeat: Duration::from_secs(1),
-        remembered_changes: 16,
+        retained_changes: 16,
     };
     let endpoints = (0..endpoints)
         .map(|number| endpoint(number, EndpointStatus::Serving))
@@ -275,7 +275,7 @@
     let fleet = fleet(&discovery, true);
     wait_until("calls are served", || fleet.usage().served >= 20);
     let only: [EndpointName; 1] = ["endpoint-0".into()];
-    fleet.set_unreachable(&only, true);
+    fleet.make_unreachable(&only);
     let unserved = fleet.usage().unserved;
     wait_until("calls are not served", || {
         fleet.usage().unserved >= unserved + 10
@@ -285,7 +285,7 @@
         fleet.usage().unserved >= unserved + 60
     });
     assert_eq!(fleet.usage().served, served);
-    fleet.set_unreachable(&only, false);
+    fleet.make_reachable(&only);
     wait_until("calls are served again", || {
         fleet.usage().served >= served + 20
     });
@@ -304,7 +304,7 @@
     };
     let fleet = SimulatedFleet::start(configurations, slow, THREADS).expect("a fleet");
     wait_until("calls are served", || fleet.usage().served >= 20);
-    fleet.set_unreachable(&["endpoint-0".into()], true);
+    fleet.make_unreachable(&["endpoint-0".into()]);
     let FleetUsage {
         served, unserved, ..
     } = fleet.usage();
--- a/fleet-lab/tests/support/discovery_client.rs
+++ b/fleet-lab/tests/support/discovery_client.rs
@@ -7,31 +7,31 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The longest that a test waits for anything.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(20);
-/// How long a connection is watched that must stay quiet.
+/// How long a test waits for anything at most.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a connection must stay without traffic to count as quiet.
 const QUIET: Duration = Duration::from_millis(50);
-/// Where discovery answers calls.
+/// The path of the endpoint list.
 pub const LIST: &str = "/v1/endpoints";
 
-/// The zones that discovery serves.
+/// Returns the zones that discovery serves.
 pub fn zones() -> Vec<ZoneName> {
     vec!["r1-z1".into(), "r1-z2".into()]
 }
 
-/// A caller on a connection of its own.
-pub struct Caller {
+/// A client on a connection of its own.
+pub struct Client {
     stream: BufReader<TcpStream>,
-    /// What has been read of answers so far.
+    /// Bytes of answers that were read so far.
     pub bytes_read: u64,
 }
 
-impl Caller {
+impl Client {
     /// Connects to the address that discovery has for a zone.
     pub fn connect(server: &DiscoveryServer, zone: usize) -> Self {
         let stream = TcpStream::connect(server.address(&zones()[zone])).unwrap();
-        stream.set_read_timeout(Some(LONGEST_WAIT)).unwrap();
-        Caller {
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        Client {
             stream: BufReader::new(stream),
             bytes_read: 0,
         }
@@ -42,22 +42,22 @@
         self.stream.get_mut().write_all(request.as_bytes()).unwrap();
     }
 
-    /// Asks for a target.
+    /// Sends a `GET` request.
     pub fn get(&mut self, target: &str) {
         self.send(&format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n"));
     }
 
-    /// A watch whose head has been read.
+    /// Opens a watch and reads the head of its answer.
     pub fn watch(server: &DiscoveryServer, zone: usize, query: &str) -> Self {
-        let mut caller = Caller::connect(server, zone);
-        caller.get(&format!("{LIST}?follow=1{query}"));
-        let (status, head) = caller.head();
+        let mut client = Client::connect(server, zone);
+        client.get(&format!("{LIST}?follow=1{query}"));
+        let (status, head) = client.head();
         assert_eq!(status, 200);
         assert!(head.contains("Transfer-Encoding: chunked"), "{head}");
-        caller
+        client
     }
 
-    /// One line with its end.
+    /// Reads one line with its line ending.
     fn line(&mut self) -> String {
         let mut line = String::new();
         self.bytes_read += self.stream.read_line(&mut line).unwrap() as u64;
@@ -65,7 +65,7 @@
         line
     }
 
-    /// So many bytes, as text.
+    /// Reads a number of bytes as text.
     fn read(&mut self, length: usize) -> String {
         let mut bytes = vec![0; length];
         self.stream.read_exact(&mut bytes).unwrap();
@@ -73,7 +73,7 @@
         String::from_utf8(bytes).unwrap()
     }
 
-    /// The status and the lines of an answer's head.
+    /// Reads an answer's head; returns its status and its lines.
     fn head(&mut self) -> (u16, String) {
         let mut head = self.line();
         while !head.ends_with("\r\n\r\n") {
@@ -82,7 +82,7 @@
         (head["HTTP/1.1 ".len()..][..3].parse().unwrap(), head)
     }
 
-    /// The status and the body of an answer with a length.
+    /// Reads an answer with a `Content-Length`; returns its status and its body.
     pub fn answer(&mut self) -> (u16, String) {
         let (status, head) = self.head();
         let (_, length) = head.split_once("Content-Length: ").unwrap();
@@ -90,7 +90,7 @@
         (status, self.read(length.parse().unwrap()))
     }
 
-    /// One chunk, which is one line.
+    /// Reads one chunk, which has to be one line.
     pub fn chunk(&mut self) -> String {
         let length = usize::from_str_radix(self.line().trim_end(), 16).unwrap();
         let mut chunk = self.read(length + "\r\n".len());
@@ -100,27 +100,27 @@
         chunk
     }
 
-    /// One chunk, as [`told`] puts it.
+    /// Reads one chunk and returns its summary, see [`summarize`].
     pub fn message(&mut self) -> String {
-        told(&self.chunk())
+        summarize(&self.chunk())
     }
 
-    /// How the connection ended.
+    /// Reads once, to find out how the connection ended.
     pub fn ending(&mut self) -> io::Result<usize> {
         self.stream.read(&mut [0; 256])
     }
 
-    /// Nothing comes for a while, and the connection stays open.
+    /// Asserts that nothing is received for a while and that the connection stays open.
     pub fn assert_is_quiet(&mut self) {
         self.stream.get_mut().set_read_timeout(Some(QUIET)).unwrap();
         assert_eq!(self.ending().unwrap_err().kind(), ErrorKind::WouldBlock);
         self.stream
             .get_mut()
-            .set_read_timeout(Some(LONGEST_WAIT))
+            .set_read_timeout(Some(TIMEOUT))
             .unwrap();
     }
 
-    /// The connection has been reset.
+    /// Asserts that the connection was reset.
     pub fn assert_is_reset(&mut self) {
         assert_eq!(
             self.ending().unwrap_err().kind(),
@@ -129,8 +129,8 @@
     }
 }
 
-/// One object as its version, `list` or `changes`, and names with statuses.
-pub fn told(text: &str) -> String {
+/// Summarizes a protocol object: its version, `list` or `changes`, and names with statuses.
+pub fn summarize(text: &str) -> String {
     let message: Value = serde_json::from_str(text).unwrap();
     let kind = if message["snapshot"].as_bool().unwrap() {
         "list"
--- a/fleet-lab/tests/topology.rs
+++ b/fleet-lab/tests/topology.rs
@@ -138,7 +138,7 @@
         assert_ne!(impact, fault.impact(&topology, SEED + 1));
         assert_eq!(impact.endpoints.iter().collect::<BTreeSet<_>>().len(), 32);
         assert_eq!(placements_of(&topology, &impact).len(), 32);
-        assert!(impact.silent_zones.is_empty());
+        assert!(impact.partitioned_zones.is_empty());
     }
     let all = Fault::Machines { count: 1_000 }.impact(&topology, SEED);
     assert_eq!(all.endpoints.len(), 500);
@@ -157,10 +157,10 @@
             .filter(in_rack)
             .collect::<Vec<_>>()
     );
-    assert!((12..=13).contains(&rack.endpoints.len()) && rack.silent_zones.is_empty());
+    assert!((12..=13).contains(&rack.endpoints.len()) && rack.partitioned_zones.is_empty());
 
     let zone = Fault::Zone.impact(&topology, SEED);
-    let in_zone = |placement: &&Placement| zone.silent_zones == [placement.zone.clone()];
+    let in_zone = |placement: &&Placement| zone.partitioned_zones == [placement.zone.clone()];
     assert_eq!(
         placements_of(&topology, &zone),
         topology
@@ -178,11 +178,11 @@
     let impact = Fault::RegionCut.impact(&topology, SEED);
     let region = impact.region.clone().unwrap();
     assert!(impact.endpoints.is_empty());
-    assert_eq!(impact.silent_zones.len(), 4);
+    assert_eq!(impact.partitioned_zones.len(), 4);
     let prefix = format!("{region}-z");
     assert!(
         impact
-            .silent_zones
+            .partitioned_zones
             .iter()
             .all(|zone| zone.as_str().starts_with(&prefix))
     );
