--- a/fleet-lab/src/sidecar/simulated/mod.rs
+++ b/fleet-lab/src/sidecar/simulated/mod.rs
@@ -13,7 +13,6 @@
 mod pending_calls;
 mod sidecar;
 mod sidecar_plan;
-mod task;
 mod thread;
 mod usage;
 
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -8,8 +8,7 @@
 use super::fleet_state::FleetState;
 use super::pending_calls::{CallTarget, PendingCalls};
 use super::sidecar_plan::SidecarPlan;
-use super::task::Task;
-use balancer_sidecar::discovery::{Membership, Source};
+use balancer_sidecar::discovery::{SourceChange, Subscription};
 use balancer_sidecar::policy::*;
 use rand::{RngExt, SeedableRng};
 use rand_distr::Exp1;
@@ -41,11 +40,7 @@
     /// The module's ids of the settings' classes, in their order.
     classes: Vec<ClassId>,
     balancer: Balancer,
-    membership: Membership,
-    source: Source,
-    watch: Option<Task>,
-    /// The watch on the discovery before, which is followed until the present one has spoken.
-    previous_watch: Option<Task>,
+    subscription: Subscription,
     pending_calls: PendingCalls,
     calls_started: u64,
     /// Once callers have begun to call: when the sidecar is first ready, as they ask for that.
@@ -83,13 +78,7 @@
             settings_document: plan.settings_document.clone(),
             classes: (0..plan.settings.classes.len()).map(ClassId).collect(),
             balancer: Balancer::new(plan.settings.clone(), seed)?,
-            membership: Membership::default(),
-            source: Source {
-                address: plan.discovery,
-                generation: 0,
-            },
-            watch: None,
-            previous_watch: None,
+            subscription: Subscription::new(plan.discovery),
             pending_calls: PendingCalls::default(),
             calls_started: 0,
             callers_started: false,
@@ -102,7 +91,11 @@
         let known = plan.cached_list();
         let follows_at_once = known.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
         if let Some(known) = known {
-            sidecar.borrow().membership.assume_version(known.index);
+            sidecar
+                .borrow()
+                .subscription
+                .membership_mut()
+                .set_cached_version(known.index);
             sidecar.apply_list(known, ListKind::Cached);
         }
         if follows_at_once {
@@ -121,17 +114,7 @@
             );
         }
         let mut sidecar = self.borrow();
-        if plan.discovery != sidecar.source.address {
-            let generation = sidecar.source.generation + 1;
-            sidecar.source = Source {
-                address: plan.discovery,
-                generation,
-            };
-            let received_list = sidecar.membership.forget_version();
-            let watch = sidecar.watch.take();
-            if received_list {
-                sidecar.previous_watch = watch;
-            }
+        if sidecar.subscription.move_to(plan.discovery) == SourceChange::Moved {
             sidecar.begin_watch(self);
         }
     }
@@ -255,7 +238,8 @@
     /// When an endpoint last started; none where it is not listed. Answers in memory have no addresses, so an endpoint that
     /// starts at another's address does not replace it here.
     fn started_at(&self, endpoint: &EndpointId) -> Option<Option<Timestamp>> {
-        self.membership
+        self.subscription
+            .membership()
             .get(endpoint)
             .map(|sidecar| sidecar.started_at)
     }
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -2,13 +2,13 @@
 
 use super::super::attempts::{self, Attempt, HealthCheck};
 use super::super::pending_calls::NextAttempt;
-use super::super::task::Task;
 use super::{SidecarHandle, SimulatedSidecar};
 use balancer_sidecar::discovery;
 use balancer_sidecar::policy::{
     Action, AttemptEnd, AttemptNumber, DiscoveryMode, EndpointId, Event, Outcome, RequestId,
     Timestamp,
 };
+use balancer_sidecar::task::Task;
 use rand::RngExt;
 use rand_distr::Exp1;
 use std::time::Duration;
@@ -26,7 +26,7 @@
             } => self.send(handle, request, endpoint, timeout),
             Action::Cancel { request, attempt } => self.cancel_attempt(&request, attempt),
             Action::Reject { request, .. } | Action::Fail { request } => {
-                self.end_unserved(&request)
+                self.end_unserved(&request);
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
             // An agent that pushes is followed unasked.
@@ -34,11 +34,14 @@
             Action::Subscribe(false) => self.end_watch(),
             Action::Subscribe(true) => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if self.watch.as_ref().is_none_or(Task::is_finished) {
+                if !self.subscription.is_followed() {
                     self.begin_watch(handle);
                 }
             }
-            Action::FetchList => drop(spawn_local(discovery::fetch(handle.clone(), self.source))),
+            Action::FetchList => drop(spawn_local(discovery::fetch(
+                handle.clone(),
+                self.subscription.source(),
+            ))),
             Action::HealthCheck { endpoint } => self.check_health(handle, endpoint),
             Action::Log(text) => tracing::debug!(index = self.incarnation.index, "{text}"),
             // There are no connections, and no peers.
@@ -67,7 +70,7 @@
         let Some(next) = self.pending_calls.next_attempt(&request) else {
             return;
         };
-        if next.call_is_answered || self.membership.get(&endpoint).is_none() {
+        if next.call_is_answered || self.subscription.membership().get(&endpoint).is_none() {
             self.pending_calls.begin_attempt(&request, now, None);
             self.events.push_back(not_sent(request, next));
             return;
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -1,12 +1,11 @@
 //! The hollow sidecar as the client of discovery sees it: the lists it is told, and its watch.
 
 use super::super::pending_calls;
-use super::super::task::Task;
 use super::{Incarnation, SidecarHandle, SimulatedSidecar};
 use balancer_sidecar::discovery::{
-    self, DiscoveryError, EndpointList, ListConsumer, OlderList, Source,
+    DiscoveryError, EndpointList, ListConsumer, ListOrigin, Source, StaleListError,
 };
-use balancer_sidecar::policy::{DiscoveryMode, Event, ListKind};
+use balancer_sidecar::policy::{Event, ListKind};
 use std::fmt;
 use std::sync::Arc;
 use tokio::task::spawn_local;
@@ -15,11 +14,16 @@
     /// Takes over a list's endpoints, and has calls arrive once there is one that serves.
     pub(super) fn apply_list(&self, list: EndpointList, kind: ListKind) {
         let mut sidecar = self.borrow();
-        let entries = sidecar.membership.update(&list, kind).entries.into();
+        let entries = sidecar
+            .subscription
+            .membership_mut()
+            .update(&list, kind)
+            .entries
+            .into();
         let Incarnation { index, restarts } = sidecar.incarnation;
         let milestones = &sidecar.fleet.milestones[index];
         milestones.record_version(restarts, list.index);
-        let is_ready = sidecar.membership.serving().next().is_some();
+        let is_ready = sidecar.subscription.membership().serving().next().is_some();
         milestones.record_readiness(restarts, is_ready);
         if is_ready && !sidecar.callers_started {
             sidecar.callers_started = true;
@@ -37,41 +41,28 @@
 impl SimulatedSidecar {
     /// Begins to follow discovery, in place of the watch that there was.
     pub(super) fn begin_watch(&mut self, handle: &SidecarHandle) {
-        let (consumer, source) = (handle.clone(), self.source);
-        self.watch = Some(match self.settings.discovery {
-            DiscoveryMode::Pushed => Task::spawn(discovery::follow_agent(consumer, source)),
-            DiscoveryMode::OnRequest => Task::spawn(discovery::watch(
-                consumer,
-                source,
-                self.membership.version(),
-            )),
-        });
+        self.subscription
+            .follow(handle.clone(), self.settings.discovery);
     }
 
     /// Follows discovery no more.
     pub(super) fn end_watch(&mut self) {
-        self.watch = None;
+        self.subscription.unfollow();
         let Incarnation { index, restarts } = self.incarnation;
-        self.fleet.milestones[index].record_watch_lost(restarts, self.source.generation);
+        self.fleet.milestones[index]
+            .record_watch_lost(restarts, self.subscription.source().generation);
     }
 }
 
 impl ListConsumer for SidecarHandle {
     fn known_version(&self, source: Source) -> Option<u64> {
-        let sidecar = self.borrow();
-        sidecar
-            .membership
-            .version()
-            .filter(|_| source == sidecar.source)
+        self.borrow().subscription.known_version(source)
     }
 
-    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), OlderList> {
+    fn list_received(&self, source: Source, mut list: EndpointList) -> Result<(), StaleListError> {
         let mut sidecar = self.borrow();
-        if source == sidecar.source {
-            sidecar.membership.accept(&mut list)?;
-            sidecar.previous_watch = None;
-        } else if sidecar.membership.version().is_some() {
-            return Ok(()); // the present one has spoken
+        if sidecar.subscription.accept(source, &mut list)? == ListOrigin::Superseded {
+            return Ok(());
         }
         drop(sidecar);
         let kind = if list.snapshot {
@@ -101,8 +92,8 @@
     /// That of a discovery that is no longer asked was to be.
     fn discovery_failed(&self, source: Source) {
         let mut sidecar = self.borrow();
-        if source == sidecar.source {
-            sidecar.watch = None;
+        if source == sidecar.subscription.source() {
+            sidecar.subscription.unfollow();
             drop(sidecar);
             self.handle_event(Event::DiscoveryFailed);
         }
--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -146,11 +146,14 @@
         let (is_taken_back, is_stopped) = {
             let mut node = node.borrow();
             node.pool.set_keeps_idle(true);
-            (node.callers.take_back(), node.callers.are_stopped())
+            (
+                node.callers.resume_accepting(),
+                node.callers.are_shutting_down(),
+            )
         };
         if is_stopped {
             // Perhaps the last part of it that is open: what waits there is accepted by nobody else.
-            return server::accept_waiting(&node, listener);
+            return server::accept_backlog(&node, listener);
         }
         let callers = if is_taken_back {
             "; callers are let in here again"
@@ -224,7 +227,7 @@
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => {
-                let held = node.borrow().descriptors.held().total();
+                let held = node.borrow().descriptors.in_use().total();
                 if last_reported.replace(held) == Some(held) {
                     continue;
                 }
@@ -279,7 +282,7 @@
         let mut node = self.borrow();
         node.other_processes.remove(number);
         node.descriptors
-            .set_other_processes(node.other_processes.held_connections());
+            .set_other_process_connections(node.other_processes.held_connections());
         let Some(directory) = node.directory.clone() else {
             return;
         };
@@ -312,16 +315,16 @@
             }
             ProcessMessage::Holds(connections) => {
                 other_processes.set_held(from, connections);
-                descriptors.set_other_processes(other_processes.held_connections());
+                descriptors.set_other_process_connections(other_processes.held_connections());
             }
             ProcessMessage::Serving => {
-                callers.hand_over();
+                callers.suspend_accepting();
                 pool.set_keeps_idle(false);
                 log!("callers go over to the process after");
             }
             // Told by the process before, it is no news: callers go over from there.
             ProcessMessage::Stopping => {
-                if other_processes.is_after(from) && callers.take_back() {
+                if other_processes.is_after(from) && callers.resume_accepting() {
                     pool.set_keeps_idle(true);
                     log!("the process after stops; callers are let in here again");
                 }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -5,8 +5,8 @@
 use super::request::parse_request;
 use super::request_error::RequestError;
 use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
-use crate::sidecar::body::{MAX_KEPT, ReceivedBody, Upload, receive_body};
-use crate::sidecar::endpoint::{ForwardedRequest, end_to_end};
+use crate::sidecar::body::{MAX_BUFFERED_BODY, ReceivedRequestBody, Upload, receive_request_body};
+use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
 use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected, SettingsInForce};
@@ -40,7 +40,7 @@
             ReplyBody::Whole(_) => None,
         });
     match (count, streamed) {
-        (Some(count), Some(streamed)) => streamed.count_for(count, &caller.traffic),
+        (Some(count), Some(streamed)) => streamed.count_for(count, &caller.state),
         (Some(count), None) => {
             count.end(
                 answer
@@ -75,11 +75,11 @@
         parse(node, &head, begun).map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
     let count = count.insert(node.borrow().metrics.begin(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
-        caller.traffic.is_last_request.set(true);
+        caller.state.is_last_request.set(true);
         return Ok(caller.reject_early());
     };
-    let is_chunked = caller.traffic.is_last_request.get();
-    let received = receive_body(body, begun).await?;
+    let is_chunked = caller.state.is_last_request.get();
+    let received = receive_request_body(body, begun).await?;
     if received.upload.is_none() {
         count.set_whole();
     }
@@ -87,7 +87,7 @@
     let wait = parsed.wait(node, is_chunked);
     let upload = received.upload.clone();
     let forwarded = parsed.forwarded(head, received, memory);
-    let mut pending = match PendingAnswer::begin(node, parsed.request, forwarded) {
+    let mut pending = match PendingRequest::begin(node, parsed.request, forwarded) {
         Ok(pending) => pending,
         Err(RequestRejected::TooMany) => return Ok(caller.reject_early()),
         Err(RequestRejected::Repeated) => return Err(repeated_id()),
@@ -105,7 +105,9 @@
 /// Room for as much of a body as it declares, or as may be kept.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
     let length = body.size_hint().exact();
-    let most = length.map_or(MAX_KEPT, |length| length.min(MAX_KEPT as u64) as usize);
+    let most = length.map_or(MAX_BUFFERED_BODY, |length| {
+        length.min(MAX_BUFFERED_BODY as u64) as usize
+    });
     node.borrow().request_memory.reserve(most)
 }
 
@@ -115,10 +117,10 @@
     }
 
     /// How long its answer is waited for.
-    fn wait(&self, node: &NodeHandle, is_chunked: bool) -> Wait {
+    fn wait(&self, node: &NodeHandle, is_chunked: bool) -> ResponseTimeout {
         let slack = self.settings.settings.rules.answer_slack;
         let until = node.borrow().clock.instant(self.request.deadline) + slack;
-        Wait {
+        ResponseTimeout {
             until,
             after_upload: self.time_left + slack,
             is_chunked,
@@ -129,7 +131,7 @@
     fn forwarded(
         &self,
         head: Parts,
-        body: ReceivedBody,
+        body: ReceivedRequestBody,
         memory: MemoryReservation,
     ) -> ForwardedRequest {
         ForwardedRequest {
@@ -139,7 +141,7 @@
                 .into_parts()
                 .path_and_query
                 .unwrap_or(PathAndQuery::from_static("/api")),
-            headers: end_to_end(&head.headers),
+            headers: end_to_end_headers(&head.headers),
             body: body.kept,
             upload: body.upload,
             is_repeatable: self.class().idempotency != Idempotency::Unsafe,
@@ -183,7 +185,7 @@
 }
 
 /// How long an answer is waited for.
-struct Wait {
+struct ResponseTimeout {
     until: Instant,
     /// From an upload's last byte on.
     after_upload: Duration,
@@ -191,7 +193,7 @@
     is_chunked: bool,
 }
 
-impl Wait {
+impl ResponseTimeout {
     /// Waits for an answer while the body comes.
     async fn with_upload(
         &self,
@@ -201,13 +203,13 @@
         count: &mut RequestCount,
     ) -> Result<Option<Result<FinalAnswer, RecvError>>, RequestError> {
         // Answered before it has come whole, the connection ends with the answer.
-        caller.traffic.is_last_request.set(true);
+        caller.state.is_last_request.set(true);
         let answer = pin!(upload.within(self.after_upload, answer));
         let failed = async {
             if let Err(error) = upload.end().await {
                 return error;
             }
-            caller.traffic.is_last_request.set(self.is_chunked);
+            caller.state.is_last_request.set(self.is_chunked);
             count.set_whole();
             std::future::pending().await
         };
@@ -223,13 +225,13 @@
 
 /// A request that waits for its answer. Its connection's end drops it, which is how a client goes. Once it has its answer
 /// it is over, and its id may be another request's.
-struct PendingAnswer<'a> {
+struct PendingRequest<'a> {
     node: &'a NodeHandle,
     id: RequestId,
     answer: oneshot::Receiver<FinalAnswer>,
 }
 
-impl<'a> PendingAnswer<'a> {
+impl<'a> PendingRequest<'a> {
     /// Hands a request to the node.
     fn begin(
         node: &'a NodeHandle,
@@ -238,7 +240,7 @@
     ) -> Result<Self, RequestRejected> {
         let id = request.id.clone();
         let answer = node.take(request, forwarded)?;
-        Ok(PendingAnswer { node, id, answer })
+        Ok(PendingRequest { node, id, answer })
     }
 
     /// The reply that an answer makes, or that there was none in time.
@@ -251,7 +253,7 @@
     }
 }
 
-impl Drop for PendingAnswer<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if self
             .answer
