--- a/fleet-lab/src/command/tier.rs
+++ b/fleet-lab/src/command/tier.rs
@@ -1,7 +1,7 @@
 //! The command `tier`.
 
 use super::{CommandError, TierOptions};
-use fleet_lab::tier::{SidecarAddresses, StandInTier};
+use fleet_lab::loopback_tier::{LoopbackTier, SidecarAddresses};
 use std::fs;
 use std::io;
 use std::path::Path;
@@ -12,7 +12,7 @@
 
 /// Runs a stand-in tier until its time is over, or a signal comes.
 pub(super) fn run(options: &TierOptions) -> Result<(), CommandError> {
-    let tier = StandInTier::start(options.endpoints).map_err(CommandError::Tier)?;
+    let tier = LoopbackTier::start(options.endpoints).map_err(CommandError::Tier)?;
     let addresses = SidecarAddresses {
         callers: options.listen,
         operators: options.admin,
--- a/fleet-lab/src/tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -29,7 +29,7 @@
 const SIDECAR_DESCRIPTORS: u32 = 1_024;
 
 /// A running tier, ended when it is dropped.
-pub struct StandInTier {
+pub struct LoopbackTier {
     discovery: DiscoveryServer,
     endpoints: Vec<EndpointHandle>,
     _host: EndpointHost,
@@ -44,7 +44,7 @@
     pub operators: SocketAddr,
 }
 
-impl StandInTier {
+impl LoopbackTier {
     /// Starts so many endpoints, and a discovery service that lists them.
     ///
     /// # Errors
@@ -59,7 +59,7 @@
         let entries: Vec<EndpointEntry> = endpoints.iter().map(EndpointHandle::entry).collect();
         let discovery =
             DiscoveryServer::start(discovery_options(), &[ZoneName::from(ZONE)], entries)?;
-        Ok(StandInTier {
+        Ok(LoopbackTier {
             discovery,
             endpoints,
             _host: host,
--- a/fleet-lab/src/report.rs
+++ b/fleet-lab/src/report.rs
@@ -9,11 +9,11 @@
 /// Digits of a number in a table.
 const SIGNIFICANT_DIGITS: i32 = 3;
 /// The most digits after the decimal point.
-const MOST_DECIMALS: i32 = 9;
+const MAX_DECIMALS: i32 = 9;
 
 /// One figure, measured at several sizes.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figure {
+pub struct Metric {
     /// What was measured, such as `resident memory`.
     pub name: String,
     /// The unit of its values.
@@ -39,7 +39,7 @@
     pub seconds: f64,
     /// Its figures.
     #[serde(rename = "figures")]
-    pub metrics: Vec<Figure>,
+    pub metrics: Vec<Metric>,
     /// What went wrong without ending it.
     pub problems: Vec<String>,
 }
@@ -93,8 +93,8 @@
             self.seed,
             number(self.seconds)
         );
-        for figure in &self.metrics {
-            push_figure(&mut text, figure);
+        for metric in &self.metrics {
+            push_metric(&mut text, metric);
         }
         push_slopes(&mut text, &self.metrics);
         push_problems(&mut text, &self.problems);
@@ -102,40 +102,40 @@
     }
 }
 
-fn push_figure(text: &mut String, figure: &Figure) {
-    text.push_str(&format!("\n### {}\n\n", escape(&figure.name)));
+fn push_metric(text: &mut String, metric: &Metric) {
+    text.push_str(&format!("\n### {}\n\n", escape(&metric.name)));
     text.push_str(&format!(
         "| {} | {} |\n| ---: | ---: |\n",
-        escape(&figure.size_unit),
-        escape(&figure.unit)
+        escape(&metric.size_unit),
+        escape(&metric.unit)
     ));
-    for point in &figure.points {
+    for point in &metric.points {
         text.push_str(&format!(
             "| {} | {} |\n",
             number(point.size),
             number(point.value)
         ));
     }
-    if let Some(note) = &figure.note {
+    if let Some(note) = &metric.note {
         text.push_str(&format!("\n{note}\n"));
     }
 }
 
-fn push_slopes(text: &mut String, metrics: &[Figure]) {
-    if metrics.iter().all(|figure| figure.slope.is_none()) {
+fn push_slopes(text: &mut String, metrics: &[Metric]) {
+    if metrics.iter().all(|metric| metric.slope.is_none()) {
         return;
     }
     text.push_str(
         "\n### Slopes\n\n| figure | unit | intercept | per unit | unexplained | largest residual |\n",
     );
     text.push_str("| --- | --- | ---: | ---: | ---: | ---: |\n");
-    for figure in metrics {
-        let Some(slope) = &figure.slope else { continue };
+    for metric in metrics {
+        let Some(slope) = &metric.slope else { continue };
         text.push_str(&format!(
             "| {} | {}, by {} | {} | {} | {} | {} |\n",
-            escape(&figure.name),
-            escape(&figure.unit),
-            escape(&figure.size_unit),
+            escape(&metric.name),
+            escape(&metric.unit),
+            escape(&metric.size_unit),
             number(slope.intercept),
             number(slope.per_unit),
             number(slope.unexplained),
@@ -168,7 +168,7 @@
         return format!("{value:.0}");
     }
     let magnitude = value.abs().log10().floor() as i32;
-    let decimals = (SIGNIFICANT_DIGITS - 1 - magnitude).clamp(0, MOST_DECIMALS);
+    let decimals = (SIGNIFICANT_DIGITS - 1 - magnitude).clamp(0, MAX_DECIMALS);
     let text = format!("{value:.*}", decimals as usize);
     match text.contains('.') {
         true => text.trim_end_matches('0').trim_end_matches('.').into(),
--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -2,9 +2,9 @@
 //! the endpoints of the next tier.
 
 use super::context::RunContext;
-use super::findings::ScenarioError;
-use super::single::{
-    CALLER_DEADLINE, Place, add_endpoint, configuration, start_discovery, start_host,
+use super::outcome::ScenarioError;
+use super::single_sidecar::{
+    CALLER_DEADLINE, TierPosition, add_endpoint, configuration, start_discovery, start_host,
     start_sidecar, wait_until_ready,
 };
 use crate::discovery::DiscoveryServer;
@@ -95,7 +95,7 @@
         };
         let sidecars = (0..sidecars)
             .map(|number| {
-                let place = Place {
+                let place = TierPosition {
                     tier,
                     tiers: options.depth,
                     number,
@@ -130,7 +130,7 @@
 }
 
 /// Starts a chain without sidecars: one endpoint a tier, which calls that of the next. Where its first one listens.
-pub(super) fn start_straight_chain(
+pub(super) fn start_direct_chain(
     host: &EndpointHost,
     depth: u32,
     options: &EndpointOptions,
--- a/fleet-lab/src/scenario/held.rs
+++ b/fleet-lab/src/scenario/client_connections.rs
@@ -1,28 +1,28 @@
 //! Connections that callers hold open to a sidecar: with a request that is not answered yet, or idle.
 
-use super::single::{SAFE_CLASS, UNSAFE_CLASS};
+use super::single_sidecar::{SAFE_CLASS, UNSAFE_CLASS};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
 /// How long an answer may take.
-const LONGEST_ANSWER: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The most header fields of an answer.
-const MOST_HEADERS: usize = 32;
+const MAX_HEADERS: usize = 32;
 /// The largest answer, in bytes.
-const LARGEST_ANSWER: usize = 16 << 10;
+const MAX_ANSWER_BYTES: usize = 16 << 10;
 
 /// Connections to one sidecar, each held until all are dropped.
-pub(super) struct HeldConnections {
+pub(super) struct ClientConnections {
     address: SocketAddr,
     deadline: Duration,
     connections: Vec<TcpStream>,
 }
 
-impl HeldConnections {
+impl ClientConnections {
     /// None yet.
     pub(super) fn new(address: SocketAddr, deadline: Duration) -> Self {
-        HeldConnections {
+        ClientConnections {
             address,
             deadline,
             connections: Vec::new(),
@@ -56,7 +56,7 @@
     fn connect(&self) -> io::Result<TcpStream> {
         let connection = TcpStream::connect(self.address)?;
         connection.set_nodelay(true)?;
-        connection.set_read_timeout(Some(LONGEST_ANSWER))?;
+        connection.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         Ok(connection)
     }
 
@@ -88,7 +88,7 @@
         if answer_length(&answer)?.is_some_and(|length| answer.len() >= length) {
             return Ok(());
         }
-        if answer.len() > LARGEST_ANSWER {
+        if answer.len() > MAX_ANSWER_BYTES {
             return Err(io::Error::other("the answer does not end"));
         }
     }
@@ -96,7 +96,7 @@
 
 /// The length of an answer with its head, once all of its head is there.
 fn answer_length(answer: &[u8]) -> io::Result<Option<usize>> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(head) = response.parse(answer).map_err(io::Error::other)? else {
         return Ok(None);
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -1,15 +1,17 @@
 //! Processor time and bytes for changes of the list, probes and reloads of a real sidecar.
 
 use super::context::RunContext;
-use super::findings::{Findings, ScenarioError};
 use super::latency::toggle_weight;
-use super::series::Series;
-use super::single::{CALLER_DEADLINE, SAFE_CLASS, Single, SingleOptions, unserved};
+use super::metric_table::MetricTable;
+use super::outcome::{ScenarioError, ScenarioOutcome};
+use super::single_sidecar::{
+    CALLER_DEADLINE, SAFE_CLASS, SingleSidecar, SingleSidecarOptions, describe_unserved,
+};
 use crate::caller::{self, LoadPlan, LoadTarget};
 use crate::discovery::EndpointEntry;
 use crate::endpoint::{EndpointHandle, EndpointOptions, ServiceTime};
 use crate::experiment::ControlCost;
-use crate::report::Figure;
+use crate::report::Metric;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -33,28 +35,28 @@
     plan: &ControlCost,
     seed: u64,
     context: &RunContext,
-) -> Result<Findings, ScenarioError> {
+) -> Result<ScenarioOutcome, ScenarioError> {
     let period = Duration::from_secs_f64(plan.seconds);
-    let mut findings = Findings::default();
+    let mut outcome = ScenarioOutcome::default();
     {
-        let single = start(plan.endpoints, false, seed, context)?;
+        let single_sidecar = start(plan.endpoints, false, seed, context)?;
         thread::sleep(SETTLE);
-        let idle = Cost::over(&single, || {
+        let idle = Cost::over(&single_sidecar, || {
             thread::sleep(period);
             Ok(())
         })?;
-        findings
+        outcome
             .metrics
             .extend(idle_metrics(plan.endpoints, &idle, period));
-        findings
+        outcome
             .metrics
-            .extend(changes(plan, &single, &idle, period)?);
-        findings
+            .extend(changes(plan, &single_sidecar, &idle, period)?);
+        outcome
             .metrics
-            .extend(reloads(plan, &single, &idle, period)?);
+            .extend(reloads(plan, &single_sidecar, &idle, period)?);
     }
-    health_checks(plan, seed, context, period, &mut findings)?;
-    Ok(findings)
+    health_checks(plan, seed, context, period, &mut outcome)?;
+    Ok(outcome)
 }
 
 /// What something cost the sidecar and discovery.
@@ -66,18 +68,18 @@
 impl Cost {
     /// What this costs while it runs.
     fn over(
-        single: &Single,
+        single_sidecar: &SingleSidecar,
         action: impl FnOnce() -> Result<(), ScenarioError>,
     ) -> Result<Self, ScenarioError> {
-        let usage = single.usage()?;
-        let bytes = single.discovery.usage().bytes_written;
+        let usage = single_sidecar.usage()?;
+        let bytes = single_sidecar.discovery.usage().bytes_written;
         action()?;
         Ok(Cost {
-            processor_time: single
+            processor_time: single_sidecar
                 .usage()?
                 .processor_time
                 .saturating_sub(usage.processor_time),
-            watch_bytes: single.discovery.usage().bytes_written - bytes,
+            watch_bytes: single_sidecar.discovery.usage().bytes_written - bytes,
         })
     }
 
@@ -97,35 +99,35 @@
     health_checks: bool,
     seed: u64,
     context: &RunContext,
-) -> Result<Single, ScenarioError> {
-    let options = SingleOptions {
+) -> Result<SingleSidecar, ScenarioError> {
+    let options = SingleSidecarOptions {
         endpoints,
         endpoint: &ENDPOINT,
         deadline: CALLER_DEADLINE,
         health_checks,
         seed,
     };
-    Single::start(&options, context)
+    SingleSidecar::start(&options, context)
 }
 
-fn idle_metrics(endpoints: u32, idle: &Cost, period: Duration) -> Vec<Figure> {
+fn idle_metrics(endpoints: u32, idle: &Cost, period: Duration) -> Vec<Metric> {
     let seconds = period.as_secs_f64();
     let size = f64::from(endpoints);
-    let mut series = Series::over("endpoints");
+    let mut table = MetricTable::over("endpoints");
     let microseconds = idle.processor_time.as_secs_f64() * 1e6;
-    series.add(
+    table.add(
         "idle processor time a second",
         "µs",
         size,
         microseconds / seconds,
     );
-    series.add(
+    table.add(
         "idle watch a second",
         "bytes",
         size,
         idle.watch_bytes as f64 / seconds,
     );
-    series.with_slopes()
+    table.with_slopes()
 }
 
 /// Runs an action so many times, evenly within a period, and waits for the period's end.
@@ -146,45 +148,48 @@
 
 fn changes(
     plan: &ControlCost,
-    single: &Single,
+    single_sidecar: &SingleSidecar,
     idle: &Cost,
     period: Duration,
-) -> Result<Vec<Figure>, ScenarioError> {
-    let mut entries: Vec<EndpointEntry> =
-        single.endpoints.iter().map(EndpointHandle::entry).collect();
-    let mut series = Series::over("changes");
+) -> Result<Vec<Metric>, ScenarioError> {
+    let mut entries: Vec<EndpointEntry> = single_sidecar
+        .endpoints
+        .iter()
+        .map(EndpointHandle::entry)
+        .collect();
+    let mut table = MetricTable::over("changes");
     for count in &plan.changes {
-        let cost = Cost::over(single, || {
+        let cost = Cost::over(single_sidecar, || {
             spread(*count, period, |number| {
                 let place = number % entries.len();
-                single
+                single_sidecar
                     .discovery
                     .publish(vec![toggle_weight(&mut entries[place])]);
                 Ok(())
             })
         })?;
         let size = f64::from(*count);
-        series.add(
+        table.add(
             "processor time for changes",
             "ms",
             size,
             cost.milliseconds_beyond(idle),
         );
-        series.add("watch for changes", "bytes", size, cost.bytes_beyond(idle));
+        table.add("watch for changes", "bytes", size, cost.bytes_beyond(idle));
     }
-    Ok(series.with_slopes())
+    Ok(table.with_slopes())
 }
 
 fn reloads(
     plan: &ControlCost,
-    single: &Single,
+    single_sidecar: &SingleSidecar,
     idle: &Cost,
     period: Duration,
-) -> Result<Vec<Figure>, ScenarioError> {
-    let mut configuration = single.configuration.clone();
-    let mut series = Series::over("reloads");
+) -> Result<Vec<Metric>, ScenarioError> {
+    let mut configuration = single_sidecar.configuration.clone();
+    let mut table = MetricTable::over("reloads");
     for count in &plan.reloads {
-        let cost = Cost::over(single, || {
+        let cost = Cost::over(single_sidecar, || {
             spread(*count, period, |_| {
                 let priority_weight = &mut configuration.classes[0].priority_weight;
                 *priority_weight = if *priority_weight == CHANGED_PRIORITY_WEIGHT {
@@ -192,24 +197,24 @@
                 } else {
                     CHANGED_PRIORITY_WEIGHT
                 };
-                single
+                single_sidecar
                     .sidecar
                     .reload(&configuration)
                     .map_err(ScenarioError::step("reload"))
             })
         })?;
-        series.add(
+        table.add(
             "processor time for reloads",
             "ms",
             f64::from(*count),
             cost.milliseconds_beyond(idle),
         );
     }
-    series.note(
+    table.note(
         "processor time for reloads",
         "With the calls to the operators' address that wait for each reload.",
     );
-    Ok(series.with_slopes())
+    Ok(table.with_slopes())
 }
 
 /// Probes that a sidecar makes at each rate of calls, and what a call costs it with them and without.
@@ -218,36 +223,36 @@
     seed: u64,
     context: &RunContext,
     period: Duration,
-    findings: &mut Findings,
+    outcome: &mut ScenarioOutcome,
 ) -> Result<(), ScenarioError> {
     let health_check = start(plan.endpoints, true, seed, context)?;
     let reported = start(plan.endpoints, false, seed, context)?;
-    let mut series = Series::over("calls/s");
+    let mut table = MetricTable::over("calls/s");
     for rate in &plan.health_check_rates {
-        let with = call_cost(&health_check, *rate, period, seed, &mut findings.problems)?;
-        let without = call_cost(&reported, *rate, period, seed, &mut findings.problems)?;
-        series.add("probes a call", "1", *rate, with.health_checks / with.calls);
-        series.add(
+        let with = call_cost(&health_check, *rate, period, seed, &mut outcome.problems)?;
+        let without = call_cost(&reported, *rate, period, seed, &mut outcome.problems)?;
+        table.add("probes a call", "1", *rate, with.health_checks / with.calls);
+        table.add(
             "probes a second",
             "1",
             *rate,
             with.health_checks / period.as_secs_f64(),
         );
-        series.add(
+        table.add(
             "processor time a call with probes",
             "µs",
             *rate,
             with.microseconds / with.calls,
         );
         let microseconds = without.microseconds / without.calls;
-        series.add(
+        table.add(
             "processor time a call without probes",
             "µs",
             *rate,
             microseconds,
         );
     }
-    findings.metrics.extend(series.with_slopes());
+    outcome.metrics.extend(table.with_slopes());
     Ok(())
 }
 
@@ -259,14 +264,14 @@
 }
 
 fn call_cost(
-    single: &Single,
+    single_sidecar: &SingleSidecar,
     rate: f64,
     period: Duration,
     seed: u64,
     problems: &mut Vec<String>,
 ) -> Result<CallCost, ScenarioError> {
     let target = LoadTarget {
-        address: single.sidecar.address(),
+        address: single_sidecar.sidecar.address(),
         calls_per_second: rate,
         class: SAFE_CLASS.into(),
         is_unsafe: false,
@@ -278,23 +283,26 @@
         duration: period,
         seed,
     };
-    let health_checks = single.endpoint_health_checks();
+    let health_checks = single_sidecar.endpoint_health_checks();
     let mut calls = 0;
-    let cost = Cost::over(single, || {
+    let cost = Cost::over(single_sidecar, || {
         for result in caller::run(&load).map_err(ScenarioError::step("run the callers"))? {
             calls += result.sent;
-            let what = if single.configuration.health_checks {
+            let what = if single_sidecar.configuration.health_checks {
                 "with probes"
             } else {
                 "without probes"
             };
-            problems.extend(unserved(&format!("{what} at {rate} calls/s"), &result));
+            problems.extend(describe_unserved(
+                &format!("{what} at {rate} calls/s"),
+                &result,
+            ));
         }
         Ok(())
     })?;
     Ok(CallCost {
         calls: calls.max(1) as f64,
-        health_checks: (single.endpoint_health_checks() - health_checks) as f64,
+        health_checks: (single_sidecar.endpoint_health_checks() - health_checks) as f64,
         microseconds: cost.processor_time.as_secs_f64() * 1e6,
     })
 }
--- a/fleet-lab/src/scenario/depth.rs
+++ b/fleet-lab/src/scenario/depth.rs
@@ -1,10 +1,10 @@
 //! Chains of tiers, each with its real sidecar: latency that they add, and attempts that retries multiply, by depth.
 
-use super::chain::{Chain, ChainOptions, start_straight_chain};
+use super::chain::{Chain, ChainOptions, start_direct_chain};
 use super::context::RunContext;
-use super::findings::{Findings, ScenarioError};
-use super::series::Series;
-use super::single::{CALLER_DEADLINE, SAFE_CLASS, quantile_ms, unserved};
+use super::metric_table::MetricTable;
+use super::outcome::{ScenarioError, ScenarioOutcome};
+use super::single_sidecar::{CALLER_DEADLINE, SAFE_CLASS, describe_unserved, quantile_ms};
 use crate::caller::{self, LoadPlan, LoadTarget, TargetResult};
 use crate::endpoint::EndpointOptions;
 use crate::experiment::{AddedLatencyByDepth, RetryAmplification};
@@ -15,8 +15,8 @@
     plan: &AddedLatencyByDepth,
     seed: u64,
     context: &RunContext,
-) -> Result<Findings, ScenarioError> {
-    let mut series = Series::over("tiers");
+) -> Result<ScenarioOutcome, ScenarioError> {
+    let mut table = MetricTable::over("tiers");
     let mut problems = Vec::new();
     for depth in &plan.depths {
         let options = ChainOptions {
@@ -27,9 +27,9 @@
             seed,
         };
         let chain = Chain::start(&options, context)?;
-        let straight = start_straight_chain(&chain.host, *depth, &plan.endpoint)?;
+        let direct = start_direct_chain(&chain.host, *depth, &plan.endpoint)?;
         let load = LoadPlan {
-            targets: [straight, chain.address()]
+            targets: [direct, chain.address()]
                 .map(|to| target(to, plan.calls_per_second))
                 .into(),
             warm_up: Duration::from_secs_f64(plan.warm_up_seconds),
@@ -37,33 +37,41 @@
             seed,
         };
         let results = run_callers(&load)?;
-        let [straight, through] = &results[..] else {
+        let [direct, proxied] = &results[..] else {
             return Err(ScenarioError::NotReached("a result for each target".into()));
         };
-        add_latencies(&mut series, f64::from(*depth), straight, through);
-        problems.extend(unserved(&format!("straight over {depth} tiers"), straight));
-        problems.extend(unserved(
+        add_latencies(&mut table, f64::from(*depth), direct, proxied);
+        problems.extend(describe_unserved(
+            &format!("straight over {depth} tiers"),
+            direct,
+        ));
+        problems.extend(describe_unserved(
             &format!("through sidecars over {depth} tiers"),
-            through,
+            proxied,
         ));
     }
-    Ok(Findings {
-        metrics: series.with_slopes(),
+    Ok(ScenarioOutcome {
+        metrics: table.with_slopes(),
         problems,
     })
 }
 
-fn add_latencies(series: &mut Series, depth: f64, straight: &TargetResult, through: &TargetResult) {
+fn add_latencies(
+    table: &mut MetricTable,
+    depth: f64,
+    direct: &TargetResult,
+    proxied: &TargetResult,
+) {
     for (name, quantile) in [("p50", 0.5), ("p99", 0.99)] {
-        let straight_ms = quantile_ms(&straight.latencies, quantile);
-        let through_ms = quantile_ms(&through.latencies, quantile);
-        series.add(&format!("straight {name}"), "ms", depth, straight_ms);
-        series.add(&format!("through {name}"), "ms", depth, through_ms);
-        series.add(
+        let direct_ms = quantile_ms(&direct.latencies, quantile);
+        let proxied_ms = quantile_ms(&proxied.latencies, quantile);
+        table.add(&format!("straight {name}"), "ms", depth, direct_ms);
+        table.add(&format!("through {name}"), "ms", depth, proxied_ms);
+        table.add(
             &format!("added {name}"),
             "ms",
             depth,
-            through_ms - straight_ms,
+            proxied_ms - direct_ms,
         );
     }
 }
@@ -72,8 +80,8 @@
     plan: &RetryAmplification,
     seed: u64,
     context: &RunContext,
-) -> Result<Findings, ScenarioError> {
-    let mut series = Series::over("tiers");
+) -> Result<ScenarioOutcome, ScenarioError> {
+    let mut table = MetricTable::over("tiers");
     let failing = EndpointOptions {
         error_share: plan.error_share,
         ..plan.endpoint.clone()
@@ -97,16 +105,16 @@
         let calls = results.iter().map(|result| result.sent).sum::<u64>().max(1) as f64;
         let served = results.iter().map(|result| result.served).sum::<u64>() as f64;
         let size = f64::from(*depth);
-        series.add(
+        table.add(
             "attempts at the last tier a call",
             "1",
             size,
             chain.last_requests() as f64 / calls,
         );
-        series.add("served share", "1", size, served / calls);
+        table.add("served share", "1", size, served / calls);
     }
-    Ok(Findings {
-        metrics: series.with_slopes(),
+    Ok(ScenarioOutcome {
+        metrics: table.with_slopes(),
         problems: Vec::new(),
     })
 }
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -8,13 +8,13 @@
 mod cost;
 mod injection;
 
-use super::findings::{Findings, ScenarioError};
-use super::fleet::{FleetPlan, KnownEndpoints, RunningFleet, endpoint_entry};
-use super::series::Series;
+use super::fleet::{CachedList, FleetPlan, RunningFleet, endpoint_entry};
+use super::metric_table::MetricTable;
+use super::outcome::{ScenarioError, ScenarioOutcome};
 use crate::experiment::Failures;
 use crate::fault::{Fault, Impact};
 use crate::topology::Topology;
-use cost::{FaultCost, LONGEST_UNTIL_CURRENT, record};
+use cost::{CONVERGENCE_TIMEOUT, FaultCost, record};
 use injection::FaultInjector;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 /// What every figure's sizes count.
 const FAULT_NUMBER: &str = "fault";
 
-pub(super) fn run(plan: &Failures, seed: u64) -> Result<Findings, ScenarioError> {
+pub(super) fn run(plan: &Failures, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let topology = Topology::generate(&plan.topology, seed);
     let fleet_plan = fleet_plan(plan, &topology, seed);
     let endpoints = fleet_plan.endpoints.clone();
@@ -32,23 +32,23 @@
         endpoints: &endpoints,
         duration: Duration::from_secs_f64(plan.fault_seconds),
     };
-    let rest = Duration::from_secs_f64(plan.rest_seconds);
+    let pause = Duration::from_secs_f64(plan.rest_seconds);
 
-    let mut series = Series::over(FAULT_NUMBER);
+    let mut table = MetricTable::over(FAULT_NUMBER);
     let mut descriptions = vec!["0: none".to_owned()];
-    record(&mut series, 0, &measure_rest(&fleet, rest));
+    record(&mut table, 0, &measure_idle(&fleet, pause));
     for (number, fault) in (1..).zip(&plan.faults) {
         let impact = fault.impact(&topology, seed.wrapping_add(number));
         record(
-            &mut series,
+            &mut table,
             number,
-            &measure_fault(&injector, fault, &impact, rest),
+            &measure_fault(&injector, fault, &impact, pause),
         );
         descriptions.push(format!("{number}: {}", describe(fault, &impact)));
     }
-    series.note_all(&format!("{}.", descriptions.join("; ")));
-    Ok(Findings {
-        metrics: series.without_slopes(),
+    table.note_all(&format!("{}.", descriptions.join("; ")));
+    Ok(ScenarioOutcome {
+        metrics: table.without_slopes(),
         problems: Vec::new(),
     })
 }
@@ -70,7 +70,7 @@
             .iter()
             .map(|placement| placement.zone.clone())
             .collect(),
-        known: KnownEndpoints::All,
+        known: CachedList::All,
         calls_per_second: plan.calls_per_second,
         lists_are_pushed: true,
         capacity: plan.discovery,
@@ -79,9 +79,9 @@
 }
 
 /// What the fleet does while nothing fails.
-fn measure_rest(fleet: &RunningFleet, rest: Duration) -> FaultCost {
+fn measure_idle(fleet: &RunningFleet, pause: Duration) -> FaultCost {
     let from = fleet.current_second();
-    thread::sleep(rest);
+    thread::sleep(pause);
     FaultCost::over(&fleet.seconds_since(from))
 }
 
@@ -90,7 +90,7 @@
     injector: &FaultInjector<'_>,
     fault: &Fault,
     impact: &Impact,
-    rest: Duration,
+    pause: Duration,
 ) -> FaultCost {
     let fleet = injector.fleet;
     let from = fleet.current_second();
@@ -98,8 +98,8 @@
     let ended = Instant::now();
     let current = fleet
         .sidecars
-        .wait_for_version(last_version, ended, LONGEST_UNTIL_CURRENT);
-    thread::sleep(rest.saturating_sub(ended.elapsed()));
+        .wait_for_version(last_version, ended, CONVERGENCE_TIMEOUT);
+    thread::sleep(pause.saturating_sub(ended.elapsed()));
     FaultCost {
         current: Some(current),
         ..FaultCost::over(&fleet.seconds_since(from))
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -1,15 +1,15 @@
 //! What a fleet's timeline says of a fault.
 
 use crate::scenario::fleet::add_convergence_times;
-use crate::scenario::series::Series;
+use crate::scenario::metric_table::MetricTable;
 use crate::sidecar::simulated::{ConvergenceTimes, SecondCounts};
 use std::time::Duration;
 
 /// How long the list may take to be current everywhere after a fault's end.
-pub(super) const LONGEST_UNTIL_CURRENT: Duration = Duration::from_secs(30);
+pub(super) const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A second with a smaller share of calls not served counts as recovered.
-const RECOVERED_SHARE: f64 = 0.01;
+const RECOVERED_FRACTION: f64 = 0.01;
 
 /// What a fault cost the fleet's callers, and how long its list was behind.
 #[derive(Clone, Debug, Default)]
@@ -21,10 +21,10 @@
     /// Attempts that were started.
     pub attempts: u64,
     /// The largest share of calls not served within one second.
-    pub worst_share: f64,
+    pub worst_unserved_fraction: f64,
     /// The most attempts beyond one for each call within one second.
-    pub worst_further_attempts: f64,
-    /// Seconds until the share was below [`RECOVERED_SHARE`] for good.
+    pub worst_retries_per_call: f64,
+    /// Seconds until the share was below [`RECOVERED_FRACTION`] for good.
     pub seconds_until_recovered: usize,
     /// When each sidecar knew the fault's last change after its end.
     pub current: Option<ConvergenceTimes>,
@@ -34,19 +34,19 @@
     /// What these seconds cost.
     pub fn over(seconds: &[SecondCounts]) -> Self {
         let total = |count: fn(&SecondCounts) -> u64| seconds.iter().map(count).sum();
-        let last_bad = seconds
+        let last_unrecovered = seconds
             .iter()
-            .rposition(|second| share(second) >= RECOVERED_SHARE);
+            .rposition(|second| unserved_fraction(second) >= RECOVERED_FRACTION);
         FaultCost {
             calls: total(|second| second.calls),
             unserved: total(|second| second.unserved),
             attempts: total(|second| second.attempts),
-            worst_share: seconds.iter().map(share).fold(0.0, f64::max),
-            worst_further_attempts: seconds
+            worst_unserved_fraction: seconds.iter().map(unserved_fraction).fold(0.0, f64::max),
+            worst_retries_per_call: seconds
                 .iter()
-                .map(|second| further_attempts(second.attempts, second.calls))
+                .map(|second| retries_per_call(second.attempts, second.calls))
                 .fold(0.0, f64::max),
-            seconds_until_recovered: last_bad.map_or(0, |index| index + 1),
+            seconds_until_recovered: last_unrecovered.map_or(0, |index| index + 1),
             current: None,
         }
     }
@@ -54,13 +54,13 @@
 
 /// The share of a second's calls that were not served. A call counts in the second of its end, so an end of calls
 /// that came a second earlier may exceed all.
-fn share(second: &SecondCounts) -> f64 {
+fn unserved_fraction(second: &SecondCounts) -> f64 {
     ratio(second.unserved, second.calls).min(1.0)
 }
 
 /// Attempts beyond one, for each call. A call that was refused has none, and one that came in the last millisecond may
 /// have its first attempt in the next second, so there may seem to be fewer than none.
-fn further_attempts(attempts: u64, calls: u64) -> f64 {
+fn retries_per_call(attempts: u64, calls: u64) -> f64 {
     ratio(attempts.saturating_sub(calls), calls)
 }
 
@@ -69,9 +69,9 @@
 }
 
 /// Adds a fault's cost to the figures.
-pub(super) fn record(series: &mut Series, fault: u64, cost: &FaultCost) {
+pub(super) fn record(table: &mut MetricTable, fault: u64, cost: &FaultCost) {
     let number = fault as f64;
-    let mut add = |name: &str, unit: &str, value: f64| series.add(name, unit, number, value);
+    let mut add = |name: &str, unit: &str, value: f64| table.add(name, unit, number, value);
     add("calls", "calls", cost.calls as f64);
     add("calls not served", "calls", cost.unserved as f64);
     add(
@@ -82,7 +82,7 @@
     add(
         "calls not served, share in the worst second",
         "share",
-        cost.worst_share,
+        cost.worst_unserved_fraction,
     );
     add(
         "until less than 1 in 100 is not served",
@@ -93,21 +93,21 @@
     add(
         "attempts beyond one",
         "a call",
-        further_attempts(cost.attempts, cost.calls),
+        retries_per_call(cost.attempts, cost.calls),
     );
     add(
         "attempts beyond one in the worst second",
         "a call",
-        cost.worst_further_attempts,
+        cost.worst_retries_per_call,
     );
     if let Some(current) = &cost.current {
         add_convergence_times(
-            series,
+            table,
             "list current after the fault's end",
             &[("last", 1.0)],
             number,
             current,
-            LONGEST_UNTIL_CURRENT,
+            CONVERGENCE_TIMEOUT,
         );
     }
 }
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -5,7 +5,7 @@
 
 pub(super) use metrics::{add_convergence_times, add_discovery_calls, merge};
 
-use super::findings::ScenarioError;
+use super::outcome::ScenarioError;
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use crate::experiment::{DiscoveryCapacity, Fleet};
 use crate::sidecar::configuration::{RequestClass, SidecarConfiguration};
@@ -38,7 +38,7 @@
 /// that it does not take minutes to start a fleet.
 const START_CALLS_PER_SECOND: f64 = 1000.0;
 /// How long a start may take.
-const START_PATIENCE: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Port of all endpoints. Nobody listens there: hollow sidecars answer their calls in memory.
 const ENDPOINT_PORT: u16 = 7070;
 /// The weight of an endpoint, and the one that a change gives it.
@@ -47,7 +47,7 @@
 
 /// Whether sidecars have endpoints in their configuration before discovery has told them any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum KnownEndpoints {
+pub(super) enum CachedList {
     /// The list as it stood at the start.
     All,
     /// None.
@@ -64,7 +64,7 @@
     /// The zone of each sidecar.
     pub sidecar_zones: Vec<ZoneName>,
     /// What the sidecars' configurations hold of the list.
-    pub known: KnownEndpoints,
+    pub known: CachedList,
     /// Mean calls a second of each sidecar.
     pub calls_per_second: f64,
     /// Whether lists are pushed, or watched through calls that the decision module asks for.
@@ -77,7 +77,7 @@
 
 impl FleetPlan {
     /// A fleet of so many sidecars, spread over the zones as its endpoints are.
-    pub fn new(fleet: &Fleet, sidecars: u32, known: KnownEndpoints, seed: u64) -> Self {
+    pub fn new(fleet: &Fleet, sidecars: u32, known: CachedList, seed: u64) -> Self {
         let zones = ZONES.map(ZoneName::from).to_vec();
         let zone_of = |number: u32| zones[number as usize % zones.len()].clone();
         FleetPlan {
@@ -117,7 +117,7 @@
             FLEET_THREADS,
         )
         .map_err(ScenarioError::step("starting the hollow sidecars"))?;
-        let watching = sidecars.wait_until_watching(started, START_PATIENCE);
+        let watching = sidecars.wait_until_watching(started, START_TIMEOUT);
         let size = self.sidecar_zones.len();
         if watching.missing > 0 {
             let problem = format!(
@@ -147,8 +147,8 @@
 
     fn configurations(&self, discovery: &DiscoveryServer) -> Vec<SidecarConfiguration> {
         let known = match self.known {
-            KnownEndpoints::All => Some(discovery.snapshot()),
-            KnownEndpoints::None => None,
+            CachedList::All => Some(discovery.snapshot()),
+            CachedList::None => None,
         };
         (0..)
             .zip(&self.sidecar_zones)
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -1,7 +1,7 @@
 //! What a fleet's arrivals and its calls of discovery add to the figures.
 
 use crate::discovery::DiscoveryUsage;
-use crate::scenario::series::Series;
+use crate::scenario::metric_table::MetricTable;
 use crate::sidecar::simulated::ConvergenceTimes;
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
     so the value may be a lower bound.";
 
 /// Adds the times at which this share of the sidecars had arrived, for each of these shares, and how many were
-/// missing at the end of a wait of `longest`.
+/// missing at the end of a wait of `timeout`.
 pub(in crate::scenario) fn add_convergence_times(
-    series: &mut Series,
+    table: &mut MetricTable,
     what: &str,
     shares: &[(&str, f64)],
     size: f64,
     times: &ConvergenceTimes,
-    longest: Duration,
+    timeout: Duration,
 ) {
-    for (label, share) in shares {
+    for (label, unserved_fraction) in shares {
         let name = format!("{what}: {label}");
-        let time = quantile(times, *share).unwrap_or(longest);
-        series.add(&name, "ms", size, milliseconds(time));
+        let time = quantile(times, *unserved_fraction).unwrap_or(timeout);
+        table.add(&name, "ms", size, milliseconds(time));
         if times.missing > 0 {
-            series.note(&name, MISSING_NOTE);
-            series.leave_without_line(&name);
+            table.note(&name, MISSING_NOTE);
+            table.omit_slope(&name);
         }
     }
-    series.add(
+    table.add(
         &format!("{what}: missing"),
         "sidecars",
         size,
@@ -39,7 +39,7 @@
 
 /// Adds what discovery was called for each sidecar between two readings of its usage.
 pub(in crate::scenario) fn add_discovery_calls(
-    series: &mut Series,
+    table: &mut MetricTable,
     when: &str,
     size: f64,
     before: &DiscoveryUsage,
@@ -58,7 +58,7 @@
     ];
     for (what, before, after) in counts {
         let name = format!("{what} {when}");
-        series.add(&name, "a sidecar", size, (after - before) as f64 / size);
+        table.add(&name, "a sidecar", size, (after - before) as f64 / size);
     }
 }
 
@@ -75,8 +75,8 @@
 }
 
 /// The time at which this share of all sidecars had arrived, by nearest rank; none if not so many did.
-fn quantile(times: &ConvergenceTimes, share: f64) -> Option<Duration> {
+fn quantile(times: &ConvergenceTimes, unserved_fraction: f64) -> Option<Duration> {
     let all = times.reached_after.len() + times.missing;
-    let rank = (share * all as f64).ceil() as usize;
+    let rank = (unserved_fraction * all as f64).ceil() as usize;
     times.reached_after.get(rank.max(1) - 1).copied()
 }
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -1,10 +1,11 @@
 //! Latency that one real sidecar adds, and its processor time a call, by rate.
 
 use super::context::RunContext;
-use super::findings::{Findings, ScenarioError};
-use super::series::Series;
-use super::single::{
-    CALLER_DEADLINE, SAFE_CLASS, Single, SingleOptions, UNSAFE_CLASS, quantile_ms, unserved,
+use super::metric_table::MetricTable;
+use super::outcome::{ScenarioError, ScenarioOutcome};
+use super::single_sidecar::{
+    CALLER_DEADLINE, SAFE_CLASS, SingleSidecar, SingleSidecarOptions, UNSAFE_CLASS,
+    describe_unserved, quantile_ms,
 };
 use crate::caller::{self, LoadPlan, LoadTarget, TargetResult};
 use crate::discovery::{DiscoveryServer, EndpointEntry};
@@ -23,45 +24,45 @@
     plan: &AddedLatency,
     seed: u64,
     context: &RunContext,
-) -> Result<Findings, ScenarioError> {
-    let options = SingleOptions {
+) -> Result<ScenarioOutcome, ScenarioError> {
+    let options = SingleSidecarOptions {
         endpoints: plan.endpoints,
         endpoint: &plan.endpoint,
         deadline: CALLER_DEADLINE,
         health_checks: false,
         seed,
     };
-    let single = Single::start(&options, context)?;
-    let straight = single.add_unlisted(&plan.endpoint)?;
-    let mut series = Series::over("calls/s");
+    let single_sidecar = SingleSidecar::start(&options, context)?;
+    let direct = single_sidecar.start_unlisted_endpoint(&plan.endpoint)?;
+    let mut table = MetricTable::over("calls/s");
     let mut problems = Vec::new();
     for rate in &plan.rates {
-        let load = load_plan(plan, *rate, seed, single.sidecar.address(), straight);
-        let measured = measure(&single, &load, plan.changes_per_second)?;
-        add_metrics(&mut series, *rate, &measured);
+        let load = load_plan(plan, *rate, seed, single_sidecar.sidecar.address(), direct);
+        let measured = measure(&single_sidecar, &load, plan.changes_per_second)?;
+        add_metrics(&mut table, *rate, &measured);
         problems.extend(find_problems(*rate, &measured));
     }
-    add_notes(&mut series);
-    Ok(Findings {
-        metrics: series.with_slopes(),
+    add_notes(&mut table);
+    Ok(ScenarioOutcome {
+        metrics: table.with_slopes(),
         problems,
     })
 }
 
-fn add_notes(series: &mut Series) {
-    series.note(
+fn add_notes(table: &mut MetricTable) {
+    table.note(
         "through p99.9",
         "The longest one where fewer than 1,000 calls were measured.",
     );
-    series.note(
+    table.note(
         "unsafe added p99",
         "The longest one where fewer than 100 unsafe calls were measured.",
     );
-    series.note(
+    table.note(
         "processor time a call",
         "Over warm-up and measurement, divided by the attempts that the sidecar made.",
     );
-    series.note(
+    table.note(
         "resident memory",
         "It grows with the connections that are open, which `descriptors` tells.",
     );
@@ -69,10 +70,10 @@
 
 /// What was measured at one rate.
 struct Measured {
-    straight: TargetResult,
-    through: TargetResult,
+    direct: TargetResult,
+    proxied: TargetResult,
     /// Calls that are unsafe to repeat, where there are any.
-    through_unsafe: Option<TargetResult>,
+    proxied_unsafe: Option<TargetResult>,
     processor_time: Duration,
     attempts: u64,
     connections: u64,
@@ -85,11 +86,11 @@
     rate: f64,
     seed: u64,
     sidecar: SocketAddr,
-    straight: SocketAddr,
+    direct: SocketAddr,
 ) -> LoadPlan {
     let unsafe_rate = rate * plan.unsafe_share;
     let mut targets = vec![
-        target(straight, rate, SAFE_CLASS),
+        target(direct, rate, SAFE_CLASS),
         target(sidecar, rate - unsafe_rate, SAFE_CLASS),
     ];
     if unsafe_rate > 0.0 {
@@ -114,21 +115,21 @@
 }
 
 fn measure(
-    single: &Single,
+    single_sidecar: &SingleSidecar,
     load: &LoadPlan,
     changes_per_second: f64,
 ) -> Result<Measured, ScenarioError> {
-    let usage_before = single.usage()?;
-    let attempts_before = single.figure("upstream_requests")?;
-    let connections_before = single.endpoint_connections();
+    let usage_before = single_sidecar.usage()?;
+    let attempts_before = single_sidecar.metric("upstream_requests")?;
+    let connections_before = single_sidecar.endpoint_connections();
     let results = run_with_changes(
         load,
         changes_per_second,
-        &single.discovery,
-        &single.endpoints,
+        &single_sidecar.discovery,
+        &single_sidecar.endpoints,
     )
     .map_err(ScenarioError::step("run the callers"))?;
-    let usage = single.usage()?;
+    let usage = single_sidecar.usage()?;
     let mut results = results.into_iter();
     let mut next = || {
         results
@@ -136,16 +137,16 @@
             .ok_or_else(|| ScenarioError::NotReached("a result for each target".into()))
     };
     Ok(Measured {
-        straight: next()?,
-        through: next()?,
-        through_unsafe: next().ok(),
+        direct: next()?,
+        proxied: next()?,
+        proxied_unsafe: next().ok(),
         processor_time: usage
             .processor_time
             .saturating_sub(usage_before.processor_time),
-        attempts: single
-            .figure("upstream_requests")?
+        attempts: single_sidecar
+            .metric("upstream_requests")?
             .saturating_sub(attempts_before),
-        connections: single
+        connections: single_sidecar
             .endpoint_connections()
             .saturating_sub(connections_before),
         usage,
@@ -201,84 +202,81 @@
     entry.clone()
 }
 
-fn add_metrics(series: &mut Series, rate: f64, measured: &Measured) {
+fn add_metrics(table: &mut MetricTable, rate: f64, measured: &Measured) {
     let Measured {
-        straight,
-        through,
-        through_unsafe,
+        direct,
+        proxied,
+        proxied_unsafe,
         ..
     } = measured;
-    let straight_ms = |quantile| quantile_ms(&straight.latencies, quantile);
-    let through_ms = |quantile| quantile_ms(&through.latencies, quantile);
-    series.add("straight p50", "ms", rate, straight_ms(0.5));
-    series.add("straight p99", "ms", rate, straight_ms(0.99));
-    series.add("through p50", "ms", rate, through_ms(0.5));
-    series.add("through p99", "ms", rate, through_ms(0.99));
-    series.add("through p99.9", "ms", rate, through_ms(0.999));
-    series.add("added p50", "ms", rate, through_ms(0.5) - straight_ms(0.5));
-    series.add(
-        "added p99",
-        "ms",
-        rate,
-        through_ms(0.99) - straight_ms(0.99),
-    );
-    if let Some(through_unsafe) = through_unsafe {
-        let unsafe_ms = |quantile| quantile_ms(&through_unsafe.latencies, quantile);
-        series.add(
+    let direct_ms = |quantile| quantile_ms(&direct.latencies, quantile);
+    let proxied_ms = |quantile| quantile_ms(&proxied.latencies, quantile);
+    table.add("straight p50", "ms", rate, direct_ms(0.5));
+    table.add("straight p99", "ms", rate, direct_ms(0.99));
+    table.add("through p50", "ms", rate, proxied_ms(0.5));
+    table.add("through p99", "ms", rate, proxied_ms(0.99));
+    table.add("through p99.9", "ms", rate, proxied_ms(0.999));
+    table.add("added p50", "ms", rate, proxied_ms(0.5) - direct_ms(0.5));
+    table.add("added p99", "ms", rate, proxied_ms(0.99) - direct_ms(0.99));
+    if let Some(proxied_unsafe) = proxied_unsafe {
+        let unsafe_ms = |quantile| quantile_ms(&proxied_unsafe.latencies, quantile);
+        table.add(
             "unsafe added p50",
             "ms",
             rate,
-            unsafe_ms(0.5) - straight_ms(0.5),
+            unsafe_ms(0.5) - direct_ms(0.5),
         );
-        series.add(
+        table.add(
             "unsafe added p99",
             "ms",
             rate,
-            unsafe_ms(0.99) - straight_ms(0.99),
+            unsafe_ms(0.99) - direct_ms(0.99),
         );
     }
-    add_costs(series, rate, measured);
+    add_costs(table, rate, measured);
 }
 
-fn add_costs(series: &mut Series, rate: f64, measured: &Measured) {
+fn add_costs(table: &mut MetricTable, rate: f64, measured: &Measured) {
     let attempts = measured.attempts.max(1) as f64;
     let microseconds = measured.processor_time.as_secs_f64() * 1e6;
-    series.add("processor time a call", "µs", rate, microseconds / attempts);
-    series.add(
+    table.add("processor time a call", "µs", rate, microseconds / attempts);
+    table.add(
         "connections opened to endpoints a call",
         "1",
         rate,
         measured.connections as f64 / attempts,
     );
-    series.add(
+    table.add(
         "resident memory",
         "MB",
         rate,
         measured.usage.resident_bytes as f64 / 1e6,
     );
-    series.add("descriptors", "1", rate, measured.usage.descriptors as f64);
-    series.add(
+    table.add("descriptors", "1", rate, measured.usage.descriptors as f64);
+    table.add(
         "connections that callers opened",
         "1",
         rate,
-        measured.through.connections as f64,
+        measured.proxied.connections as f64,
     );
 }
 
 fn find_problems(rate: f64, measured: &Measured) -> Vec<String> {
     let Measured {
-        straight,
-        through,
-        through_unsafe,
+        direct,
+        proxied,
+        proxied_unsafe,
         ..
     } = measured;
     let targets = [
-        ("straight", Some(straight)),
-        ("through the sidecar", Some(through)),
-        ("unsafe, through the sidecar", through_unsafe.as_ref()),
+        ("straight", Some(direct)),
+        ("through the sidecar", Some(proxied)),
+        ("unsafe, through the sidecar", proxied_unsafe.as_ref()),
     ];
     targets
         .into_iter()
-        .filter_map(|(name, result)| unserved(&format!("{name} at {rate} calls/s"), result?))
+        .filter_map(|(name, result)| {
+            describe_unserved(&format!("{name} at {rate} calls/s"), result?)
+        })
         .collect()
 }
--- a/fleet-lab/src/scenario/memory.rs
+++ b/fleet-lab/src/scenario/memory.rs
@@ -1,10 +1,10 @@
 //! A real sidecar's memory by listed endpoints, open requests and callers' connections.
 
+use super::client_connections::ClientConnections;
 use super::context::RunContext;
-use super::findings::{Findings, ScenarioError};
-use super::held::HeldConnections;
-use super::series::Series;
-use super::single::{CALLER_DEADLINE, Single, SingleOptions};
+use super::metric_table::MetricTable;
+use super::outcome::{ScenarioError, ScenarioOutcome};
+use super::single_sidecar::{CALLER_DEADLINE, SingleSidecar, SingleSidecarOptions};
 use crate::endpoint::{EndpointOptions, ServiceTime};
 use crate::experiment::Memory;
 use crate::measure::ProcessUsage;
@@ -14,35 +14,35 @@
 /// Endpoints of the measurements whose size is another.
 const FEW_ENDPOINTS: u32 = 20;
 /// How long an endpoint works on a request that is held open.
-const HOLD: Duration = Duration::from_secs(60);
+const SERVICE_TIME: Duration = Duration::from_secs(60);
 /// How long a sidecar rests before it is measured.
 const SETTLE: Duration = Duration::from_secs(1);
 /// How long requests may take to be open all at once.
-const LONGEST_OPENING: Duration = Duration::from_secs(5);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 /// The time between two looks at a state that is waited for.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub(super) fn run(
     plan: &Memory,
     seed: u64,
     context: &RunContext,
-) -> Result<Findings, ScenarioError> {
-    let mut findings = Findings::default();
-    by_endpoints(plan, seed, context, &mut findings)?;
-    by_open_requests(plan, seed, context, &mut findings)?;
-    by_caller_connections(plan, seed, context, &mut findings)?;
-    Ok(findings)
+) -> Result<ScenarioOutcome, ScenarioError> {
+    let mut outcome = ScenarioOutcome::default();
+    by_endpoints(plan, seed, context, &mut outcome)?;
+    by_open_requests(plan, seed, context, &mut outcome)?;
+    by_caller_connections(plan, seed, context, &mut outcome)?;
+    Ok(outcome)
 }
 
 fn by_endpoints(
     plan: &Memory,
     seed: u64,
     context: &RunContext,
-    findings: &mut Findings,
+    outcome: &mut ScenarioOutcome,
 ) -> Result<(), ScenarioError> {
-    let mut series = Series::over("listed endpoints");
+    let mut table = MetricTable::over("listed endpoints");
     for endpoints in &plan.endpoints {
-        let single = start(
+        let single_sidecar = start(
             *endpoints,
             ServiceTime::None,
             CALLER_DEADLINE,
@@ -50,15 +50,15 @@
             context,
         )?;
         thread::sleep(SETTLE);
-        let usage = single.usage()?;
+        let usage = single_sidecar.usage()?;
         add(
-            &mut series,
+            &mut table,
             "memory by endpoints",
             f64::from(*endpoints),
             &usage,
         );
     }
-    findings.metrics.extend(series.with_slopes());
+    outcome.metrics.extend(table.with_slopes());
     Ok(())
 }
 
@@ -66,32 +66,34 @@
     plan: &Memory,
     seed: u64,
     context: &RunContext,
-    findings: &mut Findings,
+    outcome: &mut ScenarioOutcome,
 ) -> Result<(), ScenarioError> {
     let service_time = ServiceTime::Fixed {
-        milliseconds: HOLD.as_secs_f64() * 1e3,
+        milliseconds: SERVICE_TIME.as_secs_f64() * 1e3,
     };
-    let single = start(FEW_ENDPOINTS, service_time, HOLD, seed, context)?;
-    let mut held = HeldConnections::new(single.sidecar.address(), HOLD);
-    let mut series = Series::over("open requests");
+    let single_sidecar = start(FEW_ENDPOINTS, service_time, SERVICE_TIME, seed, context)?;
+    let mut client_connections =
+        ClientConnections::new(single_sidecar.sidecar.address(), SERVICE_TIME);
+    let mut table = MetricTable::over("open requests");
     for count in &plan.open_requests {
-        held.open_requests(*count as usize)
+        client_connections
+            .open_requests(*count as usize)
             .map_err(ScenarioError::step("open requests"))?;
-        let open = wait_for_pending(&single, u64::from(*count))?;
+        let open = wait_for_pending(&single_sidecar, u64::from(*count))?;
         thread::sleep(SETTLE);
         add(
-            &mut series,
+            &mut table,
             "memory by open requests",
             open as f64,
-            &single.usage()?,
+            &single_sidecar.usage()?,
         );
         if open < u64::from(*count) {
-            findings
+            outcome
                 .problems
                 .push(format!("of {count} requests {open} were open at once"));
         }
     }
-    findings.metrics.extend(series.with_slopes());
+    outcome.metrics.extend(table.with_slopes());
     Ok(())
 }
 
@@ -99,36 +101,38 @@
     plan: &Memory,
     seed: u64,
     context: &RunContext,
-    findings: &mut Findings,
+    outcome: &mut ScenarioOutcome,
 ) -> Result<(), ScenarioError> {
-    let single = start(
+    let single_sidecar = start(
         FEW_ENDPOINTS,
         ServiceTime::None,
         CALLER_DEADLINE,
         seed,
         context,
     )?;
-    let mut held = HeldConnections::new(single.sidecar.address(), CALLER_DEADLINE);
-    let mut series = Series::over("idle callers' connections");
+    let mut client_connections =
+        ClientConnections::new(single_sidecar.sidecar.address(), CALLER_DEADLINE);
+    let mut table = MetricTable::over("idle callers' connections");
     for count in &plan.caller_connections {
-        held.open_idle(*count as usize)
+        client_connections
+            .open_idle(*count as usize)
             .map_err(ScenarioError::step("open callers' connections"))?;
         thread::sleep(SETTLE);
-        let usage = single.usage()?;
+        let usage = single_sidecar.usage()?;
         add(
-            &mut series,
+            &mut table,
             "memory by callers' connections",
             f64::from(*count),
             &usage,
         );
         if usage.descriptors < u64::from(*count) {
             let descriptors = usage.descriptors;
-            findings.problems.push(format!(
+            outcome.problems.push(format!(
                 "of {count} connections at most {descriptors} were held"
             ));
         }
     }
-    findings.metrics.extend(series.with_slopes());
+    outcome.metrics.extend(table.with_slopes());
     Ok(())
 }
 
@@ -138,7 +142,7 @@
     deadline: Duration,
     seed: u64,
     context: &RunContext,
-) -> Result<Single, ScenarioError> {
+) -> Result<SingleSidecar, ScenarioError> {
     let endpoint = EndpointOptions {
         cores: 10_000,
         queue: 0,
@@ -148,28 +152,28 @@
         answer_bytes: 100,
         error_share: 0.0,
     };
-    let options = SingleOptions {
+    let options = SingleSidecarOptions {
         endpoints,
         endpoint: &endpoint,
         deadline,
         health_checks: false,
         seed,
     };
-    Single::start(&options, context)
+    SingleSidecar::start(&options, context)
 }
 
-fn add(series: &mut Series, name: &str, size: f64, usage: &ProcessUsage) {
-    series.add(name, "bytes", size, usage.anonymous_bytes as f64);
+fn add(table: &mut MetricTable, name: &str, size: f64, usage: &ProcessUsage) {
+    table.add(name, "bytes", size, usage.anonymous_bytes as f64);
 }
 
 /// Waits until so many requests are open; how many are at the end of the wait.
-fn wait_for_pending(single: &Single, count: u64) -> Result<u64, ScenarioError> {
-    let give_up = Instant::now() + LONGEST_OPENING;
+fn wait_for_pending(single_sidecar: &SingleSidecar, count: u64) -> Result<u64, ScenarioError> {
+    let give_up = Instant::now() + OPEN_TIMEOUT;
     loop {
-        let pending = single.figure("pending")?;
+        let pending = single_sidecar.metric("pending")?;
         if pending >= count || Instant::now() >= give_up {
             return Ok(pending);
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/fleet-lab/src/scenario/series.rs
+++ b/fleet-lab/src/scenario/metric_table.rs
@@ -1,38 +1,38 @@
 //! Figures that are collected size by size.
 
 use crate::measure::{Point, Slope};
-use crate::report::Figure;
+use crate::report::Metric;
 use std::collections::BTreeSet;
 
 /// The fewest measurements of which a line can leave something unexplained.
-const FEWEST_POINTS: usize = 3;
+const MIN_POINTS_FOR_SLOPE: usize = 3;
 
 /// Figures over one kind of size, in the order in which they were first added.
-pub(super) struct Series {
+pub(super) struct MetricTable {
     size_unit: &'static str,
-    metrics: Vec<Figure>,
+    metrics: Vec<Metric>,
     /// Names of figures that no line is put through.
-    without_lines: BTreeSet<String>,
+    without_slope: BTreeSet<String>,
 }
 
-impl Series {
+impl MetricTable {
     /// No figures yet; `size_unit` tells what the sizes count.
     pub(super) fn over(size_unit: &'static str) -> Self {
-        Series {
+        MetricTable {
             size_unit,
             metrics: Vec::new(),
-            without_lines: BTreeSet::new(),
+            without_slope: BTreeSet::new(),
         }
     }
 
     /// Adds a measurement to a figure.
     pub(super) fn add(&mut self, name: &str, unit: &str, size: f64, value: f64) {
         let point = Point { size, value };
-        if let Some(figure) = self.metrics.iter_mut().find(|figure| figure.name == name) {
-            figure.points.push(point);
+        if let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) {
+            metric.points.push(point);
             return;
         }
-        self.metrics.push(Figure {
+        self.metrics.push(Metric {
             name: name.into(),
             unit: unit.into(),
             size_unit: self.size_unit.into(),
@@ -44,19 +44,19 @@
 
     /// Tells what else is to be known of a figure. What is told twice stands once.
     pub(super) fn note(&mut self, name: &str, note: &str) {
-        let Some(figure) = self.metrics.iter_mut().find(|figure| figure.name == name) else {
+        let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) else {
             return;
         };
-        match &mut figure.note {
+        match &mut metric.note {
             Some(notes) if notes.contains(note) => {}
             Some(notes) => *notes = format!("{notes} {note}"),
-            None => figure.note = Some(note.into()),
+            None => metric.note = Some(note.into()),
         }
     }
 
     /// Puts no line through a figure, some of whose values are bounds and no measurements.
-    pub(super) fn leave_without_line(&mut self, name: &str) {
-        self.without_lines.insert(name.to_owned());
+    pub(super) fn omit_slope(&mut self, name: &str) {
+        self.without_slope.insert(name.to_owned());
     }
 
     /// Tells what else is to be known of all figures.
@@ -64,7 +64,7 @@
         let names: Vec<String> = self
             .metrics
             .iter()
-            .map(|figure| figure.name.clone())
+            .map(|metric| metric.name.clone())
             .collect();
         for name in &names {
             self.note(name, note);
@@ -72,15 +72,17 @@
     }
 
     /// The figures alone, where sizes are no quantity.
-    pub(super) fn without_slopes(self) -> Vec<Figure> {
+    pub(super) fn without_slopes(self) -> Vec<Metric> {
         self.metrics
     }
 
     /// The figures, each with the line through its measurements where there are enough of them.
-    pub(super) fn with_slopes(mut self) -> Vec<Figure> {
-        for figure in &mut self.metrics {
-            if figure.points.len() >= FEWEST_POINTS && !self.without_lines.contains(&figure.name) {
-                figure.slope = Slope::fit(&figure.points);
+    pub(super) fn with_slopes(mut self) -> Vec<Metric> {
+        for metric in &mut self.metrics {
+            if metric.points.len() >= MIN_POINTS_FOR_SLOPE
+                && !self.without_slope.contains(&metric.name)
+            {
+                metric.slope = Slope::fit(&metric.points);
             }
         }
         self.metrics
--- a/fleet-lab/src/scenario/mod.rs
+++ b/fleet-lab/src/scenario/mod.rs
@@ -1,23 +1,23 @@
 //! How each kind of experiment is run: what is started, loaded, broken and measured, in which order.
 
 mod chain;
+mod client_connections;
 mod context;
 mod control_cost;
 mod depth;
 mod failures;
-mod findings;
 mod fleet;
 mod fleet_restart;
-mod held;
 mod latency;
 mod memory;
+mod metric_table;
 mod outage;
+mod outcome;
 mod propagation;
-mod series;
-mod single;
+mod single_sidecar;
 
 pub use context::RunContext;
-pub use findings::{Findings, ScenarioError};
+pub use outcome::{ScenarioError, ScenarioOutcome};
 
 use crate::experiment::{Experiment, Measurement};
 use crate::report::ExperimentReport;
@@ -33,7 +33,7 @@
 ) -> Result<ExperimentReport, ScenarioError> {
     let started = Instant::now();
     let seed = experiment.seed;
-    let findings = match &experiment.measure {
+    let outcome = match &experiment.measure {
         Measurement::AddedLatency(plan) => latency::run(plan, seed, context),
         Measurement::AddedLatencyByDepth(plan) => depth::run_latency(plan, seed, context),
         Measurement::RetryAmplification(plan) => depth::run_amplification(plan, seed, context),
@@ -48,7 +48,7 @@
         experiment: experiment.name.clone(),
         seed,
         seconds: started.elapsed().as_secs_f64(),
-        metrics: findings.metrics,
-        problems: findings.problems,
+        metrics: outcome.metrics,
+        problems: outcome.problems,
     })
 }
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -1,34 +1,34 @@
 //! Time until the list is current everywhere after discovery was down, by fleet size.
 
-use super::findings::{Findings, ScenarioError};
 use super::fleet::{
-    FleetPlan, KnownEndpoints, RunningFleet, add_convergence_times, add_discovery_calls,
+    CachedList, FleetPlan, RunningFleet, add_convergence_times, add_discovery_calls,
 };
-use super::series::Series;
+use super::metric_table::MetricTable;
+use super::outcome::{ScenarioError, ScenarioOutcome};
 use crate::experiment::Outage;
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// The shares of a fleet whose arrival is reported.
-const SHARES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
+const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
 
-pub(super) fn run(plan: &Outage, seed: u64) -> Result<Findings, ScenarioError> {
-    let mut series = Series::over("sidecars");
+pub(super) fn run(plan: &Outage, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
+    let mut table = MetricTable::over("sidecars");
     for &size in &plan.fleet.sizes {
-        let fleet = FleetPlan::new(&plan.fleet, size, KnownEndpoints::All, seed).start()?;
-        measure(plan, &fleet, &mut series);
+        let fleet = FleetPlan::new(&plan.fleet, size, CachedList::All, seed).start()?;
+        measure(plan, &fleet, &mut table);
     }
-    Ok(Findings {
-        metrics: series.with_slopes(),
+    Ok(ScenarioOutcome {
+        metrics: table.with_slopes(),
         problems: Vec::new(),
     })
 }
 
 /// Has discovery go down, publishes a change meanwhile, and waits until all have it after discovery's return.
-fn measure(plan: &Outage, fleet: &RunningFleet, series: &mut Series) {
+fn measure(plan: &Outage, fleet: &RunningFleet, table: &mut MetricTable) {
     let size = fleet.size as f64;
     let half_of_outage = Duration::from_secs_f64(plan.outage_seconds / 2.0);
-    let longest = Duration::from_secs_f64(plan.longest_seconds);
+    let timeout = Duration::from_secs_f64(plan.longest_seconds);
     fleet.discovery.begin_outage();
     thread::sleep(half_of_outage);
     let version = fleet.publish_change(0);
@@ -37,19 +37,19 @@
     let before = fleet.discovery.usage();
     let returned = Instant::now();
     fleet.discovery.end_outage();
-    let times = fleet.sidecars.wait_for_version(version, returned, longest);
+    let times = fleet.sidecars.wait_for_version(version, returned, timeout);
     let after = fleet.discovery.usage();
 
     add_convergence_times(
-        series,
+        table,
         "list current after the outage",
-        &SHARES,
+        &QUANTILES,
         size,
         &times,
-        longest,
+        timeout,
     );
-    add_discovery_calls(series, "until the last is current", size, &before, &after);
-    series.add(
+    add_discovery_calls(table, "until the last is current", size, &before, &after);
+    table.add(
         "longest queue until the last is current",
         "calls",
         size,
--- a/fleet-lab/src/scenario/findings.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -1,13 +1,13 @@
 //! What an experiment has found, or why it could not be run.
 
-use crate::report::Figure;
+use crate::report::Metric;
 use std::io;
 
 /// What an experiment has found.
 #[derive(Clone, Debug, Default)]
-pub struct Findings {
+pub struct ScenarioOutcome {
     /// Its figures.
-    pub metrics: Vec<Figure>,
+    pub metrics: Vec<Metric>,
     /// What went wrong without ending it.
     pub problems: Vec<String>,
 }
--- a/fleet-lab/src/scenario/propagation.rs
+++ b/fleet-lab/src/scenario/propagation.rs
@@ -1,8 +1,8 @@
 //! Time until a change is known everywhere, and what it costs discovery, by fleet size.
 
-use super::findings::{Findings, ScenarioError};
-use super::fleet::{FleetPlan, KnownEndpoints, RunningFleet, add_convergence_times, merge};
-use super::series::Series;
+use super::fleet::{CachedList, FleetPlan, RunningFleet, add_convergence_times, merge};
+use super::metric_table::MetricTable;
+use super::outcome::{ScenarioError, ScenarioOutcome};
 use crate::discovery::DiscoveryUsage;
 use crate::experiment::Propagation;
 use crate::sidecar::simulated::ConvergenceTimes;
@@ -12,23 +12,23 @@
 /// How long discovery is measured while nothing changes: three of its heartbeats.
 const IDLE_MEASUREMENT: Duration = Duration::from_secs(6);
 /// The shares of a fleet whose arrival is reported.
-const SHARES: [(&str, f64); 3] = [("half", 0.5), ("99 in 100", 0.99), ("last", 1.0)];
+const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("99 in 100", 0.99), ("last", 1.0)];
 
-pub(super) fn run(plan: &Propagation, seed: u64) -> Result<Findings, ScenarioError> {
-    let mut series = Series::over("sidecars");
+pub(super) fn run(plan: &Propagation, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
+    let mut table = MetricTable::over("sidecars");
     for &size in &plan.fleet.sizes {
-        let fleet = FleetPlan::new(&plan.fleet, size, KnownEndpoints::All, seed).start()?;
-        measure_idle(&fleet, &mut series);
-        measure_changes(plan, &fleet, &mut series);
+        let fleet = FleetPlan::new(&plan.fleet, size, CachedList::All, seed).start()?;
+        measure_idle(&fleet, &mut table);
+        measure_changes(plan, &fleet, &mut table);
     }
-    Ok(Findings {
-        metrics: series.with_slopes(),
+    Ok(ScenarioOutcome {
+        metrics: table.with_slopes(),
         problems: Vec::new(),
     })
 }
 
 /// Bytes and processor time of discovery's watches while nothing changes.
-fn measure_idle(fleet: &RunningFleet, series: &mut Series) {
+fn measure_idle(fleet: &RunningFleet, table: &mut MetricTable) {
     let started = Instant::now();
     let before = fleet.discovery.usage();
     thread::sleep(IDLE_MEASUREMENT);
@@ -36,8 +36,8 @@
     let watch_seconds = fleet.size as f64 * started.elapsed().as_secs_f64();
     let size = fleet.size as f64;
     let bytes = (after.bytes_written - before.bytes_written) as f64;
-    series.add("idle bytes", "bytes/s a watch", size, bytes / watch_seconds);
-    series.add(
+    table.add("idle bytes", "bytes/s a watch", size, bytes / watch_seconds);
+    table.add(
         "idle processor time of discovery",
         "us/s a watch",
         size,
@@ -46,8 +46,8 @@
 }
 
 /// Publishes the changes one after another, each once the one before is known everywhere.
-fn measure_changes(plan: &Propagation, fleet: &RunningFleet, series: &mut Series) {
-    let longest = Duration::from_secs_f64(plan.longest_seconds);
+fn measure_changes(plan: &Propagation, fleet: &RunningFleet, table: &mut MetricTable) {
+    let timeout = Duration::from_secs_f64(plan.longest_seconds);
     let mut times = ConvergenceTimes::default();
     let before = fleet.discovery.usage();
     for number in 0..plan.changes {
@@ -55,19 +55,19 @@
         let version = fleet.publish_change(number);
         merge(
             &mut times,
-            fleet.sidecars.wait_for_version(version, published, longest),
+            fleet.sidecars.wait_for_version(version, published, timeout),
         );
     }
     let after = fleet.discovery.usage();
     add_convergence_times(
-        series,
+        table,
         "change known",
-        &SHARES,
+        &QUANTILES,
         fleet.size as f64,
         &times,
-        longest,
+        timeout,
     );
-    record_cost(plan.changes, fleet, &before, &after, series);
+    record_cost(plan.changes, fleet, &before, &after, table);
 }
 
 fn record_cost(
@@ -75,20 +75,20 @@
     fleet: &RunningFleet,
     before: &DiscoveryUsage,
     after: &DiscoveryUsage,
-    series: &mut Series,
+    table: &mut MetricTable,
 ) {
     let size = fleet.size as f64;
     let deliveries = size * f64::from(changes);
     let bytes = after.bytes_written - before.bytes_written;
     let heartbeat_bytes = after.heartbeat_bytes - before.heartbeat_bytes;
     let change_bytes = (bytes - heartbeat_bytes) as f64;
-    series.add(
+    table.add(
         "bytes of a change",
         "bytes a watch",
         size,
         change_bytes / deliveries,
     );
-    series.add(
+    table.add(
         "processor time of discovery for a change",
         "us a watch",
         size,
--- a/fleet-lab/src/scenario/single.rs
+++ b/fleet-lab/src/scenario/single_sidecar.rs
@@ -1,7 +1,7 @@
 //! What experiments with one real sidecar share: its endpoints, a discovery service that lists them, and the sidecar.
 
 use super::context::RunContext;
-use super::findings::ScenarioError;
+use super::outcome::ScenarioError;
 use crate::caller::TargetResult;
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry};
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
@@ -22,7 +22,7 @@
 /// Threads that serve the endpoints.
 const ENDPOINT_THREADS: usize = 2;
 /// How long a sidecar may take until it is ready.
-const LONGEST_START: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Descriptors that a sidecar may hold.
 const SIDECAR_DESCRIPTORS: u32 = 4_096;
 /// Memory that a sidecar may take up, in MB.
@@ -32,7 +32,7 @@
 pub(super) const CALLER_DEADLINE: Duration = Duration::from_secs(1);
 
 /// What differs between experiments with one sidecar.
-pub(super) struct SingleOptions<'a> {
+pub(super) struct SingleSidecarOptions<'a> {
     /// Endpoints that are listed.
     pub(super) endpoints: u32,
     /// How they behave.
@@ -47,7 +47,7 @@
 
 /// One sidecar that is ready, with all around it. It is told that each endpoint has a sidecar of its own, so that it
 /// uses as small a subset of the endpoints as one of a fleet does.
-pub(super) struct Single {
+pub(super) struct SingleSidecar {
     pub(super) sidecar: SidecarProcess,
     pub(super) configuration: SidecarConfiguration,
     pub(super) discovery: DiscoveryServer,
@@ -55,10 +55,10 @@
     host: EndpointHost,
 }
 
-impl Single {
+impl SingleSidecar {
     /// Starts everything and waits until the sidecar is ready.
     pub(super) fn start(
-        options: &SingleOptions<'_>,
+        options: &SingleSidecarOptions<'_>,
         context: &RunContext,
     ) -> Result<Self, ScenarioError> {
         let host = start_host(options.seed)?;
@@ -68,7 +68,7 @@
             })
             .collect::<Result<Vec<_>, _>>()?;
         let discovery = start_discovery(&endpoints)?;
-        let place = Place {
+        let place = TierPosition {
             tier: 0,
             tiers: 1,
             number: 0,
@@ -78,7 +78,7 @@
         configuration.health_checks = options.health_checks;
         let sidecar = start_sidecar(&configuration, context)?;
         wait_until_ready(&sidecar)?;
-        Ok(Single {
+        Ok(SingleSidecar {
             sidecar,
             configuration,
             discovery,
@@ -88,7 +88,7 @@
     }
 
     /// Starts an endpoint that discovery does not list.
-    pub(super) fn add_unlisted(
+    pub(super) fn start_unlisted_endpoint(
         &self,
         options: &EndpointOptions,
     ) -> Result<SocketAddr, ScenarioError> {
@@ -105,9 +105,9 @@
     }
 
     /// One figure of the sidecar.
-    pub(super) fn figure(&self, name: &str) -> Result<u64, ScenarioError> {
+    pub(super) fn metric(&self, name: &str) -> Result<u64, ScenarioError> {
         let missing = || ScenarioError::NotReached(format!("the sidecar tells no figure {name}"));
-        self.sidecar.figure(name).ok_or_else(missing)
+        self.sidecar.metric(name).ok_or_else(missing)
     }
 
     /// Connections that were opened to listed endpoints.
@@ -129,7 +129,7 @@
 
 /// A sidecar's place in a chain of tiers.
 #[derive(Clone, Copy)]
-pub(super) struct Place {
+pub(super) struct TierPosition {
     /// The tier that it sends into.
     pub(super) tier: u32,
     /// Tiers of the chain.
@@ -180,7 +180,7 @@
 /// The configuration of a sidecar that knows the whole list.
 pub(super) fn configuration(
     discovery: &DiscoveryServer,
-    place: Place,
+    place: TierPosition,
     deadline: Duration,
     seed: u64,
 ) -> SidecarConfiguration {
@@ -222,9 +222,9 @@
 /// Waits until a sidecar is ready.
 pub(super) fn wait_until_ready(sidecar: &SidecarProcess) -> Result<(), ScenarioError> {
     let late =
-        || ScenarioError::NotReached(format!("a sidecar was not ready after {LONGEST_START:?}"));
+        || ScenarioError::NotReached(format!("a sidecar was not ready after {START_TIMEOUT:?}"));
     sidecar
-        .wait_until_ready(LONGEST_START)
+        .wait_until_ready(START_TIMEOUT)
         .map(drop)
         .ok_or_else(late)
 }
@@ -235,7 +235,7 @@
 }
 
 /// Tells of calls of a measurement that were not served.
-pub(super) fn unserved(what: &str, result: &TargetResult) -> Option<String> {
+pub(super) fn describe_unserved(what: &str, result: &TargetResult) -> Option<String> {
     let TargetResult {
         sent,
         served,
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -99,11 +99,11 @@
 
     /// One figure of `STATS`, without its `app_` prefix, if it has it.
     #[must_use]
-    pub fn figure(&self, name: &str) -> Option<u64> {
+    pub fn metric(&self, name: &str) -> Option<u64> {
         let answer = call(self.admin_address(), "STATS\n").ok()?;
         let value = answer.lines().find_map(|line| {
-            let figure = line.strip_prefix("app_")?;
-            figure.strip_prefix(name)?.strip_prefix(' ')
+            let metric = line.strip_prefix("app_")?;
+            metric.strip_prefix(name)?.strip_prefix(' ')
         })?;
         value.parse().ok()
     }
@@ -153,16 +153,16 @@
     }
 
     fn reloads(&self) -> io::Result<Reloads> {
-        let figure = |name: &str| {
+        let metric = |name: &str| {
             let missing = || {
                 self.child
                     .failure(io::ErrorKind::NotConnected, "the figures could not be read")
             };
-            self.figure(name).ok_or_else(missing)
+            self.metric(name).ok_or_else(missing)
         };
         Ok(Reloads {
-            taken: figure("config_reloads")?,
-            turned_down: figure("config_reload_errors")?,
+            taken: metric("config_reloads")?,
+            turned_down: metric("config_reload_errors")?,
         })
     }
 }
--- a/fleet-lab/tests/report.rs
+++ b/fleet-lab/tests/report.rs
@@ -1,7 +1,7 @@
 //! Reports: their Markdown, and their files.
 
 use fleet_lab::measure::{Point, Slope};
-use fleet_lab::report::{ExperimentReport, Figure, Report};
+use fleet_lab::report::{ExperimentReport, Metric, Report};
 use std::fs;
 
 const MARKDOWN: &str = "\
@@ -39,8 +39,8 @@
 - of 10 requests 9 were open at once
 ";
 
-fn figure(name: &str, unit: &str, size_unit: &str, points: &[(f64, f64)]) -> Figure {
-    Figure {
+fn metric(name: &str, unit: &str, size_unit: &str, points: &[(f64, f64)]) -> Metric {
+    Metric {
         name: name.into(),
         unit: unit.into(),
         size_unit: size_unit.into(),
@@ -63,10 +63,10 @@
         unexplained: 0.001_234,
         largest_residual: 0.0,
     };
-    let memory = Figure {
+    let memory = Metric {
         slope: Some(slope),
         note: Some("Anonymous memory.".into()),
-        ..figure(
+        ..metric(
             "memory by endpoints",
             "bytes",
             "endpoints",
@@ -82,7 +82,7 @@
             seconds: 12.345,
             metrics: vec![
                 memory,
-                figure("probes a call", "1", "calls/s", &[(72.0, 0.012_345)]),
+                metric("probes a call", "1", "calls/s", &[(72.0, 0.012_345)]),
             ],
             problems: vec!["of 10 requests 9 were open at once".into()],
         }],
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -154,9 +154,9 @@
     assert_ne!(sidecar.address(), sidecar.admin_address());
 
     assert_eq!(ask(sidecar.address()), "HTTP/1.1 200 OK");
-    assert_eq!(sidecar.figure("completed{lane=\"browse\"}"), Some(1));
-    assert_eq!(sidecar.figure("members"), Some(1));
-    assert_eq!(sidecar.figure("no_such_figure"), None);
+    assert_eq!(sidecar.metric("completed{lane=\"browse\"}"), Some(1));
+    assert_eq!(sidecar.metric("members"), Some(1));
+    assert_eq!(sidecar.metric("no_such_figure"), None);
 
     let usage = sidecar.usage().expect("it runs");
     assert!(usage.processor_time > Duration::ZERO);
@@ -176,9 +176,9 @@
     let mut second = first.clone();
     second.classes.push(class("search", false));
     sidecar.reload(&second).expect("it is taken");
-    assert_eq!(sidecar.figure("completed{lane=\"search\"}"), Some(0));
+    assert_eq!(sidecar.metric("completed{lane=\"search\"}"), Some(0));
     sidecar.reload(&first).expect("it is taken");
-    assert_eq!(sidecar.figure("config_reloads"), Some(2));
+    assert_eq!(sidecar.metric("config_reloads"), Some(2));
 
     let mut without_classes = first;
     without_classes.classes.clear();
@@ -186,7 +186,7 @@
         .reload(&without_classes)
         .expect_err("no instance can work with it");
     assert!(refusal.to_string().contains("turned down"), "{refusal}");
-    assert_eq!(sidecar.figure("config_reloads"), Some(2));
+    assert_eq!(sidecar.metric("config_reloads"), Some(2));
     sidecar.terminate();
 }
 
--- a/fleet-lab/tests/small_run.rs
+++ b/fleet-lab/tests/small_run.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use fleet_lab::experiment::Experiment;
-use fleet_lab::report::{ExperimentReport, Figure};
+use fleet_lab::report::{ExperimentReport, Metric};
 use fleet_lab::scenario::{self, RunContext};
 use std::path::Path;
 
@@ -26,8 +26,8 @@
             "change known: last",
         ],
     );
-    for figure in &report.metrics {
-        assert_eq!(sizes(figure), [40.0], "{}", figure.name);
+    for metric in &report.metrics {
+        assert_eq!(sizes(metric), [40.0], "{}", metric.name);
     }
     // A heartbeat is an empty line, a change at least the endpoint's name.
     assert!(values(&report, "idle bytes").all(|bytes| bytes > 0.0));
@@ -44,8 +44,8 @@
         &["half", "9 in 10", "last", "missing"],
     );
     assert_none_missing(&report);
-    for figure in &report.metrics {
-        assert_eq!(sizes(figure), [40.0], "{}", figure.name);
+    for metric in &report.metrics {
+        assert_eq!(sizes(metric), [40.0], "{}", metric.name);
     }
     let watches = values(&report, "watches opened until the last is current");
     let connections = values(&report, "connections until the last is current");
@@ -73,14 +73,14 @@
             "{missing} of {sidecars}"
         );
     }
-    let last = figure(&report, "list current after the outage: last");
+    let last = metric(&report, "list current after the outage: last");
     assert!(
         last.points.iter().all(|point| point.value == 500.0),
         "{last:?}"
     );
     assert!(last.slope.is_none() && last.note.is_some(), "{last:?}");
     assert!(
-        figure(&report, "list current after the outage: missing")
+        metric(&report, "list current after the outage: missing")
             .slope
             .is_some()
     );
@@ -98,8 +98,8 @@
         assert_names(&report, what, &["half", "9 in 10", "last", "missing"]);
     }
     assert_none_missing(&report);
-    for figure in &report.metrics {
-        assert_eq!(sizes(figure), [20.0, 40.0], "{}", figure.name);
+    for metric in &report.metrics {
+        assert_eq!(sizes(metric), [20.0, 40.0], "{}", metric.name);
     }
     for label in ["endpoints known", "none known"] {
         let watches = values(&report, &format!("watches opened until all watch, {label}"));
@@ -114,7 +114,7 @@
     let faults: Vec<f64> = (0..=5).map(f64::from).collect();
     let calls: Vec<f64> = values(&report, "calls").collect();
     let unserved: Vec<f64> = values(&report, "calls not served").collect();
-    assert_eq!(sizes(figure(&report, "calls")), faults);
+    assert_eq!(sizes(metric(&report, "calls")), faults);
     assert!(calls.iter().all(|calls| *calls > 0.0), "{calls:?}");
     assert!(
         calls
@@ -125,11 +125,11 @@
     );
     assert!(values(&report, "attempts").all(|attempts| attempts > 0.0));
     assert_eq!(
-        sizes(figure(&report, "list current after the fault's end: last")),
+        sizes(metric(&report, "list current after the fault's end: last")),
         faults[1..]
     );
     assert_none_missing(&report);
-    let note = figure(&report, "calls").note.as_deref().unwrap_or_default();
+    let note = metric(&report, "calls").note.as_deref().unwrap_or_default();
     for description in [
         "0: none",
         "1: 2 machines vanish",
@@ -144,8 +144,8 @@
 fn calls_go_through_a_real_sidecar() {
     let report = run("added-latency");
 
-    for figure in &report.metrics {
-        assert_eq!(sizes(figure), [20.0, 50.0], "{}", figure.name);
+    for metric in &report.metrics {
+        assert_eq!(sizes(metric), [20.0, 50.0], "{}", metric.name);
     }
     for pair in [
         ["straight p50", "straight p99"],
@@ -174,7 +174,7 @@
 
 /// The figures about `what` are these, in this order.
 fn assert_names(report: &ExperimentReport, what: &str, labels: &[&str]) {
-    let names = report.metrics.iter().map(|figure| figure.name.as_str());
+    let names = report.metrics.iter().map(|metric| metric.name.as_str());
     let about: Vec<&str> = names
         .filter_map(|name| name.strip_prefix(what)?.strip_prefix(": "))
         .collect();
@@ -182,16 +182,16 @@
 }
 
 fn assert_none_missing(report: &ExperimentReport) {
-    let missing: Vec<&Figure> = report
+    let missing: Vec<&Metric> = report
         .metrics
         .iter()
-        .filter(|figure| figure.name.ends_with(": missing"))
+        .filter(|metric| metric.name.ends_with(": missing"))
         .collect();
     assert!(!missing.is_empty());
-    for figure in missing {
+    for metric in missing {
         assert!(
-            figure.points.iter().all(|point| point.value == 0.0),
-            "{figure:?}"
+            metric.points.iter().all(|point| point.value == 0.0),
+            "{metric:?}"
         );
     }
 }
@@ -206,15 +206,15 @@
     }
 }
 
-fn figure<'a>(report: &'a ExperimentReport, name: &str) -> &'a Figure {
-    let found = report.metrics.iter().find(|figure| figure.name == name);
+fn metric<'a>(report: &'a ExperimentReport, name: &str) -> &'a Metric {
+    let found = report.metrics.iter().find(|metric| metric.name == name);
     found.unwrap_or_else(|| panic!("no figure {name:?}"))
 }
 
-fn sizes(figure: &Figure) -> Vec<f64> {
-    figure.points.iter().map(|point| point.size).collect()
+fn sizes(metric: &Metric) -> Vec<f64> {
+    metric.points.iter().map(|point| point.size).collect()
 }
 
 fn values<'a>(report: &'a ExperimentReport, name: &str) -> impl Iterator<Item = f64> + 'a {
-    figure(report, name).points.iter().map(|point| point.value)
+    metric(report, name).points.iter().map(|point| point.value)
 }
