--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -3,13 +3,13 @@
 
 mod metrics;
 
-pub(super) use metrics::{add_arrivals, add_discovery_calls, merge};
+pub(super) use metrics::{add_convergence_times, add_discovery_calls, merge};
 
-use super::findings::ScenarioError;
+use super::outcome::ScenarioError;
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use crate::experiment::{DiscoveryCapacity, Fleet};
 use crate::sidecar::configuration::{RequestClass, SidecarConfiguration};
-use crate::sidecar::hollow::{HollowFleet, HollowLoad, HollowSecond};
+use crate::sidecar::simulated::{SecondCounts, SimulatedFleet, SimulatedLoad};
 use crate::topology::ZoneName;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 /// Time between the empty lines of an idle watch, as the protocol page has it.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Past changes that discovery remembers: more than any experiment publishes.
-const REMEMBERED_CHANGES: usize = 1000;
+const RETAINED_CHANGES: usize = 1000;
 /// Threads that drive a fleet.
 const FLEET_THREADS: usize = 2;
 /// Mean time that an endpoint takes for a call.
@@ -38,7 +38,7 @@
 /// that it does not take minutes to start a fleet.
 const START_CALLS_PER_SECOND: f64 = 1000.0;
 /// How long a start may take.
-const START_PATIENCE: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Port of all endpoints. Nobody listens there: hollow sidecars answer their calls in memory.
 const ENDPOINT_PORT: u16 = 7070;
 /// The weight of an endpoint, and the one that a change gives it.
@@ -47,7 +47,7 @@
 
 /// Whether sidecars have endpoints in their configuration before discovery has told them any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum KnownEndpoints {
+pub(super) enum CachedList {
     /// The list as it stood at the start.
     All,
     /// None.
@@ -64,7 +64,7 @@
     /// The zone of each sidecar.
     pub sidecar_zones: Vec<ZoneName>,
     /// What the sidecars' configurations hold of the list.
-    pub known: KnownEndpoints,
+    pub known: CachedList,
     /// Mean calls a second of each sidecar.
     pub calls_per_second: f64,
     /// Whether lists are pushed, or watched through calls that the decision module asks for.
@@ -77,7 +77,7 @@
 
 impl FleetPlan {
     /// A fleet of so many sidecars, spread over the zones as its endpoints are.
-    pub fn new(fleet: &Fleet, sidecars: u32, known: KnownEndpoints, seed: u64) -> Self {
+    pub fn new(fleet: &Fleet, sidecars: u32, known: CachedList, seed: u64) -> Self {
         let zones = ZONES.map(ZoneName::from).to_vec();
         let zone_of = |number: u32| zones[number as usize % zones.len()].clone();
         FleetPlan {
@@ -106,18 +106,18 @@
         )
         .map_err(ScenarioError::step("starting discovery"))?;
         let started = Instant::now();
-        let load = HollowLoad {
+        let load = SimulatedLoad {
             calls_per_second: self.calls_per_second,
             mean_service_time: MEAN_SERVICE_TIME,
         };
-        let sidecars = HollowFleet::start_with_rates(
+        let sidecars = SimulatedFleet::start_with_rates(
             self.configurations(&discovery),
             load,
             rate_multiple,
             FLEET_THREADS,
         )
         .map_err(ScenarioError::step("starting the hollow sidecars"))?;
-        let watching = sidecars.wait_until_watching(started, START_PATIENCE);
+        let watching = sidecars.wait_until_watching(started, START_TIMEOUT);
         let size = self.sidecar_zones.len();
         if watching.missing > 0 {
             let problem = format!(
@@ -139,16 +139,16 @@
     fn discovery_options(&self) -> DiscoveryOptions {
         DiscoveryOptions {
             calls_per_second: START_CALLS_PER_SECOND,
-            longest_wait: Duration::from_secs_f64(self.capacity.longest_wait_seconds),
+            queue_timeout: Duration::from_secs_f64(self.capacity.longest_wait_seconds),
             heartbeat: HEARTBEAT,
-            remembered_changes: REMEMBERED_CHANGES,
+            retained_changes: RETAINED_CHANGES,
         }
     }
 
     fn configurations(&self, discovery: &DiscoveryServer) -> Vec<SidecarConfiguration> {
         let known = match self.known {
-            KnownEndpoints::All => Some(discovery.snapshot()),
-            KnownEndpoints::None => None,
+            CachedList::All => Some(discovery.snapshot()),
+            CachedList::None => None,
         };
         (0..)
             .zip(&self.sidecar_zones)
@@ -176,7 +176,7 @@
 /// A fleet at work. The sidecars end before discovery does.
 pub(super) struct RunningFleet {
     /// The sidecars.
-    pub sidecars: HollowFleet,
+    pub sidecars: SimulatedFleet,
     /// What they watch.
     pub discovery: DiscoveryServer,
     /// How many sidecars there are.
@@ -202,7 +202,7 @@
     }
 
     /// The timeline from this second on, up to the present one, which is not over yet.
-    pub fn seconds_since(&self, from: usize) -> Vec<HollowSecond> {
+    pub fn seconds_since(&self, from: usize) -> Vec<SecondCounts> {
         let mut seconds = self.sidecars.timeline();
         seconds.pop();
         seconds.split_off(from.min(seconds.len()))
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -34,16 +34,16 @@
             // An agent that pushes is followed unasked.
             Action::Subscribe | Action::Unsubscribe
                 if self.settings.current().discovery == DiscoveryMode::Pushed => {}
-            Action::Unsubscribe => self.watches.end(),
+            Action::Unsubscribe => self.subscription.unfollow(),
             Action::Subscribe => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if !self.watches.is_followed() {
+                if !self.subscription.is_followed() {
                     self.begin_watch(handle);
                 }
             }
             Action::FetchList => drop(spawn_local(discovery::fetch(
                 handle.clone(),
-                self.watches.source(),
+                self.subscription.source(),
             ))),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
             Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -6,8 +6,7 @@
 use crate::sidecar::clock::Clock;
 use crate::sidecar::descriptors::Side;
 use crate::sidecar::endpoint::{
-    AttemptOrder, AttemptResult, DialPermit, EndpointConnection, EndpointHost, SweepSchedule,
-    Target,
+    AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, SweepTask, Target,
 };
 use crate::sidecar::memory::MemoryBudget;
 use std::time::Duration;
@@ -23,24 +22,25 @@
         self.borrow().settings.current().limits.connect_timeout
     }
 
-    fn answer_memory(&self) -> MemoryBudget {
+    fn response_memory(&self) -> MemoryBudget {
         self.borrow().answer_memory.clone()
     }
 
-    fn descriptors_are_spent(&self) -> bool {
-        self.borrow().descriptors.are_spent()
+    fn descriptors_exhausted(&self) -> bool {
+        self.borrow().descriptors.is_exhausted()
     }
 
-    fn dial_permit(&self) -> Option<DialPermit> {
+    fn connect_permit(&self) -> Option<ConnectPermit> {
         let mut node = self.borrow();
-        if node.descriptors.are_spent() && !node.pool.close_oldest() && !node.callers.evict_one() {
+        if node.descriptors.is_exhausted() && !node.pool.close_oldest() && !node.callers.evict_one()
+        {
             return None;
         }
         node.counters.connects += 1;
         let descriptor = node.descriptors.permit(Side::Endpoints);
-        Some(DialPermit {
+        Some(ConnectPermit {
             descriptor,
-            attempts: node.metrics.attempts.clone(),
+            attempts_written: node.metrics.attempts.clone(),
         })
     }
 
@@ -53,60 +53,60 @@
         if !node.takes_work(target) {
             return;
         }
-        if node.pool.put_back(&target.endpoint, connection) == SweepSchedule::Needed {
+        if node.pool.put(&target.endpoint, connection) == SweepTask::Needed {
             spawn_local(sweep_pool(self.clone()));
         }
     }
 
-    fn may_write(&self, order: &AttemptOrder) -> bool {
+    fn may_write(&self, spec: &AttemptSpec) -> bool {
         let node = self.borrow();
-        let Some(open) = node.open.get(&order.request) else {
+        let Some(open) = node.open.get(&spec.request) else {
             return false;
         };
-        let is_in_time = node.clock.now() < order.until;
+        let is_in_time = node.clock.now() < spec.deadline;
         open.is_unanswered()
-            && open.is_in_flight(order.attempt)
-            && node.takes_work(&order.target)
+            && open.is_in_flight(spec.attempt)
+            && node.takes_work(&spec.target)
             && is_in_time
     }
 
     /// The first attempt served is the request's answer.
-    fn attempt_ended(&self, order: &AttemptOrder, result: AttemptResult) {
+    fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult) {
         let mut guard = self.borrow();
         let node = &mut *guard;
-        let Some(open) = node.open.get_mut(&order.request) else {
+        let Some(open) = node.open.get_mut(&spec.request) else {
             return;
         };
-        let Some(sent) = open.end_attempt(order.attempt) else {
+        let Some(sent) = open.end_attempt(spec.attempt) else {
             return; // cancelled, and the module knows
         };
         // It ran from when the endpoint had all of it.
-        let whole_at = order
+        let completed_at = spec
             .forwarded
             .upload
             .as_ref()
-            .and_then(|upload| upload.whole_at());
-        let whole_at = whole_at.map(|instant| node.clock.timestamp(instant));
-        let sent = whole_at.map_or(sent, |at| at.max(sent));
+            .and_then(|upload| upload.completed_at());
+        let completed_at = completed_at.map(|instant| node.clock.timestamp(instant));
+        let sent = completed_at.map_or(sent, |at| at.max(sent));
         open.has_timed_out = result.outcome == Outcome::TimedOut;
-        if let Some(answer) = result.answer {
-            node.answer(&order.request, FinalAnswer::Served(answer));
+        if let Some(response) = result.response {
+            node.answer(&spec.request, FinalAnswer::Served(response));
         }
         let event = node.attempt_end(
-            &order.request,
-            order.attempt,
+            &spec.request,
+            spec.attempt,
             sent,
             result.outcome,
             result.report,
         );
         drop(guard);
-        if order.forwarded.is_consumed() {
+        if spec.forwarded.is_consumed() {
             self.handle(Event::BodyConsumed {
-                request: order.request.clone(),
+                request: spec.request.clone(),
             });
         }
         self.handle(event);
-        self.borrow().forget_if_over(&order.request);
+        self.borrow().forget_if_over(&spec.request);
     }
 
     fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
@@ -117,7 +117,8 @@
         node.counters.health_checks += 1;
         node.counters.reports += u64::from(report.is_some());
         if node
-            .membership
+            .subscription
+            .membership()
             .get(&target.endpoint)
             .is_none_or(|m| m.started_at != target.started_at)
         {
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -5,8 +5,8 @@
 use super::request::parse_request;
 use super::request_error::RequestError;
 use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
-use crate::sidecar::body::{MAX_KEPT, ReceivedBody, Upload, receive_body};
-use crate::sidecar::endpoint::{ForwardedRequest, end_to_end};
+use crate::sidecar::body::{ReceivedRequestBody, Upload, buffer_size, receive_request_body};
+use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
 use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected, SettingsInForce};
@@ -79,7 +79,7 @@
         return Ok(caller.reject_early());
     };
     let is_chunked = caller.state.is_last_request.get();
-    let received = receive_body(body, begun).await?;
+    let received = receive_request_body(body, begun).await?;
     if received.upload.is_none() {
         count.set_whole();
     }
@@ -102,11 +102,9 @@
     Ok(pending.reply(answer))
 }
 
-/// Room for as much of a body as it declares, or as may be kept.
+/// Reserves the memory that buffering a body can take.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
-    let length = body.size_hint().exact();
-    let most = length.map_or(MAX_KEPT, |length| length.min(MAX_KEPT as u64) as usize);
-    node.borrow().request_memory.reserve(most)
+    node.borrow().request_memory.reserve(buffer_size(body))
 }
 
 impl ParsedRequest {
@@ -129,7 +127,7 @@
     fn forwarded(
         &self,
         head: Parts,
-        body: ReceivedBody,
+        body: ReceivedRequestBody,
         memory: MemoryReservation,
     ) -> ForwardedRequest {
         ForwardedRequest {
@@ -139,8 +137,8 @@
                 .into_parts()
                 .path_and_query
                 .unwrap_or(PathAndQuery::from_static("/api")),
-            headers: end_to_end(&head.headers),
-            body: body.kept,
+            headers: end_to_end_headers(&head.headers),
+            body: body.buffered,
             upload: body.upload,
             is_repeatable: self.class().idempotency != Idempotency::Unsafe,
             _memory: memory,
@@ -202,9 +200,9 @@
     ) -> Result<Option<Result<FinalAnswer, RecvError>>, RequestError> {
         // Answered before it has come whole, the connection ends with the answer.
         caller.state.is_last_request.set(true);
-        let answer = pin!(upload.within(self.after_upload, answer));
+        let answer = pin!(upload.timeout(self.after_upload, answer));
         let failed = async {
-            if let Err(error) = upload.end().await {
+            if let Err(error) = upload.wait_until_finished().await {
                 return error;
             }
             caller.state.is_last_request.set(self.is_chunked);
