--- a/tests/sidecar/admin.rs
+++ b/tests/sidecar/admin.rs
@@ -235,7 +235,7 @@
 #[test]
 fn without_a_second_address_none_is_opened() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (plain, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (plain, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let (called, _other) = Sidecar::start_with_admin(&[&endpoint]);
     assert_eq!(plain.client().exchange(&get_request("2")).status(), 200);
     assert_eq!(called.client().exchange(&get_request("2")).status(), 200);
--- a/tests/sidecar/callers.rs
+++ b/tests/sidecar/callers.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_body_whose_length_is_not_clear_is_turned_down() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let hidden = get_request("5");
     for lines in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -78,7 +78,7 @@
 #[test]
 fn what_does_not_end_is_ended() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let texts = [
         (
             "GET /api HTTP/1.1\r\nX-Half: 1\r\n".to_string(),
@@ -125,7 +125,7 @@
 #[test]
 fn an_early_answer_can_be_read() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let body = "x".repeat(60_000_000);
     for (text, start) in [
         (
@@ -150,7 +150,7 @@
 #[test]
 fn ids_and_deadlines_have_a_bound() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     let long = "i".repeat(300);
     let with = |id: &str, line: &str| {
@@ -190,7 +190,7 @@
         let _ = released.lock().expect("the only one").recv();
         respond_ok("first")
     });
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let request = post_request("unsafe", "8", "x");
     let mut first = sidecar.client();
     first.write(&request);
--- a/tests/sidecar/endpoint_churn.rs
+++ b/tests/sidecar/endpoint_churn.rs
@@ -8,7 +8,7 @@
 #[test]
 fn endpoints_that_are_gone_leave_nothing_behind() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_watch();
     // A connection that stands idle while all that is read is closed after 15 s: on a busy machine it takes longer.
     let ask = |deadline: &str| sidecar.client().exchange(&get_request(deadline)).status();
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -12,7 +12,7 @@
     let changes = [Some("DRAINING"), Some("DELETED"), None];
     for change in changes {
         let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
-        let (sidecar, discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
+        let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut watch = discovery.next_watch();
         assert!(
             watch
@@ -42,7 +42,7 @@
 #[test]
 fn a_broken_line_fails_the_watch_and_the_next_goes_on_from_the_last_version() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_watch();
     watch.write_line(&list(57, true, &[entry("e0", endpoint.address, "SERVING")]));
     watch.write_line(r#"{"index":58,"snapshot":false,"endpoints":[{"name":"e0"}]}"#);
@@ -83,7 +83,7 @@
 #[test]
 fn a_silent_watch_is_asked_for_again() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (_sidecar, discovery) = Sidecar::start_over(&[&endpoint]);
+    let (_sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let _silent = discovery.next_watch();
     assert!(discovery.next_watch().request_line.contains("since=41 "));
 }
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -32,7 +32,7 @@
             Endpoint::start(move |_| EndpointAction::Respond(text.clone())),
             Endpoint::start(|_| EndpointAction::Respond(clear.into())),
         ];
-        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
+        let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
         for _ in 0..20 {
             client.exchange(&get_request("2")); // the module may refuse some: one of two is overloaded
@@ -65,7 +65,7 @@
     ] {
         let text = answer.to_string();
         let endpoint = Endpoint::start(move |_| EndpointAction::Respond(text.clone()));
-        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+        let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
         // Were it waited for, the answer would be 504 and not 502.
         let reply = sidecar.client().exchange(&post_request("unsafe", "5", "x"));
         let shown = &answer[..answer.len().min(90)];
@@ -99,7 +99,7 @@
                 _ => format!("{hints}{good}"),
             })
         });
-        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+        let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
         let mut client = sidecar.client();
         for _ in 1..9 {
             let reply = client.exchange(&get_request("5"));
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -39,7 +39,7 @@
         }
         respond_ok("late")
     });
-    let (mut sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (mut sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut idle = sidecar.client();
     assert_eq!(
         idle.exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
@@ -130,7 +130,7 @@
     let endpoint = Endpoint::start(|_| {
         EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
     });
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     assert_eq!(
         client.exchange(&post_request("unsafe", "2", "x")).status(),
@@ -200,7 +200,7 @@
             respond_ok("served")
         }
     });
-    let (mut sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (mut sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let (mut first, mut second) = (sidecar.client(), sidecar.client());
     assert_eq!(first.exchange(&get_request("2")).status(), 200);
     assert_eq!(second.exchange(&get_request("2")).status(), 200);
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn requests_and_answers_pass_unchanged() {
     let endpoint = Endpoint::start(|_| respond_ok("made by the endpoint"));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let answer = sidecar.client().exchange(
         "POST /api?copy=7&x=%20 HTTP/1.1\r\nHost: s\r\nX-Request-Id: r-1\r\nX-Class: keyed\r\nX-Deadline: 2.5\r\n\
          Idempotency-Key: k-1\r\nConnection: keep-alive, X-Private\r\nX-Private: 1\r\nContent-Length: 5\r\n\r\nhello",
@@ -42,7 +42,7 @@
 #[test]
 fn connections_are_used_again() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     for _ in 0..5 {
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
@@ -95,7 +95,7 @@
 fn a_connection_that_the_endpoint_closed_is_not_used() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenClose(answer.into()));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     for number in 0..5 {
         assert_eq!(
@@ -112,7 +112,7 @@
 fn an_unsafe_request_is_not_written_to_a_kept_connection() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenReset(answer.into()));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     for _ in 0..8 {
         assert_eq!(
@@ -160,7 +160,7 @@
     ] {
         let endpoints = [0, 1]
             .map(|_| Endpoint::start(move |_| EndpointAction::RespondThenClose(answer.into())));
-        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
+        let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let reply = sidecar.client().exchange(&post_request("unsafe", "2", "x"));
         assert_eq!(reply.status(), 502, "{answer}");
         assert_eq!(
@@ -194,7 +194,7 @@
                 }
             })
         });
-        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoints[0], &endpoints[1]]);
+        let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
         // The module grants a further attempt for so many requests.
         for _ in 0..10 {
@@ -268,7 +268,7 @@
 fn a_client_that_goes_ends_its_attempt() {
     for request in [get_request("10"), post_request("unsafe", "10", "x")] {
         let endpoint = Endpoint::start(|_| EndpointAction::Hang);
-        let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+        let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
         let mut client = sidecar.client();
         client.write(&request);
         let (number, _) = endpoint.next_request();
@@ -287,7 +287,7 @@
 #[test]
 fn a_hopeless_request_is_refused_with_advice() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let reply = sidecar
         .client()
         .exchange(&post_request("unsafe", "0.001", "x"));
@@ -303,7 +303,7 @@
 #[test]
 fn what_is_no_request_fails() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let with = |line: &str, headers: &str| format!("{line} HTTP/1.1\r\nHost: s\r\n{headers}\r\n");
     let good = "X-Request-Id: r\r\nX-Class: safe\r\nX-Deadline: 1\r\n";
     let mut client = sidecar.client();
@@ -355,7 +355,7 @@
 #[test]
 fn an_open_request_s_id_is_not_taken_again() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
-    let (sidecar, _discovery) = Sidecar::start_over(&[&endpoint]);
+    let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let request = get_request("3");
     let mut first = sidecar.client();
     first.write(&request);
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -176,7 +176,7 @@
     }
 
     /// One that knows these endpoints, all serving, and of a discovery that says nothing.
-    pub fn start_over(endpoints: &[&Endpoint]) -> (Self, Discovery) {
+    pub fn start_with_endpoints(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
             Self::start(&config(discovery.address, &serving_entries(endpoints))),
