--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 /// Less time left than this part of the expected answer time is nearly out of time.
-const NEARLY_OUT: f64 = 0.5;
+const MIN_TIME_LEFT_FRACTION: f64 = 0.5;
 
 /// What a request's time is good for.
 struct TimeLeft {
     /// An answer after this earns nothing.
     useful: Duration,
     /// It may wait so long for its send.
-    queue_time: Duration,
-    is_nearly_out: bool,
+    max_queue_time: Duration,
+    is_too_late: bool,
 }
 
 impl Balancer {
@@ -40,8 +40,8 @@
         let id = request.id.clone();
         let time = self.time_left(now, &request);
         let mut pending =
-            PendingRequest::new(request, level, now + time.useful, now + time.queue_time);
-        if time.is_nearly_out {
+            PendingRequest::new(request, level, now + time.useful, now + time.max_queue_time);
+        if time.is_too_late {
             return self.reject_or_fail(now, &mut pending, actions);
         }
         if let Some(key) = &pending.request.key {
@@ -51,7 +51,7 @@
             self.queued.push(&pending);
         }
         self.requests.insert(id, pending);
-        self.shed_past_limit(now, time.queue_time, actions);
+        self.shed_past_limit(now, time.max_queue_time, actions);
     }
 
     fn time_left(&self, now: Timestamp, request: &Request) -> TimeLeft {
@@ -66,11 +66,11 @@
             left.min(objective)
         };
         // A late answer earns less: held that long, requests would make fresh ones late in turn.
-        let queue_time = useful.min(objective).saturating_sub(expected);
+        let max_queue_time = useful.min(objective).saturating_sub(expected);
         TimeLeft {
             useful,
-            queue_time,
-            is_nearly_out: useful < expected.mul_f64(NEARLY_OUT),
+            max_queue_time,
+            is_too_late: useful < expected.mul_f64(MIN_TIME_LEFT_FRACTION),
         }
     }
 }
--- a/src/policy/arrival_rate.rs
+++ b/src/policy/arrival_rate.rs
@@ -3,9 +3,9 @@
 use super::time::Timestamp;
 
 /// Time in which an arrival's weight fades to a third.
-const SPAN_SECONDS: f64 = 3.0;
+const TIME_CONSTANT_SECONDS: f64 = 3.0;
 /// Observed time that the first arrivals are averaged over at least.
-const SHORTEST_OBSERVATION_SECONDS: f64 = 0.5;
+const MIN_OBSERVATION_SECONDS: f64 = 0.5;
 
 /// An exponentially fading count of arrivals.
 #[derive(Default)]
@@ -34,11 +34,11 @@
         let observed = self
             .observed_since
             .map_or(0.0, |since| now.since(since).as_secs_f64());
-        let covered = 1.0 - (-observed.max(SHORTEST_OBSERVATION_SECONDS) / SPAN_SECONDS).exp();
-        self.count * self.fade(now) / (SPAN_SECONDS * covered)
+        let covered = 1.0 - (-observed.max(MIN_OBSERVATION_SECONDS) / TIME_CONSTANT_SECONDS).exp();
+        self.count * self.fade(now) / (TIME_CONSTANT_SECONDS * covered)
     }
 
     fn fade(&self, now: Timestamp) -> f64 {
-        (-now.since(self.last_arrival).as_secs_f64() / SPAN_SECONDS).exp()
+        (-now.since(self.last_arrival).as_secs_f64() / TIME_CONSTANT_SECONDS).exp()
     }
 }
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -10,7 +10,7 @@
 
 /// A time-out is held against its endpoint from this multiple of the expected time on: a request that came
 /// nearly out of time proves nothing.
-const TELLING_TIMEOUT: f64 = 2.0;
+const MIN_COUNTED_TIMEOUT_MULTIPLE: f64 = 2.0;
 
 impl Balancer {
     /// An attempt has ended.
@@ -25,7 +25,7 @@
         };
         let attempt = pending.attempts.get_mut(ended.attempt);
         let Some(attempt) = attempt.filter(|a| a.state == AttemptState::InFlight) else {
-            return self.keep_while_open(pending);
+            return self.retain_while_pending(pending);
         };
         let proves_not_run = ended.outcome.proves_not_run();
         attempt.state = if proves_not_run {
@@ -33,19 +33,19 @@
         } else {
             AttemptState::MayHaveRun
         };
-        let e = attempt.endpoint;
-        self.release_or_await_deadline(e, &pending, ended.outcome);
-        self.close_idle_if_draining(e, actions);
+        let index = attempt.endpoint;
+        self.end_in_flight(index, &pending, ended.outcome);
+        self.close_idle_if_draining(index, actions);
         self.start_key_cooldown(now, &pending, ended.outcome);
-        self.learn_from(now, e, &pending.request, ended);
+        self.record_outcome(now, index, &pending.request, ended);
         if ended.request_ended && !pending.is_answered {
             self.requests.insert(ended.request.clone(), pending);
-            return self.request_over(&ended.request, None, actions);
+            return self.finish_request(&ended.request, None, actions);
         }
         if !pending.is_answered && !pending.has_attempts_in_flight() {
             self.retry_or_answer(now, &mut pending, actions);
         }
-        self.keep_while_open(pending);
+        self.retain_while_pending(pending);
     }
 
     /// Has the request's key rest, where the attempt may run on.
@@ -56,7 +56,7 @@
         );
         let pause = self.settings.rules.key_cooldown.filter(|_| may_run_on);
         if let (Some(pause), Some(key)) = (pause, &pending.request.key) {
-            self.key_order.rest(key, now + pause);
+            self.key_order.start_cooldown(key, now + pause);
         }
     }
 
@@ -79,31 +79,37 @@
     }
 
     /// What the end says of the endpoint.
-    fn learn_from(
+    fn record_outcome(
         &mut self,
         now: Timestamp,
-        e: EndpointIndex,
+        index: EndpointIndex,
         request: &Request,
         ended: &AttemptEnd,
     ) {
-        let telling = self.expected_time(request).mul_f64(TELLING_TIMEOUT);
+        let min_counted_timeout = self
+            .expected_time(request)
+            .mul_f64(MIN_COUNTED_TIMEOUT_MULTIPLE);
         match ended.outcome {
-            Outcome::TimedOut if ended.took < telling => return,
+            Outcome::TimedOut if ended.took < min_counted_timeout => return,
             Outcome::Cancelled | Outcome::NotSent => return,
-            _ => self.count_failure(now, e, request, ended),
+            _ => self.count_failure(now, index, request, ended),
         }
         if ended.outcome == Outcome::Error {
             return; // it is quick, and may come from the tier below: it says nothing of the queue
         }
         if ended.outcome == Outcome::Served {
-            self.learn_answer_time(e, request, ended);
+            self.record_answer_time(index, request, ended);
         }
         let reported = ended.report.as_ref().map(Self::reported_queue_length);
         // A broken connection or answer is a failure, and says nothing of the queue either.
-        let met_queue = matches!(ended.outcome, Outcome::Rejected | Outcome::TimedOut);
-        let stand_in = met_queue.then_some(self.thresholds.highest_onset());
-        if let Some(queue_length) = reported.into_iter().chain(stand_in).reduce(f64::max) {
-            self.judge(now, e, queue_length);
+        let implies_queue = matches!(ended.outcome, Outcome::Rejected | Outcome::TimedOut);
+        let implied_queue_length = implies_queue.then_some(self.thresholds.highest_onset());
+        if let Some(queue_length) = reported
+            .into_iter()
+            .chain(implied_queue_length)
+            .reduce(f64::max)
+        {
+            self.update_overload_state(now, index, queue_length);
         }
     }
 }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -21,9 +21,9 @@
     pub(super) settings: Settings,
     pub(super) random: SeededRandom,
     pub(super) endpoints: Vec<Endpoint>,
-    pub(super) endpoint_index: HashMap<EndpointId, EndpointIndex>,
+    pub(super) indices_by_id: HashMap<EndpointId, EndpointIndex>,
     /// Places of endpoints that are forgotten, to be given again.
-    pub(super) free_slots: Vec<EndpointIndex>,
+    pub(super) free_indices: Vec<EndpointIndex>,
     /// Endpoints that the operators have disabled; some may not be listed now.
     pub(super) disabled: HashSet<EndpointId>,
     /// Endpoints that take work, in the own zone and in others where crossings are dear.
@@ -53,10 +53,10 @@
     /// Own sends, counted ahead for requests that no sound endpoint can take: the clock of the cold ramp.
     pub(super) slow_start_clock: f64,
     /// When a request that must not run twice was last lost.
-    pub(super) unsafe_lost_at: Option<Timestamp>,
+    pub(super) last_unsafe_loss: Option<Timestamp>,
     pub(super) discovery_schedule: DiscoverySchedule,
     /// When the timer that the host was last asked for expires.
-    pub(super) timer_at: Option<Timestamp>,
+    pub(super) timer_expires_at: Option<Timestamp>,
 }
 
 /// What requests have paid for.
@@ -76,8 +76,8 @@
         Balancer {
             random: SeededRandom::new(seed),
             endpoints: Vec::new(),
-            endpoint_index: HashMap::new(),
-            free_slots: Vec::new(),
+            indices_by_id: HashMap::new(),
+            free_indices: Vec::new(),
             disabled: HashSet::new(),
             local: Vec::new(),
             remote: Vec::new(),
@@ -97,9 +97,9 @@
             retry_budget: budgets.retries,
             health_check_budget: budgets.health_checks,
             slow_start_clock: 0.0,
-            unsafe_lost_at: None,
+            last_unsafe_loss: None,
             discovery_schedule: DiscoverySchedule::default(),
-            timer_at: None,
+            timer_expires_at: None,
             settings,
         }
     }
--- a/src/policy/class.rs
+++ b/src/policy/class.rs
@@ -9,9 +9,9 @@
     pub(super) retired_at: Option<Timestamp>,
     pub(super) level: usize,
     /// Mean answer time in seconds, of a request of mean cost.
-    pub(super) usual_time: f64,
+    pub(super) estimated_time: f64,
     /// Mean answer time over many answers, whose least value is the unloaded time.
-    pub(super) slow_mean_time: f64,
+    pub(super) long_term_mean_time: f64,
     /// The unloaded answer time in seconds; 0 while it is not known.
     pub(super) unloaded_time: f64,
     pub(super) answers: u32,
--- a/src/policy/class_table.rs
+++ b/src/policy/class_table.rs
@@ -12,12 +12,12 @@
 impl Balancer {
     /// The id of a class: its own, if the table has just that, else one that no request has and that left the
     /// settings at least `reuse_after` ago, or a new one. What is known of a class of its name is kept, else
-    /// its usual answer time is `first_guess`.
+    /// its usual answer time is `initial_estimate`.
     pub(super) fn place_class(
         &mut self,
         now: Timestamp,
         class: Class,
-        first_guess: f64,
+        initial_estimate: f64,
         reuse_after: Duration,
     ) -> ClassId {
         let table = &mut self.settings.classes;
@@ -27,13 +27,13 @@
         }
         let namesake = table.iter().rposition(|c| c.name == class.name);
         let fresh = || ClassState {
-            usual_time: first_guess,
+            estimated_time: initial_estimate,
             ..ClassState::default()
         };
-        let known = namesake.map_or_else(fresh, |position| self.classes[position].clone());
+        let state = namesake.map_or_else(fresh, |position| self.classes[position].clone());
         let state = ClassState {
             retired_at: None,
-            ..known
+            ..state
         };
         let in_use: HashSet<usize> = self.requests.values().map(|p| p.request.class.0).collect();
         let is_reusable = |position: &usize| {
@@ -46,13 +46,13 @@
             self.classes.push(state);
             self.endpoints
                 .iter_mut()
-                .for_each(|e| e.failures.push(FailureShare::default()));
+                .for_each(|index| index.failures.push(FailureShare::default()));
         } else {
             table[position] = class;
             self.classes[position] = state;
             self.endpoints
                 .iter_mut()
-                .for_each(|e| e.failures[position] = FailureShare::default());
+                .for_each(|index| index.failures[position] = FailureShare::default());
         }
         ClassId(position)
     }
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -17,7 +17,7 @@
 
 /// However long an instance may go without asking, a lost watch is asked for again as if it were this: what
 /// it misses counts as told 6 s after it fell silent, most of which have passed when that is noticed.
-const LONGEST_SILENCE: Duration = Duration::from_secs(10);
+const MAX_BACKOFF_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// Mean wait after the first failed call, as a part of the time that an instance may go without asking.
 const FIRST_BACKOFF_FRACTION: f64 = 0.05;
 const MAX_DOUBLINGS: u32 = 4;
@@ -33,7 +33,7 @@
             .settings
             .rules
             .poll_interval
-            .min(LONGEST_SILENCE)
+            .min(MAX_BACKOFF_POLL_INTERVAL)
             .as_secs_f64();
         let backoff = ExponentialBackoff {
             first: within * FIRST_BACKOFF_FRACTION,
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -68,11 +68,11 @@
     }
     assert!(
         balancer
-            .endpoint_index
+            .indices_by_id
             .contains_key(&EndpointId::from("first")),
         "its attempt is out"
     );
-    assert_eq!(balancer.endpoint_index.len(), 2);
+    assert_eq!(balancer.indices_by_id.len(), 2);
     assert!(
         balancer.endpoints.len() <= 4,
         "{}",
@@ -103,5 +103,5 @@
             entries: [entry("z", Readiness::Serving)].into(),
         },
     );
-    assert_eq!(balancer.endpoint_index.len(), 1);
+    assert_eq!(balancer.indices_by_id.len(), 1);
 }
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -13,9 +13,9 @@
 /// How many may be saved up.
 pub(super) const MAX_SAVED_HEALTH_CHECKS: f64 = 4.0;
 /// The part of the result that they may cost.
-const SPENDING_LIMIT: f64 = 0.03;
+const MAX_SPENDING_FRACTION: f64 = 0.03;
 /// The least price that the limit is divided by.
-const LEAST_PRICE: f64 = 1e-6;
+const MIN_PRICE: f64 = 1e-6;
 /// Least time between two probes of an endpoint: its report is refreshed about as often.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -24,7 +24,7 @@
     pub(super) fn earn_health_checks(&mut self) {
         let are_needed = self.settings.limits.health_checks
             && self.settings.reporting == Reporting::WithHealthChecks;
-        let affordable = SPENDING_LIMIT / self.settings.prices.health_check.max(LEAST_PRICE);
+        let affordable = MAX_SPENDING_FRACTION / self.settings.prices.health_check.max(MIN_PRICE);
         self.health_check_budget.earn(if are_needed {
             HEALTH_CHECKS_PER_REQUEST.min(affordable)
         } else {
@@ -33,18 +33,21 @@
     }
 
     /// Probes subset members, the longest unheard of first, as far as the budget goes.
-    pub(super) fn check_health(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    pub(super) fn send_health_checks(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         while self.health_check_budget.has_token() {
-            let next_health_check = |e: &&usize| self.endpoints[**e].next_health_check;
-            let due = self.subset.iter().filter(|e| now >= next_health_check(e));
-            let Some(e) = due.min_by_key(next_health_check).copied() else {
+            let next_health_check = |index: &&usize| self.endpoints[**index].next_health_check;
+            let due = self
+                .subset
+                .iter()
+                .filter(|index| now >= next_health_check(index));
+            let Some(index) = due.min_by_key(next_health_check).copied() else {
                 return;
             };
             self.health_check_budget.spend();
-            let known = &mut self.endpoints[e];
-            known.next_health_check = now + HEALTH_CHECK_INTERVAL;
+            let endpoint = &mut self.endpoints[index];
+            endpoint.next_health_check = now + HEALTH_CHECK_INTERVAL;
             actions.push(Action::HealthCheck {
-                endpoint: known.id.clone(),
+                endpoint: endpoint.id.clone(),
             });
         }
     }
@@ -58,13 +61,16 @@
         outcome: Outcome,
         report: Option<&LoadReport>,
     ) {
-        let Some(e) = self.endpoint_index.get(endpoint).copied() else {
+        let Some(index) = self.indices_by_id.get(endpoint).copied() else {
             return;
         };
-        let met_queue = matches!(outcome, Outcome::TimedOut | Outcome::Rejected);
-        let stand_in = met_queue.then_some(self.thresholds.highest_onset());
-        if let Some(queue_length) = report.map(Self::reported_queue_length).or(stand_in) {
-            self.judge(now, e, queue_length);
+        let implies_queue = matches!(outcome, Outcome::TimedOut | Outcome::Rejected);
+        let implied_queue_length = implies_queue.then_some(self.thresholds.highest_onset());
+        if let Some(queue_length) = report
+            .map(Self::reported_queue_length)
+            .or(implied_queue_length)
+        {
+            self.update_overload_state(now, index, queue_length);
         }
     }
 }
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -1,13 +1,13 @@
 //! One instance: its start, its settings, and what it does with each event.
 
 use super::action::Action;
-use super::answer_time::FIRST_GUESS;
+use super::answer_time::INITIAL_ESTIMATE_FRACTION;
 use super::balancer::{Balancer, Budgets};
 use super::class::ClassState;
 use super::event::Event;
 use super::health_check::MAX_SAVED_HEALTH_CHECKS;
 use super::id::ClassId;
-use super::priority_level::RETIRED_CLASS_KEPT;
+use super::priority_level::RETIRED_CLASS_RETENTION;
 use super::retry::MAX_SAVED_RETRIES;
 use super::settings::{Class, Settings};
 use super::settings_check::SettingsError;
@@ -54,10 +54,10 @@
                 self.queued.push(pending);
             }
         }
-        self.judge_by_new_thresholds();
-        self.set_localities();
-        self.regroup(now);
-        self.release(now, actions);
+        self.reapply_thresholds();
+        self.update_localities();
+        self.repartition_endpoints(now);
+        self.send_queued_requests(now, actions);
         self.set_timer(now, actions);
         Ok(ids)
     }
@@ -77,8 +77,8 @@
             state.retired_at = state.retired_at.or(Some(now));
         }
         let place = |class: Class| {
-            let first_guess = class.objective.as_secs_f64() * FIRST_GUESS;
-            self.place_class(now, class, first_guess, RETIRED_CLASS_KEPT)
+            let initial_estimate = class.objective.as_secs_f64() * INITIAL_ESTIMATE_FRACTION;
+            self.place_class(now, class, initial_estimate, RETIRED_CLASS_RETENTION)
         };
         classes.into_iter().map(place).collect()
     }
@@ -86,11 +86,11 @@
     /// Takes one event and adds what is to be done to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.arrival_rate.observe_from(now);
-        self.release_timed_out(now);
+        self.remove_timed_out(now);
         self.key_order.forget_cooled_down(now);
         self.dispatch(now, event, actions);
-        self.check_health(now, actions);
-        self.release(now, actions);
+        self.send_health_checks(now, actions);
+        self.send_queued_requests(now, actions);
         self.set_timer(now, actions);
     }
 
@@ -104,10 +104,10 @@
             Event::EndpointEnabled(endpoint) => self.enable(now, &endpoint),
             Event::Request(request) if self.is_valid(&request) => self.admit(now, request, actions),
             Event::StreamStarted { request, attempt } => {
-                self.request_over(&request, Some(attempt), actions);
+                self.finish_request(&request, Some(attempt), actions);
             }
             Event::BodyConsumed { request } => self.body_consumed(&request),
-            Event::ClientDisconnected { request } => self.request_over(&request, None, actions),
+            Event::ClientDisconnected { request } => self.finish_request(&request, None, actions),
             Event::AttemptEnded(ended) => self.attempt_ended(now, &ended, actions),
             Event::Timer { token } => self.timer_expired(token),
             Event::HealthCheckEnded {
@@ -125,7 +125,7 @@
 
 fn new_class(class: &Class) -> ClassState {
     ClassState {
-        usual_time: class.objective.as_secs_f64() * FIRST_GUESS,
+        estimated_time: class.objective.as_secs_f64() * INITIAL_ESTIMATE_FRACTION,
         ..ClassState::default()
     }
 }
--- a/src/policy/key_order.rs
+++ b/src/policy/key_order.rs
@@ -10,7 +10,7 @@
 pub(super) struct KeyOrder {
     queues: HashMap<Key, KeyQueue>,
     /// Keys by the end of their rest, the earliest first.
-    resting: VecDeque<(Timestamp, Key)>,
+    cooldowns: VecDeque<(Timestamp, Key)>,
 }
 
 /// Requests with one key in order of arrival; the first has the turn.
@@ -32,7 +32,7 @@
 
     /// Whether a request may be sent now, also over several classes. One that was sent keeps the turn until
     /// its attempts have ended; after one that may run on the key rests.
-    pub(super) fn has_turn(&self, now: Timestamp, pending: &PendingRequest) -> bool {
+    pub(super) fn is_next_for_key(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let queue = pending
             .request
             .key
@@ -44,7 +44,7 @@
         })
     }
 
-    pub(super) fn leave(&mut self, pending: &PendingRequest) {
+    pub(super) fn remove(&mut self, pending: &PendingRequest) {
         let Some(key) = pending.request.key.as_ref() else {
             return;
         };
@@ -58,16 +58,19 @@
     }
 
     /// Has a key rest, as an attempt of its first request may run on.
-    pub(super) fn rest(&mut self, key: &Key, until: Timestamp) {
+    pub(super) fn start_cooldown(&mut self, key: &Key, until: Timestamp) {
         self.queues.entry(key.clone()).or_default().cooldown_until = until;
-        self.resting.push_back((until, key.clone()));
+        self.cooldowns.push_back((until, key.clone()));
     }
 
     /// Forgets keys that have rested and that nobody waits for.
     pub(super) fn forget_cooled_down(&mut self, now: Timestamp) {
-        while let Some((rested_at, key)) = self.resting.pop_front_if(|(until, _)| *until <= now) {
-            let is_over =
-                |queue: &KeyQueue| queue.requests.is_empty() && queue.cooldown_until <= rested_at;
+        while let Some((cooled_down_at, key)) =
+            self.cooldowns.pop_front_if(|(until, _)| *until <= now)
+        {
+            let is_over = |queue: &KeyQueue| {
+                queue.requests.is_empty() && queue.cooldown_until <= cooled_down_at
+            };
             if self.queues.get(&key).is_some_and(is_over) {
                 self.queues.remove(&key);
             }
@@ -76,6 +79,6 @@
 
     /// When the first key has rested.
     pub(super) fn first_cooldown_end(&self) -> Option<Timestamp> {
-        self.resting.front().map(|(until, _)| *until)
+        self.cooldowns.front().map(|(until, _)| *until)
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -11,7 +11,7 @@
 /// Price of a crossing between zones from which an instance keeps to its own: zones have uneven numbers of
 /// instances for their endpoints, and an even deal over the whole tier is worth about two crossings of this
 /// price.
-const DEAR_CROSSING: f64 = 0.01;
+const COSTLY_CROSSING_PRICE: f64 = 0.01;
 
 impl Balancer {
     /// Takes over a list, or the changes in it.
@@ -28,26 +28,26 @@
         }
         if kind != ListKind::Changes {
             // What a whole list does not name has left it.
-            for known in &mut self.endpoints {
-                known.is_available = false;
-                known.is_serving = false;
-                known.is_listed = false;
+            for endpoint in &mut self.endpoints {
+                endpoint.is_available = false;
+                endpoint.is_serving = false;
+                endpoint.is_listed = false;
             }
         }
         for entry in entries {
             self.update_endpoint(entry, actions);
         }
-        self.regroup(now);
+        self.repartition_endpoints(now);
         self.forget_unlisted();
     }
 
     /// Closes idle connections to a draining endpoint, which waits for them: at the notice, and after each
     /// attempt there.
-    pub(super) fn close_idle_if_draining(&self, e: EndpointIndex, actions: &mut Vec<Action>) {
-        let known = &self.endpoints[e];
-        if known.is_draining && self.settings.rules.drain_close.is_some() {
+    pub(super) fn close_idle_if_draining(&self, index: EndpointIndex, actions: &mut Vec<Action>) {
+        let endpoint = &self.endpoints[index];
+        if endpoint.is_draining && self.settings.rules.drain_close.is_some() {
             actions.push(Action::CloseIdleConnections {
-                endpoint: known.id.clone(),
+                endpoint: endpoint.id.clone(),
             });
         }
     }
@@ -60,14 +60,14 @@
         endpoint: EndpointId,
         actions: &mut Vec<Action>,
     ) {
-        if let Some(e) = self.endpoint_index.get(&endpoint) {
-            self.endpoints[*e].is_available = false;
+        if let Some(index) = self.indices_by_id.get(&endpoint) {
+            self.endpoints[*index].is_available = false;
         }
         actions.push(Action::CloseIdleConnections {
             endpoint: endpoint.clone(),
         });
         self.disabled.insert(endpoint);
-        self.regroup(now);
+        self.repartition_endpoints(now);
     }
 
     /// Uses an endpoint again. It may have restarted, which the list tells of later, so it counts as cold.
@@ -76,36 +76,37 @@
         if !self.disabled.remove(endpoint) {
             return;
         }
-        if let Some(e) = self.endpoint_index.get(endpoint) {
-            let known = &mut self.endpoints[*e];
-            known.restart(known.started_at);
-            known.enabled_at = Some(now);
-            known.awaits_first_send = true;
-            known.is_available = known.is_serving;
+        if let Some(index) = self.indices_by_id.get(endpoint) {
+            let endpoint = &mut self.endpoints[*index];
+            endpoint.restart(endpoint.started_at);
+            endpoint.enabled_at = Some(now);
+            endpoint.awaits_first_send = true;
+            endpoint.is_available = endpoint.is_serving;
         }
-        self.regroup(now);
+        self.repartition_endpoints(now);
     }
 
     /// Sorts the endpoints that take work into local and remote ones, and draws the subset anew.
-    pub(super) fn regroup(&mut self, now: Timestamp) {
-        let available = (0..self.endpoints.len()).filter(|e| self.endpoints[*e].is_available);
-        (self.local, self.remote) = available.partition(|e| !self.endpoints[*e].is_remote);
+    pub(super) fn repartition_endpoints(&mut self, now: Timestamp) {
+        let available =
+            (0..self.endpoints.len()).filter(|index| self.endpoints[*index].is_available);
+        (self.local, self.remote) = available.partition(|index| !self.endpoints[*index].is_remote);
         if self.local.is_empty() {
             std::mem::swap(&mut self.local, &mut self.remote);
         }
-        self.draw_subset(now);
+        self.select_subset(now);
     }
 
     /// Tells local and remote endpoints apart anew, by prices that have changed.
-    pub(super) fn set_localities(&mut self) {
-        for e in 0..self.endpoints.len() {
-            self.endpoints[e].is_remote = self.is_remote(e);
+    pub(super) fn update_localities(&mut self) {
+        for index in 0..self.endpoints.len() {
+            self.endpoints[index].is_remote = self.is_remote(index);
         }
     }
 
     /// Whether an endpoint is in another zone, where crossings are dear.
-    pub(super) fn is_remote(&self, e: EndpointIndex) -> bool {
-        let is_dear = self.settings.prices.cross_zone >= DEAR_CROSSING;
-        is_dear && self.endpoints[e].zone != self.settings.zone
+    pub(super) fn is_remote(&self, index: EndpointIndex) -> bool {
+        let is_costly = self.settings.prices.cross_zone >= COSTLY_CROSSING_PRICE;
+        is_costly && self.endpoints[index].zone != self.settings.zone
     }
 }
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -58,7 +58,7 @@
 /// One send of a request to an endpoint.
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointIndex,
-    pub(super) sent: Timestamp,
+    pub(super) sent_at: Timestamp,
     pub(super) state: AttemptState,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl RetryScope {
-    pub(super) fn admits(&self, endpoint: &Endpoint) -> bool {
+    pub(super) fn allows(&self, endpoint: &Endpoint) -> bool {
         match self {
             RetryScope::Anywhere => true,
             RetryScope::Zone(zone) => endpoint.zone == *zone,
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -3,16 +3,16 @@
 use super::answer_time::ORDINARY_SLOWDOWN;
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
-use super::outlier::FailureBar;
+use super::outlier::FailureLimit;
 use super::pending::{PendingRequest, RetryScope};
-use super::subset::SMALLEST_SUBSET;
+use super::subset::MIN_SUBSET_SIZE;
 use super::time::Timestamp;
 
 /// Random draws over the zone where all of the subset is throttled, and how many of them are kept.
-const LOCAL_DRAWS: usize = 2 * SMALLEST_SUBSET;
-const LOCAL_DRAWS_KEPT: usize = 2;
+const LOCAL_SAMPLES: usize = 2 * MIN_SUBSET_SIZE;
+const MAX_LOCAL_CANDIDATES: usize = 2;
 /// Endpoints that are compared, where own attempts tell them apart.
-const COMPARED: usize = 2;
+const CHOICES: usize = 2;
 
 /// What one pick looks for.
 struct Search<'a> {
@@ -20,7 +20,7 @@
     scope: &'a RetryScope,
     /// The request's worth level.
     level: usize,
-    bar: FailureBar,
+    failure_limit: FailureLimit,
 }
 
 impl Balancer {
@@ -36,142 +36,160 @@
             now,
             scope,
             level: pending.level,
-            bar: self.failure_bar(now, class),
+            failure_limit: self.failure_limit(now, class),
         };
-        let mut candidates = self.open_subset_members(&search, pending);
+        let mut candidates = self.eligible_subset_members(&search, pending);
         if candidates.is_empty() {
-            self.add_local_draws(&search, pending, &mut candidates);
+            self.add_local_samples(&search, pending, &mut candidates);
         }
         if candidates.is_empty() {
-            candidates = self.open_remote_members(&search, pending);
+            candidates = self.clear_remote_members(&search, pending);
         }
-        if candidates.is_empty() && !self.is_any_sound(&search, pending) {
-            candidates.extend(self.least_failing_open(&search, pending));
+        if candidates.is_empty() && !self.is_any_healthy(&search, pending) {
+            candidates.extend(self.least_failing_unthrottled(&search, pending));
             if candidates.is_empty() {
                 self.advance_slow_start_early(pending);
             }
         }
-        self.keep_proven(now, class, &mut candidates);
-        if let Some(e) = candidates
+        self.prefer_recent_unsafe_servers(now, class, &mut candidates);
+        if let Some(index) = candidates
             .iter()
-            .find(|e| self.endpoints[**e].awaits_first_send)
+            .find(|index| self.endpoints[**index].awaits_first_send)
         {
-            return Some(*e); // a quiet instance would go on with the one that it knows as quickest
+            return Some(*index); // a quiet instance would go on with the one that it knows as quickest
         }
         match candidates.len() {
-            0 => self.earliest_gap(&search, pending),
+            0 => self.earliest_ended_gap(&search, pending),
             1 => Some(candidates[0]),
-            _ => self.best_of_two_draws(now, candidates),
+            _ => self.best_of_two_choices(now, candidates),
         }
     }
 
     /// Whether an endpoint may be sent this request at all: warm or due, in scope, and not tried before.
-    fn is_usable(&self, search: &Search<'_>, pending: &PendingRequest, e: EndpointIndex) -> bool {
-        self.slow_start_admits(search.now, e)
-            && search.scope.admits(&self.endpoints[e])
-            && pending.attempts.iter().all(|a| a.endpoint != e)
+    fn is_usable(
+        &self,
+        search: &Search<'_>,
+        pending: &PendingRequest,
+        index: EndpointIndex,
+    ) -> bool {
+        self.slow_start_admits(search.now, index)
+            && search.scope.allows(&self.endpoints[index])
+            && pending.attempts.iter().all(|a| a.endpoint != index)
     }
 
     /// Whether it is usable and no outlier.
-    fn is_sound(&self, search: &Search<'_>, pending: &PendingRequest, e: EndpointIndex) -> bool {
-        !self.is_outlier(search.now, e, &search.bar) && self.is_usable(search, pending, e)
+    fn is_healthy(
+        &self,
+        search: &Search<'_>,
+        pending: &PendingRequest,
+        index: EndpointIndex,
+    ) -> bool {
+        !self.is_outlier(search.now, index, &search.failure_limit)
+            && self.is_usable(search, pending, index)
     }
 
     /// Whether it throttles no request of this level.
-    fn is_open(&self, now: Timestamp, e: EndpointIndex, level: usize) -> bool {
-        level >= self.throttling(now, e).gapping
+    fn is_unthrottled(&self, now: Timestamp, index: EndpointIndex, level: usize) -> bool {
+        level >= self.throttled_levels(now, index).gapping
     }
 
-    fn is_sound_and_open(
+    fn is_eligible(
         &self,
         search: &Search<'_>,
         pending: &PendingRequest,
-        e: EndpointIndex,
+        index: EndpointIndex,
     ) -> bool {
-        self.is_sound(search, pending, e) && self.is_open(search.now, e, search.level)
+        self.is_healthy(search, pending, index)
+            && self.is_unthrottled(search.now, index, search.level)
     }
 
-    fn open_subset_members(
+    fn eligible_subset_members(
         &self,
         search: &Search<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
         let members = self.subset.iter().copied();
         members
-            .filter(|e| self.is_sound_and_open(search, pending, *e))
+            .filter(|index| self.is_eligible(search, pending, *index))
             .collect()
     }
 
     /// With all of the subset throttled, requests spill over the zone by random draws, while few own attempts
     /// are in flight for the instance's part of the tier: else all instances overdrive all of it.
-    fn add_local_draws(
+    fn add_local_samples(
         &mut self,
         search: &Search<'_>,
         pending: &PendingRequest,
         candidates: &mut Vec<EndpointIndex>,
     ) {
         let own_load = f64::from(self.attempts_in_flight) / self.fair_share_of_tier();
-        let has_room =
+        let is_below_limit =
             own_load * self.mean_slowdown / ORDINARY_SLOWDOWN < self.thresholds.highest_onset();
-        if !has_room {
+        if !is_below_limit {
             return;
         }
-        for _ in 0..LOCAL_DRAWS {
-            let Some(e) = self.local.get(self.random.below(self.local.len())).copied() else {
+        for _ in 0..LOCAL_SAMPLES {
+            let Some(index) = self.local.get(self.random.below(self.local.len())).copied() else {
                 continue;
             };
-            if candidates.len() < LOCAL_DRAWS_KEPT && self.is_sound_and_open(search, pending, e) {
-                candidates.push(e);
+            if candidates.len() < MAX_LOCAL_CANDIDATES && self.is_eligible(search, pending, index) {
+                candidates.push(index);
             }
         }
     }
 
     /// Then they spill into other zones, where no level is throttled. One that spills there beside another
     /// opens a connection: one at a time where those have a price.
-    fn open_remote_members(
+    fn clear_remote_members(
         &self,
         search: &Search<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
         let members = || self.remote_subset.iter().copied();
         let connections_are_priced = self.settings.prices.handshake > 0.0;
-        if connections_are_priced && members().any(|e| self.endpoints[e].in_flight > 0) {
+        if connections_are_priced && members().any(|index| self.endpoints[index].in_flight > 0) {
             return Vec::new();
         }
-        let is_clear = |e: &EndpointIndex| {
-            self.is_sound(search, pending, *e) && self.throttling(search.now, *e).gapping == 0
+        let is_clear = |index: &EndpointIndex| {
+            self.is_healthy(search, pending, *index)
+                && self.throttled_levels(search.now, *index).gapping == 0
         };
         members().filter(is_clear).collect()
     }
 
-    fn is_any_sound(&self, search: &Search<'_>, pending: &PendingRequest) -> bool {
+    fn is_any_healthy(&self, search: &Search<'_>, pending: &PendingRequest) -> bool {
         self.local
             .iter()
             .chain(&self.remote_subset)
-            .any(|e| self.is_sound(search, pending, *e))
+            .any(|index| self.is_healthy(search, pending, *index))
     }
 
     /// With nobody sound to wait for, the one that fails least: else an instance whose subset is cold, or
     /// fails as all do, sends nothing at all, and no cold one's turn ever comes.
-    fn least_failing_open(
+    fn least_failing_unthrottled(
         &self,
         search: &Search<'_>,
         pending: &PendingRequest,
     ) -> Option<EndpointIndex> {
-        let all = self.local.iter().chain(&self.remote_subset).copied();
-        let open = all.filter(|e| {
-            self.is_usable(search, pending, *e) && self.is_open(search.now, *e, search.level)
+        let reachable = self.local.iter().chain(&self.remote_subset).copied();
+        let unthrottled = reachable.filter(|index| {
+            self.is_usable(search, pending, *index)
+                && self.is_unthrottled(search.now, *index, search.level)
         });
-        self.least_failing(search.now, open, &search.bar)
+        self.least_failing(search.now, unthrottled, &search.failure_limit)
     }
 
     /// With all throttled, the earliest gap among the gapping members that is over.
-    fn earliest_gap(&self, search: &Search<'_>, pending: &PendingRequest) -> Option<EndpointIndex> {
-        let gap_ends_at = |e: &EndpointIndex| self.endpoints[*e].gap_ends_at;
-        let is_due = |e: &EndpointIndex| {
-            self.is_usable(search, pending, *e)
-                && gap_ends_at(e) <= search.now
-                && search.level >= self.throttling(search.now, *e).discarding
+    fn earliest_ended_gap(
+        &self,
+        search: &Search<'_>,
+        pending: &PendingRequest,
+    ) -> Option<EndpointIndex> {
+        let gap_ends_at = |index: &EndpointIndex| self.endpoints[*index].gap_ends_at;
+        let is_due = |index: &EndpointIndex| {
+            self.is_usable(search, pending, *index)
+                && gap_ends_at(index) <= search.now
+                && search.level >= self.throttled_levels(search.now, *index).discarding
         };
         self.subset
             .iter()
@@ -182,7 +200,7 @@
 
     /// The better of two random candidates. Where none of the two has own attempts in flight they say
     /// nothing: so quiet an instance compares all queues that it knows.
-    fn best_of_two_draws(
+    fn best_of_two_choices(
         &mut self,
         now: Timestamp,
         mut candidates: Vec<EndpointIndex>,
@@ -190,10 +208,10 @@
         let count = candidates.len();
         candidates.rotate_left(self.random.below(count));
         candidates.swap(1, 1 + self.random.below(count - 1));
-        let are_idle = candidates[..COMPARED]
+        let are_idle = candidates[..CHOICES]
             .iter()
-            .all(|e| self.endpoints[*e].in_flight == 0);
-        let compared = if are_idle { count } else { COMPARED };
+            .all(|index| self.endpoints[*index].in_flight == 0);
+        let compared = if are_idle { count } else { CHOICES };
         candidates
             .into_iter()
             .take(compared)
@@ -203,10 +221,11 @@
     /// The one with fewer own attempts in flight for its size, then the one with the shorter queue at its
     /// pace.
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
-        let load =
-            |e: EndpointIndex| f64::from(self.endpoints[e].in_flight + 1) / self.endpoints[e].size;
-        let wait = |e: EndpointIndex| {
-            (self.estimated_queue_length(now, e) + 1.0) * self.endpoints[e].slowdown
+        let load = |index: EndpointIndex| {
+            f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].size
+        };
+        let wait = |index: EndpointIndex| {
+            (self.estimated_queue_length(now, index) + 1.0) * self.endpoints[index].slowdown
         };
         let order = load(a)
             .total_cmp(&load(b))
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -1,6 +1,6 @@
 //! Which worth level a request has: by its class, and below all others beyond its tenant's share.
 
-use super::answer_time::FEW_ANSWERS;
+use super::answer_time::MIN_ANSWERS;
 use super::balancer::Balancer;
 use super::event::Request;
 use super::id::TenantId;
@@ -12,16 +12,16 @@
 const OVER_SHARE_LEVEL: usize = 0;
 
 /// A class that has left the settings is kept so long for requests that are on their way in with it.
-pub(super) const RETIRED_CLASS_KEPT: Duration = Duration::from_secs(60);
+pub(super) const RETIRED_CLASS_RETENTION: Duration = Duration::from_secs(60);
 
 impl Balancer {
     /// Sets worth levels and their thresholds, for the classes of the settings and those that requests still
     /// have.
     pub(super) fn set_levels(&mut self) {
-        let of_requests: HashSet<usize> =
+        let request_classes: HashSet<usize> =
             self.requests.values().map(|p| p.request.class.0).collect();
         let is_in_use =
-            |c: &usize| self.classes[*c].retired_at.is_none() || of_requests.contains(c);
+            |c: &usize| self.classes[*c].retired_at.is_none() || request_classes.contains(c);
         let in_use = (0..self.classes.len()).filter(is_in_use);
         let mut priority_weights: Vec<f64> = in_use
             .map(|c| self.settings.classes[c].priority_weight)
@@ -63,10 +63,10 @@
             return level;
         };
         self.tenant_rates[tenant] += 1.0;
-        let all: f64 = self.tenant_rates.iter().sum();
-        let over_share =
-            1.0 - self.settings.tenants[tenant].quota_share * all / self.tenant_rates[tenant];
-        let is_over = all > f64::from(FEW_ANSWERS) && self.random.unit() < over_share;
+        let total_rate: f64 = self.tenant_rates.iter().sum();
+        let over_share = 1.0
+            - self.settings.tenants[tenant].quota_share * total_rate / self.tenant_rates[tenant];
+        let is_over = total_rate > f64::from(MIN_ANSWERS) && self.random.unit() < over_share;
         if is_over { OVER_SHARE_LEVEL } else { level }
     }
 }
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -18,23 +18,23 @@
     pub(super) fn shed_past_limit(
         &mut self,
         now: Timestamp,
-        queue_time: Duration,
+        max_queue_time: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let arrivals = self.arrival_rate.per_second(now) * queue_time.as_secs_f64();
+        let arrivals = self.arrival_rate.per_second(now) * max_queue_time.as_secs_f64();
         let limit = (arrivals * QUEUE_FRACTION).max(MIN_QUEUE_LIMIT) as usize;
         while self.queued.len() > limit {
             let Some(id) = self.queued.pop_lowest_priority() else {
                 break;
             };
-            self.give_up(now, &id, actions);
+            self.answer_unserved(now, &id, actions);
         }
     }
 
     /// Refuses what has been held too long, and sends what can be sent, the worthiest first.
-    pub(super) fn release(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    pub(super) fn send_queued_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if now >= self.queued.next_expiry {
-            self.reject_expired(now, actions);
+            self.reject_expired_requests(now, actions);
         }
         for level in (0..self.queued.levels.len()).rev() {
             if self.send_queued(now, level, actions).is_break() {
@@ -43,14 +43,14 @@
         }
     }
 
-    fn reject_expired(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    fn reject_expired_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let requests = &self.requests;
         let is_expired =
             |id: &&RequestId| requests.get(*id).is_some_and(|p| p.queue_deadline <= now);
         let queued = self.queued.levels.iter().flatten();
         let expired: Vec<RequestId> = queued.filter(is_expired).cloned().collect();
         for id in &expired {
-            self.give_up(now, id, actions);
+            self.answer_unserved(now, id, actions);
         }
         let requests = &self.requests;
         let is_waiting = |id: &RequestId| requests.get(id).is_some_and(|p| !p.is_answered);
@@ -76,9 +76,9 @@
         let mut position = 0;
         while let Some(id) = self.queued.levels[level].get(position).cloned() {
             // One that waits for its turn must not hold up those behind it.
-            let waits_for_turn =
-                |p: &PendingRequest| !p.is_answered && !self.key_order.has_turn(now, p);
-            if self.requests.get(&id).is_some_and(waits_for_turn) {
+            let waits_for_key =
+                |p: &PendingRequest| !p.is_answered && !self.key_order.is_next_for_key(now, p);
+            if self.requests.get(&id).is_some_and(waits_for_key) {
                 position += 1;
                 continue;
             }
@@ -92,7 +92,7 @@
             }
             let stays = !pending.is_answered && !self.try_send(now, &mut pending, actions);
             let is_retry = !pending.attempts.is_empty();
-            self.keep_while_open(pending);
+            self.retain_while_pending(pending);
             if stays {
                 self.queued.levels[level].insert(position, id);
                 if !is_retry {
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -23,28 +23,33 @@
         }
     }
     /// Answers a request that is held for nothing.
-    pub(super) fn give_up(&mut self, now: Timestamp, id: &RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn answer_unserved(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(mut pending) = self.requests.remove(id) else {
             return;
         };
         if !pending.is_answered {
             self.reject_or_fail(now, &mut pending, actions);
         }
-        self.keep_while_open(pending);
+        self.retain_while_pending(pending);
     }
 
     /// Keeps a request: once it is answered, only while ends of its attempts are to come.
-    pub(super) fn keep_while_open(&mut self, pending: PendingRequest) {
+    pub(super) fn retain_while_pending(&mut self, pending: PendingRequest) {
         if !pending.is_answered || pending.has_attempts_in_flight() {
             self.requests.insert(pending.request.id.clone(), pending);
         } else {
-            self.key_order.leave(&pending);
+            self.key_order.remove(&pending);
         }
     }
 
     /// A request is over for its client; cancels its attempts in flight but for the one that streams the
     /// answer.
-    pub(super) fn request_over(
+    pub(super) fn finish_request(
         &mut self,
         id: &RequestId,
         streams: Option<AttemptNumber>,
@@ -63,7 +68,7 @@
                 cancel_attempts(&pending, streams, actions);
             }
         }
-        self.keep_while_open(pending);
+        self.retain_while_pending(pending);
     }
 }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -27,13 +27,13 @@
         match self.settings.classes[pending.request.class.0].idempotency {
             Idempotency::Idempotent => Some(RetryScope::Anywhere),
             Idempotency::Unsafe => None,
-            Idempotency::Keyed { window, .. } if now.since(first.sent) >= window => None,
+            Idempotency::Keyed { window, .. } if now.since(first.sent_at) >= window => None,
             Idempotency::Keyed { scope, .. } => {
-                let known = &self.endpoints[first.endpoint];
+                let endpoint = &self.endpoints[first.endpoint];
                 Some(match scope {
                     KeyScope::All => RetryScope::Anywhere,
-                    KeyScope::Zone => RetryScope::Zone(known.zone.clone()),
-                    KeyScope::Group => RetryScope::Group(known.group),
+                    KeyScope::Zone => RetryScope::Zone(endpoint.zone.clone()),
+                    KeyScope::Group => RetryScope::Group(endpoint.group),
                 })
             }
         }
@@ -47,7 +47,7 @@
             Idempotency::Keyed {
                 scope: KeyScope::All,
                 window,
-            } => possible_runs.all(|attempt| now.since(attempt.sent) < window),
+            } => possible_runs.all(|attempt| now.since(attempt.sent_at) < window),
             Idempotency::Keyed { .. } | Idempotency::Unsafe => possible_runs.next().is_none(),
         }
     }
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -16,30 +16,30 @@
     ) -> bool {
         let scope = self
             .retry_scope(now, pending)
-            .filter(|_| self.key_order.has_turn(now, pending));
+            .filter(|_| self.key_order.is_next_for_key(now, pending));
         let Some(scope) = scope else { return false };
-        let Some(e) = self.pick(now, pending, &scope) else {
+        let Some(index) = self.pick(now, pending, &scope) else {
             return false;
         };
         self.advance_slow_start(pending);
-        self.occupy_slot(e);
-        let gap = self.gap(now, self.endpoints[e].queue_length);
-        let slow_start_slot = self.draw_slow_start_slot(now, e);
+        self.add_in_flight(index);
+        let gap = self.gap(now, self.endpoints[index].queue_length);
+        let slow_start_slot = self.draw_slow_start_slot(now, index);
         let timeout = self.attempt_timeout(now, pending);
-        let known = &mut self.endpoints[e];
-        known.awaits_first_send = false;
-        known.last_send = now;
-        known.gap_ends_at = now + gap;
-        known.slow_start_slot = slow_start_slot;
+        let endpoint = &mut self.endpoints[index];
+        endpoint.awaits_first_send = false;
+        endpoint.last_send = now;
+        endpoint.gap_ends_at = now + gap;
+        endpoint.slow_start_slot = slow_start_slot;
         pending.attempts.push(Attempt {
-            endpoint: e,
-            sent: now,
+            endpoint: index,
+            sent_at: now,
             state: AttemptState::InFlight,
         });
         let request = pending.request.id.clone();
         actions.push(Action::Send {
             request,
-            endpoint: known.id.clone(),
+            endpoint: endpoint.id.clone(),
             timeout,
         });
         true
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 /// No time in the settings is longer.
-const LONGEST_TIME: Duration = Duration::from_secs(366 * 86_400);
+const MAX_TIME: Duration = Duration::from_secs(366 * 86_400);
 /// No price, worth or multiple in the settings is larger.
-const LARGEST_AMOUNT: f64 = 1e9;
+const MAX_AMOUNT: f64 = 1e9;
 
 /// Settings that no instance can work with: which one, and why.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -26,7 +26,7 @@
 
 /// Settings by the rule that each kind has to keep.
 #[derive(Default)]
-struct Inventory {
+struct SettingsByConstraint {
     times: Vec<Setting<Duration>>,
     positive_times: Vec<Setting<Duration>>,
     fractions: Vec<Setting<f64>>,
@@ -50,33 +50,33 @@
     /// All settings that make no sense, as [`Settings::validate`] has it.
     #[must_use]
     pub fn validation_errors(&self) -> Vec<SettingsError> {
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         if self.balancers == 0 {
-            faults.push(fault("balancers", "is zero"));
+            violations.push(violation("balancers", "is zero"));
         }
         if self.classes.is_empty() {
-            faults.push(fault("classes", "is empty"));
+            violations.push(violation("classes", "is empty"));
         }
         if let Some(position) = repeated_name(&self.classes) {
-            faults.push(fault(
+            violations.push(violation(
                 &format!("classes[{position}].name"),
                 "is there twice",
             ));
         }
         if self.limits.max_attempts == 0 {
-            faults.push(fault("limits.max_attempts", "is zero"));
+            violations.push(violation("limits.max_attempts", "is zero"));
         }
-        let mut inventory = Inventory::default();
-        inventory.add_limits_and_rules(self);
-        inventory.add_prices(self);
-        inventory.add_classes(self);
-        inventory.add_tenants(self);
-        inventory.add_faults(&mut faults);
-        faults
+        let mut settings_by_constraint = SettingsByConstraint::default();
+        settings_by_constraint.add_limits_and_rules(self);
+        settings_by_constraint.add_prices(self);
+        settings_by_constraint.add_classes(self);
+        settings_by_constraint.add_tenants(self);
+        settings_by_constraint.add_violations(&mut violations);
+        violations
     }
 }
 
-fn fault(path: &str, problem: &'static str) -> SettingsError {
+fn violation(path: &str, problem: &'static str) -> SettingsError {
     SettingsError {
         field: path.into(),
         problem,
@@ -92,7 +92,7 @@
     })
 }
 
-impl Inventory {
+impl SettingsByConstraint {
     fn time(&mut self, path: impl Into<String>, value: Duration) {
         self.times.push(Setting {
             path: path.into(),
@@ -183,25 +183,25 @@
         }
     }
 
-    fn add_faults(&self, faults: &mut Vec<SettingsError>) {
+    fn add_violations(&self, violations: &mut Vec<SettingsError>) {
         for Setting { path, value } in self.times.iter().chain(&self.positive_times) {
-            if *value > LONGEST_TIME {
-                faults.push(fault(path, "is more than a year"));
+            if *value > MAX_TIME {
+                violations.push(violation(path, "is more than a year"));
             }
         }
         for Setting { path, value } in &self.positive_times {
             if value.is_zero() {
-                faults.push(fault(path, "is zero"));
+                violations.push(violation(path, "is zero"));
             }
         }
         for Setting { path, value } in &self.fractions {
             if !(0.0..=1.0).contains(value) {
-                faults.push(fault(path, "is not from 0 to 1"));
+                violations.push(violation(path, "is not from 0 to 1"));
             }
         }
         for Setting { path, value } in &self.amounts {
-            if !(0.0..=LARGEST_AMOUNT).contains(value) {
-                faults.push(fault(path, "is not from 0 to a thousand million"));
+            if !(0.0..=MAX_AMOUNT).contains(value) {
+                violations.push(violation(path, "is not from 0 to a thousand million"));
             }
         }
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -16,10 +16,10 @@
 impl Balancer {
     /// The part of a fair share that a cold endpoint may get; `None` once it is warm. When the limit ended
     /// early, all instances fell upon the one that was clear in a throttled tier.
-    pub(super) fn slow_start_share(&self, now: Timestamp, e: EndpointIndex) -> Option<f64> {
-        let known = &self.endpoints[e];
+    pub(super) fn slow_start_share(&self, now: Timestamp, index: EndpointIndex) -> Option<f64> {
+        let endpoint = &self.endpoints[index];
         let rules = &self.settings.rules;
-        let age = now.since(known.started_at.max(known.enabled_at)?);
+        let age = now.since(endpoint.started_at.max(endpoint.enabled_at)?);
         if age >= rules.warm_up_time {
             return None;
         }
@@ -30,15 +30,15 @@
     }
 
     /// Whether it is warm, or its turn on the ramp has come.
-    pub(super) fn slow_start_admits(&self, now: Timestamp, e: EndpointIndex) -> bool {
-        let known = &self.endpoints[e];
-        self.slow_start_share(now, e).is_none()
-            || known.in_subset && self.slow_start_clock >= known.slow_start_slot
+    pub(super) fn slow_start_admits(&self, now: Timestamp, index: EndpointIndex) -> bool {
+        let endpoint = &self.endpoints[index];
+        self.slow_start_share(now, index).is_none()
+            || endpoint.in_subset && self.slow_start_clock >= endpoint.slow_start_slot
     }
 
     /// The clock's reading at an endpoint's next turn, drawn at random.
-    pub(super) fn draw_slow_start_slot(&mut self, now: Timestamp, e: EndpointIndex) -> f64 {
-        let share = self.slow_start_share(now, e).unwrap_or(f64::INFINITY);
+    pub(super) fn draw_slow_start_slot(&mut self, now: Timestamp, index: EndpointIndex) -> f64 {
+        let share = self.slow_start_share(now, index).unwrap_or(f64::INFINITY);
         self.slow_start_clock - (1.0 - self.random.unit()).ln() * self.subset.len() as f64 / share
     }
 
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -35,18 +35,18 @@
             unavailable: self
                 .endpoints
                 .iter()
-                .filter(|e| e.is_listed && !e.is_available)
+                .filter(|index| index.is_listed && !index.is_available)
                 .count(),
             ..BalancerStatus::default()
         };
-        for e in (0..self.endpoints.len()).filter(|e| self.endpoints[*e].is_available) {
-            let throttling = self.throttling(now, e);
-            status.clear += usize::from(throttling.gapping == 0);
-            status.gapping += usize::from(throttling.gapping > 0);
-            status.discarding += usize::from(throttling.discarding > 0);
-            status.current_states += usize::from(now < self.endpoints[e].state_expires);
+        for index in (0..self.endpoints.len()).filter(|index| self.endpoints[*index].is_available) {
+            let throttled_levels = self.throttled_levels(now, index);
+            status.clear += usize::from(throttled_levels.gapping == 0);
+            status.gapping += usize::from(throttled_levels.gapping > 0);
+            status.discarding += usize::from(throttled_levels.discarding > 0);
+            status.current_states += usize::from(now < self.endpoints[index].state_expires);
             status.unavailable +=
-                usize::from(throttling.discarding == self.thresholds.level_count());
+                usize::from(throttled_levels.discarding == self.thresholds.level_count());
         }
         status
     }
--- a/src/policy/thresholds.rs
+++ b/src/policy/thresholds.rs
@@ -1,9 +1,9 @@
 //! Abatement, onset and discard thresholds on queue lengths, for each worth level.
 
 /// Queue length (requests) below which no level is throttled: a queue this short empties before news comes.
-const LOWEST_ABATEMENT: f64 = 0.3;
+const MIN_ABATEMENT: f64 = 0.3;
 /// Queue length (requests) at which every level is discarded.
-pub(super) const HIGHEST_DISCARD: f64 = 2.6;
+pub(super) const MAX_DISCARD: f64 = 2.6;
 
 struct LevelThresholds {
     abatement: f64,
@@ -25,9 +25,9 @@
 impl Thresholds {
     /// Thresholds that lie evenly between the lowest abatement and the highest discard.
     pub(super) fn for_levels(count: usize) -> Self {
-        let step = (HIGHEST_DISCARD - LOWEST_ABATEMENT) / (3 * count.max(1) - 1) as f64;
+        let step = (MAX_DISCARD - MIN_ABATEMENT) / (3 * count.max(1) - 1) as f64;
         let of_level = |level: usize| {
-            let abatement = LOWEST_ABATEMENT + 3.0 * step * level as f64;
+            let abatement = MIN_ABATEMENT + 3.0 * step * level as f64;
             LevelThresholds {
                 abatement,
                 onset: abatement + step,
--- a/src/policy/time.rs
+++ b/src/policy/time.rs
@@ -4,7 +4,7 @@
 
 /// The longest span that computed seconds may stand for, some thirty years: sums and small multiples of it
 /// never overflow.
-const LONGEST_SECONDS: f64 = 1e9;
+const MAX_SECONDS: f64 = 1e9;
 
 /// A point on the host's clock, which starts anywhere and only moves forward.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -40,8 +40,8 @@
 
 /// A duration from computed seconds: zero where negative or not a number.
 pub(super) fn duration_from_seconds(seconds: f64) -> Duration {
-    let bounded = if seconds > LONGEST_SECONDS {
-        LONGEST_SECONDS
+    let bounded = if seconds > MAX_SECONDS {
+        MAX_SECONDS
     } else {
         seconds
     };
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -10,15 +10,15 @@
         if self.discovery_schedule.take_due(now) {
             actions.push(Action::Subscribe);
         }
-        let queued = (!self.queued.is_empty()).then(|| self.next_chance(now));
+        let queued = (!self.queued.is_empty()).then(|| self.next_queue_check(now));
         let due = self
             .discovery_schedule
             .next_call
             .into_iter()
             .chain(queued)
             .min();
-        if let Some(at) = due.filter(|at| self.timer_at.is_none_or(|set| *at < set)) {
-            self.timer_at = Some(at);
+        if let Some(at) = due.filter(|at| self.timer_expires_at.is_none_or(|set| *at < set)) {
+            self.timer_expires_at = Some(at);
             actions.push(Action::SetTimer {
                 at,
                 token: at.as_nanos(),
@@ -28,12 +28,12 @@
 
     /// When a held request may have somewhere to go, or expires: at the next end of a gap or of a key's rest,
     /// and in any case after an unloaded answer time.
-    fn next_chance(&self, now: Timestamp) -> Timestamp {
+    fn next_queue_check(&self, now: Timestamp) -> Timestamp {
         let soon = now + duration_from_seconds(self.unloaded_time());
         let gaps = self
             .subset
             .iter()
-            .map(|e| self.endpoints[*e].gap_ends_at)
+            .map(|index| self.endpoints[*index].gap_ends_at)
             .filter(|at| *at > now);
         let first = gaps.chain(self.key_order.first_cooldown_end());
         let first = first.fold(soon.min(self.queued.next_expiry), Timestamp::min);
@@ -43,6 +43,6 @@
     /// A timer has expired. It is known by its name, not by the time: a host's timer that came a hair early
     /// left all later ones unset.
     pub(super) fn timer_expired(&mut self, token: u64) {
-        self.timer_at = self.timer_at.filter(|at| at.as_nanos() != token);
+        self.timer_expires_at = self.timer_expires_at.filter(|at| at.as_nanos() != token);
     }
 }
