--- a/fleet-lab/src/sidecar/hollow/member/discovery.rs
+++ b/fleet-lab/src/sidecar/hollow/member/discovery.rs
@@ -2,9 +2,7 @@
 
 use super::super::calls;
 use super::{Identity, Member, MemberHandle};
-use balancer_sidecar::discovery::{
-    DiscoveryError, EndpointList, ListConsumer, ListOrigin, Source, StaleListError,
-};
+use balancer_sidecar::discovery::{EndpointList, ListConsumer, ListOrigin, Source, StaleListError};
 use balancer_sidecar::policy::{Event, ListKind};
 use std::fmt;
 use std::sync::Arc;
@@ -106,14 +104,14 @@
         tracing::debug!(place = self.borrow().identity.place, "{line}");
     }
 
-    fn watch_ended(&self, source: Source, _failure: &DiscoveryError) {
+    fn watch_ended(&self, source: Source) {
         let member = self.borrow();
         member.fleet.counters.discovery_failure();
         member.fleet.milestones[member.identity.place]
             .lost_watch(member.identity.start, source.generation);
     }
 
-    fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {
+    fn fetch_failed(&self, _source: Source) {
         self.borrow().fleet.counters.discovery_failure();
     }
 }
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,57 +1,66 @@
-//! Jittered pauses between calls of discovery, of which a whole fleet makes its own at the same time.
+//! Delays between calls of discovery, with jitter because a whole fleet makes them at the same time.
 
 use crate::backoff::ExponentialBackoff;
 use crate::policy::random::SeededRandom;
 use crate::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
 use std::time::Duration;
 
-/// Its mean is 0.3 s after the first failure in a row, and so often doubled as long as [`MAX_DELAY`] allows.
+/// The mean delay is 0.3 s after the first failure in a row and doubles twice at most, within [`MAX_DELAY`].
 const FAILURE_BACKOFF: ExponentialBackoff = ExponentialBackoff {
     first: 0.3,
     max_doublings: 2,
 };
-/// The longest pause: a call that follows one that failed at once can be waited for as long as any before a change has
-/// to be in force. Longer pauses put off all sidecars after an outage, and only a discovery that turns calls away gains.
+/// The maximum delay: a call that follows an immediate failure can still wait the full [`DISCOVERY_TIMEOUT`] for its
+/// response before a change has to be in force. Longer delays would only help a discovery that rejects calls, and slow
+/// down the recovery of all sidecars after an outage.
 const MAX_DELAY: Duration = CHANGE_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
 
-/// Pauses between calls of discovery: exponential backoff with jitter after failures, and the time after which a call
-/// that has no answer yet gets another beside it. Each caller has a seed of its own, so that a fleet that lost
-/// discovery at one moment does not come back to it at one moment.
+/// When the next call of discovery is made: with exponential backoff after a failure, and after a hedging delay while a
+/// call has no response.
+///
+/// Each caller uses a seed of its own, so that the sidecars of a fleet that lost discovery at the same moment do not call
+/// it again at the same moment.
 #[derive(Debug)]
 pub struct Backoff {
     random: SeededRandom,
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl Backoff {
-    /// With no failure so far.
+    /// Creates a backoff that has seen no failure.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Backoff {
             random: SeededRandom::new(seed),
-            failures: 0,
+            consecutive_failures: 0,
         }
     }
 
-    /// Discovery has answered: the next failure is the first in a row.
+    /// Records a response of discovery: the next failure counts as the first in a row.
     pub fn reset(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// The pause after a call that failed after this long. Its mean doubles with each failure in a row, up to a longest
-    /// pause and as far as the next call still begins within [`NEXT_CALL_WITHIN`] of the beginning of the failed one.
-    pub fn delay_after(&mut self, took: Duration) -> Duration {
-        let longest = MAX_DELAY.min(NEXT_CALL_WITHIN.saturating_sub(took));
-        let pause = FAILURE_BACKOFF.pause(self.failures, longest.as_secs_f64(), self.random.unit());
-        self.failures = self.failures.saturating_add(1);
-        Duration::from_secs_f64(pause)
+    /// Records the failure of a call that took `call_duration`, and returns the delay before the next call.
+    ///
+    /// The mean delay doubles with each failure in a row, up to a maximum and as long as the next call still begins within
+    /// [`NEXT_CALL_WITHIN`] of the start of the failed one.
+    pub fn delay_after(&mut self, call_duration: Duration) -> Duration {
+        let max_delay = MAX_DELAY.min(NEXT_CALL_WITHIN.saturating_sub(call_duration));
+        let delay = FAILURE_BACKOFF.pause(
+            self.consecutive_failures,
+            max_delay.as_secs_f64(),
+            self.random.unit(),
+        );
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        Duration::from_secs_f64(delay)
     }
 
-    /// The time from the beginning of a call that is not answered to that of another beside it: from
-    /// [`DISCOVERY_TIMEOUT`] to [`NEXT_CALL_WITHIN`]. It cannot grow: the calls that are out may have been lost on the
-    /// network, and discovery may be reachable again.
+    /// Returns the time after which a call without a response is hedged by another one, from [`DISCOVERY_TIMEOUT`] to
+    /// [`NEXT_CALL_WITHIN`]. It does not grow with the number of calls: the outstanding ones may have been lost in the
+    /// network while discovery is reachable again.
     pub fn hedge_delay(&mut self) -> Duration {
-        let spread = NEXT_CALL_WITHIN - DISCOVERY_TIMEOUT;
-        DISCOVERY_TIMEOUT + spread.mul_f64(self.random.unit())
+        let jitter = NEXT_CALL_WITHIN - DISCOVERY_TIMEOUT;
+        DISCOVERY_TIMEOUT + jitter.mul_f64(self.random.unit())
     }
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,69 +1,70 @@
-//! Calls of discovery and watches on it, each on a connection of its own.
+//! Fetches of the endpoint list and watches on its changes, each on a connection of its own.
 
 use super::backoff::Backoff;
 use super::consumer::ListConsumer;
 use super::error::DiscoveryError;
-use super::hedged_call;
+use super::hedged_call::fetch_with_hedging;
 use super::list::EndpointList;
+use super::list_decoder::{ListDecoder, MAX_LIST_BYTES, Progress};
 use super::source::Source;
 use crate::policy::DISCOVERY_TIMEOUT;
-use bytes::{Buf, BytesMut};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
+use std::convert::Infallible;
 use std::error::Error;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The longest list or change of it that is taken, in bytes. The largest fleets need a fiftieth of it.
-const MAX_LIST_BYTES: usize = 4 << 20;
-/// The path of the whole list.
+/// The path of the full list; with a query also that of a watch.
 const LIST_PATH: &str = "/v1/endpoints";
 
-/// Follows the changes after version `since` until the watch fails, which the consumer is then told: when to ask
-/// again is the decision module's business.
-pub async fn watch<C: ListConsumer>(consumer: C, source: Source, since: Option<u64>) {
+/// Watches the changes after `known_version` until the watch fails, and reports the failure to the consumer, whose
+/// decision module schedules the next call.
+pub async fn watch<C: ListConsumer>(consumer: C, source: Source, known_version: Option<u64>) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
-    let Lost { failure, .. } = follow(&consumer, source, since, &mut backoff).await;
-    consumer.watch_ended(source, &failure);
-    consumer.log(format_args!("the watch on discovery ended: {failure}"));
+    let WatchEnd { error, .. } = run_watch(&consumer, source, known_version, &mut backoff).await;
+    consumer.watch_ended(source);
+    consumer.log(format_args!("the watch on discovery ended: {error}"));
     consumer.discovery_failed(source);
 }
 
-/// Follows an agent that pushes lists, without end. Nobody else decides there when it is called again. It says nothing
-/// while discovery is down, so that is not told to the consumer.
+/// Watches an agent that pushes lists, and reopens the watch with backoff whenever it fails.
+///
+/// The decision module does not schedule these calls and is not notified of failures. An agent is silent while discovery
+/// is down, so time-outs are not logged.
 pub async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     loop {
-        let begun = Instant::now();
-        let since = consumer.known_version(source);
-        let Lost { failure, was_open } = follow(&consumer, source, since, &mut backoff).await;
-        consumer.watch_ended(source, &failure);
-        if !matches!(failure, DiscoveryError::TimedOut(_)) {
+        let started_at = Instant::now();
+        let known_version = consumer.known_version(source);
+        let WatchEnd { error, stage } =
+            run_watch(&consumer, source, known_version, &mut backoff).await;
+        consumer.watch_ended(source);
+        if !matches!(error, DiscoveryError::TimedOut(_)) {
             consumer.log(format_args!(
-                "the watch on discovery's agent ended: {failure}"
+                "the watch on discovery's agent ended: {error}"
             ));
         }
-        let took = if was_open {
-            Duration::ZERO
-        } else {
-            begun.elapsed()
+        let call_duration = match stage {
+            WatchStage::Opening => started_at.elapsed(),
+            WatchStage::Open => Duration::ZERO,
         };
-        sleep(backoff.delay_after(took)).await;
+        sleep(backoff.delay_after(call_duration)).await;
     }
 }
 
-/// Asks for the whole list once.
+/// Fetches the full list once, and reports a failure to the consumer.
 pub async fn fetch<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     let received = match fetch_full_list(&consumer, source, &mut backoff).await {
         Ok(list) => consumer
             .list_received(source, list)
             .map_err(DiscoveryError::from),
-        Err(failure) => Err(failure),
+        Err(error) => Err(error),
     };
-    if let Err(failure) = received {
-        consumer.fetch_failed(source, &failure);
-        consumer.log(format_args!("discovery gave no list: {failure}"));
+    if let Err(error) = received {
+        consumer.fetch_failed(source);
+        consumer.log(format_args!("the fetch from discovery failed: {error}"));
         consumer.discovery_failed(source);
     }
 }
@@ -73,119 +74,105 @@
     source: Source,
     backoff: &mut Backoff,
 ) -> Result<EndpointList, DiscoveryError> {
-    let body = hedged_call::fetch_with_hedging(source.address, LIST_PATH, backoff, || {
-        consumer.call_hedged(source);
-    })
-    .await?;
-    let body = timeout(
-        DISCOVERY_TIMEOUT,
-        Limited::new(body, MAX_LIST_BYTES).collect(),
-    )
-    .await?;
-    let body = body.map_err(limited_body_error)?;
+    let on_hedge = || consumer.call_hedged(source);
+    let body = fetch_with_hedging(source.address, LIST_PATH, backoff, on_hedge).await?;
+    let body = Limited::new(body, MAX_LIST_BYTES).collect();
+    let body = timeout(DISCOVERY_TIMEOUT, body)
+        .await?
+        .map_err(limited_body_error)?;
     Ok(serde_json::from_slice(&body.to_bytes())?)
 }
 
-/// What went wrong with a body of limited length: its connection broke, or it is too long.
-fn limited_body_error(failure: Box<dyn Error + Send + Sync>) -> DiscoveryError {
-    match failure.downcast::<hyper::Error>() {
-        Ok(broken) => DiscoveryError::Http(*broken),
+/// Converts the error of a [`Limited`] body: its connection broke, or it is too long.
+fn limited_body_error(error: Box<dyn Error + Send + Sync>) -> DiscoveryError {
+    match error.downcast::<hyper::Error>() {
+        Ok(error) => DiscoveryError::Http(*error),
         Err(_) => DiscoveryError::TooLong,
     }
 }
 
-/// How following discovery ended.
-struct Lost {
-    failure: DiscoveryError,
-    /// A watch was open before.
-    was_open: bool,
+/// How a watch ended.
+struct WatchEnd {
+    error: DiscoveryError,
+    stage: WatchStage,
 }
 
-async fn follow<C: ListConsumer>(
+/// How far a watch got.
+enum WatchStage {
+    /// The request was not answered with a watch.
+    Opening,
+    /// The watch was open.
+    Open,
+}
+
+/// Opens a watch and receives its events until it fails.
+async fn run_watch<C: ListConsumer>(
     consumer: &C,
     source: Source,
-    since: Option<u64>,
+    known_version: Option<u64>,
     backoff: &mut Backoff,
-) -> Lost {
-    match open_watch(consumer, source, since, backoff).await {
-        Ok(body) => {
-            backoff.reset();
-            let failure = read_watch(consumer, source, body)
-                .await
-                .err()
-                .unwrap_or(DiscoveryError::Closed);
-            Lost {
-                failure,
-                was_open: true,
-            }
+) -> WatchEnd {
+    let body = match open_watch(consumer, source, known_version, backoff).await {
+        Ok(body) => body,
+        Err(error) => {
+            return WatchEnd {
+                error,
+                stage: WatchStage::Opening,
+            };
         }
-        Err(failure) => Lost {
-            failure,
-            was_open: false,
-        },
+    };
+    backoff.reset();
+    let Err(error) = receive_events(consumer, source, body).await;
+    WatchEnd {
+        error,
+        stage: WatchStage::Open,
     }
 }
 
-/// Without a version to go on from it asks for the whole list first: a watch from version 0 may hold just the
-/// changes that this discovery still remembers.
+/// Opens a watch on the changes after `known_version`.
+///
+/// Without a known version the full list is fetched first: a watch from version 0 may contain only the changes that this
+/// discovery still remembers.
 async fn open_watch<C: ListConsumer>(
     consumer: &C,
     source: Source,
-    since: Option<u64>,
+    known_version: Option<u64>,
     backoff: &mut Backoff,
 ) -> Result<Incoming, DiscoveryError> {
-    let since = match since {
-        Some(since) => since,
+    let version = match known_version {
+        Some(version) => version,
         None => {
             let list = fetch_full_list(consumer, source, backoff).await?;
-            let since = list.index;
+            let version = list.index;
             consumer.list_received(source, list)?;
-            since
+            version
         }
     };
-    let path = format!("{LIST_PATH}?follow=1&since={since}");
-    let body = hedged_call::fetch_with_hedging(source.address, &path, backoff, || {
-        consumer.call_hedged(source);
-    })
-    .await?;
+    let path = format!("{LIST_PATH}?follow=1&since={version}");
+    let on_hedge = || consumer.call_hedged(source);
+    let body = fetch_with_hedging(source.address, &path, backoff, on_hedge).await?;
     consumer.watch_opened(source);
     Ok(body)
 }
 
-/// Reads a watch's lists until it ends.
-async fn read_watch<C: ListConsumer>(
+/// Receives the events of a watch until it fails, ends or is silent for [`DISCOVERY_TIMEOUT`].
+///
+/// Heartbeats count as silence while a list is incomplete, because its rest may never come.
+async fn receive_events<C: ListConsumer>(
     consumer: &C,
     source: Source,
     mut body: Incoming,
-) -> Result<(), DiscoveryError> {
-    let mut unread = BytesMut::new();
-    // Beats do not put it off while half a list is unread, whose rest may never come.
-    let mut silent_from = Instant::now();
-    while let Some(frame) = timeout_at(silent_from + DISCOVERY_TIMEOUT, body.frame()).await? {
-        let Ok(data) = frame?.into_data() else {
+) -> Result<Infallible, DiscoveryError> {
+    let mut decoder = ListDecoder::default();
+    let mut silent_since = Instant::now();
+    while let Some(frame) = timeout_at(silent_since + DISCOVERY_TIMEOUT, body.frame()).await? {
+        let Ok(chunk) = frame?.into_data() else {
             continue;
         };
-        unread.extend_from_slice(&data);
-        // Whole objects are read as they come, whichever way they are broken into lines and pieces.
-        let mut lists = serde_json::Deserializer::from_slice(&unread).into_iter::<EndpointList>();
-        let mut read = 0;
-        while let Some(list) = data.contains(&b'}').then(|| lists.next()).flatten() {
-            match list {
-                Err(e) if e.is_eof() => break,
-                list => consumer.list_received(source, list?)?,
-            }
-            read = lists.byte_offset();
-        }
-        unread.advance(read);
-        if unread.iter().all(u8::is_ascii_whitespace) {
-            unread.clear();
-        }
-        if read > 0 || unread.is_empty() {
-            silent_from = Instant::now();
-        }
-        if unread.len() > MAX_LIST_BYTES {
-            return Err(DiscoveryError::TooLong);
+        let progress = decoder.decode(&chunk, |list| consumer.list_received(source, list))?;
+        if progress == Progress::Alive {
+            silent_since = Instant::now();
         }
     }
-    Ok(())
+    Err(DiscoveryError::Closed)
 }
--- a/src/discovery/consumer.rs
+++ b/src/discovery/consumer.rs
@@ -1,39 +1,43 @@
-//! Who hears of lists, watches and failures.
+//! The receiver of lists, watches and failures.
 
-use super::error::{DiscoveryError, StaleListError};
+use super::error::StaleListError;
 use super::list::EndpointList;
 use super::source::Source;
 use std::fmt;
 
-/// What lists, watches and failures are reported to.
+/// Receives what the discovery client learns.
+///
+/// The client calls it from tasks on the current thread, and each call names the source that it concerns: a reload may
+/// have moved discovery since the client's call began.
 pub trait ListConsumer: Clone + 'static {
-    /// The version of the list that this source gave, which its changes may follow on.
+    /// Returns the version of the last list from a source, from which a watch can resume; `None` if there is none.
     fn known_version(&self, source: Source) -> Option<u64>;
 
-    /// Discovery has sent the whole list, or what has changed.
+    /// Receives the full list or a watch event.
     ///
     /// # Errors
-    /// It is older than what the source told before, and nothing of it is taken.
+    /// Returns [`StaleListError`] if the list is older than the source's last one; the client then gives the watch up.
     fn list_received(&self, source: Source, list: EndpointList) -> Result<(), StaleListError>;
 
-    /// A watch is open.
+    /// Notes that a watch has been opened.
     fn watch_opened(&self, source: Source);
 
-    /// A call failed, or a watch was lost, of which the decision module is to hear.
+    /// Notes that a call failed or a watch was lost, so that the decision module schedules the next call. It is not used
+    /// for agents, which the client follows without the module.
     fn discovery_failed(&self, source: Source);
 
-    /// A watch ended or could not be opened, for consumers that count them; that of an agent is told here alone.
-    fn watch_ended(&self, _source: Source, _failure: &DiscoveryError) {}
+    /// Notes that a watch was lost or could not be opened, on an agent too. Only for consumers that count failures.
+    fn watch_ended(&self, _source: Source) {}
 
-    /// A call for the whole list alone failed, for consumers that count them.
-    fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {}
+    /// Notes that a fetch of the full list failed. Only for consumers that count failures.
+    fn fetch_failed(&self, _source: Source) {}
 
-    /// A call has no answer yet, and another is made beside it; for consumers that count or log them.
+    /// Notes that a call has no response yet and is hedged by another one. Only for consumers that count or log this.
     fn call_hedged(&self, _source: Source) {}
 
-    /// The seed of the jitter between calls: another for each sidecar of a fleet, lest they call in step.
+    /// Returns the seed of the jitter between calls. It must differ between the sidecars of a fleet.
     fn jitter_seed(&self) -> u64;
 
-    /// A line of the log.
+    /// Writes a line to the log.
     fn log(&self, line: fmt::Arguments<'_>);
 }
--- a/src/discovery/hedged_call.rs
+++ b/src/discovery/hedged_call.rs
@@ -1,9 +1,11 @@
-//! A call of discovery that keeps its place in discovery's queue while it is late.
+//! Calls of discovery with hedging: a call without a response keeps its place in discovery's queue while another one is
+//! made beside it.
 //!
-//! Discovery handles calls in turn, and its turns are spent also on calls that were given up. A fleet whose calls are
-//! all given up before their turn, and made again at the end of the queue, keeps discovery busy for nothing for as long
-//! as it lasts (congestion collapse). A call that is late may on the other hand have been lost on the network, so
-//! another is made beside it: the oldest keeps its place, and the newest finds out whether discovery can be reached.
+//! Discovery handles the calls of all sidecars in turn and spends time on abandoned calls as well. If a fleet abandoned
+//! its calls before their turn and repeated them at the end of the queue, discovery would be busy with abandoned calls for
+//! as long as the overload lasts (congestion collapse). On the other hand, a call without a response may have been lost in
+//! the network. So the oldest call is kept for its place in the queue, and the newest one finds out whether discovery can
+//! be reached.
 
 use super::backoff::Backoff;
 use super::error::DiscoveryError;
@@ -19,100 +21,110 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::Poll;
+use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// Calls that are out at once: the oldest, which is the next in turn, and the newest.
+/// The maximum number of outstanding calls: the oldest, which is the next in discovery's queue, and the newest.
 const MAX_CONCURRENT_CALLS: usize = 2;
-/// A call without an answer gives its place to the next after this long. One that was lost on the network is never
-/// answered, and while it is kept the newest is made anew before a long queue comes to its turn. A queue in which 500
-/// sidecars wait for a discovery that answers 20 calls a second is shorter.
+/// A call without a response is replaced by a newer one after this long: it may have been lost in the network, and as long
+/// as it is kept, the other call is replaced over and over and may never reach the front of a long queue. The value exceeds
+/// the time that 500 sidecars wait for a discovery that answers 20 calls a second.
 const MAX_CALL_AGE: Duration = Duration::from_secs(30);
 
-/// Asks discovery for a path until a call is answered, or every call that is out has failed. `late` is told of each
-/// further call that is made because none was answered in time.
+/// Sends a GET request to discovery and returns the body of the first successful response.
+///
+/// While there is no response, a further call is made after each [`Backoff::hedge_delay`], and `on_hedge` is called.
+///
+/// # Errors
+/// Returns the last error once all outstanding calls have failed.
 pub(super) async fn fetch_with_hedging(
     address: SocketAddr,
     path: &str,
     backoff: &mut Backoff,
-    late: impl Fn(),
+    on_hedge: impl Fn(),
 ) -> Result<Incoming, DiscoveryError> {
     let mut calls = OutstandingCalls::default();
     loop {
-        calls.begin(address, path);
-        let next_call = Instant::now() + backoff.hedge_delay();
+        calls.start(address, path);
+        let hedge_at = Instant::now() + backoff.hedge_delay();
         loop {
             tokio::select! {
                 biased;
-                answer = calls.next_answer() => match answer {
-                    Err(failure) if calls.are_over() => return Err(failure),
+                response = calls.next_response() => match response {
+                    Err(error) if calls.is_empty() => return Err(error),
                     Err(_) => {}
-                    answered => return answered,
+                    Ok(body) => return Ok(body),
                 },
-                () = sleep_until(next_call) => break,
+                () = sleep_until(hedge_at) => break,
             }
         }
-        late();
+        on_hedge();
     }
 }
 
-/// The calls that are out, oldest first.
+/// The calls without a response, oldest first.
 #[derive(Default)]
 struct OutstandingCalls(VecDeque<Call>);
 
-/// A call without an answer. Dropped, it closes its connection.
-struct Call {
-    begun: Instant,
-    /// Its connection is up. Without one it has no place in discovery's queue.
-    is_connected: Rc<Cell<bool>>,
-    answer: Pin<Box<dyn Future<Output = Result<Incoming, DiscoveryError>>>>,
-}
-
 impl OutstandingCalls {
-    /// Begins a call and drops those that it replaces: all but the oldest that waits for its turn.
-    fn begin(&mut self, address: SocketAddr, path: &str) {
-        let keeps_place =
-            |call: &Call| call.is_connected.get() && call.begun.elapsed() < MAX_CALL_AGE;
-        self.0.retain(keeps_place);
+    /// Starts a call and drops those that it replaces: all but the oldest that still has a place in discovery's queue.
+    fn start(&mut self, address: SocketAddr, path: &str) {
+        self.0.retain(Call::is_queued);
         self.0.truncate(MAX_CONCURRENT_CALLS - 1);
-        self.0.push_back(Call::begin(address, path));
+        self.0.push_back(Call::start(address, path));
     }
 
-    fn are_over(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The next answer or failure of a call, which is out no longer.
-    async fn next_answer(&mut self) -> Result<Incoming, DiscoveryError> {
-        poll_fn(|context| {
-            for position in 0..self.0.len() {
-                if let Poll::Ready(answer) = self.0[position].answer.as_mut().poll(context) {
-                    self.0.remove(position);
-                    return Poll::Ready(answer);
-                }
+    /// Waits until one of the calls completes, and removes it.
+    async fn next_response(&mut self) -> Result<Incoming, DiscoveryError> {
+        poll_fn(|context| self.poll_response(context)).await
+    }
+
+    fn poll_response(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Result<Incoming, DiscoveryError>> {
+        for index in 0..self.0.len() {
+            if let Poll::Ready(response) = self.0[index].response.as_mut().poll(context) {
+                self.0.remove(index);
+                return Poll::Ready(response);
             }
-            Poll::Pending
-        })
-        .await
+        }
+        Poll::Pending
     }
 }
 
+/// A call without a response. Dropping it closes its connection.
+struct Call {
+    started_at: Instant,
+    is_connected: Rc<Cell<bool>>,
+    response: Pin<Box<dyn Future<Output = Result<Incoming, DiscoveryError>>>>,
+}
+
 impl Call {
-    fn begin(address: SocketAddr, path: &str) -> Self {
+    fn start(address: SocketAddr, path: &str) -> Self {
         let is_connected = Rc::new(Cell::new(false));
-        let answer = Box::pin(call(address, path.to_owned(), is_connected.clone()));
+        let response = Box::pin(send_request(address, path.to_owned(), is_connected.clone()));
         Call {
-            begun: Instant::now(),
+            started_at: Instant::now(),
             is_connected,
-            answer,
+            response,
         }
     }
+
+    /// Returns whether the call is worth keeping for its place in discovery's queue. Without a connection it has none.
+    fn is_queued(&self) -> bool {
+        self.is_connected.get() && self.started_at.elapsed() < MAX_CALL_AGE
+    }
 }
 
-/// One call on a connection of its own.
-async fn call(
+/// Sends a GET request on a new connection and returns the body of the response.
+async fn send_request(
     address: SocketAddr,
     path: String,
     is_connected: Rc<Cell<bool>>,
@@ -122,12 +134,12 @@
         .map_err(DiscoveryError::Connect)?;
     is_connected.set(true);
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // Ends with the call: once the body or its reader is gone, and the sender with it.
+    // The task ends once the sender and the body are dropped.
     tokio::task::spawn_local(connection);
-    let request = Request::get(path).header(header::HOST, address.to_string());
-    let response = sender
-        .send_request(request.body(Empty::<Bytes>::new())?)
-        .await?;
+    let request = Request::get(path)
+        .header(header::HOST, address.to_string())
+        .body(Empty::<Bytes>::new())?;
+    let response = sender.send_request(request).await?;
     match response.status() {
         StatusCode::OK => Ok(response.into_body()),
         status => Err(DiscoveryError::Status(status)),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,8 +1,38 @@
-//! The client of discovery: the whole list when it is asked for, and watches on its changes.
+//! The client of the discovery service.
 //!
-//! The client holds no list itself. What it receives goes to a [`ListConsumer`], which feeds it to its decision
-//! module and asks for calls ([`fetch`]) and watches ([`watch`], [`watch_agent`]) as the module says. All of them
-//! run on the current thread and need a [`tokio::task::LocalSet`].
+//! # Protocol
+//!
+//! Discovery publishes the endpoint list over HTTP/1.1 and numbers its versions. The client makes two kinds of calls,
+//! each on a connection of its own:
+//!
+//! - A **fetch** returns the **full list**. Endpoints that it does not name have been removed.
+//! - A **watch** names the last known version. Its response stays open and is a stream of events, each of which holds the
+//!   changes since the previous one; the first may be the full list instead. Heartbeats are empty lines. If no version is
+//!   known, the client fetches the full list before it opens the watch.
+//!
+//! A watch is lost when its connection ends, an event is malformed or stale, or nothing is received for
+//! [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT) (**silence time-out**). A new watch resumes from the last known
+//! version, so no change is missed (**resync**).
+//!
+//! # Hedging
+//!
+//! A call without a response is not abandoned after a time-out. It keeps its place in discovery's queue, and a hedged call
+//! is made beside it; the first successful response counts. At most two calls are outstanding at a time.
+//!
+//! # Failures
+//!
+//! A call fails once all its hedged calls have failed. Who schedules the next call depends on the mode:
+//!
+//! - Lists are fetched on request: [`fetch`] and [`watch`] report the failure to the [`ListConsumer`] and end. The decision
+//!   module schedules the next call, with its own backoff.
+//! - Lists are pushed by an agent: [`watch_agent`] reopens the watch with a [`Backoff`] and never ends.
+//!
+//! # State
+//!
+//! The calls keep no list. They pass what they receive to a [`ListConsumer`], which keeps a [`Subscription`]: the current
+//! [`Source`], the watch on it, and the [`Membership`], which checks versions and rejects stale lists.
+//!
+//! All calls run on the current thread and need a [`tokio::task::LocalSet`].
 
 mod backoff;
 mod client;
@@ -10,6 +40,7 @@
 mod error;
 mod hedged_call;
 mod list;
+mod list_decoder;
 mod membership;
 mod source;
 mod subscription;
--- a/src/discovery/source.rs
+++ b/src/discovery/source.rs
@@ -1,13 +1,15 @@
-//! Which discovery is asked.
+//! The identity of a discovery service.
 
 use std::net::SocketAddr;
 
-/// One discovery that a configuration names, or named: an address under one generation of the configuration. What it
-/// tells is told apart from what the next one does.
+/// A discovery service that the configuration names, or named before a reload.
+///
+/// Lists of different sources are not comparable, even if a later reload returns to an earlier address. The generation
+/// tells such sources apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// Where it listens.
+    /// The address at which the service listens.
     pub address: SocketAddr,
-    /// Counted up whenever a reload moves discovery.
+    /// The number of moves to another discovery service before this one.
     pub generation: u64,
 }
