--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -1,5 +1,22 @@
-//! How a caller's connection stands, for those that must tell silence from work.
+//! The state of a caller's connection, shared by its reader, its writer, the service and the table of connections.
+//!
+//! [`Phase`] says what the connection does; all deadlines follow from it. These facts stay separate, as they hold across
+//! phases and each combines with most of them:
+//!
+//! - `write_blocked_since`: the client reads nothing. It concerns the writing direction alone, and takes precedence in
+//!   [`ConnectionState::deadline`].
+//! - `peer_has_ended`: the client has sent FIN or a reset. hyper may still be answering.
+//! - `persistence`: whether the connection ends with the next response. Heads, bodies, uploads and shutdowns set it, and a
+//!   finished upload resets it.
+//! - `head_error`: why a head was rejected. It outlives the phase: nothing after a rejected head is read as a request. A
+//!   head that times out after hyper has been given it is answered with the error, too.
+//! - `is_closing_idle`: the connection closes unless its next request is already there. hyper ends it between requests, so
+//!   that it coexists with every phase until then.
+//! - `has_received_head`: decides between [`Phase::Idle`] and [`Phase::AwaitingFirstHead`] after an error response.
 
+use super::head::HeadError;
+use super::persistence::Persistence;
+use super::phase::Phase;
 use crate::sidecar::sockets::WriteObserver;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -8,151 +25,249 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// From a connection's start to its first head, and from a head's first byte to its last.
+/// Limit from a connection's start to its first head, and from a head's first byte to its last.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
-/// A connection may stand so long between requests before it is closed.
+/// A connection that is idle between requests for so long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The first request of a new connection is on its way for so long at the most.
+/// For so long after its start a connection may have its first request on the way.
 pub const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// A caller may leave what has been written to it unread for so long. What the kernel holds of it takes a slow one many
-/// seconds, in which no more can be written.
+/// Limit for a client to read what was written to it. The kernel's buffers take a slow client many seconds to read, in
+/// which no more can be written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why a head is not handed on. Nothing after it is read as a request.
-#[derive(Clone, Copy, PartialEq)]
-pub enum HeadError {
-    /// Where its body ends depends on who reads it.
-    Framing,
-    /// It is over the longest head.
-    TooLong,
-    /// It did not come in time.
-    TooSlow,
+/// How a response leaves the service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ResponseKind {
+    /// With all of its body.
+    Complete,
+    /// With a body that follows as the endpoint sends it; [`ConnectionState::stream_ended`] tells its end.
+    Streamed,
 }
 
-/// A connection's standing.
+/// The state of one caller's connection.
+#[derive(Debug)]
 pub struct ConnectionState {
-    /// When it was accepted.
-    pub accepted_at: Instant,
-    /// Since when it has been between requests.
-    pub idle_since: Cell<Option<Instant>>,
-    /// When the first byte of the request came that the service has not seen yet.
-    pub head_since: Cell<Option<Instant>>,
-    /// When the last byte came of a head that was awaited.
-    pub last_byte_at: Cell<Instant>,
-    /// A whole head has come on it.
-    pub has_received_head: Cell<bool>,
-    /// A head has gone on to the service, which has not answered it yet.
-    is_answering: Cell<bool>,
-    /// Who waits for that answer before reading on.
+    accepted_at: Instant,
+    phase: Cell<Phase>,
+    /// When the last byte of an awaited head came.
+    last_byte_at: Cell<Instant>,
+    has_received_head: Cell<bool>,
+    /// The reader, while it waits for the response before it reads on.
     reader: RefCell<Option<Waker>>,
-    /// What the service answers the head that stands in for a bad one with.
-    pub head_error: Cell<Option<HeadError>>,
-    /// The connection ends with the request that is being answered.
-    pub is_last_request: Cell<bool>,
-    /// The other side has sent its end.
-    pub peer_has_ended: Cell<bool>,
-    /// Since when nothing could be written to it, as the other side reads nothing.
-    blocked_since: Cell<Option<Instant>>,
-    /// It was closed for standing idle, or to make room: there is nothing to be read on it.
-    pub is_closing_idle: Cell<bool>,
+    head_error: Cell<Option<HeadError>>,
+    persistence: Cell<Persistence>,
+    peer_has_ended: Cell<bool>,
+    write_blocked_since: Cell<Option<Instant>>,
+    is_closing_idle: Cell<bool>,
 }
 
 impl ConnectionState {
-    /// A connection that was just accepted.
+    /// The state of a connection that was just accepted.
     pub fn new() -> Rc<Self> {
         let now = Instant::now();
         Rc::new(ConnectionState {
             accepted_at: now,
-            idle_since: Cell::new(Some(now)),
-            head_since: Cell::new(None),
+            phase: Cell::new(Phase::AwaitingFirstHead { since: now }),
             last_byte_at: Cell::new(now),
             has_received_head: Cell::new(false),
-            is_answering: Cell::new(false),
             reader: RefCell::new(None),
             head_error: Cell::new(None),
-            is_last_request: Cell::new(false),
+            persistence: Cell::new(Persistence::KeepAlive),
             peer_has_ended: Cell::new(false),
-            blocked_since: Cell::new(None),
+            write_blocked_since: Cell::new(None),
             is_closing_idle: Cell::new(false),
         })
     }
 
-    /// Whether a request is being answered.
-    pub fn is_answering(&self) -> bool {
-        self.is_answering.get()
+    /// What the connection does now.
+    pub fn phase(&self) -> Phase {
+        self.phase.get()
     }
 
-    /// A head goes on to the service.
-    pub fn set_answering(&self, is_answering: bool) {
-        self.is_answering.set(is_answering);
+    /// When the last byte of an awaited head came.
+    pub fn last_byte_at(&self) -> Instant {
+        self.last_byte_at.get()
     }
 
-    /// Has the reader woken when the request is answered.
+    /// Returns whether a byte of a request has come that the service has not seen.
+    pub fn is_receiving_head(&self) -> bool {
+        self.phase.get().incoming_head().is_some()
+    }
+
+    /// Returns whether a forwarded request has no response yet.
+    pub fn is_awaiting_response(&self) -> bool {
+        self.phase.get().is_awaiting_response()
+    }
+
+    /// Returns whether the connection was accepted so short a time ago that its first request may be on the way.
+    pub fn is_awaiting_first_request(&self) -> bool {
+        matches!(self.phase.get(), Phase::AwaitingFirstHead { .. })
+            && Instant::now() < self.accepted_at + FIRST_REQUEST_GRACE
+    }
+
+    // ---- The reader's events --------------------------------------------------------------------------------
+
+    /// The reader has read from the socket while it was not forwarding a body; no bytes mean the client's FIN.
+    pub fn received(&self, bytes: usize) {
+        let now = Instant::now();
+        self.last_byte_at.set(now);
+        if bytes > 0 {
+            self.phase.set(self.phase.get().head_begun(now));
+        }
+    }
+
+    /// The reader gets to the next request, of which bytes have come already. They were not read while the last one was
+    /// answered, so that its time counts from now on.
+    pub fn next_head_begun(&self) {
+        self.phase.set(self.phase.get().head_begun(Instant::now()));
+    }
+
+    /// All bytes of a head have come, whether or not it is valid.
+    pub fn head_completed(&self) {
+        self.has_received_head.set(true);
+    }
+
+    /// The reader hands the head on to hyper.
+    pub fn head_forwarded(&self) {
+        self.phase.set(self.phase.get().head_forwarded());
+    }
+
+    /// The reader replaces the head, and reads nothing after it. The service answers the replacement with the error.
+    pub fn head_rejected(&self, error: HeadError) {
+        self.head_error.set(Some(error));
+        self.persistence.set(Persistence::Close);
+    }
+
+    /// Wakes the reader when the response is ready.
     pub fn wake_reader_when_answered(&self, reader: &Waker) {
         *self.reader.borrow_mut() = Some(reader.clone());
     }
 
-    /// The service has an answer: the next request may be read.
-    pub fn answered(&self) {
-        self.is_answering.set(false);
-        self.reader.take().into_iter().for_each(Waker::wake);
+    /// The client has sent FIN, or has reset the connection.
+    pub fn peer_ended(&self) {
+        self.peer_has_ended.set(true);
     }
 
-    /// The connection is between requests again.
-    pub fn set_idle(&self) {
-        self.idle_since.set(Some(Instant::now()));
+    /// Returns whether the client has sent FIN, or has reset the connection.
+    pub fn peer_has_ended(&self) -> bool {
+        self.peer_has_ended.get()
     }
 
-    /// Bytes came while a head was awaited, or none did.
-    pub fn received(&self, bytes: usize) {
-        self.last_byte_at.set(Instant::now());
-        if bytes > 0 && self.head_since.get().is_none() && !self.is_answering.get() {
-            self.head_since.set(Some(Instant::now()));
+    // ---- The service's events -------------------------------------------------------------------------------
+
+    /// hyper has called the service with a request. Returns when its head began to come.
+    pub fn request_begun(&self) -> Instant {
+        let head = self.phase.replace(Phase::Answering).incoming_head();
+        head.map_or_else(Instant::now, |head| head.since)
+    }
+
+    /// The service has a response: the next request may be read.
+    pub fn response_ready(&self, kind: ResponseKind) {
+        match kind {
+            ResponseKind::Complete => self.end_response(),
+            ResponseKind::Streamed => self.phase.set(Phase::Streaming { next: None }),
+        }
+        if let Some(reader) = self.reader.take() {
+            reader.wake();
         }
     }
 
-    /// Whether it was accepted so short a time ago that its first request may be on its way.
-    pub fn is_awaiting_first_request(&self) -> bool {
-        !self.has_received_head.get() && Instant::now() < self.accepted_at + FIRST_REQUEST_GRACE
+    /// The body of a streamed response has ended, or hyper has dropped it.
+    pub fn stream_ended(&self) {
+        if matches!(self.phase.get(), Phase::Streaming { .. }) {
+            self.end_response();
+        }
+    }
+
+    fn end_response(&self) {
+        let rest = |since| {
+            if self.has_received_head.get() {
+                Phase::Idle { since }
+            } else {
+                Phase::AwaitingFirstHead { since }
+            }
+        };
+        let phase = self.phase.get().response_ended(Instant::now(), rest);
+        self.phase.set(phase);
+    }
+
+    /// Why the head was rejected that the service's request replaces.
+    pub fn head_error(&self) -> Option<HeadError> {
+        self.head_error.get()
+    }
+
+    /// Returns whether the connection outlives the response.
+    pub fn persistence(&self) -> Persistence {
+        self.persistence.get()
     }
 
-    /// Whether the other side leaves unread what was written.
-    pub fn is_blocked(&self) -> bool {
-        self.blocked_since.get().is_some()
+    /// Decides whether the connection outlives the response.
+    pub fn set_persistence(&self, persistence: Persistence) {
+        self.persistence.set(persistence);
     }
 
-    /// When the first head has to have come.
+    // ---- Deadlines and closing ------------------------------------------------------------------------------
+
+    /// When the first head must be complete.
     pub fn first_head_deadline(&self) -> Instant {
         self.accepted_at + HEAD_TIMEOUT
     }
 
-    /// When the time for it is over, as things stand; never while a request is open, which has its own time, but where its
-    /// answer is not read.
+    /// When the time of the present phase is up. None while a request is answered, which has a deadline of its own, unless
+    /// the client does not read the response.
     pub fn deadline(&self) -> Option<Instant> {
-        if let Some(since) = self.blocked_since.get() {
+        if let Some(since) = self.write_blocked_since.get() {
             return Some(since + WRITE_TIMEOUT);
         }
-        let idle_since = self
-            .idle_since
-            .get()
-            .filter(|_| !self.is_closing_idle.get())?;
-        match self.head_since.get() {
-            Some(_) if self.head_error.get().is_some() => None,
-            Some(begun) => Some(begun + HEAD_TIMEOUT),
-            None if self.has_received_head.get() => Some(idle_since + IDLE_TIMEOUT),
-            None if self.is_last_request.get() => Some(self.accepted_at + FIRST_REQUEST_GRACE),
-            None => Some(idle_since + HEAD_TIMEOUT),
+        if self.is_closing_idle.get() {
+            return None;
+        }
+        match self.phase.get() {
+            Phase::AwaitingFirstHead { since } => Some(match self.persistence.get() {
+                Persistence::KeepAlive => since + HEAD_TIMEOUT,
+                Persistence::Close => self.accepted_at + FIRST_REQUEST_GRACE,
+            }),
+            Phase::Idle { since } => Some(since + IDLE_TIMEOUT),
+            Phase::ReceivingRequest { head, .. } => {
+                let is_rejected = self.head_error.get().is_some();
+                (!is_rejected).then_some(head.since + HEAD_TIMEOUT)
+            }
+            Phase::Answering | Phase::Streaming { .. } => None,
         }
     }
+
+    /// The head was not complete in time. The reader rejects it when it is polled next.
+    pub fn head_timed_out(&self) {
+        self.head_error.set(Some(HeadError::TooSlow));
+    }
+
+    /// Closes the connection as idle: it was idle for too long, or its descriptor is needed. Nothing on it is left to be
+    /// read.
+    pub fn close_idle(&self) {
+        self.is_closing_idle.set(true);
+    }
+
+    /// Returns whether the connection was closed as idle.
+    pub fn is_closing_idle(&self) -> bool {
+        self.is_closing_idle.get()
+    }
+
+    /// Returns whether the client leaves unread what was written, so that no more can be.
+    pub fn is_write_blocked(&self) -> bool {
+        self.write_blocked_since.get().is_some()
+    }
 }
 
 impl WriteObserver for ConnectionState {
     fn on_write(&self, result: &Poll<io::Result<usize>>) {
-        let blocked_since = if result.is_ready() {
-            None
-        } else {
-            Some(self.blocked_since.get().unwrap_or_else(Instant::now))
+        let blocked_since = match result {
+            Poll::Ready(_) => None,
+            Poll::Pending => Some(self.write_blocked_since.get().unwrap_or_else(Instant::now)),
         };
-        self.blocked_since.set(blocked_since);
+        self.write_blocked_since.set(blocked_since);
     }
 }
+
+#[cfg(test)]
+#[path = "connection_state_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/sidecar/caller/connection_state_tests.rs
@@ -0,0 +1,243 @@
+//! Tests of the phases and deadlines of a caller's connection, on a paused clock.
+
+use super::super::phase::{HeadProgress, IncomingHead};
+use super::*;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::task::Wake;
+use tokio::time::advance;
+
+/// Time between the events of a test.
+const STEP: Duration = Duration::from_millis(100);
+
+/// Has a request's head arrive and go on to hyper.
+fn receive_request(state: &ConnectionState) {
+    state.received(10);
+    state.head_completed();
+    state.head_forwarded();
+}
+
+/// Has a request arrive and its response be ready.
+fn exchange(state: &ConnectionState, kind: ResponseKind) {
+    receive_request(state);
+    state.request_begun();
+    state.response_ready(kind);
+}
+
+#[tokio::test(start_paused = true)]
+async fn new_connection_awaits_its_first_head_until_the_head_timeout() {
+    let state = ConnectionState::new();
+    let accepted_at = Instant::now();
+    assert_eq!(
+        state.phase(),
+        Phase::AwaitingFirstHead { since: accepted_at }
+    );
+    assert_eq!(state.deadline(), Some(accepted_at + HEAD_TIMEOUT));
+    assert_eq!(state.first_head_deadline(), accepted_at + HEAD_TIMEOUT);
+    assert!(state.is_awaiting_first_request());
+    advance(FIRST_REQUEST_GRACE).await;
+    assert!(!state.is_awaiting_first_request());
+}
+
+#[tokio::test(start_paused = true)]
+async fn new_connection_that_is_to_close_waits_no_longer_than_the_grace_for_its_first_request() {
+    let state = ConnectionState::new();
+    state.set_persistence(Persistence::Close);
+    assert_eq!(state.deadline(), Some(Instant::now() + FIRST_REQUEST_GRACE));
+}
+
+#[tokio::test(start_paused = true)]
+async fn head_deadline_counts_from_its_first_byte() {
+    let state = ConnectionState::new();
+    let accepted_at = Instant::now();
+    advance(STEP).await;
+    state.received(1);
+    let begun = Instant::now();
+    advance(STEP).await;
+    state.received(1);
+    let head = IncomingHead {
+        since: begun,
+        progress: HeadProgress::Receiving,
+    };
+    assert_eq!(
+        state.phase(),
+        Phase::ReceivingRequest {
+            idle_since: accepted_at,
+            head
+        }
+    );
+    assert_eq!(state.deadline(), Some(begun + HEAD_TIMEOUT));
+    assert_eq!(state.last_byte_at(), begun + STEP);
+    assert!(!state.is_awaiting_response());
+}
+
+#[tokio::test(start_paused = true)]
+async fn fin_without_bytes_begins_no_head() {
+    let state = ConnectionState::new();
+    state.received(0);
+    assert!(!state.is_receiving_head());
+    assert!(matches!(state.phase(), Phase::AwaitingFirstHead { .. }));
+}
+
+#[tokio::test(start_paused = true)]
+async fn request_that_is_answered_has_no_deadline_here_and_knows_when_its_head_began() {
+    let state = ConnectionState::new();
+    receive_request(&state);
+    let begun = Instant::now();
+    assert!(state.is_awaiting_response(), "hyper has the head");
+    assert_eq!(state.deadline(), Some(begun + HEAD_TIMEOUT));
+    advance(STEP).await;
+    assert_eq!(state.request_begun(), begun);
+    assert_eq!(state.phase(), Phase::Answering);
+    assert_eq!(state.deadline(), None);
+    assert!(state.is_awaiting_response());
+    assert!(!state.is_receiving_head());
+}
+
+#[tokio::test(start_paused = true)]
+async fn complete_response_leaves_the_connection_idle_and_wakes_the_reader() {
+    struct Flag(AtomicBool);
+    impl Wake for Flag {
+        fn wake(self: Arc<Self>) {
+            self.0.store(true, Ordering::Relaxed);
+        }
+    }
+    let state = ConnectionState::new();
+    receive_request(&state);
+    state.request_begun();
+    let woken = Arc::new(Flag(AtomicBool::new(false)));
+    state.wake_reader_when_answered(&Waker::from(woken.clone()));
+    advance(STEP).await;
+    state.response_ready(ResponseKind::Complete);
+    let now = Instant::now();
+    assert_eq!(state.phase(), Phase::Idle { since: now });
+    assert_eq!(state.deadline(), Some(now + IDLE_TIMEOUT));
+    assert!(woken.0.load(Ordering::Relaxed));
+}
+
+#[tokio::test(start_paused = true)]
+async fn bytes_behind_an_unanswered_request_begin_no_head_until_the_reader_gets_to_them() {
+    let state = ConnectionState::new();
+    receive_request(&state);
+    state.request_begun();
+    state.received(10);
+    assert_eq!(state.phase(), Phase::Answering);
+    state.response_ready(ResponseKind::Complete);
+    let idle_since = Instant::now();
+    advance(STEP).await;
+    state.next_head_begun();
+    let head = IncomingHead {
+        since: Instant::now(),
+        progress: HeadProgress::Receiving,
+    };
+    assert_eq!(state.phase(), Phase::ReceivingRequest { idle_since, head });
+}
+
+#[tokio::test(start_paused = true)]
+async fn next_head_that_arrives_during_a_stream_keeps_its_start_past_the_streams_end() {
+    let state = ConnectionState::new();
+    exchange(&state, ResponseKind::Streamed);
+    assert_eq!(state.phase(), Phase::Streaming { next: None });
+    advance(STEP).await;
+    state.received(10);
+    let begun = Instant::now();
+    assert!(state.is_receiving_head());
+    assert_eq!(state.deadline(), None, "the stream has no deadline here");
+    advance(STEP).await;
+    state.stream_ended();
+    assert_eq!(state.deadline(), Some(begun + HEAD_TIMEOUT));
+    assert!(!state.is_awaiting_response());
+}
+
+#[tokio::test(start_paused = true)]
+async fn request_that_is_forwarded_during_a_stream_awaits_its_response() {
+    let state = ConnectionState::new();
+    exchange(&state, ResponseKind::Streamed);
+    receive_request(&state);
+    let begun = Instant::now();
+    assert!(state.is_awaiting_response());
+    advance(STEP).await;
+    state.stream_ended();
+    let head = IncomingHead {
+        since: begun,
+        progress: HeadProgress::Forwarded,
+    };
+    let idle_since = Instant::now();
+    assert_eq!(state.phase(), Phase::ReceivingRequest { idle_since, head });
+    assert_eq!(state.request_begun(), begun);
+}
+
+#[tokio::test(start_paused = true)]
+async fn stream_end_leaves_the_connection_idle() {
+    let state = ConnectionState::new();
+    exchange(&state, ResponseKind::Streamed);
+    advance(STEP).await;
+    state.stream_ended();
+    assert_eq!(
+        state.phase(),
+        Phase::Idle {
+            since: Instant::now()
+        }
+    );
+}
+
+#[tokio::test(start_paused = true)]
+async fn rejected_head_has_no_deadline_and_closes_the_connection() {
+    let state = ConnectionState::new();
+    state.received(10);
+    state.head_completed();
+    state.head_rejected(HeadError::Framing);
+    assert_eq!(state.deadline(), None);
+    assert!(
+        !state.is_awaiting_response(),
+        "the service is not called with it"
+    );
+    assert_eq!(state.persistence(), Persistence::Close);
+    assert_eq!(state.head_error(), Some(HeadError::Framing));
+    state.request_begun();
+    state.response_ready(ResponseKind::Complete);
+    assert!(matches!(state.phase(), Phase::Idle { .. }));
+    assert_eq!(state.head_error(), Some(HeadError::Framing));
+}
+
+#[tokio::test(start_paused = true)]
+async fn connection_whose_first_head_was_never_complete_awaits_one_after_the_error_response() {
+    let state = ConnectionState::new();
+    let accepted_at = Instant::now();
+    state.received(10);
+    advance(HEAD_TIMEOUT).await;
+    state.head_timed_out();
+    assert_eq!(state.deadline(), None);
+    state.head_rejected(HeadError::TooSlow);
+    state.request_begun();
+    state.response_ready(ResponseKind::Complete);
+    let since = Instant::now();
+    assert_eq!(state.phase(), Phase::AwaitingFirstHead { since });
+    assert_eq!(state.deadline(), Some(accepted_at + FIRST_REQUEST_GRACE));
+}
+
+#[tokio::test(start_paused = true)]
+async fn blocked_write_has_precedence_until_a_write_succeeds() {
+    let state = ConnectionState::new();
+    exchange(&state, ResponseKind::Streamed);
+    let blocked_since = Instant::now();
+    state.on_write(&Poll::Pending);
+    advance(STEP).await;
+    state.on_write(&Poll::Pending);
+    assert!(state.is_write_blocked());
+    assert_eq!(state.deadline(), Some(blocked_since + WRITE_TIMEOUT));
+    state.on_write(&Poll::Ready(Ok(1)));
+    assert!(!state.is_write_blocked());
+    assert_eq!(state.deadline(), None);
+}
+
+#[tokio::test(start_paused = true)]
+async fn connection_that_closes_as_idle_has_no_deadline_but_that_of_a_blocked_write() {
+    let state = ConnectionState::new();
+    exchange(&state, ResponseKind::Complete);
+    state.close_idle();
+    assert!(state.is_closing_idle());
+    assert_eq!(state.deadline(), None);
+    state.on_write(&Poll::Pending);
+    assert_eq!(state.deadline(), Some(Instant::now() + WRITE_TIMEOUT));
+}
--- a/src/sidecar/caller/drain_state.rs
+++ b/src/sidecar/caller/drain_state.rs
@@ -1,12 +1,13 @@
-//! How far a drain by the operators is.
+//! The steps of a drain by the operators.
 
-/// How far a drain is. From its start on the front is told not to send anyone here.
-#[derive(Clone, Copy, PartialEq)]
+/// The step that a drain has reached. From the first one on readiness checks fail, so that the front end sends no new
+/// callers here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// The front has to ask first, and callers still come: all as ever.
+    /// Callers that still arrive are served as before, until the front end has noticed.
     NotReady,
-    /// Each connection closes with its next answer.
+    /// Each connection closes with its next response.
     ClosingAfterResponses,
-    /// None is kept.
+    /// Idle connections close as well.
     ClosingIdle,
 }
--- a/src/sidecar/caller/head.rs
+++ b/src/sidecar/caller/head.rs
@@ -1,38 +1,49 @@
-//! Heads of requests, judged before hyper reads them.
+//! Validation of request heads before hyper reads them.
 //!
-//! Own parsing, as hyper cannot do it: it drops a Content-Length beside a Transfer-Encoding without a word (so that the
-//! service cannot tell), takes repeated lengths, and has one clock for the wait before a head and for the head.
+//! hyper cannot do this: it silently drops a Content-Length beside a Transfer-Encoding, so that the service cannot tell;
+//! it accepts a repeated Content-Length; and it has one timeout for the wait before a head and for the head itself.
 
-use super::connection_state::HeadError;
-
-/// The longest head. Honest ones are a twentieth of it.
+/// The maximum length of a head, about twenty times that of an ordinary one.
 pub const MAX_HEAD_LENGTH: usize = 16 << 10;
-/// Up to this length a head that is not whole yet is parsed too, to find one that never will be.
+/// Up to this length an incomplete head is parsed as well, to find one that can never become valid.
 const MAX_EARLY_PARSE_LENGTH: usize = 4 << 10;
-/// As many headers as hyper takes.
+/// The number of headers that hyper accepts.
 const MAX_HEADERS: usize = 100;
 
-/// What the bytes of a head say.
+/// Why a head is rejected. Nothing after it is read as a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HeadError {
+    /// Two readers could disagree on where the body ends.
+    Framing,
+    /// The head is longer than [`MAX_HEAD_LENGTH`].
+    TooLong,
+    /// The head was not complete in time.
+    TooSlow,
+}
+
+/// The result of validating the bytes of a head.
+#[derive(Debug)]
 pub enum HeadValidation {
-    /// It is not whole. So many bytes are known not to hold its end.
+    /// Its end has not come yet.
     Incomplete {
-        /// How many.
+        /// The number of leading bytes that do not contain the end.
         searched: usize,
     },
-    /// It and its body end after so many bytes.
+    /// The head and its body have this length together.
     Length(u64),
-    /// Its body comes in chunks, whose end only hyper knows.
+    /// The body is chunked, so that only hyper knows its end.
     Chunked,
-    /// It is whole, and no head. hyper says what is wrong with it, and ends there.
+    /// The head is complete and does not parse. hyper reports the error and ends the connection.
     Malformed,
-    /// It is not whole, and never will be a head. hyper says what is wrong with it, and ends there.
+    /// The head is incomplete and does not parse. hyper reports the error and ends the connection.
     NeverComplete,
-    /// It must not be read.
+    /// The head must not be forwarded.
     Rejected(HeadError),
 }
 
 impl HeadValidation {
-    /// Whether all of the head has come.
+    /// Returns whether all of the head has come.
+    #[must_use]
     pub fn is_complete(&self) -> bool {
         !matches!(
             self,
@@ -43,14 +54,16 @@
     }
 }
 
-/// What a head says of where it and its body end.
+/// The parts of a head that delimit the head and its body.
+#[derive(Debug)]
 struct Framing<'a> {
     head_length: usize,
     content_lengths: Vec<&'a [u8]>,
     transfer_encodings: Vec<&'a [u8]>,
 }
 
-/// Judges the head that some bytes begin with, of which so many were searched for its end before.
+/// Validates the head at the start of `bytes`, whose first `searched` bytes are known not to contain its end.
+#[must_use]
 pub fn validate_head(bytes: &[u8], searched: usize) -> HeadValidation {
     let Some(end) = head_end(bytes, searched) else {
         return validate_incomplete_head(bytes);
@@ -69,21 +82,24 @@
         ([], [encoding]) if encoding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
             HeadValidation::Chunked
         }
-        ([length], []) => {
-            match parse_length(length).and_then(|length| length.checked_add(end as u64)) {
-                Some(length) => HeadValidation::Length(length),
-                None => HeadValidation::Rejected(HeadError::Framing),
-            }
-        }
+        ([length], []) => match total_length(end, length) {
+            Some(length) => HeadValidation::Length(length),
+            None => HeadValidation::Rejected(HeadError::Framing),
+        },
         _ => HeadValidation::Rejected(HeadError::Framing),
     }
 }
 
-/// Where a head ends: behind its first empty line, but for those ahead of it.
+/// Returns the length of a head and its body, or none for an invalid Content-Length.
+fn total_length(head_length: usize, content_length: &[u8]) -> Option<u64> {
+    parse_length(content_length)?.checked_add(head_length as u64)
+}
+
+/// Returns where a head ends: behind its first empty line, apart from leading ones.
 fn head_end(bytes: &[u8], searched: usize) -> Option<usize> {
     let start = bytes
         .iter()
-        .position(|b| !matches!(b, b'\r' | b'\n'))
+        .position(|byte| !matches!(byte, b'\r' | b'\n'))
         .unwrap_or(bytes.len());
     (searched.max(start)..bytes.len()).find_map(|position| {
         let rest = &bytes[position..];
@@ -102,15 +118,15 @@
         return HeadValidation::Rejected(HeadError::TooLong);
     }
     if bytes.len() <= MAX_EARLY_PARSE_LENGTH && parse(bytes).is_err() {
-        return HeadValidation::NeverComplete; // there is nothing to wait for
+        return HeadValidation::NeverComplete; // waiting for more is of no use
     }
-    // The last two bytes may begin the end.
+    // The last two bytes may be the beginning of the end.
     HeadValidation::Incomplete {
         searched: bytes.len().saturating_sub(2),
     }
 }
 
-/// Reads a head as hyper does, with the same parser; none where it is not whole yet.
+/// Parses a head with hyper's own parser. Returns none for an incomplete one.
 fn parse(bytes: &[u8]) -> Result<Option<Framing<'_>>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
--- a/src/sidecar/caller/mod.rs
+++ b/src/sidecar/caller/mod.rs
@@ -1,12 +1,17 @@
-//! Callers' connections: what comes in on them, how they stand, and which of them have to go.
+//! Callers' connections: request heads are validated as they arrive, [`ConnectionState`] tracks what each connection does,
+//! and [`CallerTable`] decides which connections close.
 
 mod connection_state;
 mod drain_state;
 mod head;
+mod persistence;
+mod phase;
 mod request_reader;
 mod table;
 
-pub use connection_state::{ConnectionState, HeadError};
+pub use connection_state::{ConnectionState, ResponseKind};
 pub use drain_state::DrainState;
+pub use head::HeadError;
+pub use persistence::Persistence;
 pub use request_reader::{RequestReader, client_disconnected};
-pub use table::CallerTable;
+pub use table::{Admission, CallerTable};
--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -1,13 +1,15 @@
-//! What comes in on a caller's connection, looked at before hyper reads it.
+//! The reading half of a caller's connection, which validates request heads before hyper reads them.
 //!
-//! Heads are collected here, judged, and handed on whole and one at a time; hyper still does all the reading that counts. A
-//! head that must not be read is replaced by an empty one that the service answers with the fault.
+//! [`RequestReader`] collects each head, validates it, and forwards it to hyper once it is complete, one request at a
+//! time; hyper still does all the parsing that counts. A head that fails validation is replaced by an empty request, which
+//! the service answers with the error.
 //!
-//! While a request is answered what comes behind it is kept here, as hyper looks for the other side's end only where it
-//! has nothing unread; and where nobody reads on, the socket is asked whether the other side has left.
+//! While a request is answered the reader keeps what arrives after it: hyper notices the client's FIN only while it has
+//! no unread bytes. [`client_disconnected`] watches the socket itself for the cases in which nobody reads on.
 
-use super::connection_state::{ConnectionState, HeadError};
-use super::head::{HeadValidation, MAX_HEAD_LENGTH, validate_head};
+use super::connection_state::ConnectionState;
+use super::head::{HeadError, HeadValidation, MAX_HEAD_LENGTH, validate_head};
+use super::persistence::Persistence;
 use crate::sidecar::sockets;
 use std::future::poll_fn;
 use std::io;
@@ -16,159 +18,195 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, Interest, ReadBuf};
 use tokio::net::TcpStream;
-use tokio::time::Instant;
 
-/// Read at once while a head is awaited.
+/// The most bytes of a head that are read at once.
 const READ_CHUNK: usize = 4 << 10;
-/// What hyper reads in place of a head that it must not.
+/// What hyper reads in place of a rejected head.
 const REPLACEMENT_HEAD: &[u8] = b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n";
 
-/// What is being read.
-#[derive(Clone, Copy)]
-enum ReadState {
-    /// A head. So many of the unread bytes are known not to hold its end.
+/// What the reader does with the next bytes.
+#[derive(Clone, Copy, Debug)]
+enum ReadMode {
+    /// Collects a head. The first `searched` unread bytes do not contain its end.
     Head { searched: usize },
-    /// So much goes on to hyper as it comes: a judged head and its body.
+    /// Forwards the `remaining` bytes of a validated head and its body.
     Forwarding { remaining: u64 },
-    /// All goes on: a body in chunks, whose end only hyper knows. The connection ends with it.
+    /// Forwards everything: a chunked body, whose end only hyper knows, or a head that hyper is to report as malformed. The
+    /// connection ends with it.
     ForwardingAll,
-    /// The request has gone on whole, and is not answered yet.
+    /// The request has been forwarded, and has no response yet.
     AwaitingResponse,
-    /// The stand-in for a bad head, of which so much has gone on, and nothing after it.
-    ReplacementHead { given: usize },
+    /// Forwards the replacement of a rejected head, of which `forwarded` bytes have gone, and nothing after it.
+    ReplacementHead { forwarded: usize },
 }
 
-/// A caller's connection as hyper reads it.
+/// What became of polling for a head.
+enum HeadPoll {
+    /// The mode has changed, or more bytes are there to be validated.
+    Progress,
+    /// The client has sent FIN.
+    EndOfStream,
+}
+
+/// The reading half of a caller's connection, as hyper uses it.
+#[derive(Debug)]
 pub struct RequestReader {
     stream: Rc<TcpStream>,
     connection: Rc<ConnectionState>,
-    state: ReadState,
+    mode: ReadMode,
+    /// Received and not forwarded.
     unread: Vec<u8>,
 }
 
-/// Waits until the other side has left, by its end or by a reset, while a request of its is being answered. hyper finds
-/// that out where it reads on; this also where it does not, as for a body that nobody takes yet.
+/// Waits until the client has disconnected, by FIN or reset, while it has a request without a response. hyper notices that
+/// only while it reads; this does also while it does not, as for a body that no endpoint takes yet.
 pub async fn client_disconnected(stream: &TcpStream, connection: &ConnectionState) {
-    // Of these readiness has no more than what says that nothing more will come.
-    if stream
-        .ready(Interest::PRIORITY | Interest::ERROR)
-        .await
-        .is_ok()
-    {
-        poll_fn(|_| {
-            if connection.is_answering() {
-                Poll::Ready(())
-            } else {
-                Poll::Pending
-            }
-        })
-        .await;
+    // Readiness for these interests tells nothing but that the client will send no more.
+    let is_ready = stream.ready(Interest::PRIORITY | Interest::ERROR).await;
+    if is_ready.is_err() {
+        return;
     }
+    poll_fn(|_| {
+        if connection.is_awaiting_response() {
+            Poll::Ready(())
+        } else {
+            Poll::Pending // polled again with the connection, whose state this is
+        }
+    })
+    .await;
 }
 
 impl RequestReader {
-    /// For a connection that was just accepted.
+    /// Reads from a connection that was just accepted.
+    #[must_use]
     pub fn new(stream: Rc<TcpStream>, connection: Rc<ConnectionState>) -> Self {
         RequestReader {
             stream,
             connection,
-            state: ReadState::Head { searched: 0 },
+            mode: ReadMode::Head { searched: 0 },
             unread: Vec::new(),
         }
     }
 
-    /// Judges the head that the unread bytes begin with; returns what is read next, if it is whole.
-    fn validate_head(&mut self, searched: usize) -> Option<ReadState> {
-        let judgement = validate_head(&self.unread, searched);
-        if judgement.is_complete() {
-            self.connection.has_received_head.set(true);
+    /// Validates the head that the unread bytes begin with. Returns the next mode if the head is complete or rejected.
+    fn validate_head(&mut self, searched: usize) -> Option<ReadMode> {
+        let validation = validate_head(&self.unread, searched);
+        if validation.is_complete() {
+            self.connection.head_completed();
         }
-        match judgement {
+        match validation {
             HeadValidation::Incomplete { searched } => {
-                self.state = ReadState::Head { searched };
+                self.mode = ReadMode::Head { searched };
                 None
             }
-            HeadValidation::Length(remaining) => Some(ReadState::Forwarding { remaining }),
+            HeadValidation::Length(remaining) => {
+                Some(self.forward_head(ReadMode::Forwarding { remaining }))
+            }
             HeadValidation::Chunked => {
-                self.connection.is_last_request.set(true);
-                Some(ReadState::ForwardingAll)
+                self.connection.set_persistence(Persistence::Close);
+                Some(self.forward_head(ReadMode::ForwardingAll))
             }
             HeadValidation::Malformed | HeadValidation::NeverComplete => {
-                Some(ReadState::ForwardingAll)
+                Some(self.forward_head(ReadMode::ForwardingAll))
             }
-            HeadValidation::Rejected(head_error) => Some(self.reject_head(head_error)),
+            HeadValidation::Rejected(error) => Some(self.reject_head(error)),
         }
     }
 
-    fn reject_head(&self, head_error: HeadError) -> ReadState {
-        self.connection.head_error.set(Some(head_error));
-        self.connection.is_last_request.set(true);
-        ReadState::ReplacementHead { given: 0 }
+    fn forward_head(&self, mode: ReadMode) -> ReadMode {
+        self.connection.head_forwarded();
+        mode
     }
 
-    /// Moves on from a head, if it is whole or its time is up; else reads more of it. True at the other side's end.
-    fn poll_head(&mut self, searched: usize, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        if let Some(head_error) = self.connection.head_error.get() {
-            self.state = self.reject_head(head_error);
-            return Poll::Ready(Ok(false));
+    fn reject_head(&self, error: HeadError) -> ReadMode {
+        self.connection.head_rejected(error);
+        ReadMode::ReplacementHead { forwarded: 0 }
+    }
+
+    /// Leaves [`ReadMode::Head`] if the head is complete, invalid or too late; otherwise reads more of it.
+    fn poll_head(
+        &mut self,
+        searched: usize,
+        context: &mut Context<'_>,
+    ) -> Poll<io::Result<HeadPoll>> {
+        if let Some(error) = self.connection.head_error() {
+            self.mode = self.reject_head(error);
+            return Poll::Ready(Ok(HeadPoll::Progress));
         }
-        let next = if self.unread.is_empty() {
-            None
-        } else {
-            self.validate_head(searched)
-        };
-        if let Some(next) = next {
-            self.connection
-                .set_answering(!matches!(next, ReadState::ReplacementHead { .. }));
-            self.state = next;
-            return Poll::Ready(Ok(false));
+        if !self.unread.is_empty()
+            && let Some(next) = self.validate_head(searched)
+        {
+            self.mode = next;
+            return Poll::Ready(Ok(HeadPoll::Progress));
         }
-        let received = ready!(self.poll_receive(context))?;
-        Poll::Ready(Ok(received == 0))
+        self.poll_receive(context)
     }
 
-    /// Reads into the unread bytes; 0 at the other side's end.
-    fn poll_receive(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    /// Appends received bytes to the unread ones.
+    fn poll_receive(&mut self, context: &mut Context<'_>) -> Poll<io::Result<HeadPoll>> {
         let read = sockets::poll_append(&self.stream, context, &mut self.unread, READ_CHUNK);
         if self.unread.is_empty() {
-            self.unread = Vec::new(); // most connections are idle most of the time
+            self.unread = Vec::new(); // most connections are idle most of the time: free the buffer
         }
         let received = ready!(read)?;
         self.connection.received(received);
-        Poll::Ready(Ok(received))
+        Poll::Ready(Ok(if received == 0 {
+            HeadPoll::EndOfStream
+        } else {
+            HeadPoll::Progress
+        }))
     }
 
-    /// Gives up to `most` of what has been read, or else of what comes; 0 at the other side's end.
+    /// Keeps what arrives while the request is answered, up to the length of a head.
+    fn poll_while_answering(&mut self, context: &mut Context<'_>) -> Poll<io::Result<HeadPoll>> {
+        self.connection.wake_reader_when_answered(context.waker());
+        if self.unread.len() >= MAX_HEAD_LENGTH {
+            return Poll::Pending; // [`client_disconnected`] notices the end of the connection
+        }
+        self.poll_receive(context)
+    }
+
+    /// Forwards up to `max` bytes, unread ones first, and returns their number; 0 at the client's FIN.
     fn poll_forward(
         &mut self,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
-        most: u64,
+        max: u64,
     ) -> Poll<io::Result<usize>> {
-        let most = buffer
-            .remaining()
-            .min(usize::try_from(most).unwrap_or(usize::MAX));
+        let max = usize::try_from(max).unwrap_or(usize::MAX);
+        let max = buffer.remaining().min(max);
         if !self.unread.is_empty() {
-            let given = most.min(self.unread.len());
-            buffer.put_slice(&self.unread[..given]);
-            self.unread.drain(..given);
-            return Poll::Ready(Ok(given));
+            let count = max.min(self.unread.len());
+            buffer.put_slice(&self.unread[..count]);
+            self.unread.drain(..count);
+            return Poll::Ready(Ok(count));
+        }
+        let mut limited = ReadBuf::new(buffer.initialize_unfilled_to(max));
+        ready!(sockets::poll_read(&self.stream, context, &mut limited))?;
+        let count = limited.filled().len();
+        buffer.advance(count);
+        if count == 0 {
+            self.connection.peer_ended();
         }
-        let mut part = ReadBuf::new(buffer.initialize_unfilled_to(most));
-        ready!(sockets::poll_read(&self.stream, context, &mut part))?;
-        let given = part.filled().len();
-        buffer.advance(given);
-        Poll::Ready(Ok(given))
+        Poll::Ready(Ok(count))
     }
 
-    /// Waits for the answer, and keeps what comes meanwhile. True at the other side's end.
-    fn poll_while_answering(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        self.connection.wake_reader_when_answered(context.waker());
-        if self.unread.len() >= MAX_HEAD_LENGTH {
-            return Poll::Pending; // enough is kept; [`client_disconnected`] hears of the end
+    /// Turns to the next request, part of which may have arrived already.
+    fn begin_next_head(&mut self) {
+        if !self.unread.is_empty() {
+            self.connection.next_head_begun();
         }
-        let received = ready!(self.poll_receive(context))?;
-        Poll::Ready(Ok(received == 0))
+        self.mode = ReadMode::Head { searched: 0 };
+    }
+
+    /// Copies the next bytes of the replacement head.
+    fn forward_replacement(&mut self, buffer: &mut ReadBuf<'_>, forwarded: usize) {
+        let rest = &REPLACEMENT_HEAD[forwarded..];
+        let count = buffer.remaining().min(rest.len());
+        buffer.put_slice(&rest[..count]);
+        self.mode = ReadMode::ReplacementHead {
+            forwarded: forwarded + count,
+        };
     }
 }
 
@@ -179,50 +217,40 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            match self.state {
-                ReadState::Head { searched } => {
-                    if ready!(self.poll_head(searched, context))? {
-                        self.connection.peer_has_ended.set(true);
-                        return Poll::Ready(Ok(()));
-                    }
+            let head_poll = match self.mode {
+                ReadMode::Head { searched } => ready!(self.poll_head(searched, context))?,
+                ReadMode::Forwarding { remaining: 0 } => {
+                    self.mode = ReadMode::AwaitingResponse;
+                    continue;
                 }
-                ReadState::Forwarding { remaining: 0 } => self.state = ReadState::AwaitingResponse,
-                ReadState::Forwarding { remaining } => {
-                    let given = ready!(self.poll_forward(context, buffer, remaining))?;
-                    self.state = ReadState::Forwarding {
-                        remaining: remaining - given as u64,
+                ReadMode::Forwarding { remaining } => {
+                    let count = ready!(self.poll_forward(context, buffer, remaining))?;
+                    self.mode = ReadMode::Forwarding {
+                        remaining: remaining - count as u64,
                     };
-                    self.connection.peer_has_ended.set(given == 0);
                     return Poll::Ready(Ok(()));
                 }
-                ReadState::ForwardingAll => {
-                    let given = ready!(self.poll_forward(context, buffer, u64::MAX))?;
-                    self.connection.peer_has_ended.set(given == 0);
+                ReadMode::ForwardingAll => {
+                    ready!(self.poll_forward(context, buffer, u64::MAX))?;
                     return Poll::Ready(Ok(()));
                 }
-                ReadState::AwaitingResponse if self.connection.is_answering() => {
-                    if ready!(self.poll_while_answering(context))? {
-                        self.connection.peer_has_ended.set(true);
-                        return Poll::Ready(Ok(()));
-                    }
+                ReadMode::AwaitingResponse if self.connection.is_awaiting_response() => {
+                    ready!(self.poll_while_answering(context))?
                 }
-                ReadState::AwaitingResponse => {
-                    // Of the next one; while it had to wait its clock stood still.
-                    self.connection
-                        .head_since
-                        .set((!self.unread.is_empty()).then(Instant::now));
-                    self.state = ReadState::Head { searched: 0 };
+                ReadMode::AwaitingResponse => {
+                    self.begin_next_head();
+                    continue;
                 }
-                ReadState::ReplacementHead { given } if given < REPLACEMENT_HEAD.len() => {
-                    let count = buffer.remaining().min(REPLACEMENT_HEAD.len() - given);
-                    buffer.put_slice(&REPLACEMENT_HEAD[given..given + count]);
-                    self.state = ReadState::ReplacementHead {
-                        given: given + count,
-                    };
+                ReadMode::ReplacementHead { forwarded } if forwarded < REPLACEMENT_HEAD.len() => {
+                    self.forward_replacement(buffer, forwarded);
                     return Poll::Ready(Ok(()));
                 }
-                // The service answers at once, and the connection ends with that: nobody waits for this.
-                ReadState::ReplacementHead { .. } => return Poll::Pending,
+                // The service answers at once and the connection ends with that, so that nothing needs to wake this.
+                ReadMode::ReplacementHead { .. } => return Poll::Pending,
+            };
+            if let HeadPoll::EndOfStream = head_poll {
+                self.connection.peer_ended();
+                return Poll::Ready(Ok(()));
             }
         }
     }
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -1,102 +1,127 @@
-//! The callers' connections, and which of them have to go.
+//! The callers' connections, and which of them close: for a shutdown, a drain, a hot restart, or because their
+//! descriptors are needed.
 
 use super::connection_state::{ConnectionState, FIRST_REQUEST_GRACE};
 use super::drain_state::DrainState;
+use super::persistence::Persistence;
+use super::phase::Phase;
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// A connection may stand so long between requests before it makes room for others.
-const SPARED_IDLE: Duration = Duration::from_secs(2);
-/// A slow caller sends a piece of its head more often than that; others send half of one and no more.
-const SILENT: Duration = Duration::from_millis(700);
+/// A connection that was in use may be idle for so long before it is among the first to be evicted.
+const IDLE_GRACE: Duration = Duration::from_secs(2);
+/// A head of which no byte came for so long counts as stalled: a slow client sends more often.
+const HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The callers' connections.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub struct CallerTable {
     connections: HashMap<u64, Caller>,
     next_number: u64,
-    /// The sidecar stops: each connection closes once it is between requests.
+    /// Graceful shutdown has begun: each connection closes once it is idle.
     is_shutting_down: bool,
     all_closed: Rc<Notify>,
-    /// Another process accepts callers: each connection here closes with its next answer.
+    /// Another process accepts callers: each connection here closes with its next response.
     accepted_elsewhere: watch::Sender<bool>,
-    /// The operators have the sidecar emptied, and how far that is.
+    /// The step of a drain by the operators, if there is one.
     drain: Option<DrainState>,
 }
 
+#[derive(Debug)]
 struct Caller {
     state: Rc<ConnectionState>,
-    /// It was asked to make room, once.
-    is_asked_to_close: bool,
+    /// It has been chosen by [`CallerTable::evict_one`], which does so once.
+    is_evicted: bool,
     close: Rc<Notify>,
 }
 
-/// A connection that was just accepted.
+/// Whether there are descriptors for a new connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// Its requests are served.
+    Accepted,
+    /// Its first request is rejected, and the connection closes with that.
+    RejectedEarly,
+}
+
+/// A connection that was just added to the table.
+#[derive(Debug)]
 pub struct AcceptedCaller {
     /// Its number in the table.
     pub number: u64,
-    /// How it stands.
+    /// What it does.
     pub state: Rc<ConnectionState>,
-    /// Tells it to close.
+    /// Notified when the connection is to close.
     pub close: Rc<Notify>,
-    /// It closes with its first answer.
-    pub is_for_one_request: bool,
+    /// Whether it outlives its first response.
+    pub persistence: Persistence,
 }
 
-/// Which connections make room first. Of each kind it is the one of which nothing was heard longest.
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum ClosingRank {
-    NeverAsked,
+/// The order in which connections are evicted; within a rank the longest inactive one is first.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// No request came within [`FIRST_REQUEST_GRACE`].
+    NeverUsed,
+    /// Idle for [`IDLE_GRACE`].
     LongIdle,
-    SilentInHead,
-    Idle,
-    /// Its request may be on the way.
-    MayBeAsking,
+    /// In the middle of a head for [`HEAD_STALL_TIMEOUT`].
+    StalledHead,
+    /// Idle for a shorter time, which is still better than to reject a new caller.
+    RecentlyIdle,
+    /// A request may be on the way.
+    PossiblyActive,
 }
 
 impl Caller {
-    fn closing_rank(&self, now: Instant) -> Option<(ClosingRank, Instant)> {
-        let idle_since = self
-            .state
-            .idle_since
-            .get()
-            .filter(|_| !self.is_asked_to_close)?;
-        let last_byte_at = self.state.last_byte_at.get();
-        let is_in_head = self.state.head_since.get().is_some();
-        Some(match (is_in_head, self.state.has_received_head.get()) {
-            (false, false) if now >= idle_since + FIRST_REQUEST_GRACE => {
-                (ClosingRank::NeverAsked, idle_since)
+    /// Returns the connection's place in the order of eviction, or none while it is answered.
+    fn eviction_rank(&self, now: Instant) -> Option<(EvictionRank, Instant)> {
+        if self.is_evicted {
+            return None;
+        }
+        let last_byte_at = self.state.last_byte_at();
+        Some(match self.state.phase() {
+            Phase::AwaitingFirstHead { since } if now >= since + FIRST_REQUEST_GRACE => {
+                (EvictionRank::NeverUsed, since)
+            }
+            Phase::Idle { since } if now >= since + IDLE_GRACE => (EvictionRank::LongIdle, since),
+            Phase::Idle { since } => (EvictionRank::RecentlyIdle, since),
+            Phase::ReceivingRequest { .. } if now >= last_byte_at + HEAD_STALL_TIMEOUT => {
+                (EvictionRank::StalledHead, last_byte_at)
             }
-            (false, true) if now >= idle_since + SPARED_IDLE => (ClosingRank::LongIdle, idle_since),
-            (true, _) if now >= last_byte_at + SILENT => (ClosingRank::SilentInHead, last_byte_at),
-            (false, true) => (ClosingRank::Idle, idle_since), // better than to turn a caller away
-            (true, _) | (false, false) => (ClosingRank::MayBeAsking, last_byte_at),
+            Phase::AwaitingFirstHead { .. } | Phase::ReceivingRequest { .. } => {
+                (EvictionRank::PossiblyActive, last_byte_at)
+            }
+            Phase::Answering | Phase::Streaming { .. } => return None,
         })
     }
 }
 
 impl CallerTable {
     /// Adds a connection that was just accepted.
-    pub fn add(&mut self, is_rejected_early: bool) -> AcceptedCaller {
+    pub fn add(&mut self, admission: Admission) -> AcceptedCaller {
         let number = self.next_number;
         self.next_number += 1;
         let (close, state) = (Rc::new(Notify::new()), ConnectionState::new());
         let caller = Caller {
             state: state.clone(),
-            is_asked_to_close: false,
+            is_evicted: false,
             close: close.clone(),
         };
         self.connections.insert(number, caller);
-        let is_empty = self.drain == Some(DrainState::ClosingIdle);
-        let is_for_one_request = self.is_shutting_down || is_rejected_early || is_empty;
+        let closes_at_once = self.is_shutting_down || self.drain == Some(DrainState::ClosingIdle);
+        let persistence = if closes_at_once || admission == Admission::RejectedEarly {
+            Persistence::Close
+        } else {
+            Persistence::KeepAlive
+        };
         AcceptedCaller {
             number,
             state,
             close,
-            is_for_one_request,
+            persistence,
         }
     }
 
@@ -108,42 +133,43 @@
         }
     }
 
-    /// Asks one connection to make room; false where all have requests open.
+    /// Closes the connection that is first in the order of eviction. Returns false where all are being answered.
     pub fn evict_one(&mut self) -> bool {
         let now = Instant::now();
         let ranks = self
             .connections
             .iter()
-            .filter_map(|(n, c)| Some((c.closing_rank(now)?, *n)));
+            .filter_map(|(number, caller)| Some((caller.eviction_rank(now)?, *number)));
         let Some((_, number)) = ranks.min() else {
             return false;
         };
         self.connections.get_mut(&number).is_some_and(|caller| {
-            caller.is_asked_to_close = true;
-            caller.state.is_closing_idle.set(true);
+            caller.is_evicted = true;
+            caller.state.close_idle();
             caller.close.notify_one();
             true
         })
     }
 
-    /// From now on connections close between requests.
+    /// Begins a graceful shutdown: from now on connections close when they are idle. A further call reaches those that were
+    /// added since.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
         self.close_idle();
     }
 
-    fn close_idle(&mut self) {
-        self.connections
-            .values()
-            .for_each(|caller| caller.close.notify_one());
+    fn close_idle(&self) {
+        for caller in self.connections.values() {
+            caller.close.notify_one();
+        }
     }
 
-    /// How far a drain is, if there is one.
+    /// The step of a drain by the operators, if there is one.
     pub fn drain_state(&self) -> Option<DrainState> {
         self.drain
     }
 
-    /// Begins, moves on or ends a drain.
+    /// Begins, advances or ends a drain.
     pub fn set_drain_state(&mut self, state: Option<DrainState>) {
         self.drain = state;
         if state == Some(DrainState::ClosingIdle) {
@@ -151,27 +177,28 @@
         }
     }
 
-    /// Another process accepts callers from now on.
+    /// Stops accepting here, as another process accepts callers from now on.
     pub fn suspend_accepting(&mut self) {
         self.accepted_elsewhere.send_replace(true);
     }
 
-    /// That process is gone, or about to be; true where callers are accepted here again.
+    /// Accepts here again, as the other process has ended or is about to. Returns whether that changes anything: callers
+    /// were accepted elsewhere, and this process is not shutting down.
     pub fn resume_accepting(&mut self) -> bool {
         self.accepted_elsewhere.send_replace(false) && !self.is_shutting_down
     }
 
-    /// Whether another process accepts callers.
+    /// Returns whether another process accepts callers.
     pub fn are_accepted_elsewhere(&self) -> bool {
         *self.accepted_elsewhere.borrow()
     }
 
-    /// Tells whenever that changes.
+    /// Watches whether another process accepts callers.
     pub fn watch_accepted_elsewhere(&self) -> watch::Receiver<bool> {
         self.accepted_elsewhere.subscribe()
     }
 
-    /// Whether a connection closes with its answer, so that its caller comes again elsewhere.
+    /// Returns whether connections close with their next response, so that their callers connect elsewhere.
     pub fn close_after_responses(&self) -> bool {
         let is_draining = matches!(
             self.drain,
@@ -180,17 +207,17 @@
         self.are_accepted_elsewhere() || is_draining
     }
 
-    /// Whether connections close between requests.
-    pub fn are_shutting_down(&self) -> bool {
+    /// Returns whether graceful shutdown has begun.
+    pub fn is_shutting_down(&self) -> bool {
         self.is_shutting_down
     }
 
-    /// Whether no connection is left.
+    /// Returns whether no connection is left.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Tells, once stopping, that the last connection has closed; all that was taken is answered then.
+    /// Notified during a shutdown when the last connection has closed, by when all requests have been answered.
     pub fn all_closed(&self) -> Rc<Notify> {
         self.all_closed.clone()
     }
--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -148,7 +148,7 @@
             node.pool.set_keeps_idle(true);
             (
                 node.callers.resume_accepting(),
-                node.callers.are_shutting_down(),
+                node.callers.is_shutting_down(),
             )
         };
         if is_stopped {
--- a/src/sidecar/server/caller_connection.rs
+++ b/src/sidecar/server/caller_connection.rs
@@ -1,18 +1,22 @@
-//! A caller's connection, as those see it who answer its requests.
+//! A caller's connection as the code that answers its requests has it.
 
 use super::reply::{Reply, rejected};
-use crate::sidecar::caller::ConnectionState;
+use crate::sidecar::caller::{Admission, ConnectionState};
 use crate::sidecar::descriptors::DescriptorPermit;
 use crate::sidecar::node::NodeHandle;
 use std::rc::Rc;
 
-/// One caller's connection, in the table for as long as it lives.
+/// One caller's connection, which is in the table of callers until this is dropped.
 pub struct CallerConnection {
+    /// The owner of all request state.
     pub node: NodeHandle,
+    /// The connection's number in the table.
     pub number: u64,
+    /// What the connection does.
     pub state: Rc<ConnectionState>,
-    /// There are no descriptors for it: whatever it asks is refused.
-    pub is_rejected_early: bool,
+    /// Whether its requests are served.
+    pub admission: Admission,
+    /// Counts its descriptor.
     pub _permit: DescriptorPermit,
 }
 
@@ -23,7 +27,12 @@
 }
 
 impl CallerConnection {
-    /// Refuses a request for want of room.
+    /// Returns whether there are no descriptors for the connection, so that its requests are rejected.
+    pub fn is_rejected_early(&self) -> bool {
+        self.admission == Admission::RejectedEarly
+    }
+
+    /// Rejects a request for lack of descriptors or memory.
     pub fn reject_early(&self) -> Reply {
         let mut node = self.node.borrow();
         node.counters.rejected_early += 1;
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -1,10 +1,12 @@
-//! One caller's connection.
+//! Serves one caller's connection from its acceptance to its close.
 
 use super::caller_connection::CallerConnection;
 use super::forward;
-use super::reply::{Reply, ReplyBody, plain};
+use super::reply::{Reply, ReplyBody, text_reply};
 use super::request_error::RequestError;
-use crate::sidecar::caller::{ConnectionState, HeadError, RequestReader, client_disconnected};
+use crate::sidecar::caller::{
+    ConnectionState, Persistence, RequestReader, ResponseKind, client_disconnected,
+};
 use crate::sidecar::sockets::{self, ObservedSocket};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -23,33 +25,38 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep_until, timeout};
 
-/// A connection that ended with an early answer is read on for so long, unless its descriptor is needed: closed with bytes
-/// unread, it would be reset, and the answer lost with it.
+/// Limit for the lingering close of a connection that ended with an early response. Closed with bytes unread it would be
+/// reset, and the response lost with it.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Read at once while it lingers.
+/// The most bytes that are discarded at once during a lingering close.
 const LINGER_BUFFER_SIZE: usize = 16 << 10;
-/// What hyper may have of a caller's unread: a head, and a piece of a body.
+/// The most unread bytes that hyper buffers: a head, and a piece of a body.
 const READ_BUFFER_SIZE: usize = 32 << 10;
 
-/// What a connection does next.
-#[derive(PartialEq)]
+/// What a connection does after an event.
+#[derive(Debug, PartialEq, Eq)]
 enum NextStep {
     /// It is served on.
     Continue,
-    /// It closes once it is between requests.
+    /// It closes once it is idle.
     GracefulShutdown,
-    /// It is over.
+    /// It ends now.
     Terminate,
 }
 
 /// Serves a connection until it ends; `close` asks it to.
-pub async fn serve(caller: CallerConnection, stream: TcpStream, close: Rc<Notify>, once: bool) {
-    let _ = stream.set_nodelay(true); // slower without, no worse
+pub async fn serve(
+    caller: CallerConnection,
+    stream: TcpStream,
+    close: Rc<Notify>,
+    persistence: Persistence,
+) {
+    let _ = stream.set_nodelay(true); // without it responses are slower, not wrong
     let stream = Rc::new(stream);
-    serve_requests(&caller, &stream, &close, once).await;
+    serve_requests(&caller, &stream, &close, persistence).await;
     let state = &caller.state;
-    if !state.peer_has_ended.get() && !state.is_closing_idle.get() {
-        let _ = sockets::end(&stream); // the answer ends, also for one who reads to the end
+    if !state.peer_has_ended() && !state.is_closing_idle() {
+        let _ = sockets::end(&stream); // for clients that read the response until FIN
         lingering_close(&stream, state, &close).await;
     }
 }
@@ -58,7 +65,7 @@
     caller: &CallerConnection,
     stream: &Rc<TcpStream>,
     close: &Notify,
-    once: bool,
+    persistence: Persistence,
 ) {
     let state = &*caller.state;
     let service =
@@ -66,23 +73,25 @@
     let reader = RequestReader::new(stream.clone(), caller.state.clone());
     let writer = ObservedSocket::new(stream.clone(), caller.state.clone());
     let mut builder = http1::Builder::new();
-    builder.keep_alive(!once).max_buf_size(READ_BUFFER_SIZE);
+    builder
+        .keep_alive(persistence == Persistence::KeepAlive)
+        .max_buf_size(READ_BUFFER_SIZE);
     let mut connection =
         pin!(builder.serve_connection(TokioIo::new(join(reader, writer)), service));
     let mut timer = pin!(sleep_until(state.first_head_deadline()));
     let mut client_disconnected = pin!(client_disconnected(stream, state));
     loop {
         let next = tokio::select! {
-            // What has been read goes first: a request that has come is no longer between requests.
+            // The connection is polled first: once a request has been read, the connection is no longer idle.
             biased;
-            // A caller that breaks its connection off is no news beyond what its request makes of it.
+            // An error tells nothing that the request did not learn: the client broke the connection off.
             _ = connection.as_mut() => NextStep::Terminate,
             () = client_disconnected.as_mut() => {
-                state.peer_has_ended.set(true);
+                state.peer_ended();
                 NextStep::Terminate
             }
-            () = close.notified() => close_requested(stream, state),
-            () = poll_fn(|context| poll_deadline(state, timer.as_mut(), context)) => deadline_reached(state),
+            () = close.notified() => on_close_request(stream, state),
+            () = poll_fn(|context| poll_deadline(state, timer.as_mut(), context)) => on_deadline(state),
         };
         match next {
             NextStep::Continue => {}
@@ -92,7 +101,7 @@
     }
 }
 
-/// Ready when the connection's time is up, as it now stands.
+/// Ready when the deadline of the connection's present state has passed.
 fn poll_deadline(
     state: &ConnectionState,
     mut timer: Pin<&mut Sleep>,
@@ -107,115 +116,116 @@
     timer.as_mut().poll(context)
 }
 
-fn close_requested(stream: &TcpStream, state: &ConnectionState) -> NextStep {
-    let is_closing_idle = state.is_closing_idle.get();
-    if state.head_since.get().is_some() {
-        if is_closing_idle {
+/// Decides how a connection closes that a shutdown, a drain or an eviction has notified.
+fn on_close_request(stream: &TcpStream, state: &ConnectionState) -> NextStep {
+    let is_evicted = state.is_closing_idle();
+    if state.is_receiving_head() {
+        if is_evicted {
             return NextStep::Terminate;
         }
-        state.is_last_request.set(true); // its request is on the way, and is answered
+        state.set_persistence(Persistence::Close); // the request is on the way, and is answered
         return NextStep::Continue;
     }
-    // One that was just accepted has not been read yet, or its request is on its way; what has come on it counts as taken.
-    if !is_closing_idle && (state.is_awaiting_first_request() || sockets::has_unread(stream)) {
-        state.is_last_request.set(true);
+    // A connection that was just accepted has not been read yet, or its request is on the way; what has arrived on it counts
+    // as taken.
+    if !is_evicted && (state.is_awaiting_first_request() || sockets::has_unread(stream)) {
+        state.set_persistence(Persistence::Close);
         return NextStep::Continue;
     }
     NextStep::GracefulShutdown
 }
 
-fn deadline_reached(state: &ConnectionState) -> NextStep {
-    if state.is_blocked() {
+fn on_deadline(state: &ConnectionState) -> NextStep {
+    if state.is_write_blocked() {
         return NextStep::Terminate;
     }
-    if state.head_since.get().is_some() {
-        state.head_error.set(Some(HeadError::TooSlow));
+    if state.is_receiving_head() {
+        state.head_timed_out();
         return NextStep::Continue;
     }
-    state.is_closing_idle.set(true);
+    state.close_idle();
     NextStep::GracefulShutdown
 }
 
-/// Reads on and throws away. A stop lets it read on, one that needs its descriptor does not.
+/// Reads on and discards, so that the client can read the response first. Graceful shutdown does not cut this short; an
+/// eviction does.
 async fn lingering_close(stream: &TcpStream, state: &ConnectionState, close: &Notify) {
-    let mut unread = vec![0; LINGER_BUFFER_SIZE];
-    let mut read_on = async || loop {
-        let mut unread = ReadBuf::new(&mut unread);
-        let read = poll_fn(|context| sockets::poll_read(stream, context, &mut unread)).await;
-        if read.is_err() || unread.filled().is_empty() {
+    let mut discarded = vec![0; LINGER_BUFFER_SIZE];
+    let mut read_to_end = async || loop {
+        let mut discarded = ReadBuf::new(&mut discarded);
+        let read = poll_fn(|context| sockets::poll_read(stream, context, &mut discarded)).await;
+        if read.is_err() || discarded.filled().is_empty() {
             break;
         }
     };
-    let makes_room = async {
-        while !state.is_closing_idle.get() {
+    let evicted = async {
+        while !state.is_closing_idle() {
             close.notified().await;
         }
     };
     tokio::select! {
-        _ = timeout(LINGER_TIMEOUT, read_on()) => {}
-        () = makes_room => {}
+        _ = timeout(LINGER_TIMEOUT, read_to_end()) => {}
+        () = evicted => {}
     }
 }
 
 impl CallerConnection {
-    /// Answers one request, and settles whether the connection goes on.
+    /// Answers one request, and decides whether the connection outlives it.
     async fn serve_one(&self, request: Request<Incoming>) -> Reply {
-        let state = &self.state;
-        state.idle_since.set(None);
-        let begun = state.head_since.take().unwrap_or_else(Instant::now);
+        let begun = self.state.request_begun();
         let mut reply = self.answer(request, begun).await;
-        state.answered();
-        if state.is_last_request.get() || self.node.borrow().callers.close_after_responses() {
+        self.state.response_ready(match reply.body() {
+            ReplyBody::Complete(_) => ResponseKind::Complete,
+            ReplyBody::Streamed(_) => ResponseKind::Streamed,
+        });
+        if self.state.persistence() == Persistence::Close
+            || self.node.borrow().callers.close_after_responses()
+        {
             reply
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        if let ReplyBody::Whole(_) = reply.body() {
-            state.set_idle();
-        }
         reply
     }
 
     async fn answer(&self, request: Request<Incoming>, begun: Instant) -> Reply {
-        if let Some(head_error) = self.state.head_error.get() {
-            return RequestError::from(head_error).reply();
+        if let Some(error) = self.state.head_error() {
+            return RequestError::from(error).reply();
         }
         match (request.uri().path(), request.method()) {
             ("/ready", &Method::GET | &Method::HEAD) => self.readiness(),
-            ("/ready", _) => RequestError::method("GET, HEAD").reply(),
-            ("/api", &Method::GET | &Method::POST) if self.is_rejected_early => {
-                self.reject_early_counted(&request)
+            ("/ready", _) => RequestError::method_not_allowed("GET, HEAD").reply(),
+            ("/api", &Method::GET | &Method::POST) if self.is_rejected_early() => {
+                self.reject_early_and_count(&request)
             }
             ("/api", &Method::GET | &Method::POST) => {
-                forward::answer(self, request, begun)
-                    .await
-                    .unwrap_or_else(|error| {
-                        // With a body that was not read to its end the next request's start is not known.
-                        if error.body_is_unread {
-                            self.state.is_last_request.set(true);
-                        }
-                        error.reply()
-                    })
+                let answer = forward::answer(self, request, begun).await;
+                answer.unwrap_or_else(|error| self.reply_to_error(error))
             }
-            ("/api", _) => RequestError::method("GET, POST").reply(),
-            _ => plain(StatusCode::NOT_FOUND, "no such path"),
+            ("/api", _) => RequestError::method_not_allowed("GET, POST").reply(),
+            _ => text_reply(StatusCode::NOT_FOUND, "no such path"),
+        }
+    }
+
+    /// Answers an invalid request. Where its body was not read to the end, the start of the next request is not known.
+    fn reply_to_error(&self, error: RequestError) -> Reply {
+        if error.body_is_unread {
+            self.state.set_persistence(Persistence::Close);
         }
+        error.reply()
     }
 
     fn readiness(&self) -> Reply {
-        let is_ready = self.node.borrow().is_ready();
-        plain(
-            if is_ready {
-                StatusCode::OK
-            } else {
-                StatusCode::SERVICE_UNAVAILABLE
-            },
-            "",
-        )
+        let status = if self.node.borrow().is_ready() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
+        text_reply(status, "")
     }
 
-    /// Refuses a request that is not read any further, and counts it for its class.
-    fn reject_early_counted(&self, request: &Request<Incoming>) -> Reply {
+    /// Rejects a request that is not read any further, and counts it for its class.
+    fn reject_early_and_count(&self, request: &Request<Incoming>) -> Reply {
         let reply = self.reject_early();
         let name = request
             .headers()
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -1,11 +1,12 @@
-//! A request for an endpoint, from its head to its answer.
+//! Forwards one request: from its head through the node to its response.
 
 use super::caller_connection::CallerConnection;
-use super::reply::{Reply, ReplyBody, plain, reply};
+use super::reply::{Reply, ReplyBody, final_reply, text_reply};
 use super::request::parse_request;
 use super::request_error::RequestError;
 use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
 use crate::sidecar::body::{MAX_BUFFERED_BODY, ReceivedRequestBody, Upload, receive_request_body};
+use crate::sidecar::caller::Persistence;
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
@@ -18,13 +19,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
-use tokio::sync::oneshot::error::{RecvError, TryRecvError};
+use tokio::sync::oneshot::error::TryRecvError;
 use tokio::time::{Instant, timeout_at};
 
-/// Forwards a request and answers it, and counts it for its class.
+/// Forwards a request, returns its response, and counts it for its class.
 ///
 /// # Errors
-/// Why it is not taken.
+/// The request is invalid, or its body did not arrive.
 pub async fn answer(
     caller: &CallerConnection,
     request: Request<Incoming>,
@@ -37,10 +38,10 @@
         .ok()
         .and_then(|reply| match reply.body_mut() {
             ReplyBody::Streamed(streamed) => Some(streamed),
-            ReplyBody::Whole(_) => None,
+            ReplyBody::Complete(_) => None,
         });
     match (count, streamed) {
-        (Some(count), Some(streamed)) => streamed.count_for(count, &caller.state),
+        (Some(count), Some(streamed)) => streamed.report_end_to(count, &caller.state),
         (Some(count), None) => {
             count.end(
                 answer
@@ -53,13 +54,13 @@
     answer
 }
 
-/// A request whose head has been read, under the settings that it came under.
+/// A request whose head has been parsed, with the settings that were in force when it arrived.
 struct ParsedRequest {
     request: PolicyRequest,
     settings: Rc<SettingsInForce>,
     /// The position of its class in the settings.
     class: usize,
-    /// How long its client waits, from its last byte on.
+    /// How long the client waits from the request's last byte on.
     time_left: Duration,
 }
 
@@ -75,16 +76,16 @@
         parse(node, &head, begun).map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
     let count = count.insert(node.borrow().metrics.begin(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
-        caller.state.is_last_request.set(true);
+        caller.state.set_persistence(Persistence::Close);
         return Ok(caller.reject_early());
     };
-    let is_chunked = caller.state.is_last_request.get();
+    let persistence = caller.state.persistence();
     let received = receive_request_body(body, begun).await?;
     if received.upload.is_none() {
         count.set_whole();
     }
     parsed.request.deadline = deadline(node, parsed.time_left);
-    let wait = parsed.wait(node, is_chunked);
+    let timeout = parsed.response_timeout(node, persistence);
     let upload = received.upload.clone();
     let forwarded = parsed.forwarded(head, received, memory);
     let mut pending = match PendingRequest::begin(node, parsed.request, forwarded) {
@@ -93,22 +94,23 @@
         Err(RequestRejected::Repeated) => return Err(repeated_id()),
     };
     let answer = match upload {
-        None => timeout_at(wait.until, &mut pending.answer).await.ok(),
+        None => timeout.wait(&mut pending.answer).await,
         Some(upload) => {
-            wait.with_upload(caller, &upload, &mut pending.answer, count)
+            timeout
+                .wait_during_upload(caller, &upload, &mut pending.answer, count)
                 .await?
         }
     };
     Ok(pending.reply(answer))
 }
 
-/// Room for as much of a body as it declares, or as may be kept.
+/// Reserves memory for a body: its declared length, or the most that is buffered.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
     let length = body.size_hint().exact();
-    let most = length.map_or(MAX_BUFFERED_BODY, |length| {
+    let size = length.map_or(MAX_BUFFERED_BODY, |length| {
         length.min(MAX_BUFFERED_BODY as u64) as usize
     });
-    node.borrow().request_memory.reserve(most)
+    node.borrow().request_memory.reserve(size)
 }
 
 impl ParsedRequest {
@@ -116,18 +118,18 @@
         &self.settings.settings.classes[self.class]
     }
 
-    /// How long its answer is waited for.
-    fn wait(&self, node: &NodeHandle, is_chunked: bool) -> ResponseTimeout {
+    /// Returns how long to wait for the response. `persistence` is that of the connection apart from the upload.
+    fn response_timeout(&self, node: &NodeHandle, persistence: Persistence) -> ResponseTimeout {
         let slack = self.settings.settings.rules.answer_slack;
         let until = node.borrow().clock.instant(self.request.deadline) + slack;
         ResponseTimeout {
             until,
             after_upload: self.time_left + slack,
-            is_chunked,
+            persistence,
         }
     }
 
-    /// What of it goes on to endpoints.
+    /// Returns the request as endpoints are sent it.
     fn forwarded(
         &self,
         head: Parts,
@@ -150,13 +152,13 @@
     }
 }
 
-/// Reads a head. Sent before a reload, it may be a request of the settings before alone.
+/// Parses a head under the current settings, or else under the previous ones if it began to come before the reload.
 fn parse(node: &NodeHandle, head: &Parts, begun: Instant) -> Result<ParsedRequest, RequestError> {
     let (now, settings) = {
         let node = node.borrow();
         (node.clock.now(), node.settings.for_request(begun))
     };
-    let under = |settings: Rc<SettingsInForce>| -> Result<ParsedRequest, RequestError> {
+    let parse_under = |settings: Rc<SettingsInForce>| -> Result<ParsedRequest, RequestError> {
         let mut request = parse_request(&head.method, &head.headers, &settings.settings, now)?;
         let class = request.class.0;
         request.class = settings.classes[class];
@@ -168,11 +170,13 @@
             time_left,
         })
     };
-    under(settings.current)
-        .or_else(|error| settings.before.and_then(|s| under(s).ok()).ok_or(error))
+    parse_under(settings.current).or_else(|error| {
+        let previous = settings.before.map(parse_under);
+        previous.and_then(Result::ok).ok_or(error)
+    })
 }
 
-/// The time of a request counts from its last byte, and ends before the sidecar does.
+/// Returns the deadline of a request whose last byte has just come. It is never later than the last response before exit.
 fn deadline(node: &NodeHandle, time_left: Duration) -> Timestamp {
     let node = node.borrow();
     let deadline = node.clock.now() + time_left;
@@ -184,32 +188,38 @@
         .with_body_unread(false)
 }
 
-/// How long an answer is waited for.
+/// How long to wait for the final answer.
 struct ResponseTimeout {
+    /// The end of the wait for a request that has arrived completely.
     until: Instant,
-    /// From an upload's last byte on.
+    /// The time from an upload's last byte on.
     after_upload: Duration,
-    /// The connection ends with the request anyway.
-    is_chunked: bool,
+    /// The connection's persistence once the upload is complete.
+    persistence: Persistence,
 }
 
 impl ResponseTimeout {
-    /// Waits for an answer while the body comes.
-    async fn with_upload(
+    /// Waits for the answer to a complete request. Returns none where there was none in time.
+    async fn wait(&self, answer: &mut oneshot::Receiver<FinalAnswer>) -> Option<FinalAnswer> {
+        timeout_at(self.until, answer).await.ok()?.ok()
+    }
+
+    /// Waits for the answer while the request's body still comes.
+    async fn wait_during_upload(
         &self,
         caller: &CallerConnection,
         upload: &Upload,
         answer: &mut oneshot::Receiver<FinalAnswer>,
         count: &mut RequestCount,
-    ) -> Result<Option<Result<FinalAnswer, RecvError>>, RequestError> {
-        // Answered before it has come whole, the connection ends with the answer.
-        caller.state.is_last_request.set(true);
+    ) -> Result<Option<FinalAnswer>, RequestError> {
+        // With a response ahead of the body's end, the start of the next request is not known.
+        caller.state.set_persistence(Persistence::Close);
         let answer = pin!(upload.within(self.after_upload, answer));
         let failed = async {
             if let Err(error) = upload.end().await {
                 return error;
             }
-            caller.state.is_last_request.set(self.is_chunked);
+            caller.state.set_persistence(self.persistence);
             count.set_whole();
             std::future::pending().await
         };
@@ -219,12 +229,12 @@
             answer = answer => answer,
         };
         count.set_whole();
-        Ok(answer)
+        Ok(answer.and_then(Result::ok))
     }
 }
 
-/// A request that waits for its answer. Its connection's end drops it, which is how a client goes. Once it has its answer
-/// it is over, and its id may be another request's.
+/// A request that waits for its final answer. Dropped without one, as when its connection ends, it tells the node that the
+/// client has disconnected. Once answered its id may be in use by another request.
 struct PendingRequest<'a> {
     node: &'a NodeHandle,
     id: RequestId,
@@ -243,13 +253,13 @@
         Ok(PendingRequest { node, id, answer })
     }
 
-    /// The reply that an answer makes, or that there was none in time.
-    fn reply(&self, answer: Option<Result<FinalAnswer, RecvError>>) -> Reply {
-        if let Some(Ok(answer)) = answer {
-            return reply(answer);
+    /// Returns the response for the answer, or for the lack of one in time.
+    fn reply(&self, answer: Option<FinalAnswer>) -> Reply {
+        if let Some(answer) = answer {
+            return final_reply(answer);
         }
         self.node.deadline_exceeded(&self.id);
-        plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+        text_reply(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
     }
 }
 
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -1,20 +1,21 @@
-//! Accepting callers.
+//! Accepts callers' connections.
 
 use super::caller_connection::CallerConnection;
 use super::connection;
-use crate::sidecar::descriptors::Side;
+use crate::sidecar::caller::{Admission, CallerTable};
+use crate::sidecar::descriptors::{DescriptorBudget, Side};
+use crate::sidecar::endpoint::ConnectionPool;
 use crate::sidecar::node::{Node, NodeHandle};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Pause after an accept that failed, as it does while the process is out of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// Pause after a failed accept, as happens while the process has no descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Accepts connections for as long as it is polled, unless another process does. Never waits for anything else: what
-/// stands in the kernel's backlog counts as taken. Others get their turn after each, above all those that were asked to
-/// make room.
+/// Accepts connections for as long as it is polled, unless another process does. It waits for nothing else, as connections
+/// in the kernel's backlog count as taken. It yields after each connection, so that evicted ones can close.
 pub async fn accept(node: NodeHandle, listener: &TcpListener) {
     let mut accepted_elsewhere = node.borrow().callers.watch_accepted_elsewhere();
     loop {
@@ -29,30 +30,30 @@
             _ = accepted_elsewhere.changed() => continue,
         };
         match accepted {
-            Ok((stream, _)) => start(&node, stream),
-            Err(failure) => {
-                log!("a connection could not be accepted: {failure}");
-                sleep(ACCEPT_PAUSE).await;
+            Ok((stream, _)) => start_serving(&node, stream),
+            Err(error) => {
+                log!("a connection could not be accepted: {error}");
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
         yield_now().await;
     }
 }
 
-/// Accepts what waits in the kernel's backlog, and closes the listener: with a connection there it would be reset, and a
-/// request that has come on it lost. The socket is asked, as the runtime hears of it later.
+/// Accepts the connections in the kernel's backlog, and closes the listener: a connection that was left there would be
+/// reset, and a request on it lost. Accepts from the socket itself, as the runtime learns of connections later.
 pub fn accept_backlog(node: &NodeHandle, listener: std::net::TcpListener) {
     while let Ok((stream, _)) = listener.accept() {
         if stream.set_nonblocking(true).is_ok()
             && let Ok(stream) = TcpStream::from_std(stream)
         {
-            start(node, stream);
+            start_serving(node, stream);
         }
     }
 }
 
-/// Serves a connection, or turns it away where there are no descriptors for it.
-fn start(node: &NodeHandle, stream: TcpStream) {
+/// Serves a connection, or rejects its requests where there are no descriptors for it.
+fn start_serving(node: &NodeHandle, stream: TcpStream) {
     let mut guard = node.borrow();
     let Node {
         callers,
@@ -60,24 +61,37 @@
         descriptors,
         ..
     } = &mut *guard;
-    let is_full = descriptors.is_caller_limit_reached();
-    let has_made_room =
-        is_full && ((descriptors.is_exhausted() && pool.close_oldest()) || callers.evict_one());
-    let is_rejected_early = is_full && !has_made_room;
-    if is_rejected_early && descriptors.is_caller_overcommit_reached() {
-        return; // closed unread: nothing of it was taken, and the descriptors left are for what was
+    let admission = admit(callers, pool, descriptors);
+    if admission == Admission::RejectedEarly && descriptors.is_caller_overcommit_reached() {
+        return; // closed unread: none of it was taken, and the remaining descriptors are for requests that were
     }
     let permit = descriptors.permit(Side::Callers);
-    let accepted = callers.add(is_rejected_early);
+    let accepted = callers.add(admission);
     drop(guard);
-    let (close, once) = (accepted.close, accepted.is_for_one_request);
-    let (number, state) = (accepted.number, accepted.state);
     let connection = CallerConnection {
         node: node.clone(),
-        number,
-        state,
-        is_rejected_early,
+        number: accepted.number,
+        state: accepted.state,
+        admission,
         _permit: permit,
     };
-    spawn_local(connection::serve(connection, stream, close, once));
+    let served = connection::serve(connection, stream, accepted.close, accepted.persistence);
+    spawn_local(served);
+}
+
+/// Decides whether there are descriptors for a new connection, after closing an idle one if they are short.
+fn admit(
+    callers: &mut CallerTable,
+    pool: &mut ConnectionPool,
+    descriptors: &DescriptorBudget,
+) -> Admission {
+    if !descriptors.is_caller_limit_reached() {
+        return Admission::Accepted;
+    }
+    let has_closed_pooled = descriptors.is_exhausted() && pool.close_oldest();
+    if has_closed_pooled || callers.evict_one() {
+        Admission::Accepted
+    } else {
+        Admission::RejectedEarly
+    }
 }
--- a/src/sidecar/server/mod.rs
+++ b/src/sidecar/server/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: connections are accepted, requests read, and each gets its one answer.
+//! The callers' side of the sidecar: accepts connections, reads requests, and answers each of them once.
 
 mod caller_connection;
 mod connection;
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -1,4 +1,4 @@
-//! What callers are answered.
+//! Responses to callers.
 
 use crate::sidecar::body::BodyTransferError;
 use crate::sidecar::caller::ConnectionState;
@@ -15,29 +15,29 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// The body of what a caller is answered.
+/// The body of a response to a caller.
 pub enum ReplyBody {
-    /// All of it.
-    Whole(Full<Bytes>),
-    /// It goes on as it comes.
+    /// A body that is all there.
+    Complete(Full<Bytes>),
+    /// A body that follows as the endpoint sends it.
     Streamed(Box<StreamedReply>),
 }
 
-/// An endpoint's answer that goes on to a caller as it comes.
+/// An endpoint's response whose body is streamed to a caller.
 pub struct StreamedReply {
-    answer: StreamedResponse,
-    /// Its request's count, until it has ended.
+    response: StreamedResponse,
+    /// The metrics of its request, until the body has ended.
     count: Option<RequestCount>,
-    /// The connection that it goes on to.
+    /// The state of the caller's connection.
     state: Option<Rc<ConnectionState>>,
 }
 
 impl StreamedReply {
-    /// Has it count for a request, and its end for the connection that it goes to.
-    pub fn count_for(&mut self, count: RequestCount, state: &Rc<ConnectionState>) {
+    /// Has the end of the body reported to the metrics of its request and to the connection's state.
+    pub fn report_end_to(&mut self, count: RequestCount, state: &Rc<ConnectionState>) {
         self.count = Some(count);
         self.state = Some(state.clone());
     }
@@ -46,25 +46,26 @@
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
-        let frame = Pin::new(&mut self.answer).poll_frame(context);
+        let frame = Pin::new(&mut self.response).poll_frame(context);
         let status = match &frame {
             Poll::Ready(Some(Err(_))) => Some(StatusCode::BAD_GATEWAY),
-            _ => self.answer.is_whole().then_some(StatusCode::OK),
+            _ => self.response.is_whole().then_some(StatusCode::OK),
         };
-        if let Some(status) = status {
-            self.count
-                .take()
-                .into_iter()
-                .for_each(|count| count.end(status));
+        if let Some(status) = status
+            && let Some(count) = self.count.take()
+        {
+            count.end(status);
         }
         frame
     }
 }
 
-/// Its connection is between requests again.
+/// hyper drops a body at its end, or with its connection.
 impl Drop for StreamedReply {
     fn drop(&mut self) {
-        self.state.iter().for_each(|state| state.set_idle());
+        if let Some(state) = &self.state {
+            state.stream_ended();
+        }
     }
 }
 
@@ -77,7 +78,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match self.get_mut() {
-            ReplyBody::Whole(body) => Pin::new(body)
+            ReplyBody::Complete(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
             ReplyBody::Streamed(body) => body.poll_frame(context),
@@ -86,28 +87,28 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            ReplyBody::Whole(body) => body.is_end_stream(),
-            ReplyBody::Streamed(body) => body.answer.is_end_stream(),
+            ReplyBody::Complete(body) => body.is_end_stream(),
+            ReplyBody::Streamed(body) => body.response.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ReplyBody::Whole(body) => body.size_hint(),
-            ReplyBody::Streamed(body) => body.answer.size_hint(),
+            ReplyBody::Complete(body) => body.size_hint(),
+            ReplyBody::Streamed(body) => body.response.size_hint(),
         }
     }
 }
 
-/// The answer that a request's final answer makes.
-pub fn reply(answer: FinalAnswer) -> Reply {
+/// Returns the response for a request's final answer.
+pub fn final_reply(answer: FinalAnswer) -> Reply {
     match answer {
         FinalAnswer::Served(served) => {
             let mut reply = Response::new(match served.body {
-                ResponseBody::Whole(body) => ReplyBody::Whole(Full::new(body)),
-                ResponseBody::Streamed(answer) => {
+                ResponseBody::Whole(body) => ReplyBody::Complete(Full::new(body)),
+                ResponseBody::Streamed(response) => {
                     let streamed = StreamedReply {
-                        answer: *answer,
+                        response: *response,
                         count: None,
                         state: None,
                     };
@@ -119,17 +120,17 @@
         }
         FinalAnswer::Rejected { retry_after } => rejected(retry_after),
         FinalAnswer::Failed { timed_out: true } => {
-            plain(StatusCode::GATEWAY_TIMEOUT, "no endpoint answered in time")
+            text_reply(StatusCode::GATEWAY_TIMEOUT, "no endpoint answered in time")
         }
         FinalAnswer::Failed { timed_out: false } => {
-            plain(StatusCode::BAD_GATEWAY, "no endpoint served it")
+            text_reply(StatusCode::BAD_GATEWAY, "no endpoint served it")
         }
     }
 }
 
-/// Says that trying again is harmless, and when.
+/// Returns a response that invites a retry, after this time if one is given.
 pub fn rejected(retry_after: Option<Duration>) -> Reply {
-    let mut reply = plain(
+    let mut reply = text_reply(
         StatusCode::SERVICE_UNAVAILABLE,
         "refused; trying again is harmless",
     );
@@ -140,9 +141,9 @@
     reply
 }
 
-/// A status, and a text for whoever reads it.
-pub fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(ReplyBody::Whole(Full::new(Bytes::from_static(
+/// Returns a response with a status and a text for human readers.
+pub fn text_reply(status: StatusCode, text: &'static str) -> Reply {
+    let mut reply = Response::new(ReplyBody::Complete(Full::new(Bytes::from_static(
         text.as_bytes(),
     ))));
     *reply.status_mut() = status;
--- a/src/sidecar/server/request.rs
+++ b/src/sidecar/server/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests in the decision module's form.
+//! Parses callers' request heads into the balancer's requests.
 
 use super::request_error::RequestError;
 use crate::policy::{ClassId, Idempotency, Key, Request, RequestId, Settings, TenantId, Timestamp};
@@ -8,17 +8,17 @@
 use hyper::{Method, StatusCode};
 use std::time::Duration;
 
-/// The longest id or key, in bytes.
-const LONGEST_ID: usize = 256;
+/// The maximum length of an id or key, in bytes.
+const MAX_ID_LENGTH: usize = 256;
 const REQUEST_ID: &str = "x-request-id";
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The cookie that holds what a request is about.
-const SUBJECT_COOKIE: &str = "sid=";
+/// The cookie that holds the key of a request.
+const KEY_COOKIE: &str = "sid=";
 
-/// The request in the decision module's form. Its class is the position in the settings.
+/// Parses a request's head. The class of the result is its position in the settings.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The head is not valid under these settings.
 pub fn parse_request(
     method: &Method,
     headers: &HeaderMap,
@@ -36,7 +36,7 @@
         return Err(bad_request("Idempotency-Key is missing"));
     }
     let tenant = parse_tenant(text("x-tenant"), settings)?;
-    // No client waits longer than its class allows over all its tries.
+    // No client waits longer than its class allows for all attempts.
     let time_left =
         parse_time_left(text(DEADLINE_HEADER.as_str()))?.min(settings.classes[class].deadline);
     let hint = text("x-cost-hint").and_then(|value| value.trim().parse().ok());
@@ -44,7 +44,7 @@
         id,
         class: ClassId(class),
         tenant,
-        key: headers.get_all(header::COOKIE).iter().find_map(subject),
+        key: headers.get_all(header::COOKIE).iter().find_map(parse_key),
         deadline: now + time_left,
         cost_hint: hint.filter(|micros| *micros > 0).map(Duration::from_micros),
         client_retry: text("x-retry") == Some("1"),
@@ -56,18 +56,18 @@
     RequestError::new(StatusCode::BAD_REQUEST, text)
 }
 
-/// Ids and keys are kept, and go on: no longer than any honest one.
+/// Ids and keys are stored and forwarded, so that their length is limited.
 fn parse_id(headers: &HeaderMap) -> Result<RequestId, RequestError> {
     let id = headers
         .get(REQUEST_ID)
         .and_then(|value| value.to_str().ok())
         .filter(|id| !id.is_empty());
     let id = id.ok_or(bad_request("X-Request-Id is missing"))?;
-    let kept = [REQUEST_ID, IDEMPOTENCY_KEY].map(|name| headers.get_all(name).iter());
-    if kept
+    let stored = [REQUEST_ID, IDEMPOTENCY_KEY].map(|name| headers.get_all(name).iter());
+    if stored
         .into_iter()
         .flatten()
-        .any(|value| value.len() > LONGEST_ID)
+        .any(|value| value.len() > MAX_ID_LENGTH)
     {
         return Err(bad_request(
             "X-Request-Id or Idempotency-Key is over 256 bytes",
@@ -80,15 +80,15 @@
 }
 
 fn check_method(method: &Method, idempotency: Idempotency) -> Result<(), RequestError> {
-    let needed = if idempotency == Idempotency::Idempotent {
+    let allowed = if idempotency == Idempotency::Idempotent {
         "GET"
     } else {
         "POST"
     };
-    if method.as_str() == needed {
+    if method.as_str() == allowed {
         Ok(())
     } else {
-        Err(RequestError::method(needed))
+        Err(RequestError::method_not_allowed(allowed))
     }
 }
 
@@ -110,16 +110,15 @@
     let seconds = text
         .and_then(|text| text.trim().parse().ok())
         .filter(|seconds: &f64| seconds.is_finite());
-    let time =
-        seconds.and_then(|s| Duration::try_from_secs_f64(s.min(FARTHEST.as_secs_f64())).ok());
+    let time = seconds
+        .and_then(|seconds| Duration::try_from_secs_f64(seconds.min(FARTHEST.as_secs_f64())).ok());
     time.ok_or(bad_request("X-Deadline is not a number of seconds"))
 }
 
-/// What the request is about, by a cookie.
-fn subject(cookies: &HeaderValue) -> Option<Key> {
+/// Returns the key that a cookie gives.
+fn parse_key(cookies: &HeaderValue) -> Option<Key> {
     let mut cookies = cookies.to_str().ok()?.split(';');
-    let subject = cookies.find_map(|cookie| cookie.trim().strip_prefix(SUBJECT_COOKIE));
-    subject
-        .filter(|subject| !subject.is_empty() && subject.len() <= LONGEST_ID)
+    let key = cookies.find_map(|cookie| cookie.trim().strip_prefix(KEY_COOKIE));
+    key.filter(|key| !key.is_empty() && key.len() <= MAX_ID_LENGTH)
         .map(Key::from)
 }
--- a/src/sidecar/server/request_error.rs
+++ b/src/sidecar/server/request_error.rs
@@ -1,24 +1,24 @@
-//! Why a request is not taken, in words for whoever wrote the caller.
+//! Errors in callers' requests, with texts for the callers' developers.
 
-use super::reply::{Reply, plain};
+use super::reply::{Reply, text_reply};
 use crate::sidecar::body::UploadError;
 use crate::sidecar::caller::HeadError;
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
 
-/// Why a request is not taken.
+/// An error in a request, for which it is not handed to the node.
 #[derive(Debug)]
 pub struct RequestError {
-    /// The status that it is answered with.
+    /// The status of the response.
     pub status: StatusCode,
     text: &'static str,
     allowed_methods: Option<&'static str>,
-    /// Its body was not read to the end.
+    /// Whether the request's body was not read to the end.
     pub body_is_unread: bool,
 }
 
 impl RequestError {
-    /// With a status and a text, of a request whose body was not read.
+    /// An error in a request whose body was not read.
     pub fn new(status: StatusCode, text: &'static str) -> Self {
         RequestError {
             status,
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Another method is needed.
-    pub fn method(allowed: &'static str) -> Self {
+    /// The path does not take the request's method, only these.
+    pub fn method_not_allowed(allowed: &'static str) -> Self {
         let error = RequestError::new(StatusCode::METHOD_NOT_ALLOWED, "wrong method");
         RequestError {
             allowed_methods: Some(allowed),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The same, of a request whose body was not read, or was.
+    /// Sets whether the request's body was not read to the end.
     pub fn with_body_unread(self, body_is_unread: bool) -> Self {
         RequestError {
             body_is_unread,
@@ -45,9 +45,9 @@
         }
     }
 
-    /// The answer that says so.
+    /// Returns the response that reports the error.
     pub fn reply(self) -> Reply {
-        let mut reply = plain(self.status, self.text);
+        let mut reply = text_reply(self.status, self.text);
         if let Some(allowed) = self.allowed_methods {
             reply
                 .headers_mut()
@@ -58,8 +58,8 @@
 }
 
 impl From<HeadError> for RequestError {
-    fn from(head_error: HeadError) -> Self {
-        let (status, text) = match head_error {
+    fn from(error: HeadError) -> Self {
+        let (status, text) = match error {
             HeadError::Framing => (StatusCode::BAD_REQUEST, "the body's length is not clear"),
             HeadError::TooLong => (
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
