--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -56,7 +56,7 @@
     serve_requests(&caller, &stream, &close, persistence).await;
     let state = &caller.state;
     if !state.peer_has_ended() && !state.is_closing_idle() {
-        let _ = sockets::end(&stream); // for clients that read the response until FIN
+        let _ = sockets::shutdown_write(&stream); // for clients that read the response until FIN
         lingering_close(&stream, state, &close).await;
     }
 }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -5,7 +5,7 @@
 use super::request::parse_request;
 use super::request_error::RequestError;
 use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
-use crate::sidecar::body::{MAX_BUFFERED_BODY, ReceivedRequestBody, Upload, receive_request_body};
+use crate::sidecar::body::{ReceivedRequestBody, Upload, buffer_size, receive_request_body};
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
@@ -104,13 +104,9 @@
     Ok(pending.reply(answer))
 }
 
-/// Reserves memory for a body: its declared length, or the most that is buffered.
+/// Reserves the memory that buffering a body can take.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
-    let length = body.size_hint().exact();
-    let size = length.map_or(MAX_BUFFERED_BODY, |length| {
-        length.min(MAX_BUFFERED_BODY as u64) as usize
-    });
-    node.borrow().request_memory.reserve(size)
+    node.borrow().request_memory.reserve(buffer_size(body))
 }
 
 impl ParsedRequest {
@@ -144,7 +140,7 @@
                 .path_and_query
                 .unwrap_or(PathAndQuery::from_static("/api")),
             headers: end_to_end_headers(&head.headers),
-            body: body.kept,
+            body: body.buffered,
             upload: body.upload,
             is_repeatable: self.class().idempotency != Idempotency::Unsafe,
             _memory: memory,
@@ -214,9 +210,9 @@
     ) -> Result<Option<FinalAnswer>, RequestError> {
         // With a response ahead of the body's end, the start of the next request is not known.
         caller.state.set_persistence(Persistence::Close);
-        let answer = pin!(upload.within(self.after_upload, answer));
+        let answer = pin!(upload.timeout(self.after_upload, answer));
         let failed = async {
-            if let Err(error) = upload.end().await {
+            if let Err(error) = upload.wait_until_finished().await {
                 return error;
             }
             caller.state.set_persistence(self.persistence);
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -49,7 +49,7 @@
         let frame = Pin::new(&mut self.response).poll_frame(context);
         let status = match &frame {
             Poll::Ready(Some(Err(_))) => Some(StatusCode::BAD_GATEWAY),
-            _ => self.response.is_whole().then_some(StatusCode::OK),
+            _ => self.response.is_complete().then_some(StatusCode::OK),
         };
         if let Some(status) = status
             && let Some(count) = self.count.take()
@@ -105,7 +105,7 @@
     match answer {
         FinalAnswer::Served(served) => {
             let mut reply = Response::new(match served.body {
-                ResponseBody::Whole(body) => ReplyBody::Complete(Full::new(body)),
+                ResponseBody::Complete(body) => ReplyBody::Complete(Full::new(body)),
                 ResponseBody::Streamed(response) => {
                     let streamed = StreamedReply {
                         response: *response,
