--- /dev/null
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -0,0 +1,326 @@
+//! The formats that processes of different releases share during a hot restart: messages, file names and the stored file.
+//!
+//! The golden files were written by an earlier release, which must be able to restart into this one and back.
+
+use crate::stubs::*;
+use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
+use serde_json::json;
+use std::io::{BufRead, BufReader, IoSlice, Read, Write};
+use std::mem::MaybeUninit;
+use std::net::TcpListener;
+use std::os::fd::AsFd;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// The byte that accompanies the listening socket.
+const HANDOVER_BYTE: &[u8] = include_bytes!("../golden/hot_restart/handover_byte");
+/// One message of each kind, one line each, in the order of [`MessageLines`].
+const MESSAGES: &str = include_str!("../golden/hot_restart/messages.jsonl");
+/// The names of the files in the shared directory, one a line, sorted.
+const FILE_NAMES: &str = include_str!("../golden/hot_restart/file_names");
+/// The stored file while endpoints e0 and e1 are disabled.
+const DISABLED_FILE: &[u8] = include_bytes!("../golden/hot_restart/disabled_file");
+
+/// The golden messages.
+struct MessageLines {
+    holds: &'static str,
+    serving: &'static str,
+    stopping: &'static str,
+    disabled: &'static str,
+    enabled: &'static str,
+}
+
+fn golden_messages() -> MessageLines {
+    let lines: Vec<&str> = MESSAGES.split_inclusive('\n').collect();
+    let [holds, serving, stopping, disabled, enabled] = lines[..] else {
+        panic!("five messages in {MESSAGES:?}");
+    };
+    MessageLines {
+        holds,
+        serving,
+        stopping,
+        disabled,
+        enabled,
+    }
+}
+
+/// The file names of the golden list: the stored file's, then the socket's.
+fn golden_file_names() -> (&'static str, &'static str) {
+    let names: Vec<&str> = FILE_NAMES.lines().collect();
+    let [disabled_file, socket] = names[..] else {
+        panic!("two names in {FILE_NAMES:?}");
+    };
+    (disabled_file, socket)
+}
+
+/// A shared directory, removed at the end of the test.
+struct SharedDirectory(PathBuf);
+
+impl SharedDirectory {
+    fn create() -> Self {
+        SharedDirectory(folder())
+    }
+
+    fn socket(&self) -> PathBuf {
+        self.0.join(golden_file_names().1)
+    }
+
+    fn disabled_file(&self) -> PathBuf {
+        self.0.join(golden_file_names().0)
+    }
+
+    /// The names of its files, one a line, sorted.
+    fn file_names(&self) -> String {
+        let entries = std::fs::read_dir(&self.0).expect("a directory");
+        let mut names: Vec<String> = entries
+            .map(|entry| entry.expect("an entry").file_name())
+            .map(|name| format!("{}\n", name.to_string_lossy()))
+            .collect();
+        names.sort();
+        names.concat()
+    }
+}
+
+impl Drop for SharedDirectory {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The test's end of the stream between two processes.
+struct OtherProcess(BufReader<UnixStream>);
+
+impl OtherProcess {
+    /// The test is the new process: it connects and receives the byte that comes with the listening socket.
+    fn connect_as_new(socket: &Path) -> Self {
+        awaits("the process listens for a new one", || socket.exists());
+        let stream = UnixStream::connect(socket).expect("a connection");
+        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        let mut byte = [0];
+        (&stream).read_exact(&mut byte).expect("the hand-over byte");
+        assert_eq!(byte, HANDOVER_BYTE);
+        OtherProcess(BufReader::new(stream))
+    }
+
+    /// The test is the old process: it hands its listening socket over to the one that connects.
+    fn accept_as_old(socket: &UnixListener, listener: &TcpListener) -> Self {
+        let (stream, _) = socket.accept().expect("the new process connects");
+        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        let descriptors = [listener.as_fd()];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        control.push(SendAncillaryMessage::ScmRights(&descriptors));
+        let bytes = [IoSlice::new(HANDOVER_BYTE)];
+        let sent = sendmsg(&stream, &bytes, &mut control, SendFlags::NOSIGNAL);
+        assert_eq!(sent, Ok(HANDOVER_BYTE.len()));
+        OtherProcess(BufReader::new(stream))
+    }
+
+    fn send(&mut self, line: &str) {
+        let stream = self.0.get_mut();
+        stream.write_all(line.as_bytes()).expect("it is open");
+    }
+
+    /// Reads up to a line of exactly these bytes; only heartbeats with other numbers may come before it.
+    fn expect_line(&mut self, expected: &str) {
+        loop {
+            let mut line = String::new();
+            let length = self.0.read_line(&mut line).expect("a line in time");
+            assert!(length > 0, "closed before {expected:?}");
+            if line == expected {
+                return;
+            }
+            let digits = line
+                .strip_prefix("{\"holds\":")
+                .and_then(|rest| rest.strip_suffix("}\n"));
+            let is_heartbeat =
+                digits.is_some_and(|digits| digits.bytes().all(|byte| byte.is_ascii_digit()));
+            assert!(is_heartbeat, "{line:?} before {expected:?}");
+        }
+    }
+
+    /// Has a sidecar send a message of each kind that both an old and a new process send.
+    fn expect_messages_of(&mut self, sidecar: &Sidecar) {
+        let golden = golden_messages();
+        assert!(sidecar.says_yes("DISABLE e0"));
+        self.expect_line(golden.disabled);
+        assert!(sidecar.says_yes("ENABLE e0"));
+        self.expect_line(golden.enabled);
+        let mut client = sidecar.client();
+        assert_eq!(client.ask(&get("5")).status(), 200);
+        self.expect_line(golden.holds); // the client's connection and an idle one to an endpoint
+        drop(client);
+        sidecar.terminate();
+        self.expect_line(golden.stopping);
+    }
+}
+
+#[test]
+fn old_process_sends_golden_messages() {
+    let endpoint = Endpoint::start(|_| ok("x"));
+    let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
+    let config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+    let sidecar = Sidecar::start_in(&directory.0, &config);
+
+    let mut new_process = OtherProcess::connect_as_new(&directory.socket());
+
+    new_process.expect_messages_of(&sidecar);
+}
+
+#[test]
+fn new_process_sends_golden_messages() {
+    let endpoint = Endpoint::start(|_| ok("x"));
+    let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
+    let socket = UnixListener::bind(directory.socket()).expect("a socket");
+    let mut config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+    config["listen"] = json!(listener.local_addr().expect("its address").to_string());
+    let (sidecar, mut old_process) = std::thread::scope(|scope| {
+        let accepted = scope.spawn(|| OtherProcess::accept_as_old(&socket, &listener));
+        let sidecar = Sidecar::start_in(&directory.0, &config);
+        (sidecar, accepted.join().expect("it is handed over"))
+    });
+    let mut watch = discovery.next_watch();
+    watch.write_line(&list(42, true, &serving(&[&endpoint])));
+
+    old_process.expect_line(golden_messages().serving);
+
+    old_process.expect_messages_of(&sidecar);
+}
+
+#[test]
+fn golden_messages_are_understood() {
+    let endpoint = Endpoint::start(|_| ok("x"));
+    let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
+    let config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+    let sidecar = Sidecar::start_in(&directory.0, &config);
+    let golden = golden_messages();
+    let mut new_process = OtherProcess::connect_as_new(&directory.socket());
+
+    new_process.send(golden.disabled);
+    awaits("the endpoint is disabled", || {
+        sidecar.figure("members_unavailable") == Some(1)
+    });
+    new_process.send(golden.enabled);
+    awaits("the endpoint is enabled", || {
+        sidecar.figure("members_unavailable") == Some(0)
+    });
+    // The new process accepts callers; here the backlog is the test's, so a connection of before is used.
+    let mut caller = sidecar.client();
+    assert_eq!(caller.ask(&get("5")).header("connection"), None);
+    new_process.send(golden.serving);
+    awaits("connections close with their answers", || {
+        let is_closing = caller.ask(&get("5")).header("connection") == Some("close");
+        std::thread::sleep(Duration::from_millis(10));
+        is_closing
+    });
+    new_process.send(golden.stopping);
+    let mut caller = sidecar.client();
+    assert_eq!(caller.ask(&get("5")).header("connection"), None);
+}
+
+/// More clients with a pending request than a sidecar of 128 descriptors serves beside another process.
+const CLIENTS: usize = 30;
+
+/// A sidecar with few descriptors after these messages of a new process, and clients with a request each.
+struct LoadedSidecar {
+    sidecar: Sidecar,
+    _clients: Vec<Client>,
+    _new_process: OtherProcess,
+    _directory: SharedDirectory,
+    _endpoint: Endpoint,
+    _discovery: Discovery,
+}
+
+impl LoadedSidecar {
+    fn start(messages_of_new_process: &[&str]) -> Self {
+        let endpoint = Endpoint::start(|_| Does::Hangs);
+        let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
+        let mut config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+        config["limits"]["sockets"] = json!(128);
+        let sidecar = Sidecar::start_in(&directory.0, &config);
+        let mut new_process = OtherProcess::connect_as_new(&directory.socket());
+        for message in messages_of_new_process {
+            new_process.send(message);
+        }
+        // Messages are read in order, so the ones before these count once these do.
+        new_process.send(golden_messages().disabled);
+        awaits("the messages are read", || {
+            sidecar.figure("members_unavailable") == Some(1)
+        });
+        new_process.send(golden_messages().enabled);
+        awaits("the endpoint is enabled", || {
+            sidecar.figure("members_unavailable") == Some(0)
+        });
+        let clients = (0..CLIENTS).map(|_| {
+            let mut client = sidecar.client();
+            client.write(&post("unsafe", "15", "x"));
+            client
+        });
+        LoadedSidecar {
+            _clients: clients.collect(),
+            sidecar,
+            _new_process: new_process,
+            _directory: directory,
+            _endpoint: endpoint,
+            _discovery: discovery,
+        }
+    }
+
+    fn pending(&self) -> Option<u64> {
+        self.sidecar.figure("pending")
+    }
+}
+
+#[test]
+fn golden_connection_count_reduces_the_budget() {
+    let alone = LoadedSidecar::start(&[]);
+    awaits("all requests are pending", || {
+        alone.pending() == Some(CLIENTS as u64)
+    });
+    let beside_another = LoadedSidecar::start(&[golden_messages().holds]);
+    awaits("some requests are pending", || {
+        beside_another.pending() > Some(0)
+    });
+    for _ in 0..40 {
+        assert!(beside_another.pending() < Some(CLIENTS as u64));
+        std::thread::sleep(Duration::from_millis(25));
+    }
+}
+
+#[test]
+fn shared_directory_has_golden_files() {
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let [e0, e1, e2] = &endpoints;
+    let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
+    let config = with_admin(config(discovery.address, &serving(&[e0, e1, e2])));
+    let sidecar = Sidecar::start_in(&directory.0, &config);
+    awaits("the process listens for a new one", || {
+        directory.socket().exists()
+    });
+
+    assert!(sidecar.says_yes("DISABLE e1") && sidecar.says_yes("DISABLE e0"));
+
+    assert_eq!(directory.file_names(), FILE_NAMES);
+    let stored = std::fs::read(directory.disabled_file()).expect("the stored file");
+    assert_eq!(stored, DISABLED_FILE);
+}
+
+#[test]
+fn golden_disabled_file_is_understood() {
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let [e0, e1, e2] = &endpoints;
+    let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
+    std::fs::write(directory.disabled_file(), DISABLED_FILE).expect("the stored file");
+    let config = with_admin(config(discovery.address, &serving(&[e0, e1, e2])));
+
+    let sidecar = Sidecar::start_in(&directory.0, &config);
+
+    assert_eq!(sidecar.figure("members_unavailable"), Some(2));
+    let mut client = sidecar.client();
+    for _ in 0..10 {
+        assert_eq!(client.ask(&get("5")).status(), 200);
+    }
+    assert_eq!([e0, e1, e2].map(Endpoint::requests), [0, 0, 10]);
+}
--- a/tests/sidecar/main.rs
+++ b/tests/sidecar/main.rs
@@ -15,6 +15,7 @@
 mod discovery_recovery;
 mod discovery_resync;
 mod drains;
+mod hot_restart_formats;
 mod leaving;
 mod lists;
 mod mass_restart;
