--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -3,8 +3,8 @@
 use super::state::NodeHandle;
 use crate::policy::{EndpointId, Event};
 use crate::sidecar::caller::DrainState;
-use crate::sidecar::task::Task;
 use crate::sidecar::upgrade::ProcessMessage;
+use crate::task::Task;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -70,7 +70,7 @@
         log!("drains by hand");
         let steps = Task::spawn(drain_steps(self.clone()));
         let mut node = self.borrow();
-        node.callers.set_drain_state(Some(DrainState::Begun));
+        node.callers.set_drain_state(Some(DrainState::NotReady));
         node.drain_steps = Some(steps);
     }
 
@@ -91,9 +91,9 @@
     sleep(STILL_SENT).await;
     node.borrow()
         .callers
-        .set_drain_state(Some(DrainState::Leaving));
+        .set_drain_state(Some(DrainState::ClosingAfterResponses));
     sleep(LEAVING).await;
     node.borrow()
         .callers
-        .set_drain_state(Some(DrainState::Empty));
+        .set_drain_state(Some(DrainState::ClosingIdle));
 }
--- a/src/sidecar/server/request_error.rs
+++ b/src/sidecar/server/request_error.rs
@@ -1,8 +1,8 @@
 //! Why a request is not taken, in words for whoever wrote the caller.
 
 use super::reply::{Reply, plain};
-use crate::sidecar::body::BodyError;
-use crate::sidecar::caller::HeadFault;
+use crate::sidecar::body::UploadError;
+use crate::sidecar::caller::HeadError;
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
 
@@ -57,26 +57,26 @@
     }
 }
 
-impl From<HeadFault> for RequestError {
-    fn from(fault: HeadFault) -> Self {
-        let (status, text) = match fault {
-            HeadFault::Framing => (StatusCode::BAD_REQUEST, "the body's length is not clear"),
-            HeadFault::TooLong => (
+impl From<HeadError> for RequestError {
+    fn from(head_error: HeadError) -> Self {
+        let (status, text) = match head_error {
+            HeadError::Framing => (StatusCode::BAD_REQUEST, "the body's length is not clear"),
+            HeadError::TooLong => (
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 "the head is over 16 KiB",
             ),
-            HeadFault::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the head did not come in time"),
+            HeadError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the head did not come in time"),
         };
         RequestError::new(status, text)
     }
 }
 
-impl From<BodyError> for RequestError {
-    fn from(error: BodyError) -> Self {
+impl From<UploadError> for RequestError {
+    fn from(error: UploadError) -> Self {
         let (status, text) = match error {
-            BodyError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 40 MiB"),
-            BodyError::NotWhole => (StatusCode::BAD_REQUEST, "the body is not whole"),
-            BodyError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+            UploadError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 40 MiB"),
+            UploadError::Incomplete => (StatusCode::BAD_REQUEST, "the body is not whole"),
+            UploadError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
         };
         RequestError::new(status, text)
     }
