--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -59,7 +59,7 @@
 
 impl SharedDirectory {
     fn create() -> Self {
-        SharedDirectory(folder())
+        SharedDirectory(temporary_directory())
     }
 
     fn socket(&self) -> PathBuf {
@@ -94,9 +94,11 @@
 impl OtherProcess {
     /// The test is the new process: it connects and receives the byte that comes with the listening socket.
     fn connect_as_new(socket: &Path) -> Self {
-        awaits("the process listens for a new one", || socket.exists());
+        wait_until("the process listens for a new one", || socket.exists());
         let stream = UnixStream::connect(socket).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let mut byte = [0];
         (&stream).read_exact(&mut byte).expect("the hand-over byte");
         assert_eq!(byte, HANDOVER_BYTE);
@@ -106,7 +108,9 @@
     /// The test is the old process: it hands its listening socket over to the one that connects.
     fn accept_as_old(socket: &UnixListener, listener: &TcpListener) -> Self {
         let (stream, _) = socket.accept().expect("the new process connects");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let descriptors = [listener.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
@@ -143,12 +147,12 @@
     /// Has a sidecar send a message of each kind that both an old and a new process send.
     fn expect_messages_of(&mut self, sidecar: &Sidecar) {
         let golden = golden_messages();
-        assert!(sidecar.says_yes("DISABLE e0"));
+        assert!(sidecar.call_is_yes("DISABLE e0"));
         self.expect_line(golden.disabled);
-        assert!(sidecar.says_yes("ENABLE e0"));
+        assert!(sidecar.call_is_yes("ENABLE e0"));
         self.expect_line(golden.enabled);
         let mut client = sidecar.client();
-        assert_eq!(client.ask(&get("5")).status(), 200);
+        assert_eq!(client.exchange(&get_request("5")).status(), 200);
         self.expect_line(golden.holds); // the client's connection and an idle one to an endpoint
         drop(client);
         sidecar.terminate();
@@ -158,10 +162,10 @@
 
 #[test]
 fn old_process_sends_golden_messages() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
-    let config = with_admin(config(discovery.address, &serving(&[&endpoint])));
-    let sidecar = Sidecar::start_in(&directory.0, &config);
+    let config = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
+    let sidecar = Sidecar::start_in_directory(&directory.0, &config);
 
     let mut new_process = OtherProcess::connect_as_new(&directory.socket());
 
@@ -170,19 +174,19 @@
 
 #[test]
 fn new_process_sends_golden_messages() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let socket = UnixListener::bind(directory.socket()).expect("a socket");
-    let mut config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+    let mut config = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
     config["listen"] = json!(listener.local_addr().expect("its address").to_string());
     let (sidecar, mut old_process) = std::thread::scope(|scope| {
         let accepted = scope.spawn(|| OtherProcess::accept_as_old(&socket, &listener));
-        let sidecar = Sidecar::start_in(&directory.0, &config);
+        let sidecar = Sidecar::start_in_directory(&directory.0, &config);
         (sidecar, accepted.join().expect("it is handed over"))
     });
     let mut watch = discovery.next_watch();
-    watch.write_line(&list(42, true, &serving(&[&endpoint])));
+    watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
 
     old_process.expect_line(golden_messages().serving);
 
@@ -191,33 +195,39 @@
 
 #[test]
 fn golden_messages_are_understood() {
-    let endpoint = Endpoint::start(|_| ok("x"));
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
-    let config = with_admin(config(discovery.address, &serving(&[&endpoint])));
-    let sidecar = Sidecar::start_in(&directory.0, &config);
+    let config = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
+    let sidecar = Sidecar::start_in_directory(&directory.0, &config);
     let golden = golden_messages();
     let mut new_process = OtherProcess::connect_as_new(&directory.socket());
 
     new_process.send(golden.disabled);
-    awaits("the endpoint is disabled", || {
-        sidecar.figure("members_unavailable") == Some(1)
+    wait_until("the endpoint is disabled", || {
+        sidecar.metric("members_unavailable") == Some(1)
     });
     new_process.send(golden.enabled);
-    awaits("the endpoint is enabled", || {
-        sidecar.figure("members_unavailable") == Some(0)
+    wait_until("the endpoint is enabled", || {
+        sidecar.metric("members_unavailable") == Some(0)
     });
     // The new process accepts callers; here the backlog is the test's, so a connection of before is used.
     let mut caller = sidecar.client();
-    assert_eq!(caller.ask(&get("5")).header("connection"), None);
+    assert_eq!(
+        caller.exchange(&get_request("5")).header("connection"),
+        None
+    );
     new_process.send(golden.serving);
-    awaits("connections close with their answers", || {
-        let is_closing = caller.ask(&get("5")).header("connection") == Some("close");
+    wait_until("connections close with their answers", || {
+        let is_closing = caller.exchange(&get_request("5")).header("connection") == Some("close");
         std::thread::sleep(Duration::from_millis(10));
         is_closing
     });
     new_process.send(golden.stopping);
     let mut caller = sidecar.client();
-    assert_eq!(caller.ask(&get("5")).header("connection"), None);
+    assert_eq!(
+        caller.exchange(&get_request("5")).header("connection"),
+        None
+    );
 }
 
 /// More clients with a pending request than a sidecar of 128 descriptors serves beside another process.
@@ -235,27 +245,28 @@
 
 impl LoadedSidecar {
     fn start(messages_of_new_process: &[&str]) -> Self {
-        let endpoint = Endpoint::start(|_| Does::Hangs);
+        let endpoint = Endpoint::start(|_| EndpointAction::Hang);
         let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
-        let mut config = with_admin(config(discovery.address, &serving(&[&endpoint])));
+        let mut config =
+            with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
         config["limits"]["sockets"] = json!(128);
-        let sidecar = Sidecar::start_in(&directory.0, &config);
+        let sidecar = Sidecar::start_in_directory(&directory.0, &config);
         let mut new_process = OtherProcess::connect_as_new(&directory.socket());
         for message in messages_of_new_process {
             new_process.send(message);
         }
         // Messages are read in order, so the ones before these count once these do.
         new_process.send(golden_messages().disabled);
-        awaits("the messages are read", || {
-            sidecar.figure("members_unavailable") == Some(1)
+        wait_until("the messages are read", || {
+            sidecar.metric("members_unavailable") == Some(1)
         });
         new_process.send(golden_messages().enabled);
-        awaits("the endpoint is enabled", || {
-            sidecar.figure("members_unavailable") == Some(0)
+        wait_until("the endpoint is enabled", || {
+            sidecar.metric("members_unavailable") == Some(0)
         });
         let clients = (0..CLIENTS).map(|_| {
             let mut client = sidecar.client();
-            client.write(&post("unsafe", "15", "x"));
+            client.write(&post_request("unsafe", "15", "x"));
             client
         });
         LoadedSidecar {
@@ -269,18 +280,18 @@
     }
 
     fn pending(&self) -> Option<u64> {
-        self.sidecar.figure("pending")
+        self.sidecar.metric("pending")
     }
 }
 
 #[test]
 fn golden_connection_count_reduces_the_budget() {
     let alone = LoadedSidecar::start(&[]);
-    awaits("all requests are pending", || {
+    wait_until("all requests are pending", || {
         alone.pending() == Some(CLIENTS as u64)
     });
     let beside_another = LoadedSidecar::start(&[golden_messages().holds]);
-    awaits("some requests are pending", || {
+    wait_until("some requests are pending", || {
         beside_another.pending() > Some(0)
     });
     for _ in 0..40 {
@@ -291,16 +302,16 @@
 
 #[test]
 fn shared_directory_has_golden_files() {
-    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let [e0, e1, e2] = &endpoints;
     let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
-    let config = with_admin(config(discovery.address, &serving(&[e0, e1, e2])));
-    let sidecar = Sidecar::start_in(&directory.0, &config);
-    awaits("the process listens for a new one", || {
+    let config = with_admin_address(config(discovery.address, &serving_entries(&[e0, e1, e2])));
+    let sidecar = Sidecar::start_in_directory(&directory.0, &config);
+    wait_until("the process listens for a new one", || {
         directory.socket().exists()
     });
 
-    assert!(sidecar.says_yes("DISABLE e1") && sidecar.says_yes("DISABLE e0"));
+    assert!(sidecar.call_is_yes("DISABLE e1") && sidecar.call_is_yes("DISABLE e0"));
 
     assert_eq!(directory.file_names(), FILE_NAMES);
     let stored = std::fs::read(directory.disabled_file()).expect("the stored file");
@@ -309,18 +320,18 @@
 
 #[test]
 fn golden_disabled_file_is_understood() {
-    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| ok("")));
+    let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let [e0, e1, e2] = &endpoints;
     let (directory, discovery) = (SharedDirectory::create(), Discovery::start());
     std::fs::write(directory.disabled_file(), DISABLED_FILE).expect("the stored file");
-    let config = with_admin(config(discovery.address, &serving(&[e0, e1, e2])));
+    let config = with_admin_address(config(discovery.address, &serving_entries(&[e0, e1, e2])));
 
-    let sidecar = Sidecar::start_in(&directory.0, &config);
+    let sidecar = Sidecar::start_in_directory(&directory.0, &config);
 
-    assert_eq!(sidecar.figure("members_unavailable"), Some(2));
+    assert_eq!(sidecar.metric("members_unavailable"), Some(2));
     let mut client = sidecar.client();
     for _ in 0..10 {
-        assert_eq!(client.ask(&get("5")).status(), 200);
+        assert_eq!(client.exchange(&get_request("5")).status(), 200);
     }
-    assert_eq!([e0, e1, e2].map(Endpoint::requests), [0, 0, 10]);
+    assert_eq!([e0, e1, e2].map(Endpoint::take_request_count), [0, 0, 10]);
 }
