--- a/fleet-lab/src/sidecar/hollow/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(super) struct EndpointTable {
     endpoints: RwLock<HashMap<EndpointId, Arc<SimulatedEndpoint>>>,
-    most_attempts_in_a_second: AtomicU64,
+    max_attempts_in_a_second: AtomicU64,
 }
 
 /// One endpoint, as all sidecars of the fleet meet it.
@@ -52,24 +52,31 @@
     /// Counts an attempt that reaches an endpoint in a second since the fleet's start.
     pub fn count_attempt(&self, endpoint: &SimulatedEndpoint, second: u64) {
         let attempts = endpoint.count_attempt(second);
-        self.most_attempts_in_a_second
+        self.max_attempts_in_a_second
             .fetch_max(attempts, Ordering::Relaxed);
     }
 
     /// The most attempts that reached one endpoint within one second.
-    pub fn most_attempts_in_a_second(&self) -> u64 {
-        self.most_attempts_in_a_second.load(Ordering::Relaxed)
+    pub fn max_attempts_in_a_second(&self) -> u64 {
+        self.max_attempts_in_a_second.load(Ordering::Relaxed)
     }
 }
 
 impl SimulatedEndpoint {
-    pub fn set_unreachable(&self, unreachable: bool) {
-        let was_unreachable = self.is_unreachable.swap(unreachable, Ordering::Relaxed);
-        if unreachable && !was_unreachable {
+    /// Makes the endpoint unreachable. Requests in flight are never answered.
+    pub fn make_unreachable(&self) {
+        let was_unreachable = self.is_unreachable.swap(true, Ordering::Relaxed);
+        if !was_unreachable {
             self.losses.fetch_add(1, Ordering::Relaxed);
         }
     }
 
+    /// Makes the endpoint reachable again.
+    pub fn make_reachable(&self) {
+        self.is_unreachable.store(false, Ordering::Relaxed);
+    }
+
+    /// Returns whether new attempts cannot connect.
     pub fn is_unreachable(&self) -> bool {
         self.is_unreachable.load(Ordering::Relaxed)
     }
