--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -54,7 +54,7 @@
 impl From<EntryStatus> for Readiness {
     fn from(status: EntryStatus) -> Self {
         match status {
-            EntryStatus::Serving => Readiness::Up,
+            EntryStatus::Serving => Readiness::Serving,
             EntryStatus::Draining => Readiness::Draining,
             EntryStatus::Deleted => Readiness::Removed,
         }
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -36,7 +36,10 @@
         let report = result.report.expect("a report");
         assert_eq!(result.outcome, outcome, "{status}");
         assert_eq!(report.in_flight, Some(7.0));
-        assert_eq!((report.depth, report.utilisation), (Some(2.0), Some(0.61)));
+        assert_eq!(
+            (report.queue_length, report.utilisation),
+            (Some(2.0), Some(0.61))
+        );
         assert_eq!(
             report.served_per_s, None,
             "a value that is not a number is ignored"
@@ -62,5 +65,5 @@
     let report = result_of(200, &[("x-load", "TEXT depth=-3, concurrent=4")])
         .report
         .expect("a report");
-    assert_eq!((report.depth, report.in_flight), (None, Some(4.0)));
+    assert_eq!((report.queue_length, report.in_flight), (None, Some(4.0)));
 }
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -25,7 +25,7 @@
         let up_to = |max: f64| value.filter(|value| (0.0..=max).contains(value));
         match name.trim() {
             "concurrent" | "inflight" => report.in_flight = up_to(MAX_VALUE),
-            "depth" | "queue" => report.depth = up_to(MAX_VALUE),
+            "depth" | "queue" => report.queue_length = up_to(MAX_VALUE),
             "load_share" | "util" => report.utilisation = up_to(MAX_UTILISATION),
             "mean_ms" | "latency_ms" => {
                 let mean_ms = up_to(MAX_VALUE);
@@ -37,7 +37,7 @@
         }
     }
     let names_queue = QUEUE_FIELDS.iter().any(|name| text.contains(name));
-    let has_queue = report.depth.or(report.in_flight).is_some();
+    let has_queue = report.queue_length.or(report.in_flight).is_some();
     let is_valid = report != LoadReport::default() && (has_queue || !names_queue);
     is_valid.then_some(report)
 }
