--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -30,9 +30,10 @@
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
             // An agent that pushes is followed unasked.
-            Action::Subscribe(_) if self.settings.discovery == DiscoveryMode::Pushed => {}
-            Action::Subscribe(false) => self.end_watch(),
-            Action::Subscribe(true) => {
+            Action::Subscribe | Action::Unsubscribe
+                if self.settings.discovery == DiscoveryMode::Pushed => {}
+            Action::Unsubscribe => self.end_watch(),
+            Action::Subscribe => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
                 if !self.subscription.is_followed() {
                     self.begin_watch(handle);
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -66,7 +66,7 @@
         }
         drop(sidecar);
         let kind = if list.snapshot {
-            ListKind::Snapshot
+            ListKind::Full
         } else {
             ListKind::Changes
         };
