--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -1,8 +1,8 @@
 //! What a fleet's arrivals and its calls of discovery add to the figures.
 
 use crate::discovery::DiscoveryUsage;
-use crate::scenario::series::Series;
-use crate::sidecar::hollow::Arrivals;
+use crate::scenario::metric_table::MetricTable;
+use crate::sidecar::simulated::ConvergenceTimes;
 use std::time::Duration;
 
 /// What is said of a figure made from a quantile of arrivals where some are missing.
@@ -11,35 +11,35 @@
     so the value may be a lower bound.";
 
 /// Adds the times at which this share of the sidecars had arrived, for each of these shares, and how many were
-/// missing at the end of a wait of `longest`.
-pub(in crate::scenario) fn add_arrivals(
-    series: &mut Series,
+/// missing at the end of a wait of `timeout`.
+pub(in crate::scenario) fn add_convergence_times(
+    table: &mut MetricTable,
     what: &str,
     shares: &[(&str, f64)],
     size: f64,
-    arrivals: &Arrivals,
-    longest: Duration,
+    times: &ConvergenceTimes,
+    timeout: Duration,
 ) {
-    for (label, share) in shares {
+    for (label, unserved_fraction) in shares {
         let name = format!("{what}: {label}");
-        let time = quantile(arrivals, *share).unwrap_or(longest);
-        series.add(&name, "ms", size, milliseconds(time));
-        if arrivals.missing > 0 {
-            series.note(&name, MISSING_NOTE);
-            series.leave_without_line(&name);
+        let time = quantile(times, *unserved_fraction).unwrap_or(timeout);
+        table.add(&name, "ms", size, milliseconds(time));
+        if times.missing > 0 {
+            table.note(&name, MISSING_NOTE);
+            table.omit_slope(&name);
         }
     }
-    series.add(
+    table.add(
         &format!("{what}: missing"),
         "sidecars",
         size,
-        arrivals.missing as f64,
+        times.missing as f64,
     );
 }
 
 /// Adds what discovery was called for each sidecar between two readings of its usage.
 pub(in crate::scenario) fn add_discovery_calls(
-    series: &mut Series,
+    table: &mut MetricTable,
     when: &str,
     size: f64,
     before: &DiscoveryUsage,
@@ -54,19 +54,19 @@
             after.watches_opened,
         ),
         ("calls rejected", before.rejected, after.rejected),
-        ("calls abandoned", before.abandoned, after.abandoned),
+        ("calls abandoned", before.disconnected, after.disconnected),
     ];
     for (what, before, after) in counts {
         let name = format!("{what} {when}");
-        series.add(&name, "a sidecar", size, (after - before) as f64 / size);
+        table.add(&name, "a sidecar", size, (after - before) as f64 / size);
     }
 }
 
 /// Adds the arrivals of another wait to these.
-pub(in crate::scenario) fn merge(arrivals: &mut Arrivals, other: Arrivals) {
-    arrivals.after.extend(other.after);
-    arrivals.after.sort();
-    arrivals.missing += other.missing;
+pub(in crate::scenario) fn merge(times: &mut ConvergenceTimes, other: ConvergenceTimes) {
+    times.reached_after.extend(other.reached_after);
+    times.reached_after.sort();
+    times.missing += other.missing;
 }
 
 /// A duration in milliseconds.
@@ -75,8 +75,8 @@
 }
 
 /// The time at which this share of all sidecars had arrived, by nearest rank; none if not so many did.
-fn quantile(arrivals: &Arrivals, share: f64) -> Option<Duration> {
-    let all = arrivals.after.len() + arrivals.missing;
-    let rank = (share * all as f64).ceil() as usize;
-    arrivals.after.get(rank.max(1) - 1).copied()
+fn quantile(times: &ConvergenceTimes, unserved_fraction: f64) -> Option<Duration> {
+    let all = times.reached_after.len() + times.missing;
+    let rank = (unserved_fraction * all as f64).ceil() as usize;
+    times.reached_after.get(rank.max(1) - 1).copied()
 }
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -2,7 +2,7 @@
 
 use crate::backoff::ExponentialBackoff;
 use crate::policy::random::SeededRandom;
-use crate::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
+use crate::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
 use std::time::Duration;
 
 /// The mean delay is 0.3 s after the first failure in a row and doubles twice at most, within [`MAX_DELAY`].
@@ -13,7 +13,7 @@
 /// The maximum delay: a call that follows an immediate failure can still wait the full [`DISCOVERY_TIMEOUT`] for its
 /// response before a change has to be in force. Longer delays would only help a discovery that rejects calls, and slow
 /// down the recovery of all sidecars after an outage.
-const MAX_DELAY: Duration = CHANGE_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
+const MAX_DELAY: Duration = CHANGE_PROPAGATION_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
 
 /// When the next call of discovery is made: with exponential backoff after a failure, and after a hedging delay while a
 /// call has no response.
@@ -44,9 +44,9 @@
     /// Records the failure of a call that took `call_duration`, and returns the delay before the next call.
     ///
     /// The mean delay doubles with each failure in a row, up to a maximum and as long as the next call still begins within
-    /// [`NEXT_CALL_WITHIN`] of the start of the failed one.
+    /// [`MAX_CALL_INTERVAL`] of the start of the failed one.
     pub fn delay_after(&mut self, call_duration: Duration) -> Duration {
-        let max_delay = MAX_DELAY.min(NEXT_CALL_WITHIN.saturating_sub(call_duration));
+        let max_delay = MAX_DELAY.min(MAX_CALL_INTERVAL.saturating_sub(call_duration));
         let delay = FAILURE_BACKOFF.pause(
             self.consecutive_failures,
             max_delay.as_secs_f64(),
@@ -57,10 +57,10 @@
     }
 
     /// Returns the time after which a call without a response is hedged by another one, from [`DISCOVERY_TIMEOUT`] to
-    /// [`NEXT_CALL_WITHIN`]. It does not grow with the number of calls: the outstanding ones may have been lost in the
+    /// [`MAX_CALL_INTERVAL`]. It does not grow with the number of calls: the outstanding ones may have been lost in the
     /// network while discovery is reachable again.
     pub fn hedge_delay(&mut self) -> Duration {
-        let jitter = NEXT_CALL_WITHIN - DISCOVERY_TIMEOUT;
+        let jitter = MAX_CALL_INTERVAL - DISCOVERY_TIMEOUT;
         DISCOVERY_TIMEOUT + jitter.mul_f64(self.random.unit())
     }
 }
--- a/tests/sidecar/main.rs
+++ b/tests/sidecar/main.rs
@@ -16,6 +16,7 @@
 mod endpoint_churn;
 mod endpoint_lists;
 mod hedged_dials;
+mod hot_restart_formats;
 mod large_bodies;
 mod leaving;
 mod malformed_responses;
