--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -35,7 +35,7 @@
             Action::Unsubscribe => self.end_watch(),
             Action::Subscribe => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if !self.subscription.is_followed() {
+                if !self.subscription.is_watching() {
                     self.begin_watch(handle);
                 }
             }
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -40,12 +40,12 @@
     /// Begins to follow discovery, in place of the watch that there was.
     pub(super) fn begin_watch(&mut self, handle: &SidecarHandle) {
         self.subscription
-            .follow(handle.clone(), self.settings.discovery);
+            .start_watch(handle.clone(), self.settings.discovery);
     }
 
     /// Follows discovery no more.
     pub(super) fn end_watch(&mut self) {
-        self.subscription.unfollow();
+        self.subscription.stop_watch();
         let Incarnation { index, restarts } = self.incarnation;
         self.fleet.milestones[index]
             .record_watch_lost(restarts, self.subscription.source().generation);
@@ -63,11 +63,7 @@
             return Ok(());
         }
         drop(sidecar);
-        let kind = if list.snapshot {
-            ListKind::Full
-        } else {
-            ListKind::Changes
-        };
+        let kind = list.kind();
         self.apply_list(list, kind);
         Ok(())
     }
@@ -91,7 +87,7 @@
     fn discovery_failed(&self, source: Source) {
         let mut sidecar = self.borrow();
         if source == sidecar.subscription.source() {
-            sidecar.subscription.unfollow();
+            sidecar.subscription.stop_watch();
             drop(sidecar);
             self.handle_event(Event::DiscoveryFailed);
         }
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -1,6 +1,6 @@
 //! The messages of the discovery protocol, as they are sent in JSON.
 
-use crate::policy::{EndpointEntry, GroupId, Readiness, Timestamp};
+use crate::policy::{EndpointEntry, GroupId, ListKind, Readiness, Timestamp};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -16,6 +16,18 @@
     pub endpoints: Vec<ListEntry>,
 }
 
+impl EndpointList {
+    /// Returns whether the message is the full list or holds changes, in the form that the decision module takes.
+    #[must_use]
+    pub fn kind(&self) -> ListKind {
+        if self.snapshot {
+            ListKind::Full
+        } else {
+            ListKind::Changes
+        }
+    }
+}
+
 /// One endpoint in a message of discovery.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub struct ListEntry {
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -12,8 +12,8 @@
 
 /// The endpoint list of the current discovery, and the watches on it and on the previous one.
 ///
-/// After a move to another discovery the previous one is followed until the current one has sent a list, so that no
-/// change is missed in between. Watches end when the subscription is dropped.
+/// After a move to another discovery service the previous one is watched until the current one has sent a list, so that
+/// no change is missed in between. Watches end when the subscription is dropped.
 #[derive(Debug)]
 pub struct Subscription {
     source: Source,
@@ -23,28 +23,28 @@
     previous_watch: Option<Task>,
 }
 
-/// What a received list counts as.
+/// The origin of a received list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOrigin {
     /// The current source sent it.
     Current,
-    /// The previous source sent it, and the current one has not sent any yet: it applies.
+    /// The previous source sent it before the current one has sent any: it must be applied.
     Previous,
-    /// The previous source sent it after the current one had sent its own: it is ignored.
+    /// The previous source sent it after the current one had sent a list: it must be ignored.
     Superseded,
 }
 
-/// Whether a reload names another discovery.
+/// The effect of [`Subscription::move_to`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceChange {
-    /// It names the same one.
+    /// The address is that of the current source.
     Unchanged,
-    /// The subscription has moved to another one, which nothing follows yet.
+    /// The subscription has moved to another source, on which no watch is running yet.
     Moved,
 }
 
 impl Subscription {
-    /// Creates a subscription to a discovery service that is not followed yet.
+    /// Creates a subscription to the discovery service at an address, without a watch.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         let source = Source {
@@ -65,18 +65,18 @@
         self.source
     }
 
-    /// Returns the endpoints listed.
+    /// Returns the listed endpoints.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Returns the endpoints listed, for an update.
+    /// Returns the listed endpoints for an update.
     pub fn membership_mut(&mut self) -> &mut Membership {
         &mut self.membership
     }
 
-    /// Returns the version of the list that a source gave; `None` for any but the current source.
+    /// Returns the version of the last list from the current source; `None` for any other source.
     #[must_use]
     pub fn known_version(&self, source: Source) -> Option<u64> {
         self.membership.version().filter(|_| source == self.source)
@@ -84,14 +84,14 @@
 
     /// Returns whether a watch on the current source is running.
     #[must_use]
-    pub fn is_followed(&self) -> bool {
+    pub fn is_watching(&self) -> bool {
         self.watch
             .as_ref()
             .is_some_and(|watch| !watch.is_finished())
     }
 
-    /// Starts a watch on the current source, in place of the one that there was.
-    pub fn follow<C: ListConsumer>(&mut self, consumer: C, mode: DiscoveryMode) {
+    /// Starts a watch on the current source. A running one is replaced.
+    pub fn start_watch<C: ListConsumer>(&mut self, consumer: C, mode: DiscoveryMode) {
         self.watch = Some(match mode {
             DiscoveryMode::Pushed => Task::spawn(watch_agent(consumer, self.source)),
             DiscoveryMode::OnRequest => {
@@ -102,14 +102,14 @@
     }
 
     /// Ends the watch on the current source.
-    pub fn unfollow(&mut self) {
+    pub fn stop_watch(&mut self) {
         self.watch = None;
     }
 
-    /// Checks a list that a source has sent. The first list of the current source ends the watch on the previous one.
+    /// Checks a list that a source has sent. A list of the current source ends the watch on the previous one.
     ///
     /// # Errors
-    /// The list is older than one that the current source sent before.
+    /// Returns [`StaleListError`] if the list is older than the last one from the current source.
     pub fn accept(
         &mut self,
         source: Source,
@@ -126,8 +126,10 @@
         Ok(ListOrigin::Previous)
     }
 
-    /// Moves to the discovery service at an address, if it is another one. The watch on the one before goes on if that
-    /// one has sent a list; else it ends, and the watch before it, if there is one, goes on.
+    /// Moves to the discovery service at an address, if it is not the current source.
+    ///
+    /// The watch on the current source goes on as that on the previous one if the source has sent a list. Otherwise it ends,
+    /// and a watch on a source before it goes on.
     pub fn move_to(&mut self, address: SocketAddr) -> SourceChange {
         if address == self.source.address {
             return SourceChange::Unchanged;
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -34,10 +34,10 @@
             // An agent that pushes is followed unasked.
             Action::Subscribe | Action::Unsubscribe
                 if self.settings.current().discovery == DiscoveryMode::Pushed => {}
-            Action::Unsubscribe => self.subscription.unfollow(),
+            Action::Unsubscribe => self.subscription.stop_watch(),
             Action::Subscribe => {
                 // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if !self.subscription.is_followed() {
+                if !self.subscription.is_watching() {
                     self.begin_watch(handle);
                 }
             }
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -40,7 +40,7 @@
     /// Begins to follow discovery.
     pub(super) fn begin_watch(&mut self, handle: &NodeHandle) {
         let mode = self.settings.current().discovery;
-        self.subscription.follow(handle.clone(), mode);
+        self.subscription.start_watch(handle.clone(), mode);
     }
 }
 
@@ -57,11 +57,7 @@
             ListOrigin::Superseded => return Ok(()),
         }
         drop(node);
-        let kind = if list.snapshot {
-            ListKind::Full
-        } else {
-            ListKind::Changes
-        };
+        let kind = list.kind();
         self.take_list(&list, kind);
         Ok(())
     }
@@ -84,7 +80,7 @@
     fn discovery_failed(&self, source: Source) {
         let mut node = self.borrow();
         if source == node.subscription.source() {
-            node.subscription.unfollow();
+            node.subscription.stop_watch();
             drop(node);
             self.handle(Event::DiscoveryFailed);
         }
