--- a/tests/sidecar/large_bodies.rs
+++ b/tests/sidecar/large_bodies.rs
@@ -19,7 +19,7 @@
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let given = body.clone();
-    let endpoint = Raw::start(move |head, stream| {
+    let endpoint = RawEndpoint::start(move |head, stream| {
         let framing = ["content-length", "chunked", "close"]
             .into_iter()
             .find(|f| head.contains(f))
@@ -55,7 +55,7 @@
             _ => {}
         }
     });
-    let (sidecar, _discovery) = over(&[endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let mut client = connect(&sidecar);
     for (n, framing) in ["content-length", "chunked", "close", "content-length"]
         .into_iter()
@@ -92,7 +92,7 @@
 #[test]
 fn answers_that_nobody_reads_wait_at_their_endpoints() {
     const LARGE: usize = 32 * MB;
-    let endpoint = Raw::start(move |_, stream| {
+    let endpoint = RawEndpoint::start(move |_, stream| {
         let piece = vec![b'x'; MB];
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
         let mut left = LARGE;
@@ -102,9 +102,9 @@
             left -= MB;
         }
     });
-    let (sidecar, _discovery) = over(&[endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let before = sidecar.memory_kb();
-    let mut clients: Vec<Stream> = (0..8).map(|_| connect(&sidecar)).collect();
+    let mut clients: Vec<BufferedStream> = (0..8).map(|_| connect(&sidecar)).collect();
     for client in &mut clients {
         send(client, get_request("15").as_bytes());
         let head = read_head(client).expect("the beginning");
@@ -136,7 +136,7 @@
 fn large_requests_pass_unchanged_as_they_come() {
     let body = Arc::new(pattern(3 * MB));
     let wanted = body.clone();
-    let endpoint = Raw::start(move |head, stream| {
+    let endpoint = RawEndpoint::start(move |head, stream| {
         let same = read_body(head, stream).is_some_and(|body| body == *wanted);
         send(
             stream,
@@ -148,7 +148,7 @@
             .as_bytes(),
         );
     });
-    let (sidecar, _discovery) = over(&[endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     for (n, chunked) in [false, true, false].into_iter().enumerate() {
         let mut client = connect(&sidecar);
         let framing = if chunked {
@@ -156,7 +156,7 @@
         } else {
             format!("Content-Length: {}", body.len())
         };
-        send(&mut client, head("keyed", &framing).as_bytes());
+        send(&mut client, request_head("keyed", &framing).as_bytes());
         let (first, rest) = body.split_at(MB);
         send(
             &mut client,
@@ -198,17 +198,17 @@
 /// Guards `Expect`: a caller that waits for the word gets it, and its body goes through.
 #[test]
 fn a_caller_that_waits_for_the_word_gets_it() {
-    let endpoint = Raw::start(|head, stream| {
+    let endpoint = RawEndpoint::start(|head, stream| {
         let whole = read_body(head, stream).is_some();
         assert!(whole && header(head, "expect").is_none(), "{head}");
         send(stream, OK.as_bytes());
     });
-    let (sidecar, _discovery) = over(&[endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     for length in [5, 200_000] {
         let mut client = connect(&sidecar);
         send(
             &mut client,
-            head(
+            request_head(
                 "keyed",
                 &format!("Expect: 100-continue\r\nContent-Length: {length}"),
             )
@@ -226,17 +226,17 @@
 fn a_large_request_is_not_sent_twice() {
     for class in ["keyed", "unsafe"] {
         let endpoints = [0, 1].map(|_| {
-            Raw::start(|_, stream| {
+            RawEndpoint::start(|_, stream| {
                 let mut some = vec![0; 300_000];
                 let _ = stream.read_exact(&mut some);
                 let _ = stream.get_mut().shutdown(Shutdown::Both);
             })
         });
-        let (sidecar, _discovery) = over(&[endpoints[0].address, endpoints[1].address]);
+        let (sidecar, _discovery) = start_sidecar(&[endpoints[0].address, endpoints[1].address]);
         let mut client = connect(&sidecar);
         send(
             &mut client,
-            head(class, &format!("Content-Length: {}", 8 * MB)).as_bytes(),
+            request_head(class, &format!("Content-Length: {}", 8 * MB)).as_bytes(),
         );
         // What it does not read any more may break off.
         let _ = client.get_mut().write_all(&pattern(8 * MB));
@@ -259,7 +259,7 @@
 /// endpoint gets it whole.
 #[test]
 fn a_large_request_that_has_not_gone_on_is_sent_elsewhere() {
-    let endpoint = Raw::start(|head, stream| {
+    let endpoint = RawEndpoint::start(|head, stream| {
         let whole = read_body(head, stream).is_some_and(|body| body == pattern(body.len()));
         send(
             stream,
@@ -273,12 +273,12 @@
     });
     let taken = TcpStream::connect(endpoint.address).expect("a connection");
     let dead = taken.local_addr().expect("an address"); // that nobody listens on
-    let (sidecar, _discovery) = over(&[dead, endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[dead, endpoint.address]);
     for _ in 0..12 {
         let mut client = connect(&sidecar);
         send(
             &mut client,
-            head("keyed", &format!("Content-Length: {MB}")).as_bytes(),
+            request_head("keyed", &format!("Content-Length: {MB}")).as_bytes(),
         );
         send(&mut client, &pattern(MB));
         let answer = status(&read_head(&mut client).expect("an answer")).to_string();
@@ -300,18 +300,18 @@
 fn what_is_far_too_large_is_turned_down() {
     let (tell, whole) = channel();
     let tell = Mutex::new(tell);
-    let endpoint = Raw::start(move |head, stream| {
+    let endpoint = RawEndpoint::start(move |head, stream| {
         let body = read_body(head, stream);
         tell.lock()
             .expect("the only one")
             .send(body.is_some())
             .expect("the test runs");
     });
-    let (sidecar, _discovery) = over(&[endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let mut client = connect(&sidecar);
     send(
         &mut client,
-        head("unsafe", "Content-Length: 62914560").as_bytes(),
+        request_head("unsafe", "Content-Length: 62914560").as_bytes(),
     );
     assert_eq!(
         status(&read_head(&mut client).expect("an answer, unread")),
@@ -320,7 +320,7 @@
     let mut client = connect(&sidecar);
     send(
         &mut client,
-        head("unsafe", "Transfer-Encoding: chunked").as_bytes(),
+        request_head("unsafe", "Transfer-Encoding: chunked").as_bytes(),
     );
     let piece = chunk(&vec![b'x'; MB]);
     let mut other = client.get_ref().try_clone().expect("its other half");
@@ -346,21 +346,21 @@
 fn a_large_request_that_stops_or_breaks_is_ended() {
     let (tell, ends) = channel();
     let tell = Mutex::new(tell);
-    let endpoint = Raw::start(move |head, stream| {
+    let endpoint = RawEndpoint::start(move |head, stream| {
         let body = read_body(head, stream);
         tell.lock()
             .expect("the only one")
             .send(body.is_some())
             .expect("the test runs");
     });
-    let (sidecar, _discovery) = over(&[endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let ended = || {
         ends.recv_timeout(TEST_TIMEOUT)
             .expect("the endpoint's connection ends")
     };
     let begin = |framing: &str, body: &[u8]| {
         let mut client = connect(&sidecar);
-        send(&mut client, head("keyed", framing).as_bytes());
+        send(&mut client, request_head("keyed", framing).as_bytes());
         send(&mut client, body);
         endpoint.next_head();
         client
@@ -387,7 +387,7 @@
 fn a_slow_caller_is_waited_for() {
     let body = Arc::new(pattern(320_000));
     let wanted = body.clone();
-    let endpoint = Raw::start(move |head, stream| {
+    let endpoint = RawEndpoint::start(move |head, stream| {
         let same = read_body(head, stream).is_some_and(|body| body == *wanted);
         send(
             stream,
@@ -399,11 +399,11 @@
             .as_bytes(),
         );
     });
-    let (sidecar, _discovery) = over(&[endpoint.address]);
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let mut client = connect(&sidecar);
     send(
         &mut client,
-        head("keyed", &format!("Content-Length: {}", body.len())).as_bytes(),
+        request_head("keyed", &format!("Content-Length: {}", body.len())).as_bytes(),
     );
     for piece in body.chunks(6_400) {
         send(&mut client, piece);
@@ -418,7 +418,7 @@
 fn a_large_answer_that_breaks_off_is_seen_to() {
     for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
         let endpoints = [0, 1].map(|_| {
-            Raw::start(move |_, stream| {
+            RawEndpoint::start(move |_, stream| {
                 send(
                     stream,
                     format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").as_bytes(),
@@ -435,7 +435,7 @@
                 let _ = stream.get_mut().shutdown(Shutdown::Both);
             })
         });
-        let (sidecar, _discovery) = over(&[endpoints[0].address, endpoints[1].address]);
+        let (sidecar, _discovery) = start_sidecar(&[endpoints[0].address, endpoints[1].address]);
         let mut client = connect(&sidecar);
         send(&mut client, get_request("15").as_bytes());
         let head = read_head(&mut client).expect("the beginning");
@@ -460,7 +460,7 @@
 fn answers_without_room_pass_as_they_come() {
     let body = Arc::new(pattern(50_000));
     let given = body.clone();
-    let endpoint = Raw::start(move |_, stream| {
+    let endpoint = RawEndpoint::start(move |_, stream| {
         send(
             stream,
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", given.len()).as_bytes(),
--- a/tests/sidecar/stubs/caller.rs
+++ b/tests/sidecar/stubs/caller.rs
@@ -1,25 +1,28 @@
-//! Callers of a sidecar.
+//! Callers of a sidecar, and the requests that they send.
 
 use super::message::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// A caller's connection to a sidecar.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn connect(to: SocketAddr) -> Self {
-        let stream = TcpStream::connect(to).expect("the sidecar accepts");
+    /// Connects to a sidecar.
+    pub fn connect(address: SocketAddr) -> Self {
+        let stream = TcpStream::connect(address).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         Client {
             stream: BufReader::new(stream),
         }
     }
 
+    /// Writes a request, or some of one.
     pub fn write(&mut self, text: &str) {
         self.stream
             .get_mut()
@@ -27,21 +30,23 @@
             .expect("the request is written");
     }
 
+    /// Reads a response; `None` where the connection ends before it is complete.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.stream)
     }
 
-    pub fn exchange(&mut self, text: &str) -> Message {
-        self.write(text);
-        self.read().expect("a whole answer")
+    /// Writes a request and reads its response.
+    pub fn exchange(&mut self, request: &str) -> Message {
+        self.write(request);
+        self.read().expect("a complete response")
     }
 
-    /// Whether nothing has come on it so far that was not read, nor its end.
+    /// Returns whether the connection is open and has no unread bytes.
     pub fn is_silent(&self) -> bool {
         is_open_and_silent(self.stream.get_ref())
     }
 
-    /// Whether the sidecar has closed the connection, with nothing more on it.
+    /// Waits for more from the sidecar, and returns whether it closes the connection without sending anything.
     pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         self.stream.read_to_end(&mut rest).is_ok() && rest.is_empty()
@@ -50,10 +55,12 @@
 
 static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
 
+/// Returns an id that no other call in this process has returned.
 pub fn unique_id() -> String {
     format!("id-{}", NEXT_ID.fetch_add(1, Ordering::Relaxed))
 }
 
+/// Returns a GET request of the class `safe`, with a deadline in seconds.
 pub fn get_request(deadline: &str) -> String {
     let id = unique_id();
     format!(
@@ -61,6 +68,7 @@
     )
 }
 
+/// Returns a POST request of a class, with a deadline in seconds.
 pub fn post_request(class: &str, deadline: &str, body: &str) -> String {
     let (id, length) = (unique_id(), body.len());
     format!(
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that do as they are told.
+//! Endpoints that respond as the test decides, and record what they receive.
 
 use super::message::*;
 use std::io::{BufReader, Write};
@@ -9,24 +9,26 @@
 
 /// What an endpoint does with a request.
 pub enum EndpointAction {
-    /// Writes this and keeps the connection.
+    /// Writes this response and leaves the connection open.
     Respond(String),
-    /// Writes this and closes the connection.
+    /// Writes this response and closes the connection.
     RespondThenClose(String),
-    /// Writes this, and resets the connection at the next request on it.
+    /// Writes this response, and resets the connection at the next request on it.
     RespondThenReset(String),
-    /// Says nothing until the sidecar closes the connection.
+    /// Writes nothing until the sidecar closes the connection.
     Hang,
 }
 
+/// What an endpoint has observed. Connections are numbered in the order in which they were accepted.
 #[derive(Debug)]
 pub enum EndpointEvent {
-    /// A request, on the connection with this number.
-    Request(usize, Message),
-    /// The end of the connection with this number, by either side.
-    ConnectionClosed(usize),
+    /// A request arrived.
+    Request { connection: usize, message: Message },
+    /// A connection was closed, by either side.
+    ConnectionClosed { connection: usize },
 }
 
+/// A response with status 200 and this body.
 pub fn respond_ok(body: &str) -> EndpointAction {
     EndpointAction::Respond(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -34,92 +36,101 @@
     ))
 }
 
+/// An endpoint on a loopback port.
 pub struct Endpoint {
     pub address: SocketAddr,
     events: Receiver<EndpointEvent>,
 }
 
 impl Endpoint {
+    /// Starts an endpoint that does with each request what `respond` returns.
     pub fn start(respond: impl Fn(&Message) -> EndpointAction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, events) = channel();
         let respond = Arc::new(respond);
         thread::spawn(move || {
-            for (number, stream) in listener.incoming().enumerate() {
+            for (connection, stream) in listener.incoming().enumerate() {
                 let (Ok(stream), sender, respond) = (stream, sender.clone(), respond.clone())
                 else {
                     break;
                 };
                 thread::spawn(move || {
-                    converse(number, stream, &sender, &*respond);
-                    let _ = sender.send(EndpointEvent::ConnectionClosed(number));
+                    serve_connection(connection, stream, &sender, &*respond);
+                    let _ = sender.send(EndpointEvent::ConnectionClosed { connection });
                 });
             }
         });
         Endpoint { address, events }
     }
 
-    /// The next thing that it sees.
+    /// Waits for the next event.
     pub fn next_event(&self) -> EndpointEvent {
         self.events
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the endpoint sees something")
+            .expect("an event at the endpoint")
     }
 
+    /// Waits for the next request; returns the number of its connection too.
     pub fn next_request(&self) -> (usize, Message) {
         loop {
-            if let EndpointEvent::Request(number, message) = self.next_event() {
-                return (number, message);
+            if let EndpointEvent::Request {
+                connection,
+                message,
+            } = self.next_event()
+            {
+                return (connection, message);
             }
         }
     }
 
+    /// Waits until the next connection is closed, and returns its number.
     pub fn next_connection_close(&self) -> usize {
         loop {
-            if let EndpointEvent::ConnectionClosed(number) = self.next_event() {
-                return number;
+            if let EndpointEvent::ConnectionClosed { connection } = self.next_event() {
+                return connection;
             }
         }
     }
 
-    /// The requests that it has seen up to now and not told of.
+    /// Takes the requests that have arrived since they were last taken, and returns their number.
     pub fn take_request_count(&self) -> usize {
         self.take_requests().len()
     }
 
+    /// Takes the requests that have arrived since they were last taken.
     pub fn take_requests(&self) -> Vec<Message> {
-        let requests = |events| {
-            if let EndpointEvent::Request(_, message) = events {
-                Some(message)
-            } else {
-                None
-            }
+        let requests = |event| match event {
+            EndpointEvent::Request { message, .. } => Some(message),
+            EndpointEvent::ConnectionClosed { .. } => None,
         };
         self.events.try_iter().filter_map(requests).collect()
     }
 }
 
-fn converse(
-    number: usize,
+fn serve_connection(
+    connection: usize,
     stream: TcpStream,
-    sender: &Sender<EndpointEvent>,
+    events: &Sender<EndpointEvent>,
     respond: &dyn Fn(&Message) -> EndpointAction,
 ) {
     let mut reader = BufReader::new(stream);
-    let mut spent = false;
-    while let Some(message) = read_message(&mut reader).filter(|_| !spent) {
-        let _ = sender.send(EndpointEvent::Request(number, message.clone()));
-        let (text, closes) = match respond(&message) {
-            EndpointAction::Respond(text) => (text, false),
-            EndpointAction::RespondThenClose(text) => (text, true),
-            EndpointAction::RespondThenReset(text) => {
-                spent = true;
-                (text, false)
+    let mut resets_at_next_request = false;
+    while let Some(message) = read_message(&mut reader).filter(|_| !resets_at_next_request) {
+        let _ = events.send(EndpointEvent::Request {
+            connection,
+            message: message.clone(),
+        });
+        let (response, closes) = match respond(&message) {
+            EndpointAction::Respond(response) => (response, false),
+            EndpointAction::RespondThenClose(response) => (response, true),
+            EndpointAction::RespondThenReset(response) => {
+                resets_at_next_request = true;
+                (response, false)
             }
-            EndpointAction::Hang => continue, // the next read waits for the end
+            EndpointAction::Hang => continue, // the next read waits until the connection is closed
         };
-        if reader.get_mut().write_all(text.as_bytes()).is_err() || closes {
+        if reader.get_mut().write_all(response.as_bytes()).is_err() || closes {
             let _ = reader.get_mut().shutdown(Shutdown::Both);
             return;
         }
--- a/tests/sidecar/stubs/message.rs
+++ b/tests/sidecar/stubs/message.rs
@@ -1,33 +1,36 @@
-//! HTTP messages as the stubs read them, and waits for conditions.
+//! HTTP messages as the stubs read them, and waiting for conditions.
 
-use std::io::BufRead;
+use std::io::{BufRead, ErrorKind};
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: where it runs out, what was awaited does not come.
+/// Far longer than any step of a test takes. A wait that times out fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether a connection has not ended so far, and nothing has come on it that was not read.
+/// How often a condition is checked while it is waited for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+
+/// Returns whether a connection is open and has no unread bytes.
 pub fn is_open_and_silent(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("an option");
-    let silent = stream
+    let is_silent = stream
         .peek(&mut [0])
-        .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+        .is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
     stream.set_nonblocking(false).expect("an option");
-    silent
+    is_silent
 }
 
-/// Waits until something is so.
-pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let until = Instant::now() + TEST_TIMEOUT;
-    while !is_so() {
-        assert!(Instant::now() < until, "not in time: {what}");
-        thread::sleep(Duration::from_millis(2));
+/// Waits until a condition is met; fails the test with its description after [`TEST_TIMEOUT`].
+pub fn wait_until(description: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !is_met() {
+        assert!(Instant::now() < deadline, "not in time: {description}");
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// A request or an answer as it was read.
+/// A request or a response.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub start_line: String,
@@ -36,34 +39,40 @@
 }
 
 impl Message {
+    /// Returns the value of the first header with this name, in any letter case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n.eq_ignore_ascii_case(name))
-            .map(|(_, v)| v.as_str())
+            .find(|(header_name, _)| header_name.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
             .nth(1)
-            .and_then(|s| s.parse().ok())
+            .and_then(|status| status.parse().ok())
             .expect("a status line")
     }
 }
 
-/// Reads one message; none where the connection ends before it begins or breaks within it.
-pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
-    let mut line = || {
-        let mut text = String::new();
-        from.read_line(&mut text).ok().filter(|n| *n > 0)?;
-        Some(text.trim_end().to_string())
+/// Reads a message, whose body has a `Content-Length` or none. Returns `None` where the connection ends before the message
+/// is complete.
+pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
+    let mut read_line = || {
+        let mut line = String::new();
+        reader
+            .read_line(&mut line)
+            .ok()
+            .filter(|count| *count > 0)?;
+        Some(line.trim_end().to_string())
     };
-    let start_line = line()?;
+    let start_line = read_line()?;
     let mut headers = Vec::new();
     loop {
-        let text = line()?;
-        let Some((name, value)) = text.split_once(':') else {
+        let line = read_line()?;
+        let Some((name, value)) = line.split_once(':') else {
             break;
         };
         headers.push((name.to_string(), value.trim().to_string()));
@@ -75,8 +84,8 @@
     };
     let length = message
         .header("content-length")
-        .map_or(0, |n| n.parse().expect("a length"));
+        .map_or(0, |length| length.parse().expect("a length"));
     message.body.resize(length, 0);
-    from.read_exact(&mut message.body).ok()?;
+    reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
--- a/tests/sidecar/stubs/mod.rs
+++ b/tests/sidecar/stubs/mod.rs
@@ -1,6 +1,7 @@
-//! The program under test, and stand-ins for its callers, endpoints and discovery, all on loopback sockets.
+//! The program under test, and stubs of its callers, endpoints and discovery, all on loopback sockets.
 
 mod caller;
+mod config;
 mod discovery;
 mod endpoint;
 mod manual_discovery;
@@ -10,6 +11,7 @@
 mod scripted_endpoint;
 
 pub use caller::*;
+pub use config::*;
 pub use discovery::*;
 pub use endpoint::*;
 pub use manual_discovery::*;
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -1,71 +1,38 @@
-//! The built program, its configuration and its log.
+//! The program under test as a process, and its log.
 
 use super::caller::*;
+use super::config::*;
 use super::discovery::*;
 use super::endpoint::*;
 use super::message::*;
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
+/// The state of a listening socket in `/proc/PID/net/tcp`.
+const LISTEN_STATE: &str = "0A";
+
+/// A running sidecar. Dropping it kills the process.
 pub struct Sidecar {
     pub address: SocketAddr,
-    /// Where it is called by the operators, if anywhere.
+    /// The address for operators' calls, if it has one.
     admin: Option<SocketAddr>,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
 }
 
-pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, priority_weight: f64| {
-        json!({"name": name, "effect": effect, "keyScope": "all", "memorySpanNs": 5_000_000_000u64, "worth": priority_weight,
-               "objectiveNs": 10_000_000_000u64, "hardLimitNs": 10_000_000_000u64, "lateShare": 0.0, "stream": false})
-    };
-    json!({
-        "balancers": 1, "myNumber": 0, "zone": "a", "dcs": ["a"], "tier": 0, "stages": ["one"],
-        "granularityNs": 1_000_000, "discovery": "subscribe", "weightSource": "off", "worthBy": "request",
-        "overShareWorth": 0.1, "customers": [], "fees": {}, "report": {"fields": ["depth"], "how": "inline"},
-        "bounds": {"cancel": true, "connIdleNs": 60_000_000_000u64, "connectTimeoutNs": 10_000_000_000u64,
-                   "maxOpen": 1000, "maxRetryAfterNs": 2_000_000_000u64, "maxStreams": 100, "mayTell": false,
-                   "parallelTries": true, "probes": false, "retryAfter": true, "sendCap": 3},
-        "rules": {"answerSlackNs": 5_000_000, "askWithinNs": 1_000_000_000, "coldFrom": 0.31,
-                  "drainGraceNs": 250_000_000, "fallMultiple": 2.5, "fallNs": 2_000_000_000u64,
-                  "warmWithinNs": 8_900_000_000u64},
-        "categories": [class("safe", "free", 1.0), class("unsafe", "single_shot", 2.0),
-                       class("keyed", "guarded", 2.0)],
-    })
-}
-
-pub fn config(discovery: SocketAddr, endpoints: &[Value]) -> Value {
-    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
-           "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings(),
-           "known": {"index": 41, "snapshot": true, "endpoints": endpoints}})
-}
-
-/// The same with a second address.
-pub fn with_admin_address(mut config: Value) -> Value {
-    config["admin_addr"] = json!("127.0.0.1:0");
-    config
-}
-
-/// These endpoints, as a list has them.
-pub fn serving_entries(endpoints: &[&Endpoint]) -> Vec<Value> {
-    let names = endpoints.iter().enumerate();
-    names
-        .map(|(n, e)| entry(&format!("e{n}"), e.address, "SERVING"))
-        .collect()
-}
-
+/// The command that runs the sidecar, without settings from this process's environment.
 pub fn sidecar_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
     isolate(&mut command);
     command
 }
 
-/// Keeps what this process has in its environment, and says, from another.
+/// Isolates a sidecar from this process's environment and standard streams. Its log is captured.
 fn isolate(command: &mut Command) {
     for name in ["ROUTER_CONFIG", "ROUTER_ADMIN_ADDR", "TMPDIR"] {
         command.env_remove(name);
@@ -76,56 +43,42 @@
         .stderr(Stdio::piped());
 }
 
-/// An empty folder of this test's own.
-pub fn temporary_directory() -> std::path::PathBuf {
-    let name = format!("tmp-{}-{}", std::process::id(), unique_id());
-    let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir(&path).expect("a folder");
-    path
-}
-
-/// A file of this test's own with the text.
-pub fn temporary_file(text: &str) -> std::path::PathBuf {
-    let name = format!("config-{}-{}.json", std::process::id(), unique_id());
-    let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("a file");
-    path
-}
-
+/// Sends a signal such as `TERM` to a process.
 pub fn send_signal(child: &Child, name: &str) {
-    let sent = Command::new("kill")
+    let status = Command::new("kill")
         .args(["-s", name, &child.id().to_string()])
         .status();
-    assert!(sent.expect("kill runs").success());
+    assert!(status.expect("kill runs").success());
 }
 
 impl Sidecar {
+    /// Starts a sidecar with this configuration, and waits until it listens.
     pub fn start(config: &Value) -> Self {
         let path = temporary_file(&config.to_string());
         let sidecar = Self::start_with_file(&path);
-        std::fs::remove_file(path).expect("the file goes");
+        std::fs::remove_file(path).expect("the file is removed");
         sidecar
     }
 
-    /// One whose configuration stays where it is, to be read again.
-    pub fn start_with_file(path: &std::path::Path) -> Self {
+    /// Starts a sidecar whose configuration file stays, so that it can be reloaded.
+    pub fn start_with_file(path: &Path) -> Self {
         Self::spawn(sidecar_command().env("ROUTER_CONFIG", path))
     }
 
-    /// One that shares a folder with those before and after it.
-    pub fn start_in_directory(folder: &std::path::Path, config: &Value) -> Self {
+    /// Starts a sidecar that shares a directory with the processes of its hot restarts.
+    pub fn start_in_directory(directory: &Path, config: &Value) -> Self {
         let path = temporary_file(&config.to_string());
         let sidecar = Self::spawn(
             sidecar_command()
                 .env("ROUTER_CONFIG", &path)
-                .env("TMPDIR", folder),
+                .env("TMPDIR", directory),
         );
-        std::fs::remove_file(path).expect("the file goes");
+        std::fs::remove_file(path).expect("the file is removed");
         sidecar
     }
 
-    /// One that may hold so many descriptors.
-    pub fn start_with_descriptor_limit(path: &std::path::Path, descriptors: usize) -> Self {
+    /// Starts a sidecar that may open so many descriptors.
+    pub fn start_with_descriptor_limit(path: &Path, descriptors: usize) -> Self {
         let script = format!(
             "ulimit -n {descriptors}; exec {}",
             env!("CARGO_BIN_EXE_balancer-sidecar")
@@ -135,26 +88,32 @@
         Self::spawn(command.args(["-c", &script]).env("ROUTER_CONFIG", path))
     }
 
+    /// Starts a sidecar by this command, and waits until it listens.
     pub fn spawn(command: &mut Command) -> Self {
         Self::from_child(command.spawn().expect("the program starts"))
     }
 
-    /// One that has been started, once it listens.
+    /// Takes over a process that has been started, and waits until it listens.
     pub fn from_child(mut child: Child) -> Self {
         let mut lines = BufReader::new(child.stderr.take().expect("its log"))
             .lines()
             .map_while(Result::ok);
-        let told = |line: &str, what: &str| line.split_once(what).and_then(|(_, a)| a.parse().ok());
+        let address_after = |line: &str, text: &str| {
+            line.split_once(text)
+                .and_then(|(_, address)| address.parse().ok())
+        };
         let mut admin = None;
         let address = lines
             .find_map(|line| {
-                admin = admin.or(told(&line, "is called at "));
-                told(&line, "listens on ")
+                admin = admin.or(address_after(&line, "is called at "));
+                address_after(&line, "listens on ")
             })
-            .expect("it tells where it listens");
+            .expect("the log says where it listens");
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
-        thread::spawn(move || lines.for_each(|line| kept.lock().expect("the log").push(line)));
+        let lines_so_far = log.clone();
+        thread::spawn(move || {
+            lines.for_each(|line| lines_so_far.lock().expect("the log").push(line));
+        });
         Sidecar {
             address,
             admin,
@@ -163,7 +122,8 @@
         }
     }
 
-    /// One that the operators can call, with a discovery that says nothing.
+    /// Starts a sidecar with an address for operators' calls and these endpoints in its cached list, and a discovery that
+    /// sends nothing.
     pub fn start_with_admin(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
@@ -175,7 +135,7 @@
         )
     }
 
-    /// One that knows these endpoints, all serving, and of a discovery that says nothing.
+    /// Starts a sidecar with these endpoints in its cached list, and a discovery that sends nothing.
     pub fn start_with_endpoints(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
@@ -184,31 +144,34 @@
         )
     }
 
+    /// Opens a caller's connection.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
+    /// Returns the address for operators' calls.
     pub fn admin(&self) -> SocketAddr {
-        self.admin.expect("it has a second address")
+        self.admin.expect("it has an address for operators' calls")
     }
 
-    /// What it answers to these bytes on a connection of their own, up to its end.
+    /// Writes these bytes to a new operators' connection, and returns what comes back until it is closed.
     pub fn call_raw(&self, bytes: &[u8]) -> String {
-        let mut stream = TcpStream::connect(self.admin()).expect("it accepts");
+        let mut stream = TcpStream::connect(self.admin()).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         stream.write_all(bytes).expect("the call is written");
         let mut answer = Vec::new();
-        let _ = stream.read_to_end(&mut answer); // what it closes with bytes unread is reset
+        let _ = stream.read_to_end(&mut answer); // a connection closed with unread bytes is reset
         String::from_utf8(answer).expect("text")
     }
 
-    /// Calls with one word, and perhaps an id.
+    /// Makes an operators' call: a word, and for some an endpoint's id.
     pub fn call(&self, call: &str) -> String {
         self.call_raw(format!("{call}\n").as_bytes())
     }
 
+    /// Makes an operators' call and returns whether the answer is `YES` and not `NO`.
     pub fn call_is_yes(&self, call: &str) -> bool {
         let answer = self.call(call);
         assert!(
@@ -218,75 +181,79 @@
         answer.starts_with("YES")
     }
 
-    /// One of its figures; none where it tells of no such.
+    /// Returns one of the metrics in `STATS`, if it is there.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let stats = self.call("STATS");
         assert!(stats.ends_with("\nEND\n"), "{stats}");
-        let line = stats.lines().find_map(|l| {
-            l.strip_prefix("app_")?
+        let value = stats.lines().find_map(|line| {
+            line.strip_prefix("app_")?
                 .strip_prefix(name)?
                 .strip_prefix(' ')
         });
-        line.map(|value| value.parse().expect("a number"))
+        value.map(|value| value.parse().expect("a number"))
     }
 
-    /// How many requests of a class ended so.
-    pub fn requests_ended(&self, how: &str, class: &str) -> Option<u64> {
-        self.metric(&format!("{how}{{lane=\"{class}\"}}"))
+    /// Returns how many requests of a class ended with this result: `completed`, `rejected` or `failed`.
+    pub fn requests_ended(&self, result: &str, class: &str) -> Option<u64> {
+        self.metric(&format!("{result}{{lane=\"{class}\"}}"))
     }
 
+    /// Sends a signal such as `TERM`.
     pub fn send_signal(&self, name: &str) {
         send_signal(&self.child, name);
     }
 
-    /// Has it do nothing until [`Sidecar::resume`], so that what comes meanwhile has all come at once.
+    /// Stops the process until [`Sidecar::resume`], so that it sees all that arrives meanwhile at once.
     pub fn suspend(&self) {
         self.send_signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        wait_until("it stands", || {
+        wait_until("the process is stopped", || {
             std::fs::read_to_string(&stat)
-                .expect("it is there")
+                .expect("the process exists")
                 .contains(") T ")
         });
     }
 
+    /// Lets a suspended process go on.
     pub fn resume(&self) {
         self.send_signal("CONT");
     }
 
-    /// What its open descriptors are.
+    /// Returns what its open descriptors refer to.
     fn open_files(&self) -> Vec<String> {
-        let held = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs");
-        let links = held.filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok());
+        let descriptors =
+            std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the process runs");
+        let links = descriptors.filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok());
         links.map(|link| link.display().to_string()).collect()
     }
 
+    /// Returns the number of its open descriptors.
     pub fn descriptor_count(&self) -> usize {
         self.open_files().len()
     }
 
-    /// How many of its sockets listen.
+    /// Returns the number of its listening sockets.
     pub fn listener_count(&self) -> usize {
-        let sockets =
-            std::fs::read_to_string(format!("/proc/{}/net/tcp", self.child.id())).expect("it runs");
+        let sockets = std::fs::read_to_string(format!("/proc/{}/net/tcp", self.child.id()))
+            .expect("the process runs");
         let listening = sockets.lines().filter_map(|line| {
             let fields: Vec<&str> = line.split_whitespace().collect();
-            (fields.get(3) == Some(&"0A")).then(|| format!("socket:[{}]", fields[9]))
+            (fields.get(3) == Some(&LISTEN_STATE)).then(|| format!("socket:[{}]", fields[9]))
         });
         let listening: Vec<String> = listening.collect();
         self.open_files()
             .iter()
-            .filter(|f| listening.contains(f))
+            .filter(|file| listening.contains(file))
             .count()
     }
 
-    /// Its resident memory.
+    /// Returns its resident memory.
     pub fn memory_kb(&self) -> usize {
-        let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("the process runs");
         let line = status
             .lines()
-            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .find_map(|line| line.strip_prefix("VmRSS:"))
             .expect("its memory");
         line.trim()
             .trim_end_matches(" kB")
@@ -294,16 +261,18 @@
             .expect("a number")
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
-        self.child.kill().expect("it runs");
+        self.child.kill().expect("the process runs");
         let _ = self.child.wait();
     }
 
+    /// Asks for a graceful shutdown.
     pub fn terminate(&self) {
         self.send_signal("TERM");
     }
 
-    /// The sum of a count over all periods that the log has told of.
+    /// Returns the sum of one of the log counters over all lines of counts so far.
     pub fn logged_count(&self, name: &str) -> u64 {
         let value = |field: &str| {
             field
@@ -315,22 +284,24 @@
         };
         let log = self.log();
         log.iter()
-            .filter(|l| l.contains("counts "))
-            .filter_map(|l| l.split(' ').find_map(value))
+            .filter(|line| line.contains("counts "))
+            .filter_map(|line| line.split(' ').find_map(value))
             .sum()
     }
 
-    /// Waits for a line of the log.
-    pub fn wait_for_log(&self, part: &str) {
-        wait_until(&format!("a line says {part:?}"), || {
-            self.log().iter().any(|line| line.contains(part))
+    /// Waits for a log line that contains this text.
+    pub fn wait_for_log(&self, text: &str) {
+        wait_until(&format!("a log line with {text:?}"), || {
+            self.log().iter().any(|line| line.contains(text))
         });
     }
 
+    /// Waits for the end of the process.
     pub fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("the process ends")
     }
 
+    /// Returns the log lines so far, without those before it listened.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().expect("the log").clone()
     }
--- a/tests/sidecar/stubs/raw_http.rs
+++ b/tests/sidecar/stubs/raw_http.rs
@@ -1,6 +1,7 @@
-//! An endpoint scripted on the raw stream of each connection, and helpers that write and read HTTP/1.1 by hand.
+//! An endpoint scripted on the byte stream of each connection, and helpers that read and write HTTP/1.1 by hand.
 
 use super::caller::*;
+use super::config::*;
 use super::discovery::*;
 use super::message::*;
 use super::program::*;
@@ -10,140 +11,149 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
-/// An endpoint that does with each connection as the test says, once the head of a request has come.
-pub struct Raw {
+/// An endpoint that hands each connection to the test once a request's head has arrived on it.
+pub struct RawEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Heads of requests, as they come.
+    /// The heads of requests, in the order of their arrival.
     pub heads: Receiver<String>,
 }
 
-/// A connection, read through a buffer.
-pub type Stream = BufReader<TcpStream>;
+/// A connection with a read buffer.
+pub type BufferedStream = BufReader<TcpStream>;
 
-impl Raw {
-    /// Listens on a free port. `does` gets the head of each request and the connection behind it.
-    pub fn start(does: impl Fn(&str, &mut Stream) + Send + Sync + 'static) -> Self {
+impl RawEndpoint {
+    /// Starts an endpoint. `respond` gets the head of each request, and the connection to read its body from and respond on.
+    pub fn start(respond: impl Fn(&str, &mut BufferedStream) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, heads) = channel();
-        let does = Arc::new(does);
+        let (sender, heads) = channel();
+        let respond = Arc::new(respond);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (tell, does) = (tell.clone(), does.clone());
+                let (sender, respond) = (sender.clone(), respond.clone());
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a time-out");
+                    .expect("a timeout");
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while let Some(head) = read_head(&mut stream) {
-                        let _ = tell.send(head.clone());
-                        does(&head, &mut stream);
+                        let _ = sender.send(head.clone());
+                        respond(&head, &mut stream);
                     }
                 });
             }
         });
-        Raw { address, heads }
+        RawEndpoint { address, heads }
     }
 
-    /// The head of the next request; fails the test if none comes.
+    /// Waits for the head of the next request.
     pub fn next_head(&self) -> String {
-        self.heads
-            .recv_timeout(TEST_TIMEOUT)
-            .expect("a request comes")
+        self.heads.recv_timeout(TEST_TIMEOUT).expect("a request")
     }
 }
 
-/// Reads a head up to its empty line; none where the connection ends first.
-pub fn read_head(stream: &mut Stream) -> Option<String> {
+/// Reads a head up to its empty line. Returns `None` where the connection ends first.
+pub fn read_head(stream: &mut BufferedStream) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        stream.read_line(&mut head).ok().filter(|n| *n > 0)?;
+        stream
+            .read_line(&mut head)
+            .ok()
+            .filter(|count| *count > 0)?;
     }
     Some(head)
 }
 
-/// The value of the first header of this name, in any case of letters.
+/// Returns the value of the first header with this name, in any letter case.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
-    let lines = head.lines().filter_map(|l| l.split_once(": "));
-    lines
-        .filter(|(n, _)| n.eq_ignore_ascii_case(name))
-        .map(|(_, v)| v)
-        .next()
+    head.lines()
+        .filter_map(|line| line.split_once(": "))
+        .find(|(header_name, _)| header_name.eq_ignore_ascii_case(name))
+        .map(|(_, value)| value)
 }
 
-/// Reads a body that is framed as the head says; none where it breaks off.
-pub fn read_body(head: &str, stream: &mut Stream) -> Option<Vec<u8>> {
-    let mut body = Vec::new();
+/// Reads a body that is framed as the head says. Returns `None` where it breaks off.
+pub fn read_body(head: &str, stream: &mut BufferedStream) -> Option<Vec<u8>> {
     if let Some(length) = header(head, "content-length") {
-        body.resize(length.parse().expect("a length"), 0);
+        let mut body = vec![0; length.parse().expect("a length")];
         stream.read_exact(&mut body).ok()?;
-    } else if header(head, "transfer-encoding") == Some("chunked") {
-        loop {
-            let mut line = String::new();
-            stream.read_line(&mut line).ok().filter(|n| *n > 0)?;
-            let size = usize::from_str_radix(line.trim(), 16).expect("a size");
-            let mut chunk = vec![0; size + 2];
-            stream.read_exact(&mut chunk).ok()?;
-            if size == 0 {
-                return Some(body);
-            }
-            body.extend_from_slice(&chunk[..size]);
+        return Some(body);
+    }
+    if header(head, "transfer-encoding") == Some("chunked") {
+        return read_chunked_body(stream);
+    }
+    Some(Vec::new())
+}
+
+fn read_chunked_body(stream: &mut BufferedStream) -> Option<Vec<u8>> {
+    let mut body = Vec::new();
+    loop {
+        let mut line = String::new();
+        stream
+            .read_line(&mut line)
+            .ok()
+            .filter(|count| *count > 0)?;
+        let size = usize::from_str_radix(line.trim(), 16).expect("a chunk size");
+        let mut chunk = vec![0; size + 2];
+        stream.read_exact(&mut chunk).ok()?;
+        if size == 0 {
+            return Some(body);
         }
+        body.extend_from_slice(&chunk[..size]);
     }
-    Some(body)
 }
 
-/// Bytes in which nothing can be left out, doubled or moved unseen.
+/// Returns bytes in which any omission, duplication or reordering shows.
 pub fn pattern(length: usize) -> Vec<u8> {
     (0..length.div_ceil(4))
-        .flat_map(|n| (n as u32).wrapping_mul(2_654_435_761).to_le_bytes())
+        .flat_map(|word| (word as u32).wrapping_mul(2_654_435_761).to_le_bytes())
         .take(length)
         .collect()
 }
 
-/// A sidecar over endpoints at these addresses.
-pub fn over(addresses: &[SocketAddr]) -> (Sidecar, Discovery) {
+/// Starts a sidecar that knows endpoints at these addresses, with a discovery that sends nothing.
+pub fn start_sidecar(addresses: &[SocketAddr]) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
-    let known: Vec<_> = addresses
+    let entries: Vec<_> = addresses
         .iter()
         .enumerate()
-        .map(|(n, a)| entry(&format!("e{n}"), *a, "SERVING"))
+        .map(|(number, address)| entry(&format!("e{number}"), *address, "SERVING"))
         .collect();
-    (
-        Sidecar::start(&with_admin_address(config(discovery.address, &known))),
-        discovery,
-    )
+    let config = with_admin_address(config(discovery.address, &entries));
+    (Sidecar::start(&config), discovery)
 }
 
-/// Opens a connection to the sidecar, with a time-out for reads.
-pub fn connect(sidecar: &Sidecar) -> Stream {
-    let stream = TcpStream::connect(sidecar.address).expect("it accepts");
+/// Opens a connection to the sidecar, with a read timeout.
+pub fn connect(sidecar: &Sidecar) -> BufferedStream {
+    let stream = TcpStream::connect(sidecar.address).expect("the sidecar accepts");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("a timeout");
     BufReader::new(stream)
 }
 
 /// Writes all the bytes; fails the test if the connection is closed.
-pub fn send(stream: &mut Stream, bytes: &[u8]) {
-    stream.get_mut().write_all(bytes).expect("it is open");
+pub fn send(stream: &mut BufferedStream, bytes: &[u8]) {
+    stream
+        .get_mut()
+        .write_all(bytes)
+        .expect("the connection is open");
 }
 
-/// The status code of an answer's head.
+/// Returns the status code in the head of a response.
 pub fn status(head: &str) -> &str {
     head.split(' ').nth(1).expect("a status line")
 }
 
-/// One chunk of a body that is sent with `Transfer-Encoding: chunked`.
+/// Returns one chunk of a body that is sent with `Transfer-Encoding: chunked`.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
 }
 
-/// The head of a request with a body.
-pub fn head(class: &str, framing: &str) -> String {
-    let bare = post_request(class, "15", "");
-    bare.replace(
+/// Returns the head of a request whose body has this framing.
+pub fn request_head(class: &str, framing: &str) -> String {
+    post_request(class, "15", "").replace(
         "Content-Length: 0",
         &format!("Idempotency-Key: k\r\n{framing}"),
     )
--- a/tests/sidecar/stubs/scripted_endpoint.rs
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -1,9 +1,9 @@
 //! An endpoint that answers when the test tells it to, and a sidecar with a short deadline.
 
 use super::caller::*;
+use super::config::*;
 use super::discovery::*;
 use super::endpoint::*;
-use super::program::*;
 use serde_json::{Value, json};
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
