--- a/src/sidecar/caller/mod.rs
+++ b/src/sidecar/caller/mod.rs
@@ -9,4 +9,4 @@
 pub use connection_state::{ConnectionState, HeadError};
 pub use drain_state::DrainState;
 pub use request_reader::{RequestReader, client_disconnected};
-pub use table::CallerTable;
+pub use table::{AcceptedCaller, CallerTable};
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -1,10 +1,10 @@
-//! Counts for the log: what has happened since its last line of counts.
+//! Counters of what has happened since the last counters line of the log.
 
 use super::metrics::AnsweredRequests;
 use crate::policy::Outcome;
 use std::fmt;
 
-/// How attempts may end, and the names of these ends in the log.
+/// The outcomes of attempts, and their names in the log.
 const OUTCOME_NAMES: [(Outcome, &str); 8] = [
     (Outcome::Served, "ok"),
     (Outcome::Error, "error"),
@@ -16,57 +16,88 @@
     (Outcome::NotSent, "not_sent"),
 ];
 
-/// Counts since the last line.
-#[derive(Default, PartialEq)]
+/// Counters since the last line.
+#[derive(Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Requests taken.
-    pub taken: u64,
-    /// Requests refused here and not shown to the module: no room for them, or for their connection.
-    pub rejected_early: u64,
-    /// Clients that left before their answer.
-    pub disconnected: u64,
-    /// Connections opened to endpoints.
-    pub connects: u64,
-    /// Probes that ended.
-    pub health_checks: u64,
-    /// Load reports that the module was given.
-    pub reports: u64,
+    received: u64,
+    rejected_early: u64,
+    disconnected: u64,
+    connects: u64,
+    health_checks: u64,
+    reports: u64,
+    /// In the order of [`OUTCOME_NAMES`].
     outcomes: [u64; OUTCOME_NAMES.len()],
-    /// The figures at the last line.
+    /// How many requests were answered at the last line.
     answered_before: AnsweredRequests,
 }
 
-/// The counts of one line, with how requests were answered meanwhile.
-#[derive(PartialEq)]
-pub struct CountsLine {
+/// The counters of one line.
+#[derive(Debug, PartialEq)]
+pub struct CountersLine {
     counters: Counters,
+    /// How many requests were answered at this line.
     answered: AnsweredRequests,
 }
 
 impl Counters {
-    /// An attempt has ended.
-    pub fn attempt_ended(&mut self, outcome: Outcome) {
-        let position = OUTCOME_NAMES.iter().position(|(o, _)| *o == outcome);
+    /// Counts a request that the balancer was given.
+    pub fn request_received(&mut self) {
+        self.received += 1;
+    }
+
+    /// Counts a request that was rejected before the balancer saw it, as its limit was reached, or its connection's.
+    pub fn request_rejected_early(&mut self) {
+        self.rejected_early += 1;
+    }
+
+    /// Counts a client that disconnected before its request was answered.
+    pub fn client_disconnected(&mut self) {
+        self.disconnected += 1;
+    }
+
+    /// Counts a connection opened to an endpoint.
+    pub fn connection_opened(&mut self) {
+        self.connects += 1;
+    }
+
+    /// Counts a health check that has ended.
+    pub fn health_check_ended(&mut self, has_report: bool) {
+        self.health_checks += 1;
+        self.reports += u64::from(has_report);
+    }
+
+    /// Counts an attempt that has ended.
+    pub fn attempt_ended(&mut self, outcome: Outcome, has_report: bool) {
+        self.reports += u64::from(has_report);
+        let position = OUTCOME_NAMES
+            .iter()
+            .position(|(named, _)| *named == outcome);
         if let Some(position) = position {
             self.outcomes[position] += 1;
         }
     }
 
-    /// Takes the counts for a line, and begins anew with the figures as they now are.
-    pub fn take(&mut self, answered: AnsweredRequests) -> CountsLine {
+    /// Returns the counters since the last line, and starts over.
+    pub fn take(&mut self, answered: AnsweredRequests) -> CountersLine {
         let next = Counters {
             answered_before: answered,
             ..Counters::default()
         };
-        CountsLine {
+        CountersLine {
             counters: std::mem::replace(self, next),
             answered,
         }
     }
+
+    /// Returns how many clients disconnected since the last line.
+    #[cfg(test)]
+    pub fn disconnected(&self) -> u64 {
+        self.disconnected
+    }
 }
 
-impl CountsLine {
-    /// Whether nothing has happened.
+impl CountersLine {
+    /// Returns whether nothing has happened.
     pub fn is_empty(&self) -> bool {
         self.counters
             == Counters {
@@ -77,33 +108,24 @@
 }
 
 /// The fields are described in README.md.
-impl fmt::Display for CountsLine {
+impl fmt::Display for CountersLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counters = &self.counters;
         let (now, before) = (&self.answered, &counters.answered_before);
-        write!(
-            f,
-            "requests={} turned_away={}",
-            counters.taken, counters.rejected_early
-        )?;
+        write!(f, "requests={}", counters.received)?;
+        write!(f, " rejected_early={}", counters.rejected_early)?;
         write!(f, " served={}", now.completed - before.completed)?;
-        write!(f, " refused={}", now.rejected - before.rejected)?;
+        write!(f, " rejected={}", now.rejected - before.rejected)?;
         write!(f, " failed={}", now.failed - before.failed)?;
-        write!(
-            f,
-            " disconnected={} connects={}",
-            counters.disconnected, counters.connects
-        )?;
-        write!(
-            f,
-            " probes={} reports={} attempts",
-            counters.health_checks, counters.reports
-        )?;
-        let seen = OUTCOME_NAMES
-            .iter()
-            .zip(&counters.outcomes)
-            .filter(|(_, count)| **count > 0);
-        seen.map(|((_, name), count)| (name, count))
-            .try_for_each(|(name, count)| write!(f, " {name}={count}"))
+        write!(f, " disconnected={}", counters.disconnected)?;
+        write!(f, " connects={}", counters.connects)?;
+        write!(f, " health_checks={}", counters.health_checks)?;
+        write!(f, " reports={}", counters.reports)?;
+        for ((_, name), count) in OUTCOME_NAMES.iter().zip(&counters.outcomes) {
+            if *count > 0 {
+                write!(f, " attempts_{name}={count}")?;
+            }
+        }
+        Ok(())
     }
 }
--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -5,7 +5,7 @@
 //! Once the newer one is ready it says so, and the older one stops accepting and asks its callers to come again. Until it
 //! ends, both tell each other what they hold of the limits that they share.
 
-use super::node::{Node, NodeHandle};
+use super::node::{NodeHandle, TakeoverEnd};
 use super::server;
 use super::upgrade::{Order, ProcessMessage, ProcessNumber, SharedDirectory};
 use rustix::io::Errno;
@@ -13,7 +13,6 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
-use std::collections::BTreeSet;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
@@ -108,20 +107,18 @@
 pub async fn take_over(node: &NodeHandle, older: OlderProcess) -> io::Result<()> {
     older.stream.set_nonblocking(true)?;
     let stream = UnixStream::from_std(older.stream)?;
-    let (number, messages) = node.borrow().other_processes.add(Order::Before);
+    let (number, messages) = node.add_process(Order::Before);
     let talker = node.clone();
     tokio::task::spawn_local(async move {
         talk(&talker, number, stream, messages).await;
         talker.process_ended(number);
         log!("the process before has ended");
     });
-    let is_alone = || !node.borrow().other_processes.contains(number);
+    let is_alone = || !node.has_process(number);
     while !node.borrow().is_ready() && !is_alone() {
         sleep(READY_CHECK).await;
     }
-    node.borrow()
-        .other_processes
-        .send(&ProcessMessage::Serving, None);
+    node.announce_serving();
     Ok(())
 }
 
@@ -139,26 +136,15 @@
             Err(failure) => return log!("no hand-over from this process: {failure}"),
         };
         let stream = give_to_next(socket, &listener).await;
-        let (number, messages) = node.borrow().other_processes.add(Order::After);
-        node.tell_disabled();
+        let (number, messages) = node.add_process(Order::After);
+        node.send_disabled_endpoints();
         talk(&node, number, stream, messages).await;
         node.process_ended(number);
-        let (is_taken_back, is_stopped) = {
-            let mut node = node.borrow();
-            node.pool.set_keeps_idle(true);
-            (
-                node.callers.resume_accepting(),
-                node.callers.are_shutting_down(),
-            )
-        };
-        if is_stopped {
+        let callers = match node.takeover_ended() {
             // Perhaps the last part of it that is open: what waits there is accepted by nobody else.
-            return server::accept_backlog(&node, listener);
-        }
-        let callers = if is_taken_back {
-            "; callers are let in here again"
-        } else {
-            ""
+            TakeoverEnd::ShuttingDown => return server::accept_backlog(&node, listener),
+            TakeoverEnd::Resumed => "; callers are let in here again",
+            TakeoverEnd::NeverSuspended => "",
         };
         log!("the process after has ended{callers}");
         bound = bind(&directory);
@@ -227,7 +213,7 @@
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => {
-                let held = node.borrow().descriptors.in_use().total();
+                let held = node.borrow().open_connections().total();
                 if last_reported.replace(held) == Some(held) {
                     continue;
                 }
@@ -262,85 +248,3 @@
         }
     }
 }
-
-impl NodeHandle {
-    /// Tells the newest process what is disabled: it has read the file, but perhaps before the last change.
-    fn tell_disabled(&self) {
-        let node = self.borrow();
-        for endpoint in node.disabled_endpoints() {
-            let message = ProcessMessage::Disabled {
-                endpoint: endpoint.0.to_string(),
-                disabled: true,
-            };
-            node.other_processes.send(&message, None);
-        }
-    }
-
-    /// Another process has ended, and holds nothing any more. The last change it may have kept, but not passed on: what is
-    /// kept is what holds.
-    fn process_ended(&self, number: ProcessNumber) {
-        let mut node = self.borrow();
-        node.other_processes.remove(number);
-        node.descriptors
-            .set_other_process_connections(node.other_processes.held_connections());
-        let Some(directory) = node.directory.clone() else {
-            return;
-        };
-        let Some(kept) = directory.disabled_endpoints() else {
-            return;
-        };
-        let known: BTreeSet<String> = node.disabled_endpoints().map(|e| e.0.to_string()).collect();
-        drop(node);
-        for endpoint in known.symmetric_difference(&kept) {
-            let is_kept = kept.contains(endpoint);
-            if is_kept || !directory.is_behind() {
-                self.set_disabled(endpoint.as_str().into(), is_kept);
-            }
-        }
-    }
-
-    fn receive(&self, from: ProcessNumber, message: ProcessMessage) {
-        let mut guard = self.borrow();
-        let Node {
-            pool,
-            callers,
-            descriptors,
-            other_processes,
-            ..
-        } = &mut *guard;
-        match message {
-            ProcessMessage::Disabled { endpoint, disabled } => {
-                drop(guard);
-                self.receive_disabled(from, &endpoint, disabled);
-            }
-            ProcessMessage::Holds(connections) => {
-                other_processes.set_held(from, connections);
-                descriptors.set_other_process_connections(other_processes.held_connections());
-            }
-            ProcessMessage::Serving => {
-                callers.suspend_accepting();
-                pool.set_keeps_idle(false);
-                log!("callers go over to the process after");
-            }
-            // Told by the process before, it is no news: callers go over from there.
-            ProcessMessage::Stopping => {
-                if other_processes.is_after(from) && callers.resume_accepting() {
-                    pool.set_keeps_idle(true);
-                    log!("the process after stops; callers are let in here again");
-                }
-            }
-        }
-    }
-
-    fn receive_disabled(&self, from: ProcessNumber, name: &str, disabled: bool) {
-        let endpoint = name.into();
-        if self.borrow().is_disabled(&endpoint) != disabled {
-            let message = ProcessMessage::Disabled {
-                endpoint: name.into(),
-                disabled,
-            };
-            self.borrow().other_processes.send(&message, Some(from));
-            self.set_disabled(endpoint, disabled);
-        }
-    }
-}
--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -1,53 +1,57 @@
-//! Figures since the process started, as the operators read them. Each is counted where the thing happens.
+//! Metrics since the process started, as the operators' `STATS` call reports them.
 
+use crate::policy::Class;
 use hyper::StatusCode;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// How requests of one class ended.
-#[derive(Default)]
+/// The final answers of one class's requests.
+#[derive(Debug, Default)]
 struct ClassMetrics {
     completed: Cell<u64>,
     rejected: Cell<u64>,
     failed: Cell<u64>,
 }
 
-/// Requests by their final answers, over all classes.
+/// Final answers over all classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnsweredRequests {
-    /// Served by an endpoint.
+    /// Answered by an endpoint.
     pub completed: u64,
     /// Answered 429 or 503.
     pub rejected: u64,
-    /// Any other.
+    /// Answered with any other status.
     pub failed: u64,
 }
 
-/// Figures since the process started.
-#[derive(Default)]
+/// Metrics since the process started.
+#[derive(Debug, Default)]
 pub struct Metrics {
-    /// By the class's name; one that vanishes from the settings keeps its counts.
+    /// By the class's name. A class that a reload removes keeps its counts.
     classes: BTreeMap<String, Rc<ClassMetrics>>,
+    /// Requests received whole and not answered.
     pending: Rc<Cell<u64>>,
-    /// Attempts of which all was written.
-    pub attempts: Rc<Cell<u64>>,
-    /// Configurations taken at SIGHUP.
-    pub reloads: u64,
-    /// Configurations turned down at SIGHUP.
-    pub reload_errors: u64,
+    /// Attempts that were written whole.
+    written_attempts: Rc<Cell<u64>>,
+    /// Configurations applied on SIGHUP.
+    reloads: u64,
+    /// Configurations rejected on SIGHUP.
+    reload_errors: u64,
 }
 
-/// Endpoints in the list.
+/// How many endpoints there are.
+#[derive(Clone, Copy, Debug)]
 pub struct MemberCounts {
-    /// All that are listed.
+    /// Endpoints that discovery lists.
     pub listed: usize,
-    /// Those of them that get nothing now.
+    /// Those of them that get no requests now.
     pub unavailable: usize,
 }
 
-/// A request on its way to its one count.
+/// A request that is counted once, at its end.
+#[derive(Debug)]
 pub struct RequestCount {
     class: Rc<ClassMetrics>,
     pending: Rc<Cell<u64>>,
@@ -59,9 +63,11 @@
 }
 
 impl Metrics {
-    /// Has these classes reported, also before their first request.
-    pub fn add_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
-        names.for_each(|name| drop(self.class(name)));
+    /// Adds classes, which are reported from now on, also before their first request.
+    pub fn add_classes(&mut self, classes: &[Class]) {
+        for class in classes {
+            self.class(&class.name);
+        }
     }
 
     fn class(&mut self, name: &str) -> Rc<ClassMetrics> {
@@ -71,8 +77,8 @@
         }
     }
 
-    /// A request of a class has begun.
-    pub fn begin(&mut self, class: &str) -> RequestCount {
+    /// Begins the count of a request of a class.
+    pub fn begin_request(&mut self, class: &str) -> RequestCount {
         RequestCount {
             class: self.class(class),
             pending: self.pending.clone(),
@@ -80,10 +86,27 @@
         }
     }
 
-    /// How requests were answered so far.
+    /// Returns the counter of attempts that were written whole.
+    pub fn written_attempts(&self) -> Rc<Cell<u64>> {
+        self.written_attempts.clone()
+    }
+
+    /// Counts a configuration that was applied.
+    pub fn reload_succeeded(&mut self) {
+        self.reloads += 1;
+    }
+
+    /// Counts a configuration that was not applied.
+    pub fn reload_failed(&mut self) {
+        self.reload_errors += 1;
+    }
+
+    /// Returns how requests were answered so far.
     pub fn answered(&self) -> AnsweredRequests {
-        let sum =
-            |of: fn(&ClassMetrics) -> &Cell<u64>| self.classes.values().map(|c| of(c).get()).sum();
+        let sum = |counter: fn(&ClassMetrics) -> &Cell<u64>| {
+            let counts = self.classes.values().map(|class| counter(class).get());
+            counts.sum()
+        };
         AnsweredRequests {
             completed: sum(|class| &class.completed),
             rejected: sum(|class| &class.rejected),
@@ -91,7 +114,7 @@
         }
     }
 
-    /// Writes them, a line each.
+    /// Writes the metrics, one a line.
     pub fn write(&self, members: &MemberCounts, text: &mut String) {
         for (name, class) in &self.classes {
             let label = name
@@ -103,33 +126,33 @@
                 ("rejected", &class.rejected),
                 ("failed", &class.failed),
             ];
-            for (figure, count) in by_answer {
-                let _ = writeln!(text, "app_{figure}{{lane=\"{label}\"}} {}", count.get());
+            for (metric, count) in by_answer {
+                let _ = writeln!(text, "app_{metric}{{lane=\"{label}\"}} {}", count.get());
             }
         }
-        for (figure, value) in [
-            ("upstream_requests", self.attempts.get()),
+        for (metric, value) in [
+            ("upstream_requests", self.written_attempts.get()),
             ("pending", self.pending.get()),
             ("members", members.listed as u64),
             ("members_unavailable", members.unavailable as u64),
             ("config_reloads", self.reloads),
             ("config_reload_errors", self.reload_errors),
         ] {
-            let _ = writeln!(text, "app_{figure} {value}");
+            let _ = writeln!(text, "app_{metric} {value}");
         }
     }
 }
 
 impl RequestCount {
-    /// All of the request has come: from now on it is pending.
+    /// Marks the request as received whole: from now on it is pending.
     pub fn set_whole(&mut self) {
         if !std::mem::replace(&mut self.is_whole, true) {
             add_one(&self.pending);
         }
     }
 
-    /// Its final answer has this status. What fails before it was whole was no request, and is not counted; its refusal is
-    /// one all the same.
+    /// Counts the request by the status of its final answer. One that fails before it was received whole is not counted;
+    /// one that is rejected before that is.
     pub fn end(self, status: StatusCode) {
         match status {
             StatusCode::OK => add_one(&self.class.completed),
@@ -142,7 +165,7 @@
     }
 }
 
-/// One that is dropped without an end is a client's that has left.
+/// A request that is dropped without an answer is one whose client has disconnected.
 impl Drop for RequestCount {
     fn drop(&mut self) {
         if self.is_whole {
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! | layer | files |
 //! | --- | --- |
-//! | foundations | `log.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
+//! | foundations | `log.rs`, `admin_state.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
 //! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `upgrade/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
@@ -14,6 +14,7 @@
 #[macro_use]
 mod log;
 
+mod admin_state;
 mod body;
 mod caller;
 mod clock;
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -1,4 +1,4 @@
-//! What the decision module has the node do.
+//! Execution of the balancer's actions.
 
 use super::open_request::FinalAnswer;
 use super::state::{Node, NodeHandle};
@@ -9,7 +9,8 @@
 use tokio::time::sleep_until;
 
 impl Node {
-    pub(super) fn carry_out(&mut self, handle: &NodeHandle, action: Action) {
+    /// Executes one action of the balancer. Events that follow from it at once are queued.
+    pub(super) fn execute(&mut self, handle: &NodeHandle, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -20,34 +21,26 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => {
-                self.answer(&request, FinalAnswer::Rejected { retry_after });
-            }
+            } => self.answer(&request, FinalAnswer::Rejected { retry_after }),
             Action::Fail { request } => {
-                let timed_out = self
-                    .open
-                    .get(&request)
-                    .is_some_and(|open| open.has_timed_out);
+                let timed_out = self.requests.has_timed_out(&request);
                 self.answer(&request, FinalAnswer::Failed { timed_out });
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
-            // An agent that pushes is followed unasked.
-            Action::Subscribe(_) if self.settings.current().discovery == DiscoveryMode::Pushed => {}
-            Action::Subscribe(false) => self.subscription.unfollow(),
+            // An agent that pushes lists is followed all the time.
+            Action::Subscribe(_) if self.discovery_mode() == DiscoveryMode::Pushed => {}
             Action::Subscribe(true) => {
-                // A reload may have asked already; a second watch would cost discovery a call for nothing.
-                if !self.subscription.is_followed() {
-                    self.begin_watch(handle);
+                // A reload may have opened a watch already, and a second one would cost discovery a call.
+                if !self.endpoints.is_followed() {
+                    self.follow_discovery(handle);
                 }
             }
-            Action::FetchList => drop(spawn_local(discovery::fetch(
-                handle.clone(),
-                self.subscription.source(),
-            ))),
-            Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
+            Action::Subscribe(false) => self.endpoints.unfollow(),
+            Action::FetchList => self.fetch_list(handle),
+            Action::CloseIdleConnections { endpoint } => self.connections.close_idle(&endpoint),
             Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
-            // The module sends none.
-            Action::SendPeerMessage { .. } => log!("no peers here"),
+            // The balancer sends no messages to others of its kind.
+            Action::SendPeerMessage { .. } => log!("no peers to send a message to"),
             Action::Log(text) => log!("{text}"),
         }
     }
@@ -60,8 +53,12 @@
         });
     }
 
+    fn fetch_list(&self, handle: &NodeHandle) {
+        spawn_local(discovery::fetch(handle.clone(), self.endpoints.source()));
+    }
+
     fn check_health(&self, handle: &NodeHandle, endpoint: &EndpointId) {
-        if let Some(target) = self.target(endpoint) {
+        if let Some(target) = self.endpoints.target(endpoint) {
             spawn_local(endpoint::check_health(handle.clone(), target));
         }
     }
--- /dev/null
+++ b/src/sidecar/node/active_configuration.rs
@@ -0,0 +1,102 @@
+//! The configuration in force, and the settings that it replaced a moment ago.
+
+use crate::configuration::{Config, FixedValues};
+use crate::policy::{ClassId, Settings};
+use serde_json::Value;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How long after a reload a request may still have been sent under the replaced settings.
+const RELOAD_GRACE: Duration = Duration::from_secs(1);
+
+/// Settings, and the balancer's ids of their classes.
+#[derive(Debug)]
+pub struct ActiveSettings {
+    /// The settings.
+    pub settings: Settings,
+    /// The ids, in the order of the settings' classes.
+    pub classes: Vec<ClassId>,
+}
+
+/// The configuration in force, as far as it can change or is compared with the next one.
+pub struct ActiveConfiguration {
+    settings: Rc<ActiveSettings>,
+    replaced: Option<ReplacedSettings>,
+    /// Settings and limits as the file has them.
+    document: Value,
+    /// Values that only a restart changes.
+    fixed: FixedValues,
+}
+
+struct ReplacedSettings {
+    settings: Rc<ActiveSettings>,
+    replaced_at: Instant,
+}
+
+/// The settings that a request may have been sent under.
+#[derive(Debug)]
+pub struct RequestSettings {
+    /// Those in force.
+    pub current: Rc<ActiveSettings>,
+    /// Those before, for [`RELOAD_GRACE`] after a reload.
+    pub previous: Option<Rc<ActiveSettings>>,
+}
+
+impl ActiveConfiguration {
+    /// Creates it from the configuration of the start.
+    pub fn new(settings: Settings, document: Value, fixed: FixedValues) -> Self {
+        let classes = (0..settings.classes.len()).map(ClassId).collect();
+        ActiveConfiguration {
+            settings: Rc::new(ActiveSettings { settings, classes }),
+            replaced: None,
+            document,
+            fixed,
+        }
+    }
+
+    /// Returns the settings in force.
+    pub fn settings(&self) -> &Settings {
+        &self.settings.settings
+    }
+
+    /// Returns the settings for a request whose first byte arrived at an instant.
+    pub fn settings_for_request(&self, first_byte_at: Instant) -> RequestSettings {
+        let replaced = self
+            .replaced
+            .as_ref()
+            .filter(|replaced| first_byte_at < replaced.replaced_at + RELOAD_GRACE);
+        RequestSettings {
+            current: self.settings.clone(),
+            previous: replaced.map(|replaced| replaced.settings.clone()),
+        }
+    }
+
+    /// Returns the first key that the file had and the next configuration lacks.
+    pub fn missing_key(&self, next: &Config) -> Option<String> {
+        next.missing_key(&self.document)
+    }
+
+    /// Returns the names of the settings that the next configuration changes.
+    pub fn changed_settings(&self, next: &Config) -> Vec<String> {
+        next.changed_settings(&self.document)
+    }
+
+    /// Returns the names of the values that differ in the next configuration and that only a restart changes.
+    pub fn restart_only_changes(&self, next: &Config) -> Vec<&'static str> {
+        self.fixed.differences(&next.fixed)
+    }
+
+    /// Replaces the settings by those of the next configuration, with the balancer's ids of its classes.
+    pub fn replace_settings(&mut self, next: &Config, classes: Vec<ClassId>) {
+        let settings = Rc::new(ActiveSettings {
+            settings: next.settings.clone(),
+            classes,
+        });
+        self.replaced = Some(ReplacedSettings {
+            settings: std::mem::replace(&mut self.settings, settings),
+            replaced_at: Instant::now(),
+        });
+        self.document = next.document.clone();
+    }
+}
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -1,41 +1,20 @@
-//! Attempts from their sends to their ends.
+//! Attempts from their sending to their end.
 
-use super::open_request::OpenRequest;
 use super::state::{Node, NodeHandle};
 use crate::policy::{
-    AttemptEnd, AttemptNumber, EndpointId, Event, LoadReport, Outcome, Readiness, RequestId,
-    Timestamp,
+    AttemptEnd, AttemptNumber, EndpointId, Event, LoadReport, Outcome, RequestId, Timestamp,
 };
 use crate::sidecar::endpoint::{self, AttemptSpec, Target};
 use crate::task::Task;
 use std::time::Duration;
 
 impl Node {
-    /// Where an endpoint listens, if it is listed.
-    pub(super) fn target(&self, endpoint: &EndpointId) -> Option<Target> {
-        let member = self.subscription.membership().get(endpoint)?;
-        let (address, started_at) = (member.address, member.started_at);
-        Some(Target {
-            endpoint: endpoint.clone(),
-            address,
-            started_at,
-        })
-    }
-
-    /// Whether an endpoint's process takes work, by the list and by the operators.
+    /// Returns whether the same process of an endpoint still takes work, by its list entry and by the operators.
     pub(super) fn takes_work(&self, target: &Target) -> bool {
-        self.subscription
-            .membership()
-            .get(&target.endpoint)
-            .is_some_and(|member| {
-                let is_same =
-                    member.started_at == target.started_at && member.address == target.address;
-                member.readiness == Readiness::Up && is_same
-            })
-            && !self.is_disabled(&target.endpoint)
+        self.endpoints.is_serving(target) && !self.balancer.is_disabled(&target.endpoint)
     }
 
-    /// Starts an attempt, if its request still wants an answer and its endpoint is still listed.
+    /// Starts an attempt, if its request is still unanswered and its endpoint still listed.
     pub(super) fn send(
         &mut self,
         handle: &NodeHandle,
@@ -44,64 +23,57 @@
         timeout: Option<Duration>,
     ) {
         let now = self.clock.now();
-        let target = self.target(&endpoint);
-        let Some(open) = self.open.get_mut(&request) else {
+        let target = self.endpoints.target(&endpoint);
+        let Some(open_request) = self.requests.get_mut(&request) else {
             return;
         };
-        let attempt = open.next_attempt();
-        if let Some(target) = target.filter(|_| open.is_unanswered()) {
-            let until = timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
-            let forwarded = open.forwarded.clone();
-            let order = AttemptSpec {
-                request: request.clone(),
-                attempt,
-                target,
-                until,
-                forwarded,
-            };
-            open.begin_attempt(
-                now,
-                Task::spawn(endpoint::run_attempt(handle.clone(), order)),
-            );
-        } else {
-            open.skip_attempt();
+        let attempt = open_request.next_attempt();
+        let Some(target) = target.filter(|_| open_request.is_unanswered()) else {
+            open_request.skip_attempt();
             let event = self.attempt_end(&request, attempt, now, Outcome::NotSent, None);
-            self.events.push_back(event);
-        }
+            self.queue_event(event);
+            return;
+        };
+        let deadline = open_request.deadline();
+        let spec = AttemptSpec {
+            request,
+            attempt,
+            target,
+            until: timeout.map_or(deadline, |timeout| deadline.min(now + timeout)),
+            forwarded: open_request.forwarded().clone(),
+        };
+        let task = Task::spawn(endpoint::run_attempt(handle.clone(), spec));
+        open_request.begin_attempt(now, task);
     }
 
-    /// Stops an attempt's task, which closes its connection.
+    /// Aborts an attempt, which closes its connection.
     pub(super) fn cancel(&mut self, request: &RequestId, attempt: AttemptNumber) {
-        let Some(open) = self.open.get_mut(request) else {
+        let Some(open_request) = self.requests.get_mut(request) else {
             return;
         };
-        if let Some(sent) = open.end_attempt(attempt) {
-            let event = self.attempt_end(request, attempt, sent, Outcome::Cancelled, None);
-            self.events.push_back(event);
-            self.forget_if_over(request);
+        if let Some(sent_at) = open_request.end_attempt(attempt) {
+            let event = self.attempt_end(request, attempt, sent_at, Outcome::Cancelled, None);
+            self.queue_event(event);
+            self.requests.remove_if_over(request);
         }
     }
 
-    /// The end of an attempt, counted and as the module is told.
+    /// Counts the end of an attempt, and returns the event that reports it to the balancer.
     pub(super) fn attempt_end(
         &mut self,
         request: &RequestId,
         attempt: AttemptNumber,
-        sent: Timestamp,
+        sent_at: Timestamp,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) -> Event {
-        self.counters.attempt_ended(outcome);
-        self.counters.reports += u64::from(report.is_some());
+        self.counters.attempt_ended(outcome, report.is_some());
         Event::AttemptEnded(AttemptEnd {
             request: request.clone(),
             attempt,
             outcome,
-            took: self.clock.now().since(sent),
-            request_ended: !self
-                .open
-                .get(request)
-                .is_some_and(OpenRequest::is_unanswered),
+            took: self.clock.now().since(sent_at),
+            request_ended: !self.requests.is_unanswered(request),
             report,
         })
     }
--- /dev/null
+++ b/src/sidecar/node/connections.rs
@@ -0,0 +1,150 @@
+//! The node's connections on both sides, and the descriptor budget that they share.
+
+use crate::policy::{EndpointId, Limits};
+use crate::sidecar::caller::{AcceptedCaller, CallerTable, DrainState};
+use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, Side};
+use crate::sidecar::endpoint::{ConnectionPool, EndpointConnection, SweepTask};
+use crate::task::Task;
+use tokio::time::Instant;
+
+/// Callers' connections, idle connections to endpoints, and the descriptors of both.
+pub struct Connections {
+    callers: CallerTable,
+    pool: ConnectionPool,
+    descriptors: DescriptorBudget,
+    /// Takes a drain through its states; aborted when the drain ends.
+    drain_task: Option<Task>,
+}
+
+/// A caller's connection that has been admitted.
+pub struct AdmittedCaller {
+    /// Its entry in the table.
+    pub entry: AcceptedCaller,
+    /// Its share of the descriptor budget.
+    pub permit: DescriptorPermit,
+    /// The budget is exhausted: requests on it are rejected.
+    pub is_rejected_early: bool,
+}
+
+impl Connections {
+    /// Creates the tables, without any connection.
+    pub fn new(limits: &Limits, descriptors: DescriptorBudget) -> Self {
+        Connections {
+            callers: CallerTable::default(),
+            pool: ConnectionPool::new(limits),
+            descriptors,
+            drain_task: None,
+        }
+    }
+
+    /// Returns the callers' connections.
+    pub fn callers(&self) -> &CallerTable {
+        &self.callers
+    }
+
+    /// Returns the callers' connections, for a change.
+    pub fn callers_mut(&mut self) -> &mut CallerTable {
+        &mut self.callers
+    }
+
+    /// Admits a connection that was just accepted, evicting an idle one where the callers' limit is reached. Where none
+    /// is idle, it is admitted to be rejected with an answer; returns `None` where there is no descriptor even for that.
+    pub fn admit_caller(&mut self) -> Option<AdmittedCaller> {
+        let is_rejected_early =
+            self.descriptors.is_caller_limit_reached() && !self.evict_for_caller();
+        if is_rejected_early && self.descriptors.is_caller_overcommit_reached() {
+            return None;
+        }
+        let permit = self.descriptors.permit(Side::Callers);
+        Some(AdmittedCaller {
+            entry: self.callers.add(is_rejected_early),
+            permit,
+            is_rejected_early,
+        })
+    }
+
+    fn evict_for_caller(&mut self) -> bool {
+        (self.descriptors.is_exhausted() && self.pool.close_oldest()) || self.callers.evict_one()
+    }
+
+    /// Returns a descriptor for a new connection to an endpoint, evicting an idle connection of either side where the
+    /// budget is exhausted; `None` where none is idle.
+    pub fn permit_for_endpoint(&mut self) -> Option<DescriptorPermit> {
+        let has_descriptor = !self.descriptors.is_exhausted()
+            || self.pool.close_oldest()
+            || self.callers.evict_one();
+        has_descriptor.then(|| self.descriptors.permit(Side::Endpoints))
+    }
+
+    /// Returns whether all descriptors are in use.
+    pub fn descriptors_exhausted(&self) -> bool {
+        self.descriptors.is_exhausted()
+    }
+
+    /// Returns how many connections are open.
+    pub fn in_use(&self) -> OpenConnections {
+        self.descriptors.in_use()
+    }
+
+    /// Sets how many connections each other process has open, which come out of the same budget.
+    pub fn set_other_process_connections(&mut self, connections: impl Iterator<Item = usize>) {
+        self.descriptors.set_other_process_connections(connections);
+    }
+
+    /// Takes an idle connection to an endpoint out of the pool.
+    pub fn take_idle(&mut self, endpoint: &EndpointId) -> Option<EndpointConnection> {
+        self.pool.take(endpoint)
+    }
+
+    /// Returns a connection to the pool.
+    pub fn put_idle(&mut self, endpoint: &EndpointId, connection: EndpointConnection) -> SweepTask {
+        self.pool.put(endpoint, connection)
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle(&mut self, endpoint: &EndpointId) {
+        self.pool.close_idle(endpoint);
+    }
+
+    /// Closes connections that have been idle too long; returns when the next will have been.
+    pub fn sweep_idle(&mut self) -> Option<Instant> {
+        self.pool.sweep()
+    }
+
+    /// Replaces the pool's limits.
+    pub fn set_limits(&mut self, limits: &Limits) {
+        self.pool.change_limits(limits);
+    }
+
+    /// Another process accepts callers from now on, and needs the descriptors of idle connections more.
+    pub fn suspend_accepting(&mut self) {
+        self.callers.suspend_accepting();
+        self.pool.set_keeps_idle(false);
+    }
+
+    /// No other process accepts callers any more. Returns whether this one does so again.
+    pub fn resume_accepting(&mut self) -> bool {
+        let has_resumed = self.callers.resume_accepting();
+        if has_resumed {
+            self.pool.set_keeps_idle(true);
+        }
+        has_resumed
+    }
+
+    /// Keeps idle connections to endpoints again.
+    pub fn keep_idle(&mut self) {
+        self.pool.set_keeps_idle(true);
+    }
+
+    /// Begins a drain, which a task takes through its further states.
+    pub fn begin_drain(&mut self, task: Task) {
+        self.callers.set_drain_state(Some(DrainState::NotReady));
+        self.drain_task = Some(task);
+    }
+
+    /// Ends a drain; its task is aborted.
+    pub fn end_drain(&mut self) {
+        self.drain_task = None;
+        self.callers.set_drain_state(None);
+    }
+}
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -1,10 +1,9 @@
-//! The node as attempts and probes see it.
+//! The node as the host of attempts and health checks.
 
 use super::open_request::FinalAnswer;
-use super::state::NodeHandle;
-use crate::policy::{EndpointId, Event, Outcome};
+use super::state::{Node, NodeHandle};
+use crate::policy::{EndpointId, Event, Timestamp};
 use crate::sidecar::clock::Clock;
-use crate::sidecar::descriptors::Side;
 use crate::sidecar::endpoint::{
     AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, SweepTask, Target,
 };
@@ -15,37 +14,37 @@
 
 impl EndpointHost for NodeHandle {
     fn clock(&self) -> Clock {
-        self.borrow().clock
+        self.borrow().clock()
     }
 
     fn connect_timeout(&self) -> Duration {
-        self.borrow().settings.current().limits.connect_timeout
+        self.borrow()
+            .configuration
+            .settings()
+            .limits
+            .connect_timeout
     }
 
     fn answer_memory(&self) -> MemoryBudget {
-        self.borrow().answer_memory.clone()
+        self.borrow().response_memory().clone()
     }
 
     fn descriptors_exhausted(&self) -> bool {
-        self.borrow().descriptors.is_exhausted()
+        self.borrow().connections.descriptors_exhausted()
     }
 
     fn connect_permit(&self) -> Option<ConnectPermit> {
         let mut node = self.borrow();
-        if node.descriptors.is_exhausted() && !node.pool.close_oldest() && !node.callers.evict_one()
-        {
-            return None;
-        }
-        node.counters.connects += 1;
-        let descriptor = node.descriptors.permit(Side::Endpoints);
+        let descriptor = node.connections.permit_for_endpoint()?;
+        node.counters.connection_opened();
         Some(ConnectPermit {
             descriptor,
-            attempts: node.metrics.attempts.clone(),
+            attempts: node.metrics.written_attempts(),
         })
     }
 
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection> {
-        self.borrow().pool.take(endpoint)
+        self.borrow().connections.take_idle(endpoint)
     }
 
     fn return_connection(&self, connection: EndpointConnection, target: &Target) {
@@ -53,60 +52,36 @@
         if !node.takes_work(target) {
             return;
         }
-        if node.pool.put(&target.endpoint, connection) == SweepTask::Needed {
+        let sweep_task = node.connections.put_idle(&target.endpoint, connection);
+        if sweep_task == SweepTask::Needed {
             spawn_local(sweep_pool(self.clone()));
         }
     }
 
-    fn may_write(&self, order: &AttemptSpec) -> bool {
+    fn may_write(&self, spec: &AttemptSpec) -> bool {
         let node = self.borrow();
-        let Some(open) = node.open.get(&order.request) else {
+        let Some(open_request) = node.requests.get(&spec.request) else {
             return false;
         };
-        let is_in_time = node.clock.now() < order.until;
-        open.is_unanswered()
-            && open.is_in_flight(order.attempt)
-            && node.takes_work(&order.target)
-            && is_in_time
+        open_request.is_unanswered()
+            && open_request.is_in_flight(spec.attempt)
+            && node.takes_work(&spec.target)
+            && node.clock.now() < spec.until
     }
 
-    /// The first attempt served is the request's answer.
-    fn attempt_ended(&self, order: &AttemptSpec, result: AttemptResult) {
-        let mut guard = self.borrow();
-        let node = &mut *guard;
-        let Some(open) = node.open.get_mut(&order.request) else {
+    /// The first attempt that is served is the request's final answer.
+    fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult) {
+        let request = &spec.request;
+        let Some(event) = self.borrow().end_attempt(spec, result) else {
             return;
         };
-        let Some(sent) = open.end_attempt(order.attempt) else {
-            return; // cancelled, and the module knows
-        };
-        // It ran from when the endpoint had all of it.
-        let completed_at = order
-            .forwarded
-            .upload
-            .as_ref()
-            .and_then(|upload| upload.completed_at());
-        let completed_at = completed_at.map(|instant| node.clock.timestamp(instant));
-        let sent = completed_at.map_or(sent, |at| at.max(sent));
-        open.has_timed_out = result.outcome == Outcome::TimedOut;
-        if let Some(answer) = result.answer {
-            node.answer(&order.request, FinalAnswer::Served(answer));
-        }
-        let event = node.attempt_end(
-            &order.request,
-            order.attempt,
-            sent,
-            result.outcome,
-            result.report,
-        );
-        drop(guard);
-        if order.forwarded.is_consumed() {
+        if spec.forwarded.is_consumed() {
             self.handle(Event::BodyConsumed {
-                request: order.request.clone(),
+                request: request.clone(),
             });
         }
         self.handle(event);
-        self.borrow().forget_if_over(&order.request);
+        self.borrow().requests.remove_if_over(request);
     }
 
     fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
@@ -114,15 +89,9 @@
             outcome, report, ..
         } = result;
         let mut node = self.borrow();
-        node.counters.health_checks += 1;
-        node.counters.reports += u64::from(report.is_some());
-        if node
-            .subscription
-            .membership()
-            .get(&target.endpoint)
-            .is_none_or(|m| m.started_at != target.started_at)
-        {
-            return; // it speaks of a process that is no more
+        node.counters.health_check_ended(report.is_some());
+        if !node.endpoints.is_same_process(target) {
+            return;
         }
         drop(node);
         self.handle(Event::HealthCheckEnded {
@@ -134,10 +103,38 @@
     }
 }
 
-/// Sweeps the pool for as long as it holds connections.
+impl Node {
+    /// Ends an attempt, and answers its request if it was served; returns the event that reports it to the balancer, or
+    /// `None` where it was cancelled, of which the balancer knows.
+    fn end_attempt(&mut self, spec: &AttemptSpec, result: AttemptResult) -> Option<Event> {
+        let open_request = self.requests.get_mut(&spec.request)?;
+        let sent_at = open_request.end_attempt(spec.attempt)?;
+        open_request.set_last_outcome(result.outcome);
+        if let Some(answer) = result.answer {
+            self.answer(&spec.request, FinalAnswer::Served(answer));
+        }
+        let sent_at = self.started_at(spec).map_or(sent_at, |at| at.max(sent_at));
+        Some(self.attempt_end(
+            &spec.request,
+            spec.attempt,
+            sent_at,
+            result.outcome,
+            result.report,
+        ))
+    }
+
+    /// Returns when a streamed upload was complete: the endpoint answers it from then on.
+    fn started_at(&self, spec: &AttemptSpec) -> Option<Timestamp> {
+        let upload = spec.forwarded.upload.as_ref()?;
+        let completed_at = upload.completed_at()?;
+        Some(self.clock.timestamp(completed_at))
+    }
+}
+
+/// Sweeps the pool for as long as it has idle connections.
 async fn sweep_pool(node: NodeHandle) {
     loop {
-        let next = node.borrow().pool.sweep();
+        let next = node.borrow().connections.sweep_idle();
         let Some(next) = next else { return };
         sleep_until(next).await;
     }
--- /dev/null
+++ b/src/sidecar/node/endpoints.rs
@@ -0,0 +1,147 @@
+//! The endpoints as discovery lists them, and the wait for the first list.
+
+use crate::discovery::{
+    EndpointList, ListConsumer, ListOrigin, ListUpdate, Source, SourceChange, StaleListError,
+    Subscription,
+};
+use crate::policy::{DiscoveryMode, EndpointId, ListKind, Readiness, Timestamp};
+use crate::sidecar::endpoint::Target;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// How long a process of a hot restart waits for its first list before it is ready with the cached one.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long after a watch has opened its first list may still arrive: it follows the response head in the next segment.
+const FIRST_LIST_AFTER_WATCH: Duration = Duration::from_millis(100);
+
+/// The endpoints listed by discovery, and the watches on it.
+#[derive(Debug)]
+pub struct Endpoints {
+    subscription: Subscription,
+    /// Until then the node is not ready without a list from discovery: the old process serves callers meanwhile.
+    first_list_deadline: Option<Timestamp>,
+}
+
+impl Endpoints {
+    /// Creates an empty list from a discovery service that is not followed yet.
+    pub fn new(discovery: SocketAddr) -> Self {
+        Endpoints {
+            subscription: Subscription::new(discovery),
+            first_list_deadline: None,
+        }
+    }
+
+    /// Returns the discovery service in force.
+    pub fn source(&self) -> Source {
+        self.subscription.source()
+    }
+
+    /// Returns the version of the list that a source gave; `None` for any but the current source.
+    pub fn known_version(&self, source: Source) -> Option<u64> {
+        self.subscription.known_version(source)
+    }
+
+    /// Returns whether a watch on the current source is running.
+    pub fn is_followed(&self) -> bool {
+        self.subscription.is_followed()
+    }
+
+    /// Starts a watch on the current source, in place of the one that there was.
+    pub fn follow<C: ListConsumer>(&mut self, consumer: C, mode: DiscoveryMode) {
+        self.subscription.follow(consumer, mode);
+    }
+
+    /// Ends the watch on the current source.
+    pub fn unfollow(&mut self) {
+        self.subscription.unfollow();
+    }
+
+    /// Moves to the discovery service at an address, if it is another one.
+    pub fn move_to(&mut self, discovery: SocketAddr) -> SourceChange {
+        self.subscription.move_to(discovery)
+    }
+
+    /// Sets the version of the cached list, which changes from discovery may follow on.
+    pub fn set_cached_version(&mut self, version: u64) {
+        self.subscription
+            .membership_mut()
+            .set_cached_version(version);
+    }
+
+    /// Checks a list that a source has sent.
+    ///
+    /// # Errors
+    /// The list is older than one that the current source sent before.
+    pub fn accept(
+        &mut self,
+        source: Source,
+        list: &mut EndpointList,
+    ) -> Result<ListOrigin, StaleListError> {
+        let origin = self.subscription.accept(source, list)?;
+        if origin == ListOrigin::Current {
+            self.first_list_deadline = None;
+        }
+        Ok(origin)
+    }
+
+    /// Updates the endpoints by an accepted list, and removes those at whose addresses others have started since.
+    pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
+        let membership = self.subscription.membership_mut();
+        let mut update = membership.update(list, kind);
+        membership.remove_replaced(&mut update);
+        update
+    }
+
+    /// Begins the wait for the first list.
+    pub fn await_first_list(&mut self, now: Timestamp) {
+        self.first_list_deadline = Some(now + FIRST_LIST_TIMEOUT);
+    }
+
+    /// Shortens the wait for the first list: discovery is reachable, so a list comes right away or nothing has changed.
+    pub fn expect_first_list_soon(&mut self, now: Timestamp) {
+        let soon = now + FIRST_LIST_AFTER_WATCH;
+        self.first_list_deadline = self.first_list_deadline.map(|deadline| deadline.min(soon));
+    }
+
+    /// Returns whether the node still waits for its first list.
+    pub fn awaits_first_list(&self, now: Timestamp) -> bool {
+        self.first_list_deadline
+            .is_some_and(|deadline| now < deadline)
+    }
+
+    /// Returns where an endpoint listens, if it is listed.
+    pub fn target(&self, endpoint: &EndpointId) -> Option<Target> {
+        let member = self.subscription.membership().get(endpoint)?;
+        Some(Target {
+            endpoint: endpoint.clone(),
+            address: member.address,
+            started_at: member.started_at,
+        })
+    }
+
+    /// Returns whether the same process of an endpoint is still listed and takes work.
+    pub fn is_serving(&self, target: &Target) -> bool {
+        let member = self.subscription.membership().get(&target.endpoint);
+        member.is_some_and(|member| {
+            member.readiness == Readiness::Up
+                && member.started_at == target.started_at
+                && member.address == target.address
+        })
+    }
+
+    /// Returns whether an endpoint is still listed with the same start of its process.
+    pub fn is_same_process(&self, target: &Target) -> bool {
+        let member = self.subscription.membership().get(&target.endpoint);
+        member.is_some_and(|member| member.started_at == target.started_at)
+    }
+
+    /// Returns the endpoints that take work, by the list.
+    pub fn serving(&self) -> impl Iterator<Item = &EndpointId> {
+        self.subscription.membership().serving()
+    }
+
+    /// Returns how many endpoints are listed.
+    pub fn len(&self) -> usize {
+        self.subscription.membership().len()
+    }
+}
--- a/src/sidecar/node/first_list_tests.rs
+++ b/src/sidecar/node/first_list_tests.rs
@@ -1,6 +1,6 @@
 //! Tests on the runtime's paused clock of when a process that replaces another is ready.
 
-use super::state::{NodeHandle, Start};
+use super::state::{NodeHandle, StartMode, StartOptions};
 use crate::configuration::Config;
 use crate::discovery::ListConsumer;
 use std::time::Duration;
@@ -37,10 +37,10 @@
         .start_paused(true)
         .build();
     LocalSet::new().block_on(&builder.expect("a runtime"), async {
-        let start = Start {
+        let start = StartOptions {
             config: config(),
             directory: None,
-            replaces: true,
+            mode: StartMode::HotRestart,
             reserved_descriptors: 0,
         };
         check(NodeHandle::start(start).unwrap_or_else(|e| panic!("{e}"))).await;
@@ -53,7 +53,7 @@
 fn a_silent_watch_makes_a_replacing_process_ready() {
     replacing(async |node| {
         assert!(!node.borrow().is_ready(), "discovery has not been reached");
-        let source = node.borrow().subscription.source();
+        let source = node.borrow().endpoints.source();
         node.watch_opened(source);
         assert!(!node.borrow().is_ready(), "the first list may follow");
         advance(Duration::from_millis(200)).await;
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -1,22 +1,40 @@
-//! The node: one decision module with its open requests, attempts and timers, and the only place that calls it.
+//! The node: the owner of all request state around one balancer, and the only place that calls it.
 //!
-//! Callers, attempts and discovery each run in local tasks and reach the node through [`NodeHandle`], whose methods borrow
-//! it, pass an event on, carry out the actions and let go: never across an await.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `state.rs` | the components below, the balancer, and the queue of events |
+//! | `open_requests.rs`, `open_request.rs` | open requests: replies, attempts in flight, deadlines |
+//! | `endpoints.rs` | the endpoints listed, the watches on discovery, the wait for the first list |
+//! | `connections.rs` | callers' connections and their drain, idle connections to endpoints, the descriptor budget |
+//! | `hot_restart.rs` | the other processes of this sidecar, and the shared directory |
+//! | `active_configuration.rs` | the configuration in force and the settings before it |
+//!
+//! The other files are the node's interfaces: `requests.rs` to callers, `endpoint_host.rs` to attempts, `discovery.rs` to
+//! the discovery client, `operators.rs` and `reload.rs` to those who run the sidecar; `actions.rs` and `attempts.rs`
+//! execute what the balancer decides.
+//!
+//! Callers, attempts and discovery run in local tasks and reach the node through [`NodeHandle`]. Its methods borrow the
+//! node, pass an event to the balancer, execute its actions and release the node, never across an await.
 
 mod actions;
+mod active_configuration;
 mod attempts;
+mod connections;
 mod discovery;
 mod endpoint_host;
+mod endpoints;
+mod hot_restart;
 mod open_request;
+mod open_requests;
 mod operators;
 mod reload;
 mod requests;
-mod settings_in_force;
 mod state;
 
+pub use active_configuration::ActiveSettings;
+pub use hot_restart::TakeoverEnd;
 pub use open_request::{FinalAnswer, RequestRejected};
-pub use settings_in_force::SettingsInForce;
-pub use state::{Node, NodeHandle, Start};
+pub use state::{NodeHandle, NodeReport, StartMode, StartOptions};
 
 #[cfg(test)]
 mod first_list_tests;
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -1,6 +1,6 @@
-//! Requests that are unanswered or have attempts in flight.
+//! One open request, with its attempts and its reply.
 
-use crate::policy::{AttemptNumber, Timestamp};
+use crate::policy::{AttemptNumber, Outcome, Timestamp};
 use crate::sidecar::endpoint::{ForwardedRequest, ServedResponse};
 use crate::task::Task;
 use std::rc::Rc;
@@ -9,51 +9,52 @@
 
 /// The one final answer to a request.
 pub enum FinalAnswer {
-    /// An endpoint's.
+    /// An endpoint has served it.
     Served(ServedResponse),
-    /// Trying again is harmless.
+    /// It was rejected unserved: trying again is harmless.
     Rejected {
-        /// When to come back.
+        /// When the client is to come back.
         retry_after: Option<Duration>,
     },
-    /// Not served, with no promise.
+    /// It has failed, and may have run.
     Failed {
-        /// The last attempt was not answered in time.
+        /// Whether the last attempt timed out.
         timed_out: bool,
     },
 }
 
-/// Why a request is not taken; it has then not run.
+/// Why a request is not submitted to the balancer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestRejected {
-    /// Its id is that of an open request.
+    /// A request with its id is open.
     Repeated,
-    /// So many are open already.
+    /// The limit of unanswered requests is reached.
     TooMany,
 }
 
-/// An open request: unanswered, answered with attempts in flight, or over.
+/// An open request: it is unanswered, or has attempts in flight.
 pub struct OpenRequest {
-    pub forwarded: Rc<ForwardedRequest>,
-    pub deadline: Timestamp,
+    forwarded: Rc<ForwardedRequest>,
+    deadline: Timestamp,
     reply: Reply,
+    /// By their numbers.
     attempts: Vec<OpenAttempt>,
-    /// How the last attempt ended.
-    pub has_timed_out: bool,
+    last_outcome: Option<Outcome>,
 }
 
-/// Whether a request still wants an answer.
+/// Whether a request waits for its final answer.
 enum Reply {
-    /// Whoever takes the sender answers it.
+    /// Whoever takes the sender answers the request.
     Awaited(oneshot::Sender<FinalAnswer>),
-    /// It has its final answer, or its client has left.
+    /// It has its final answer, or its client has disconnected.
     Given,
 }
 
 /// An attempt of an open request.
 enum OpenAttempt {
     InFlight {
-        sent: Timestamp,
-        /// Ends the attempt when it is dropped.
+        sent_at: Timestamp,
+        /// Aborts the attempt when it is dropped.
         _task: Task,
     },
     /// It has ended, or never began.
@@ -61,7 +62,7 @@
 }
 
 impl OpenRequest {
-    /// A request that was just taken.
+    /// Creates an unanswered request without attempts.
     pub fn new(
         forwarded: ForwardedRequest,
         deadline: Timestamp,
@@ -72,16 +73,26 @@
             deadline,
             reply: Reply::Awaited(reply),
             attempts: Vec::new(),
-            has_timed_out: false,
+            last_outcome: None,
         }
     }
 
-    /// Whether it still wants an answer.
+    /// Returns what is sent to endpoints.
+    pub fn forwarded(&self) -> &Rc<ForwardedRequest> {
+        &self.forwarded
+    }
+
+    /// Returns when the client gives up.
+    pub fn deadline(&self) -> Timestamp {
+        self.deadline
+    }
+
+    /// Returns whether it waits for its final answer.
     pub fn is_unanswered(&self) -> bool {
         matches!(self.reply, Reply::Awaited(_))
     }
 
-    /// Takes its one reply, for its one answer.
+    /// Takes the sender of its final answer; `None` once it was taken.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
         match std::mem::replace(&mut self.reply, Reply::Given) {
             Reply::Awaited(reply) => Some(reply),
@@ -89,23 +100,25 @@
         }
     }
 
-    /// The number of its next attempt.
+    /// Returns the number of the next attempt.
     pub fn next_attempt(&self) -> AttemptNumber {
         self.attempts.len()
     }
 
-    /// Its next attempt begins.
-    pub fn begin_attempt(&mut self, sent: Timestamp, task: Task) {
-        self.attempts
-            .push(OpenAttempt::InFlight { sent, _task: task });
+    /// Adds the next attempt, which a task makes.
+    pub fn begin_attempt(&mut self, sent_at: Timestamp, task: Task) {
+        self.attempts.push(OpenAttempt::InFlight {
+            sent_at,
+            _task: task,
+        });
     }
 
-    /// Its next attempt ends before it has begun.
+    /// Adds the next attempt, which ends before it has begun.
     pub fn skip_attempt(&mut self) {
         self.attempts.push(OpenAttempt::Ended);
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub fn is_in_flight(&self, attempt: AttemptNumber) -> bool {
         matches!(
             self.attempts.get(attempt),
@@ -113,16 +126,26 @@
         )
     }
 
-    /// Ends an attempt, with its task; returns when it was sent, or `None` where it was not in flight.
+    /// Ends an attempt and its task; returns when it was sent, or `None` where it was not in flight.
     pub fn end_attempt(&mut self, attempt: AttemptNumber) -> Option<Timestamp> {
         let attempt = self.attempts.get_mut(attempt)?;
         match std::mem::replace(attempt, OpenAttempt::Ended) {
-            OpenAttempt::InFlight { sent, .. } => Some(sent),
+            OpenAttempt::InFlight { sent_at, .. } => Some(sent_at),
             OpenAttempt::Ended => None,
         }
     }
 
-    /// Whether the module keeps it no longer: it is answered and none of its attempts is in flight.
+    /// Records how an attempt that was not cancelled has ended.
+    pub fn set_last_outcome(&mut self, outcome: Outcome) {
+        self.last_outcome = Some(outcome);
+    }
+
+    /// Returns whether the last attempt that ended by itself timed out.
+    pub fn has_timed_out(&self) -> bool {
+        self.last_outcome == Some(Outcome::TimedOut)
+    }
+
+    /// Returns whether it is answered and has no attempts in flight, so that the balancer has forgotten it too.
     pub fn is_over(&self) -> bool {
         let is_in_flight = |attempt: &OpenAttempt| matches!(attempt, OpenAttempt::InFlight { .. });
         !self.is_unanswered() && !self.attempts.iter().any(is_in_flight)
--- /dev/null
+++ b/src/sidecar/node/open_requests.rs
@@ -0,0 +1,108 @@
+//! The table of open requests.
+
+use super::open_request::{FinalAnswer, OpenRequest, RequestRejected};
+use crate::policy::{Request, RequestId, Timestamp};
+use crate::sidecar::endpoint::ForwardedRequest;
+use std::collections::HashMap;
+use tokio::sync::oneshot;
+
+/// All requests that are unanswered or have attempts in flight.
+///
+/// Every final answer leaves through [`OpenRequests::answer`]; a request whose client has disconnected leaves through
+/// [`OpenRequests::disconnect`]. Both happen at most once a request.
+#[derive(Default)]
+pub struct OpenRequests {
+    requests: HashMap<RequestId, OpenRequest>,
+    /// Requests without a final answer. Never more than `requests`, which also holds those with attempts in flight.
+    unanswered: u64,
+    /// Set by a graceful shutdown: every request that arrives is answered by then.
+    shutdown_deadline: Option<Timestamp>,
+}
+
+impl OpenRequests {
+    /// Adds a request; its final answer comes over the channel returned.
+    ///
+    /// # Errors
+    /// `max_open` requests are unanswered already, or a request with this id is open.
+    pub fn insert(
+        &mut self,
+        request: &Request,
+        forwarded: ForwardedRequest,
+        max_open: u64,
+    ) -> Result<oneshot::Receiver<FinalAnswer>, RequestRejected> {
+        if self.unanswered >= max_open {
+            return Err(RequestRejected::TooMany);
+        }
+        if self.requests.contains_key(&request.id) {
+            return Err(RequestRejected::Repeated);
+        }
+        let (reply, answer) = oneshot::channel();
+        let open_request = OpenRequest::new(forwarded, request.deadline, reply);
+        self.requests.insert(request.id.clone(), open_request);
+        self.unanswered += 1;
+        Ok(answer)
+    }
+
+    /// Returns an open request.
+    pub fn get(&self, request: &RequestId) -> Option<&OpenRequest> {
+        self.requests.get(request)
+    }
+
+    /// Returns an open request, for a change of its attempts.
+    pub fn get_mut(&mut self, request: &RequestId) -> Option<&mut OpenRequest> {
+        self.requests.get_mut(request)
+    }
+
+    /// Returns whether a request waits for its final answer.
+    pub fn is_unanswered(&self, request: &RequestId) -> bool {
+        self.get(request).is_some_and(OpenRequest::is_unanswered)
+    }
+
+    /// Returns whether the last attempt of a request timed out.
+    pub fn has_timed_out(&self, request: &RequestId) -> bool {
+        self.get(request).is_some_and(OpenRequest::has_timed_out)
+    }
+
+    /// Gives a request its final answer, unless it has one or its client has disconnected.
+    pub fn answer(&mut self, request: &RequestId, answer: FinalAnswer) {
+        if let Some(reply) = self.take_reply(request) {
+            // The receiver may just have been dropped: the request is over either way.
+            let _ = reply.send(answer);
+            self.remove_if_over(request);
+        }
+    }
+
+    /// Marks a request as unwanted by its client. Returns whether it was still unanswered.
+    pub fn disconnect(&mut self, request: &RequestId) -> bool {
+        self.take_reply(request).is_some()
+    }
+
+    /// Removes a request that is answered and has no attempts in flight, as the balancer does.
+    pub fn remove_if_over(&mut self, request: &RequestId) {
+        if self.get(request).is_some_and(OpenRequest::is_over) {
+            self.requests.remove(request);
+        }
+    }
+
+    /// Has every request from now on answered by a point in time.
+    pub fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
+        self.shutdown_deadline = Some(deadline);
+    }
+
+    /// Returns whether a graceful shutdown has begun.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown_deadline.is_some()
+    }
+
+    /// Returns the earlier of a request's own deadline and that of the shutdown.
+    pub fn limit_deadline(&self, deadline: Timestamp) -> Timestamp {
+        self.shutdown_deadline
+            .map_or(deadline, |shutdown| deadline.min(shutdown))
+    }
+
+    fn take_reply(&mut self, request: &RequestId) -> Option<oneshot::Sender<FinalAnswer>> {
+        let reply = self.requests.get_mut(request)?.take_reply()?;
+        self.unanswered -= 1;
+        Some(reply)
+    }
+}
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -1,99 +1,88 @@
-//! What the operators have the node do.
+//! Operators' calls that change the node.
 
 use super::state::NodeHandle;
 use crate::policy::{EndpointId, Event};
+use crate::sidecar::admin_state::AdminState;
 use crate::sidecar::caller::DrainState;
-use crate::sidecar::upgrade::ProcessMessage;
 use crate::task::Task;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The front asks ten times a second whether to send callers here, and sends some for 0.2 s after a no.
-const STILL_SENT: Duration = Duration::from_millis(600);
-/// Then callers have so long to come back once more, and be told that their connection closes. 4 s after a drain began
-/// none may be kept, and none have a request of the 2 s before that.
-const LEAVING: Duration = Duration::from_millis(1_000);
+/// How long after a drain has begun callers may still be sent here: the front asks for readiness ten times a second, and
+/// sends some callers for 0.2 s after a negative answer.
+const READINESS_PROPAGATION: Duration = Duration::from_millis(600);
+/// How long callers then have for one more request, whose response closes their connection. A drain must have closed all
+/// connections after 4 s, and may interrupt no request of the 2 s before that.
+const LAST_REQUEST_TIME: Duration = Duration::from_millis(1_000);
 
-/// No such endpoint is known.
-#[derive(Debug)]
+/// No endpoint with this id is listed or disabled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no such endpoint is listed")]
 pub struct UnknownEndpoint;
 
 impl NodeHandle {
-    /// Disables an endpoint, or enables it again. It is kept for the next process, and told to the other ones.
+    /// Disables or enables an endpoint, here and in the other processes of this sidecar.
     ///
     /// # Errors
-    /// No such endpoint is listed or disabled.
-    pub fn change_disabled(
+    /// No endpoint with this id is listed or disabled.
+    pub fn set_admin_state(
         &self,
         endpoint: EndpointId,
-        disabled: bool,
+        state: AdminState,
     ) -> Result<(), UnknownEndpoint> {
         let node = self.borrow();
         if !node.balancer.knows(&endpoint) {
             return Err(UnknownEndpoint);
         }
-        let message = ProcessMessage::Disabled {
-            endpoint: endpoint.0.to_string(),
-            disabled,
-        };
-        node.other_processes.send(&message, None);
+        node.hot_restart
+            .broadcast_admin_state(&endpoint, state, None);
         drop(node);
-        self.set_disabled(endpoint, disabled);
+        self.apply_admin_state(endpoint, state);
         Ok(())
     }
 
-    /// An endpoint is disabled or enabled, here or by another process.
-    pub fn set_disabled(&self, endpoint: EndpointId, disabled: bool) {
-        log!(
-            "endpoint {} is {} by hand",
-            endpoint.0,
-            if disabled { "disabled" } else { "enabled" }
-        );
-        let id = endpoint.clone();
-        self.handle(if disabled {
-            Event::EndpointDisabled(id)
-        } else {
-            Event::EndpointEnabled(id)
+    /// Applies an endpoint's administrative state, as the operators or another process have set it, and stores it for the
+    /// next process.
+    pub(super) fn apply_admin_state(&self, endpoint: EndpointId, state: AdminState) {
+        log!("endpoint {} is {state} by the operators", endpoint.0);
+        self.handle(match state {
+            AdminState::Disabled => Event::EndpointDisabled(endpoint.clone()),
+            AdminState::Enabled => Event::EndpointEnabled(endpoint.clone()),
         });
         let node = self.borrow();
-        if let Some(directory) = &node.directory {
-            let known = node.disabled_endpoints().map(|id| &*id.0);
-            directory.keep_disabled(&endpoint.0, disabled, known);
-        }
+        node.hot_restart
+            .store_admin_state(&endpoint, state, node.disabled_endpoints());
     }
 
-    /// Has the sidecar emptied of callers. Calling it twice is as calling it once.
+    /// Begins to drain the sidecar of callers. Does nothing during a drain.
     pub fn drain(&self) {
-        if self.borrow().callers.drain_state().is_some() {
+        if self.borrow().callers().drain_state().is_some() {
             return;
         }
-        log!("drains by hand");
-        let steps = Task::spawn(drain_steps(self.clone()));
-        let mut node = self.borrow();
-        node.callers.set_drain_state(Some(DrainState::NotReady));
-        node.drain_steps = Some(steps);
+        log!("drain: begun by the operators");
+        let task = Task::spawn(advance_drain(self.clone()));
+        self.borrow().connections.begin_drain(task);
     }
 
-    /// Has callers back.
+    /// Ends a drain: callers may be sent here again.
     pub fn undrain(&self) {
         let mut node = self.borrow();
-        if node.callers.drain_state().is_some() {
-            log!("is back from its drain");
+        if node.callers().drain_state().is_some() {
+            log!("drain: ended by the operators");
         }
-        node.drain_steps = None;
-        node.callers.set_drain_state(None);
+        node.connections.end_drain();
     }
 }
 
-/// Empties the sidecar of callers, in steps: those that the front still sends are served as ever, then each connection
-/// closes with its next answer, and at last those that nobody uses.
-async fn drain_steps(node: NodeHandle) {
-    sleep(STILL_SENT).await;
+/// Takes a drain through its states: first callers are served as before, then each connection closes with its next
+/// response, and at last the idle ones close.
+async fn advance_drain(node: NodeHandle) {
+    sleep(READINESS_PROPAGATION).await;
     node.borrow()
-        .callers
+        .callers_mut()
         .set_drain_state(Some(DrainState::ClosingAfterResponses));
-    sleep(LEAVING).await;
+    sleep(LAST_REQUEST_TIME).await;
     node.borrow()
-        .callers
+        .callers_mut()
         .set_drain_state(Some(DrainState::ClosingIdle));
 }
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -1,90 +1,106 @@
-//! Configurations that are read again while the node runs.
+//! Reload of the configuration while the node runs.
 
-use super::settings_in_force::SettingsInForce;
-use super::state::NodeHandle;
+use super::state::{Node, NodeHandle};
 use crate::configuration::Config;
 use crate::discovery::SourceChange;
 use crate::policy::{Event, SettingsError};
+use std::net::SocketAddr;
 
-/// Why a configuration is not taken over.
+/// Why a configuration is not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// A key is missing that was there, as in a file that was cut off.
+    /// A key is missing that the file had before, as in a file that was cut off.
     #[error("{0} is missing, which was there before")]
     MissingKey(String),
-    /// The settings make no sense.
+    /// The balancer cannot work with the settings.
     #[error("settings: {0}")]
-    Settings(#[from] SettingsError),
+    Settings(#[source] SettingsError),
 }
 
 impl NodeHandle {
-    /// Takes over what the configuration now says, as far as a running process can. A discovery that has moved is asked at
-    /// once; until it has spoken the one before is listened to. `known` is not taken over: what has been told since the
-    /// start is fresher.
+    /// Applies a configuration as far as a running process can, or nothing of it. A discovery that has moved is followed
+    /// at once, and the previous one as well until the new one has sent a list. The cached list is ignored: the lists
+    /// received since the start are newer.
     ///
     /// # Errors
-    /// What is wrong with it; then nothing of it is taken over.
-    pub fn reload(&self, config: Config) -> Result<(), ReloadError> {
-        let changed = self.change_settings(&config)?;
-        self.borrow().metrics.reloads += 1;
-        let source_change = self.move_discovery(&config);
-        let fixed = self.borrow().fixed.differences(&config.fixed).join(", ");
-        let discovery = match source_change {
-            SourceChange::Moved => format!("moves to {}", config.discovery),
-            SourceChange::Unchanged => "stays".into(),
-        };
-        let restart = if fixed.is_empty() {
-            String::new()
-        } else {
-            format!("; only a restart takes over: {fixed}")
-        };
-        let settings = if changed.is_empty() {
-            "stay".into()
-        } else {
-            format!("change in {}", changed.join(", "))
-        };
-        log!("configuration read again: discovery {discovery}, settings {settings}{restart}");
+    /// A key is missing, or the settings are invalid.
+    pub fn reload(&self, config: &Config) -> Result<(), ReloadError> {
+        let changed_settings = self.change_settings(config)?;
+        let mut node = self.borrow();
+        node.metrics.reload_succeeded();
+        let source_change = node.move_discovery(self, config.discovery);
+        let restart_only_changes = node.configuration.restart_only_changes(config);
+        drop(node);
+        log!(
+            "configuration read again: discovery {discovery}, settings {settings}{restart}",
+            discovery = match source_change {
+                SourceChange::Moved => format!("moves to {}", config.discovery),
+                SourceChange::Unchanged => "stays".into(),
+            },
+            settings = match &changed_settings[..] {
+                [] => "stay".into(),
+                names => format!("change in {}", names.join(", ")),
+            },
+            restart = match &restart_only_changes[..] {
+                [] => String::new(),
+                names => format!("; only a restart takes over: {}", names.join(", ")),
+            },
+        );
         Ok(())
     }
 
-    fn move_discovery(&self, config: &Config) -> SourceChange {
-        let mut node = self.borrow();
-        let change = node.subscription.move_to(config.discovery);
+    /// Records that a configuration was not applied.
+    pub fn reload_failed(&self) {
+        self.borrow().metrics.reload_failed();
+    }
+
+    /// Applies the settings of a configuration; returns the names of those that have changed.
+    fn change_settings(&self, config: &Config) -> Result<Vec<String>, ReloadError> {
+        let changed = self.borrow().apply_settings(self, config)?;
+        if !changed.is_empty() {
+            // The actions may have queued events; a timer without effect has the balancer handle them.
+            self.handle(Event::Timer { token: 0 });
+        }
+        Ok(changed)
+    }
+}
+
+impl Node {
+    fn move_discovery(&mut self, handle: &NodeHandle, address: SocketAddr) -> SourceChange {
+        let change = self.endpoints.move_to(address);
         if change == SourceChange::Moved {
-            node.begin_watch(self);
+            self.follow_discovery(handle);
         }
         change
     }
 
-    /// Goes on with the settings of a configuration, and returns the names of those that have changed.
-    fn change_settings(&self, config: &Config) -> Result<Vec<String>, ReloadError> {
-        let mut node = self.borrow();
-        if let Some(key) = config.missing_key(&node.document) {
+    fn apply_settings(
+        &mut self,
+        handle: &NodeHandle,
+        config: &Config,
+    ) -> Result<Vec<String>, ReloadError> {
+        if let Some(key) = self.configuration.missing_key(config) {
             return Err(ReloadError::MissingKey(key));
         }
-        let changed = config.changed_settings(&node.document);
+        let changed = self.configuration.changed_settings(config);
         if changed.is_empty() {
             return Ok(changed);
         }
-        let (now, mut actions) = (node.clock.now(), Vec::new());
-        let settings = config.settings.clone();
-        let classes = node
+        let mut actions = Vec::new();
+        let classes = self
             .balancer
-            .change_settings(now, settings.clone(), &mut actions)?;
-        let follows_anew = node.settings.current().discovery != settings.discovery;
-        node.pool.change_limits(&settings.limits);
-        node.metrics
-            .add_classes(settings.classes.iter().map(|class| class.name.as_str()));
-        node.settings.replace(SettingsInForce { settings, classes });
-        node.document = config.document.clone();
+            .change_settings(self.clock.now(), config.settings.clone(), &mut actions)
+            .map_err(ReloadError::Settings)?;
+        let mode_changes = self.configuration.settings().discovery != config.settings.discovery;
+        self.connections.set_limits(&config.settings.limits);
+        self.metrics.add_classes(&config.settings.classes);
+        self.configuration.replace_settings(config, classes);
         for action in actions {
-            node.carry_out(self, action);
+            self.execute(handle, action);
         }
-        if follows_anew {
-            node.begin_watch(self);
+        if mode_changes {
+            self.follow_discovery(handle);
         }
-        drop(node);
-        self.handle(Event::Timer { token: 0 }); // what carrying out has brought goes on to the module
         Ok(changed)
     }
 }
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -1,55 +1,52 @@
-//! Requests from their taking to their one answer.
+//! Requests from their arrival to their one final answer.
 
-use super::open_request::{FinalAnswer, OpenRequest, RequestRejected};
+use super::open_request::{FinalAnswer, RequestRejected};
 use super::state::{Node, NodeHandle};
-use crate::policy::{Event, Request, RequestId};
+use crate::policy::{Event, Request, RequestId, Timestamp};
 use crate::sidecar::endpoint::ForwardedRequest;
+use std::time::Duration;
 use tokio::sync::oneshot;
 
 impl NodeHandle {
-    /// Takes a request. The answer comes once; [`NodeHandle::client_disconnected`] and [`NodeHandle::deadline_exceeded`] say that it
-    /// is no longer wanted.
+    /// Submits a request to the balancer. Its final answer comes once, over the channel returned, unless
+    /// [`NodeHandle::client_disconnected`] or [`NodeHandle::deadline_exceeded`] is called first.
     ///
     /// # Errors
-    /// Why it is not taken.
-    pub fn take(
+    /// A limit is reached, or a request with this id is open; the request has then not run.
+    pub fn submit(
         &self,
         mut request: Request,
         forwarded: ForwardedRequest,
     ) -> Result<oneshot::Receiver<FinalAnswer>, RequestRejected> {
-        let (reply, answer) = oneshot::channel();
         let mut node = self.borrow();
-        if node.unanswered >= node.settings.current().limits.max_open {
-            return Err(RequestRejected::TooMany);
-        }
-        if node.open.contains_key(&request.id) {
-            return Err(RequestRejected::Repeated);
-        }
-        // Read under the settings before, it may name a payer that there is no more.
+        let settings = node.configuration.settings();
+        let max_open = settings.limits.max_open;
+        // Parsed under the settings before a reload, it may name a tenant that the settings in force lack.
         request
             .tenant
-            .take_if(|tenant| tenant.0 >= node.settings.current().tenants.len());
-        node.unanswered += 1;
-        node.counters.taken += 1;
-        let open = OpenRequest::new(forwarded, request.deadline, reply);
-        node.open.insert(request.id.clone(), open);
+            .take_if(|tenant| tenant.0 >= settings.tenants.len());
+        let answer = node.requests.insert(&request, forwarded, max_open)?;
+        node.counters.request_received();
         drop(node);
         self.handle(Event::Request(request));
         Ok(answer)
     }
 
-    /// The client has closed its connection: nothing is owed any more.
+    /// The client has closed its connection: the request needs no answer any more.
     pub fn client_disconnected(&self, request: &RequestId) {
-        if self.borrow().close(request).is_some() {
-            self.borrow().counters.disconnected += 1;
-            self.handle(Event::ClientDisconnected {
-                request: request.clone(),
-            });
-            self.borrow().forget_if_over(request);
+        let mut node = self.borrow();
+        if !node.requests.disconnect(request) {
+            return;
         }
+        node.counters.client_disconnected();
+        drop(node);
+        self.handle(Event::ClientDisconnected {
+            request: request.clone(),
+        });
+        self.borrow().requests.remove_if_over(request);
     }
 
-    /// The deadline has passed with no answer from the module, which ought not to happen; the caller answers.
+    /// The deadline was exceeded without an answer of the balancer, which is a bug; the caller answers by itself.
     pub fn deadline_exceeded(&self, request: &RequestId) {
         log!("request {} was still open at its deadline", request.0);
         self.client_disconnected(request);
@@ -57,26 +54,20 @@
 }
 
 impl Node {
-    /// Gives a request its answer.
+    /// Gives a request its final answer, unless it has one or its client has disconnected.
     pub fn answer(&mut self, request: &RequestId, answer: FinalAnswer) {
-        if let Some(reply) = self.close(request) {
-            // A client that has just left is no concern of the module's: the request is over either way.
-            let _ = reply.send(answer);
-            self.forget_if_over(request);
-        }
+        self.requests.answer(request, answer);
     }
 
-    /// Takes a request's one reply.
-    fn close(&mut self, request: &RequestId) -> Option<oneshot::Sender<FinalAnswer>> {
-        let reply = self.open.get_mut(request)?.take_reply()?;
-        self.unanswered -= 1;
-        Some(reply)
+    /// Counts a request that is rejected before the balancer sees it; returns its Retry-After.
+    pub fn reject_early(&mut self) -> Option<Duration> {
+        self.counters.request_rejected_early();
+        self.balancer.retry_after()
     }
 
-    /// Forgets a request once the module has.
-    pub(super) fn forget_if_over(&mut self, request: &RequestId) {
-        if self.open.get(request).is_some_and(OpenRequest::is_over) {
-            self.open.remove(request);
-        }
+    /// Returns the deadline of a request that has just been received whole, of which its client waits for so long. During
+    /// a graceful shutdown it is no later than the shutdown's.
+    pub fn request_deadline(&self, time_left: Duration) -> Timestamp {
+        self.requests.limit_deadline(self.clock.now() + time_left)
     }
 }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -1,149 +1,124 @@
-//! The node's state, how it starts, and how events reach its decision module.
+//! The node's components, its start, and the loop that feeds events to the balancer.
 
-use super::open_request::OpenRequest;
-use super::settings_in_force::SettingsHistory;
-use crate::configuration::{Config, FixedValues};
-use crate::discovery::Subscription;
+use super::active_configuration::ActiveConfiguration;
+use super::connections::{AdmittedCaller, Connections};
+use super::endpoints::Endpoints;
+use super::hot_restart::HotRestart;
+use super::open_requests::OpenRequests;
+use crate::configuration::Config;
 use crate::policy::{
-    Action, Balancer, BalancerStatus, DiscoveryMode, EndpointId, Event, ListKind, RequestId,
-    SettingsError, Timestamp,
+    Action, Balancer, BalancerStatus, DiscoveryMode, EndpointId, Event, ListKind, SettingsError,
 };
+use crate::sidecar::admin_state::AdminState;
 use crate::sidecar::caller::CallerTable;
 use crate::sidecar::clock::Clock;
-use crate::sidecar::counters::Counters;
-use crate::sidecar::descriptors::DescriptorBudget;
-use crate::sidecar::endpoint::ConnectionPool;
+use crate::sidecar::counters::{Counters, CountersLine};
+use crate::sidecar::descriptors::{DescriptorBudget, OpenConnections};
 use crate::sidecar::memory::MemoryBudget;
-use crate::sidecar::metrics::{MemberCounts, Metrics};
-use crate::sidecar::upgrade::{OtherProcesses, SharedDirectory};
-use crate::task::Task;
-use serde_json::Value;
+use crate::sidecar::metrics::{MemberCounts, Metrics, RequestCount};
+use crate::sidecar::upgrade::SharedDirectory;
 use std::cell::{RefCell, RefMut};
-use std::collections::{HashMap, VecDeque};
+use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A process that replaces another may wait so long for the first list of discovery before it is ready.
-const FIRST_LIST_WITHIN: Duration = Duration::from_secs(3);
-/// Parts of the memory, of which one is for callers' bodies and one for endpoints' answers.
-const REQUEST_MEMORY_PARTS: usize = 4;
-const ANSWER_MEMORY_PARTS: usize = 8;
+/// The fraction of the process's memory that callers' request bodies may use is one of so many.
+const REQUEST_MEMORY_DIVISOR: usize = 4;
+/// The fraction of the process's memory that endpoints' responses may use is one of so many.
+const RESPONSE_MEMORY_DIVISOR: usize = 8;
 
-/// The node.
+/// The state of one sidecar around its balancer. Each component is changed through its own methods alone.
 pub struct Node {
-    /// The clock that the module is run by.
-    pub clock: Clock,
-    /// The settings in force.
-    pub settings: SettingsHistory,
-    /// The configuration's settings and limits, as its file has them.
-    pub(super) document: Value,
-    pub(super) fixed: FixedValues,
-    /// Callers' connections.
-    pub callers: CallerTable,
-    /// Idle connections to endpoints.
-    pub pool: ConnectionPool,
-    /// Shared by both.
-    pub descriptors: DescriptorBudget,
-    /// Room for callers' bodies.
-    pub request_memory: MemoryBudget,
-    /// Room for endpoints' answers.
-    pub answer_memory: MemoryBudget,
-    /// Counts since the log's last line of counts.
-    pub counters: Counters,
-    /// Counts since the start.
-    pub metrics: Metrics,
+    pub(super) clock: Clock,
     pub(super) balancer: Balancer,
-    /// The configuration's, of random numbers that the module does not draw.
-    pub(super) seed: u64,
-    pub(super) subscription: Subscription,
-    pub(super) open: HashMap<RequestId, OpenRequest>,
-    pub(super) unanswered: u64,
-    /// Once it stops: when nothing may be unanswered any more.
-    pub last_answer: Option<Timestamp>,
-    /// Until then callers are not asked for before discovery has spoken: another process serves them meanwhile.
-    pub(super) first_list_due: Option<Timestamp>,
-    /// The other processes of this sidecar, while there are any.
-    pub other_processes: OtherProcesses,
-    /// What it shares with the processes before and after it.
-    pub directory: Option<Rc<SharedDirectory>>,
-    /// The steps of a drain.
-    pub(super) drain_steps: Option<Task>,
-    pub(super) events: VecDeque<Event>,
-    pub(super) actions: Vec<Action>,
+    pub(super) configuration: ActiveConfiguration,
+    pub(super) requests: OpenRequests,
+    pub(super) endpoints: Endpoints,
+    pub(super) connections: Connections,
+    pub(super) hot_restart: HotRestart,
+    request_memory: MemoryBudget,
+    response_memory: MemoryBudget,
+    /// Since the last counters line of the log.
+    pub(super) counters: Counters,
+    /// Since the start.
+    pub(super) metrics: Metrics,
+    /// Seeds random numbers that the balancer does not draw.
+    seed: u64,
+    /// Events that the balancer has not handled yet.
+    events: VecDeque<Event>,
+    /// Reused by each event, so that none allocates.
+    actions: Vec<Action>,
 }
 
-/// What tasks hold of the node.
+/// A shared reference to the node, for tasks. Its methods borrow the node and release it before they return.
 #[derive(Clone)]
 pub struct NodeHandle(Rc<RefCell<Node>>);
 
 /// How a process starts.
-pub struct Start {
+pub struct StartOptions {
     /// Its configuration.
     pub config: Config,
-    /// What it shares with the processes before and after it.
+    /// The directory that it shares with the processes before and after it.
     pub directory: Option<Rc<SharedDirectory>>,
-    /// It replaces a process that serves.
-    pub replaces: bool,
-    /// Descriptors reserved for operators' calls.
+    /// Whether another process of the sidecar is running.
+    pub mode: StartMode,
+    /// Descriptors reserved for the operators' calls.
     pub reserved_descriptors: usize,
 }
 
+/// Whether another process of the sidecar is running at the start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StartMode {
+    /// No other process is running.
+    Fresh,
+    /// An old process serves callers until this one is ready.
+    HotRestart,
+}
+
+/// What the log's counters line reports.
+pub struct NodeReport {
+    /// What has happened since the last line.
+    pub counters: CountersLine,
+    /// The balancer's present state.
+    pub status: BalancerStatus,
+    /// The connections open now.
+    pub connections: OpenConnections,
+}
+
 impl NodeHandle {
-    /// A node that has been told the endpoints in the configuration, and follows discovery as its module decides; at once
-    /// where it replaces a process that serves, and where the configuration names no endpoints.
+    /// Starts a node with the cached list of its configuration. It follows discovery when its balancer subscribes, and
+    /// at once in a hot restart, where lists are pushed, and where there is no cached list: the balancer fetches a new
+    /// list when the last one is old, which no list never is.
     ///
     /// # Errors
-    /// Settings that the decision module cannot work with.
-    pub fn start(start: Start) -> Result<Self, SettingsError> {
-        let Start {
-            config,
-            directory,
-            replaces,
-            reserved_descriptors,
-        } = start;
-        let known = config.known.clone();
-        let node = NodeHandle(Rc::new(RefCell::new(Node::new(
-            config,
-            directory,
-            reserved_descriptors,
-        )?)));
+    /// The balancer cannot work with the settings.
+    pub fn start(options: StartOptions) -> Result<Self, SettingsError> {
+        let mode = options.mode;
+        let cached_list = options.config.known.clone();
+        let has_cached_list = cached_list.is_some();
+        let node = NodeHandle(Rc::new(RefCell::new(Node::new(options)?)));
         node.restore_disabled_endpoints();
-        // The module asks once what it was told is old, which with nothing told never comes.
-        let knows_nothing = known.is_none();
-        if let Some(known) = known {
-            node.borrow()
-                .subscription
-                .membership_mut()
-                .set_cached_version(known.index);
-            node.take_list(&known, ListKind::Cached);
-        }
-        let is_pushed = node.borrow().settings.current().discovery == DiscoveryMode::Pushed;
-        if replaces || is_pushed || knows_nothing {
-            node.borrow().begin_watch(&node);
-        }
-        if replaces {
-            let due = node.borrow().clock.now() + FIRST_LIST_WITHIN;
-            node.borrow().first_list_due = Some(due);
+        if let Some(list) = cached_list {
+            node.borrow().endpoints.set_cached_version(list.index);
+            node.apply_list(&list, ListKind::Cached);
         }
+        node.borrow().begin_discovery(&node, mode, has_cached_list);
         Ok(node)
     }
 
     fn restore_disabled_endpoints(&self) {
-        let directory = self.borrow().directory.clone();
-        let disabled = directory
-            .and_then(|directory| directory.disabled_endpoints())
-            .unwrap_or_default();
-        for endpoint in &disabled {
-            self.set_disabled(endpoint.as_str().into(), true);
+        let stored = self.borrow().hot_restart.stored_disabled_endpoints();
+        for endpoint in stored.iter().flatten() {
+            self.apply_admin_state(endpoint.as_str().into(), AdminState::Disabled);
         }
     }
 
-    /// Borrows the node, never across an await.
+    /// Borrows the node. The guard must not be held across an await.
     pub fn borrow(&self) -> RefMut<'_, Node> {
         self.0.borrow_mut()
     }
 
-    /// Passes an event on and carries out what comes of it, in order.
+    /// Has the balancer handle an event and those that follow from it, and executes its actions in order.
     pub(super) fn handle(&self, event: Event) {
         let mut node = self.borrow();
         node.events.push_back(event);
@@ -152,7 +127,7 @@
             let mut actions = std::mem::take(&mut node.actions);
             node.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                node.carry_out(self, action);
+                node.execute(self, action);
             }
             node.actions = actions;
         }
@@ -160,90 +135,158 @@
 }
 
 impl Node {
-    fn new(
-        config: Config,
-        directory: Option<Rc<SharedDirectory>>,
-        reserved_descriptors: usize,
-    ) -> Result<Self, SettingsError> {
+    fn new(options: StartOptions) -> Result<Self, SettingsError> {
+        let StartOptions {
+            config,
+            directory,
+            reserved_descriptors,
+            ..
+        } = options;
         let mut metrics = Metrics::default();
-        metrics.add_classes(
-            config
-                .settings
-                .classes
-                .iter()
-                .map(|class| class.name.as_str()),
-        );
+        metrics.add_classes(&config.settings.classes);
+        let descriptors = DescriptorBudget::new(config.sockets, reserved_descriptors);
         Ok(Node {
             clock: Clock::start(),
             balancer: Balancer::new(config.settings.clone(), config.seed)?,
-            seed: config.seed,
-            callers: CallerTable::default(),
-            pool: ConnectionPool::new(&config.settings.limits),
-            descriptors: DescriptorBudget::new(config.sockets, reserved_descriptors),
-            request_memory: MemoryBudget::fraction_of(config.memory_mb, REQUEST_MEMORY_PARTS),
-            answer_memory: MemoryBudget::fraction_of(config.memory_mb, ANSWER_MEMORY_PARTS),
+            requests: OpenRequests::default(),
+            endpoints: Endpoints::new(config.discovery),
+            connections: Connections::new(&config.settings.limits, descriptors),
+            hot_restart: HotRestart::new(directory),
+            request_memory: MemoryBudget::fraction_of(config.memory_mb, REQUEST_MEMORY_DIVISOR),
+            response_memory: MemoryBudget::fraction_of(config.memory_mb, RESPONSE_MEMORY_DIVISOR),
             counters: Counters::default(),
             metrics,
-            settings: SettingsHistory::new(config.settings),
-            document: config.document,
-            fixed: config.fixed,
-            subscription: Subscription::new(config.discovery),
-            open: HashMap::new(),
-            unanswered: 0,
-            last_answer: None,
-            first_list_due: None,
-            other_processes: OtherProcesses::default(),
-            directory,
-            drain_steps: None,
+            configuration: ActiveConfiguration::new(config.settings, config.document, config.fixed),
+            seed: config.seed,
             events: VecDeque::new(),
             actions: Vec::new(),
         })
     }
 
-    /// The sidecar stops: what it takes from now on is answered within this time.
-    pub fn stop_within(&mut self, time: Duration) {
-        self.last_answer = Some(self.clock.now() + time);
+    fn begin_discovery(&mut self, handle: &NodeHandle, mode: StartMode, has_cached_list: bool) {
+        let is_hot_restart = mode == StartMode::HotRestart;
+        let is_pushed = self.configuration.settings().discovery == DiscoveryMode::Pushed;
+        if is_hot_restart || is_pushed || !has_cached_list {
+            self.follow_discovery(handle);
+        }
+        if is_hot_restart {
+            let now = self.clock.now();
+            self.endpoints.await_first_list(now);
+        }
     }
 
-    /// When a request that is refused unseen by the module is to come back.
-    pub fn retry_after(&self) -> Option<Duration> {
-        self.balancer.retry_after()
+    /// Queues an event behind the one that the balancer is handling.
+    pub(super) fn queue_event(&mut self, event: Event) {
+        self.events.push_back(event);
     }
 
-    /// How the module stands.
-    pub fn balancer_status(&self) -> BalancerStatus {
-        self.balancer.status(self.clock.now())
+    /// Returns the clock that the balancer runs by.
+    pub fn clock(&self) -> Clock {
+        self.clock
+    }
+
+    /// Returns the configuration in force.
+    pub fn configuration(&self) -> &ActiveConfiguration {
+        &self.configuration
     }
 
-    /// Whether the operators have disabled an endpoint.
-    pub fn is_disabled(&self, endpoint: &EndpointId) -> bool {
-        self.balancer.is_disabled(endpoint)
+    /// Returns the callers' connections.
+    pub fn callers(&self) -> &CallerTable {
+        self.connections.callers()
     }
 
-    /// The endpoints that the operators have disabled.
+    /// Returns the callers' connections, for a change.
+    pub fn callers_mut(&mut self) -> &mut CallerTable {
+        self.connections.callers_mut()
+    }
+
+    /// Admits a connection that was just accepted; `None` where it is to be closed unread.
+    pub fn admit_caller(&mut self) -> Option<AdmittedCaller> {
+        self.connections.admit_caller()
+    }
+
+    /// Returns whether this process has handed its listening socket to another one that still runs.
+    pub fn has_new_process(&self) -> bool {
+        self.hot_restart.has_new_process()
+    }
+
+    /// Returns how many connections are open.
+    pub fn open_connections(&self) -> OpenConnections {
+        self.connections.in_use()
+    }
+
+    /// Returns the memory budget of callers' request bodies.
+    pub fn request_memory(&self) -> &MemoryBudget {
+        &self.request_memory
+    }
+
+    /// Returns the memory budget of endpoints' responses.
+    pub fn response_memory(&self) -> &MemoryBudget {
+        &self.response_memory
+    }
+
+    /// Returns the seed of random numbers that the balancer does not draw.
+    pub(super) fn seed(&self) -> u64 {
+        self.seed
+    }
+
+    /// Begins a graceful shutdown: every request that arrives from now on is answered within this time.
+    pub fn begin_shutdown(&mut self, time: Duration) {
+        let deadline = self.clock.now() + time;
+        self.requests.set_shutdown_deadline(deadline);
+    }
+
+    /// Returns what the operators have decided about an endpoint.
+    pub fn admin_state(&self, endpoint: &EndpointId) -> AdminState {
+        AdminState::from_disabled(self.balancer.is_disabled(endpoint))
+    }
+
+    /// Returns the endpoints that the operators have disabled.
     pub fn disabled_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
         self.balancer.disabled_endpoints()
     }
 
-    /// Whether callers may be sent here: an endpoint is known that takes work, and the sidecar does not stop.
+    /// Returns whether callers may be sent here: an endpoint takes work, and the sidecar neither shuts down, drains nor
+    /// waits for its first list.
     pub fn is_ready(&self) -> bool {
-        let waits_for_list = self
-            .first_list_due
-            .is_some_and(|due| self.clock.now() < due);
-        self.subscription
-            .membership()
-            .serving()
-            .any(|endpoint| !self.is_disabled(endpoint))
-            && self.last_answer.is_none()
-            && !waits_for_list
-            && self.callers.drain_state().is_none()
-    }
-
-    /// How many endpoints are listed, and how many of them get nothing now.
-    pub fn member_counts(&self) -> MemberCounts {
-        MemberCounts {
-            listed: self.subscription.membership().len(),
+        let is_enabled = |endpoint: &EndpointId| !self.balancer.is_disabled(endpoint);
+        self.endpoints.serving().any(is_enabled)
+            && !self.requests.is_shutting_down()
+            && !self.endpoints.awaits_first_list(self.clock.now())
+            && self.callers().drain_state().is_none()
+    }
+
+    /// Begins the count of a request of a class.
+    pub fn begin_request(&mut self, class: &str) -> RequestCount {
+        self.metrics.begin_request(class)
+    }
+
+    /// Writes the metrics, one a line.
+    pub fn write_metrics(&self, text: &mut String) {
+        let members = MemberCounts {
+            listed: self.endpoints.len(),
             unavailable: self.balancer_status().avoided,
+        };
+        self.metrics.write(&members, text);
+    }
+
+    /// Returns the present state and the counters since the last report, which start over.
+    pub fn take_report(&mut self) -> NodeReport {
+        let answered = self.metrics.answered();
+        NodeReport {
+            counters: self.counters.take(answered),
+            status: self.balancer_status(),
+            connections: self.open_connections(),
         }
     }
+
+    /// Returns the counters since the last report.
+    #[cfg(test)]
+    pub fn counters(&self) -> &Counters {
+        &self.counters
+    }
+
+    fn balancer_status(&self) -> BalancerStatus {
+        self.balancer.status(self.clock.now())
+    }
 }
--- a/src/sidecar/operators.rs
+++ b/src/sidecar/operators.rs
@@ -3,6 +3,7 @@
 //! It shares nothing with the callers' side but the node: its connections are its own, few and short, so that a crowd there
 //! is no crowd here, and one that holds a connection without a call gives way to the next that comes.
 
+use super::admin_state::AdminState;
 use super::node::NodeHandle;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -195,21 +196,22 @@
             node.undrain();
             yes()
         }
-        Ok(Call::Disable(endpoint)) => change_disabled(node, endpoint, true),
-        Ok(Call::Enable(endpoint)) => change_disabled(node, endpoint, false),
+        Ok(Call::Disable(endpoint)) => set_admin_state(node, endpoint, AdminState::Disabled),
+        Ok(Call::Enable(endpoint)) => set_admin_state(node, endpoint, AdminState::Enabled),
         Err(error) => format!("NO {error}\n"),
     }
 }
 
-fn change_disabled(node: &NodeHandle, endpoint: &str, disabled: bool) -> String {
-    let changed = node.change_disabled(endpoint.into(), disabled);
-    yes_if(changed.is_ok(), "no such endpoint is listed")
+fn set_admin_state(node: &NodeHandle, endpoint: &str, state: AdminState) -> String {
+    match node.set_admin_state(endpoint.into(), state) {
+        Ok(()) => yes(),
+        Err(error) => format!("NO {error}\n"),
+    }
 }
 
 fn metrics(node: &NodeHandle) -> String {
-    let node = node.borrow();
     let mut text = String::new();
-    node.metrics.write(&node.member_counts(), &mut text);
+    node.borrow().write_metrics(&mut text);
     text.push_str(METRICS_END);
     text
 }
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -1,11 +1,11 @@
 //! The process: its start, its signals and its end.
 
 use super::handover;
-use super::node::{NodeHandle, Start};
+use super::node::{NodeHandle, StartMode, StartOptions};
 use super::operators;
 use super::report;
 use super::server;
-use super::upgrade::{ProcessMessage, SharedDirectory};
+use super::upgrade::SharedDirectory;
 use crate::configuration::{Config, ConfigError};
 use crate::policy::SettingsError;
 use crate::task::Task;
@@ -98,13 +98,17 @@
     let listener =
         handover::listen(address, operators.is_some(), older.as_ref()).map_err(listen_failed)?;
     let address = listener.local_addr().map_err(listen_failed)?;
-    let node = NodeHandle::start(Start {
+    let node = NodeHandle::start(StartOptions {
         config,
         directory: directory.clone(),
-        replaces: older.is_some(),
+        mode: if older.is_some() {
+            StartMode::HotRestart
+        } else {
+            StartMode::Fresh
+        },
         reserved_descriptors: operators.as_ref().map_or(0, |_| operators::MAX_CONNECTIONS),
     })?;
-    let _counts = Task::spawn(report::write_each_period(node.clone()));
+    let _counts = Task::spawn(report::write_at_intervals(node.clone()));
     let _reloads = Task::spawn(reload_on(node.clone(), reload));
     let _calls = operators.map(|listener| serve_operators(&node, &name, listener));
     log!("{name} listens on {address}");
@@ -161,11 +165,11 @@
 async fn reload_on(node: NodeHandle, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         let problem = match Config::from_environment() {
-            Ok(config) => node.reload(config).err().map(|error| error.to_string()),
+            Ok(config) => node.reload(&config).err().map(|error| error.to_string()),
             Err(error) => Some(error.to_string()),
         };
         if let Some(problem) = problem {
-            node.borrow().metrics.reload_errors += 1;
+            node.reload_failed();
             log!("the configuration stays as it was: {problem}");
         }
     }
@@ -187,28 +191,26 @@
     let end = Instant::now() + longest + LAST_MOMENT;
     let counted = longest.min(LONGEST_COUNTED);
     report::write(node);
-    node.borrow().stop_within(counted);
-    node.borrow()
-        .other_processes
-        .send(&ProcessMessage::Stopping, None);
+    node.borrow().begin_shutdown(counted);
+    node.announce_shutdown();
     let _ = timeout(
         counted.mul_f64(KEPT_PART),
         server::accept(node.clone(), &listener),
     )
     .await;
-    node.borrow().callers.begin_shutdown();
+    node.borrow().callers_mut().begin_shutdown();
     // It never ends by itself, so this only ever times out.
     let _ = timeout(STILL_COMING, server::accept(node.clone(), &listener)).await;
     // With nobody to take it, the part of it on offer would keep it open, and callers waiting there.
-    let nobody_has_it = !node.borrow().other_processes.has_one_after();
+    let nobody_has_it = !node.borrow().has_new_process();
     if let Some(offer) = offer.take_if(|_| nobody_has_it) {
         offer.stop().await;
     }
-    let is_last = !node.borrow().callers.are_accepted_elsewhere();
+    let is_last = !node.borrow().callers().are_accepted_elsewhere();
     if let Some(listener) = listener.into_std().ok().filter(|_| is_last) {
         server::accept_backlog(node, listener);
     }
-    node.borrow().callers.begin_shutdown(); // also those that have come since
+    node.borrow().callers_mut().begin_shutdown(); // also those that have come since
     if timeout_at(end, all_closed(node)).await.is_err() {
         log!("some connections were still open at the last moment");
     }
@@ -217,8 +219,8 @@
 fn longest_deadline(node: &NodeHandle) -> Duration {
     let node = node.borrow();
     let deadlines = node
-        .settings
-        .current()
+        .configuration()
+        .settings()
         .classes
         .iter()
         .map(|class| class.deadline);
@@ -227,8 +229,8 @@
 
 /// Waits until the last connection of a caller has closed.
 async fn all_closed(node: &NodeHandle) {
-    let closed = node.borrow().callers.all_closed();
-    while !node.borrow().callers.is_empty() {
+    let closed = node.borrow().callers().all_closed();
+    while !node.borrow().callers().is_empty() {
         closed.notified().await;
     }
 }
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -1,33 +1,29 @@
-//! The log's lines of counts.
+//! The counters line of the log.
 
-use super::node::NodeHandle;
+use super::node::{NodeHandle, NodeReport};
 use crate::policy::BalancerStatus;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The least time between two lines: a busy sidecar writes some ten thousand a day.
-const PERIOD: Duration = Duration::from_secs(5);
+/// The time between two lines: a busy sidecar writes about seventeen thousand a day.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Writes the counts of each period in which something happened, and how the module stands at its end.
-pub async fn write_each_period(node: NodeHandle) {
+/// Writes a line for each interval in which something happened.
+pub async fn write_at_intervals(node: NodeHandle) {
     loop {
-        sleep(PERIOD).await;
+        sleep(REPORT_INTERVAL).await;
         write(&node);
     }
 }
 
-/// Writes the counts since it last did, if there are any.
+/// Writes the counters since the last line, and the balancer's status; nothing where nothing has happened.
 pub fn write(node: &NodeHandle) {
-    let (line, status, connections) = {
-        let mut guard = node.borrow();
-        let answered = guard.metrics.answered();
-        (
-            guard.counters.take(answered),
-            guard.balancer_status(),
-            guard.descriptors.in_use(),
-        )
-    };
-    if line.is_empty() {
+    let NodeReport {
+        counters,
+        status,
+        connections,
+    } = node.borrow().take_report();
+    if counters.is_empty() {
         return;
     }
     let BalancerStatus {
@@ -41,9 +37,9 @@
         avoided,
     } = status;
     log!(
-        "counts {line}; now open={open} queued={queued} in_flight={in_flight} callers={callers} \
+        "counts {counters}; now open={open} queued={queued} in_flight={in_flight} callers={callers} \
          connections={endpoints} clear={clear} gapping={gapping} discarding={discarding} \
-         informed={informed} avoided={avoided}",
+         informed={informed} unavailable={avoided}",
         callers = connections.callers,
         endpoints = connections.endpoints,
     );
--- a/src/sidecar/server/caller_connection.rs
+++ b/src/sidecar/server/caller_connection.rs
@@ -18,15 +18,13 @@
 
 impl Drop for CallerConnection {
     fn drop(&mut self) {
-        self.node.borrow().callers.remove(self.number);
+        self.node.borrow().callers_mut().remove(self.number);
     }
 }
 
 impl CallerConnection {
     /// Refuses a request for want of room.
     pub fn reject_early(&self) -> Reply {
-        let mut node = self.node.borrow();
-        node.counters.rejected_early += 1;
-        rejected(node.retry_after())
+        rejected(self.node.borrow().reject_early())
     }
 }
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -165,7 +165,7 @@
         let begun = state.head_since.take().unwrap_or_else(Instant::now);
         let mut reply = self.answer(request, begun).await;
         state.answered();
-        if state.is_last_request.get() || self.node.borrow().callers.close_after_responses() {
+        if state.is_last_request.get() || self.node.borrow().callers().close_after_responses() {
             reply
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -223,14 +223,14 @@
             .and_then(|value| value.to_str().ok());
         let mut node = self.node.borrow();
         let is_class = |name: &&str| {
-            node.settings
-                .current()
+            node.configuration()
+                .settings()
                 .classes
                 .iter()
                 .any(|class| class.name == **name)
         };
         if let Some(name) = name.filter(is_class) {
-            node.metrics.begin(name).end(reply.status());
+            node.begin_request(name).end(reply.status());
         }
         reply
     }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -4,12 +4,12 @@
 use super::reply::{Reply, ReplyBody, plain, reply};
 use super::request::parse_request;
 use super::request_error::RequestError;
-use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
+use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId};
 use crate::sidecar::body::{MAX_BUFFERED_BODY, ReceivedRequestBody, Upload, receive_request_body};
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
-use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected, SettingsInForce};
+use crate::sidecar::node::{ActiveSettings, FinalAnswer, NodeHandle, RequestRejected};
 use hyper::body::{Body, Incoming};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
@@ -56,7 +56,7 @@
 /// A request whose head has been read, under the settings that it came under.
 struct ParsedRequest {
     request: PolicyRequest,
-    settings: Rc<SettingsInForce>,
+    settings: Rc<ActiveSettings>,
     /// The position of its class in the settings.
     class: usize,
     /// How long its client waits, from its last byte on.
@@ -73,7 +73,7 @@
     let (head, body) = request.into_parts();
     let mut parsed =
         parse(node, &head, begun).map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
-    let count = count.insert(node.borrow().metrics.begin(&parsed.class().name));
+    let count = count.insert(node.borrow().begin_request(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
         caller.state.is_last_request.set(true);
         return Ok(caller.reject_early());
@@ -83,7 +83,7 @@
     if received.upload.is_none() {
         count.set_whole();
     }
-    parsed.request.deadline = deadline(node, parsed.time_left);
+    parsed.request.deadline = node.borrow().request_deadline(parsed.time_left);
     let wait = parsed.wait(node, is_chunked);
     let upload = received.upload.clone();
     let forwarded = parsed.forwarded(head, received, memory);
@@ -108,7 +108,7 @@
     let most = length.map_or(MAX_BUFFERED_BODY, |length| {
         length.min(MAX_BUFFERED_BODY as u64) as usize
     });
-    node.borrow().request_memory.reserve(most)
+    node.borrow().request_memory().reserve(most)
 }
 
 impl ParsedRequest {
@@ -119,7 +119,7 @@
     /// How long its answer is waited for.
     fn wait(&self, node: &NodeHandle, is_chunked: bool) -> ResponseTimeout {
         let slack = self.settings.settings.rules.answer_slack;
-        let until = node.borrow().clock.instant(self.request.deadline) + slack;
+        let until = node.borrow().clock().instant(self.request.deadline) + slack;
         ResponseTimeout {
             until,
             after_upload: self.time_left + slack,
@@ -154,9 +154,12 @@
 fn parse(node: &NodeHandle, head: &Parts, begun: Instant) -> Result<ParsedRequest, RequestError> {
     let (now, settings) = {
         let node = node.borrow();
-        (node.clock.now(), node.settings.for_request(begun))
+        (
+            node.clock().now(),
+            node.configuration().settings_for_request(begun),
+        )
     };
-    let under = |settings: Rc<SettingsInForce>| -> Result<ParsedRequest, RequestError> {
+    let under = |settings: Rc<ActiveSettings>| -> Result<ParsedRequest, RequestError> {
         let mut request = parse_request(&head.method, &head.headers, &settings.settings, now)?;
         let class = request.class.0;
         request.class = settings.classes[class];
@@ -169,14 +172,7 @@
         })
     };
     under(settings.current)
-        .or_else(|error| settings.before.and_then(|s| under(s).ok()).ok_or(error))
-}
-
-/// The time of a request counts from its last byte, and ends before the sidecar does.
-fn deadline(node: &NodeHandle, time_left: Duration) -> Timestamp {
-    let node = node.borrow();
-    let deadline = node.clock.now() + time_left;
-    node.last_answer.map_or(deadline, |last| deadline.min(last))
+        .or_else(|error| settings.previous.and_then(|s| under(s).ok()).ok_or(error))
 }
 
 fn repeated_id() -> RequestError {
@@ -239,7 +235,7 @@
         forwarded: ForwardedRequest,
     ) -> Result<Self, RequestRejected> {
         let id = request.id.clone();
-        let answer = node.take(request, forwarded)?;
+        let answer = node.submit(request, forwarded)?;
         Ok(PendingRequest { node, id, answer })
     }
 
--- a/src/sidecar/server/forward_tests.rs
+++ b/src/sidecar/server/forward_tests.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 use crate::configuration::Config;
-use crate::sidecar::node::Start;
+use crate::sidecar::node::{StartMode, StartOptions};
 use bytes::Bytes;
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use tokio::task::LocalSet;
 
 fn request(node: &NodeHandle) -> PendingRequest<'_> {
-    let now = node.borrow().clock.now();
+    let now = node.borrow().clock().now();
     let memory = node
         .borrow()
-        .request_memory
+        .request_memory()
         .reserve(0)
         .expect("there is room");
     let headers = [("x-request-id", "r"), ("x-class", "c"), ("x-deadline", "9")];
@@ -23,7 +23,7 @@
         )
     });
     let headers = HeaderMap::from_iter(names);
-    let settings = node.borrow().settings.current().clone();
+    let settings = node.borrow().configuration().settings().clone();
     let request =
         parse_request(&Method::GET, &headers, &settings, now).unwrap_or_else(|e| panic!("{e:?}"));
     let forwarded = ForwardedRequest {
@@ -37,7 +37,7 @@
     };
     let id = request.id.clone();
     let answer = node
-        .take(request, forwarded)
+        .submit(request, forwarded)
         .unwrap_or_else(|_| panic!("it is taken"));
     PendingRequest { node, id, answer }
 }
@@ -69,10 +69,10 @@
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let config = Config::parse(&config.to_string()).expect("a configuration");
-        let start = Start {
+        let start = StartOptions {
             config,
             directory: None,
-            replaces: false,
+            mode: StartMode::Fresh,
             reserved_descriptors: 0,
         };
         let node = NodeHandle::start(start).unwrap_or_else(|e| panic!("{e}"));
@@ -86,8 +86,8 @@
             Some(TryRecvError::Empty),
             "it is still owed"
         );
-        assert_eq!(node.borrow().counters.disconnected, 0);
+        assert_eq!(node.borrow().counters().disconnected(), 0);
         drop(second);
-        assert_eq!(node.borrow().counters.disconnected, 1);
+        assert_eq!(node.borrow().counters().disconnected(), 1);
     });
 }
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -2,8 +2,7 @@
 
 use super::caller_connection::CallerConnection;
 use super::connection;
-use crate::sidecar::descriptors::Side;
-use crate::sidecar::node::{Node, NodeHandle};
+use crate::sidecar::node::NodeHandle;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, yield_now};
@@ -16,7 +15,7 @@
 /// stands in the kernel's backlog counts as taken. Others get their turn after each, above all those that were asked to
 /// make room.
 pub async fn accept(node: NodeHandle, listener: &TcpListener) {
-    let mut accepted_elsewhere = node.borrow().callers.watch_accepted_elsewhere();
+    let mut accepted_elsewhere = node.borrow().callers().watch_accepted_elsewhere();
     loop {
         if *accepted_elsewhere.borrow_and_update() {
             if accepted_elsewhere.changed().await.is_err() {
@@ -53,31 +52,17 @@
 
 /// Serves a connection, or turns it away where there are no descriptors for it.
 fn start(node: &NodeHandle, stream: TcpStream) {
-    let mut guard = node.borrow();
-    let Node {
-        callers,
-        pool,
-        descriptors,
-        ..
-    } = &mut *guard;
-    let is_full = descriptors.is_caller_limit_reached();
-    let has_made_room =
-        is_full && ((descriptors.is_exhausted() && pool.close_oldest()) || callers.evict_one());
-    let is_rejected_early = is_full && !has_made_room;
-    if is_rejected_early && descriptors.is_caller_overcommit_reached() {
+    let Some(admitted) = node.borrow().admit_caller() else {
         return; // closed unread: nothing of it was taken, and the descriptors left are for what was
-    }
-    let permit = descriptors.permit(Side::Callers);
-    let accepted = callers.add(is_rejected_early);
-    drop(guard);
-    let (close, once) = (accepted.close, accepted.is_for_one_request);
-    let (number, state) = (accepted.number, accepted.state);
+    };
+    let entry = admitted.entry;
     let connection = CallerConnection {
         node: node.clone(),
-        number,
-        state,
-        is_rejected_early,
-        _permit: permit,
+        number: entry.number,
+        state: entry.state,
+        is_rejected_early: admitted.is_rejected_early,
+        _permit: admitted.permit,
     };
+    let (close, once) = (entry.close, entry.is_for_one_request);
     spawn_local(connection::serve(connection, stream, close, once));
 }
--- a/tests/sidecar/crossings_of_stops.rs
+++ b/tests/sidecar/crossings_of_stops.rs
@@ -228,7 +228,7 @@
     // Each told something of its own at once.
     assert!(sidecar.call_is_yes("DISABLE e1"));
     dies("[\"e0\",\"e1\"]", "ENABLE e1");
-    sidecar.wait_for_log("endpoint e0 is disabled by hand");
+    sidecar.wait_for_log("endpoint e0 is disabled by the operators");
     assert_eq!(out(), Some(1));
     assert_eq!(
         std::fs::read_to_string(&bans).expect("it is kept"),
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -100,7 +100,7 @@
         }
         let count = |name: &str| sidecar.logged_count(name);
         wait_until("the counts are told", || {
-            count("requests") == 40 && (count("probes") > 0) == allowed
+            count("requests") == 40 && (count("health_checks") > 0) == allowed
         });
         let health_checks = endpoint
             .take_requests()
@@ -119,7 +119,7 @@
             0
         };
         wait_until("all reports are told", || {
-            count("probes") == health_checks.len() as u64 && count("reports") == told
+            count("health_checks") == health_checks.len() as u64 && count("reports") == told
         });
     }
 }
@@ -144,7 +144,7 @@
     );
     let count = |name: &str| sidecar.logged_count(name);
     wait_until("both are told", || {
-        count("requests") == 2 && count("error") == 1 && count("refused") == 1
+        count("requests") == 2 && count("attempts_error") == 1 && count("rejected") == 1
     });
     assert_eq!(
         (count("failed"), count("served"), count("connects")),
