--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -10,7 +10,7 @@
 //! | `active_configuration.rs` | the configuration in force and the settings before it |
 //!
 //! The other files are the node's interfaces: `requests.rs` to callers, `endpoint_host.rs` to attempts, `discovery.rs` to
-//! the discovery client, `operators.rs` and `reload.rs` to those who run the sidecar; `actions.rs` and `attempts.rs`
+//! the discovery client, `process_messages.rs` to the other processes, `operators.rs` and `reload.rs` to the operators; `actions.rs` and `attempts.rs`
 //! execute what the balancer decides.
 //!
 //! Callers, attempts and discovery run in local tasks and reach the node through [`NodeHandle`]. Its methods borrow the
@@ -27,13 +27,14 @@
 mod open_request;
 mod open_requests;
 mod operators;
+mod process_messages;
 mod reload;
 mod requests;
 mod state;
 
 pub use active_configuration::ActiveSettings;
-pub use hot_restart::TakeoverEnd;
 pub use open_request::{FinalAnswer, RequestRejected};
+pub use process_messages::TakeoverEnd;
 pub use state::{NodeHandle, NodeReport, StartMode, StartOptions};
 
 #[cfg(test)]
--- /dev/null
+++ b/src/sidecar/node/process_messages.rs
@@ -0,0 +1,133 @@
+//! The node and the other processes of its sidecar: messages, and what follows from a process's end.
+
+use super::state::NodeHandle;
+use crate::policy::EndpointId;
+use crate::sidecar::admin_state::AdminState;
+use crate::sidecar::upgrade::{Order, ProcessMessage, ProcessNumber};
+use std::collections::BTreeSet;
+use tokio::sync::mpsc;
+
+/// What follows from the end of the process that had taken over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TakeoverEnd {
+    /// Callers are accepted here again.
+    Resumed,
+    /// Callers were accepted here all along.
+    NeverSuspended,
+    /// This process is shutting down itself.
+    ShuttingDown,
+}
+
+impl NodeHandle {
+    /// Adds another process; returns what is to be written to it.
+    pub fn add_process(&self, order: Order) -> (ProcessNumber, mpsc::Receiver<ProcessMessage>) {
+        self.borrow().hot_restart.add(order)
+    }
+
+    /// Returns whether another process still runs.
+    pub fn has_process(&self, number: ProcessNumber) -> bool {
+        self.borrow().hot_restart.contains(number)
+    }
+
+    /// Announces to the old process that this one accepts callers from now on.
+    pub fn announce_serving(&self) {
+        self.borrow()
+            .hot_restart
+            .broadcast(&ProcessMessage::Serving);
+    }
+
+    /// Announces to the other processes that this one shuts down.
+    pub fn announce_shutdown(&self) {
+        self.borrow()
+            .hot_restart
+            .broadcast(&ProcessMessage::Stopping);
+    }
+
+    /// Sends the disabled endpoints to the other processes: a new one has read the file, but perhaps before the last
+    /// change.
+    pub fn send_disabled_endpoints(&self) {
+        let node = self.borrow();
+        for endpoint in node.disabled_endpoints() {
+            let hot_restart = &node.hot_restart;
+            hot_restart.broadcast_admin_state(endpoint, AdminState::Disabled, None);
+        }
+    }
+
+    /// Removes a process that has ended, with the connections that it had. It may have stored a last change without
+    /// sending it on, so that what is stored applies.
+    pub fn process_ended(&self, number: ProcessNumber) {
+        let mut guard = self.borrow();
+        let node = &mut *guard;
+        node.hot_restart.remove(number);
+        node.connections
+            .set_other_process_connections(node.hot_restart.connections());
+        let Some(stored) = node.hot_restart.stored_disabled_endpoints() else {
+            return;
+        };
+        let disabled: BTreeSet<String> = node
+            .disabled_endpoints()
+            .map(|endpoint| endpoint.0.to_string())
+            .collect();
+        drop(guard);
+        for endpoint in disabled.symmetric_difference(&stored) {
+            let state = AdminState::from_disabled(stored.contains(endpoint));
+            if state.is_disabled() || !self.borrow().hot_restart.is_store_behind() {
+                self.apply_admin_state(endpoint.as_str().into(), state);
+            }
+        }
+    }
+
+    /// Accepts callers again after the new process has ended.
+    pub fn takeover_ended(&self) -> TakeoverEnd {
+        let mut node = self.borrow();
+        node.connections.keep_idle();
+        let has_resumed = node.connections.resume_accepting();
+        if node.connections.callers().are_shutting_down() {
+            TakeoverEnd::ShuttingDown
+        } else if has_resumed {
+            TakeoverEnd::Resumed
+        } else {
+            TakeoverEnd::NeverSuspended
+        }
+    }
+
+    /// Handles a message from another process.
+    pub fn receive(&self, origin: ProcessNumber, message: ProcessMessage) {
+        match message {
+            ProcessMessage::Disabled { endpoint, disabled } => {
+                let state = AdminState::from_disabled(disabled);
+                self.receive_admin_state(origin, endpoint.as_str().into(), state);
+            }
+            ProcessMessage::Holds(connections) => {
+                let mut guard = self.borrow();
+                let node = &mut *guard;
+                node.hot_restart.set_connections(origin, connections);
+                node.connections
+                    .set_other_process_connections(node.hot_restart.connections());
+            }
+            ProcessMessage::Serving => {
+                self.borrow().connections.suspend_accepting();
+                log!("callers go over to the process after");
+            }
+            ProcessMessage::Stopping => self.receive_stopping(origin),
+        }
+    }
+
+    /// Accepts callers again where the new process shuts down. The old process's shutdown changes nothing here.
+    fn receive_stopping(&self, origin: ProcessNumber) {
+        let mut node = self.borrow();
+        if node.hot_restart.is_new_process(origin) && node.connections.resume_accepting() {
+            log!("the process after stops; callers are let in here again");
+        }
+    }
+
+    fn receive_admin_state(&self, origin: ProcessNumber, endpoint: EndpointId, state: AdminState) {
+        if self.borrow().admin_state(&endpoint) == state {
+            return;
+        }
+        self.borrow()
+            .hot_restart
+            .broadcast_admin_state(&endpoint, state, Some(origin));
+        self.apply_admin_state(endpoint, state);
+    }
+}
