--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -86,7 +86,7 @@
         let serving = self
             .members
             .iter()
-            .filter(|(_, member)| member.readiness == Readiness::Up);
+            .filter(|(_, member)| member.readiness == Readiness::Serving);
         serving.map(|(endpoint, _)| endpoint)
     }
 
@@ -171,7 +171,7 @@
             .members
             .get(endpoint)
             .is_some_and(|previous| previous.is_same_process(&member));
-        if member.readiness != Readiness::Up || !is_same_process {
+        if member.readiness != Readiness::Serving || !is_same_process {
             stale_endpoints.push(endpoint.clone());
         }
         if member.readiness == Readiness::Removed {
@@ -202,7 +202,7 @@
     /// Returns the latest start of a serving process for each address. `None`, for long ago, is the earliest start.
     fn latest_start_by_address(&self) -> HashMap<SocketAddr, Option<Timestamp>> {
         let mut latest_starts: HashMap<SocketAddr, Option<Timestamp>> = HashMap::new();
-        let is_serving = |member: &&Member| member.readiness == Readiness::Up;
+        let is_serving = |member: &&Member| member.readiness == Readiness::Serving;
         for member in self.members.values().filter(is_serving) {
             let latest = latest_starts.entry(member.address).or_default();
             *latest = (*latest).max(member.started_at);
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -28,14 +28,15 @@
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
             // An agent that pushes lists is followed all the time.
-            Action::Subscribe(_) if self.discovery_mode() == DiscoveryMode::Pushed => {}
-            Action::Subscribe(true) => {
+            Action::Subscribe | Action::Unsubscribe
+                if self.discovery_mode() == DiscoveryMode::Pushed => {}
+            Action::Subscribe => {
                 // A reload may have opened a watch already, and a second one would cost discovery a call.
                 if !self.endpoints.is_followed() {
                     self.follow_discovery(handle);
                 }
             }
-            Action::Subscribe(false) => self.endpoints.unfollow(),
+            Action::Unsubscribe => self.endpoints.unfollow(),
             Action::FetchList => self.fetch_list(handle),
             Action::CloseIdleConnections { endpoint } => self.connections.close_idle(&endpoint),
             Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -39,7 +39,7 @@
             request,
             attempt,
             target,
-            until: timeout.map_or(deadline, |timeout| deadline.min(now + timeout)),
+            deadline: timeout.map_or(deadline, |timeout| deadline.min(now + timeout)),
             forwarded: open_request.forwarded().clone(),
         };
         let task = Task::spawn(endpoint::run_attempt(handle.clone(), spec));
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -1,9 +1,9 @@
 //! The node's connections on both sides, and the descriptor budget that they share.
 
 use crate::policy::{EndpointId, Limits};
-use crate::sidecar::caller::{AcceptedCaller, CallerTable, DrainState};
+use crate::sidecar::caller::{AcceptedCaller, Admission, CallerTable, DrainState};
 use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, Side};
-use crate::sidecar::endpoint::{ConnectionPool, EndpointConnection, SweepTask};
+use crate::sidecar::endpoint::{ConnectionPool, EndpointConnection, IdleConnections, SweepTask};
 use crate::task::Task;
 use tokio::time::Instant;
 
@@ -19,11 +19,11 @@
 /// A caller's connection that has been admitted.
 pub struct AdmittedCaller {
     /// Its entry in the table.
-    pub entry: AcceptedCaller,
+    pub accepted: AcceptedCaller,
+    /// Whether its requests are served.
+    pub admission: Admission,
     /// Its share of the descriptor budget.
     pub permit: DescriptorPermit,
-    /// The budget is exhausted: requests on it are rejected.
-    pub is_rejected_early: bool,
 }
 
 impl Connections {
@@ -50,16 +50,19 @@
     /// Admits a connection that was just accepted, evicting an idle one where the callers' limit is reached. Where none
     /// is idle, it is admitted to be rejected with an answer; returns `None` where there is no descriptor even for that.
     pub fn admit_caller(&mut self) -> Option<AdmittedCaller> {
-        let is_rejected_early =
-            self.descriptors.is_caller_limit_reached() && !self.evict_for_caller();
-        if is_rejected_early && self.descriptors.is_caller_overcommit_reached() {
+        let admission = if self.descriptors.is_caller_limit_reached() && !self.evict_for_caller() {
+            Admission::RejectedEarly
+        } else {
+            Admission::Accepted
+        };
+        let is_overcommitted = self.descriptors.is_caller_overcommit_reached();
+        if admission == Admission::RejectedEarly && is_overcommitted {
             return None;
         }
-        let permit = self.descriptors.permit(Side::Callers);
         Some(AdmittedCaller {
-            entry: self.callers.add(is_rejected_early),
-            permit,
-            is_rejected_early,
+            accepted: self.callers.add(admission),
+            admission,
+            permit: self.descriptors.permit(Side::Callers),
         })
     }
 
@@ -119,21 +122,21 @@
     /// Another process accepts callers from now on, and needs the descriptors of idle connections more.
     pub fn suspend_accepting(&mut self) {
         self.callers.suspend_accepting();
-        self.pool.set_keeps_idle(false);
+        self.pool.set_idle_connections(IdleConnections::Closed);
     }
 
     /// No other process accepts callers any more. Returns whether this one does so again.
     pub fn resume_accepting(&mut self) -> bool {
         let has_resumed = self.callers.resume_accepting();
         if has_resumed {
-            self.pool.set_keeps_idle(true);
+            self.pool.set_idle_connections(IdleConnections::Pooled);
         }
         has_resumed
     }
 
     /// Keeps idle connections to endpoints again.
     pub fn keep_idle(&mut self) {
-        self.pool.set_keeps_idle(true);
+        self.pool.set_idle_connections(IdleConnections::Pooled);
     }
 
     /// Begins a drain, which a task takes through its further states.
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -48,7 +48,7 @@
             return Ok(());
         }
         let kind = if list.snapshot {
-            ListKind::Snapshot
+            ListKind::Full
         } else {
             ListKind::Changes
         };
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -25,7 +25,7 @@
             .connect_timeout
     }
 
-    fn answer_memory(&self) -> MemoryBudget {
+    fn response_memory(&self) -> MemoryBudget {
         self.borrow().response_memory().clone()
     }
 
@@ -39,7 +39,7 @@
         node.counters.connection_opened();
         Some(ConnectPermit {
             descriptor,
-            attempts: node.metrics.written_attempts(),
+            attempts_written: node.metrics.written_attempts(),
         })
     }
 
@@ -66,7 +66,7 @@
         open_request.is_unanswered()
             && open_request.is_in_flight(spec.attempt)
             && node.takes_work(&spec.target)
-            && node.clock.now() < spec.until
+            && node.clock.now() < spec.deadline
     }
 
     /// The first attempt that is served is the request's final answer.
@@ -110,8 +110,8 @@
         let open_request = self.requests.get_mut(&spec.request)?;
         let sent_at = open_request.end_attempt(spec.attempt)?;
         open_request.set_last_outcome(result.outcome);
-        if let Some(answer) = result.answer {
-            self.answer(&spec.request, FinalAnswer::Served(answer));
+        if let Some(response) = result.response {
+            self.answer(&spec.request, FinalAnswer::Served(response));
         }
         let sent_at = self.started_at(spec).map_or(sent_at, |at| at.max(sent_at));
         Some(self.attempt_end(
--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -123,7 +123,7 @@
     pub fn is_serving(&self, target: &Target) -> bool {
         let member = self.subscription.membership().get(&target.endpoint);
         member.is_some_and(|member| {
-            member.readiness == Readiness::Up
+            member.readiness == Readiness::Serving
                 && member.started_at == target.started_at
                 && member.address == target.address
         })
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -31,7 +31,7 @@
         state: AdminState,
     ) -> Result<(), UnknownEndpoint> {
         let node = self.borrow();
-        if !node.balancer.knows(&endpoint) {
+        if !node.balancer.is_listed_or_disabled(&endpoint) {
             return Err(UnknownEndpoint);
         }
         node.hot_restart
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -82,7 +82,7 @@
         let mut node = self.borrow();
         node.connections.keep_idle();
         let has_resumed = node.connections.resume_accepting();
-        if node.connections.callers().are_shutting_down() {
+        if node.connections.callers().is_shutting_down() {
             TakeoverEnd::ShuttingDown
         } else if has_resumed {
             TakeoverEnd::Resumed
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -265,7 +265,7 @@
     pub fn write_metrics(&self, text: &mut String) {
         let members = MemberCounts {
             listed: self.endpoints.len(),
-            unavailable: self.balancer_status().avoided,
+            unavailable: self.balancer_status().unavailable,
         };
         self.metrics.write(&members, text);
     }
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -27,19 +27,19 @@
         return;
     }
     let BalancerStatus {
-        open,
+        pending,
         queued,
         in_flight,
         clear,
         gapping,
         discarding,
-        informed,
-        avoided,
+        current_states,
+        unavailable,
     } = status;
     log!(
-        "counts {counters}; now open={open} queued={queued} in_flight={in_flight} callers={callers} \
+        "counts {counters}; now pending={pending} queued={queued} in_flight={in_flight} callers={callers} \
          connections={endpoints} clear={clear} gapping={gapping} discarding={discarding} \
-         informed={informed} unavailable={avoided}",
+         current_states={current_states} unavailable={unavailable}",
         callers = connections.callers,
         endpoints = connections.endpoints,
     );
