--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -2,9 +2,7 @@
 
 use super::super::pending_calls;
 use super::{Incarnation, SidecarHandle, SimulatedSidecar};
-use balancer_sidecar::discovery::{
-    DiscoveryError, EndpointList, ListConsumer, ListOrigin, Source, StaleListError,
-};
+use balancer_sidecar::discovery::{EndpointList, ListConsumer, ListOrigin, Source, StaleListError};
 use balancer_sidecar::policy::{Event, ListKind};
 use std::fmt;
 use std::sync::Arc;
@@ -107,14 +105,14 @@
         tracing::debug!(index = self.borrow().incarnation.index, "{line}");
     }
 
-    fn watch_ended(&self, source: Source, _failure: &DiscoveryError) {
+    fn watch_ended(&self, source: Source) {
         let sidecar = self.borrow();
         sidecar.fleet.counters.count_discovery_failure();
         sidecar.fleet.milestones[sidecar.incarnation.index]
             .record_watch_lost(sidecar.incarnation.restarts, source.generation);
     }
 
-    fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {
+    fn fetch_failed(&self, _source: Source) {
         self.borrow().fleet.counters.count_discovery_failure();
     }
 }
