--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,23 +1,25 @@
-//! Exponential backoff with jitter, for calls that a whole fleet may have to make again at the same time.
+//! Exponential backoff with jitter, for calls that all processes of a fleet may have to repeat at the same time.
 
-/// A pause is at most this many times its mean, and at least as much less than it.
+/// The highest factor that jitter applies to the mean delay; the lowest is as much below 1.
 pub(crate) const MAX_JITTER_FACTOR: f64 = 1.5;
 
-/// Pauses whose mean doubles with each failure in a row.
+/// Delays whose mean doubles with each failure in a row.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExponentialBackoff {
-    /// The mean pause after the first failure, in seconds; also the least mean.
-    pub(crate) first: f64,
-    /// How often the mean doubles.
+    /// The mean delay after the first failure, in seconds; also the lowest mean.
+    pub(crate) initial_mean: f64,
+    /// How often the mean doubles at most.
     pub(crate) max_doublings: u32,
 }
 
 impl ExponentialBackoff {
-    /// The pause in seconds after so many earlier failures in a row. Even with the longest jitter it is not
-    /// over `longest`, where the first mean allows that. `random` is from 0 to 1.
-    pub(crate) fn pause(&self, earlier_failures: u32, longest: f64, random: f64) -> f64 {
-        let doubled = self.first * f64::from(1 << earlier_failures.min(self.max_doublings));
-        let mean = doubled.min(longest / MAX_JITTER_FACTOR).max(self.first);
+    /// Returns the delay in seconds after a number of earlier failures in a row. It does not exceed `max_delay`, as far
+    /// as the initial mean allows that. `random` is from 0 to 1.
+    pub(crate) fn delay(&self, earlier_failures: u32, max_delay: f64, random: f64) -> f64 {
+        let doublings = earlier_failures.min(self.max_doublings);
+        let doubled_mean = self.initial_mean * f64::from(1 << doublings);
+        let max_mean = max_delay / MAX_JITTER_FACTOR;
+        let mean = doubled_mean.min(max_mean).max(self.initial_mean);
         mean * (MAX_JITTER_FACTOR - 1.0 + random)
     }
 }
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -7,7 +7,7 @@
 
 /// The mean delay is 0.3 s after the first failure in a row and doubles twice at most, within [`MAX_DELAY`].
 const FAILURE_BACKOFF: ExponentialBackoff = ExponentialBackoff {
-    first: 0.3,
+    initial_mean: 0.3,
     max_doublings: 2,
 };
 /// The maximum delay: a call that follows an immediate failure can still wait the full [`DISCOVERY_TIMEOUT`] for its
@@ -47,7 +47,7 @@
     /// [`MAX_CALL_INTERVAL`] of the start of the failed one.
     pub fn delay_after(&mut self, call_duration: Duration) -> Duration {
         let max_delay = MAX_DELAY.min(MAX_CALL_INTERVAL.saturating_sub(call_duration));
-        let delay = FAILURE_BACKOFF.pause(
+        let delay = FAILURE_BACKOFF.delay(
             self.consecutive_failures,
             max_delay.as_secs_f64(),
             self.random.unit(),
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,70 +1,70 @@
-//! What an instance has its host do.
+//! What a balancer has its host do.
 
 use super::id::{AttemptNumber, EndpointId, PeerId, RequestId};
 use super::time::Timestamp;
 use std::time::Duration;
 
-/// What an instance may have its host do.
+/// What a balancer has its host do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send an attempt.
     Send {
-        /// For which request.
+        /// The request.
         request: RequestId,
-        /// To which endpoint.
+        /// The endpoint that it is sent to.
         endpoint: EndpointId,
-        /// Until when to wait; `None` is until the client gives up.
+        /// How long to wait for the answer; `None` is until the request's deadline.
         timeout: Option<Duration>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Of which request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Final: not served, and trying again does no harm.
+    /// Give the final answer to a request that was not served, where trying again is harmless.
     Reject {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// How long to keep away.
+        /// When the client is to come back at the earliest.
         retry_after: Option<Duration>,
     },
-    /// Final: not served, with no promise.
+    /// Give the final answer to a request that was not served and may have run.
     Fail {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// Have an [`Event::Timer`](super::Event::Timer) at or after a point in time.
+    /// Return an [`Event::Timer`](super::Event::Timer) at or after a point in time.
     SetTimer {
-        /// When.
+        /// When the timer expires.
         at: Timestamp,
-        /// Comes back with the event.
+        /// The token that the event is to carry.
         token: u64,
     },
     /// Open a watch on the endpoint list, unless one is open.
     Subscribe,
     /// End the watch on the endpoint list.
     Unsubscribe,
-    /// Ask for the whole list once.
+    /// Fetch the full endpoint list once.
     FetchList,
-    /// Check an endpoint.
+    /// Send a health check.
     HealthCheck {
-        /// Which.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Close idle connections to an endpoint.
+    /// Close idle connections.
     CloseIdleConnections {
-        /// Which.
+        /// The endpoint of the connections.
         endpoint: EndpointId,
     },
-    /// Send at most 256 bytes to one instance of the tier, or to all.
+    /// Send at most 256 bytes to other balancers of the tier.
     SendPeerMessage {
-        /// To whom; `None` is all.
+        /// The receiver; `None` is all balancers.
         to: Option<PeerId>,
-        /// What.
+        /// The message.
         data: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a new request is sent, held or refused at once, and how long it is worth holding.
+//! Whether a new request is sent, queued or rejected at once, and how long it may be queued.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -8,39 +8,40 @@
 use super::time::{Timestamp, duration_from_seconds};
 use std::time::Duration;
 
-/// Less time left than this part of the expected answer time is nearly out of time.
+/// A request is rejected at once if its time left is less than this fraction of its answer time estimate.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.5;
 
-/// What a request's time is good for.
+/// The time that a new request has left.
 struct TimeLeft {
-    /// An answer after this earns nothing.
+    /// An answer after this has no value.
     useful: Duration,
-    /// It may wait so long for its send.
+    /// The request may be queued for this long.
     max_queue_time: Duration,
+    /// Hardly any answer would come in time.
     is_too_late: bool,
 }
 
 impl Balancer {
-    /// Sends, holds or refuses a new request.
+    /// Sends, queues or rejects a new request.
     pub(super) fn admit(
         &mut self,
         now: Timestamp,
         mut request: Request,
         actions: &mut Vec<Action>,
     ) {
-        // A key is kept only for its order.
+        // Only classes in key order use the key.
         request
             .key
             .take_if(|_| !self.settings.classes[request.class.0].is_key_ordered);
-        let rate_fade = self.arrival_rate.count(now);
-        self.retry_budget.earn(RETRIES_PER_REQUEST);
+        let rate_decay = self.arrival_rate.add(now);
+        self.budgets.retries.earn(RETRIES_PER_REQUEST);
         self.earn_health_checks();
-        let level = self.level(&request, rate_fade);
+        let level = self.priority_level(&request, rate_decay);
         self.grow_subset(now);
         let id = request.id.clone();
         let time = self.time_left(now, &request);
-        let mut pending =
-            PendingRequest::new(request, level, now + time.useful, now + time.max_queue_time);
+        let queue_deadline = now + time.max_queue_time;
+        let mut pending = PendingRequest::new(request, level, now + time.useful, queue_deadline);
         if time.is_too_late {
             return self.reject_or_fail(now, &mut pending, actions);
         }
@@ -56,16 +57,16 @@
 
     fn time_left(&self, now: Timestamp, request: &Request) -> TimeLeft {
         let class = &self.settings.classes[request.class.0];
-        let left = request.deadline.since(now);
+        let until_deadline = request.deadline.since(now);
         let expected = self.expected_time(request);
         let hinted = request.cost_hint.unwrap_or_default().as_secs_f64();
         let objective = class.objective + duration_from_seconds(hinted * class.objective_per_work);
         let useful = if class.late_value > 0.0 {
-            left
+            until_deadline
         } else {
-            left.min(objective)
+            until_deadline.min(objective)
         };
-        // A late answer earns less: held that long, requests would make fresh ones late in turn.
+        // A late answer has less value, and requests that are queued longer would make new ones late in turn.
         let max_queue_time = useful.min(objective).saturating_sub(expected);
         TimeLeft {
             useful,
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -1,5 +1,4 @@
-//! What the end of an attempt means: for its request, a retry or the final answer; for its endpoint, news of
-//! its state.
+//! What follows from the end of an attempt: a retry or the final answer, and what it shows of the endpoint.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -8,12 +7,12 @@
 use super::pending::{AttemptState, PendingRequest};
 use super::time::Timestamp;
 
-/// A time-out is held against its endpoint from this multiple of the expected time on: a request that came
-/// nearly out of time proves nothing.
+/// A time-out counts against its endpoint if the attempt lasted at least this multiple of the expected time: a shorter
+/// one only shows that the request had little time left.
 const MIN_COUNTED_TIMEOUT_MULTIPLE: f64 = 2.0;
 
 impl Balancer {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(super) fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -27,14 +26,11 @@
         let Some(attempt) = attempt.filter(|a| a.state == AttemptState::InFlight) else {
             return self.retain_while_pending(pending);
         };
-        let proves_not_run = ended.outcome.proves_not_run();
-        attempt.state = if proves_not_run {
-            AttemptState::NotRun
-        } else {
-            AttemptState::MayHaveRun
-        };
+        attempt.state = AttemptState::after(ended.outcome);
         let index = attempt.endpoint;
-        self.end_in_flight(index, &pending, ended.outcome);
+        let deadline = pending.request.deadline;
+        self.in_flight
+            .end(&mut self.endpoints, index, ended.outcome, deadline);
         self.close_idle_if_draining(index, actions);
         self.start_key_cooldown(now, &pending, ended.outcome);
         self.record_outcome(now, index, &pending.request, ended);
@@ -48,15 +44,15 @@
         self.retain_while_pending(pending);
     }
 
-    /// Has the request's key rest, where the attempt may run on.
+    /// Starts the cool-down of the request's key after an attempt that may still run.
     fn start_key_cooldown(&mut self, now: Timestamp, pending: &PendingRequest, outcome: Outcome) {
-        let may_run_on = matches!(
+        let may_still_run = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
-        let pause = self.settings.rules.key_cooldown.filter(|_| may_run_on);
-        if let (Some(pause), Some(key)) = (pause, &pending.request.key) {
-            self.key_order.start_cooldown(key, now + pause);
+        let cooldown = self.settings.rules.key_cooldown.filter(|_| may_still_run);
+        if let (Some(cooldown), Some(key)) = (cooldown, &pending.request.key) {
+            self.key_order.start_cooldown(key, now + cooldown);
         }
     }
 
@@ -67,18 +63,18 @@
         actions: &mut Vec<Action>,
     ) {
         let is_in_time = pending.useful_until.since(now) > self.expected_time(&pending.request);
-        let may_retry = self.retry_budget.has_token() && is_in_time;
+        let may_retry = self.budgets.retries.has_token() && is_in_time;
         if !may_retry || self.retry_scope(now, pending).is_none() {
             return self.reject_or_fail(now, pending, actions);
         }
-        self.retry_budget.spend();
+        self.budgets.retries.spend();
         if !self.try_send(now, pending, actions) {
             pending.queue_deadline = pending.queue_deadline.max(now + self.settings.tick);
             self.queued.push(pending);
         }
     }
 
-    /// What the end says of the endpoint.
+    /// Updates the endpoint's failures, answer times and overload state.
     fn record_outcome(
         &mut self,
         now: Timestamp,
@@ -86,30 +82,31 @@
         request: &Request,
         ended: &AttemptEnd,
     ) {
-        let min_counted_timeout = self
-            .expected_time(request)
-            .mul_f64(MIN_COUNTED_TIMEOUT_MULTIPLE);
+        let expected_time = self.expected_time(request);
+        let min_counted_timeout = expected_time.mul_f64(MIN_COUNTED_TIMEOUT_MULTIPLE);
         match ended.outcome {
             Outcome::TimedOut if ended.took < min_counted_timeout => return,
             Outcome::Cancelled | Outcome::NotSent => return,
             _ => self.count_failure(now, index, request, ended),
         }
         if ended.outcome == Outcome::Error {
-            return; // it is quick, and may come from the tier below: it says nothing of the queue
+            return; // errors come quickly and may come from the next tier, so they show nothing of the queue
         }
         if ended.outcome == Outcome::Served {
             self.record_answer_time(index, request, ended);
         }
         let reported = ended.report.as_ref().map(Self::reported_queue_length);
-        // A broken connection or answer is a failure, and says nothing of the queue either.
-        let implies_queue = matches!(ended.outcome, Outcome::Rejected | Outcome::TimedOut);
-        let implied_queue_length = implies_queue.then_some(self.thresholds.highest_onset());
-        if let Some(queue_length) = reported
-            .into_iter()
-            .chain(implied_queue_length)
-            .reduce(f64::max)
-        {
+        let implied = self.implied_queue_length(ended.outcome);
+        let queue_length = reported.into_iter().chain(implied).reduce(f64::max);
+        if let Some(queue_length) = queue_length {
             self.update_overload_state(now, index, queue_length);
         }
     }
+
+    /// Returns the queue length that an outcome implies: rejections and time-outs show a queue, while a failed or broken
+    /// connection or a malformed answer does not.
+    pub(super) fn implied_queue_length(&self, outcome: Outcome) -> Option<f64> {
+        let implies_queue = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
+        implies_queue.then_some(self.thresholds.highest_onset())
+    }
 }
--- a/src/policy/class.rs
+++ b/src/policy/class.rs
@@ -1,25 +1,44 @@
-//! What an instance keeps of each class. No decision is made here.
+//! The state that a balancer keeps of each request class.
 
+use super::class_settings::Class;
 use super::time::Timestamp;
 
-/// A class's worth level and answer times.
-#[derive(Clone, Default)]
+/// The answer time assumed of a class before any answer, as a fraction of its latency objective.
+pub(super) const INITIAL_ESTIMATE_FRACTION: f64 = 0.1;
+
+/// A class's priority level and answer times.
+#[derive(Clone, Debug)]
 pub(super) struct ClassState {
-    /// Since when it is no longer in the settings; requests under way keep it.
+    /// When it was removed from the settings; pending requests keep a removed class.
     pub(super) retired_at: Option<Timestamp>,
     pub(super) level: usize,
-    /// Mean answer time in seconds, of a request of mean cost.
+    /// The answer time estimate in seconds, for a request of mean cost.
     pub(super) estimated_time: f64,
-    /// Mean answer time over many answers, whose least value is the unloaded time.
+    /// The mean answer time over many answers; its minimum is the unloaded time.
     pub(super) long_term_mean_time: f64,
-    /// The unloaded answer time in seconds; 0 while it is not known.
+    /// The unloaded answer time in seconds; 0 before it is known.
     pub(super) unloaded_time: f64,
     pub(super) answers: u32,
     pub(super) hints: HintRegression,
 }
 
-/// How answer times go with the cost hints of requests: a running linear regression.
-#[derive(Clone, Default)]
+impl ClassState {
+    /// Creates the state of a class that has no answers yet.
+    pub(super) fn new(class: &Class) -> Self {
+        ClassState {
+            retired_at: None,
+            level: 0,
+            estimated_time: class.objective.as_secs_f64() * INITIAL_ESTIMATE_FRACTION,
+            long_term_mean_time: 0.0,
+            unloaded_time: 0.0,
+            answers: 0,
+            hints: HintRegression::default(),
+        }
+    }
+}
+
+/// A running linear regression of answer times on the cost hints of requests.
+#[derive(Clone, Debug, Default)]
 pub(super) struct HintRegression {
     pub(super) mean_hint: f64,
     pub(super) mean_time: f64,
@@ -28,13 +47,13 @@
 }
 
 impl HintRegression {
-    /// How much longer an answer takes, in seconds, for each second more in its hint.
+    /// Returns the additional answer time, in seconds, for each additional second of the hint.
     pub(super) fn slope(&self) -> f64 {
         (self.covariance / self.hint_variance.max(f64::MIN_POSITIVE)).max(0.0)
     }
 
-    /// Counts one more answer, with its weight in the means and in the variances.
-    pub(super) fn count(&mut self, hint: f64, time: f64, mean_weight: f64, variance_weight: f64) {
+    /// Adds one answer, with its weights in the means and in the variances.
+    pub(super) fn add(&mut self, hint: f64, time: f64, mean_weight: f64, variance_weight: f64) {
         let hint_deviation = hint - self.mean_hint;
         let time_deviation = time - self.mean_time;
         self.hint_variance +=
--- /dev/null
+++ b/src/policy/class_settings.rs
@@ -0,0 +1,88 @@
+//! The settings of request classes and tenants.
+
+use std::time::Duration;
+
+/// Whether a request may run more than once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Idempotency {
+    /// May run any number of times.
+    Idempotent,
+    /// Repeats with the same key are dropped for a time, by some of the endpoints.
+    Keyed {
+        /// The endpoints that drop each other's repeats.
+        scope: KeyScope,
+        /// For how long repeats are dropped, from the send of the first attempt that may have run.
+        window: Duration,
+    },
+    /// Must never run twice.
+    Unsafe,
+}
+
+/// The endpoints that drop each other's repeats of a keyed request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KeyScope {
+    /// All endpoints of the tier.
+    All,
+    /// The endpoints of one zone.
+    Zone,
+    /// The endpoints of one group.
+    Group,
+}
+
+/// A request class: requests with one deadline, objective, priority weight and idempotency.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Class {
+    /// Its name at the host.
+    pub name: String,
+    /// The latency objective: an answer within it has full value.
+    pub objective: Duration,
+    /// The objective is extended by this multiple of the request's cost hint.
+    pub objective_per_work: f64,
+    /// How long a client waits for an answer.
+    pub deadline: Duration,
+    /// The value of one request; orders the classes by priority.
+    pub priority_weight: f64,
+    /// The fraction of its value that an answer after the objective keeps.
+    pub late_value: f64,
+    /// Whether a request may run more than once.
+    pub idempotency: Idempotency,
+    /// Whether the answer is streamed.
+    pub stream: bool,
+    /// Whether requests with the same key are sent one at a time, in order of arrival at this balancer.
+    pub is_key_ordered: bool,
+}
+
+impl Class {
+    /// Creates a class without late value, streaming and key order; set the other fields as needed.
+    #[must_use]
+    pub fn new(
+        name: &str,
+        priority_weight: f64,
+        idempotency: Idempotency,
+        objective: Duration,
+        deadline: Duration,
+    ) -> Self {
+        Class {
+            name: name.into(),
+            objective,
+            objective_per_work: 0.0,
+            deadline,
+            priority_weight,
+            late_value: 0.0,
+            idempotency,
+            stream: false,
+            is_key_ordered: false,
+        }
+    }
+}
+
+/// A tenant with an agreed quota.
+#[derive(Clone, Debug)]
+pub struct Tenant {
+    /// Its name at the host.
+    pub name: String,
+    /// The fraction of the service that it has agreed.
+    pub quota_share: f64,
+    /// The requests a second within that fraction, over all balancers.
+    pub quota_per_s: f64,
+}
--- a/src/policy/class_table.rs
+++ b/src/policy/class_table.rs
@@ -1,59 +1,57 @@
-//! The ids of classes while settings change. No decision is made here.
+//! The ids of classes while settings change.
 
 use super::balancer::Balancer;
 use super::class::ClassState;
-use super::endpoint::FailureShare;
+use super::class_settings::Class;
 use super::id::ClassId;
-use super::settings::Class;
 use super::time::Timestamp;
 use std::collections::HashSet;
 use std::time::Duration;
 
+/// The id of a class that was removed from the settings is not reused for this long, as the host may still hand in
+/// requests of that class.
+const RETIRED_CLASS_RETENTION: Duration = Duration::from_secs(60);
+
 impl Balancer {
-    /// The id of a class: its own, if the table has just that, else one that no request has and that left the
-    /// settings at least `reuse_after` ago, or a new one. What is known of a class of its name is kept, else
-    /// its usual answer time is `initial_estimate`.
-    pub(super) fn place_class(
-        &mut self,
-        now: Timestamp,
-        class: Class,
-        initial_estimate: f64,
-        reuse_after: Duration,
-    ) -> ClassId {
-        let table = &mut self.settings.classes;
-        if let Some(position) = table.iter().position(|c| *c == class) {
+    /// Returns the id of a class of new settings: its present id if the class is unchanged, else an unused id. A
+    /// changed class starts with the answer times of the earlier class of its name.
+    pub(super) fn assign_class_id(&mut self, now: Timestamp, class: Class) -> ClassId {
+        let table = &self.settings.classes;
+        if let Some(position) = table.iter().position(|other| *other == class) {
             self.classes[position].retired_at = None;
             return ClassId(position);
         }
-        let namesake = table.iter().rposition(|c| c.name == class.name);
-        let fresh = || ClassState {
-            estimated_time: initial_estimate,
-            ..ClassState::default()
-        };
-        let state = namesake.map_or_else(fresh, |position| self.classes[position].clone());
-        let state = ClassState {
-            retired_at: None,
-            ..state
-        };
-        let in_use: HashSet<usize> = self.requests.values().map(|p| p.request.class.0).collect();
-        let is_reusable = |position: &usize| {
-            let retired_at = self.classes[*position].retired_at;
-            retired_at.is_some_and(|at| now.since(at) >= reuse_after) && !in_use.contains(position)
-        };
-        let position = (0..table.len()).find(is_reusable).unwrap_or(table.len());
-        if position == table.len() {
-            table.push(class);
+        let namesake = table.iter().rposition(|other| other.name == class.name);
+        let state = namesake.map_or_else(
+            || ClassState::new(&class),
+            |position| ClassState {
+                retired_at: None,
+                ..self.classes[position].clone()
+            },
+        );
+        let position = self.unused_class_position(now);
+        if position == self.classes.len() {
+            self.settings.classes.push(class);
             self.classes.push(state);
-            self.endpoints
-                .iter_mut()
-                .for_each(|index| index.failures.push(FailureShare::default()));
         } else {
-            table[position] = class;
+            self.settings.classes[position] = class;
             self.classes[position] = state;
-            self.endpoints
-                .iter_mut()
-                .for_each(|index| index.failures[position] = FailureShare::default());
+        }
+        for endpoint in self.endpoints.iter_mut() {
+            endpoint.reset_failures(position);
         }
         ClassId(position)
     }
+
+    /// Returns the position of a class that was retired long ago and that no request has, or the table's end.
+    fn unused_class_position(&self, now: Timestamp) -> usize {
+        let in_use: HashSet<usize> = self.requests.values().map(|p| p.request.class.0).collect();
+        let is_reusable = |position: &usize| {
+            let retired_at = self.classes[*position].retired_at;
+            retired_at.is_some_and(|at| now.since(at) >= RETIRED_CLASS_RETENTION)
+                && !in_use.contains(position)
+        };
+        let table_length = self.classes.len();
+        (0..table_length).find(is_reusable).unwrap_or(table_length)
+    }
 }
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -5,59 +5,53 @@
 use crate::backoff::ExponentialBackoff;
 use std::time::Duration;
 
-/// A change of the list is in force at the latest this long after discovery had it and could be reached.
+/// The longest time from a change of the list at a reachable discovery until the change is in force.
 pub const CHANGE_PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
-/// A call of discovery begins within this of the one that failed before it: discovery may have come back just
-/// after that one began, and the new call takes its part of the time that is left.
+/// The longest time from the start of a failed call of discovery to the start of the next. Discovery may have recovered
+/// just after the failed call began, and the next call needs a part of the time that remains.
 pub const MAX_CALL_INTERVAL: Duration =
     CHANGE_PROPAGATION_DEADLINE.saturating_sub(Duration::from_secs(1));
-/// A call of discovery that is not answered for this long has failed, and a watch that is silent for as long
-/// is lost: two of its heartbeats of 2 s, and a little.
+/// A call of discovery fails after this time without an answer, and a watch is lost after this time without data: two of
+/// its heartbeats, which come every 2 s, and a margin.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(4_200);
 
-/// However long an instance may go without asking, a lost watch is asked for again as if it were this: what
-/// it misses counts as told 6 s after it fell silent, most of which have passed when that is noticed.
+/// The longest poll interval that the backoff is derived from. A lost watch is opened again soon however long the poll
+/// interval is: a change counts as received 6 s after the watch fell silent, most of which have passed when that is noticed.
 const MAX_BACKOFF_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// Mean wait after the first failed call, as a part of the time that an instance may go without asking.
-const FIRST_BACKOFF_FRACTION: f64 = 0.05;
+/// The mean delay after the first failed call, as a fraction of the poll interval.
+const INITIAL_BACKOFF_FRACTION: f64 = 0.05;
 const MAX_DOUBLINGS: u32 = 4;
-/// A cached list is checked within this part of that time.
-const CACHED_LIST_CHECK: f64 = 0.25;
+/// A cached list is checked within this fraction of the poll interval.
+const CACHED_LIST_CHECK_FRACTION: f64 = 0.25;
 
 impl Balancer {
-    /// Puts off the next call with backoff: all instances lose their watches together; asking at once and in
-    /// step would keep them lost. The mean doubles with each failure in a row, as far as the next call still
-    /// begins in time after the failure before.
+    /// Delays the next call with backoff: all balancers lose their watches at the same time, and calls at once and in
+    /// step would fail again. The mean doubles with each failure in a row, as far as [`MAX_CALL_INTERVAL`] allows.
     pub(super) fn discovery_failed(&mut self, now: Timestamp) {
-        let within = self
+        let poll_interval = self
             .settings
             .rules
             .poll_interval
-            .min(MAX_BACKOFF_POLL_INTERVAL)
-            .as_secs_f64();
+            .min(MAX_BACKOFF_POLL_INTERVAL);
         let backoff = ExponentialBackoff {
-            first: within * FIRST_BACKOFF_FRACTION,
+            initial_mean: poll_interval.as_secs_f64() * INITIAL_BACKOFF_FRACTION,
             max_doublings: MAX_DOUBLINGS,
         };
         let schedule = &mut self.discovery_schedule;
         let since_last_failure = now.since(schedule.last_failure);
-        let longest = MAX_CALL_INTERVAL
+        let max_delay = MAX_CALL_INTERVAL
             .saturating_sub(since_last_failure)
             .as_secs_f64();
-        let pause = backoff.pause(schedule.failures_in_row, longest, self.random.unit());
-        schedule.next_call = Some(now + duration_from_seconds(pause));
+        let delay = backoff.delay(schedule.failures_in_row, max_delay, self.random.unit());
+        schedule.next_call = Some(now + duration_from_seconds(delay));
         schedule.last_failure = now;
         schedule.failures_in_row = schedule.failures_in_row.saturating_add(1);
     }
 
-    /// Has a cached list checked soon, at a time drawn at random, lest a fleet that starts together asks
-    /// together.
+    /// Schedules a check of a cached list at a random time, so that balancers that start together do not call together.
     pub(super) fn check_cached_list(&mut self, now: Timestamp) {
-        let within = self
-            .settings
-            .rules
-            .poll_interval
-            .mul_f64(CACHED_LIST_CHECK * self.random.unit());
-        self.discovery_schedule.next_call = Some(now + within);
+        let fraction = CACHED_LIST_CHECK_FRACTION * self.random.unit();
+        let delay = self.settings.rules.poll_interval.mul_f64(fraction);
+        self.discovery_schedule.next_call = Some(now + delay);
     }
 }
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,11 +1,11 @@
-//! The calls of discovery that failed, and the next one. No decision is made here.
+//! The failed calls of discovery, and the next call. No decision is made here.
 
 use super::time::Timestamp;
 
-/// The calls of discovery that failed, and the next one.
-#[derive(Default)]
+/// When discovery was last called without success, and when it is called next.
+#[derive(Debug, Default)]
 pub(super) struct DiscoverySchedule {
-    /// When the module asks for a watch.
+    /// When the balancer opens a watch again.
     pub(super) next_call: Option<Timestamp>,
     /// When the last call failed; the next one, which the host may make by itself, begins after it.
     pub(super) last_failure: Timestamp,
@@ -13,11 +13,12 @@
 }
 
 impl DiscoverySchedule {
+    /// Resets the failures after a successful call.
     pub(super) fn succeeded(&mut self) {
         self.failures_in_row = 0;
     }
 
-    /// Whether the next call is due, which it then no longer is.
+    /// Returns whether the next call is due, and removes it if it is.
     pub(super) fn take_due(&mut self, now: Timestamp) -> bool {
         self.next_call.take_if(|at| *at <= now).is_some()
     }
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -1,14 +1,24 @@
-//! What an instance keeps of each endpoint. No decision is made here.
+//! The state that a balancer keeps of each endpoint. No decision is made here.
 
-use super::event::EndpointEntry;
+use super::event::{EndpointEntry, Readiness};
 use super::id::{EndpointId, GroupId, ZoneId};
 use super::time::Timestamp;
 use std::time::Duration;
 
-/// An endpoint's place in the instance's table.
+/// An endpoint's index in the balancer's [table](super::endpoint_table::EndpointTable).
 pub(super) type EndpointIndex = usize;
 
+/// Whether requests to an endpoint cross between zones at a considerable price.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Locality {
+    /// It is in the balancer's zone, or crossings cost little.
+    Local,
+    /// It is in another zone, and crossings are costly.
+    Remote,
+}
+
 /// One endpoint, listed or with attempts still in flight.
+#[derive(Debug)]
 pub(super) struct Endpoint {
     pub(super) id: EndpointId,
     pub(super) zone: ZoneId,
@@ -22,41 +32,40 @@
     /// The list names it.
     pub(super) is_listed: bool,
     pub(super) started_at: Option<Timestamp>,
-    /// When the operators last enabled it: it may have restarted meanwhile, and the list tells of that late.
+    /// When the operators last enabled it. It may have restarted while it was disabled, which the list shows late.
     pub(super) enabled_at: Option<Timestamp>,
-    /// It gets its first send as soon as it can take one.
+    /// Its first request is sent as soon as it can take one.
     pub(super) awaits_first_send: bool,
     pub(super) in_subset: bool,
-    /// It is in another zone, and crossing zones is priced.
-    pub(super) is_remote: bool,
-    /// Own attempts.
+    pub(super) locality: Locality,
+    /// This balancer's attempts in flight there.
     pub(super) in_flight: u32,
-    /// Queue length as last judged.
+    /// The queue length at the last update of the overload state.
     pub(super) queue_length: f64,
-    /// Answer time over the least usual one, a mean.
+    /// The mean slowdown.
     pub(super) slowdown: f64,
-    /// Worth levels that are held to the gap, from the lowest.
+    /// The number of gapping priority levels, from the lowest.
     pub(super) gapping_levels: usize,
-    /// Worth levels that are discarded, from the lowest.
+    /// The number of discarding priority levels, from the lowest.
     pub(super) discarding_levels: usize,
-    /// When the judged state lapses.
+    /// When the overload state expires.
     pub(super) state_expires: Timestamp,
     pub(super) last_send: Timestamp,
-    /// When the gap after the last send is over.
+    /// When the gap after the last send ends.
     pub(super) gap_ends_at: Timestamp,
-    /// The reading of the cold ramp's clock from which on it may be sent to while cold.
+    /// The reading of the slow start clock from which on it may be sent a request while it is warming up.
     pub(super) slow_start_slot: f64,
-    /// Not to be probed before.
+    /// The time of the next health check at the earliest.
     pub(super) next_health_check: Timestamp,
-    /// For each class.
-    pub(super) failures: Vec<FailureShare>,
+    /// The recent failures of each class.
+    pub(super) failures: Vec<FailureRate>,
     /// When it last served a request that must not run twice, if it has failed none since.
     pub(super) unsafe_served_at: Option<Timestamp>,
 }
 
 impl Endpoint {
-    /// An endpoint just heard of: clear, healthy, not yet usable.
-    pub(super) fn new(entry: &EndpointEntry, classes: usize) -> Self {
+    /// Creates an endpoint that is clear and healthy, and takes no work yet.
+    pub(super) fn new(entry: &EndpointEntry, class_count: usize) -> Self {
         Endpoint {
             id: entry.endpoint.clone(),
             zone: entry.zone.clone(),
@@ -70,7 +79,7 @@
             enabled_at: None,
             awaits_first_send: false,
             in_subset: false,
-            is_remote: false,
+            locality: Locality::Local,
             in_flight: 0,
             queue_length: 0.0,
             slowdown: 1.0,
@@ -81,61 +90,94 @@
             gap_ends_at: Timestamp::default(),
             slow_start_slot: f64::INFINITY,
             next_health_check: Timestamp::default(),
-            failures: vec![FailureShare::default(); classes],
+            failures: vec![FailureRate::default(); class_count],
             unsafe_served_at: None,
         }
     }
 
-    /// The share of a class that it failed of late, or of the class that it failed most.
-    pub(super) fn failure_share(
-        &self,
-        class: Option<usize>,
-        now: Timestamp,
-        fade: Duration,
-    ) -> f64 {
-        match class {
-            Some(class) => self.failures.get(class).map_or(0.0, |f| f.at(now, fade)),
-            None => self
-                .failures
-                .iter()
-                .map(|f| f.at(now, fade))
-                .fold(0.0, f64::max),
+    /// Applies an entry of an endpoint list.
+    pub(super) fn update(&mut self, entry: &EndpointEntry, is_disabled: bool) {
+        self.is_listed = entry.readiness != Readiness::Removed;
+        self.size = if entry.size > 0.0 { entry.size } else { 1.0 };
+        self.is_serving = entry.readiness == Readiness::Serving;
+        self.is_available = self.is_serving && !is_disabled;
+        // A draining endpoint that was removed from the list still finishes its work.
+        let was_draining = self.is_draining || entry.readiness == Readiness::Draining;
+        self.is_draining = !self.is_serving && was_draining;
+        if self.started_at != entry.started_at {
+            self.restart(entry.started_at);
         }
     }
 
-    /// Its process has started anew, with none of the old one's queue or failures.
+    /// Marks it as absent from a full list.
+    pub(super) fn unlist(&mut self) {
+        self.is_available = false;
+        self.is_serving = false;
+        self.is_listed = false;
+    }
+
+    /// Resets what was learned of the previous process: its queue, slowdown and failures.
     pub(super) fn restart(&mut self, started_at: Option<Timestamp>) {
         self.started_at = started_at;
         self.gapping_levels = 0;
         self.discarding_levels = 0;
         self.slowdown = 1.0;
-        self.failures.fill(FailureShare::default());
+        self.failures.fill(FailureRate::default());
         self.unsafe_served_at = None;
         self.slow_start_slot = f64::INFINITY;
     }
+
+    /// Returns the recent failure rate of a class, or the highest of all classes.
+    pub(super) fn failure_rate(
+        &self,
+        class: Option<usize>,
+        now: Timestamp,
+        time_constant: Duration,
+    ) -> f64 {
+        let rate_of = |failures: &FailureRate| failures.at(now, time_constant);
+        match class {
+            Some(class) => self.failures.get(class).map_or(0.0, rate_of),
+            None => self.failures.iter().map(rate_of).fold(0.0, f64::max),
+        }
+    }
+
+    /// Resets the failures of a class, which may be new.
+    pub(super) fn reset_failures(&mut self, class: usize) {
+        if class >= self.failures.len() {
+            self.failures.resize(class + 1, FailureRate::default());
+        }
+        self.failures[class] = FailureRate::default();
+    }
 }
 
-/// The share of a class's attempts that an endpoint failed of late; it fades.
-#[derive(Clone, Copy, Default)]
-pub(super) struct FailureShare {
-    share: f64,
+/// The fraction of a class's attempts that an endpoint failed recently; it decays.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct FailureRate {
+    rate: f64,
     updated_at: Timestamp,
 }
 
-impl FailureShare {
-    /// What is left of it, where all but a third is forgotten in the time given.
-    fn at(&self, now: Timestamp, fade: Duration) -> f64 {
-        if self.share == 0.0 {
+impl FailureRate {
+    /// Returns the rate after exponential decay with a time constant.
+    fn at(&self, now: Timestamp, time_constant: Duration) -> f64 {
+        if self.rate == 0.0 {
             return 0.0;
         }
-        self.share * (-now.since(self.updated_at).as_secs_f64() / fade.as_secs_f64()).exp()
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.rate * (-elapsed / time_constant.as_secs_f64()).exp()
     }
 
-    /// Counts one more attempt, with its weight.
-    pub(super) fn count(&mut self, now: Timestamp, failed: bool, weight: f64, fade: Duration) {
-        let before = self.at(now, fade);
-        let sample = f64::from(u8::from(failed));
-        self.share = before + (sample - before) * weight;
+    /// Adds one attempt, with its weight in the mean.
+    pub(super) fn add(
+        &mut self,
+        now: Timestamp,
+        has_failed: bool,
+        weight: f64,
+        time_constant: Duration,
+    ) {
+        let decayed = self.at(now, time_constant);
+        let sample = f64::from(u8::from(has_failed));
+        self.rate = decayed + (sample - decayed) * weight;
         self.updated_at = now;
     }
 }
--- /dev/null
+++ b/src/policy/endpoint_sets.rs
@@ -0,0 +1,16 @@
+//! The endpoints that take work, and those among them that the balancer sends to. No decision is made here.
+
+use super::endpoint::EndpointIndex;
+
+/// Available endpoints by locality, and the subset of each.
+#[derive(Debug, Default)]
+pub(super) struct EndpointSets {
+    /// Available endpoints of the balancer's own zone, or of all zones where crossings cost little.
+    pub(super) local: Vec<EndpointIndex>,
+    /// Available endpoints of other zones, where crossings are costly.
+    pub(super) remote: Vec<EndpointIndex>,
+    /// The local endpoints that the balancer sends to.
+    pub(super) subset: Vec<EndpointIndex>,
+    /// The remote endpoints that the balancer sends to when the local ones are throttled.
+    pub(super) remote_subset: Vec<EndpointIndex>,
+}
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -1,81 +1,72 @@
-//! The table of endpoints: the place of each, and which places are free. No decision is made here.
+//! The table of endpoints and their indices. No decision is made here.
 
-use super::action::Action;
-use super::balancer::Balancer;
 use super::endpoint::{Endpoint, EndpointIndex};
 use super::event::{EndpointEntry, Readiness};
 use super::id::EndpointId;
-use std::collections::HashSet;
-
-impl Balancer {
-    /// Takes over one line of a list.
-    pub(super) fn update_endpoint(&mut self, entry: &EndpointEntry, actions: &mut Vec<Action>) {
-        let Some(index) = self.index_of(entry) else {
-            return;
-        };
-        let is_remote = self.is_remote(index);
-        let is_disabled = self.disabled.contains(&entry.endpoint);
-        let endpoint = &mut self.endpoints[index];
-        endpoint.is_listed = entry.readiness != Readiness::Removed;
-        endpoint.size = if entry.size > 0.0 { entry.size } else { 1.0 };
-        endpoint.is_remote = is_remote;
-        endpoint.is_serving = entry.readiness == Readiness::Serving;
-        endpoint.is_available = endpoint.is_serving && !is_disabled;
-        // One that has left the list may finish what it drained with all the same.
-        let was_draining = endpoint.is_draining || entry.readiness == Readiness::Draining;
-        endpoint.is_draining = !endpoint.is_serving && was_draining;
-        if endpoint.started_at != entry.started_at {
-            endpoint.restart(entry.started_at);
-        }
-        self.close_idle_if_draining(index, actions);
+use std::collections::{HashMap, HashSet};
+use std::ops::{Index, IndexMut, Range};
+
+/// Endpoints that are listed or have attempts in flight, and the endpoints that operators have disabled.
+///
+/// An index stays valid while its endpoint is in the table; it is reused after the endpoint was removed.
+#[derive(Debug, Default)]
+pub(super) struct EndpointTable {
+    endpoints: Vec<Endpoint>,
+    indices_by_id: HashMap<EndpointId, EndpointIndex>,
+    /// Indices of removed endpoints, to be reused.
+    free_indices: Vec<EndpointIndex>,
+    /// Disabled endpoints; some may not be listed now.
+    disabled: HashSet<EndpointId>,
+}
+
+impl EndpointTable {
+    /// Returns the index of an endpoint that is in the table.
+    pub(super) fn index_of(&self, id: &EndpointId) -> Option<EndpointIndex> {
+        self.indices_by_id.get(id).copied()
     }
 
-    /// The place of a listed endpoint, a new one where it is not known yet.
-    fn index_of(&mut self, entry: &EndpointEntry) -> Option<EndpointIndex> {
-        if let Some(index) = self.indices_by_id.get(&entry.endpoint) {
-            return Some(*index);
+    /// Returns the number of endpoints in the table.
+    pub(super) fn len(&self) -> usize {
+        self.indices_by_id.len()
+    }
+
+    /// Returns the index of a list entry's endpoint, which is added if it is new and not removed.
+    pub(super) fn find_or_insert(
+        &mut self,
+        entry: &EndpointEntry,
+        class_count: usize,
+    ) -> Option<EndpointIndex> {
+        if let Some(index) = self.index_of(&entry.endpoint) {
+            return Some(index);
         }
         if entry.readiness == Readiness::Removed {
             return None;
         }
-        let new = Endpoint::new(entry, self.classes.len());
-        let index = match self.free_indices.pop() {
-            Some(index) => {
-                self.endpoints[index] = new;
-                index
-            }
-            None => {
-                self.endpoints.push(new);
-                self.endpoints.len() - 1
-            }
-        };
+        let index = self.insert(Endpoint::new(entry, class_count));
         self.indices_by_id.insert(entry.endpoint.clone(), index);
         Some(index)
     }
 
-    /// Frees the places of endpoints that have left the list, for new ones: where endpoints are replaced all
-    /// day, they would add up. A place stays for as long as an attempt names it.
-    pub(super) fn forget_unlisted(&mut self) {
-        if self.indices_by_id.len()
-            == self
-                .endpoints
-                .iter()
-                .filter(|index| index.is_listed)
-                .count()
-        {
-            return;
+    fn insert(&mut self, endpoint: Endpoint) -> EndpointIndex {
+        if let Some(index) = self.free_indices.pop() {
+            self.endpoints[index] = endpoint;
+            return index;
         }
-        let in_flight = self
-            .requests
-            .values()
-            .flat_map(|p| &p.attempts)
-            .map(|a| a.endpoint);
-        let deadline_exceeded = self.timed_out_attempts.iter().map(|(_, index)| *index);
-        let in_use: HashSet<EndpointIndex> = in_flight.chain(deadline_exceeded).collect();
-        for index in 0..self.endpoints.len() {
-            let endpoint = &self.endpoints[index];
-            let is_forgotten = self.indices_by_id.get(&endpoint.id) != Some(&index);
-            if endpoint.is_listed || in_use.contains(&index) || is_forgotten {
+        self.endpoints.push(endpoint);
+        self.endpoints.len() - 1
+    }
+
+    /// Returns whether the table has an endpoint that the list no longer names.
+    pub(super) fn has_unlisted(&self) -> bool {
+        let listed = self.endpoints.iter().filter(|endpoint| endpoint.is_listed);
+        self.len() != listed.count()
+    }
+
+    /// Removes the endpoints that the list no longer names, unless an attempt still refers to them.
+    pub(super) fn remove_unlisted(&mut self, in_use: &HashSet<EndpointIndex>) {
+        for (index, endpoint) in self.endpoints.iter().enumerate() {
+            let is_removed = self.indices_by_id.get(&endpoint.id) != Some(&index);
+            if endpoint.is_listed || in_use.contains(&index) || is_removed {
                 continue;
             }
             self.indices_by_id.remove(&endpoint.id);
@@ -83,23 +74,54 @@
         }
     }
 
-    /// Whether the operators have disabled an endpoint.
-    #[must_use]
-    pub fn is_disabled(&self, endpoint: &EndpointId) -> bool {
-        self.disabled.contains(endpoint)
+    /// Marks an endpoint as disabled, whether it is listed or not.
+    pub(super) fn disable(&mut self, id: EndpointId) {
+        self.disabled.insert(id);
+    }
+
+    /// Marks an endpoint as enabled; returns whether it was disabled.
+    pub(super) fn enable(&mut self, id: &EndpointId) -> bool {
+        self.disabled.remove(id)
     }
 
-    /// Whether an endpoint is listed, or disabled by the operators.
-    #[must_use]
-    pub fn is_listed_or_disabled(&self, endpoint: &EndpointId) -> bool {
-        let place = self.indices_by_id.get(endpoint);
-        place.is_some_and(|index| self.endpoints[*index].is_listed) || self.is_disabled(endpoint)
+    /// Returns whether an endpoint is disabled.
+    pub(super) fn is_disabled(&self, id: &EndpointId) -> bool {
+        self.disabled.contains(id)
     }
 
-    /// The endpoints that the operators have disabled.
-    pub fn disabled_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
+    /// Returns the disabled endpoints, in no particular order.
+    pub(super) fn disabled(&self) -> impl Iterator<Item = &EndpointId> {
         self.disabled.iter()
     }
+
+    /// Returns all indices, including those that are free.
+    pub(super) fn indices(&self) -> Range<EndpointIndex> {
+        0..self.endpoints.len()
+    }
+
+    /// Returns all endpoints, including removed ones whose index is free.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.iter()
+    }
+
+    /// Returns all endpoints for a change, including removed ones whose index is free.
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.endpoints.iter_mut()
+    }
+}
+
+impl Index<EndpointIndex> for EndpointTable {
+    type Output = Endpoint;
+
+    fn index(&self, index: EndpointIndex) -> &Endpoint {
+        &self.endpoints[index]
+    }
+}
+
+impl IndexMut<EndpointIndex> for EndpointTable {
+    fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        &mut self.endpoints[index]
+    }
 }
 
 #[cfg(test)]
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -1,4 +1,4 @@
-//! Tests that look into the table.
+//! Tests of what the table keeps.
 
 use crate::policy::*;
 use std::time::Duration;
@@ -15,32 +15,21 @@
     }
 }
 
-/// Guards against growth where endpoints are replaced all day: those that are gone give up their places, but not
-/// while an attempt names them.
-#[test]
-fn endpoints_that_are_gone_are_forgotten() {
-    let second = Duration::from_secs(1);
-    let class = Class::new("c", 1.0, Idempotency::Idempotent, second, second);
-    let mut balancer = Balancer::new(Settings::new("a".into(), vec![class]), 1).expect("settings");
-    let mut out = Vec::new();
-    let mut tell = |b: &mut Balancer, ms: u64, event| {
-        out.clear();
-        b.handle(Timestamp::from_nanos(ms * 1_000_000), event, &mut out);
-        out.iter()
-            .any(|a| matches!(a, Action::Send { endpoint, .. } if endpoint.0.starts_with("first")))
-    };
-    let delta = |entries: Vec<EndpointEntry>| Event::EndpointList {
-        version: 1,
-        kind: ListKind::Changes,
+fn list(version: u64, kind: ListKind, entries: Vec<EndpointEntry>) -> Event {
+    Event::EndpointList {
+        version,
+        kind,
         entries: entries.into(),
-    };
-    tell(
-        &mut balancer,
-        1,
-        delta(vec![entry("first", Readiness::Serving)]),
-    );
-    let request = Request {
-        id: "r".into(),
+    }
+}
+
+fn changes(entries: Vec<EndpointEntry>) -> Event {
+    list(1, ListKind::Changes, entries)
+}
+
+fn request(id: &str) -> Request {
+    Request {
+        id: id.into(),
         class: ClassId(0),
         tenant: None,
         key: None,
@@ -48,60 +37,71 @@
         cost_hint: None,
         client_retry: false,
         write: false,
+    }
+}
+
+fn new_balancer() -> Balancer {
+    let second = Duration::from_secs(1);
+    let class = Class::new("c", 1.0, Idempotency::Idempotent, second, second);
+    Balancer::new(Settings::new("a".into(), vec![class]), 1).expect("valid settings")
+}
+
+/// Handles an event, and returns the endpoints that a request was sent to.
+fn handle(balancer: &mut Balancer, now_ms: u64, event: Event) -> Vec<EndpointId> {
+    let mut actions = Vec::new();
+    let now = Timestamp::from_nanos(now_ms * 1_000_000);
+    balancer.handle(now, event, &mut actions);
+    let send_target = |action| match action {
+        Action::Send { endpoint, .. } => Some(endpoint),
+        _ => None,
     };
+    actions.into_iter().filter_map(send_target).collect()
+}
+
+/// Guards against growth where endpoints are replaced all day: the indices of removed endpoints are reused, but not
+/// while an attempt refers to them.
+#[test]
+fn removed_endpoints_stay_in_the_table_only_while_an_attempt_refers_to_them() {
+    let mut balancer = new_balancer();
+    let first_listed = changes(vec![entry("first", Readiness::Serving)]);
+    handle(&mut balancer, 1, first_listed);
+    let sent_to = handle(&mut balancer, 2, Event::Request(request("r")));
     assert!(
-        tell(&mut balancer, 2, Event::Request(request)),
+        sent_to.iter().any(|id| id.0.starts_with("first")),
         "it is sent"
     );
     let mut last = "first".to_string();
-    for n in 0..500 {
-        let next = format!("e{n}");
-        tell(
-            &mut balancer,
-            3 + n,
-            delta(vec![
-                entry(&last, Readiness::Removed),
-                entry(&next, Readiness::Serving),
-            ]),
-        );
+    for number in 0..500 {
+        let next = format!("e{number}");
+        let replaced = vec![
+            entry(&last, Readiness::Removed),
+            entry(&next, Readiness::Serving),
+        ];
+        handle(&mut balancer, 3 + number, changes(replaced));
         last = next;
     }
     assert!(
-        balancer
-            .indices_by_id
-            .contains_key(&EndpointId::from("first")),
-        "its attempt is out"
-    );
-    assert_eq!(balancer.indices_by_id.len(), 2);
-    assert!(
-        balancer.endpoints.len() <= 4,
-        "{}",
-        balancer.endpoints.len()
-    );
-    tell(
-        &mut balancer,
-        600,
-        Event::ClientDisconnected {
-            request: "r".into(),
-        },
+        balancer.endpoints.index_of(&"first".into()).is_some(),
+        "its attempt is in flight"
     );
+    assert_eq!(balancer.endpoints.len(), 2);
+    let slots = balancer.endpoints.indices().len();
+    assert!(slots <= 4, "{slots}");
+
+    let disconnected = Event::ClientDisconnected {
+        request: "r".into(),
+    };
+    handle(&mut balancer, 600, disconnected);
     let ended = AttemptEnd {
         request: "r".into(),
         attempt: 0,
         outcome: Outcome::Cancelled,
-        took: second,
+        took: Duration::from_secs(1),
         request_ended: true,
         report: None,
     };
-    tell(&mut balancer, 601, Event::AttemptEnded(ended));
-    tell(
-        &mut balancer,
-        602,
-        Event::EndpointList {
-            version: 2,
-            kind: ListKind::Full,
-            entries: [entry("z", Readiness::Serving)].into(),
-        },
-    );
-    assert_eq!(balancer.indices_by_id.len(), 1);
+    handle(&mut balancer, 601, Event::AttemptEnded(ended));
+    let full_list = list(2, ListKind::Full, vec![entry("z", Readiness::Serving)]);
+    handle(&mut balancer, 602, full_list);
+    assert_eq!(balancer.endpoints.len(), 1);
 }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -1,4 +1,4 @@
-//! What a host tells an instance: endpoints, requests, ends of attempts and probes, timers.
+//! The events that a host reports to a balancer: endpoint lists, requests, ends of attempts and health checks, timers.
 
 use super::id::{
     AttemptNumber, ClassId, EndpointId, GroupId, Key, KindId, PeerId, RequestId, TenantId, ZoneId,
@@ -7,25 +7,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether an endpoint takes work.
+/// Whether an endpoint takes work, by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It does.
+    /// It takes work.
     Serving,
-    /// It finishes what it has.
+    /// It finishes the work that it has.
     Draining,
-    /// It has left the list.
+    /// It is no longer listed.
     Removed,
 }
 
-/// One line of the endpoint list.
+/// One entry of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Where.
+    /// Its zone.
     pub zone: ZoneId,
-    /// What sort of machine it is.
+    /// The kind of machine that it runs on.
     pub kind: KindId,
     /// The group that it belongs to.
     pub group: GroupId,
@@ -33,61 +33,61 @@
     pub readiness: Readiness,
     /// See [`SizeMeaning`](super::SizeMeaning).
     pub size: f64,
-    /// Its last start; `None` is long ago.
+    /// Its last start; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
 }
 
 /// What the entries of a list stand for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list as of now.
+    /// The full list: endpoints that it does not name are removed.
     Full,
-    /// The whole list as last seen, perhaps long ago.
+    /// The full list from before the start, which may be outdated.
     Cached,
     /// The entries that have changed.
     Changes,
 }
 
-/// A load report; a value that the endpoint does not give is `None`.
+/// A load report; values that the endpoint does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests waiting.
+    /// The number of requests waiting.
     pub queue_length: Option<f64>,
-    /// Requests being handled.
+    /// The number of requests in progress.
     pub in_flight: Option<f64>,
-    /// Part of the CPU in use.
+    /// The fraction of the CPU in use.
     pub utilisation: Option<f64>,
-    /// Recent service time.
+    /// The recent mean service time.
     pub mean_time: Option<Duration>,
-    /// Served a second.
+    /// Requests served a second.
     pub served_per_s: Option<f64>,
     /// Errors a second.
     pub errors_per_s: Option<f64>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was served.
     Served,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint answered with an error; the request may have run.
     Error,
-    /// Turned away unseen: full or draining.
+    /// The endpoint rejected it without running it, as it is full or drains.
     Rejected,
-    /// No answer in time; it may have run, or run still.
+    /// No answer came in time; the request may have run, or may still run.
     TimedOut,
-    /// No connection: down, out of reach, or all connections taken.
+    /// There was no connection: the endpoint is down or unreachable, or all connections are in use.
     ConnectFailed,
-    /// The connection broke meanwhile; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Called off; it may have run.
+    /// It was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// The attempt provably never ran.
+    /// Returns whether the outcome proves that the request did not run.
     #[must_use]
     pub fn proves_not_run(self) -> bool {
         matches!(
@@ -97,104 +97,104 @@
     }
 }
 
-/// A request of a client, to be answered.
+/// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Who pays, where there are tenants.
+    /// Its tenant, where there are tenants.
     pub tenant: Option<TenantId>,
-    /// What it is about.
+    /// Its key, which identifies what it is about.
     pub key: Option<Key>,
-    /// When the client gives up this try.
+    /// When the client gives up.
     pub deadline: Timestamp,
-    /// The work it is thought to need.
+    /// The work that it is expected to need.
     pub cost_hint: Option<Duration>,
-    /// A client's repeat, where clients mark them.
+    /// Whether it is marked as a client's retry.
     pub client_retry: bool,
-    /// A write.
+    /// Whether it is a write.
     pub write: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// Of which request.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// Which attempt.
+    /// The number of the attempt.
     pub attempt: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// The time since it was sent.
     pub took: Duration,
-    /// The request has ended, by this or earlier.
+    /// Whether the request has ended, by this attempt or earlier.
     pub request_ended: bool,
-    /// The endpoint's load report, if one came along.
+    /// The load report of the endpoint, if there was one.
     pub report: Option<LoadReport>,
 }
 
-/// What a host tells an instance.
+/// What a host reports to a balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A list of endpoints, or what has changed in it.
+    /// An endpoint list, or the changes in it.
     EndpointList {
         /// The version of the list.
         version: u64,
         /// What the entries stand for.
         kind: ListKind,
-        /// The entries; the host may share one parsed list between instances.
+        /// The entries; balancers of one host may share them.
         entries: Arc<[EndpointEntry]>,
     },
-    /// A call of discovery failed, or the watch on it was lost.
+    /// A call of discovery failed, or the watch was lost.
     DiscoveryFailed,
-    /// The operators want nothing more sent to an endpoint, whatever lists say of it.
+    /// The operators disabled an endpoint: it is sent nothing, whatever lists say.
     EndpointDisabled(EndpointId),
-    /// The operators want an endpoint used again.
+    /// The operators enabled an endpoint.
     EndpointEnabled(EndpointId),
-    /// A request to answer.
+    /// A request arrived.
     Request(Request),
-    /// A streamed answer has begun; the attempt belongs to the client now.
+    /// A streamed answer has begun; the client's answer now comes from this attempt.
     StreamStarted {
-        /// Of which request.
+        /// The request.
         request: RequestId,
-        /// By which attempt.
+        /// The number of the attempt that streams the answer.
         attempt: AttemptNumber,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// Part of the body was sent on and is kept nowhere: no further attempt can be made.
+    /// A part of the body was forwarded and not kept: no further attempt is possible.
     BodyConsumed {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// The client has closed its connection: no answer is owed.
+    /// The client closed its connection, so that no answer is needed.
     ClientDisconnected {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// A timer has expired.
+    /// A timer expired.
     Timer {
-        /// As given to [`Action::SetTimer`](super::Action::SetTimer).
+        /// The token of [`Action::SetTimer`](super::Action::SetTimer).
         token: u64,
     },
-    /// A probe is over.
+    /// A health check ended.
     HealthCheckEnded {
-        /// Of which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since the probe.
+        /// The time since it was sent.
         took: Duration,
-        /// The endpoint's load report, if one came along.
+        /// The load report of the endpoint, if there was one.
         report: Option<LoadReport>,
     },
-    /// Another instance of the tier says something.
+    /// A message from another balancer of the tier.
     PeerMessage {
-        /// Who.
+        /// The sender.
         from: PeerId,
-        /// What.
+        /// The message.
         data: Vec<u8>,
     },
 }
--- /dev/null
+++ b/src/policy/event_handler.rs
@@ -0,0 +1,47 @@
+//! What the balancer does with each event.
+
+use super::action::Action;
+use super::balancer::Balancer;
+use super::event::Event;
+use super::time::Timestamp;
+
+impl Balancer {
+    /// Handles one event, and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        self.arrival_rate.observe_from(now);
+        self.in_flight.remove_expired(&mut self.endpoints, now);
+        self.key_order.remove_expired_cooldowns(now);
+        self.dispatch(now, event, actions);
+        self.send_health_checks(now, actions);
+        self.send_queued_requests(now, actions);
+        self.set_timer(now, actions);
+    }
+
+    fn dispatch(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointList { kind, entries, .. } => {
+                self.update_endpoints(now, kind, &entries, actions);
+            }
+            Event::DiscoveryFailed => self.discovery_failed(now),
+            Event::EndpointDisabled(endpoint) => self.disable(now, endpoint, actions),
+            Event::EndpointEnabled(endpoint) => self.enable(now, &endpoint),
+            Event::Request(request) if self.is_valid(&request) => self.admit(now, request, actions),
+            Event::StreamStarted { request, attempt } => {
+                self.finish_request(&request, Some(attempt), actions);
+            }
+            Event::BodyConsumed { request } => self.body_consumed(&request),
+            Event::ClientDisconnected { request } => self.finish_request(&request, None, actions),
+            Event::AttemptEnded(ended) => self.attempt_ended(now, &ended, actions),
+            Event::Timer { token } => self.timer_expired(token),
+            Event::HealthCheckEnded {
+                endpoint,
+                outcome,
+                report,
+                ..
+            } => {
+                self.health_check_ended(now, &endpoint, outcome, report.as_ref());
+            }
+            Event::Request(_) | Event::PeerMessage { .. } => {}
+        }
+    }
+}
--- a/src/policy/id.rs
+++ b/src/policy/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers of requests, endpoints, classes, tenants and instances.
+//! Identifiers of requests, endpoints, classes, tenants and balancers.
 
 use std::sync::Arc;
 
@@ -7,6 +7,7 @@
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub Arc<str>);
+
         impl From<&str> for $name {
             fn from(text: &str) -> Self {
                 $name(Arc::from(text))
@@ -14,38 +15,43 @@
         }
     };
 }
+
 text_id!(
-    /// One request; a retry by the client has another.
+    /// Identifies a request; a client's retry has an id of its own.
     RequestId
 );
 text_id!(
-    /// One machine of the tier; keeps its id when its process restarts.
+    /// Identifies an endpoint; stays the same when its process restarts.
     EndpointId
 );
 text_id!(
-    /// A place that endpoints and instances are in.
+    /// Identifies a zone of endpoints and balancers.
     ZoneId
 );
 text_id!(
-    /// What sort of machine an endpoint is.
+    /// Identifies a kind of machine.
     KindId
 );
 text_id!(
-    /// What a request is about.
+    /// The key of a request, which identifies what it is about.
     Key
 );
 
 /// Index into [`Settings::classes`](super::Settings::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
+
 /// Index into [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
-/// The number of an instance within its tier.
+
+/// The number of a balancer within its tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u32);
-/// A small set of endpoints that share what keys they have seen.
+
+/// Identifies a small group of endpoints that drop each other's repeats of keyed requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
-/// Attempts of a request, counted from 0 in the order of their sends.
+
+/// The number of an attempt of a request, from 0 in order of the sends.
 pub type AttemptNumber = usize;
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -1,48 +1,74 @@
-//! The places that attempts take at their endpoints. No decision is made here.
+//! Which attempts count as in flight at their endpoints.
 
-use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
+use super::endpoint_table::EndpointTable;
 use super::event::Outcome;
-use super::pending::PendingRequest;
 use super::time::Timestamp;
+use std::collections::VecDeque;
 
-impl Balancer {
-    /// An attempt takes a place.
-    pub(super) fn add_in_flight(&mut self, index: EndpointIndex) {
-        self.attempts_in_flight += 1;
-        self.endpoints[index].in_flight += 1;
+/// Attempts in flight, in all and at each endpoint, including timed-out attempts that may still run.
+#[derive(Debug, Default)]
+pub(super) struct AttemptsInFlight {
+    count: u32,
+    /// Timed-out attempts in order of their deadlines.
+    timed_out: VecDeque<TimedOutAttempt>,
+}
+
+#[derive(Debug)]
+struct TimedOutAttempt {
+    deadline: Timestamp,
+    endpoint: EndpointIndex,
+}
+
+impl AttemptsInFlight {
+    /// Returns the number of attempts in flight.
+    pub(super) fn count(&self) -> u32 {
+        self.count
+    }
+
+    /// Counts an attempt that was sent.
+    pub(super) fn add(&mut self, endpoints: &mut EndpointTable, endpoint: EndpointIndex) {
+        self.count += 1;
+        endpoints[endpoint].in_flight += 1;
     }
 
-    /// Frees the attempt's place at its endpoint. Most servers go on with one that timed out all the same, so
-    /// that its place is free only at its deadline.
-    pub(super) fn end_in_flight(
+    /// Ends an attempt. Most servers continue with a timed-out request, so such an attempt stays in flight until the
+    /// deadline of its request.
+    pub(super) fn end(
         &mut self,
-        index: EndpointIndex,
-        pending: &PendingRequest,
+        endpoints: &mut EndpointTable,
+        endpoint: EndpointIndex,
         outcome: Outcome,
+        deadline: Timestamp,
     ) {
         if outcome != Outcome::TimedOut {
-            return self.remove_in_flight(index);
+            return self.remove(endpoints, endpoint);
         }
-        let until = pending.request.deadline;
         let position = self
-            .timed_out_attempts
-            .partition_point(|(other, _)| *other <= until);
-        self.timed_out_attempts.insert(position, (until, index));
+            .timed_out
+            .partition_point(|other| other.deadline <= deadline);
+        self.timed_out
+            .insert(position, TimedOutAttempt { deadline, endpoint });
     }
 
-    fn remove_in_flight(&mut self, index: EndpointIndex) {
-        self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
-        self.endpoints[index].in_flight = self.endpoints[index].in_flight.saturating_sub(1);
-    }
-
-    /// Frees the places of attempts that timed out and are past their deadlines.
-    pub(super) fn remove_timed_out(&mut self, now: Timestamp) {
-        while let Some((_, index)) = self
-            .timed_out_attempts
-            .pop_front_if(|(until, _)| *until <= now)
+    /// Removes the timed-out attempts whose deadlines have passed.
+    pub(super) fn remove_expired(&mut self, endpoints: &mut EndpointTable, now: Timestamp) {
+        while let Some(expired) = self
+            .timed_out
+            .pop_front_if(|attempt| attempt.deadline <= now)
         {
-            self.remove_in_flight(index);
+            self.remove(endpoints, expired.endpoint);
         }
     }
+
+    /// Returns the endpoints of timed-out attempts that still count as in flight.
+    pub(super) fn timed_out_endpoints(&self) -> impl Iterator<Item = EndpointIndex> {
+        self.timed_out.iter().map(|attempt| attempt.endpoint)
+    }
+
+    fn remove(&mut self, endpoints: &mut EndpointTable, endpoint: EndpointIndex) {
+        self.count = self.count.saturating_sub(1);
+        let at_endpoint = &mut endpoints[endpoint].in_flight;
+        *at_endpoint = at_endpoint.saturating_sub(1);
+    }
 }
--- a/src/policy/key_order.rs
+++ b/src/policy/key_order.rs
@@ -1,27 +1,34 @@
-//! The order of requests with the same key, where their class goes by arrival: one at a time, as they came.
+//! The order of requests with the same key, for classes in key order: sent one at a time, in order of arrival.
 
 use super::id::{Key, RequestId};
 use super::pending::PendingRequest;
 use super::time::Timestamp;
 use std::collections::{HashMap, VecDeque};
 
-/// Requests by key, and the keys that rest.
-#[derive(Default)]
+/// Requests by key, and the keys that are cooling down.
+#[derive(Debug, Default)]
 pub(super) struct KeyOrder {
     queues: HashMap<Key, KeyQueue>,
-    /// Keys by the end of their rest, the earliest first.
-    cooldowns: VecDeque<(Timestamp, Key)>,
+    /// Cool-downs in order of their ends.
+    cooldowns: VecDeque<Cooldown>,
 }
 
-/// Requests with one key in order of arrival; the first has the turn.
-#[derive(Default)]
+#[derive(Debug)]
+struct Cooldown {
+    ends_at: Timestamp,
+    key: Key,
+}
+
+/// Requests with one key in order of arrival; the first one may be sent.
+#[derive(Debug, Default)]
 struct KeyQueue {
     requests: VecDeque<RequestId>,
-    /// No other request's turn begins before this.
+    /// No request that was not sent yet is sent before this.
     cooldown_until: Timestamp,
 }
 
 impl KeyOrder {
+    /// Adds a request behind the earlier ones with its key.
     pub(super) fn enqueue(&mut self, key: &Key, request: &RequestId) {
         self.queues
             .entry(key.clone())
@@ -30,20 +37,18 @@
             .push_back(request.clone());
     }
 
-    /// Whether a request may be sent now, also over several classes. One that was sent keeps the turn until
-    /// its attempts have ended; after one that may run on the key rests.
-    pub(super) fn is_next_for_key(&self, now: Timestamp, pending: &PendingRequest) -> bool {
-        let queue = pending
-            .request
-            .key
-            .as_ref()
-            .and_then(|key| self.queues.get(key));
+    /// Returns whether the key of a request lets it be sent now, also over several classes. A request that was sent
+    /// remains the first until its attempts have ended; retries need not wait for the cool-down.
+    pub(super) fn allows(&self, now: Timestamp, pending: &PendingRequest) -> bool {
+        let key = pending.request.key.as_ref();
+        let queue = key.and_then(|key| self.queues.get(key));
         queue.is_none_or(|queue| {
             let is_first = queue.requests.front() == Some(&pending.request.id);
             is_first && (now >= queue.cooldown_until || !pending.attempts.is_empty())
         })
     }
 
+    /// Removes a request that is no longer pending.
     pub(super) fn remove(&mut self, pending: &PendingRequest) {
         let Some(key) = pending.request.key.as_ref() else {
             return;
@@ -57,28 +62,32 @@
         }
     }
 
-    /// Has a key rest, as an attempt of its first request may run on.
-    pub(super) fn start_cooldown(&mut self, key: &Key, until: Timestamp) {
-        self.queues.entry(key.clone()).or_default().cooldown_until = until;
-        self.cooldowns.push_back((until, key.clone()));
+    /// Starts the cool-down of a key whose first request may still run.
+    pub(super) fn start_cooldown(&mut self, key: &Key, ends_at: Timestamp) {
+        self.queues.entry(key.clone()).or_default().cooldown_until = ends_at;
+        self.cooldowns.push_back(Cooldown {
+            ends_at,
+            key: key.clone(),
+        });
     }
 
-    /// Forgets keys that have rested and that nobody waits for.
-    pub(super) fn forget_cooled_down(&mut self, now: Timestamp) {
-        while let Some((cooled_down_at, key)) =
-            self.cooldowns.pop_front_if(|(until, _)| *until <= now)
+    /// Removes ended cool-downs, and the keys that no request waits for.
+    pub(super) fn remove_expired_cooldowns(&mut self, now: Timestamp) {
+        while let Some(ended) = self
+            .cooldowns
+            .pop_front_if(|cooldown| cooldown.ends_at <= now)
         {
-            let is_over = |queue: &KeyQueue| {
-                queue.requests.is_empty() && queue.cooldown_until <= cooled_down_at
+            let is_unused = |queue: &KeyQueue| {
+                queue.requests.is_empty() && queue.cooldown_until <= ended.ends_at
             };
-            if self.queues.get(&key).is_some_and(is_over) {
-                self.queues.remove(&key);
+            if self.queues.get(&ended.key).is_some_and(is_unused) {
+                self.queues.remove(&ended.key);
             }
         }
     }
 
-    /// When the first key has rested.
+    /// Returns when the next cool-down ends.
     pub(super) fn first_cooldown_end(&self) -> Option<Timestamp> {
-        self.cooldowns.front().map(|(until, _)| *until)
+        self.cooldowns.front().map(|cooldown| cooldown.ends_at)
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,20 +1,20 @@
-//! Which endpoints take work: by discovery's lists and by the operators.
+//! Which endpoints take work: by the lists of discovery and by the operators.
 
 use super::action::Action;
 use super::balancer::Balancer;
-use super::endpoint::EndpointIndex;
+use super::endpoint::{EndpointIndex, Locality};
 use super::event::{EndpointEntry, ListKind};
 use super::id::EndpointId;
 use super::settings::DiscoveryMode;
 use super::time::Timestamp;
+use std::collections::HashSet;
 
-/// Price of a crossing between zones from which an instance keeps to its own: zones have uneven numbers of
-/// instances for their endpoints, and an even deal over the whole tier is worth about two crossings of this
-/// price.
+/// The price of a crossing between zones from which on a balancer prefers its own zone. The number of balancers for each
+/// endpoint differs between zones; an even distribution over the whole tier is worth about two crossings of this price.
 const COSTLY_CROSSING_PRICE: f64 = 0.01;
 
 impl Balancer {
-    /// Takes over a list, or the changes in it.
+    /// Applies an endpoint list, or the changes in it.
     pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
@@ -27,21 +27,44 @@
             self.check_cached_list(now);
         }
         if kind != ListKind::Changes {
-            // What a whole list does not name has left it.
-            for endpoint in &mut self.endpoints {
-                endpoint.is_available = false;
-                endpoint.is_serving = false;
-                endpoint.is_listed = false;
+            for endpoint in self.endpoints.iter_mut() {
+                endpoint.unlist();
             }
         }
         for entry in entries {
             self.update_endpoint(entry, actions);
         }
         self.repartition_endpoints(now);
-        self.forget_unlisted();
+        self.remove_unlisted();
     }
 
-    /// Closes idle connections to a draining endpoint, which waits for them: at the notice, and after each
+    fn update_endpoint(&mut self, entry: &EndpointEntry, actions: &mut Vec<Action>) {
+        let Some(index) = self.endpoints.find_or_insert(entry, self.classes.len()) else {
+            return;
+        };
+        let is_disabled = self.endpoints.is_disabled(&entry.endpoint);
+        let locality = self.locality(index);
+        let endpoint = &mut self.endpoints[index];
+        endpoint.locality = locality;
+        endpoint.update(entry, is_disabled);
+        self.close_idle_if_draining(index, actions);
+    }
+
+    /// Removes endpoints that are no longer listed: where endpoints are replaced all day, they would accumulate. An
+    /// endpoint stays in the table while an attempt refers to it.
+    fn remove_unlisted(&mut self) {
+        if !self.endpoints.has_unlisted() {
+            return;
+        }
+        let attempts = self.requests.values().flat_map(|p| &p.attempts);
+        let of_requests = attempts.map(|attempt| attempt.endpoint);
+        let in_use: HashSet<EndpointIndex> = of_requests
+            .chain(self.in_flight.timed_out_endpoints())
+            .collect();
+        self.endpoints.remove_unlisted(&in_use);
+    }
+
+    /// Closes idle connections to an endpoint that drains, which waits for them. Called on the notice, and after each
     /// attempt there.
     pub(super) fn close_idle_if_draining(&self, index: EndpointIndex, actions: &mut Vec<Action>) {
         let endpoint = &self.endpoints[index];
@@ -52,32 +75,27 @@
         }
     }
 
-    /// Takes an endpoint out for the operators, which holds whatever lists say until they enable it.
-    /// What is in flight there goes on; held requests and retries find other places.
-    pub(super) fn disable(
-        &mut self,
-        now: Timestamp,
-        endpoint: EndpointId,
-        actions: &mut Vec<Action>,
-    ) {
-        if let Some(index) = self.indices_by_id.get(&endpoint) {
-            self.endpoints[*index].is_available = false;
+    /// Disables an endpoint until the operators enable it, whatever lists say. Attempts in flight continue; queued
+    /// requests and retries go to other endpoints.
+    pub(super) fn disable(&mut self, now: Timestamp, id: EndpointId, actions: &mut Vec<Action>) {
+        if let Some(index) = self.endpoints.index_of(&id) {
+            self.endpoints[index].is_available = false;
         }
         actions.push(Action::CloseIdleConnections {
-            endpoint: endpoint.clone(),
+            endpoint: id.clone(),
         });
-        self.disabled.insert(endpoint);
+        self.endpoints.disable(id);
         self.repartition_endpoints(now);
     }
 
-    /// Uses an endpoint again. It may have restarted, which the list tells of later, so it counts as cold.
-    /// Its first send is due at once: a quiet instance's own sends would bring its turn late.
-    pub(super) fn enable(&mut self, now: Timestamp, endpoint: &EndpointId) {
-        if !self.disabled.remove(endpoint) {
+    /// Enables an endpoint. It counts as warming up, as it may have restarted, which the list shows only later. Its
+    /// first request is due at once: with few requests, its slow start slot would come late.
+    pub(super) fn enable(&mut self, now: Timestamp, id: &EndpointId) {
+        if !self.endpoints.enable(id) {
             return;
         }
-        if let Some(index) = self.indices_by_id.get(endpoint) {
-            let endpoint = &mut self.endpoints[*index];
+        if let Some(index) = self.endpoints.index_of(id) {
+            let endpoint = &mut self.endpoints[index];
             endpoint.restart(endpoint.started_at);
             endpoint.enabled_at = Some(now);
             endpoint.awaits_first_send = true;
@@ -86,27 +104,51 @@
         self.repartition_endpoints(now);
     }
 
-    /// Sorts the endpoints that take work into local and remote ones, and draws the subset anew.
+    /// Partitions the available endpoints into local and remote ones, and selects the subset again.
     pub(super) fn repartition_endpoints(&mut self, now: Timestamp) {
-        let available =
-            (0..self.endpoints.len()).filter(|index| self.endpoints[*index].is_available);
-        (self.local, self.remote) = available.partition(|index| !self.endpoints[*index].is_remote);
-        if self.local.is_empty() {
-            std::mem::swap(&mut self.local, &mut self.remote);
+        let endpoints = &self.endpoints;
+        let available = endpoints
+            .indices()
+            .filter(|index| endpoints[*index].is_available);
+        (self.sets.local, self.sets.remote) =
+            available.partition(|index| endpoints[*index].locality == Locality::Local);
+        if self.sets.local.is_empty() {
+            std::mem::swap(&mut self.sets.local, &mut self.sets.remote);
         }
         self.select_subset(now);
     }
 
-    /// Tells local and remote endpoints apart anew, by prices that have changed.
+    /// Determines the locality of all endpoints again, after prices have changed.
     pub(super) fn update_localities(&mut self) {
-        for index in 0..self.endpoints.len() {
-            self.endpoints[index].is_remote = self.is_remote(index);
+        for index in self.endpoints.indices() {
+            self.endpoints[index].locality = self.locality(index);
         }
     }
 
-    /// Whether an endpoint is in another zone, where crossings are dear.
-    pub(super) fn is_remote(&self, index: EndpointIndex) -> bool {
+    fn locality(&self, index: EndpointIndex) -> Locality {
         let is_costly = self.settings.prices.cross_zone >= COSTLY_CROSSING_PRICE;
-        is_costly && self.endpoints[index].zone != self.settings.zone
+        if is_costly && self.endpoints[index].zone != self.settings.zone {
+            Locality::Remote
+        } else {
+            Locality::Local
+        }
+    }
+
+    /// Returns whether the operators have disabled an endpoint.
+    #[must_use]
+    pub fn is_disabled(&self, endpoint: &EndpointId) -> bool {
+        self.endpoints.is_disabled(endpoint)
+    }
+
+    /// Returns whether an endpoint is listed, or disabled by the operators.
+    #[must_use]
+    pub fn is_listed_or_disabled(&self, endpoint: &EndpointId) -> bool {
+        let index = self.endpoints.index_of(endpoint);
+        index.is_some_and(|index| self.endpoints[index].is_listed) || self.is_disabled(endpoint)
+    }
+
+    /// Returns the endpoints that the operators have disabled.
+    pub fn disabled_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
+        self.endpoints.disabled()
     }
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,112 +1,112 @@
-//! Outlier detection: endpoints that fail more than others, and those that serve what others lose.
+//! Outlier detection: which endpoints fail more than the others, and which serve what the others lose.
 
 use super::balancer::Balancer;
+use super::class_settings::Idempotency;
 use super::endpoint::EndpointIndex;
 use super::event::{AttemptEnd, Outcome, Request};
-use super::settings::Idempotency;
 use super::time::Timestamp;
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// How much more of a class than others an endpoint may fail.
+/// How much higher than the others' mean an endpoint's failure rate may be.
 const FAILURE_MARGIN: f64 = 0.2;
-/// The time in which a failure is forgotten but for a third: then the endpoint is tried again.
+/// The time constant with which failures decay; after it the endpoint is tried again.
 const FAILURE_TIME_CONSTANT: Duration = Duration::from_secs(20);
-/// Endpoints unheard of that the others' mean counts in.
+/// Endpoints without failures that are added to the mean.
 const ASSUMED_HEALTHY_ENDPOINTS: usize = 2;
-/// Weight of one answer in an endpoint's failures.
+/// The weight of one attempt in an endpoint's failure rate.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Endpoints that requests which must not run twice stay with, and for how long after one was served there.
+/// The number of endpoints that are preferred for requests that must not run twice.
 const MAX_PREFERRED: usize = 2;
+/// How long an endpoint is preferred after it served such a request.
 const UNSAFE_SUCCESS_LIFETIME: Duration = Duration::from_secs(5);
 
-/// The failures that count for a request, and how many an endpoint may have.
+/// The failure rate that an endpoint may have to be sent a request.
 pub(super) struct FailureLimit {
-    /// The class whose failures count; all where the request must not run twice.
+    /// The class whose failures count; the worst class where the request must not run twice.
     class: Option<usize>,
-    most: f64,
+    max_rate: f64,
 }
 
 impl Balancer {
-    /// The bar for requests of a class. Guards against servers that fail fast, refuse connections or say
-    /// nothing, be it for one class only: they hold few requests and no queue. They are judged against the
-    /// others, as errors and time-outs also come from the tier below.
+    /// Returns the limit for requests of a class. It excludes endpoints that fail quickly, refuse connections or do not
+    /// answer, possibly for one class alone: these have few requests and no queue. It is relative to the mean of the
+    /// subset, as errors and time-outs may also come from the next tier.
     pub(super) fn failure_limit(&self, now: Timestamp, class: usize) -> FailureLimit {
         let class = (!self.is_unsafe(class)).then_some(class);
-        let failures: f64 = self
-            .subset
-            .iter()
-            .map(|index| self.failures(now, *index, class))
+        let members = self.sets.subset.iter();
+        let sum: f64 = members
+            .map(|index| self.failure_rate(now, *index, class))
             .sum();
+        let mean = sum / (self.sets.subset.len() + ASSUMED_HEALTHY_ENDPOINTS) as f64;
         FailureLimit {
             class,
-            most: failures / (self.subset.len() + ASSUMED_HEALTHY_ENDPOINTS) as f64
-                + FAILURE_MARGIN,
+            max_rate: mean + FAILURE_MARGIN,
         }
     }
 
-    pub(super) fn is_unsafe(&self, class: usize) -> bool {
+    /// Returns whether requests of a class must not run twice.
+    fn is_unsafe(&self, class: usize) -> bool {
         self.settings.classes[class].idempotency == Idempotency::Unsafe
     }
 
-    fn failures(&self, now: Timestamp, index: EndpointIndex, class: Option<usize>) -> f64 {
-        self.endpoints[index].failure_share(class, now, FAILURE_TIME_CONSTANT)
+    fn failure_rate(&self, now: Timestamp, index: EndpointIndex, class: Option<usize>) -> f64 {
+        self.endpoints[index].failure_rate(class, now, FAILURE_TIME_CONSTANT)
     }
 
-    /// Whether an endpoint fails too much for requests with this bar.
+    /// Returns whether an endpoint fails too much for requests with this limit.
     pub(super) fn is_outlier(
         &self,
         now: Timestamp,
         index: EndpointIndex,
-        failure_limit: &FailureLimit,
+        limit: &FailureLimit,
     ) -> bool {
-        self.failures(now, index, failure_limit.class) > failure_limit.most
+        self.failure_rate(now, index, limit.class) > limit.max_rate
     }
 
-    /// Of some endpoints the one that fails least.
+    /// Returns the candidate that fails least.
     pub(super) fn least_failing(
         &self,
         now: Timestamp,
         candidates: impl Iterator<Item = EndpointIndex>,
-        failure_limit: &FailureLimit,
+        limit: &FailureLimit,
     ) -> Option<EndpointIndex> {
-        let failures = |index: &EndpointIndex| self.failures(now, *index, failure_limit.class);
-        candidates.min_by(|a, b| failures(a).total_cmp(&failures(b)))
+        let rate = |index: &EndpointIndex| self.failure_rate(now, *index, limit.class);
+        candidates.min_by(|a, b| rate(a).total_cmp(&rate(b)))
     }
 
-    /// Keeps those few that have served a request that must not run twice last, where such requests were lost
-    /// lately. Each endpoint costs each instance one to find out, and nothing else may show it.
+    /// Restricts the candidates to the few that last served a request that must not run twice, if such requests were
+    /// lost recently. Otherwise each balancer would lose one at each faulty endpoint, where nothing else may show the
+    /// fault.
     pub(super) fn prefer_recent_unsafe_servers(
         &self,
         now: Timestamp,
         class: usize,
         candidates: &mut Vec<EndpointIndex>,
     ) {
-        let lost_lately = self
+        let was_lost_recently = self
             .last_unsafe_loss
             .is_some_and(|at| now.since(at) < FAILURE_TIME_CONSTANT);
         let is_last_tier = self.settings.tier + 1 >= self.settings.tiers;
-        let clear = self
-            .subset
-            .iter()
-            .filter(|index| self.throttled_levels(now, **index).gapping == 0)
-            .count();
-        let is_tier_clear = 2 * clear > self.subset.len();
-        if !self.is_unsafe(class) || !lost_lately || !is_last_tier || !is_tier_clear {
+        if !self.is_unsafe(class)
+            || !was_lost_recently
+            || !is_last_tier
+            || !self.is_most_of_subset_clear(now)
+        {
             return;
         }
-        let served_lately = |index: &EndpointIndex| {
+        let served_at = |index: &EndpointIndex| {
             self.endpoints[*index]
                 .unsafe_served_at
                 .filter(|at| now.since(*at) < UNSAFE_SUCCESS_LIFETIME)
         };
-        let mut proven: Vec<_> = candidates
+        let mut preferred: Vec<_> = candidates
             .iter()
-            .filter_map(|index| Some((served_lately(index)?, *index)))
+            .filter_map(|index| Some((served_at(index)?, *index)))
             .collect();
-        proven.sort_unstable_by_key(|(served_at, _)| Reverse(*served_at));
-        if !proven.is_empty() {
-            *candidates = proven
+        preferred.sort_unstable_by_key(|(served_at, _)| Reverse(*served_at));
+        if !preferred.is_empty() {
+            *candidates = preferred
                 .into_iter()
                 .take(MAX_PREFERRED)
                 .map(|(_, index)| index)
@@ -114,7 +114,15 @@
         }
     }
 
-    /// Counts an attempt's end for or against its endpoint.
+    fn is_most_of_subset_clear(&self, now: Timestamp) -> bool {
+        let members = self.sets.subset.iter();
+        let clear = members
+            .filter(|index| self.throttled_levels(now, **index).gapping == 0)
+            .count();
+        2 * clear > self.sets.subset.len()
+    }
+
+    /// Updates an endpoint's failure rate with the end of an attempt.
     pub(super) fn count_failure(
         &mut self,
         now: Timestamp,
@@ -133,6 +141,6 @@
             }
         }
         let failures = &mut self.endpoints[index].failures[request.class.0];
-        failures.count(now, has_failed, FAILURE_WEIGHT, FAILURE_TIME_CONSTANT);
+        failures.add(now, has_failed, FAILURE_WEIGHT, FAILURE_TIME_CONSTANT);
     }
 }
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -1,4 +1,4 @@
-//! The overload state of each endpoint: clear, gapping or discarding for each worth level, until it lapses.
+//! The overload state of each endpoint: clear, gapping or discarding for each priority level, until it expires.
 
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
@@ -7,53 +7,56 @@
 use super::time::{Timestamp, duration_from_seconds};
 use std::time::Duration;
 
-/// Busy part of an endpoint from which on it counts as queueing, up to the highest discard when fully busy.
+/// The utilisation from which on an endpoint counts as queueing, up to the highest discard threshold at full utilisation.
 const BUSY_UTILISATION: f64 = 0.9;
-/// A state lapses after this many unloaded answer times: older news says little of the queue now.
+/// The mean lifetime of an overload state, as a multiple of the unloaded answer time: an older state says little of the
+/// present queue.
 const STATE_LIFETIME_MULTIPLE: f64 = 10.0;
-/// The lapse is this part of its mean at least, and as much over it at most, so that instances part.
+/// The lowest factor of the mean lifetime. Lifetimes are random, so that balancers do not act in step.
 const MIN_LIFETIME_FACTOR: f64 = 0.75;
+/// The difference between the highest and the lowest factor of the mean lifetime.
 const LIFETIME_FACTOR_SPREAD: f64 = 0.5;
-/// Weight of one judgement in the mean queue of an endpoint's kind.
+/// The weight of one update in the mean queue length of a locality.
 const MEAN_QUEUE_LENGTH_WEIGHT: f64 = 0.1;
-/// Part of an own attempt that counts as queue at an endpoint which calls further tiers: for most of the
-/// answer time the request waits down there, and queues nowhere here.
+/// The queue length that an attempt in flight stands for at an endpoint that calls further tiers: for most of the answer
+/// time the request waits in those, and not in this endpoint's queue.
 const INNER_TIER_QUEUE_PER_ATTEMPT: f64 = 0.2;
-/// What an own attempt counts for in the last of several tiers, where an instance's attempts are few among
-/// those of all that share the endpoint.
+/// The queue length that an attempt in flight stands for in the last of several tiers, where a balancer's own attempts
+/// are few among those of all balancers that share the endpoint.
 const LAST_TIER_QUEUE_PER_ATTEMPT: f64 = 2.0;
-/// The longest queue that a report is believed to mean.
+/// The longest queue length that is accepted from a load report.
 const MAX_QUEUE_LENGTH: f64 = 1e6;
-/// The lowest arrival rate that a gap is worked out for.
+/// The lowest arrival rate that a gap is computed for.
 const MIN_ARRIVAL_RATE: f64 = 0.1;
-/// A gap is this part of its mean at least, so that instances part.
+/// The lowest factor of the mean gap. Gaps are random, so that balancers do not act in step.
 const MIN_GAP_FACTOR: f64 = 0.5;
 
-/// How many worth levels an endpoint throttles, from the lowest.
+/// How many priority levels an endpoint throttles, counted from the lowest.
+#[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ThrottledLevels {
     pub(super) gapping: usize,
     pub(super) discarding: usize,
 }
 
 impl Balancer {
-    /// The queue length that a report speaks of, or the nearest stand-in. Guards against servers that work on
-    /// all they hold: they hardly queue, but when fully busy the work unfinished piles up in them.
+    /// Returns the queue length of a load report, or an estimate from its other values. Servers that process all
+    /// requests at once hardly queue; for them, full utilisation counts as a queue.
     pub(super) fn reported_queue_length(report: &LoadReport) -> f64 {
         let utilisation = report.utilisation.unwrap_or(1.0);
-        let implied_queue_length = report
+        let from_in_flight = report
             .in_flight
             .map(|in_flight| (in_flight - 1.0) * utilisation);
-        let busy_share = report.utilisation.map_or(0.0, |u| {
-            (u.min(1.0) - BUSY_UTILISATION) / (1.0 - BUSY_UTILISATION)
+        let busy_fraction = report.utilisation.map_or(0.0, |utilisation| {
+            (utilisation.min(1.0) - BUSY_UTILISATION) / (1.0 - BUSY_UTILISATION)
         });
-        let queue_length = report.queue_length.or(implied_queue_length).unwrap_or(0.0);
+        let queue_length = report.queue_length.or(from_in_flight).unwrap_or(0.0);
         queue_length
-            .max(busy_share * MAX_DISCARD)
+            .max(busy_fraction * MAX_DISCARD)
             .clamp(0.0, MAX_QUEUE_LENGTH)
     }
 
-    /// Moves an endpoint between clear, gapping and discarding. Gapping starts at onset and ends below
-    /// abatement, discarding starts at discard and ends below onset.
+    /// Moves an endpoint between clear, gapping and discarding. Gapping starts at the onset threshold and ends below the
+    /// abatement threshold; discarding starts at the discard threshold and ends below the onset threshold.
     pub(super) fn update_overload_state(
         &mut self,
         now: Timestamp,
@@ -64,26 +67,24 @@
         let lifetime = self.unloaded_time()
             * STATE_LIFETIME_MULTIPLE
             * (MIN_LIFETIME_FACTOR + LIFETIME_FACTOR_SPREAD * self.random.unit());
-        self.mean_queue_lengths.count(
-            self.endpoints[index].is_remote,
-            queue_length,
-            MEAN_QUEUE_LENGTH_WEIGHT,
-        );
+        let locality = self.endpoints[index].locality;
+        self.mean_queue_lengths
+            .add(locality, queue_length, MEAN_QUEUE_LENGTH_WEIGHT);
         let gap = self.gap(now, queue_length);
-        let before = self.current_levels(now, index);
+        let previous = self.current_levels(now, index);
         let endpoint = &mut self.endpoints[index];
         endpoint.queue_length = queue_length;
-        endpoint.gapping_levels = reached.onset.max(before.gapping.min(reached.abatement));
-        endpoint.discarding_levels = reached.discard.max(before.discarding.min(reached.onset));
+        endpoint.gapping_levels = reached.onset.max(previous.gapping.min(reached.abatement));
+        endpoint.discarding_levels = reached.discard.max(previous.discarding.min(reached.onset));
         endpoint.state_expires = now + duration_from_seconds(lifetime);
         if endpoint.gapping_levels > 0 {
             endpoint.gap_ends_at = endpoint.last_send + gap;
         }
     }
 
-    /// Judges every endpoint anew by its last known queue, under thresholds that have changed.
+    /// Determines the state of every endpoint from its last queue length, after the thresholds have changed.
     pub(super) fn reapply_thresholds(&mut self) {
-        for endpoint in &mut self.endpoints {
+        for endpoint in self.endpoints.iter_mut() {
             let LevelsReached { onset, discard, .. } =
                 self.thresholds.reached(endpoint.queue_length);
             endpoint.gapping_levels = onset;
@@ -91,58 +92,53 @@
         }
     }
 
-    /// The least time between own sends to a gapping endpoint: the usual time, times the severity. It follows
-    /// the instance's own rate, so that any number of instances together cut by the same factor.
+    /// Returns the least time between sends to a gapping endpoint: the usual time between sends, times the severity. As
+    /// it follows from this balancer's own arrival rate, all balancers reduce their load by the same factor.
     pub(super) fn gap(&mut self, now: Timestamp, queue_length: f64) -> Duration {
         let severity = (queue_length / self.thresholds.lowest_onset()).max(1.0);
-        let usual =
-            self.subset.len() as f64 / self.arrival_rate.per_second(now).max(MIN_ARRIVAL_RATE);
-        duration_from_seconds(severity * usual * (MIN_GAP_FACTOR + self.random.unit()))
+        let arrival_rate = self.arrival_rate.per_second(now).max(MIN_ARRIVAL_RATE);
+        let usual_gap = self.sets.subset.len() as f64 / arrival_rate;
+        duration_from_seconds(severity * usual_gap * (MIN_GAP_FACTOR + self.random.unit()))
     }
 
-    /// How many levels are throttled: by the last judgement and own attempts in flight, as reports come late
-    /// and a flush of held requests would otherwise all go where the last was good. A lapsed state is the
-    /// tier's mean: instances too quiet to follow one endpoint can follow all of them.
+    /// Returns how many levels an endpoint throttles, by its state and by the estimated queue length. Attempts in flight
+    /// count, as load reports come late: without them all queued requests would go to the endpoint that was last clear.
+    /// For an expired state the tier's mean is used, which a balancer with few requests can follow where it can not
+    /// follow each endpoint.
     pub(super) fn throttled_levels(&self, now: Timestamp, index: EndpointIndex) -> ThrottledLevels {
-        let reached = self
-            .thresholds
-            .reached(self.estimated_queue_length(now, index));
-        let current_levels = self.current_levels(now, index);
+        let estimated = self.estimated_queue_length(now, index);
+        let reached = self.thresholds.reached(estimated);
+        let current = self.current_levels(now, index);
         ThrottledLevels {
-            gapping: current_levels.gapping.max(reached.onset),
-            discarding: current_levels.discarding.max(reached.discard),
+            gapping: current.gapping.max(reached.onset),
+            discarding: current.discarding.max(reached.discard),
         }
     }
 
-    /// The queue at an endpoint with own attempts in flight.
+    /// Returns the queue length at an endpoint, including this balancer's attempts in flight.
     pub(super) fn estimated_queue_length(&self, now: Timestamp, index: EndpointIndex) -> f64 {
         let endpoint = &self.endpoints[index];
-        let is_current = now < endpoint.state_expires;
-        let current_levels = if is_current {
+        let queue_length = if now < endpoint.state_expires {
             endpoint.queue_length
         } else {
-            self.mean_queue_lengths.of(endpoint.is_remote)
+            self.mean_queue_lengths.of(endpoint.locality)
         };
-        current_levels + self.queue_per_attempt() * f64::from(endpoint.in_flight)
+        queue_length + self.queue_per_attempt() * f64::from(endpoint.in_flight)
     }
 
-    /// The state as last judged, none once it has lapsed.
+    /// Returns the throttled levels of the present overload state; none once it has expired.
     fn current_levels(&self, now: Timestamp, index: EndpointIndex) -> ThrottledLevels {
         let endpoint = &self.endpoints[index];
-        if now < endpoint.state_expires {
-            ThrottledLevels {
-                gapping: endpoint.gapping_levels,
-                discarding: endpoint.discarding_levels,
-            }
-        } else {
-            ThrottledLevels {
-                gapping: 0,
-                discarding: 0,
-            }
+        if now >= endpoint.state_expires {
+            return ThrottledLevels::default();
+        }
+        ThrottledLevels {
+            gapping: endpoint.gapping_levels,
+            discarding: endpoint.discarding_levels,
         }
     }
 
-    /// What an own attempt in flight counts for as queue at its endpoint.
+    /// Returns the queue length that an attempt in flight stands for.
     fn queue_per_attempt(&self) -> f64 {
         match (self.settings.tier, self.settings.tiers) {
             (tier, tiers) if tier + 1 < tiers => INNER_TIER_QUEUE_PER_ATTEMPT,
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -1,28 +1,30 @@
-//! What an instance keeps of each request and its attempts. No decision is made here.
+//! The state that a balancer keeps of each request and its attempts. No decision is made here.
 
 use super::endpoint::{Endpoint, EndpointIndex};
-use super::event::Request;
+use super::event::{Outcome, Request};
 use super::id::{GroupId, ZoneId};
 use super::time::Timestamp;
 
 /// A request that is unanswered or has attempts in flight.
+#[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) request: Request,
-    /// Its worth level.
+    /// Its priority level.
     pub(super) level: usize,
-    /// An answer after this earns nothing.
+    /// An answer after this has no value.
     pub(super) useful_until: Timestamp,
-    /// It is refused if it has not been sent by then.
+    /// It is rejected if it was not sent by then.
     pub(super) queue_deadline: Timestamp,
     pub(super) attempts: Vec<Attempt>,
     pub(super) is_answered: bool,
-    /// Part of its body was sent on and is kept nowhere.
+    /// A part of its body was forwarded and not kept, so that it can not be sent again.
     pub(super) body_is_consumed: bool,
-    /// The cold ramp's clock has counted its next send already.
+    /// The slow start clock has counted its next send already.
     pub(super) has_advanced_slow_start: bool,
 }
 
 impl PendingRequest {
+    /// Creates a request without attempts.
     pub(super) fn new(
         request: Request,
         level: usize,
@@ -41,36 +43,50 @@
         }
     }
 
-    /// Its attempts that may have run, oldest first.
+    /// Returns its attempts that may have run, the oldest first.
     pub(super) fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
-            .filter(|a| a.state != AttemptState::NotRun)
+            .filter(|attempt| attempt.state != AttemptState::NotRun)
     }
 
+    /// Returns whether an attempt has not ended.
     pub(super) fn has_attempts_in_flight(&self) -> bool {
         self.attempts
             .iter()
-            .any(|a| a.state == AttemptState::InFlight)
+            .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 }
 
-/// One send of a request to an endpoint.
+/// One send of a request to one endpoint.
+#[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointIndex,
     pub(super) sent_at: Timestamp,
     pub(super) state: AttemptState,
 }
 
-/// How far an attempt is, and whether it may have run.
-#[derive(Clone, Copy, PartialEq)]
+/// Whether an attempt has ended, and whether it may have run.
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptState {
     InFlight,
     NotRun,
     MayHaveRun,
 }
 
-/// The endpoints that a further attempt may go to.
+impl AttemptState {
+    /// Returns the state of an attempt that ended with an outcome.
+    pub(super) fn after(outcome: Outcome) -> Self {
+        if outcome.proves_not_run() {
+            AttemptState::NotRun
+        } else {
+            AttemptState::MayHaveRun
+        }
+    }
+}
+
+/// The endpoints that the next attempt of a request may go to.
+#[derive(Debug)]
 pub(super) enum RetryScope {
     Anywhere,
     Zone(ZoneId),
@@ -78,7 +94,8 @@
 }
 
 impl RetryScope {
-    pub(super) fn allows(&self, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint is in the scope.
+    pub(super) fn contains(&self, endpoint: &Endpoint) -> bool {
         match self {
             RetryScope::Anywhere => true,
             RetryScope::Zone(zone) => endpoint.zone == *zone,
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -1,4 +1,4 @@
-//! Which endpoint an attempt goes to: two draws from the subset, of which the less loaded wins.
+//! Which endpoint an attempt goes to: the less loaded of two random members of the subset.
 
 use super::answer_time::ORDINARY_SLOWDOWN;
 use super::balancer::Balancer;
@@ -8,23 +8,24 @@
 use super::subset::MIN_SUBSET_SIZE;
 use super::time::Timestamp;
 
-/// Random draws over the zone where all of the subset is throttled, and how many of them are kept.
+/// Random samples of the local endpoints where all of the subset is throttled.
 const LOCAL_SAMPLES: usize = 2 * MIN_SUBSET_SIZE;
+/// The number of samples that become candidates.
 const MAX_LOCAL_CANDIDATES: usize = 2;
-/// Endpoints that are compared, where own attempts tell them apart.
+/// The number of random choices that are compared.
 const CHOICES: usize = 2;
 
 /// What one pick looks for.
 struct Search<'a> {
     now: Timestamp,
     scope: &'a RetryScope,
-    /// The request's worth level.
+    /// The request's priority level.
     level: usize,
     failure_limit: FailureLimit,
 }
 
 impl Balancer {
-    /// The endpoint that a request's next attempt goes to; `None` where it has to wait.
+    /// Returns the endpoint that a request's next attempt goes to; `None` where the request has to wait.
     pub(super) fn pick(
         &mut self,
         now: Timestamp,
@@ -38,25 +39,13 @@
             level: pending.level,
             failure_limit: self.failure_limit(now, class),
         };
-        let mut candidates = self.eligible_subset_members(&search, pending);
-        if candidates.is_empty() {
-            self.add_local_samples(&search, pending, &mut candidates);
-        }
-        if candidates.is_empty() {
-            candidates = self.clear_remote_members(&search, pending);
-        }
-        if candidates.is_empty() && !self.is_any_healthy(&search, pending) {
-            candidates.extend(self.least_failing_unthrottled(&search, pending));
-            if candidates.is_empty() {
-                self.advance_slow_start_early(pending);
-            }
-        }
+        let mut candidates = self.candidates(&search, pending);
         self.prefer_recent_unsafe_servers(now, class, &mut candidates);
-        if let Some(index) = candidates
+        let first_send = candidates
             .iter()
-            .find(|index| self.endpoints[**index].awaits_first_send)
-        {
-            return Some(*index); // a quiet instance would go on with the one that it knows as quickest
+            .find(|index| self.endpoints[**index].awaits_first_send);
+        if let Some(index) = first_send {
+            return Some(*index); // a balancer with few requests would stay with the fastest endpoint that it knows
         }
         match candidates.len() {
             0 => self.earliest_ended_gap(&search, pending),
@@ -65,19 +54,46 @@
         }
     }
 
-    /// Whether an endpoint may be sent this request at all: warm or due, in scope, and not tried before.
+    /// Returns the endpoints that take the request without a gap: of the subset, else of the zone, else of other zones,
+    /// else the one that fails least.
+    fn candidates(
+        &mut self,
+        search: &Search<'_>,
+        pending: &mut PendingRequest,
+    ) -> Vec<EndpointIndex> {
+        let mut candidates = self.eligible_subset_members(search, pending);
+        if candidates.is_empty() {
+            self.add_local_samples(search, pending, &mut candidates);
+        }
+        if candidates.is_empty() {
+            candidates = self.clear_remote_members(search, pending);
+        }
+        if candidates.is_empty() && !self.is_any_healthy(search, pending) {
+            candidates.extend(self.least_failing_unthrottled(search, pending));
+            if candidates.is_empty() {
+                self.advance_slow_start_early(pending);
+            }
+        }
+        candidates
+    }
+
+    /// Returns whether an endpoint may be sent this request at all: slow start allows it, and it is in scope and not
+    /// tried before.
     fn is_usable(
         &self,
         search: &Search<'_>,
         pending: &PendingRequest,
         index: EndpointIndex,
     ) -> bool {
-        self.slow_start_admits(search.now, index)
-            && search.scope.allows(&self.endpoints[index])
-            && pending.attempts.iter().all(|a| a.endpoint != index)
+        self.slow_start_allows(search.now, index)
+            && search.scope.contains(&self.endpoints[index])
+            && pending
+                .attempts
+                .iter()
+                .all(|attempt| attempt.endpoint != index)
     }
 
-    /// Whether it is usable and no outlier.
+    /// Returns whether an endpoint is usable and no outlier.
     fn is_healthy(
         &self,
         search: &Search<'_>,
@@ -88,9 +104,9 @@
             && self.is_usable(search, pending, index)
     }
 
-    /// Whether it throttles no request of this level.
-    fn is_unthrottled(&self, now: Timestamp, index: EndpointIndex, level: usize) -> bool {
-        level >= self.throttled_levels(now, index).gapping
+    /// Returns whether an endpoint does not throttle the request's level.
+    fn is_unthrottled(&self, search: &Search<'_>, index: EndpointIndex) -> bool {
+        search.level >= self.throttled_levels(search.now, index).gapping
     }
 
     fn is_eligible(
@@ -99,8 +115,7 @@
         pending: &PendingRequest,
         index: EndpointIndex,
     ) -> bool {
-        self.is_healthy(search, pending, index)
-            && self.is_unthrottled(search.now, index, search.level)
+        self.is_healthy(search, pending, index) && self.is_unthrottled(search, index)
     }
 
     fn eligible_subset_members(
@@ -108,28 +123,30 @@
         search: &Search<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
-        let members = self.subset.iter().copied();
+        let members = self.sets.subset.iter().copied();
         members
             .filter(|index| self.is_eligible(search, pending, *index))
             .collect()
     }
 
-    /// With all of the subset throttled, requests spill over the zone by random draws, while few own attempts
-    /// are in flight for the instance's part of the tier: else all instances overdrive all of it.
+    /// Adds random local endpoints, where all of the subset is throttled. Only while this balancer has few attempts in
+    /// flight for its part of the tier: otherwise all balancers together would overload the whole tier.
     fn add_local_samples(
         &mut self,
         search: &Search<'_>,
         pending: &PendingRequest,
         candidates: &mut Vec<EndpointIndex>,
     ) {
-        let own_load = f64::from(self.attempts_in_flight) / self.fair_share_of_tier();
-        let is_below_limit =
-            own_load * self.mean_slowdown / ORDINARY_SLOWDOWN < self.thresholds.highest_onset();
+        let own_load = f64::from(self.in_flight.count()) / self.fair_share_of_tier();
+        let load_with_slowdown = own_load * self.mean_slowdown / ORDINARY_SLOWDOWN;
+        // Not so without any endpoint, where the load is not a number.
+        let is_below_limit = load_with_slowdown < self.thresholds.highest_onset();
         if !is_below_limit {
             return;
         }
         for _ in 0..LOCAL_SAMPLES {
-            let Some(index) = self.local.get(self.random.below(self.local.len())).copied() else {
+            let sample = self.random.below(self.sets.local.len());
+            let Some(index) = self.sets.local.get(sample).copied() else {
                 continue;
             };
             if candidates.len() < MAX_LOCAL_CANDIDATES && self.is_eligible(search, pending, index) {
@@ -138,14 +155,14 @@
         }
     }
 
-    /// Then they spill into other zones, where no level is throttled. One that spills there beside another
-    /// opens a connection: one at a time where those have a price.
+    /// Returns the remote subset's healthy endpoints that throttle no level. A concurrent request there needs a further
+    /// connection, so only one at a time is sent where connections have a price.
     fn clear_remote_members(
         &self,
         search: &Search<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
-        let members = || self.remote_subset.iter().copied();
+        let members = || self.sets.remote_subset.iter().copied();
         let connections_are_priced = self.settings.prices.handshake > 0.0;
         if connections_are_priced && members().any(|index| self.endpoints[index].in_flight > 0) {
             return Vec::new();
@@ -158,28 +175,30 @@
     }
 
     fn is_any_healthy(&self, search: &Search<'_>, pending: &PendingRequest) -> bool {
-        self.local
-            .iter()
-            .chain(&self.remote_subset)
-            .any(|index| self.is_healthy(search, pending, *index))
+        self.reachable()
+            .any(|index| self.is_healthy(search, pending, index))
     }
 
-    /// With nobody sound to wait for, the one that fails least: else an instance whose subset is cold, or
-    /// fails as all do, sends nothing at all, and no cold one's turn ever comes.
+    /// Returns the usable, unthrottled endpoint that fails least, for use where none is healthy. Otherwise a balancer
+    /// whose subset is warming up or fails throughout would send nothing, and slow start would never advance.
     fn least_failing_unthrottled(
         &self,
         search: &Search<'_>,
         pending: &PendingRequest,
     ) -> Option<EndpointIndex> {
-        let reachable = self.local.iter().chain(&self.remote_subset).copied();
-        let unthrottled = reachable.filter(|index| {
-            self.is_usable(search, pending, *index)
-                && self.is_unthrottled(search.now, *index, search.level)
+        let unthrottled = self.reachable().filter(|index| {
+            self.is_usable(search, pending, *index) && self.is_unthrottled(search, *index)
         });
         self.least_failing(search.now, unthrottled, &search.failure_limit)
     }
 
-    /// With all throttled, the earliest gap among the gapping members that is over.
+    /// Returns all local endpoints and the remote subset.
+    fn reachable(&self) -> impl Iterator<Item = EndpointIndex> {
+        let local = self.sets.local.iter();
+        local.chain(&self.sets.remote_subset).copied()
+    }
+
+    /// Returns the gapping subset member whose gap ended first, for use where all are throttled.
     fn earliest_ended_gap(
         &self,
         search: &Search<'_>,
@@ -191,15 +210,12 @@
                 && gap_ends_at(index) <= search.now
                 && search.level >= self.throttled_levels(search.now, *index).discarding
         };
-        self.subset
-            .iter()
-            .copied()
-            .filter(is_due)
-            .min_by_key(gap_ends_at)
+        let members = self.sets.subset.iter().copied();
+        members.filter(is_due).min_by_key(gap_ends_at)
     }
 
-    /// The better of two random candidates. Where none of the two has own attempts in flight they say
-    /// nothing: so quiet an instance compares all queues that it knows.
+    /// Returns the less loaded of two random candidates. Where neither has attempts in flight, which happens at balancers
+    /// with few requests, all candidates are compared by their queues.
     fn best_of_two_choices(
         &mut self,
         now: Timestamp,
@@ -218,8 +234,7 @@
             .reduce(|a, b| self.less_loaded(now, a, b))
     }
 
-    /// The one with fewer own attempts in flight for its size, then the one with the shorter queue at its
-    /// pace.
+    /// Returns the endpoint with fewer attempts in flight for its size, or else with the shorter queueing time.
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
         let load = |index: EndpointIndex| {
             f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].size
--- a/src/policy/queued_requests.rs
+++ b/src/policy/queued_requests.rs
@@ -1,52 +1,58 @@
-//! Requests that wait to be sent, in their order. No decision is made here.
+//! The requests that wait to be sent, in their order. No decision is made here.
 
 use super::id::RequestId;
 use super::pending::PendingRequest;
 use super::time::Timestamp;
 use std::collections::VecDeque;
 
-/// No held request expires.
-pub(super) const NO_EXPIRY: Timestamp = Timestamp::from_nanos(u64::MAX);
+/// The queue deadline where no request is queued.
+pub(super) const NO_QUEUE_DEADLINE: Timestamp = Timestamp::from_nanos(u64::MAX);
 
-/// Held requests by worth level, each level in order of arrival.
+/// Queued requests by priority level, each level in order of arrival.
+#[derive(Debug)]
 pub(super) struct QueuedRequests {
     pub(super) levels: Vec<VecDeque<RequestId>>,
-    /// When the first held request expires, at the earliest.
-    pub(super) next_expiry: Timestamp,
+    /// The earliest queue deadline, or an earlier time.
+    pub(super) next_deadline: Timestamp,
 }
 
 impl Default for QueuedRequests {
     fn default() -> Self {
         QueuedRequests {
             levels: Vec::new(),
-            next_expiry: NO_EXPIRY,
+            next_deadline: NO_QUEUE_DEADLINE,
         }
     }
 }
 
 impl QueuedRequests {
+    /// Sets the number of priority levels.
     pub(super) fn set_levels(&mut self, count: usize) {
         self.levels.resize(count, VecDeque::new());
     }
 
+    /// Returns the number of queued requests.
     pub(super) fn len(&self) -> usize {
         self.levels.iter().map(VecDeque::len).sum()
     }
 
+    /// Returns whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.levels.iter().all(VecDeque::is_empty)
     }
 
+    /// Queues a request behind those of its level.
     pub(super) fn push(&mut self, pending: &PendingRequest) {
-        self.next_expiry = self.next_expiry.min(pending.queue_deadline);
+        self.next_deadline = self.next_deadline.min(pending.queue_deadline);
         self.levels[pending.level].push_back(pending.request.id.clone());
     }
 
+    /// Removes a request, if it is queued.
     pub(super) fn remove(&mut self, pending: &PendingRequest) {
         self.levels[pending.level].retain(|queued| *queued != pending.request.id);
     }
 
-    /// Empties the queue, the highest level first.
+    /// Removes and returns all requests, the highest level first.
     pub(super) fn take_all(&mut self) -> Vec<RequestId> {
         self.levels
             .iter_mut()
@@ -55,7 +61,7 @@
             .collect()
     }
 
-    /// The newest request of the lowest level.
+    /// Removes and returns the newest request of the lowest level.
     pub(super) fn pop_lowest_priority(&mut self) -> Option<RequestId> {
         self.levels.iter_mut().find_map(VecDeque::pop_back)
     }
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -1,13 +1,14 @@
-//! The seeded random source of one instance.
+//! The seeded random numbers of one balancer.
 
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Random numbers that the same seed gives again.
+/// Random numbers that are the same for the same seed.
 #[derive(Debug)]
 pub(crate) struct SeededRandom(Pcg64Mcg);
 
 impl SeededRandom {
+    /// Creates the sequence of a seed.
     pub(crate) fn new(seed: u64) -> Self {
         SeededRandom(Pcg64Mcg::seed_from_u64(seed))
     }
@@ -16,12 +17,12 @@
         self.0.next_u64()
     }
 
-    /// From 0 up to, not including, 1.
+    /// Returns a number from 0 up to and excluding 1.
     pub(crate) fn unit(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// From 0 up to, not including, `bound`; 0 where that is 0.
+    /// Returns a number from 0 up to and excluding `bound`; 0 if that is 0.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         ((u128::from(self.bits()) * bound as u128) >> 64) as usize
     }
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -1,20 +1,21 @@
-//! Requests that wait to be sent: how long, in which order, and which are refused past the queue limit.
+//! How many requests are queued and for how long, in which order they are sent, and which are shed.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::id::RequestId;
 use super::pending::PendingRequest;
-use super::queued_requests::NO_EXPIRY;
+use super::queued_requests::NO_QUEUE_DEADLINE;
 use super::time::Timestamp;
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// The part of what arrives within the hold time that may wait.
+/// The queue limit, as a fraction of the arrivals within the longest queue time.
 const QUEUE_FRACTION: f64 = 0.5;
-/// Requests that may wait, however few arrive.
+/// The lowest queue limit, however few requests arrive.
 const MIN_QUEUE_LIMIT: f64 = 4.0;
+
 impl Balancer {
-    /// Refuses the least worthy past the queue limit at once, the newest first.
+    /// Rejects the requests of the lowest priority that exceed the queue limit, the newest first.
     pub(super) fn shed_past_limit(
         &mut self,
         now: Timestamp,
@@ -31,13 +32,13 @@
         }
     }
 
-    /// Refuses what has been held too long, and sends what can be sent, the worthiest first.
+    /// Rejects requests whose queue deadline has passed, and sends what can be sent, the highest priority first.
     pub(super) fn send_queued_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if now >= self.queued.next_expiry {
+        if now >= self.queued.next_deadline {
             self.reject_expired_requests(now, actions);
         }
         for level in (0..self.queued.levels.len()).rev() {
-            if self.send_queued(now, level, actions).is_break() {
+            if self.send_queued_level(now, level, actions).is_break() {
                 return;
             }
         }
@@ -53,21 +54,20 @@
             self.answer_unserved(now, id, actions);
         }
         let requests = &self.requests;
-        let is_waiting = |id: &RequestId| requests.get(id).is_some_and(|p| !p.is_answered);
-        self.queued
-            .levels
-            .iter_mut()
-            .for_each(|level| level.retain(is_waiting));
+        let is_unanswered = |id: &RequestId| requests.get(id).is_some_and(|p| !p.is_answered);
+        for level in &mut self.queued.levels {
+            level.retain(is_unanswered);
+        }
         let queued = self.queued.levels.iter().flatten();
-        let expiries = queued
+        let deadlines = queued
             .filter_map(|id| requests.get(id))
-            .map(|p| p.queue_deadline);
-        self.queued.next_expiry = expiries.min().unwrap_or(NO_EXPIRY);
+            .map(|pending| pending.queue_deadline);
+        self.queued.next_deadline = deadlines.min().unwrap_or(NO_QUEUE_DEADLINE);
     }
 
-    /// Sends a level's requests in order, until one that was not tried yet has nowhere to go: then those
-    /// behind it and below it have not either.
-    fn send_queued(
+    /// Sends the requests of one level in order. Breaks at the first that was not sent before and that no endpoint takes:
+    /// then no endpoint takes those behind it and below it either.
+    fn send_queued_level(
         &mut self,
         now: Timestamp,
         level: usize,
@@ -75,9 +75,9 @@
     ) -> ControlFlow<()> {
         let mut position = 0;
         while let Some(id) = self.queued.levels[level].get(position).cloned() {
-            // One that waits for its turn must not hold up those behind it.
+            // A request that waits for its key must not delay those behind it.
             let waits_for_key =
-                |p: &PendingRequest| !p.is_answered && !self.key_order.is_next_for_key(now, p);
+                |p: &PendingRequest| !p.is_answered && !self.key_order.allows(now, p);
             if self.requests.get(&id).is_some_and(waits_for_key) {
                 position += 1;
                 continue;
@@ -87,18 +87,18 @@
                 continue;
             };
             if !pending.is_answered && self.retry_scope(now, &pending).is_none() {
-                // A keyed request can outlive its window while held.
+                // The window of a keyed request can end while it is queued.
                 self.reject_or_fail(now, &mut pending, actions);
             }
-            let stays = !pending.is_answered && !self.try_send(now, &mut pending, actions);
+            let stays_queued = !pending.is_answered && !self.try_send(now, &mut pending, actions);
             let is_retry = !pending.attempts.is_empty();
             self.retain_while_pending(pending);
-            if stays {
+            if stays_queued {
                 self.queued.levels[level].insert(position, id);
                 if !is_retry {
                     return ControlFlow::Break(());
                 }
-                position += 1; // a retry has fewer places to go than those behind it
+                position += 1; // fewer endpoints take a retry than take the requests behind it
             }
         }
         ControlFlow::Continue(())
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -1,28 +1,30 @@
-//! The table of open requests. No decision is made here.
+//! The table of pending requests. No decision is made here.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::Request;
 use super::id::{AttemptNumber, RequestId};
-use super::pending::{Attempt, AttemptState, PendingRequest};
+use super::pending::{AttemptState, PendingRequest};
 use super::time::Timestamp;
 
 impl Balancer {
-    /// Whether a request can be answered: its class and tenant are in the tables, and no open request has its
-    /// id.
+    /// Returns whether a request can be handled: its class and tenant exist, and no pending request has its id.
     pub(super) fn is_valid(&self, request: &Request) -> bool {
-        let has_tenant = request.tenant.is_none_or(|t| t.0 < self.tenant_rates.len());
+        let has_tenant = request
+            .tenant
+            .is_none_or(|tenant| tenant.0 < self.tenant_rates.len());
         let has_class = request.class.0 < self.classes.len();
         has_tenant && has_class && !self.requests.contains_key(&request.id)
     }
 
-    /// Part of a request's body was sent on and is kept nowhere.
+    /// Records that a part of a request's body was forwarded and not kept.
     pub(super) fn body_consumed(&mut self, request: &RequestId) {
         if let Some(pending) = self.requests.get_mut(request) {
             pending.body_is_consumed = true;
         }
     }
-    /// Answers a request that is held for nothing.
+
+    /// Gives a request that was removed from the queue its final answer.
     pub(super) fn answer_unserved(
         &mut self,
         now: Timestamp,
@@ -38,7 +40,7 @@
         self.retain_while_pending(pending);
     }
 
-    /// Keeps a request: once it is answered, only while ends of its attempts are to come.
+    /// Puts a request back into the table, unless it is answered and all its attempts have ended.
     pub(super) fn retain_while_pending(&mut self, pending: PendingRequest) {
         if !pending.is_answered || pending.has_attempts_in_flight() {
             self.requests.insert(pending.request.id.clone(), pending);
@@ -47,25 +49,24 @@
         }
     }
 
-    /// A request is over for its client; cancels its attempts in flight but for the one that streams the
-    /// answer.
+    /// Ends a request for its client, and cancels its attempts in flight except for the one that streams the answer.
     pub(super) fn finish_request(
         &mut self,
         id: &RequestId,
-        streams: Option<AttemptNumber>,
+        streaming: Option<AttemptNumber>,
         actions: &mut Vec<Action>,
     ) {
         let Some(mut pending) = self.requests.remove(id) else {
             return;
         };
-        // No such attempt is a host's slip.
-        let attempt_exists = streams.is_none_or(|number| number < pending.attempts.len());
+        // A host that names an attempt which does not exist is ignored.
+        let attempt_exists = streaming.is_none_or(|number| number < pending.attempts.len());
         pending.is_answered |= attempt_exists;
         if pending.is_answered {
-            // Left there it would count against those behind it, past the queue limit, until its time.
+            // In the queue it would count towards the queue limit until its queue deadline.
             self.queued.remove(&pending);
             if self.settings.limits.cancel {
-                cancel_attempts(&pending, streams, actions);
+                cancel_attempts(&pending, streaming, actions);
             }
         }
         self.retain_while_pending(pending);
@@ -74,14 +75,14 @@
 
 fn cancel_attempts(
     pending: &PendingRequest,
-    but: Option<AttemptNumber>,
+    except: Option<AttemptNumber>,
     actions: &mut Vec<Action>,
 ) {
-    for (attempt, Attempt { state, .. }) in pending.attempts.iter().enumerate() {
-        if *state == AttemptState::InFlight && but != Some(attempt) {
+    for (number, attempt) in pending.attempts.iter().enumerate() {
+        if attempt.state == AttemptState::InFlight && except != Some(number) {
             actions.push(Action::Cancel {
                 request: pending.request.id.clone(),
-                attempt,
+                attempt: number,
             });
         }
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,24 +1,22 @@
-//! Retries: whether a request may have another attempt, where, and how many all requests may have.
+//! Retries: whether a request may have another attempt and where, and how many retries requests earn.
 
 use super::balancer::Balancer;
+use super::class_settings::{Idempotency, KeyScope};
 use super::pending::{PendingRequest, RetryScope};
-use super::settings::{Idempotency, KeyScope};
 use super::time::Timestamp;
 
-/// Retries that each request pays for.
+/// Retries that a request earns.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.2;
-/// How many may be saved up.
-pub(super) const MAX_SAVED_RETRIES: f64 = 10.0;
 
 impl Balancer {
-    /// Where a request may have its next attempt; `None` where it may have none.
+    /// Returns where a request may have its next attempt; `None` where it may have none.
     pub(super) fn retry_scope(
         &self,
         now: Timestamp,
         pending: &PendingRequest,
     ) -> Option<RetryScope> {
-        let is_spent = pending.attempts.len() >= self.settings.limits.max_attempts;
-        if pending.is_answered || pending.body_is_consumed || is_spent {
+        let are_attempts_used_up = pending.attempts.len() >= self.settings.limits.max_attempts;
+        if pending.is_answered || pending.body_is_consumed || are_attempts_used_up {
             return None;
         }
         let Some(first) = pending.possible_runs().next() else {
@@ -39,7 +37,7 @@
         }
     }
 
-    /// Whether the client may be told that trying again is harmless.
+    /// Returns whether the client can repeat the request without any risk that it runs twice.
     pub(super) fn is_retry_harmless(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let mut possible_runs = pending.possible_runs();
         match self.settings.classes[pending.request.class.0].idempotency {
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -1,4 +1,4 @@
-//! The send of an attempt, and the one final answer to a request that no attempt serves.
+//! How an attempt is sent, and the final answer to a request that no attempt serves.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Sends a request, if it has its turn and an endpoint takes it.
+    /// Sends a request if its key order allows it and an endpoint takes it; returns whether it was sent.
     pub(super) fn try_send(
         &mut self,
         now: Timestamp,
@@ -16,13 +16,13 @@
     ) -> bool {
         let scope = self
             .retry_scope(now, pending)
-            .filter(|_| self.key_order.is_next_for_key(now, pending));
+            .filter(|_| self.key_order.allows(now, pending));
         let Some(scope) = scope else { return false };
         let Some(index) = self.pick(now, pending, &scope) else {
             return false;
         };
         self.advance_slow_start(pending);
-        self.add_in_flight(index);
+        self.in_flight.add(&mut self.endpoints, index);
         let gap = self.gap(now, self.endpoints[index].queue_length);
         let slow_start_slot = self.draw_slow_start_slot(now, index);
         let timeout = self.attempt_timeout(now, pending);
@@ -36,30 +36,27 @@
             sent_at: now,
             state: AttemptState::InFlight,
         });
-        let request = pending.request.id.clone();
         actions.push(Action::Send {
-            request,
+            request: pending.request.id.clone(),
             endpoint: endpoint.id.clone(),
             timeout,
         });
         true
     }
 
-    /// How long an attempt is waited for. Some servers drop waiting work that is cancelled: what earns
-    /// nothing any more holds up the rest.
+    /// Returns the timeout of an attempt. Some servers drop queued work that is cancelled, so an attempt whose answer has
+    /// no value any more is not left to delay the others.
     fn attempt_timeout(&self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
         let class = &self.settings.classes[pending.request.class.0];
         (class.late_value == 0.0).then_some(pending.useful_until.since(now))
     }
 
-    /// When whoever is refused is to come back, as far as it may be said. A client that comes back at once
-    /// meets the same overload, and its answer would be late.
+    /// Returns when a rejected client is to come back, where clients accept that. A client that came back at once would
+    /// meet the same overload, and its answer would be late.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
-        self.settings
-            .limits
-            .retry_after
-            .then_some(self.settings.limits.max_retry_after)
+        let limits = &self.settings.limits;
+        limits.retry_after.then_some(limits.max_retry_after)
     }
 
     /// Gives the final answer to a request that is not served.
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -1,45 +1,46 @@
-//! Which settings an instance can work with.
+//! Which settings are valid.
 
-use super::settings::{Class, DiscoveryMode, Idempotency, Settings};
+use super::class_settings::{Class, Idempotency};
+use super::settings::{DiscoveryMode, Settings};
 use std::time::Duration;
 
-/// No time in the settings is longer.
-const MAX_TIME: Duration = Duration::from_secs(366 * 86_400);
-/// No price, worth or multiple in the settings is larger.
+/// The longest valid duration.
+const MAX_DURATION: Duration = Duration::from_secs(366 * 86_400);
+/// The largest valid price, priority weight or multiple.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// Settings that no instance can work with: which one, and why.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field} {problem}")]
 pub struct SettingsError {
-    /// The setting, as a path below [`Settings`].
+    /// The path of the setting below [`Settings`].
     pub field: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub problem: &'static str,
 }
 
-/// A setting by its path below [`Settings`], and what it is set to.
+/// A setting: its path below [`Settings`], and its value.
 struct Setting<T> {
     path: String,
     value: T,
 }
 
-/// Settings by the rule that each kind has to keep.
+/// Settings by the constraint that applies to them.
 #[derive(Default)]
 struct SettingsByConstraint {
-    times: Vec<Setting<Duration>>,
-    positive_times: Vec<Setting<Duration>>,
+    durations: Vec<Setting<Duration>>,
+    positive_durations: Vec<Setting<Duration>>,
     fractions: Vec<Setting<f64>>,
     amounts: Vec<Setting<f64>>,
 }
 
 impl Settings {
-    /// Whether an instance can work with these.
+    /// Checks that all settings are valid.
     ///
     /// # Errors
-    /// Names the first setting that makes no sense: no instance or class, two classes of one name, an attempt limit
-    /// of zero, a share, price, worth or fraction outside its range or not a number, a time of more than a year, or
-    /// none where one is needed.
+    /// Returns the first invalid setting: no balancer or class, two classes with one name, an attempt limit of zero, a
+    /// fraction, price, weight or multiple that is out of range or not a number, a duration of more than a year, or a
+    /// duration of zero where that is not allowed.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validation_errors()
             .into_iter()
@@ -47,7 +48,7 @@
             .map_or(Ok(()), Err)
     }
 
-    /// All settings that make no sense, as [`Settings::validate`] has it.
+    /// Returns all invalid settings, by the rules of [`Settings::validate`].
     #[must_use]
     pub fn validation_errors(&self) -> Vec<SettingsError> {
         let mut violations = Vec::new();
@@ -83,38 +84,38 @@
     }
 }
 
-/// The position of the first class whose name an earlier one has.
+/// Returns the position of the first class whose name an earlier one has.
 fn repeated_name(classes: &[Class]) -> Option<usize> {
     (1..classes.len()).find(|position| {
         classes[..*position]
             .iter()
-            .any(|c| c.name == classes[*position].name)
+            .any(|class| class.name == classes[*position].name)
     })
 }
 
 impl SettingsByConstraint {
-    fn time(&mut self, path: impl Into<String>, value: Duration) {
-        self.times.push(Setting {
+    fn add_duration(&mut self, path: impl Into<String>, value: Duration) {
+        self.durations.push(Setting {
             path: path.into(),
             value,
         });
     }
 
-    fn positive_time(&mut self, path: impl Into<String>, value: Duration) {
-        self.positive_times.push(Setting {
+    fn add_positive_duration(&mut self, path: impl Into<String>, value: Duration) {
+        self.positive_durations.push(Setting {
             path: path.into(),
             value,
         });
     }
 
-    fn fraction(&mut self, path: impl Into<String>, value: f64) {
+    fn add_fraction(&mut self, path: impl Into<String>, value: f64) {
         self.fractions.push(Setting {
             path: path.into(),
             value,
         });
     }
 
-    fn amount(&mut self, path: impl Into<String>, value: f64) {
+    fn add_amount(&mut self, path: impl Into<String>, value: f64) {
         self.amounts.push(Setting {
             path: path.into(),
             value,
@@ -123,60 +124,60 @@
 
     fn add_limits_and_rules(&mut self, settings: &Settings) {
         let (limits, rules) = (&settings.limits, &settings.rules);
-        self.time("limits.max_retry_after", limits.max_retry_after);
-        self.time("limits.idle_timeout", limits.idle_timeout);
-        self.time("limits.connect_timeout", limits.connect_timeout);
-        self.time("rules.answer_slack", rules.answer_slack);
-        self.time("rules.drain_grace", rules.drain_grace);
+        self.add_duration("limits.max_retry_after", limits.max_retry_after);
+        self.add_duration("limits.idle_timeout", limits.idle_timeout);
+        self.add_duration("limits.connect_timeout", limits.connect_timeout);
+        self.add_duration("rules.answer_slack", rules.answer_slack);
+        self.add_duration("rules.drain_grace", rules.drain_grace);
         match settings.discovery {
             DiscoveryMode::OnRequest => {
-                self.positive_time("rules.poll_interval", rules.poll_interval);
+                self.add_positive_duration("rules.poll_interval", rules.poll_interval);
             }
-            DiscoveryMode::Pushed => self.time("rules.poll_interval", rules.poll_interval),
+            DiscoveryMode::Pushed => self.add_duration("rules.poll_interval", rules.poll_interval),
         }
-        self.time("rules.warm_up_time", rules.warm_up_time);
-        self.time("rules.overload_window", rules.overload_window);
-        self.time("rules.drain_close", rules.drain_close.unwrap_or_default());
-        self.time("rules.key_cooldown", rules.key_cooldown.unwrap_or_default());
-        self.time("tick", settings.tick);
-        self.fraction("rules.initial_capacity", rules.initial_capacity);
-        self.amount("rules.overload_multiple", rules.overload_multiple);
+        self.add_duration("rules.warm_up_time", rules.warm_up_time);
+        self.add_duration("rules.overload_window", rules.overload_window);
+        self.add_duration("rules.drain_close", rules.drain_close.unwrap_or_default());
+        self.add_duration("rules.key_cooldown", rules.key_cooldown.unwrap_or_default());
+        self.add_duration("tick", settings.tick);
+        self.add_fraction("rules.initial_capacity", rules.initial_capacity);
+        self.add_amount("rules.overload_multiple", rules.overload_multiple);
     }
 
     fn add_prices(&mut self, settings: &Settings) {
         let prices = &settings.prices;
-        self.amount("prices.cross_zone", prices.cross_zone);
-        self.amount("prices.waste", prices.waste);
-        self.amount("prices.health_check", prices.health_check);
-        self.amount("prices.peer", prices.peer);
-        self.amount("prices.handshake", prices.handshake);
-        self.amount("prices.connection", prices.connection);
-        self.amount("prices.late_fail", prices.late_fail);
-        self.amount("prices.discovery", prices.discovery);
+        self.add_amount("prices.cross_zone", prices.cross_zone);
+        self.add_amount("prices.waste", prices.waste);
+        self.add_amount("prices.health_check", prices.health_check);
+        self.add_amount("prices.peer", prices.peer);
+        self.add_amount("prices.handshake", prices.handshake);
+        self.add_amount("prices.connection", prices.connection);
+        self.add_amount("prices.late_fail", prices.late_fail);
+        self.add_amount("prices.discovery", prices.discovery);
     }
 
     fn add_classes(&mut self, settings: &Settings) {
         for (position, class) in settings.classes.iter().enumerate() {
             let path = |name: &str| format!("classes[{position}].{name}");
-            self.positive_time(path("objective"), class.objective);
-            self.positive_time(path("deadline"), class.deadline);
+            self.add_positive_duration(path("objective"), class.objective);
+            self.add_positive_duration(path("deadline"), class.deadline);
             if let Idempotency::Keyed { window, .. } = class.idempotency {
-                self.time(path("idempotency.window"), window);
+                self.add_duration(path("idempotency.window"), window);
             }
-            self.amount(path("priority_weight"), class.priority_weight);
-            self.amount(path("objective_per_work"), class.objective_per_work);
-            self.fraction(path("late_value"), class.late_value);
+            self.add_amount(path("priority_weight"), class.priority_weight);
+            self.add_amount(path("objective_per_work"), class.objective_per_work);
+            self.add_fraction(path("late_value"), class.late_value);
         }
     }
 
     fn add_tenants(&mut self, settings: &Settings) {
-        self.fraction("over_share_value", settings.over_share_value);
+        self.add_fraction("over_share_value", settings.over_share_value);
         for (position, tenant) in settings.tenants.iter().enumerate() {
-            self.fraction(
+            self.add_fraction(
                 format!("tenants[{position}].quota_share"),
                 tenant.quota_share,
             );
-            self.amount(
+            self.add_amount(
                 format!("tenants[{position}].quota_per_s"),
                 tenant.quota_per_s,
             );
@@ -184,12 +185,12 @@
     }
 
     fn add_violations(&self, violations: &mut Vec<SettingsError>) {
-        for Setting { path, value } in self.times.iter().chain(&self.positive_times) {
-            if *value > MAX_TIME {
+        for Setting { path, value } in self.durations.iter().chain(&self.positive_durations) {
+            if *value > MAX_DURATION {
                 violations.push(violation(path, "is more than a year"));
             }
         }
-        for Setting { path, value } in &self.positive_times {
+        for Setting { path, value } in &self.positive_durations {
             if value.is_zero() {
                 violations.push(violation(path, "is zero"));
             }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,21 +1,21 @@
-//! The cold ramp (slow start): how much of the traffic an endpoint gets until it is warm.
+//! Slow start: the fraction of its fair share of requests that an endpoint is sent while it is warming up.
 //!
-//! Own sends are the clock of the ramp: of every `subset / capacity` sends one is for the cold member, at
-//! random, so that instances of any number and quietness together stay at a fair share. A request that no
-//! sound endpoint can take counts ahead of its send: else the clock would stand still.
+//! The clock of slow start is the balancer's own number of sends. Of each `subset / fraction` sends one, at a random
+//! time, goes to the warming endpoint, so that any number of balancers with any rates together send it its fraction. A
+//! request that no healthy endpoint can take is counted before it is sent: otherwise the clock would not advance.
 
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
 use super::pending::PendingRequest;
 use super::time::Timestamp;
 
-/// Part of what makes a cold endpoint fall that it may be sent, at a fair share of its present capacity: the
-/// rest is for chance. Less starved new servers while the old ones jammed.
+/// The fraction of the overload multiple that a warming endpoint is sent; the rest is a margin for random variation.
+/// With a lower fraction, new endpoints were left idle while the old ones were overloaded.
 const WARMING_FRACTION: f64 = 0.6;
 
 impl Balancer {
-    /// The part of a fair share that a cold endpoint may get; `None` once it is warm. When the limit ended
-    /// early, all instances fell upon the one that was clear in a throttled tier.
+    /// Returns the fraction of a fair share that a warming endpoint may be sent; `None` once it is warm. The limit stays
+    /// for the whole warm-up: when it ended earlier, all balancers of an overloaded tier sent to the one clear endpoint.
     pub(super) fn slow_start_share(&self, now: Timestamp, index: EndpointIndex) -> Option<f64> {
         let endpoint = &self.endpoints[index];
         let rules = &self.settings.rules;
@@ -29,26 +29,27 @@
         Some(capacity * rules.overload_multiple * WARMING_FRACTION)
     }
 
-    /// Whether it is warm, or its turn on the ramp has come.
-    pub(super) fn slow_start_admits(&self, now: Timestamp, index: EndpointIndex) -> bool {
+    /// Returns whether slow start lets this endpoint take a request now: it is warm, or its slot has come.
+    pub(super) fn slow_start_allows(&self, now: Timestamp, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         self.slow_start_share(now, index).is_none()
             || endpoint.in_subset && self.slow_start_clock >= endpoint.slow_start_slot
     }
 
-    /// The clock's reading at an endpoint's next turn, drawn at random.
+    /// Draws an endpoint's next slot: exponentially distributed after the clock's present reading.
     pub(super) fn draw_slow_start_slot(&mut self, now: Timestamp, index: EndpointIndex) -> f64 {
         let share = self.slow_start_share(now, index).unwrap_or(f64::INFINITY);
-        self.slow_start_clock - (1.0 - self.random.unit()).ln() * self.subset.len() as f64 / share
+        let mean_exponential = -(1.0 - self.random.unit()).ln();
+        self.slow_start_clock + mean_exponential * self.sets.subset.len() as f64 / share
     }
 
-    /// Moves the clock on for a send, unless it was counted ahead.
+    /// Advances the clock for a send, unless the request was counted early.
     pub(super) fn advance_slow_start(&mut self, pending: &mut PendingRequest) {
         let was_counted = std::mem::take(&mut pending.has_advanced_slow_start);
         self.slow_start_clock += if was_counted { 0.0 } else { 1.0 };
     }
 
-    /// Moves the clock on for a request that has nowhere to go, once.
+    /// Advances the clock, once, for a request that no endpoint can take.
     pub(super) fn advance_slow_start_early(&mut self, pending: &mut PendingRequest) {
         if !std::mem::replace(&mut pending.has_advanced_slow_start, true) {
             self.slow_start_clock += 1.0;
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -1,52 +1,53 @@
-//! How an instance stands, for the operators.
+//! The counts of requests and endpoints for the operators.
 
 use super::balancer::Balancer;
 use super::time::Timestamp;
 
-/// Counts of requests and of endpoints.
+/// Counts of a balancer's requests and endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BalancerStatus {
-    /// Requests kept, answered or not.
+    /// Requests that are unanswered or have attempts in flight.
     pub pending: usize,
     /// Requests that wait to be sent.
     pub queued: usize,
-    /// Attempts in flight, and those timed out that may run on.
+    /// Attempts in flight, including timed-out attempts that may still run.
     pub in_flight: usize,
-    /// Endpoints at which no worth level is throttled.
+    /// Endpoints that throttle no priority level.
     pub clear: usize,
-    /// Endpoints at which some level is held to the gap, or worse.
+    /// Endpoints that throttle at least one priority level.
     pub gapping: usize,
-    /// Endpoints at which some level is discarded.
+    /// Endpoints that discard at least one priority level.
     pub discarding: usize,
-    /// Endpoints whose state was told and has not lapsed.
+    /// Endpoints whose overload state is known and has not expired.
     pub current_states: usize,
-    /// Listed endpoints that get nothing now: they drain, are disabled, or discard every worth level.
+    /// Listed endpoints that are sent nothing: they drain, are disabled, or discard every priority level.
     pub unavailable: usize,
 }
 
 impl Balancer {
-    /// How the instance stands.
+    /// Returns the present counts.
     #[must_use]
     pub fn status(&self, now: Timestamp) -> BalancerStatus {
+        let endpoints = self.endpoints.iter();
         let mut status = BalancerStatus {
             pending: self.requests.len(),
             queued: self.queued.len(),
-            in_flight: self.attempts_in_flight as usize,
-            unavailable: self
-                .endpoints
-                .iter()
-                .filter(|index| index.is_listed && !index.is_available)
+            in_flight: self.in_flight.count() as usize,
+            unavailable: endpoints
+                .filter(|endpoint| endpoint.is_listed && !endpoint.is_available)
                 .count(),
             ..BalancerStatus::default()
         };
-        for index in (0..self.endpoints.len()).filter(|index| self.endpoints[*index].is_available) {
-            let throttled_levels = self.throttled_levels(now, index);
-            status.clear += usize::from(throttled_levels.gapping == 0);
-            status.gapping += usize::from(throttled_levels.gapping > 0);
-            status.discarding += usize::from(throttled_levels.discarding > 0);
-            status.current_states += usize::from(now < self.endpoints[index].state_expires);
-            status.unavailable +=
-                usize::from(throttled_levels.discarding == self.thresholds.level_count());
+        let level_count = self.thresholds.level_count();
+        let indices = self.endpoints.indices();
+        for index in indices.filter(|index| self.endpoints[*index].is_available) {
+            let levels = self.throttled_levels(now, index);
+            let has_current_state = now < self.endpoints[index].state_expires;
+            status.clear += usize::from(levels.gapping == 0);
+            status.gapping += usize::from(levels.gapping > 0);
+            status.discarding += usize::from(levels.discarding > 0);
+            status.current_states += usize::from(has_current_state);
+            status.unavailable += usize::from(levels.discarding == level_count);
         }
         status
     }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,64 +1,70 @@
-//! The subset of the tier that this instance sends to on the ordinary path.
+//! The subset of the tier that this balancer usually sends to.
 
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
 use super::id::EndpointId;
 use super::time::Timestamp;
 
-/// Subset members at least: two draws need two. With more a quiet instance knew each queue less well.
+/// The smallest subset: two random choices need two endpoints. With a larger minimum, a balancer with few requests knew
+/// each queue less well.
 pub(super) const MIN_SUBSET_SIZE: usize = 2;
-/// Subset members for each own request a second: each is heard of every other second or so.
+/// The subset's size for each arrival a second, so that each member is sent a request every other second or so.
 const MEMBERS_PER_REQUEST_RATE: f64 = 0.5;
-/// Instances that share an endpoint when each keeps to its part.
+/// The number of balancers whose subsets contain one endpoint.
 const BALANCERS_PER_ENDPOINT: f64 = 4.0;
 
 impl Balancer {
-    /// Draws the subset: all instances shuffle the tier alike into a ring, and each takes the stretch that
-    /// begins at its own number's part of the way round. When each drew by itself, chance put some endpoints
-    /// in twice the subsets of others. A change of one endpoint moves a subset by one place at most. Cold
-    /// members get a random first turn, not a send from every instance.
+    /// Selects the subset by deterministic subsetting: all balancers shuffle the tier in the same way, and each takes a
+    /// section that starts in proportion to its own number. Independent random subsets contained some endpoints twice as
+    /// often as others. A change of one endpoint changes at most one member. Warming members get a random slow start
+    /// slot, so that not all balancers send to them at once.
     pub(super) fn select_subset(&mut self, now: Timestamp) {
         let size = self.subset_size(now);
-        self.subset = self.ring(&self.local);
-        self.subset
-            .truncate(self.length_with_warm_members(now, size));
-        self.remote_subset = self.ring(&self.remote);
-        self.remote_subset.truncate(size);
-        self.endpoints
-            .iter_mut()
-            .for_each(|index| index.in_subset = false);
-        for position in 0..self.subset.len() {
-            let index = self.subset[position];
-            self.endpoints[index].in_subset = true;
-            if self.endpoints[index].awaits_first_send {
-                self.endpoints[index].slow_start_slot = self.slow_start_clock;
-            } else if self.endpoints[index].slow_start_slot.is_infinite() {
-                self.endpoints[index].slow_start_slot = self.draw_slow_start_slot(now, index);
-            }
+        self.sets.subset = self.shuffled(&self.sets.local);
+        let length = self.length_with_warm_members(now, size);
+        self.sets.subset.truncate(length);
+        self.sets.remote_subset = self.shuffled(&self.sets.remote);
+        self.sets.remote_subset.truncate(size);
+        for endpoint in self.endpoints.iter_mut() {
+            endpoint.in_subset = false;
+        }
+        for position in 0..self.sets.subset.len() {
+            self.add_to_subset(now, self.sets.subset[position]);
+        }
+    }
+
+    fn add_to_subset(&mut self, now: Timestamp, index: EndpointIndex) {
+        self.endpoints[index].in_subset = true;
+        if self.endpoints[index].awaits_first_send {
+            self.endpoints[index].slow_start_slot = self.slow_start_clock;
+        } else if self.endpoints[index].slow_start_slot.is_infinite() {
+            self.endpoints[index].slow_start_slot = self.draw_slow_start_slot(now, index);
         }
     }
 
-    /// The length at which the ring holds so many warm endpoints. Cold ones ride along: a subset that was
-    /// mostly cold left its instance next to nowhere to send.
+    /// Returns the length of the subset that has `size` warm members. Warming members are additional: a balancer whose
+    /// subset was mostly warming up could send hardly anything.
     fn length_with_warm_members(&self, now: Timestamp, size: usize) -> usize {
-        let is_warm =
-            |position: &usize| self.slow_start_share(now, self.subset[*position]).is_none();
-        let last = (0..self.subset.len()).filter(is_warm).nth(size - 1);
-        last.map_or(self.subset.len(), |position| position + 1)
+        let subset = &self.sets.subset;
+        let is_warm = |position: &usize| self.slow_start_share(now, subset[*position]).is_none();
+        let last = (0..subset.len()).filter(is_warm).nth(size - 1);
+        last.map_or(subset.len(), |position| position + 1)
     }
 
-    fn ring(&self, endpoints: &[EndpointIndex]) -> Vec<EndpointIndex> {
-        let mut ring = endpoints.to_vec();
-        ring.sort_by_cached_key(|index| shuffle_key(&self.endpoints[*index].id));
-        let length = ring.len().max(1);
-        let start = self.settings.peer_id.0 as usize * length / self.settings.balancers as usize;
-        ring.rotate_left(start % length);
-        ring
+    /// Returns endpoints in the common shuffled order, rotated by this balancer's number.
+    fn shuffled(&self, endpoints: &[EndpointIndex]) -> Vec<EndpointIndex> {
+        let mut shuffled = endpoints.to_vec();
+        shuffled.sort_by_cached_key(|index| shuffle_key(&self.endpoints[*index].id));
+        let length = shuffled.len().max(1);
+        let balancer_number = self.settings.peer_id.0 as usize;
+        let start = balancer_number * length / self.settings.balancers as usize;
+        shuffled.rotate_left(start % length);
+        shuffled
     }
 
-    /// How many endpoints are this instance's part of the tier, of which each is in `BALANCERS_PER_ENDPOINT` parts.
+    /// Returns how many endpoints the tier has for this balancer, each shared by [`BALANCERS_PER_ENDPOINT`].
     pub(super) fn fair_share_of_tier(&self) -> f64 {
-        let available = self.local.len() + self.remote.len();
+        let available = self.sets.local.len() + self.sets.remote.len();
         available as f64 * BALANCERS_PER_ENDPOINT / f64::from(self.settings.balancers)
     }
 
@@ -67,16 +73,16 @@
         MIN_SUBSET_SIZE.max(self.fair_share_of_tier().min(by_rate) as usize)
     }
 
-    /// Draws the subset anew where it is half as large as the rate of arrivals now asks for.
+    /// Selects the subset again once the arrival rate allows twice its size.
     pub(super) fn grow_subset(&mut self, now: Timestamp) {
-        let can_grow = self.subset.len() < self.local.len();
-        if can_grow && self.subset_size(now) >= 2 * self.subset.len() {
+        let can_grow = self.sets.subset.len() < self.sets.local.len();
+        if can_grow && self.subset_size(now) >= 2 * self.sets.subset.len() {
             self.select_subset(now);
         }
     }
 }
 
-/// An endpoint's place in the shuffle that is the same at every instance and in every build (FNV-1a).
+/// Returns an endpoint's position key in the shuffle, which is the same at every balancer and in every build (FNV-1a).
 fn shuffle_key(id: &EndpointId) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
--- a/src/policy/thresholds.rs
+++ b/src/policy/thresholds.rs
@@ -1,21 +1,23 @@
-//! Abatement, onset and discard thresholds on queue lengths, for each worth level.
+//! The abatement, onset and discard thresholds on queue lengths, for each priority level.
 
-/// Queue length (requests) below which no level is throttled: a queue this short empties before news comes.
+/// The lowest abatement threshold, in requests: a shorter queue is empty again before its load report arrives.
 const MIN_ABATEMENT: f64 = 0.3;
-/// Queue length (requests) at which every level is discarded.
+/// The highest discard threshold, in requests: with a longer queue every level is discarded.
 pub(super) const MAX_DISCARD: f64 = 2.6;
 
+#[derive(Debug)]
 struct LevelThresholds {
     abatement: f64,
     onset: f64,
     discard: f64,
 }
 
-/// The thresholds of all worth levels, the lowest level first.
-#[derive(Default)]
+/// The thresholds of all priority levels, the lowest level first.
+#[derive(Debug, Default)]
 pub(super) struct Thresholds(Vec<LevelThresholds>);
 
-/// How many levels' thresholds a queue length has reached.
+/// The number of levels whose thresholds a queue length has reached.
+#[derive(Clone, Copy, Debug)]
 pub(super) struct LevelsReached {
     pub(super) abatement: usize,
     pub(super) onset: usize,
@@ -23,7 +25,7 @@
 }
 
 impl Thresholds {
-    /// Thresholds that lie evenly between the lowest abatement and the highest discard.
+    /// Creates thresholds at equal distances between the lowest abatement and the highest discard threshold.
     pub(super) fn for_levels(count: usize) -> Self {
         let step = (MAX_DISCARD - MIN_ABATEMENT) / (3 * count.max(1) - 1) as f64;
         let of_level = |level: usize| {
@@ -37,24 +39,26 @@
         Thresholds((0..count).map(of_level).collect())
     }
 
+    /// Returns the number of priority levels.
     pub(super) fn level_count(&self) -> usize {
         self.0.len()
     }
 
+    /// Returns the onset threshold of the lowest level.
     pub(super) fn lowest_onset(&self) -> f64 {
         self.0.first().map_or(1.0, |level| level.onset)
     }
 
+    /// Returns the onset threshold of the highest level.
     pub(super) fn highest_onset(&self) -> f64 {
         self.0.last().map_or(0.0, |level| level.onset)
     }
 
+    /// Returns how many levels' thresholds a queue length has reached.
     pub(super) fn reached(&self, queue_length: f64) -> LevelsReached {
         let count = |threshold: fn(&LevelThresholds) -> f64| {
-            self.0
-                .iter()
-                .filter(|l| queue_length >= threshold(l))
-                .count()
+            let levels = self.0.iter();
+            levels.filter(|l| queue_length >= threshold(l)).count()
         };
         LevelsReached {
             abatement: count(|level| level.abatement),
--- a/src/policy/time.rs
+++ b/src/policy/time.rs
@@ -2,26 +2,27 @@
 
 use std::time::Duration;
 
-/// The longest span that computed seconds may stand for, some thirty years: sums and small multiples of it
-/// never overflow.
+/// The longest duration that is computed from seconds, some thirty years: sums and small multiples of it do not overflow.
 const MAX_SECONDS: f64 = 1e9;
 
-/// A point on the host's clock, which starts anywhere and only moves forward.
+/// A point in time on the host's clock, which starts anywhere and never goes backwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// A point in time, in nanoseconds on the host's clock.
+    /// Creates a timestamp from nanoseconds on the host's clock.
     #[must_use]
     pub const fn from_nanos(nanos: u64) -> Self {
         Timestamp(nanos)
     }
-    /// Nanoseconds on the host's clock.
+
+    /// Returns the nanoseconds on the host's clock.
     #[must_use]
     pub const fn as_nanos(self) -> u64 {
         self.0
     }
-    /// The time since `earlier`, or zero if `earlier` is later.
+
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
@@ -30,15 +31,14 @@
 
 impl std::ops::Add<Duration> for Timestamp {
     type Output = Timestamp;
-    fn add(self, by: Duration) -> Timestamp {
-        Timestamp(
-            self.0
-                .saturating_add(u64::try_from(by.as_nanos()).unwrap_or(u64::MAX)),
-        )
+
+    fn add(self, duration: Duration) -> Timestamp {
+        let nanos = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
+        Timestamp(self.0.saturating_add(nanos))
     }
 }
 
-/// A duration from computed seconds: zero where negative or not a number.
+/// Returns a duration of computed seconds: zero where they are negative or not a number.
 pub(super) fn duration_from_seconds(seconds: f64) -> Duration {
     let bounded = if seconds > MAX_SECONDS {
         MAX_SECONDS
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -1,47 +1,47 @@
-//! The one timer of an instance: the next call of discovery, and the next chance of a held request.
+//! The one timer of a balancer: for the next call of discovery, and for queued requests.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::time::{Timestamp, duration_from_seconds};
 
 impl Balancer {
-    /// Asks for a watch where it is due, and sets the timer where something is due before it.
+    /// Opens a watch where that is due, and sets the timer if something is due before it expires.
     pub(super) fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.discovery_schedule.take_due(now) {
             actions.push(Action::Subscribe);
         }
-        let queued = (!self.queued.is_empty()).then(|| self.next_queue_check(now));
-        let due = self
-            .discovery_schedule
-            .next_call
-            .into_iter()
-            .chain(queued)
-            .min();
-        if let Some(at) = due.filter(|at| self.timer_expires_at.is_none_or(|set| *at < set)) {
-            self.timer_expires_at = Some(at);
+        let next_call = self.discovery_schedule.next_call;
+        let queue_check = (!self.queued.is_empty()).then(|| self.next_queue_check(now));
+        let Some(due) = next_call.into_iter().chain(queue_check).min() else {
+            return;
+        };
+        if self.timer_expires_at.is_none_or(|set| due < set) {
+            self.timer_expires_at = Some(due);
             actions.push(Action::SetTimer {
-                at,
-                token: at.as_nanos(),
+                at: due,
+                token: due.as_nanos(),
             });
         }
     }
 
-    /// When a held request may have somewhere to go, or expires: at the next end of a gap or of a key's rest,
-    /// and in any case after an unloaded answer time.
+    /// Returns when an endpoint may take a queued request, or when one reaches its queue deadline: at the next end of a
+    /// gap or of a key cool-down, and after an unloaded answer time at the latest.
     fn next_queue_check(&self, now: Timestamp) -> Timestamp {
-        let soon = now + duration_from_seconds(self.unloaded_time());
-        let gaps = self
+        let latest = now + duration_from_seconds(self.unloaded_time());
+        let gap_ends = self
+            .sets
             .subset
             .iter()
             .map(|index| self.endpoints[*index].gap_ends_at)
             .filter(|at| *at > now);
-        let first = gaps.chain(self.key_order.first_cooldown_end());
-        let first = first.fold(soon.min(self.queued.next_expiry), Timestamp::min);
-        first.max(now + self.settings.tick)
+        gap_ends
+            .chain(self.key_order.first_cooldown_end())
+            .fold(latest.min(self.queued.next_deadline), Timestamp::min)
+            .max(now + self.settings.tick)
     }
 
-    /// A timer has expired. It is known by its name, not by the time: a host's timer that came a hair early
-    /// left all later ones unset.
+    /// Records that a timer has expired. It is identified by its token instead of the time, as a host's timer may expire
+    /// slightly early.
     pub(super) fn timer_expired(&mut self, token: u64) {
         self.timer_expires_at = self.timer_expires_at.filter(|at| at.as_nanos() != token);
     }
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -292,7 +292,7 @@
     for (field, spoil) in cases {
         let mut set = settings();
         spoil(&mut set);
-        let refused = Balancer::new(set, 1).err().expect(field);
+        let refused = Balancer::new(set, 1).expect_err(field);
         assert_eq!(refused.field, field);
         assert!(refused.to_string().starts_with(field));
     }
