--- a/fleet-lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -4,7 +4,7 @@
 use crate::stop;
 use fleet_lab::experiment::Experiment;
 use fleet_lab::report::{ExperimentReport, Report};
-use fleet_lab::scenario::{self, RunContext};
+use fleet_lab::scenario::{self, RunContext, ScenarioError};
 use std::fs;
 use std::num::NonZero;
 use std::path::{Path, PathBuf};
@@ -101,12 +101,16 @@
         }
         Err(cause) => {
             error!(experiment = %experiment.name, %cause, "failed");
-            (failure_report(experiment, started, cause.to_string()), true)
+            (failure_report(experiment, started, &cause), true)
         }
     }
 }
 
-fn failure_report(experiment: &Experiment, started: Instant, cause: String) -> ExperimentReport {
+fn failure_report(
+    experiment: &Experiment,
+    started: Instant,
+    cause: &ScenarioError,
+) -> ExperimentReport {
     ExperimentReport {
         experiment: experiment.name.clone(),
         seed: experiment.seed,
--- a/fleet-lab/src/measure/process.rs
+++ b/fleet-lab/src/measure/process.rs
@@ -1,4 +1,4 @@
-//! What a process uses, as the kernel counts it.
+//! The resources that a process uses, as the kernel counts them.
 
 use procfs::ProcError;
 use procfs::process::{Process, Status, Task};
@@ -10,12 +10,12 @@
 /// Bytes in the unit of `/proc/PID/status`.
 const KIBIBYTE: u64 = 1024;
 
-/// What a process uses at one moment.
+/// The resources that a process uses at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ProcessUsage {
-    /// Processor time since its start, over all threads that run (from `/proc/PID/task/*/schedstat`, in nanoseconds).
+    /// Processor time since its start over all running threads, from `/proc/PID/task/*/schedstat`.
     pub processor_time: Duration,
-    /// Resident memory without what is shared with files (anonymous), in bytes.
+    /// Anonymous resident memory (not backed by files), in bytes.
     pub anonymous_bytes: u64,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
@@ -24,10 +24,10 @@
 }
 
 impl ProcessUsage {
-    /// Reads what a process uses.
+    /// Reads the resources that a process uses.
     ///
     /// # Errors
-    /// There is no such process, or it has ended and was not waited for yet.
+    /// Fails where there is no such process, or it has ended and was not waited for yet.
     pub fn of(process: u32) -> io::Result<Self> {
         let number = i32::try_from(process).map_err(io::Error::other)?;
         let process = Process::new(number).map_err(into_io_error)?;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Processor time that the calling thread has used.
+/// Returns the processor time of the calling thread.
 #[must_use]
 pub fn thread_processor_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
@@ -51,7 +51,7 @@
     Duration::from_secs(seconds) + Duration::from_nanos(nanoseconds)
 }
 
-/// Anonymous and resident bytes. A process that has ended has no memory, so its status lacks both.
+/// Returns the anonymous and resident bytes. The status of a process that has ended has neither.
 fn memory(status: &Status) -> io::Result<(u64, u64)> {
     match (status.rssanon, status.vmrss) {
         (Some(anonymous), Some(resident)) => Ok((anonymous * KIBIBYTE, resident * KIBIBYTE)),
@@ -64,13 +64,16 @@
 
 fn processor_time(process: &Process) -> io::Result<Duration> {
     let tasks = process.tasks().map_err(into_io_error)?;
-    let nanoseconds = tasks.flatten().filter_map(task_nanoseconds).sum();
+    let nanoseconds = tasks
+        .flatten()
+        .filter_map(|task| thread_nanoseconds(&task))
+        .sum();
     Ok(Duration::from_nanos(nanoseconds))
 }
 
-/// The processor time of one thread; none where it has ended since the threads were listed.
-fn task_nanoseconds(task: Task) -> Option<u64> {
-    let schedule = task.schedstat().ok()?;
+/// Returns the processor time of one thread; none if it has ended since the threads were listed.
+fn thread_nanoseconds(thread: &Task) -> Option<u64> {
+    let schedule = thread.schedstat().ok()?;
     Some(schedule.sum_exec_runtime)
 }
 
