--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -260,7 +260,7 @@
         let result = &mut self.results[exchange.target];
         match outcome {
             Outcome::Served => result.record_served(latency),
-            Outcome::Rejected => result.refused += 1,
+            Outcome::Rejected => result.rejected += 1,
             Outcome::Failed => result.failed += 1,
             Outcome::Unanswered => result.unanswered += 1,
         }
--- a/fleet-lab/src/caller/result.rs
+++ b/fleet-lab/src/caller/result.rs
@@ -18,7 +18,7 @@
     /// Answered 200.
     pub served: u64,
     /// Answered 429 or 503.
-    pub refused: u64,
+    pub rejected: u64,
     /// Answered otherwise, or without `Content-Length`, or the connection never came up or ended before the answer did.
     pub failed: u64,
     /// Not answered within the deadline and half a second.
@@ -35,7 +35,7 @@
             latencies: empty_histogram(),
             sent: 0,
             served: 0,
-            refused: 0,
+            rejected: 0,
             failed: 0,
             unanswered: 0,
             connections: 0,
--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -6,6 +6,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use fleet_lab::experiment::ExperimentError;
+use fleet_lab::loopback_tier::TierError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -114,9 +115,12 @@
     /// The report could not be written.
     #[error("{}: {source}", folder.display())]
     Write { folder: PathBuf, source: io::Error },
-    /// The stand-in tier could not be started.
+    /// The threads of the endpoints could not be started.
     #[error("the tier could not be started: {0}")]
-    Tier(io::Error),
+    EndpointHost(#[source] io::Error),
+    /// The tier could not be started.
+    #[error("the tier could not be started: {0}")]
+    Tier(#[from] TierError),
     /// The sidecar's configuration could not be written.
     #[error("{}: {source}", file.display())]
     WriteConfiguration { file: PathBuf, source: io::Error },
@@ -136,6 +140,7 @@
             | CommandError::Program { .. } => BAD_INPUT.into(),
             CommandError::Write { .. }
             | CommandError::WriteConfiguration { .. }
+            | CommandError::EndpointHost(_)
             | CommandError::Tier(_)
             | CommandError::Failed { .. } => RUN_FAILED.into(),
         }
--- a/fleet-lab/src/discovery/entry.rs
+++ b/fleet-lab/src/discovery/entry.rs
@@ -16,6 +16,15 @@
     Deleted,
 }
 
+/// All endpoints of one version of the list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListSnapshot {
+    /// The version.
+    pub version: u64,
+    /// The endpoints, ordered by name.
+    pub endpoints: Vec<EndpointEntry>,
+}
+
 /// One endpoint of the published list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EndpointEntry {
--- a/fleet-lab/src/discovery/handle.rs
+++ b/fleet-lab/src/discovery/handle.rs
@@ -1,6 +1,6 @@
 //! The handle with which experiments control a simulated discovery service.
 
-use super::entry::EndpointEntry;
+use super::entry::{EndpointEntry, ListSnapshot};
 use super::options::DiscoveryOptions;
 use super::server::{self, Command, Server};
 use super::usage::DiscoveryUsage;
@@ -83,9 +83,9 @@
         *address.unwrap_or_else(|| panic!("discovery has no zone {zone}"))
     }
 
-    /// Returns the current version and all its endpoints, ordered by name, for a sidecar's configuration.
+    /// Returns the current version with all its endpoints, as a sidecar's configuration has it.
     #[must_use]
-    pub fn snapshot(&self) -> (u64, Vec<EndpointEntry>) {
+    pub fn snapshot(&self) -> ListSnapshot {
         self.call(|reply| Command::Snapshot { reply })
     }
 
--- a/fleet-lab/src/discovery/mod.rs
+++ b/fleet-lab/src/discovery/mod.rs
@@ -17,7 +17,7 @@
 mod zone;
 mod zone_state;
 
-pub use entry::{EndpointEntry, EndpointStatus};
+pub use entry::{EndpointEntry, EndpointStatus, ListSnapshot};
 pub use handle::DiscoveryServer;
 pub use options::DiscoveryOptions;
 pub use usage::DiscoveryUsage;
--- a/fleet-lab/src/discovery/registry.rs
+++ b/fleet-lab/src/discovery/registry.rs
@@ -1,6 +1,6 @@
 //! The versioned list of endpoints, and the past changes from which a watch can resume.
 
-use super::entry::{EndpointEntry, EndpointStatus};
+use super::entry::{EndpointEntry, EndpointStatus, ListSnapshot};
 use super::protocol;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -54,9 +54,12 @@
         self.version
     }
 
-    /// Returns all endpoints, ordered by name.
-    pub(super) fn endpoints(&self) -> Vec<EndpointEntry> {
-        self.endpoints.values().cloned().collect()
+    /// Returns the current version with all its endpoints.
+    pub(super) fn snapshot(&self) -> ListSnapshot {
+        ListSnapshot {
+            version: self.version,
+            endpoints: self.endpoints.values().cloned().collect(),
+        }
     }
 
     /// Applies changes as the next version.
--- a/fleet-lab/src/discovery/server.rs
+++ b/fleet-lab/src/discovery/server.rs
@@ -1,6 +1,6 @@
 //! The service's thread, which executes the commands of other threads and hosts the tasks of the connections.
 
-use super::entry::EndpointEntry;
+use super::entry::{EndpointEntry, ListSnapshot};
 use super::options::DiscoveryOptions;
 use super::service::Service;
 use super::usage::DiscoveryUsage;
@@ -17,9 +17,10 @@
 use tokio::task::LocalSet;
 
 /// A command from another thread. The reply is sent when the command is complete.
+#[derive(Debug)]
 pub(super) enum Command {
     Snapshot {
-        reply: SyncSender<(u64, Vec<EndpointEntry>)>,
+        reply: SyncSender<ListSnapshot>,
     },
     Publish {
         changes: Vec<EndpointEntry>,
@@ -110,8 +111,7 @@
     async fn execute(&mut self, command: Command) {
         match command {
             Command::Snapshot { reply } => {
-                let registry = self.service.registry.borrow();
-                reply_to(&reply, (registry.version(), registry.endpoints()));
+                reply_to(&reply, self.service.registry.borrow().snapshot());
             }
             Command::Publish { changes, reply } => reply_to(&reply, self.service.publish(changes)),
             Command::SetTimePerCall {
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -15,13 +15,14 @@
 const MACHINE_KIND: &str = "model";
 
 /// Hosts many endpoints on threads of its own, which end when it is dropped.
+#[derive(Debug)]
 pub struct EndpointHost {
     threads: Vec<HostThread>,
     endpoints: AtomicU64,
 }
 
 /// One endpoint of an [`EndpointHost`].
-#[derive(Clone)]
+#[derive(Clone, Debug)]
 pub struct EndpointHandle {
     state: Arc<EndpointState>,
     thread: CommandSender,
--- a/fleet-lab/src/endpoint/host.rs
+++ b/fleet-lab/src/endpoint/host.rs
@@ -17,6 +17,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// What a host's thread is told.
+#[derive(Debug)]
 enum Command {
     /// Run an endpoint on this listener.
     Run {
@@ -33,7 +34,7 @@
 }
 
 /// Sends commands to a host's thread.
-#[derive(Clone)]
+#[derive(Clone, Debug)]
 pub(super) struct CommandSender(mpsc::UnboundedSender<Command>);
 
 impl CommandSender {
@@ -54,6 +55,7 @@
 }
 
 /// A thread that runs endpoints, ended when it is dropped.
+#[derive(Debug)]
 pub(super) struct HostThread {
     commands: CommandSender,
     thread: Option<JoinHandle<()>>,
--- a/fleet-lab/src/endpoint/state.rs
+++ b/fleet-lab/src/endpoint/state.rs
@@ -15,6 +15,7 @@
 const ACCEPT_BACKLOG: i32 = 1024;
 
 /// An endpoint, over all its starts.
+#[derive(Debug)]
 pub(super) struct EndpointState {
     /// Its number in its host.
     pub number: u64,
@@ -135,7 +136,7 @@
 }
 
 /// A count that one thread raises and others read.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub(super) struct Counter(AtomicU64);
 
 impl Counter {
@@ -153,7 +154,7 @@
 }
 
 /// The counts of [`EndpointUsage`].
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub(super) struct Counters {
     pub connections: Counter,
     pub connections_open: Counter,
--- a/fleet-lab/src/loopback_tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -1,133 +1,140 @@
-//! A stand-in tier to try a sidecar on: endpoints, discovery, and the configuration of one sidecar.
+//! One tier on loopback: endpoints, the discovery service that lists them, and the configurations of sidecars that send
+//! to them.
 
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry};
-use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions, ServiceTime};
-use crate::sidecar::configuration::{RequestClass, SidecarConfiguration};
+use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
+use crate::sidecar::configuration::{
+    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+};
 use crate::topology::{EndpointName, ZoneName};
-use serde_json::Value;
+use balancer_sidecar::policy::DiscoveryMode;
 use std::io;
 use std::net::SocketAddr;
-use std::time::Duration;
-
-/// The class of requests that are safe to repeat.
-pub const SAFE_CLASS: &str = "browse";
-/// The class of requests that must never run twice.
-pub const UNSAFE_CLASS: &str = "order";
 
+/// The only zone of a tier.
 const ZONE: &str = "zone-1";
-const ENDPOINT_THREADS: usize = 1;
-const SEED: u64 = 1;
-/// Requests that an endpoint works on at once, and those that may wait.
-const CORES: u32 = 4;
-const QUEUE: u32 = 32;
-const MEAN_SERVICE_MILLISECONDS: f64 = 20.0;
-const ANSWER_BYTES: usize = 64;
-const DEADLINE: Duration = Duration::from_secs(2);
-/// What an order is worth, beside 1 for looking around.
-const ORDER_WORTH: f64 = 5.0;
-const SIDECAR_MEMORY_MB: u32 = 128;
-const SIDECAR_DESCRIPTORS: u32 = 1_024;
 
-/// A running tier, ended when it is dropped.
+/// The size and behaviour of a tier.
+#[derive(Clone, Debug)]
+pub struct LoopbackTierOptions<'a> {
+    /// The number of endpoints.
+    pub endpoints: u32,
+    /// The prefix of the endpoints' names, to which their number is added.
+    pub name_prefix: &'a str,
+    /// How the endpoints behave.
+    pub endpoint: &'a EndpointOptions,
+    /// The sidecars through which the endpoints call the next tier, by the endpoints' number; none in the last tier.
+    pub next_sidecars: &'a [SocketAddr],
+    /// How discovery behaves.
+    pub discovery: DiscoveryOptions,
+}
+
+/// A running tier. Its endpoints end with their host, and its discovery service when the tier is dropped.
+#[derive(Debug)]
 pub struct LoopbackTier {
-    discovery: DiscoveryServer,
-    endpoints: Vec<EndpointHandle>,
-    _host: EndpointHost,
+    /// The discovery service that lists the endpoints.
+    pub discovery: DiscoveryServer,
+    /// The endpoints, by number.
+    pub endpoints: Vec<EndpointHandle>,
 }
 
-/// Where a sidecar is to listen.
-#[derive(Clone, Copy, Debug)]
-pub struct SidecarAddresses {
-    /// For callers.
-    pub callers: SocketAddr,
-    /// For operators.
-    pub operators: SocketAddr,
+/// Why a tier could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum TierError {
+    /// An endpoint could not be started.
+    #[error("start {name}: {source}")]
+    Endpoint {
+        /// The endpoint.
+        name: EndpointName,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The discovery service could not be started.
+    #[error("start discovery: {0}")]
+    Discovery(#[source] io::Error),
 }
 
 impl LoopbackTier {
-    /// Starts so many endpoints, and a discovery service that lists them.
+    /// Starts endpoints on a host, and a discovery service that lists them.
     ///
     /// # Errors
-    /// No threads or addresses could be had.
-    pub fn start(endpoints: u32) -> io::Result<Self> {
-        let host = EndpointHost::start(ENDPOINT_THREADS, SEED)?;
-        let add = |number| {
-            let name = EndpointName::from(format!("endpoint-{number}"));
-            host.add(name, ZoneName::from(ZONE), endpoint_options(), None)
-        };
-        let endpoints: Vec<EndpointHandle> = (0..endpoints).map(add).collect::<io::Result<_>>()?;
-        let entries: Vec<EndpointEntry> = endpoints.iter().map(EndpointHandle::entry).collect();
-        let discovery =
-            DiscoveryServer::start(discovery_options(), &[ZoneName::from(ZONE)], entries)?;
+    /// Fails where an endpoint or the discovery service cannot be started.
+    pub fn start(
+        host: &EndpointHost,
+        options: &LoopbackTierOptions<'_>,
+    ) -> Result<Self, TierError> {
+        let endpoints = (0..options.endpoints)
+            .map(|number| {
+                let next_sidecar = options.next_sidecars.get(number as usize).copied();
+                let name = format!("{}-{number}", options.name_prefix);
+                start_endpoint(host, &name, options.endpoint, next_sidecar)
+            })
+            .collect::<Result<Vec<_>, _>>()?;
+        let entries = endpoints.iter().map(EndpointHandle::entry).collect();
+        let zones = [ZoneName::from(ZONE)];
+        let discovery = DiscoveryServer::start(options.discovery.clone(), &zones, entries)
+            .map_err(TierError::Discovery)?;
         Ok(LoopbackTier {
             discovery,
             endpoints,
-            _host: host,
         })
     }
 
-    /// Where discovery listens.
+    /// Returns the address of the discovery service.
+    #[must_use]
     pub fn discovery_address(&self) -> SocketAddr {
         self.discovery.address(&ZoneName::from(ZONE))
     }
 
-    /// The endpoints, as discovery lists them.
-    pub fn endpoints(&self) -> Vec<EndpointEntry> {
+    /// Returns the endpoints as discovery lists them.
+    #[must_use]
+    pub fn entries(&self) -> Vec<EndpointEntry> {
         self.endpoints.iter().map(EndpointHandle::entry).collect()
     }
 
-    /// The configuration document of a sidecar that sends into this tier.
-    pub fn sidecar_configuration(&self, addresses: SidecarAddresses) -> Value {
-        let class = |name: &str, is_unsafe, priority_weight| RequestClass {
-            name: name.into(),
-            is_unsafe,
-            priority_weight,
-            deadline: DEADLINE,
-        };
+    /// Returns the configuration of a sidecar that sends to this tier. It has the full list cached, and its seed differs
+    /// from those of other sidecars with the same `seed`.
+    #[must_use]
+    pub fn sidecar_configuration(
+        &self,
+        position: TierPosition,
+        classes: Vec<RequestClass>,
+        limits: ResourceLimits,
+        seed: u64,
+    ) -> SidecarConfiguration {
         let zone = ZoneName::from(ZONE);
-        let configuration = SidecarConfiguration {
-            name: "sidecar-0".into(),
+        SidecarConfiguration {
+            name: format!("sidecar-{}-{}", position.tier, position.number),
             zone: zone.clone(),
             zones: vec![zone],
-            number: 0,
-            sidecars: 1,
-            tier: 0,
-            tiers: 1,
+            position,
             discovery: self.discovery_address(),
-            lists_are_pushed: true,
-            known: Some(self.discovery.snapshot()),
-            classes: vec![
-                class(SAFE_CLASS, false, 1.0),
-                class(UNSAFE_CLASS, true, ORDER_WORTH),
-            ],
+            discovery_mode: DiscoveryMode::Pushed,
+            cached_list: Some(self.discovery.snapshot()),
+            classes,
             health_checks: false,
-            seed: SEED,
-            memory_mb: SIDECAR_MEMORY_MB,
-            descriptors: SIDECAR_DESCRIPTORS,
-        };
-        configuration.document_at(addresses.callers, addresses.operators)
+            seed: seed ^ (u64::from(position.tier) << 32) ^ u64::from(position.number),
+            limits,
+        }
     }
 }
 
-fn endpoint_options() -> EndpointOptions {
-    EndpointOptions {
-        cores: CORES,
-        queue: QUEUE,
-        service_time: ServiceTime::Exponential {
-            mean_milliseconds: MEAN_SERVICE_MILLISECONDS,
-        },
-        slow_start: None,
-        load_reports: true,
-        answer_bytes: ANSWER_BYTES,
-        error_share: 0.0,
-    }
-}
-
-fn discovery_options() -> DiscoveryOptions {
-    DiscoveryOptions {
-        calls_per_second: 100.0,
-        queue_timeout: Duration::from_secs(5),
-        heartbeat: Duration::from_secs(2),
-        retained_changes: 100,
-    }
+/// Starts an endpoint that no discovery service lists.
+///
+/// # Errors
+/// Fails where the endpoint cannot be started.
+pub fn start_endpoint(
+    host: &EndpointHost,
+    name: &str,
+    options: &EndpointOptions,
+    next_sidecar: Option<SocketAddr>,
+) -> Result<EndpointHandle, TierError> {
+    let name = EndpointName::from(name);
+    host.add(
+        name.clone(),
+        ZoneName::from(ZONE),
+        options.clone(),
+        next_sidecar,
+    )
+    .map_err(|source| TierError::Endpoint { name, source })
 }
--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -1,48 +1,48 @@
-//! A chain of tiers: each endpoint but those of the last tier answers through a sidecar of its own, which balances over
-//! the endpoints of the next tier.
+//! A chain of tiers. Each endpoint, except those of the last tier, calls the next tier through a sidecar of its own.
 
 use super::context::RunContext;
 use super::outcome::ScenarioError;
 use super::single_sidecar::{
-    CALLER_DEADLINE, TierPosition, add_endpoint, configuration, start_discovery, start_host,
-    start_sidecar, wait_until_ready,
+    CALLER_DEADLINE, DISCOVERY_OPTIONS, SIDECAR_LIMITS, request_classes, start_host, start_sidecar,
+    wait_until_ready,
 };
-use crate::discovery::DiscoveryServer;
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
+use crate::loopback_tier::{LoopbackTier, LoopbackTierOptions, start_endpoint};
+use crate::sidecar::configuration::TierPosition;
 use crate::sidecar::process::SidecarProcess;
 use std::net::SocketAddr;
 
-/// What a chain is.
+/// The size and behaviour of a chain.
 pub(super) struct ChainOptions<'a> {
-    /// Tiers of sidecars and endpoints.
+    /// The number of tiers.
     pub(super) depth: u32,
-    /// Endpoints in each tier.
+    /// The number of endpoints in each tier.
     pub(super) endpoints_per_tier: u32,
-    /// How the endpoints of all tiers but the last behave.
+    /// How the endpoints of all tiers except the last behave.
     pub(super) endpoint: &'a EndpointOptions,
-    /// How those of the last tier behave.
+    /// How the endpoints of the last tier behave.
     pub(super) last_endpoint: &'a EndpointOptions,
     /// Seed of all random numbers.
     pub(super) seed: u64,
 }
 
-/// One tier, with the sidecars before it.
-struct Tier {
+/// One tier, with the sidecars that send to it.
+struct ChainTier {
     sidecars: Vec<SidecarProcess>,
-    _discovery: DiscoveryServer,
-    endpoints: Vec<EndpointHandle>,
+    tier: LoopbackTier,
 }
 
 /// A chain whose sidecars are all ready.
 pub(super) struct Chain {
-    /// From the last tier to the first.
-    tiers: Vec<Tier>,
-    /// Hosts the endpoints of all tiers.
+    /// The tiers, from the last to the first.
+    tiers: Vec<ChainTier>,
+    /// The host of the endpoints of all tiers.
     pub(super) host: EndpointHost,
 }
 
 impl Chain {
-    /// Starts a chain from its last tier on, as an endpoint has to know its sidecar, and waits until it is ready.
+    /// Starts the tiers from the last to the first, as an endpoint needs the address of its sidecar, and waits until all
+    /// sidecars are ready.
     pub(super) fn start(
         options: &ChainOptions<'_>,
         context: &RunContext,
@@ -65,71 +65,69 @@
 
     fn start_tier(
         &self,
-        tier: u32,
+        tier_number: u32,
         options: &ChainOptions<'_>,
         context: &RunContext,
-    ) -> Result<Tier, ScenarioError> {
+    ) -> Result<ChainTier, ScenarioError> {
         let is_last = self.tiers.is_empty();
-        let behaviour = if is_last {
+        let endpoint = if is_last {
             options.last_endpoint
         } else {
             options.endpoint
         };
-        let next_sidecars = self.tiers.last().map_or(&[][..], |next| &next.sidecars);
-        let endpoints = (0..options.endpoints_per_tier as usize)
-            .map(|number| {
-                let next = next_sidecars.get(number).map(SidecarProcess::address);
-                add_endpoint(
-                    &self.host,
-                    &format!("endpoint-{tier}-{number}"),
-                    behaviour,
-                    next,
-                )
-            })
-            .collect::<Result<Vec<_>, _>>()?;
-        let discovery = start_discovery(&endpoints)?;
-        let sidecars = if tier == 0 {
+        let tier_options = LoopbackTierOptions {
+            endpoints: options.endpoints_per_tier,
+            name_prefix: &format!("endpoint-{tier_number}"),
+            endpoint,
+            next_sidecars: &self.next_sidecars(),
+            discovery: DISCOVERY_OPTIONS,
+        };
+        let tier = LoopbackTier::start(&self.host, &tier_options)?;
+        let sidecars = if tier_number == 0 {
             1
         } else {
             options.endpoints_per_tier
         };
         let sidecars = (0..sidecars)
             .map(|number| {
-                let place = TierPosition {
-                    tier,
+                let position = TierPosition {
+                    tier: tier_number,
                     tiers: options.depth,
                     number,
                     sidecars,
                 };
-                start_sidecar(
-                    &configuration(&discovery, place, CALLER_DEADLINE, options.seed),
-                    context,
-                )
+                let classes = request_classes(CALLER_DEADLINE);
+                let configuration =
+                    tier.sidecar_configuration(position, classes, SIDECAR_LIMITS, options.seed);
+                start_sidecar(&configuration, context)
             })
             .collect::<Result<Vec<_>, _>>()?;
-        Ok(Tier {
-            sidecars,
-            _discovery: discovery,
-            endpoints,
+        Ok(ChainTier { sidecars, tier })
+    }
+
+    /// Returns the addresses of the sidecars of the tier that was started last.
+    fn next_sidecars(&self) -> Vec<SocketAddr> {
+        let next_tier = self.tiers.last();
+        next_tier.map_or_else(Vec::new, |next| {
+            next.sidecars.iter().map(SidecarProcess::address).collect()
         })
     }
 
-    /// Where callers of the first tier connect.
+    /// Returns the address that callers of the first tier connect to.
     pub(super) fn address(&self) -> SocketAddr {
         self.tiers[self.tiers.len() - 1].sidecars[0].address()
     }
 
-    /// Requests that came to the endpoints of the last tier.
-    pub(super) fn last_requests(&self) -> u64 {
-        self.tiers[0]
-            .endpoints
-            .iter()
-            .map(|endpoint| endpoint.usage().requests)
-            .sum()
+    /// Returns the number of requests that the endpoints of the last tier have received.
+    pub(super) fn last_tier_requests(&self) -> u64 {
+        let endpoints = &self.tiers[0].tier.endpoints;
+        let requests = |endpoint: &EndpointHandle| endpoint.usage().requests;
+        endpoints.iter().map(requests).sum()
     }
 }
 
-/// Starts a chain without sidecars: one endpoint a tier, which calls that of the next. Where its first one listens.
+/// Starts a chain without sidecars, with one endpoint in each tier that calls the one of the next tier. Returns the
+/// address of the first.
 pub(super) fn start_direct_chain(
     host: &EndpointHost,
     depth: u32,
@@ -137,7 +135,7 @@
 ) -> Result<SocketAddr, ScenarioError> {
     let mut address = None;
     for tier in (0..depth).rev() {
-        let endpoint = add_endpoint(host, &format!("straight-{tier}"), options, address)?;
+        let endpoint = start_endpoint(host, &format!("straight-{tier}"), options, address)?;
         address = Some(endpoint.entry().address);
     }
     address.ok_or_else(|| ScenarioError::NotReached("a chain of at least one tier".into()))
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -8,8 +8,7 @@
     CALLER_DEADLINE, SAFE_CLASS, SingleSidecar, SingleSidecarOptions, describe_unserved,
 };
 use crate::caller::{self, LoadPlan, LoadTarget};
-use crate::discovery::EndpointEntry;
-use crate::endpoint::{EndpointHandle, EndpointOptions, ServiceTime};
+use crate::endpoint::{EndpointOptions, ServiceTime};
 use crate::experiment::ControlCost;
 use crate::report::Metric;
 use std::thread;
@@ -72,14 +71,14 @@
         action: impl FnOnce() -> Result<(), ScenarioError>,
     ) -> Result<Self, ScenarioError> {
         let usage = single_sidecar.usage()?;
-        let bytes = single_sidecar.discovery.usage().bytes_written;
+        let bytes = single_sidecar.tier.discovery.usage().bytes_written;
         action()?;
         Ok(Cost {
             processor_time: single_sidecar
                 .usage()?
                 .processor_time
                 .saturating_sub(usage.processor_time),
-            watch_bytes: single_sidecar.discovery.usage().bytes_written - bytes,
+            watch_bytes: single_sidecar.tier.discovery.usage().bytes_written - bytes,
         })
     }
 
@@ -152,19 +151,14 @@
     idle: &Cost,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
-    let mut entries: Vec<EndpointEntry> = single_sidecar
-        .endpoints
-        .iter()
-        .map(EndpointHandle::entry)
-        .collect();
+    let mut entries = single_sidecar.tier.entries();
     let mut table = MetricTable::over("changes");
     for count in &plan.changes {
         let cost = Cost::over(single_sidecar, || {
             spread(*count, period, |number| {
-                let place = number % entries.len();
-                single_sidecar
-                    .discovery
-                    .publish(vec![toggle_weight(&mut entries[place])]);
+                let entry = number % entries.len();
+                let change = toggle_weight(&mut entries[entry]);
+                single_sidecar.tier.discovery.publish(vec![change]);
                 Ok(())
             })
         })?;
--- a/fleet-lab/src/scenario/depth.rs
+++ b/fleet-lab/src/scenario/depth.rs
@@ -109,7 +109,7 @@
             "attempts at the last tier a call",
             "1",
             size,
-            chain.last_requests() as f64 / calls,
+            chain.last_tier_requests() as f64 / calls,
         );
         table.add("served share", "1", size, served / calls);
     }
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -14,6 +14,7 @@
 use crate::experiment::Failures;
 use crate::fault::{Fault, Impact};
 use crate::topology::Topology;
+use balancer_sidecar::policy::DiscoveryMode;
 use cost::{CONVERGENCE_TIMEOUT, FaultCost, record};
 use injection::FaultInjector;
 use std::thread;
@@ -70,9 +71,9 @@
             .iter()
             .map(|placement| placement.zone.clone())
             .collect(),
-        known: CachedList::All,
+        cached_list: CachedList::Full,
         calls_per_second: plan.calls_per_second,
-        lists_are_pushed: true,
+        discovery_mode: DiscoveryMode::Pushed,
         capacity: plan.discovery,
         seed,
     }
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -8,9 +8,12 @@
 use super::outcome::ScenarioError;
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use crate::experiment::{DiscoveryCapacity, Fleet};
-use crate::sidecar::configuration::{RequestClass, SidecarConfiguration};
+use crate::sidecar::configuration::{
+    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+};
 use crate::sidecar::simulated::{SecondCounts, SimulatedFleet, SimulatedLoad};
 use crate::topology::ZoneName;
+use balancer_sidecar::policy::DiscoveryMode;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
@@ -30,10 +33,11 @@
 const BUSY_MULTIPLE: f64 = 3.0;
 /// How long a caller waits.
 const CALL_DEADLINE: Duration = Duration::from_secs(1);
-/// Memory of a sidecar in MB: the plan's limit.
-const SIDECAR_MEMORY_MB: u32 = 128;
-/// Descriptors of a sidecar.
-const SIDECAR_DESCRIPTORS: u32 = 1024;
+/// Resource limits of a sidecar, as the operators set them.
+const SIDECAR_LIMITS: ResourceLimits = ResourceLimits {
+    memory_mb: 128,
+    descriptors: 1024,
+};
 /// Calls that discovery answers a second until all sidecars watch; the experiment's capacity holds from then on, so
 /// that it does not take minutes to start a fleet.
 const START_CALLS_PER_SECOND: f64 = 1000.0;
@@ -45,39 +49,39 @@
 const WEIGHT: f64 = 1.0;
 const CHANGED_WEIGHT: f64 = 0.9;
 
-/// Whether sidecars have endpoints in their configuration before discovery has told them any.
+/// Whether the sidecars' configurations contain a cached list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CachedList {
-    /// The list as it stood at the start.
-    All,
-    /// None.
-    None,
+    /// The full list at the start of the fleet.
+    Full,
+    /// No list.
+    Missing,
 }
 
-/// What a fleet is started from.
+/// The size and behaviour of a fleet.
 #[derive(Clone, Debug)]
 pub(super) struct FleetPlan {
     /// All zones.
     pub zones: Vec<ZoneName>,
-    /// Discovery's list.
+    /// The endpoints that discovery lists.
     pub endpoints: Vec<EndpointEntry>,
     /// The zone of each sidecar.
     pub sidecar_zones: Vec<ZoneName>,
-    /// What the sidecars' configurations hold of the list.
-    pub known: CachedList,
+    /// Whether the sidecars' configurations contain the list.
+    pub cached_list: CachedList,
     /// Mean calls a second of each sidecar.
     pub calls_per_second: f64,
-    /// Whether lists are pushed, or watched through calls that the decision module asks for.
-    pub lists_are_pushed: bool,
-    /// How discovery behaves.
+    /// Whether an agent pushes lists, or the decision module requests them.
+    pub discovery_mode: DiscoveryMode,
+    /// The capacity of discovery.
     pub capacity: DiscoveryCapacity,
     /// Seed of all random numbers.
     pub seed: u64,
 }
 
 impl FleetPlan {
-    /// A fleet of so many sidecars, spread over the zones as its endpoints are.
-    pub fn new(fleet: &Fleet, sidecars: u32, known: CachedList, seed: u64) -> Self {
+    /// Plans a fleet of this many sidecars, spread over the zones as its endpoints are.
+    pub fn new(fleet: &Fleet, sidecars: u32, cached_list: CachedList, seed: u64) -> Self {
         let zones = ZONES.map(ZoneName::from).to_vec();
         let zone_of = |number: u32| zones[number as usize % zones.len()].clone();
         FleetPlan {
@@ -86,18 +90,23 @@
                 .collect(),
             sidecar_zones: (0..sidecars).map(zone_of).collect(),
             zones,
-            known,
+            cached_list,
             calls_per_second: fleet.calls_per_second,
-            lists_are_pushed: fleet.lists_are_pushed,
+            discovery_mode: if fleet.lists_are_pushed {
+                DiscoveryMode::Pushed
+            } else {
+                DiscoveryMode::OnRequest
+            },
             capacity: fleet.discovery,
             seed,
         }
     }
 
-    /// Starts discovery and the sidecars, waits until all of them watch, and gives discovery its capacity.
+    /// Starts discovery and the sidecars, waits until all sidecars have an open watch, and then limits discovery to its
+    /// capacity.
     ///
     /// # Errors
-    /// Something could not be started, or a sidecar did not watch in time.
+    /// Fails where discovery or the sidecars cannot be started, or a sidecar has no open watch in time.
     pub fn start(self) -> Result<RunningFleet, ScenarioError> {
         let discovery = DiscoveryServer::start(
             self.discovery_options(),
@@ -111,7 +120,7 @@
             mean_service_time: MEAN_SERVICE_TIME,
         };
         let sidecars = SimulatedFleet::start_with_rates(
-            self.configurations(&discovery),
+            &self.configurations(&discovery),
             load,
             rate_multiple,
             FLEET_THREADS,
@@ -146,28 +155,29 @@
     }
 
     fn configurations(&self, discovery: &DiscoveryServer) -> Vec<SidecarConfiguration> {
-        let known = match self.known {
-            CachedList::All => Some(discovery.snapshot()),
-            CachedList::None => None,
+        let cached_list = match self.cached_list {
+            CachedList::Full => Some(discovery.snapshot()),
+            CachedList::Missing => None,
         };
+        let sidecars = self.sidecar_zones.len() as u32;
         (0..)
             .zip(&self.sidecar_zones)
             .map(|(number, zone)| SidecarConfiguration {
                 name: format!("sidecar-{number}"),
                 zone: zone.clone(),
                 zones: self.zones.clone(),
-                number,
-                sidecars: self.sidecar_zones.len() as u32,
-                tier: 0,
-                tiers: 1,
+                position: TierPosition {
+                    number,
+                    sidecars,
+                    ..TierPosition::ONLY
+                },
                 discovery: discovery.address(zone),
-                lists_are_pushed: self.lists_are_pushed,
-                known: known.clone(),
+                discovery_mode: self.discovery_mode,
+                cached_list: cached_list.clone(),
                 classes: vec![request_class()],
                 health_checks: false,
                 seed: self.seed.wrapping_add(u64::from(number)),
-                memory_mb: SIDECAR_MEMORY_MB,
-                descriptors: SIDECAR_DESCRIPTORS,
+                limits: SIDECAR_LIMITS,
             })
             .collect()
     }
@@ -186,7 +196,7 @@
 impl RunningFleet {
     /// Publishes another weight for one endpoint, a different endpoint for each number; returns the new version.
     pub fn publish_change(&self, number: u32) -> u64 {
-        let (_, endpoints) = self.discovery.snapshot();
+        let endpoints = self.discovery.snapshot().endpoints;
         let mut entry = endpoints[number as usize % endpoints.len()].clone();
         entry.weight = if entry.weight == WEIGHT {
             CHANGED_WEIGHT
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -12,17 +12,17 @@
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
 /// What the sidecars' configurations hold, and how figures call it.
 const VARIANTS: [(CachedList, &str); 2] = [
-    (CachedList::All, "endpoints known"),
-    (CachedList::None, "none known"),
+    (CachedList::Full, "endpoints known"),
+    (CachedList::Missing, "none known"),
 ];
 /// What keeps sidecars that know endpoints from being ready at once.
 const READY_NOTE: &str = "All decision modules start on two threads of one process, and the time that takes is included.";
 
 pub(super) fn run(plan: &FleetRestart, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let mut table = MetricTable::over("sidecars");
-    for (known, label) in VARIANTS {
+    for (cached_list, label) in VARIANTS {
         for &size in &plan.fleet.sizes {
-            let fleet = FleetPlan::new(&plan.fleet, size, known, seed).start()?;
+            let fleet = FleetPlan::new(&plan.fleet, size, cached_list, seed).start()?;
             measure(plan, &fleet, label, &mut table);
         }
     }
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -8,9 +8,9 @@
     describe_unserved, quantile_ms,
 };
 use crate::caller::{self, LoadPlan, LoadTarget, TargetResult};
-use crate::discovery::{DiscoveryServer, EndpointEntry};
-use crate::endpoint::EndpointHandle;
+use crate::discovery::EndpointEntry;
 use crate::experiment::AddedLatency;
+use crate::loopback_tier::LoopbackTier;
 use crate::measure::ProcessUsage;
 use std::io;
 use std::net::SocketAddr;
@@ -122,13 +122,8 @@
     let usage_before = single_sidecar.usage()?;
     let attempts_before = single_sidecar.metric("upstream_requests")?;
     let connections_before = single_sidecar.endpoint_connections();
-    let results = run_with_changes(
-        load,
-        changes_per_second,
-        &single_sidecar.discovery,
-        &single_sidecar.endpoints,
-    )
-    .map_err(ScenarioError::step("run the callers"))?;
+    let results = run_with_changes(load, changes_per_second, &single_sidecar.tier)
+        .map_err(ScenarioError::step("run the callers"))?;
     let usage = single_sidecar.usage()?;
     let mut results = results.into_iter();
     let mut next = || {
@@ -157,17 +152,15 @@
 fn run_with_changes(
     load: &LoadPlan,
     changes_per_second: f64,
-    discovery: &DiscoveryServer,
-    endpoints: &[EndpointHandle],
+    tier: &LoopbackTier,
 ) -> io::Result<Vec<TargetResult>> {
     if changes_per_second == 0.0 {
         return caller::run(load);
     }
-    let entries: Vec<EndpointEntry> = endpoints.iter().map(EndpointHandle::entry).collect();
     let period = Duration::from_secs_f64(1.0 / changes_per_second);
     thread::scope(|scope| {
         let callers = scope.spawn(|| caller::run(load));
-        publish_changes(discovery, entries, period, || callers.is_finished());
+        publish_changes(tier, period, || callers.is_finished());
         callers
             .join()
             .unwrap_or_else(|_| Err(io::Error::other("the callers' thread panicked")))
@@ -175,20 +168,17 @@
 }
 
 /// Changes the weight of one endpoint after another, once each period.
-fn publish_changes(
-    discovery: &DiscoveryServer,
-    mut entries: Vec<EndpointEntry>,
-    period: Duration,
-    is_over: impl Fn() -> bool,
-) {
+fn publish_changes(tier: &LoopbackTier, period: Duration, is_over: impl Fn() -> bool) {
+    let mut entries = tier.entries();
     let mut due = Instant::now();
-    for place in (0..entries.len()).cycle() {
+    for entry in (0..entries.len()).cycle() {
         due += period;
         thread::sleep(due.saturating_duration_since(Instant::now()));
         if is_over() {
             return;
         }
-        discovery.publish(vec![toggle_weight(&mut entries[place])]);
+        let change = toggle_weight(&mut entries[entry]);
+        tier.discovery.publish(vec![change]);
     }
 }
 
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -15,7 +15,7 @@
 pub(super) fn run(plan: &Outage, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let mut table = MetricTable::over("sidecars");
     for &size in &plan.fleet.sizes {
-        let fleet = FleetPlan::new(&plan.fleet, size, CachedList::All, seed).start()?;
+        let fleet = FleetPlan::new(&plan.fleet, size, CachedList::Full, seed).start()?;
         measure(plan, &fleet, &mut table);
     }
     Ok(ScenarioOutcome {
--- a/fleet-lab/src/scenario/outcome.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -1,35 +1,39 @@
-//! What an experiment has found, or why it could not be run.
+//! The outcome of an experiment, or the reason why it could not be run.
 
+use crate::loopback_tier::TierError;
 use crate::report::Metric;
 use std::io;
 
-/// What an experiment has found.
+/// The outcome of an experiment that was run to its end.
 #[derive(Clone, Debug, Default)]
 pub struct ScenarioOutcome {
-    /// Its figures.
+    /// The measured metrics.
     pub metrics: Vec<Metric>,
-    /// What went wrong without ending it.
+    /// Problems that did not end the experiment.
     pub problems: Vec<String>,
 }
 
 /// Why an experiment could not be run to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// Something could not be started, or ended too early.
+    /// A step failed.
     #[error("{step}: {source}")]
     Step {
-        /// What was being done.
+        /// The step, such as `start discovery`.
         step: String,
-        /// Why it failed.
+        /// The cause.
         source: io::Error,
     },
+    /// A tier could not be started.
+    #[error(transparent)]
+    Tier(#[from] TierError),
     /// A state that the experiment needs was not reached.
     #[error("{0}")]
     NotReached(String),
 }
 
 impl ScenarioError {
-    /// A step that failed, for `map_err`.
+    /// Returns a function that wraps the cause of a failed step, for `map_err`.
     pub fn step(step: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
         let step = step.into();
         move |source| ScenarioError::Step { step, source }
--- a/fleet-lab/src/scenario/propagation.rs
+++ b/fleet-lab/src/scenario/propagation.rs
@@ -17,7 +17,7 @@
 pub(super) fn run(plan: &Propagation, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let mut table = MetricTable::over("sidecars");
     for &size in &plan.fleet.sizes {
-        let fleet = FleetPlan::new(&plan.fleet, size, CachedList::All, seed).start()?;
+        let fleet = FleetPlan::new(&plan.fleet, size, CachedList::Full, seed).start()?;
         measure_idle(&fleet, &mut table);
         measure_changes(plan, &fleet, &mut table);
     }
--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -16,7 +16,7 @@
 const QUOTED_LOG_LINES: usize = 5;
 
 /// Where a process listens, as its log tells.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, Debug)]
 pub(super) struct Addresses {
     /// For its callers.
     pub callers: SocketAddr,
@@ -25,6 +25,7 @@
 }
 
 /// A child process whose log is read, killed when it is dropped.
+#[derive(Debug)]
 pub(super) struct LoggedChild {
     child: Child,
     log: Log,
@@ -98,7 +99,7 @@
 }
 
 /// The last lines that a process has written to its log.
-#[derive(Clone, Default)]
+#[derive(Debug, Clone, Default)]
 struct Log(Arc<Mutex<VecDeque<String>>>);
 
 impl Log {
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -1,7 +1,8 @@
 //! The configuration document that a sidecar is given at its start.
 
-use crate::discovery::EndpointEntry;
+use crate::discovery::ListSnapshot;
 use crate::topology::ZoneName;
+use balancer_sidecar::policy::DiscoveryMode;
 use serde_json::{Value, json};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -48,7 +49,39 @@
     pub deadline: Duration,
 }
 
-/// What differs between the sidecars of a fleet and between experiments.
+/// The position of a sidecar among the sidecars of its tier, and that of its tier in the chain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TierPosition {
+    /// The sidecar's number within its tier, from 0.
+    pub number: u32,
+    /// The number of sidecars of its tier.
+    pub sidecars: u32,
+    /// The tier that it sends to, from 0.
+    pub tier: u32,
+    /// The number of tiers.
+    pub tiers: u32,
+}
+
+impl TierPosition {
+    /// The position of the only sidecar of the only tier.
+    pub const ONLY: TierPosition = TierPosition {
+        number: 0,
+        sidecars: 1,
+        tier: 0,
+        tiers: 1,
+    };
+}
+
+/// The resources that a sidecar may use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResourceLimits {
+    /// Memory in MB.
+    pub memory_mb: u32,
+    /// File descriptors.
+    pub descriptors: u32,
+}
+
+/// The settings that differ between the sidecars of a fleet and between experiments.
 #[derive(Clone, Debug)]
 pub struct SidecarConfiguration {
     /// Its name.
@@ -57,47 +90,41 @@
     pub zone: ZoneName,
     /// All zones.
     pub zones: Vec<ZoneName>,
-    /// Its number among the sidecars of its tier.
-    pub number: u32,
-    /// How many sidecars its tier has.
-    pub sidecars: u32,
-    /// The tier that it sends into, from 0.
-    pub tier: u32,
-    /// How many tiers there are.
-    pub tiers: u32,
-    /// Discovery.
+    /// Its position in the chain of tiers.
+    pub position: TierPosition,
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Whether lists are pushed by an agent, or watched through calls that the decision module asks for.
-    pub lists_are_pushed: bool,
-    /// The endpoints as it last had them, and their version.
-    pub known: Option<(u64, Vec<EndpointEntry>)>,
-    /// Classes of requests.
+    /// Whether an agent pushes lists, or the decision module requests them.
+    pub discovery_mode: DiscoveryMode,
+    /// The list that is used until discovery has sent one.
+    pub cached_list: Option<ListSnapshot>,
+    /// Request classes.
     pub classes: Vec<RequestClass>,
-    /// Whether probes are allowed; load reports come with probes alone then, else with answers.
+    /// Whether health checks are allowed. Then load reports come with health checks only, else with answers.
     pub health_checks: bool,
-    /// For random numbers.
+    /// Seed of its random numbers.
     pub seed: u64,
-    /// Limits: memory in MB.
-    pub memory_mb: u32,
-    /// Limits: descriptors.
-    pub descriptors: u32,
+    /// The resources that it may use.
+    pub limits: ResourceLimits,
 }
 
 impl SidecarConfiguration {
     /// The settings object alone, with the names and units of the simulator's first message.
     pub fn settings(&self) -> Value {
         let zones: Vec<&str> = self.zones.iter().map(ZoneName::as_str).collect();
-        let stages: Vec<String> = (0..self.tiers).map(|tier| format!("tier-{tier}")).collect();
+        let stages: Vec<String> = (0..self.position.tiers)
+            .map(|tier| format!("tier-{tier}"))
+            .collect();
         let categories: Vec<Value> = self.classes.iter().map(RequestClass::category).collect();
         json!({
-            "balancers": self.sidecars,
-            "myNumber": self.number,
+            "balancers": self.position.sidecars,
+            "myNumber": self.position.number,
             "zone": self.zone.as_str(),
             "dcs": zones,
-            "tier": self.tier,
+            "tier": self.position.tier,
             "stages": stages,
             "granularityNs": nanoseconds(TICK),
-            "discovery": if self.lists_are_pushed { "automatic" } else { "subscribe" },
+            "discovery": discovery_mode_name(self.discovery_mode),
             "weightSource": "off",
             "worthBy": "request",
             "overShareWorth": 0.0,
@@ -127,10 +154,14 @@
             "admin_addr": operators.to_string(),
             "discovery": self.discovery.to_string(),
             "seed": format!("{:016x}", self.seed),
-            "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.descriptors},
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": self.limits.memory_mb,
+                "sockets": self.limits.descriptors,
+            },
             "settings": self.settings(),
         });
-        if let Some((version, endpoints)) = &self.known {
+        if let Some(ListSnapshot { version, endpoints }) = &self.cached_list {
             document["known"] = json!({"index": version, "snapshot": true, "endpoints": endpoints});
         }
         document
@@ -178,6 +209,14 @@
     }
 }
 
+/// Returns the name of a discovery mode in the settings.
+fn discovery_mode_name(mode: DiscoveryMode) -> &'static str {
+    match mode {
+        DiscoveryMode::Pushed => "automatic",
+        DiscoveryMode::OnRequest => "subscribe",
+    }
+}
+
 fn rules() -> Value {
     json!({
         "answerSlackNs": nanoseconds(ANSWER_SLACK),
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -33,6 +33,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A running sidecar process, killed when it is dropped.
+#[derive(Debug)]
 pub struct SidecarProcess {
     child: LoggedChild,
     addresses: Addresses,
--- a/fleet-lab/src/sidecar/simulated/counters.rs
+++ b/fleet-lab/src/sidecar/simulated/counters.rs
@@ -5,12 +5,13 @@
 use std::time::Instant;
 
 /// The counts of a fleet, shared by its threads.
+#[derive(Debug)]
 pub(super) struct Counters {
     started: Instant,
     counts: Mutex<Counts>,
 }
 
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct Counts {
     usage: FleetUsage,
     seconds: Vec<SecondCounts>,
--- a/fleet-lab/src/sidecar/simulated/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -9,14 +9,14 @@
 const CORES: u64 = 4;
 
 /// All endpoints of a fleet that were sent to, by name.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     endpoints: RwLock<HashMap<EndpointId, Arc<SimulatedEndpoint>>>,
     max_attempts_in_a_second: AtomicU64,
 }
 
 /// One endpoint, as all sidecars of the fleet meet it.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub(super) struct SimulatedEndpoint {
     in_flight: AtomicU64,
     is_unreachable: AtomicBool,
@@ -25,7 +25,7 @@
     attempts: Mutex<AttemptsInSecond>,
 }
 
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct AttemptsInSecond {
     second: u64,
     attempts: u64,
--- a/fleet-lab/src/sidecar/simulated/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -18,6 +18,7 @@
 use std::time::{Duration, Instant};
 
 /// A fleet of hollow sidecars on threads of its own, ended when it is dropped.
+#[derive(Debug)]
 pub struct SimulatedFleet {
     state: Arc<FleetState>,
     /// What each sidecar is started from.
@@ -31,7 +32,7 @@
     /// # Errors
     /// No threads could be had, or settings that the decision module turns down.
     pub fn start(
-        configurations: Vec<SidecarConfiguration>,
+        configurations: &[SidecarConfiguration],
         load: SimulatedLoad,
         threads: usize,
     ) -> io::Result<Self> {
@@ -44,14 +45,14 @@
     /// # Errors
     /// As [`SimulatedFleet::start`].
     pub fn start_with_rates(
-        configurations: Vec<SidecarConfiguration>,
+        configurations: &[SidecarConfiguration],
         load: SimulatedLoad,
         rate_multiple: impl Fn(usize) -> f64,
         threads: usize,
     ) -> io::Result<Self> {
         let plans = configurations
-            .into_iter()
-            .map(|c| SidecarPlan::from_configuration(c).map(Arc::new));
+            .iter()
+            .map(|configuration| SidecarPlan::from_configuration(configuration).map(Arc::new));
         let plans = plans.collect::<io::Result<Vec<_>>>()?;
         let state = Arc::new(FleetState {
             load,
@@ -124,7 +125,7 @@
     pub fn reload(&self, which: &[usize], configuration: impl Fn(usize) -> SidecarConfiguration) {
         let mut plans = self.plans();
         for index in which.iter().copied() {
-            let plan = match SidecarPlan::from_configuration(configuration(index)) {
+            let plan = match SidecarPlan::from_configuration(&configuration(index)) {
                 Ok(plan) => Arc::new(plan),
                 Err(problem) => {
                     tracing::warn!(index, "configuration not taken: {problem}");
--- a/fleet-lab/src/sidecar/simulated/fleet_state.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet_state.rs
@@ -6,6 +6,7 @@
 use super::milestones::Milestones;
 
 /// What the sidecars of a fleet share: counters, and the endpoints that answer them.
+#[derive(Debug)]
 pub(super) struct FleetState {
     pub(super) load: SimulatedLoad,
     /// What the mean rate of calls is multiplied by, for each sidecar.
--- a/fleet-lab/src/sidecar/simulated/milestones.rs
+++ b/fleet-lab/src/sidecar/simulated/milestones.rs
@@ -9,10 +9,10 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
 /// The milestones of one place in a fleet. What a sidecar notes under an earlier start is ignored: it was ended.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub(super) struct Milestones(Mutex<State>);
 
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct State {
     /// How often the sidecar was started again.
     restarts: u64,
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -23,7 +23,7 @@
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Which sidecar of the fleet it is, and which of its starts.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, Debug)]
 pub(super) struct Incarnation {
     /// Its place in the configurations.
     pub index: usize,
@@ -87,16 +87,16 @@
             events: VecDeque::new(),
             actions: Vec::new(),
         })));
-        // The module asks once what it was told is old, which with nothing told never comes.
-        let known = plan.cached_list();
-        let follows_at_once = known.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
-        if let Some(known) = known {
+        // The module requests a list once the one that it has is too old. Without any list that never happens.
+        let follows_at_once =
+            plan.cached_list.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
+        if let Some(cached_list) = &plan.cached_list {
             sidecar
                 .borrow()
                 .subscription
                 .membership_mut()
-                .set_cached_version(known.index);
-            sidecar.apply_list(known, ListKind::Cached);
+                .set_cached_version(cached_list.index);
+            sidecar.apply_list(cached_list, ListKind::Cached);
         }
         if follows_at_once {
             sidecar.borrow().begin_watch(&sidecar);
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -23,7 +23,7 @@
                 request,
                 endpoint,
                 timeout,
-            } => self.send(handle, request, endpoint, timeout),
+            } => self.send(handle, request, &endpoint, timeout),
             Action::Cancel { request, attempt } => self.cancel_attempt(&request, attempt),
             Action::Reject { request, .. } | Action::Fail { request } => {
                 self.end_unserved(&request);
@@ -63,16 +63,16 @@
         &mut self,
         handle: &SidecarHandle,
         request: RequestId,
-        endpoint: EndpointId,
+        endpoint: &EndpointId,
         timeout: Option<Duration>,
     ) {
         let now = self.clock.now();
         let Some(next) = self.pending_calls.next_attempt(&request) else {
             return;
         };
-        if next.call_is_answered || self.subscription.membership().get(&endpoint).is_none() {
+        if next.call_is_answered || self.subscription.membership().get(endpoint).is_none() {
             self.pending_calls.begin_attempt(&request, now, None);
-            self.events.push_back(not_sent(request, next));
+            self.events.push_back(not_sent(request, &next));
             return;
         }
         self.fleet.counters.count_attempt();
@@ -81,7 +81,7 @@
         let attempt = Attempt {
             request: request.clone(),
             number: next.number,
-            endpoint: self.fleet.endpoints.get(&endpoint),
+            endpoint: self.fleet.endpoints.get(endpoint),
             until: self.clock.instant(until),
             connect_timeout: self.settings.limits.connect_timeout,
             service_time: self.fleet.load.mean_service_time.mul_f64(unit_time),
@@ -137,7 +137,7 @@
 }
 
 /// The end of an attempt that has nowhere to go, or comes too late.
-fn not_sent(request: RequestId, attempt: NextAttempt) -> Event {
+fn not_sent(request: RequestId, attempt: &NextAttempt) -> Event {
     Event::AttemptEnded(AttemptEnd {
         request,
         attempt: attempt.number,
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -11,13 +11,13 @@
 use tokio::task::spawn_local;
 
 impl SidecarHandle {
-    /// Takes over a list's endpoints, and has calls arrive once there is one that serves.
-    pub(super) fn apply_list(&self, list: EndpointList, kind: ListKind) {
+    /// Applies a list, and starts the callers once an endpoint serves.
+    pub(super) fn apply_list(&self, list: &EndpointList, kind: ListKind) {
         let mut sidecar = self.borrow();
         let entries = sidecar
             .subscription
             .membership_mut()
-            .update(&list, kind)
+            .update(list, kind)
             .entries
             .into();
         let Incarnation { index, restarts } = sidecar.incarnation;
@@ -70,7 +70,7 @@
         } else {
             ListKind::Changes
         };
-        self.apply_list(list, kind);
+        self.apply_list(&list, kind);
         Ok(())
     }
 
--- a/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -1,6 +1,6 @@
 //! What a hollow sidecar is started from and reloaded with.
 
-use crate::discovery::{EndpointEntry, EndpointStatus};
+use crate::discovery::{EndpointEntry, EndpointStatus, ListSnapshot};
 use crate::sidecar::configuration::SidecarConfiguration;
 use balancer_sidecar::configuration::settings_document::parse_settings;
 use balancer_sidecar::discovery::{EndpointList, EntryStatus, ListEntry};
@@ -10,19 +10,20 @@
 use std::net::SocketAddr;
 
 /// A configuration in the decision module's form.
+#[derive(Debug)]
 pub(super) struct SidecarPlan {
     pub settings: Settings,
     /// The settings as the configuration has them, to tell whether a reload changes them.
     pub settings_document: Value,
     pub discovery: SocketAddr,
-    pub known: Option<(u64, Vec<EndpointEntry>)>,
+    pub cached_list: Option<EndpointList>,
     pub seed: u64,
 }
 
 impl SidecarPlan {
     /// # Errors
     /// Settings that the decision module turns down.
-    pub fn from_configuration(configuration: SidecarConfiguration) -> io::Result<Self> {
+    pub fn from_configuration(configuration: &SidecarConfiguration) -> io::Result<Self> {
         let settings_document = configuration.settings();
         let settings = parse_settings(&settings_document.to_string());
         let settings = settings.map_err(|error| invalid(&configuration.name, error))?;
@@ -33,19 +34,18 @@
             settings,
             settings_document,
             discovery: configuration.discovery,
-            known: configuration.known,
+            cached_list: configuration.cached_list.as_ref().map(endpoint_list),
             seed: configuration.seed,
         })
     }
+}
 
-    /// The endpoints as the sidecar last had them, as a list from discovery.
-    pub fn cached_list(&self) -> Option<EndpointList> {
-        let (index, entries) = self.known.as_ref()?;
-        Some(EndpointList {
-            index: *index,
-            snapshot: true,
-            endpoints: entries.iter().map(client_entry).collect(),
-        })
+/// Converts a snapshot into the form of the discovery client.
+fn endpoint_list(snapshot: &ListSnapshot) -> EndpointList {
+    EndpointList {
+        index: snapshot.version,
+        snapshot: true,
+        endpoints: snapshot.endpoints.iter().map(list_entry).collect(),
     }
 }
 
@@ -56,8 +56,8 @@
     )
 }
 
-/// An entry in the form of the discovery client.
-fn client_entry(entry: &EndpointEntry) -> ListEntry {
+/// Converts an entry into the form of the discovery client.
+fn list_entry(entry: &EndpointEntry) -> ListEntry {
     ListEntry {
         name: entry.name.clone(),
         address: entry.address,
--- a/fleet-lab/src/sidecar/simulated/thread.rs
+++ b/fleet-lab/src/sidecar/simulated/thread.rs
@@ -16,6 +16,7 @@
 use tokio::task::LocalSet;
 
 /// What a thread is to do.
+#[derive(Debug)]
 pub(super) enum Command {
     /// Start a sidecar, in place of the one that runs there.
     Start {
@@ -34,6 +35,7 @@
 }
 
 /// A thread with a runtime of its own, ended when it is dropped.
+#[derive(Debug)]
 pub(super) struct HostThread {
     commands: Option<UnboundedSender<Command>>,
     thread: Option<JoinHandle<()>>,
--- a/fleet-lab/tests/caller.rs
+++ b/fleet-lab/tests/caller.rs
@@ -170,7 +170,7 @@
         assert!(result.sent > 0);
         assert_eq!(
             result.sent,
-            result.served + result.refused + result.failed + result.unanswered
+            result.served + result.rejected + result.failed + result.unanswered
         );
         assert_eq!(result.latencies.len(), result.served);
     }
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -4,7 +4,9 @@
 mod discovery_client;
 
 use discovery_client::{Client, LIST, TIMEOUT, summarize, zones};
-use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
+use fleet_lab::discovery::{
+    DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus, ListSnapshot,
+};
 use hyper::body::Incoming;
 use serde_json::Value;
 use std::io::ErrorKind;
@@ -68,7 +70,11 @@
     server.publish(vec![entry("a", EndpointStatus::Deleted), serving("c")]);
     client.get(LIST);
     assert_eq!(summarize(&client.answer().1), "2 list b=SERVING c=SERVING");
-    assert_eq!(server.snapshot(), (2, vec![serving("b"), serving("c")]));
+    let snapshot = ListSnapshot {
+        version: 2,
+        endpoints: vec![serving("b"), serving("c")],
+    };
+    assert_eq!(server.snapshot(), snapshot);
     let usage = server.usage();
     assert_eq!(
         (usage.connections, usage.lists, usage.bytes_written),
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -4,8 +4,10 @@
 
 use balancer_sidecar::configuration::settings_document::parse_settings;
 use balancer_sidecar::policy::{DiscoveryMode, Idempotency, Reporting};
-use fleet_lab::discovery::{EndpointEntry, EndpointStatus};
-use fleet_lab::sidecar::configuration::{RequestClass, SidecarConfiguration};
+use fleet_lab::discovery::{EndpointEntry, EndpointStatus, ListSnapshot};
+use fleet_lab::sidecar::configuration::{
+    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+};
 use fleet_lab::sidecar::process::SidecarProcess;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -30,18 +32,25 @@
         name: "n0".into(),
         zone: "a".into(),
         zones: vec!["a".into(), "b".into()],
-        number: 1,
-        sidecars: 3,
-        tier: 0,
-        tiers: 2,
+        position: TierPosition {
+            number: 1,
+            sidecars: 3,
+            tier: 0,
+            tiers: 2,
+        },
         discovery,
-        lists_are_pushed: false,
-        known: Some((41, endpoints)),
+        discovery_mode: DiscoveryMode::OnRequest,
+        cached_list: Some(ListSnapshot {
+            version: 41,
+            endpoints,
+        }),
         classes: vec![class("browse", false), class("order", true)],
         health_checks: false,
         seed: 7,
-        memory_mb: 128,
-        descriptors: 1024,
+        limits: ResourceLimits {
+            memory_mb: 128,
+            descriptors: 1024,
+        },
     }
 }
 
@@ -132,7 +141,7 @@
         ]
     );
 
-    configuration.lists_are_pushed = true;
+    configuration.discovery_mode = DiscoveryMode::Pushed;
     configuration.health_checks = true;
     let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
     assert_eq!(settings.discovery, DiscoveryMode::Pushed);
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -1,7 +1,10 @@
 //! Hollow fleets over the discovery service: which states they reach, and what they count.
 
+use balancer_sidecar::policy::DiscoveryMode;
 use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
-use fleet_lab::sidecar::configuration::{RequestClass, SidecarConfiguration};
+use fleet_lab::sidecar::configuration::{
+    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+};
 use fleet_lab::sidecar::simulated::{ConvergenceTimes, FleetUsage, SimulatedFleet, SimulatedLoad};
 use fleet_lab::topology::{EndpointName, ZoneName};
 use std::thread::sleep;
@@ -53,19 +56,20 @@
 fn configuration(
     number: u32,
     discovery: &DiscoveryServer,
-    lists_are_pushed: bool,
+    discovery_mode: DiscoveryMode,
 ) -> SidecarConfiguration {
     SidecarConfiguration {
         name: format!("sidecar-{number}"),
         zone: zone(),
         zones: vec![zone()],
-        number,
-        sidecars: SIDECARS,
-        tier: 0,
-        tiers: 1,
+        position: TierPosition {
+            number,
+            sidecars: SIDECARS,
+            ..TierPosition::ONLY
+        },
         discovery: discovery.address(&zone()),
-        lists_are_pushed,
-        known: None,
+        discovery_mode,
+        cached_list: None,
         classes: vec![RequestClass {
             name: "look-up".into(),
             is_unsafe: false,
@@ -74,16 +78,18 @@
         }],
         health_checks: false,
         seed: u64::from(number) + 1,
-        memory_mb: 64,
-        descriptors: 256,
+        limits: ResourceLimits {
+            memory_mb: 64,
+            descriptors: 256,
+        },
     }
 }
 
-fn fleet(discovery: &DiscoveryServer, lists_are_pushed: bool) -> SimulatedFleet {
-    let configurations = (0..SIDECARS)
-        .map(|n| configuration(n, discovery, lists_are_pushed))
+fn fleet(discovery: &DiscoveryServer, discovery_mode: DiscoveryMode) -> SimulatedFleet {
+    let configurations: Vec<_> = (0..SIDECARS)
+        .map(|n| configuration(n, discovery, discovery_mode))
         .collect();
-    SimulatedFleet::start(configurations, LOAD, THREADS).expect("a fleet")
+    SimulatedFleet::start(&configurations, LOAD, THREADS).expect("a fleet")
 }
 
 fn assert_all_reached(times: &ConvergenceTimes) {
@@ -125,10 +131,10 @@
     fleet.usage()
 }
 
-fn all_are_told(lists_are_pushed: bool) {
+fn assert_lists_reach_all_sidecars(discovery_mode: DiscoveryMode) {
     let discovery = discovery(8);
     let started = Instant::now();
-    let fleet = fleet(&discovery, lists_are_pushed);
+    let fleet = fleet(&discovery, discovery_mode);
     assert_all_reached(&fleet.wait_until_ready(started, LONGEST));
     wait_until_watching(&fleet, &discovery);
     assert_none_reached(&fleet.wait_for_version(2, started, SHORT));
@@ -151,18 +157,18 @@
 
 #[test]
 fn all_sidecars_get_ready_and_are_told_each_pushed_version() {
-    all_are_told(true);
+    assert_lists_reach_all_sidecars(DiscoveryMode::Pushed);
 }
 
 #[test]
 fn all_sidecars_get_ready_and_are_told_each_version_that_they_asked_for() {
-    all_are_told(false);
+    assert_lists_reach_all_sidecars(DiscoveryMode::OnRequest);
 }
 
 #[test]
 fn calls_are_served_and_their_counts_add_up() {
     let discovery = discovery(16);
-    let fleet = fleet(&discovery, true);
+    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     wait_until("100 calls are served", || fleet.usage().served >= 100);
     let usage = wait_until_calls_add_up(&fleet);
     assert!(usage.attempts >= usage.served, "{usage:?}");
@@ -179,14 +185,14 @@
 fn a_sidecar_that_knows_endpoints_is_ready_while_discovery_is_down() {
     let discovery = discovery(4);
     discovery.begin_outage();
-    let known = Some(discovery.snapshot());
-    let configurations = (0..SIDECARS)
+    let cached_list = Some(discovery.snapshot());
+    let configurations: Vec<_> = (0..SIDECARS)
         .map(|n| SidecarConfiguration {
-            known: known.clone(),
-            ..configuration(n, &discovery, false)
+            cached_list: cached_list.clone(),
+            ..configuration(n, &discovery, DiscoveryMode::OnRequest)
         })
         .collect();
-    let fleet = SimulatedFleet::start(configurations, LOAD, THREADS).expect("a fleet");
+    let fleet = SimulatedFleet::start(&configurations, LOAD, THREADS).expect("a fleet");
     assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
     assert_all_reached(&fleet.wait_for_version(1, Instant::now(), LONGEST));
     assert_none_reached(&fleet.wait_until_watching(Instant::now(), SHORT));
@@ -197,7 +203,7 @@
 fn a_sidecar_that_knows_nothing_gets_its_first_call_once_it_is_ready() {
     let discovery = discovery(4);
     discovery.begin_outage();
-    let fleet = fleet(&discovery, true);
+    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     assert_none_reached(&fleet.wait_until_ready(Instant::now(), SHORT));
     assert_eq!(fleet.usage().calls, 0);
     discovery.end_outage();
@@ -208,7 +214,7 @@
 #[test]
 fn restarted_sidecars_watch_again() {
     let discovery = discovery(4);
-    let fleet = fleet(&discovery, true);
+    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &discovery);
     fleet.restart(&[1, 4]);
     assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
@@ -220,9 +226,9 @@
     wait_until_calls_add_up(&fleet);
 }
 
-fn changes_during_an_outage_come_after_it(lists_are_pushed: bool) {
+fn assert_changes_during_an_outage_arrive_after_it(discovery_mode: DiscoveryMode) {
     let discovery = discovery(4);
-    let fleet = fleet(&discovery, lists_are_pushed);
+    let fleet = fleet(&discovery, discovery_mode);
     wait_until_watching(&fleet, &discovery);
     discovery.begin_outage();
     let version = discovery.publish(vec![endpoint(0, EndpointStatus::Draining)]);
@@ -237,23 +243,23 @@
 
 #[test]
 fn a_pushed_change_during_an_outage_comes_after_it() {
-    changes_during_an_outage_come_after_it(true);
+    assert_changes_during_an_outage_arrive_after_it(DiscoveryMode::Pushed);
 }
 
 #[test]
 fn a_change_during_an_outage_comes_when_it_is_asked_for() {
-    changes_during_an_outage_come_after_it(false);
+    assert_changes_during_an_outage_arrive_after_it(DiscoveryMode::OnRequest);
 }
 
 #[test]
 fn reloaded_sidecars_follow_the_discovery_that_they_are_pointed_at() {
     let (first, second) = (discovery(4), discovery(4));
-    let fleet = fleet(&first, true);
+    let fleet = fleet(&first, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &first);
     let moved = [0, 3, 5];
     fleet.reload(&moved, |place| {
         let number = u32::try_from(place).expect("a small number");
-        configuration(number, &second, true)
+        configuration(number, &second, DiscoveryMode::Pushed)
     });
     assert_all_reached(&fleet.wait_until_watching(Instant::now(), LONGEST));
     wait_until("watches have moved", || {
@@ -272,7 +278,7 @@
 #[test]
 fn calls_are_not_served_at_an_unreachable_endpoint() {
     let discovery = discovery(1);
-    let fleet = fleet(&discovery, true);
+    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     wait_until("calls are served", || fleet.usage().served >= 20);
     let only: [EndpointName; 1] = ["endpoint-0".into()];
     fleet.make_unreachable(&only);
@@ -295,14 +301,14 @@
 #[test]
 fn attempts_in_flight_as_their_machine_vanishes_are_not_served() {
     let discovery = discovery(1);
-    let configurations = (0..SIDECARS)
-        .map(|n| configuration(n, &discovery, true))
+    let configurations: Vec<_> = (0..SIDECARS)
+        .map(|n| configuration(n, &discovery, DiscoveryMode::Pushed))
         .collect();
     let slow = SimulatedLoad {
         mean_service_time: Duration::from_millis(60),
         ..LOAD
     };
-    let fleet = SimulatedFleet::start(configurations, slow, THREADS).expect("a fleet");
+    let fleet = SimulatedFleet::start(&configurations, slow, THREADS).expect("a fleet");
     wait_until("calls are served", || fleet.usage().served >= 20);
     fleet.make_unreachable(&["endpoint-0".into()]);
     let FleetUsage {
