--- a/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -28,7 +28,7 @@
         let settings = parse_settings(&settings_document.to_string());
         let settings = settings.map_err(|error| invalid(&configuration.name, error))?;
         settings
-            .check()
+            .validate()
             .map_err(|error| invalid(&configuration.name, error))?;
         Ok(SidecarPlan {
             settings,
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -30,7 +30,7 @@
             .is_some_and(|member| {
                 let is_same =
                     member.started_at == target.started_at && member.address == target.address;
-                member.readiness == Readiness::Up && is_same
+                member.readiness == Readiness::Serving && is_same
             })
             && !self.is_disabled(&target.endpoint)
     }
@@ -50,18 +50,19 @@
         };
         let attempt = open.next_attempt();
         if let Some(target) = target.filter(|_| open.is_unanswered()) {
-            let until = timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
+            let deadline =
+                timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
             let forwarded = open.forwarded.clone();
-            let order = AttemptSpec {
+            let spec = AttemptSpec {
                 request: request.clone(),
                 attempt,
                 target,
-                until,
+                deadline,
                 forwarded,
             };
             open.begin_attempt(
                 now,
-                Task::spawn(endpoint::run_attempt(handle.clone(), order)),
+                Task::spawn(endpoint::run_attempt(handle.clone(), spec)),
             );
         } else {
             open.skip_attempt();
