--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -202,9 +202,7 @@
 #[test]
 fn a_program_that_ends_at_once_is_told_with_its_log() {
     let configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
-    let failure = SidecarProcess::start(Path::new("true"), &configuration)
-        .err()
-        .expect("it ends");
+    let failure = SidecarProcess::start(Path::new("true"), &configuration).expect_err("it ends");
     assert!(
         failure.to_string().contains("ended before it listened"),
         "{failure}"
@@ -213,9 +211,7 @@
     let mut without_classes = configuration;
     without_classes.classes.clear();
     let started = SidecarProcess::start(common::sidecar_program(), &without_classes);
-    let failure = started
-        .err()
-        .expect("settings without a class are turned down");
+    let failure = started.expect_err("settings without a class are rejected");
     assert!(
         failure
             .to_string()
