--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -2,9 +2,7 @@
 
 use super::super::pending_calls;
 use super::{Incarnation, SidecarHandle, SimulatedSidecar};
-use balancer_sidecar::discovery::{
-    DiscoveryError, EndpointList, ListConsumer, ListOrigin, Source, StaleListError,
-};
+use balancer_sidecar::discovery::{EndpointList, ListConsumer, ListOrigin, Source, StaleListError};
 use balancer_sidecar::policy::{Event, ListKind};
 use std::fmt;
 use std::sync::Arc;
@@ -42,12 +40,12 @@
     /// Begins to follow discovery, in place of the watch that there was.
     pub(super) fn begin_watch(&mut self, handle: &SidecarHandle) {
         self.subscription
-            .follow(handle.clone(), self.settings.discovery);
+            .start_watch(handle.clone(), self.settings.discovery);
     }
 
     /// Follows discovery no more.
     pub(super) fn end_watch(&mut self) {
-        self.subscription.unfollow();
+        self.subscription.stop_watch();
         let Incarnation { index, restarts } = self.incarnation;
         self.fleet.milestones[index]
             .record_watch_lost(restarts, self.subscription.source().generation);
@@ -65,12 +63,7 @@
             return Ok(());
         }
         drop(sidecar);
-        let kind = if list.snapshot {
-            ListKind::Full
-        } else {
-            ListKind::Changes
-        };
-        self.apply_list(&list, kind);
+        self.apply_list(&list, list.kind());
         Ok(())
     }
 
@@ -93,7 +86,7 @@
     fn discovery_failed(&self, source: Source) {
         let mut sidecar = self.borrow();
         if source == sidecar.subscription.source() {
-            sidecar.subscription.unfollow();
+            sidecar.subscription.stop_watch();
             drop(sidecar);
             self.handle_event(Event::DiscoveryFailed);
         }
@@ -107,14 +100,14 @@
         tracing::debug!(index = self.borrow().incarnation.index, "{line}");
     }
 
-    fn watch_ended(&self, source: Source, _failure: &DiscoveryError) {
+    fn watch_ended(&self, source: Source) {
         let sidecar = self.borrow();
         sidecar.fleet.counters.count_discovery_failure();
         sidecar.fleet.milestones[sidecar.incarnation.index]
             .record_watch_lost(sidecar.incarnation.restarts, source.generation);
     }
 
-    fn fetch_failed(&self, _source: Source, _failure: &DiscoveryError) {
+    fn fetch_failed(&self, _source: Source) {
         self.borrow().fleet.counters.count_discovery_failure();
     }
 }
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -179,7 +179,7 @@
             ReplyBody::Streamed(_) => ResponseKind::Streamed,
         });
         if self.state.persistence() == Persistence::Close
-            || self.node.borrow().callers.close_after_responses()
+            || self.node.borrow().callers().close_after_responses()
         {
             reply
                 .headers_mut()
@@ -233,14 +233,14 @@
             .and_then(|value| value.to_str().ok());
         let mut node = self.node.borrow();
         let is_class = |name: &&str| {
-            node.settings
-                .current()
+            node.configuration()
+                .settings()
                 .classes
                 .iter()
                 .any(|class| class.name == **name)
         };
         if let Some(name) = name.filter(is_class) {
-            node.metrics.begin(name).end(reply.status());
+            node.begin_request(name).end(reply.status());
         }
         reply
     }
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -2,10 +2,7 @@
 
 use super::caller_connection::CallerConnection;
 use super::connection;
-use crate::sidecar::caller::{Admission, CallerTable};
-use crate::sidecar::descriptors::{DescriptorBudget, Side};
-use crate::sidecar::endpoint::ConnectionPool;
-use crate::sidecar::node::{Node, NodeHandle};
+use crate::sidecar::node::NodeHandle;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, yield_now};
@@ -17,7 +14,7 @@
 /// Accepts connections for as long as it is polled, unless another process does. It waits for nothing else, as connections
 /// in the kernel's backlog count as taken. It yields after each connection, so that evicted ones can close.
 pub async fn accept(node: NodeHandle, listener: &TcpListener) {
-    let mut accepted_elsewhere = node.borrow().callers.watch_accepted_elsewhere();
+    let mut accepted_elsewhere = node.borrow().callers().watch_accepted_elsewhere();
     loop {
         if *accepted_elsewhere.borrow_and_update() {
             if accepted_elsewhere.changed().await.is_err() {
@@ -54,44 +51,17 @@
 
 /// Serves a connection, or rejects its requests where there are no descriptors for it.
 fn start_serving(node: &NodeHandle, stream: TcpStream) {
-    let mut guard = node.borrow();
-    let Node {
-        callers,
-        pool,
-        descriptors,
-        ..
-    } = &mut *guard;
-    let admission = admit(callers, pool, descriptors);
-    if admission == Admission::RejectedEarly && descriptors.is_caller_overcommit_reached() {
+    let Some(admitted) = node.borrow().admit_caller() else {
         return; // closed unread: none of it was taken, and the remaining descriptors are for requests that were
-    }
-    let permit = descriptors.permit(Side::Callers);
-    let accepted = callers.add(admission);
-    drop(guard);
+    };
+    let accepted = admitted.accepted;
     let connection = CallerConnection {
         node: node.clone(),
         number: accepted.number,
         state: accepted.state,
-        admission,
-        _permit: permit,
+        admission: admitted.admission,
+        _permit: admitted.permit,
     };
     let served = connection::serve(connection, stream, accepted.close, accepted.persistence);
     spawn_local(served);
 }
-
-/// Decides whether there are descriptors for a new connection, after closing an idle one if they are short.
-fn admit(
-    callers: &mut CallerTable,
-    pool: &mut ConnectionPool,
-    descriptors: &DescriptorBudget,
-) -> Admission {
-    if !descriptors.is_caller_limit_reached() {
-        return Admission::Accepted;
-    }
-    let has_closed_pooled = descriptors.is_exhausted() && pool.close_oldest();
-    if has_closed_pooled || callers.evict_one() {
-        Admission::Accepted
-    } else {
-        Admission::RejectedEarly
-    }
-}
