--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -6,9 +6,9 @@
 //! ends, both tell each other what they hold of the limits that they share.
 
 use super::endpoint::IdleConnections;
+use super::hot_restart::{OtherProcessId, ProcessMessage, ProcessRole, SharedDirectory};
 use super::node::{Node, NodeHandle};
 use super::server;
-use super::upgrade::{Order, ProcessMessage, ProcessNumber, SharedDirectory};
 use rustix::io::Errno;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -42,17 +42,17 @@
 const HANDOVER_BYTE: &[u8] = b"L";
 
 /// What the older process has handed over.
-pub struct OlderProcess {
+pub struct OldProcess {
     listener: std::net::TcpListener,
     stream: BlockingStream,
 }
 
 /// Asks the process that serves already, if one does, for its listening socket.
-pub fn ask(directory: &SharedDirectory) -> Option<OlderProcess> {
+pub fn request_listener(directory: &SharedDirectory) -> Option<OldProcess> {
     // Nobody there is the usual case, at every start but an upgrade.
     let stream = BlockingStream::connect(directory.socket()).ok()?;
-    match receive(&stream) {
-        Ok(listener) => Some(OlderProcess { listener, stream }),
+    match receive_listener(&stream) {
+        Ok(listener) => Some(OldProcess { listener, stream }),
         Err(failure) => {
             log!("the process before hands nothing over: {failure}");
             None
@@ -60,7 +60,7 @@
     }
 }
 
-fn receive(stream: &BlockingStream) -> io::Result<std::net::TcpListener> {
+fn receive_listener(stream: &BlockingStream) -> io::Result<std::net::TcpListener> {
     stream.set_read_timeout(Some(ANSWER_WITHIN))?;
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -85,11 +85,11 @@
 pub fn listen(
     address: SocketAddr,
     shared: bool,
-    older: Option<&OlderProcess>,
+    old_process: Option<&OldProcess>,
 ) -> io::Result<TcpListener> {
-    if let Some(older) = older {
-        older.listener.set_nonblocking(true)?;
-        return TcpListener::from_std(older.listener.try_clone()?);
+    if let Some(old_process) = old_process {
+        old_process.listener.set_nonblocking(true)?;
+        return TcpListener::from_std(old_process.listener.try_clone()?);
     }
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
@@ -106,14 +106,14 @@
 
 /// The newer process's part: it waits until it is ready, as long as the older one serves, has callers come to it, and
 /// stays in touch until the older one has ended.
-pub async fn take_over(node: &NodeHandle, older: OlderProcess) -> io::Result<()> {
-    older.stream.set_nonblocking(true)?;
-    let stream = UnixStream::from_std(older.stream)?;
-    let (number, messages) = node.borrow().other_processes.add(Order::Before);
-    let talker = node.clone();
+pub async fn take_over(node: &NodeHandle, old_process: OldProcess) -> io::Result<()> {
+    old_process.stream.set_nonblocking(true)?;
+    let stream = UnixStream::from_std(old_process.stream)?;
+    let (number, messages) = node.borrow().other_processes.add(ProcessRole::Old);
+    let message_node = node.clone();
     tokio::task::spawn_local(async move {
-        talk(&talker, number, stream, messages).await;
-        talker.process_ended(number);
+        exchange_messages(&message_node, number, stream, messages).await;
+        message_node.process_ended(number);
         log!("the process before has ended");
     });
     let is_alone = || !node.borrow().other_processes.contains(number);
@@ -139,10 +139,10 @@
             Ok(socket) => socket,
             Err(failure) => return log!("no hand-over from this process: {failure}"),
         };
-        let stream = give_to_next(socket, &listener).await;
-        let (number, messages) = node.borrow().other_processes.add(Order::After);
-        node.tell_disabled();
-        talk(&node, number, stream, messages).await;
+        let stream = hand_over_to_next(socket, &listener).await;
+        let (number, messages) = node.borrow().other_processes.add(ProcessRole::New);
+        node.send_disabled_endpoints();
+        exchange_messages(&node, number, stream, messages).await;
         node.process_ended(number);
         let (is_taken_back, is_stopped) = {
             let mut node = node.borrow();
@@ -176,20 +176,20 @@
 }
 
 /// Hands the listener to the next process that asks and gets it.
-async fn give_to_next(socket: &UnixListener, listener: &std::net::TcpListener) -> UnixStream {
+async fn hand_over_to_next(socket: &UnixListener, listener: &std::net::TcpListener) -> UnixStream {
     loop {
         let Ok((stream, _)) = socket.accept().await else {
             sleep(HEARTBEAT).await;
             continue;
         };
-        match give(&stream, listener).await {
+        match send_listener(&stream, listener).await {
             Ok(()) => return stream,
             Err(failure) => log!("the callers' socket could not be handed over: {failure}"),
         }
     }
 }
 
-async fn give(stream: &UnixStream, listener: &std::net::TcpListener) -> io::Result<()> {
+async fn send_listener(stream: &UnixStream, listener: &std::net::TcpListener) -> io::Result<()> {
     let send = || {
         let descriptors = [listener.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -203,9 +203,9 @@
 }
 
 /// Messages go back and forth until the other process's end.
-async fn talk(
+async fn exchange_messages(
     node: &NodeHandle,
-    number: ProcessNumber,
+    number: OtherProcessId,
     stream: UnixStream,
     messages: mpsc::Receiver<ProcessMessage>,
 ) {
@@ -245,7 +245,7 @@
     }
 }
 
-async fn read_messages(node: &NodeHandle, number: ProcessNumber, from: OwnedReadHalf) {
+async fn read_messages(node: &NodeHandle, number: OtherProcessId, from: OwnedReadHalf) {
     let mut lines = BufReader::new(from);
     loop {
         let mut line = Vec::new();
@@ -257,7 +257,7 @@
             return;
         }
         match serde_json::from_slice(&line) {
-            Ok(message) => node.receive(number, message),
+            Ok(message) => node.apply_message(number, message),
             // Another version of the program may say more than this one understands.
             Err(failure) => log!("the other process says what is not known: {failure}"),
         }
@@ -266,7 +266,7 @@
 
 impl NodeHandle {
     /// Tells the newest process what is disabled: it has read the file, but perhaps before the last change.
-    fn tell_disabled(&self) {
+    fn send_disabled_endpoints(&self) {
         let node = self.borrow();
         for endpoint in node.disabled_endpoints() {
             let message = ProcessMessage::Disabled {
@@ -279,11 +279,11 @@
 
     /// Another process has ended, and holds nothing any more. The last change it may have kept, but not passed on: what is
     /// kept is what holds.
-    fn process_ended(&self, number: ProcessNumber) {
+    fn process_ended(&self, number: OtherProcessId) {
         let mut node = self.borrow();
         node.other_processes.remove(number);
         node.descriptors
-            .set_other_process_connections(node.other_processes.held_connections());
+            .set_other_process_connections(node.other_processes.connections_in_use());
         let Some(directory) = node.directory.clone() else {
             return;
         };
@@ -300,7 +300,7 @@
         }
     }
 
-    fn receive(&self, from: ProcessNumber, message: ProcessMessage) {
+    fn apply_message(&self, from: OtherProcessId, message: ProcessMessage) {
         let mut guard = self.borrow();
         let Node {
             pool,
@@ -312,11 +312,11 @@
         match message {
             ProcessMessage::Disabled { endpoint, disabled } => {
                 drop(guard);
-                self.receive_disabled(from, &endpoint, disabled);
+                self.apply_admin_state(from, &endpoint, disabled);
             }
             ProcessMessage::Holds(connections) => {
-                other_processes.set_held(from, connections);
-                descriptors.set_other_process_connections(other_processes.held_connections());
+                other_processes.set_connections_in_use(from, connections);
+                descriptors.set_other_process_connections(other_processes.connections_in_use());
             }
             ProcessMessage::Serving => {
                 callers.suspend_accepting();
@@ -325,7 +325,7 @@
             }
             // Told by the process before, it is no news: callers go over from there.
             ProcessMessage::Stopping => {
-                if other_processes.is_after(from) && callers.resume_accepting() {
+                if other_processes.is_new_process(from) && callers.resume_accepting() {
                     pool.set_idle_connections(IdleConnections::Pooled);
                     log!("the process after stops; callers are let in here again");
                 }
@@ -333,7 +333,7 @@
         }
     }
 
-    fn receive_disabled(&self, from: ProcessNumber, name: &str, disabled: bool) {
+    fn apply_admin_state(&self, from: OtherProcessId, name: &str, disabled: bool) {
         let endpoint = name.into();
         if self.borrow().is_disabled(&endpoint) != disabled {
             let message = ProcessMessage::Disabled {
--- a/src/sidecar/upgrade/mod.rs
+++ b/src/sidecar/hot_restart/mod.rs
@@ -7,5 +7,5 @@
 mod shared_directory;
 
 pub use message::ProcessMessage;
-pub use other_processes::{Order, OtherProcesses, ProcessNumber};
+pub use other_processes::{OtherProcessId, OtherProcesses, ProcessRole};
 pub use shared_directory::SharedDirectory;
--- a/src/sidecar/upgrade/other_processes.rs
+++ b/src/sidecar/hot_restart/other_processes.rs
@@ -9,58 +9,58 @@
 
 /// Whether a process came before this one or after it.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Order {
+pub enum ProcessRole {
     /// This one was given the listening socket by it.
-    Before,
+    Old,
     /// It was given the listening socket by this one.
-    After,
+    New,
 }
 
 /// Tells other processes apart.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ProcessNumber(u64);
+pub struct OtherProcessId(u64);
 
 /// The other processes.
 #[derive(Default)]
 pub struct OtherProcesses {
     next: u64,
-    processes: BTreeMap<ProcessNumber, OtherProcess>,
+    processes: BTreeMap<OtherProcessId, OtherProcess>,
 }
 
 struct OtherProcess {
     messages: mpsc::Sender<ProcessMessage>,
-    order: Order,
+    role: ProcessRole,
     /// Connections, as far as it has told.
-    held_connections: Option<usize>,
+    connections_in_use: Option<usize>,
 }
 
 impl OtherProcesses {
     /// Another process has come; returns what is to be written to it.
-    pub fn add(&mut self, order: Order) -> (ProcessNumber, mpsc::Receiver<ProcessMessage>) {
+    pub fn add(&mut self, role: ProcessRole) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
         let (sender, messages) = mpsc::channel(MAX_WAITING);
-        let number = ProcessNumber(self.next);
+        let number = OtherProcessId(self.next);
         self.next += 1;
         let process = OtherProcess {
             messages: sender,
-            order,
-            held_connections: None,
+            role,
+            connections_in_use: None,
         };
         self.processes.insert(number, process);
         (number, messages)
     }
 
     /// Another process has ended, and holds nothing any more.
-    pub fn remove(&mut self, number: ProcessNumber) {
+    pub fn remove(&mut self, number: OtherProcessId) {
         self.processes.remove(&number);
     }
 
     /// Whether a process is still there.
-    pub fn contains(&self, number: ProcessNumber) -> bool {
+    pub fn contains(&self, number: OtherProcessId) -> bool {
         self.processes.contains_key(&number)
     }
 
     /// Sends a message to the others that still listen, but for the one that it comes from.
-    pub fn send(&self, message: &ProcessMessage, from: Option<ProcessNumber>) {
+    pub fn send(&self, message: &ProcessMessage, from: Option<OtherProcessId>) {
         for (_, process) in self
             .processes
             .iter()
@@ -71,30 +71,30 @@
     }
 
     /// Whether another process has the listening socket from this one.
-    pub fn has_one_after(&self) -> bool {
+    pub fn has_new_process(&self) -> bool {
         self.processes
             .values()
-            .any(|process| process.order == Order::After)
+            .any(|process| process.role == ProcessRole::New)
     }
 
     /// Whether a process has the listening socket from this one.
-    pub fn is_after(&self, number: ProcessNumber) -> bool {
+    pub fn is_new_process(&self, number: OtherProcessId) -> bool {
         self.processes
             .get(&number)
-            .is_some_and(|process| process.order == Order::After)
+            .is_some_and(|process| process.role == ProcessRole::New)
     }
 
     /// A process holds so many connections.
-    pub fn set_held(&mut self, number: ProcessNumber, connections: usize) {
+    pub fn set_connections_in_use(&mut self, number: OtherProcessId, connections: usize) {
         if let Some(process) = self.processes.get_mut(&number) {
-            process.held_connections = Some(connections);
+            process.connections_in_use = Some(connections);
         }
     }
 
     /// What each holds, as far as it has told.
-    pub fn held_connections(&self) -> impl Iterator<Item = usize> {
+    pub fn connections_in_use(&self) -> impl Iterator<Item = usize> {
         self.processes
             .values()
-            .filter_map(|process| process.held_connections)
+            .filter_map(|process| process.connections_in_use)
     }
 }
--- a/src/sidecar/upgrade/shared_directory.rs
+++ b/src/sidecar/hot_restart/shared_directory.rs
@@ -94,7 +94,7 @@
 
     /// Keeps for the other processes that an endpoint is disabled, or enabled, beside what they have kept; where nothing
     /// is, with all that this one knows.
-    pub fn keep_disabled<'a>(
+    pub fn store_admin_state<'a>(
         &self,
         endpoint: &str,
         disabled: bool,
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | foundations | `log.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
-//! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `upgrade/`: to other processes |
+//! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
 //! | addresses | `server/`: the callers'; `operators.rs`: the operators'; `handover.rs`: the next process's; `report.rs`: the log |
 //! | process | `process.rs` |
@@ -21,6 +21,7 @@
 mod descriptors;
 mod endpoint;
 mod handover;
+mod hot_restart;
 mod memory;
 mod metrics;
 mod node;
@@ -29,6 +30,5 @@
 mod report;
 mod server;
 mod sockets;
-mod upgrade;
 
 pub use process::main;
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -3,7 +3,7 @@
 use super::state::NodeHandle;
 use crate::policy::{EndpointId, Event};
 use crate::sidecar::caller::DrainState;
-use crate::sidecar::upgrade::ProcessMessage;
+use crate::sidecar::hot_restart::ProcessMessage;
 use crate::task::Task;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -58,7 +58,7 @@
         let node = self.borrow();
         if let Some(directory) = &node.directory {
             let known = node.disabled_endpoints().map(|id| &*id.0);
-            directory.keep_disabled(&endpoint.0, disabled, known);
+            directory.store_admin_state(&endpoint.0, disabled, known);
         }
     }
 
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -1,11 +1,11 @@
 //! The process: its start, its signals and its end.
 
 use super::handover;
+use super::hot_restart::{ProcessMessage, SharedDirectory};
 use super::node::{NodeHandle, Start};
 use super::operators;
 use super::report;
 use super::server;
-use super::upgrade::{ProcessMessage, SharedDirectory};
 use crate::configuration::{Config, ConfigError};
 use crate::policy::SettingsError;
 use crate::task::Task;
@@ -93,24 +93,24 @@
         .as_ref()
         .and_then(|_| SharedDirectory::from_environment())
         .map(Rc::new);
-    let older = directory.as_deref().and_then(handover::ask);
+    let old_process = directory.as_deref().and_then(handover::request_listener);
     let listen_failed = |failure| ProcessError::Listen { address, failure };
-    let listener =
-        handover::listen(address, operators.is_some(), older.as_ref()).map_err(listen_failed)?;
+    let listener = handover::listen(address, operators.is_some(), old_process.as_ref())
+        .map_err(listen_failed)?;
     let address = listener.local_addr().map_err(listen_failed)?;
     let node = NodeHandle::start(Start {
         config,
         directory: directory.clone(),
-        replaces: older.is_some(),
+        replaces: old_process.is_some(),
         reserved_descriptors: operators.as_ref().map_or(0, |_| operators::MAX_CONNECTIONS),
     })?;
     let _counts = Task::spawn(report::write_each_period(node.clone()));
     let _reloads = Task::spawn(reload_on(node.clone(), reload));
     let _calls = operators.map(|listener| serve_operators(&node, &name, listener));
     log!("{name} listens on {address}");
-    if let Some(older) = older {
+    if let Some(old_process) = old_process {
         let taken_over = tokio::select! {
-            taken_over = handover::take_over(&node, older) => taken_over,
+            taken_over = handover::take_over(&node, old_process) => taken_over,
             _ = stop.recv() => {
                 log!("{name} stops before it has taken over");
                 return Ok(());
@@ -200,7 +200,7 @@
     // It never ends by itself, so this only ever times out.
     let _ = timeout(STILL_COMING, server::accept(node.clone(), &listener)).await;
     // With nobody to take it, the part of it on offer would keep it open, and callers waiting there.
-    let nobody_has_it = !node.borrow().other_processes.has_one_after();
+    let nobody_has_it = !node.borrow().other_processes.has_new_process();
     if let Some(offer) = offer.take_if(|_| nobody_has_it) {
         offer.stop().await;
     }
