--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -149,7 +149,7 @@
             node.pool.set_idle_connections(IdleConnections::Pooled);
             (
                 node.callers.resume_accepting(),
-                node.callers.are_shutting_down(),
+                node.callers.is_shutting_down(),
             )
         };
         if is_stopped {
