--- /dev/null
+++ b/src/sidecar/node/hot_restart.rs
@@ -0,0 +1,106 @@
+//! The other processes of this sidecar during a hot restart, and what they share with it.
+
+use crate::policy::EndpointId;
+use crate::sidecar::admin_state::AdminState;
+use crate::sidecar::hot_restart::{
+    OtherProcessId, OtherProcesses, ProcessMessage, ProcessRole, SharedDirectory,
+};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use tokio::sync::mpsc;
+
+/// The other processes that are one sidecar with this one for a while, and the directory that they share.
+pub struct HotRestart {
+    processes: OtherProcesses,
+    directory: Option<Rc<SharedDirectory>>,
+}
+
+impl HotRestart {
+    /// Creates the state of a process that knows no other one yet.
+    pub fn new(directory: Option<Rc<SharedDirectory>>) -> Self {
+        HotRestart {
+            processes: OtherProcesses::default(),
+            directory,
+        }
+    }
+
+    /// Returns whether this process has handed its listening socket to another one that still runs.
+    pub fn has_new_process(&self) -> bool {
+        self.processes.has_new_process()
+    }
+
+    /// Adds another process; returns what is to be written to it.
+    pub fn add(&mut self, role: ProcessRole) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
+        self.processes.add(role)
+    }
+
+    /// Removes a process that has ended.
+    pub fn remove(&mut self, number: OtherProcessId) {
+        self.processes.remove(number);
+    }
+
+    /// Returns whether a process still runs.
+    pub fn contains(&self, number: OtherProcessId) -> bool {
+        self.processes.contains(number)
+    }
+
+    /// Returns whether a process was given the listening socket by this one.
+    pub fn is_new_process(&self, number: OtherProcessId) -> bool {
+        self.processes.is_new_process(number)
+    }
+
+    /// Sets how many connections a process has open.
+    pub fn set_connections(&mut self, number: OtherProcessId, connections: usize) {
+        self.processes.set_connections_in_use(number, connections);
+    }
+
+    /// Returns how many connections each process has open, as far as it has reported.
+    pub fn connections(&self) -> impl Iterator<Item = usize> {
+        self.processes.connections_in_use()
+    }
+
+    /// Sends a message to all other processes.
+    pub fn broadcast(&self, message: &ProcessMessage) {
+        self.processes.send(message, None);
+    }
+
+    /// Sends an endpoint's administrative state to all other processes but the one that it came from.
+    pub fn broadcast_admin_state(
+        &self,
+        endpoint: &EndpointId,
+        state: AdminState,
+        origin: Option<OtherProcessId>,
+    ) {
+        let message = ProcessMessage::Disabled {
+            endpoint: endpoint.0.to_string(),
+            disabled: state.is_disabled(),
+        };
+        self.processes.send(&message, origin);
+    }
+
+    /// Returns the disabled endpoints that the shared directory holds; `None` where it holds none or there is no directory.
+    pub fn stored_disabled_endpoints(&self) -> Option<BTreeSet<String>> {
+        self.directory.as_ref()?.disabled_endpoints()
+    }
+
+    /// Stores an endpoint's administrative state in the shared directory. Where nothing is stored yet, all the endpoints
+    /// that this process knows as disabled are stored with it.
+    pub fn store_admin_state<'a>(
+        &self,
+        endpoint: &EndpointId,
+        state: AdminState,
+        disabled: impl Iterator<Item = &'a EndpointId>,
+    ) {
+        if let Some(directory) = &self.directory {
+            let disabled = disabled.map(|endpoint| &*endpoint.0);
+            directory.store_admin_state(&endpoint.0, state.is_disabled(), disabled);
+        }
+    }
+
+    /// Returns whether the last change could not be stored, so that the shared directory lacks it.
+    pub fn is_store_behind(&self) -> bool {
+        self.directory
+            .as_ref()
+            .is_some_and(|directory| directory.is_behind())
+    }
+}
