--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -32,11 +32,11 @@
                 if self.discovery_mode() == DiscoveryMode::Pushed => {}
             Action::Subscribe => {
                 // A reload may have opened a watch already, and a second one would cost discovery a call.
-                if !self.endpoints.is_followed() {
+                if !self.endpoints.is_watching() {
                     self.follow_discovery(handle);
                 }
             }
-            Action::Unsubscribe => self.endpoints.unfollow(),
+            Action::Unsubscribe => self.endpoints.stop_watch(),
             Action::FetchList => self.fetch_list(handle),
             Action::CloseIdleConnections { endpoint } => self.connections.close_idle(&endpoint),
             Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -33,7 +33,7 @@
     /// Starts a watch on discovery, in place of the one that there was.
     pub(super) fn follow_discovery(&mut self, handle: &NodeHandle) {
         let mode = self.discovery_mode();
-        self.endpoints.follow(handle.clone(), mode);
+        self.endpoints.start_watch(handle.clone(), mode);
     }
 }
 
@@ -47,11 +47,7 @@
         if origin == ListOrigin::Superseded {
             return Ok(());
         }
-        let kind = if list.snapshot {
-            ListKind::Full
-        } else {
-            ListKind::Changes
-        };
+        let kind = list.kind();
         self.apply_list(&list, kind);
         Ok(())
     }
@@ -78,7 +74,7 @@
         if source != node.endpoints.source() {
             return;
         }
-        node.endpoints.unfollow();
+        node.endpoints.stop_watch();
         drop(node);
         self.handle(Event::DiscoveryFailed);
     }
--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -42,18 +42,18 @@
     }
 
     /// Returns whether a watch on the current source is running.
-    pub fn is_followed(&self) -> bool {
-        self.subscription.is_followed()
+    pub fn is_watching(&self) -> bool {
+        self.subscription.is_watching()
     }
 
     /// Starts a watch on the current source, in place of the one that there was.
-    pub fn follow<C: ListConsumer>(&mut self, consumer: C, mode: DiscoveryMode) {
-        self.subscription.follow(consumer, mode);
+    pub fn start_watch<C: ListConsumer>(&mut self, consumer: C, mode: DiscoveryMode) {
+        self.subscription.start_watch(consumer, mode);
     }
 
     /// Ends the watch on the current source.
-    pub fn unfollow(&mut self) {
-        self.subscription.unfollow();
+    pub fn stop_watch(&mut self) {
+        self.subscription.stop_watch();
     }
 
     /// Moves to the discovery service at an address, if it is another one.
