--- a/tests/sidecar/endpoint_churn.rs
+++ b/tests/sidecar/endpoint_churn.rs
@@ -1,53 +1,54 @@
-//! Endpoints that are replaced all day.
+//! Endpoints that are replaced again and again.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Guards memory: what is gone from the list is kept nowhere. Tens of thousands of endpoints come and go.
+/// Nothing is stored for removed endpoints, of which there are tens of thousands.
 #[test]
-fn endpoints_that_are_gone_leave_nothing_behind() {
+fn memory_does_not_grow_with_removed_endpoints() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_watch();
-    // A connection that stands idle while all that is read is closed after 15 s: on a busy machine it takes longer.
-    let ask = |deadline: &str| sidecar.client().exchange(&get_request(deadline)).status();
-    // Versions rise: an older word than the last is not believed.
+    // Each request has a connection of its own: one that is idle while the lists are read may reach its idle timeout.
+    let request_status =
+        |deadline: &str| sidecar.client().exchange(&get_request(deadline)).status();
+    // A list with an older version than the last one is ignored.
     let mut versions = 42..;
     let mut churn = |from: usize, to: usize| {
-        let mut version = || versions.next().expect("they do not end");
+        let mut version = || versions.next().expect("an unbounded range");
         for line in from..to {
             let batch = |line: usize, status: &str| -> Vec<Value> {
-                let entry = |n| {
+                let entry = |number| {
                     entry(
-                        &format!("endpoint-number-{line}-{n}"),
-                        "127.0.0.1:1".parse().expect("one"),
+                        &format!("endpoint-number-{line}-{number}"),
+                        "127.0.0.1:1".parse().expect("an address"),
                         status,
                     )
                 };
                 (0..200).map(entry).collect()
             };
-            let gone = batch(line - 1, "DELETED");
-            // They drain from the start: this is about the list, not about requests.
+            let removed = batch(line - 1, "DELETED");
+            // They drain from the start, so that they get no requests.
             watch.write_line(&list(
                 version(),
                 false,
-                &[gone, batch(line, "DRAINING")].concat(),
+                &[removed, batch(line, "DRAINING")].concat(),
             ));
         }
-        // A change that shows in where requests go tells that all before it was read.
+        // Once this change affects requests, all lists before it have been read.
         watch.write_line(&list(
             version(),
             false,
             &[entry("e0", endpoint.address, "DRAINING")],
         ));
-        while ask("0.6") == 200 {}
+        while request_status("0.6") == 200 {}
         watch.write_line(&list(
             version(),
             false,
             &[entry("e0", endpoint.address, "SERVING")],
         ));
-        while ask("2") != 200 {}
+        while request_status("2") != 200 {}
         sidecar.memory_kb()
     };
     let (early, late) = (churn(1, 30), churn(30, 230));
@@ -57,10 +58,10 @@
     );
 }
 
-/// Guards against the old process's connections: an address that has come to another endpoint, word of whose
-/// predecessor's end is yet to come, is that other endpoint's alone.
+/// When an address is listed for another endpoint before the earlier one's removal is, idle connections to the earlier
+/// one are not used for the new one.
 #[test]
-fn an_address_that_is_taken_over_gets_new_connections() {
+fn an_address_reused_by_another_endpoint_gets_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut old = entry("old", endpoint.address, "SERVING");
@@ -75,11 +76,11 @@
     assert_eq!(
         endpoint.next_connection_close(),
         0,
-        "the idle connection was the old one's"
+        "the idle connection to the earlier endpoint"
     );
     for _ in 0..5 {
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
         assert_eq!(endpoint.next_request().0, 1);
-        std::thread::sleep(Duration::from_millis(100)); // it settles
+        std::thread::sleep(Duration::from_millis(100)); // the connection settles
     }
 }
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that come up late, or never.
+//! Hedged dials: connections to endpoints that are established late, or never.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -8,14 +8,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Less than the time after which the system dials again by itself, which is 1 s.
+/// Less than the time after which the kernel repeats the handshake by itself, which is 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// An endpoint at which no connection comes up for now: its accept queue holds one, and that has come.
+/// An endpoint with a full accept queue, so that no further connection is established for now.
 struct FullEndpoint {
     listener: TcpListener,
     address: SocketAddr,
-    _first: TcpStream,
+    _queued: TcpStream,
 }
 
 impl FullEndpoint {
@@ -26,38 +26,40 @@
         socket.listen(0).expect("it listens");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
-        let first = TcpStream::connect(address).expect("there is room for one");
+        let queued = TcpStream::connect(address).expect("the queue takes one");
         FullEndpoint {
             listener,
             address,
-            _first: first,
+            _queued: queued,
         }
     }
 
-    /// Accepts from now on, and answers the first request that comes. Tells how many have come by the time given.
-    fn accept_and_answer(self, within: Duration) -> usize {
-        let until = Instant::now() + within;
+    /// Accepts connections and responds to their requests for the given time. Returns the number of requests.
+    fn accept_and_respond(self, time: Duration) -> usize {
+        let deadline = Instant::now() + time;
         self.listener
             .set_nonblocking(true)
-            .expect("it accepts without waiting");
-        let mut served = Vec::new();
-        while Instant::now() < until {
+            .expect("a non-blocking listener");
+        let mut connections = Vec::new();
+        while Instant::now() < deadline {
             match self.listener.accept() {
-                Ok((stream, _)) => served.push(thread::spawn(move || answer(stream, within))),
+                Ok((stream, _)) => connections.push(thread::spawn(move || respond(stream, time))),
                 Err(_) => thread::sleep(Duration::from_millis(1)),
             }
         }
-        served
+        connections
             .into_iter()
-            .map(|requests| requests.join().expect("it ended"))
+            .map(|requests| requests.join().expect("the connection ended"))
             .sum()
     }
 }
 
-/// Answers requests on a connection until it ends or says nothing for the time given, and counts them.
-fn answer(stream: TcpStream, silence: Duration) -> usize {
-    stream.set_nonblocking(false).expect("it waits");
-    stream.set_read_timeout(Some(silence)).expect("a time-out");
+/// Responds to requests on a connection until it ends or is idle for the given time. Returns their number.
+fn respond(stream: TcpStream, idle_timeout: Duration) -> usize {
+    stream.set_nonblocking(false).expect("a blocking socket");
+    stream
+        .set_read_timeout(Some(idle_timeout))
+        .expect("a timeout");
     let mut reader = BufReader::new(stream);
     let mut requests = 0;
     while read_message(&mut reader).is_some() {
@@ -65,12 +67,12 @@
         reader
             .get_mut()
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
-            .expect("it is written");
+            .expect("the response is written");
     }
     requests
 }
 
-fn over(endpoint: &FullEndpoint) -> (Sidecar, Discovery) {
+fn start_sidecar(endpoint: &FullEndpoint) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -80,38 +82,40 @@
     (Sidecar::start(&config), discovery)
 }
 
-/// Guards requests that need a new connection from one dial that is late: another that is up first carries the request,
-/// which is written once. The first alone would be up after 1 s.
+/// When the first dial is late, a further one that is established carries the request, which is written once. The first
+/// alone would take 1 s.
 #[test]
-fn a_request_goes_over_the_first_dial_that_comes_up() {
+fn a_request_is_sent_once_over_the_first_established_dial() {
     for request in [get_request("5"), post_request("unsafe", "5", "hello")] {
         let endpoint = FullEndpoint::start();
-        let (sidecar, _discovery) = over(&endpoint);
+        let (sidecar, _discovery) = start_sidecar(&endpoint);
         let mut client = sidecar.client();
         client.write(&request);
-        thread::sleep(Duration::from_millis(30)); // the first dial is lost in the full queue
-        let endpoint = thread::spawn(move || endpoint.accept_and_answer(Duration::from_secs(2)));
-        let asked = Instant::now();
+        thread::sleep(Duration::from_millis(30)); // the first dial is dropped by the full queue
+        let endpoint = thread::spawn(move || endpoint.accept_and_respond(Duration::from_secs(2)));
+        let accepting_since = Instant::now();
         let answer = client.read().expect("an answer");
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, b"late".as_slice())
         );
-        assert!(asked.elapsed() < CONNECT_TIMEOUT, "{:?}", asked.elapsed());
+        let took = accepting_since.elapsed();
+        assert!(took < CONNECT_TIMEOUT, "{took:?}");
         assert_eq!(
-            endpoint.join().expect("it ended"),
+            endpoint.join().expect("the endpoint ended"),
             1,
-            "requests that the endpoint got"
+            "requests at the endpoint"
         );
     }
 }
 
-/// Guards endpoints and descriptors from a flood of dials, and the connect time-out.
+/// Dials are limited in number, so that they flood neither endpoints nor descriptors, and in time by the connect
+/// timeout.
 #[test]
-fn a_request_whose_dials_all_fail_is_refused_in_time_after_few() {
+fn a_request_is_rejected_at_the_connect_timeout_after_three_dials() {
     let endpoint = FullEndpoint::start();
-    let (mut sidecar, _discovery) = over(&endpoint);
-    let asked = Instant::now();
+    let (mut sidecar, _discovery) = start_sidecar(&endpoint);
+    let sent_at = Instant::now();
     assert_eq!(
         sidecar
             .client()
@@ -119,14 +123,14 @@
             .status(),
         503
     );
-    let took = asked.elapsed();
+    let took = sent_at.elapsed();
     assert!(
         took >= CONNECT_TIMEOUT && took < 2 * CONNECT_TIMEOUT,
         "{took:?}"
     );
     sidecar.terminate();
     sidecar.wait();
-    wait_until("the last counts are told", || {
+    wait_until("the last counts are logged", || {
         sidecar.logged_count("connects") > 0
     });
     assert_eq!(sidecar.logged_count("connects"), 3);
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -1,4 +1,4 @@
-//! What endpoints send that is not as it ought to be.
+//! Load reports and responses of endpoints, well-formed and malformed.
 
 use crate::stubs::*;
 use std::io::{BufReader, Write};
@@ -7,11 +7,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Guards the module's view of load: reports come with the names that the settings give their fields. An endpoint that
-/// reports a long queue gets nothing while another is clear; figures that cannot be are no report.
+/// An endpoint that reports a long queue gets hardly any requests while another one is clear. Implausible values are no
+/// report.
 #[test]
-fn load_reports_steer_requests() {
-    for (load, believed) in [
+fn requests_avoid_an_endpoint_with_a_valid_report_of_a_long_queue() {
+    for (load, is_valid) in [
         ("X-Load: TEXT concurrent=9, depth=8, load_share=1.0", true),
         (
             "X-Load: %%%\r\nX-Load: TEXT concurrent=9, depth=8, load_share=1.0",
@@ -26,29 +26,29 @@
             false,
         ),
     ] {
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{load}\r\n\r\n");
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{load}\r\n\r\n");
         let clear = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Load: TEXT concurrent=0, depth=0, load_share=0\r\n\r\n";
         let endpoints = [
-            Endpoint::start(move |_| EndpointAction::Respond(text.clone())),
+            Endpoint::start(move |_| EndpointAction::Respond(response.clone())),
             Endpoint::start(|_| EndpointAction::Respond(clear.into())),
         ];
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
         for _ in 0..20 {
-            client.exchange(&get_request("2")); // the module may refuse some: one of two is overloaded
+            client.exchange(&get_request("2")); // some may be rejected: one of two is overloaded
         }
         let sent = endpoints[0].take_request_count();
-        assert_eq!(sent <= 2, believed, "{load}: {sent} of 20");
+        assert_eq!(sent <= 2, is_valid, "{load}: {sent} of 20");
     }
 }
 
-/// Guards against answers whose end cannot be known, or that are not worth waiting for: the request may have run, so it
-/// fails, at once and not when its time is up, and the connection goes.
+/// Where a response's end cannot be known, or is not worth waiting for, the request may have run. It fails at once and
+/// not at its timeout, and the connection is closed.
 #[test]
-fn a_spoilt_answer_fails_at_once() {
-    let pad = "X-Pad: pppppppppppppppppppppppppppppp\r\n".repeat(2000);
+fn a_malformed_response_fails_the_request_at_once() {
+    let long_headers = "X-Pad: pppppppppppppppppppppppppppppp\r\n".repeat(2000);
     let hints = "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(200);
-    for answer in [
+    for response in [
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok",
         "HTTP/1.1 200 OK\r\nContent-Length: 2, 2\r\n\r\nok",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
@@ -60,15 +60,15 @@
         "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
         "noise\r\n\r\n",
-        &format!("HTTP/1.1 200 OK\r\n{pad}"),
+        &format!("HTTP/1.1 200 OK\r\n{long_headers}"),
         &hints,
     ] {
-        let text = answer.to_string();
+        let text = response.to_string();
         let endpoint = Endpoint::start(move |_| EndpointAction::Respond(text.clone()));
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-        // Were it waited for, the answer would be 504 and not 502.
+        // If the sidecar waited for the rest, the status would be 504 and not 502.
         let reply = sidecar.client().exchange(&post_request("unsafe", "5", "x"));
-        let shown = &answer[..answer.len().min(90)];
+        let shown = &response[..response.len().min(90)];
         assert_eq!(reply.status(), 502, "{shown}");
         assert_eq!(
             endpoint.next_request().0,
@@ -79,11 +79,11 @@
     }
 }
 
-/// Guards good answers that bring more than belongs to them, ahead or behind: they are served, and what came behind is
-/// no answer to the next request.
+/// Informational responses may precede a response, and extra bytes may follow it. The response is served, and the extra
+/// bytes are not taken for the next request's response.
 #[test]
-fn an_answer_with_more_than_belongs_to_it_is_served() {
-    let good = |id: &str| {
+fn a_valid_response_with_extra_bytes_is_served() {
+    let response_with = |id: &str| {
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
             id.len()
@@ -92,11 +92,11 @@
     let hints = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     for kind in 0..3 {
         let endpoint = Endpoint::start(move |message| {
-            let good = good(message.header("x-request-id").expect("an id"));
+            let response = response_with(message.header("x-request-id").expect("an id"));
             EndpointAction::Respond(match kind {
-                0 => format!("{good}{good}"),
-                1 => format!("{good}noise that is no answer"),
-                _ => format!("{hints}{good}"),
+                0 => format!("{response}{response}"),
+                1 => format!("{response}noise that is no answer"),
+                _ => format!("{hints}{response}"),
             })
         });
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
@@ -113,23 +113,23 @@
                 (200, id),
                 "{kind}"
             );
-            std::thread::sleep(Duration::from_millis(60)); // what is kept has settled
+            std::thread::sleep(Duration::from_millis(60)); // the idle connection settles
         }
     }
 }
 
-/// Guards the next request against what the endpoint says late: once its answer is with the client it answers again, or
-/// closes, and the next request may not be on that connection by then. The stub does so while that request is asked.
+/// Once a response has reached the client its endpoint sends a second one, or closes the connection. The next request,
+/// which is sent meanwhile, must not be on that connection.
 #[test]
-fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
-    for closes in [false, true] {
+fn a_late_second_response_does_not_reach_the_next_request() {
+    for closes_connection in [false, true] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (asked, asks) = channel::<()>();
-        let first_is_done = Arc::new(Mutex::new(asks));
+        let (next_request_sent, next_request) = channel::<()>();
+        let next_request = Arc::new(Mutex::new(next_request));
         std::thread::spawn(move || {
-            for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-                let first_is_done = first_is_done.clone();
+            for (connection, stream) in listener.incoming().map_while(Result::ok).enumerate() {
+                let next_request = next_request.clone();
                 std::thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while let Some(message) = read_message(&mut stream) {
@@ -139,9 +139,9 @@
                             id.len()
                         );
                         let _ = stream.get_mut().write_all(text.as_bytes());
-                        if number == 0 {
-                            let _ = first_is_done.lock().expect("the only one").recv();
-                            if closes {
+                        if connection == 0 {
+                            let _ = next_request.lock().expect("the only user").recv();
+                            if closes_connection {
                                 return drop(stream.get_mut().shutdown(Shutdown::Both));
                             }
                             let _ = stream.get_mut().write_all(text.as_bytes());
@@ -156,24 +156,24 @@
             &[entry("e0", address, "SERVING")],
         ));
         let mut client = sidecar.client();
-        // The second comes with the first, so that it is sent as soon as that is answered.
+        // The second request comes with the first, so that it is sent as soon as the first has its response.
         let requests = [0, 1, 2, 3].map(|_| get_request("5"));
         client.write(&requests[..2].concat());
-        for (n, request) in requests.iter().enumerate() {
-            if n >= 2 {
+        for (number, request) in requests.iter().enumerate() {
+            if number >= 2 {
                 client.write(request);
             }
             let reply = client.read().expect("an answer");
             let body = String::from_utf8(reply.body.clone()).expect("text");
-            let own = request.contains(&format!("X-Request-Id: {body}\r\n"));
+            let is_own_response = request.contains(&format!("X-Request-Id: {body}\r\n"));
             assert!(
-                reply.status() == 200 && own,
-                "{n}, {closes}: {} {body}",
+                reply.status() == 200 && is_own_response,
+                "{number}, {closes_connection}: {} {body}",
                 reply.status()
             );
-            if n == 0 {
-                std::thread::sleep(Duration::from_millis(5)); // the second is out
-                asked.send(()).expect("the stub waits");
+            if number == 0 {
+                std::thread::sleep(Duration::from_millis(5)); // the second request is in flight
+                next_request_sent.send(()).expect("the endpoint waits");
             }
         }
     }
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and their answers.
+//! Requests through the sidecar: forwarding, pooled connections, outcomes of attempts, and invalid requests.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -8,10 +8,11 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
-/// Guards what goes on to an endpoint, and that its answer comes back as it was.
+/// A request is forwarded without the headers of the caller's connection and with the time that is left, and the
+/// response comes back unchanged.
 #[test]
-fn requests_and_answers_pass_unchanged() {
-    let endpoint = Endpoint::start(|_| respond_ok("made by the endpoint"));
+fn requests_and_responses_are_forwarded_unchanged() {
+    let endpoint = Endpoint::start(|_| respond_ok("from the endpoint"));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let answer = sidecar.client().exchange(
         "POST /api?copy=7&x=%20 HTTP/1.1\r\nHost: s\r\nX-Request-Id: r-1\r\nX-Class: keyed\r\nX-Deadline: 2.5\r\n\
@@ -19,7 +20,7 @@
     );
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
-        (200, "made by the endpoint".as_bytes())
+        (200, "from the endpoint".as_bytes())
     );
     let (_, request) = endpoint.next_request();
     assert_eq!(request.start_line, "POST /api?copy=7&x=%20 HTTP/1.1");
@@ -28,47 +29,46 @@
     assert_eq!(
         request.header("x-private"),
         None,
-        "it belongs to the caller's connection"
+        "a header of the caller's connection"
     );
     assert_eq!(request.body, b"hello");
-    let left: f64 = request
+    let time_left: f64 = request
         .header("x-deadline")
-        .and_then(|d| d.parse().ok())
+        .and_then(|deadline| deadline.parse().ok())
         .expect("a deadline");
-    assert!(left > 0.0 && left <= 2.5, "{left}");
+    assert!(time_left > 0.0 && time_left <= 2.5, "{time_left}");
 }
 
-/// Guards the pool: a connection that has carried one attempt carries the next that may be repeated.
+/// A connection that has carried one attempt carries the next one that may be repeated.
 #[test]
-fn connections_are_used_again() {
+fn a_repeatable_request_reuses_an_idle_connection() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     for _ in 0..5 {
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
-        assert_eq!(endpoint.next_request().0, 0, "the first connection");
-        std::thread::sleep(Duration::from_millis(100)); // it settles
+        assert_eq!(endpoint.next_request().0, 0, "its first connection");
+        std::thread::sleep(Duration::from_millis(100)); // the connection settles
     }
 }
 
-/// Guards the pool of a busy endpoint: as many connections as a burst needed carry the next one, and those that are
-/// spare go once it is quiet.
+/// The connections that a burst needed carry the next burst. Once the endpoint is quiet the surplus ones are closed.
 #[test]
-fn a_busy_endpoint_keeps_the_connections_that_a_burst_needed() {
-    const AT_ONCE: usize = 8;
-    const KEPT_WHEN_QUIET: usize = 4;
-    let all_have_come = Barrier::new(AT_ONCE);
+fn connections_of_a_burst_are_reused_and_surplus_ones_close_when_quiet() {
+    const BURST: usize = 8;
+    const MAX_IDLE_WHEN_QUIET: usize = 4;
+    let all_received = Barrier::new(BURST);
     let endpoint = Endpoint::start(move |_| {
-        all_have_come.wait();
+        all_received.wait();
         respond_ok("")
     });
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
-    // Worth most, and at an endpoint that calls a further tier, so many are let out at once.
+    // The highest priority weight and a further tier let the whole burst be in flight at once.
     config["settings"]["stages"] = json!(["one", "two"]);
     config["settings"]["categories"][0]["worth"] = json!(3.0);
     let sidecar = Sidecar::start(&config);
-    let mut clients: Vec<Client> = (0..AT_ONCE).map(|_| sidecar.client()).collect();
+    let mut clients: Vec<Client> = (0..BURST).map(|_| sidecar.client()).collect();
     let mut burst = || -> BTreeSet<usize> {
         for client in &mut clients {
             client.write(&get_request("10"));
@@ -76,23 +76,27 @@
         for client in &mut clients {
             assert_eq!(client.read().expect("an answer").status(), 200);
         }
-        (0..AT_ONCE).map(|_| endpoint.next_request().0).collect()
+        (0..BURST).map(|_| endpoint.next_request().0).collect()
     };
-    let first = burst();
-    assert_eq!(first.len(), AT_ONCE, "one at a time on each");
-    std::thread::sleep(Duration::from_millis(100)); // they settle
-    assert_eq!(burst(), first);
-    let spare: BTreeSet<usize> = (KEPT_WHEN_QUIET..AT_ONCE)
+    let first_burst = burst();
+    assert_eq!(
+        first_burst.len(),
+        BURST,
+        "one exchange at a time on each connection"
+    );
+    std::thread::sleep(Duration::from_millis(100)); // the connections settle
+    assert_eq!(burst(), first_burst);
+    let surplus: BTreeSet<usize> = (MAX_IDLE_WHEN_QUIET..BURST)
         .map(|_| endpoint.next_connection_close())
         .collect();
-    assert!(spare.is_subset(&first));
-    let kept: BTreeSet<usize> = first.difference(&spare).copied().collect();
-    assert!(kept.is_subset(&burst()), "the others carry on");
+    assert!(surplus.is_subset(&first_burst));
+    let remaining: BTreeSet<usize> = first_burst.difference(&surplus).copied().collect();
+    assert!(remaining.is_subset(&burst()), "the others are still used");
 }
 
-/// Guards against a stale connection in the pool: an unsafe request that is written to one is lost.
+/// A closed connection does not stay in the pool: an unsafe request that is written to one would be lost.
 #[test]
-fn a_connection_that_the_endpoint_closed_is_not_used() {
+fn a_connection_closed_by_the_endpoint_is_not_reused() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenClose(answer.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
@@ -106,10 +110,10 @@
     }
 }
 
-/// Guards requests that must not run twice against kept connections: endpoints may reset one at the next request, and
-/// what was written then may have run.
+/// An endpoint may reset an idle connection at the next request, which may have run by then. A request that must not
+/// run twice is therefore never written to one.
 #[test]
-fn an_unsafe_request_is_not_written_to_a_kept_connection() {
+fn an_unsafe_request_gets_a_new_connection() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenReset(answer.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
@@ -119,14 +123,14 @@
             client.exchange(&post_request("unsafe", "2", "x")).status(),
             200
         );
-        std::thread::sleep(Duration::from_millis(60)); // what is kept has settled
+        std::thread::sleep(Duration::from_millis(60)); // an idle connection settles
     }
     assert_eq!(endpoint.take_request_count(), 8);
 }
 
-/// Guards the pool's clock: an idle connection goes before the endpoint would close it, by the sidecar's doing.
+/// An idle connection is closed by the sidecar before its endpoint's idle timeout.
 #[test]
-fn an_idle_connection_is_given_up_first() {
+fn an_idle_connection_is_closed_before_the_endpoint_closes_it() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut config = config(
@@ -145,17 +149,17 @@
     }
 }
 
-/// Guards rule 2: once written, an unsafe request that breaks off may have run. It is neither sent again nor
-/// refused, as a refusal says that trying again is harmless.
+/// Once written, an unsafe request without a valid response may have run. It is neither sent again nor rejected, as a
+/// rejection says that trying again is harmless.
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
     for answer in [
-        "",                                                                    // a reset
-        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", // a body that breaks off
-        "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",      // an error
-        "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",      // no word that it has not run
-        "HTTP/1.1 429 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", // a status that does not say so
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", // chunks with no end
+        "",                                                                    // closed without a response
+        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",                   // a truncated body
+        "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",                        // an error
+        "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", // without X-Not-Run it may have run
+        "HTTP/1.1 429 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", // X-Not-Run counts with 503 and 504 only
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", // no last chunk
         "nothing that is HTTP\r\n\r\n",
     ] {
         let endpoints = [0, 1]
@@ -174,17 +178,16 @@
     }
 }
 
-/// Guards the outcome of a turned-away attempt: it never ran, so an unsafe request may be sent again, and the
-/// endpoint's own status is not passed on.
+/// A rejected attempt never ran, so an unsafe request may be sent again. The endpoint's own status is not forwarded.
 #[test]
-fn a_request_that_was_turned_away_is_sent_again() {
+fn an_unsafe_request_that_the_endpoint_rejected_is_retried() {
     for status in ["503", "504"] {
-        let unseen = Arc::new(AtomicBool::new(true));
+        let is_first_unsafe = Arc::new(AtomicBool::new(true));
         let endpoints = [0, 1].map(|_| {
-            let unseen = unseen.clone();
+            let is_first_unsafe = is_first_unsafe.clone();
             Endpoint::start(move |message| {
                 if message.header("x-class") == Some("unsafe")
-                    && unseen.swap(false, Ordering::Relaxed)
+                    && is_first_unsafe.swap(false, Ordering::Relaxed)
                 {
                     EndpointAction::Respond(format!(
                         "HTTP/1.1 {status} No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -196,7 +199,7 @@
         });
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
-        // The module grants a further attempt for so many requests.
+        // So many requests earn a retry.
         for _ in 0..10 {
             assert_eq!(client.exchange(&get_request("2")).status(), 200);
         }
@@ -214,13 +217,14 @@
     }
 }
 
-/// Guards the outcome of a refused connection: nothing ran, so that an unsafe request may be tried again.
+/// Nothing runs where the connection is refused, so an unsafe request may be tried again: it is rejected and does not
+/// fail.
 #[test]
-fn a_refused_connection_is_no_failure() {
+fn a_refused_connection_rejects_an_unsafe_request() {
     let discovery = Discovery::start();
-    // The near end of a connection: a port that nobody listens on, and that nobody else is given meanwhile.
-    let taken = TcpStream::connect(discovery.address).expect("a connection");
-    let closed = taken.local_addr().expect("an address");
+    // The local port of an open connection: nobody listens on it, and it is assigned to nobody else.
+    let connection = TcpStream::connect(discovery.address).expect("a connection");
+    let closed = connection.local_addr().expect("an address");
     let sidecar = Sidecar::start(&config(
         discovery.address,
         &[entry("dead", closed, "SERVING")],
@@ -234,10 +238,10 @@
     );
 }
 
-/// Guards the time-out: an endpoint that says nothing costs one answer, once the aim has passed, and its
-/// connection. The module answers, and not the backstop at the deadline, which logs.
+/// An attempt without a response times out after the latency objective, closes its connection and is not repeated. The
+/// decision module ends the request, and not the fallback at the deadline, which writes a log line.
 #[test]
-fn silence_is_answered_in_time() {
+fn an_attempt_without_response_times_out_once() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let discovery = Discovery::start();
     let mut config = config(
@@ -263,29 +267,29 @@
     );
 }
 
-/// Guards abandoning: a client that goes takes its attempt with it, which ends by its connection.
+/// When a client disconnects its attempt is cancelled, which closes the attempt's connection.
 #[test]
-fn a_client_that_goes_ends_its_attempt() {
+fn a_disconnected_client_cancels_its_attempt() {
     for request in [get_request("10"), post_request("unsafe", "10", "x")] {
         let endpoint = Endpoint::start(|_| EndpointAction::Hang);
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
         let mut client = sidecar.client();
         client.write(&request);
         let (number, _) = endpoint.next_request();
-        let asked = Instant::now();
+        let disconnected_at = Instant::now();
         drop(client);
         assert_eq!(endpoint.next_connection_close(), number);
         assert!(
-            asked.elapsed() < Duration::from_secs(8),
-            "before the attempt's time-out"
+            disconnected_at.elapsed() < Duration::from_secs(8),
+            "before the attempt's timeout"
         );
         assert_eq!(endpoint.take_request_count(), 0);
     }
 }
 
-/// Guards the refusal: it comes at once, and tells the client when to come back.
+/// A request that cannot be answered by its deadline is rejected at once, with a Retry-After header.
 #[test]
-fn a_hopeless_request_is_refused_with_advice() {
+fn a_request_with_too_short_a_deadline_is_rejected_with_retry_after() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let reply = sidecar
@@ -298,62 +302,90 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the caller's side against what is no request: it fails in words, on a connection that goes on, and is
-/// never a refusal, which would have it tried again.
+/// An invalid request gets a status that says what is wrong, on a connection that stays open. It is never rejected,
+/// which would have the client try again.
 #[test]
-fn what_is_no_request_fails() {
+fn an_invalid_request_fails_and_its_connection_stays_open() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let with = |line: &str, headers: &str| format!("{line} HTTP/1.1\r\nHost: s\r\n{headers}\r\n");
-    let good = "X-Request-Id: r\r\nX-Class: safe\r\nX-Deadline: 1\r\n";
+    let request_with =
+        |line: &str, headers: &str| format!("{line} HTTP/1.1\r\nHost: s\r\n{headers}\r\n");
+    let valid_headers = "X-Request-Id: r\r\nX-Class: safe\r\nX-Deadline: 1\r\n";
     let mut client = sidecar.client();
     for (request, status) in [
-        (with("GET /elsewhere", good), 404),
-        (with("DELETE /api", good), 405),
-        (with("POST /ready", ""), 405),
-        (with("POST /api", good), 405),
-        (with("GET /api", &good.replace("safe", "unsafe")), 405),
-        (with("GET /api", &good.replace("safe", "unheard-of")), 400),
-        (with("GET /api", &good.replace("X-Class", "X-Other")), 400),
+        (request_with("GET /elsewhere", valid_headers), 404),
+        (request_with("DELETE /api", valid_headers), 405),
+        (request_with("POST /ready", ""), 405),
+        (request_with("POST /api", valid_headers), 405),
+        (
+            request_with("GET /api", &valid_headers.replace("safe", "unsafe")),
+            405,
+        ),
+        (
+            request_with("GET /api", &valid_headers.replace("safe", "unheard-of")),
+            400,
+        ),
+        (
+            request_with("GET /api", &valid_headers.replace("X-Class", "X-Other")),
+            400,
+        ),
+        (
+            request_with(
+                "GET /api",
+                &valid_headers.replace("X-Request-Id", "X-Other"),
+            ),
+            400,
+        ),
+        (
+            request_with("GET /api", &valid_headers.replace("X-Deadline", "X-Other")),
+            400,
+        ),
+        (
+            request_with("GET /api", &valid_headers.replace(": 1", ": soon")),
+            400,
+        ),
+        (
+            request_with("GET /api", &valid_headers.replace(": 1", ": -1")),
+            400,
+        ),
         (
-            with("GET /api", &good.replace("X-Request-Id", "X-Other")),
+            request_with("GET /api", &valid_headers.replace(": 1", ": NaN")),
             400,
         ),
         (
-            with("GET /api", &good.replace("X-Deadline", "X-Other")),
+            request_with("POST /api", &valid_headers.replace("safe", "keyed")),
             400,
         ),
-        (with("GET /api", &good.replace(": 1", ": soon")), 400),
-        (with("GET /api", &good.replace(": 1", ": -1")), 400),
-        (with("GET /api", &good.replace(": 1", ": NaN")), 400),
-        (with("POST /api", &good.replace("safe", "keyed")), 400),
     ] {
         assert_eq!(client.exchange(&request).status(), status, "{request}");
     }
     assert_eq!(
         client
-            .exchange(&with("GET /api", &good.replace(": 1", ": 1e300")))
+            .exchange(&request_with(
+                "GET /api",
+                &valid_headers.replace(": 1", ": 1e300")
+            ))
             .status(),
         200,
-        "however long"
+        "there is no longest deadline"
     );
     let large = format!(
         "{}Content-Length: 62914560\r\n",
-        good.replace("safe", "unsafe")
+        valid_headers.replace("safe", "unsafe")
     );
     assert_eq!(
         sidecar
             .client()
-            .exchange(&with("POST /api", &large))
+            .exchange(&request_with("POST /api", &large))
             .status(),
         413
     );
     assert_eq!(endpoint.take_request_count(), 1);
 }
 
-/// Guards the module's ids: a second request with an open one's would never be answered.
+/// A second request with the id of a pending one would never be answered, so it gets a conflict.
 #[test]
-fn an_open_request_s_id_is_not_taken_again() {
+fn the_id_of_a_pending_request_is_a_conflict() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let request = get_request("3");
--- a/tests/sidecar/warming_endpoint.rs
+++ b/tests/sidecar/warming_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that has just started, behind several sidecars that do not talk to each other.
+//! A warming endpoint behind several sidecars that share no state.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -8,25 +8,26 @@
 const SIDECARS: usize = 6;
 const WARM_ENDPOINTS: usize = 5;
 const REQUESTS_EACH: usize = 100;
-/// The cold endpoint may get this part of a fair share, times this, of the burst.
+/// The fraction of its full capacity that an endpoint starts with.
 const INITIAL_CAPACITY: f64 = 0.1;
-const FALL_MULTIPLE: f64 = 2.0;
+/// Sent more than this multiple of its capacity, a warming endpoint fails.
+const OVERLOAD_MULTIPLE: f64 = 2.0;
 
 fn now_ms() -> u64 {
     let since_1970 = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("the clock is set");
-    u64::try_from(since_1970.as_millis()).expect("not that far in the future")
+    u64::try_from(since_1970.as_millis()).expect("a time in this era")
 }
 
-/// The configuration of one of the sidecars. The ramp takes an hour: it does not move while the test runs.
-fn config_of(sidecar: usize, discovery: &Discovery, endpoints: &[Value]) -> Value {
+/// The configuration of one of the sidecars. Warming up takes an hour, so capacity stays the same during the test.
+fn sidecar_config(sidecar: usize, discovery: &Discovery, endpoints: &[Value]) -> Value {
     let mut config = config(discovery.address, endpoints);
     config["seed"] = json!(format!("{:016x}", 1000 + sidecar));
     config["settings"]["balancers"] = json!(SIDECARS);
     config["settings"]["myNumber"] = json!(sidecar);
     config["settings"]["rules"]["coldFrom"] = json!(INITIAL_CAPACITY);
-    config["settings"]["rules"]["fallMultiple"] = json!(FALL_MULTIPLE);
+    config["settings"]["rules"]["fallMultiple"] = json!(OVERLOAD_MULTIPLE);
     config["settings"]["rules"]["warmWithinNs"] = json!(3_600_000_000_000u64);
     config
 }
@@ -42,33 +43,33 @@
     }
 }
 
-/// Guards the ramp over all sidecars together: of a burst of requests that the warm endpoints serve, a cold one gets no
-/// more than it bears, and some.
+/// Slow start holds for all sidecars together: of a burst that the warm endpoints serve, a warming one gets some
+/// requests, but no more than its capacity.
 #[test]
-fn several_sidecars_spare_a_cold_endpoint() {
+fn several_sidecars_together_keep_a_warming_endpoint_within_its_capacity() {
     let discovery = Discovery::start();
     let warm: Vec<Endpoint> = (0..WARM_ENDPOINTS)
         .map(|_| Endpoint::start(|_| respond_ok("")))
         .collect();
-    let cold = Endpoint::start(|_| respond_ok(""));
+    let warming = Endpoint::start(|_| respond_ok(""));
     let mut entries = serving_entries(&warm.iter().collect::<Vec<_>>());
-    let mut started_now = entry("cold", cold.address, "SERVING");
+    let mut started_now = entry("cold", warming.address, "SERVING");
     started_now["since_ms"] = json!(now_ms());
     entries.push(started_now);
-    let start = |sidecar| Sidecar::start(&config_of(sidecar, &discovery, &entries));
+    let start = |sidecar| Sidecar::start(&sidecar_config(sidecar, &discovery, &entries));
     let sidecars: Vec<Sidecar> = (0..SIDECARS).map(start).collect();
     thread::scope(|scope| {
         for sidecar in &sidecars {
             scope.spawn(|| send_burst(sidecar));
         }
     });
-    let reached = cold.take_request_count();
+    let received = warming.take_request_count();
     let fair_share = (SIDECARS * REQUESTS_EACH) as f64 / (WARM_ENDPOINTS + 1) as f64;
-    let allowed = FALL_MULTIPLE * INITIAL_CAPACITY * fair_share;
+    let allowed = OVERLOAD_MULTIPLE * INITIAL_CAPACITY * fair_share;
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-    assert!(reached > 0, "it is not starved");
+    assert!(received > 0, "the warming endpoint is not starved");
     assert!(
-        reached as f64 <= bound,
-        "{reached} reached it, {bound:.0} are allowed"
+        received as f64 <= bound,
+        "{received} received, {bound:.0} allowed"
     );
 }
