--- a/src/sidecar/caller/mod.rs
+++ b/src/sidecar/caller/mod.rs
@@ -14,4 +14,4 @@
 pub use head::HeadError;
 pub use persistence::Persistence;
 pub use request_reader::{RequestReader, client_disconnected};
-pub use table::{Admission, CallerTable};
+pub use table::{AcceptedCaller, Admission, CallerTable};
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -4,13 +4,13 @@
 use super::reply::{Reply, ReplyBody, final_reply, text_reply};
 use super::request::parse_request;
 use super::request_error::RequestError;
-use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId, Timestamp};
+use crate::policy::{Class, Idempotency, Request as PolicyRequest, RequestId};
 use crate::sidecar::body::{ReceivedRequestBody, Upload, buffer_size, receive_request_body};
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
-use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected, SettingsInForce};
+use crate::sidecar::node::{ActiveSettings, FinalAnswer, NodeHandle, RequestRejected};
 use hyper::body::{Body, Incoming};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
@@ -57,7 +57,7 @@
 /// A request whose head has been parsed, with the settings that were in force when it arrived.
 struct ParsedRequest {
     request: PolicyRequest,
-    settings: Rc<SettingsInForce>,
+    settings: Rc<ActiveSettings>,
     /// The position of its class in the settings.
     class: usize,
     /// How long the client waits from the request's last byte on.
@@ -74,7 +74,7 @@
     let (head, body) = request.into_parts();
     let mut parsed =
         parse(node, &head, begun).map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
-    let count = count.insert(node.borrow().metrics.begin(&parsed.class().name));
+    let count = count.insert(node.borrow().begin_request(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
         caller.state.set_persistence(Persistence::Close);
         return Ok(caller.reject_early());
@@ -84,7 +84,7 @@
     if received.upload.is_none() {
         count.set_whole();
     }
-    parsed.request.deadline = deadline(node, parsed.time_left);
+    parsed.request.deadline = node.borrow().request_deadline(parsed.time_left);
     let timeout = parsed.response_timeout(node, persistence);
     let upload = received.upload.clone();
     let forwarded = parsed.forwarded(head, received, memory);
@@ -106,7 +106,7 @@
 
 /// Reserves the memory that buffering a body can take.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
-    node.borrow().request_memory.reserve(buffer_size(body))
+    node.borrow().request_memory().reserve(buffer_size(body))
 }
 
 impl ParsedRequest {
@@ -117,7 +117,7 @@
     /// Returns how long to wait for the response. `persistence` is that of the connection apart from the upload.
     fn response_timeout(&self, node: &NodeHandle, persistence: Persistence) -> ResponseTimeout {
         let slack = self.settings.settings.rules.answer_slack;
-        let until = node.borrow().clock.instant(self.request.deadline) + slack;
+        let until = node.borrow().clock().instant(self.request.deadline) + slack;
         ResponseTimeout {
             until,
             after_upload: self.time_left + slack,
@@ -152,9 +152,12 @@
 fn parse(node: &NodeHandle, head: &Parts, begun: Instant) -> Result<ParsedRequest, RequestError> {
     let (now, settings) = {
         let node = node.borrow();
-        (node.clock.now(), node.settings.for_request(begun))
+        (
+            node.clock().now(),
+            node.configuration().settings_for_request(begun),
+        )
     };
-    let parse_under = |settings: Rc<SettingsInForce>| -> Result<ParsedRequest, RequestError> {
+    let parse_under = |settings: Rc<ActiveSettings>| -> Result<ParsedRequest, RequestError> {
         let mut request = parse_request(&head.method, &head.headers, &settings.settings, now)?;
         let class = request.class.0;
         request.class = settings.classes[class];
@@ -167,18 +170,11 @@
         })
     };
     parse_under(settings.current).or_else(|error| {
-        let previous = settings.before.map(parse_under);
+        let previous = settings.previous.map(parse_under);
         previous.and_then(Result::ok).ok_or(error)
     })
 }
 
-/// Returns the deadline of a request whose last byte has just come. It is never later than the last response before exit.
-fn deadline(node: &NodeHandle, time_left: Duration) -> Timestamp {
-    let node = node.borrow();
-    let deadline = node.clock.now() + time_left;
-    node.last_answer.map_or(deadline, |last| deadline.min(last))
-}
-
 fn repeated_id() -> RequestError {
     RequestError::new(StatusCode::CONFLICT, "a request with this id is open")
         .with_body_unread(false)
@@ -245,7 +241,7 @@
         forwarded: ForwardedRequest,
     ) -> Result<Self, RequestRejected> {
         let id = request.id.clone();
-        let answer = node.take(request, forwarded)?;
+        let answer = node.submit(request, forwarded)?;
         Ok(PendingRequest { node, id, answer })
     }
 
