--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -1,11 +1,11 @@
 //! The process: its start, its signals and its end.
 
 use super::handover;
+use super::hot_restart::SharedDirectory;
 use super::node::{NodeHandle, StartMode, StartOptions};
 use super::operators;
 use super::report;
 use super::server;
-use super::upgrade::SharedDirectory;
 use crate::configuration::{Config, ConfigError};
 use crate::policy::SettingsError;
 use crate::task::Task;
@@ -93,15 +93,15 @@
         .as_ref()
         .and_then(|_| SharedDirectory::from_environment())
         .map(Rc::new);
-    let older = directory.as_deref().and_then(handover::ask);
+    let old_process = directory.as_deref().and_then(handover::request_listener);
     let listen_failed = |failure| ProcessError::Listen { address, failure };
-    let listener =
-        handover::listen(address, operators.is_some(), older.as_ref()).map_err(listen_failed)?;
+    let listener = handover::listen(address, operators.is_some(), old_process.as_ref())
+        .map_err(listen_failed)?;
     let address = listener.local_addr().map_err(listen_failed)?;
     let node = NodeHandle::start(StartOptions {
         config,
         directory: directory.clone(),
-        mode: if older.is_some() {
+        mode: if old_process.is_some() {
             StartMode::HotRestart
         } else {
             StartMode::Fresh
@@ -112,9 +112,9 @@
     let _reloads = Task::spawn(reload_on(node.clone(), reload));
     let _calls = operators.map(|listener| serve_operators(&node, &name, listener));
     log!("{name} listens on {address}");
-    if let Some(older) = older {
+    if let Some(old_process) = old_process {
         let taken_over = tokio::select! {
-            taken_over = handover::take_over(&node, older) => taken_over,
+            taken_over = handover::take_over(&node, old_process) => taken_over,
             _ = stop.recv() => {
                 log!("{name} stops before it has taken over");
                 return Ok(());
