--- a/tests/sidecar/leaving.rs
+++ b/tests/sidecar/leaving.rs
@@ -54,7 +54,7 @@
         sidecar
             .log()
             .iter()
-            .any(|l| l.contains("now open=0 queued=0 in_flight=0")),
+            .any(|l| l.contains("now pending=0 queued=0 in_flight=0")),
         "{:?}",
         sidecar.log()
     );
