--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -109,7 +109,7 @@
             let mut sender = Some(sender);
             let mut admin = None;
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                admin = admin.or_else(|| address_after(&line, " is called at "));
+                admin = admin.or_else(|| address_after(&line, " serves operators on "));
                 let addresses = addresses(admin, address_after(&line, " listens on "));
                 self.push(line);
                 if let Some(addresses) = addresses
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -9,7 +9,7 @@
 //! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
 //! | addresses | `server/`: the callers'; `operators.rs`: the operators'; `handover.rs`: the next process's; `report.rs`: the log |
-//! | process | `process.rs` |
+//! | process | `process.rs`: start and signals; `shutdown.rs`: serving until SIGTERM and the graceful shutdown |
 
 #[macro_use]
 mod log;
@@ -30,6 +30,7 @@
 mod process;
 mod report;
 mod server;
+mod shutdown;
 mod sockets;
 
 pub use process::main;
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -55,8 +55,8 @@
         } else {
             Admission::Accepted
         };
-        let is_overcommitted = self.descriptors.is_caller_overcommit_reached();
-        if admission == Admission::RejectedEarly && is_overcommitted {
+        let is_rejected = admission == Admission::RejectedEarly;
+        if is_rejected && self.descriptors.is_caller_overcommit_reached() {
             return None;
         }
         Some(AdmittedCaller {
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -32,7 +32,7 @@
         let restart_only_changes = node.configuration.restart_only_changes(config);
         drop(node);
         log!(
-            "configuration read again: discovery {discovery}, settings {settings}{restart}",
+            "configuration reloaded: discovery {discovery}, settings {settings}{restart}",
             discovery = match source_change {
                 SourceChange::Moved => format!("moves to {}", config.discovery),
                 SourceChange::Unchanged => "stays".into(),
@@ -43,7 +43,7 @@
             },
             restart = match &restart_only_changes[..] {
                 [] => String::new(),
-                names => format!("; only a restart takes over: {}", names.join(", ")),
+                names => format!("; only a restart changes: {}", names.join(", ")),
             },
         );
         Ok(())
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -292,7 +292,7 @@
         out.open_watch();
         out.write_line(&list(42, false, &site.change()));
         site.sidecar.resume();
-        site.sidecar.wait_for_log("configuration read again");
+        site.sidecar.wait_for_log("configuration reloaded");
         site.awaits_change();
         let new = down.comes_back();
         let all = site.endpoints.each_ref();
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -99,7 +99,7 @@
     let _watch = discovery.next_watch();
     std::fs::write(&path, "{").expect("the file is written");
     sidecar.send_signal("HUP");
-    sidecar.wait_for_log("the configuration stays as it was");
+    sidecar.wait_for_log("reload rejected, the configuration is unchanged");
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 
     let mut other = good;
@@ -108,9 +108,8 @@
     write(&path, &other);
     sidecar.send_signal("HUP");
     sidecar.send_signal("HUP");
-    sidecar.wait_for_log(
-        "discovery stays, settings change in bounds; only a restart takes over: listen",
-    );
+    sidecar
+        .wait_for_log("discovery stays, settings change in bounds; only a restart changes: listen");
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
     std::fs::remove_file(path).expect("the file goes");
 }
@@ -363,7 +362,7 @@
     });
     assert_eq!(sidecar.metric("config_reloads"), Some(0));
     // The log is read beside the calls, and may be a line behind what they tell.
-    let told = |l: &&String| l.contains("the configuration stays as it was: ");
+    let told = |l: &&String| l.contains("reload rejected, the configuration is unchanged: ");
     wait_until("each has its line", || {
         sidecar.log().iter().filter(told).count() > files.len()
     });
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -105,7 +105,7 @@
         let mut admin = None;
         let address = lines
             .find_map(|line| {
-                admin = admin.or(address_after(&line, "is called at "));
+                admin = admin.or(address_after(&line, "serves operators on "));
                 address_after(&line, "listens on ")
             })
             .expect("the log says where it listens");
