--- a/tests/sidecar/large_bodies.rs
+++ b/tests/sidecar/large_bodies.rs
@@ -1,45 +1,73 @@
-//! Bodies too large to be kept: they go on as they come, both ways, and hold up neither memory nor anybody else.
+//! Bodies too large to be buffered: they are streamed in both directions, within the memory budget.
 
 use crate::stubs::raw_http::*;
 use crate::stubs::*;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
 
 const MB: usize = 1 << 20;
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const INTERNAL_ERROR: &str = "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n";
 
-/// Guards large answers in each framing: they come unchanged, and their beginning before their end is there.
+/// Starts an endpoint that responds with 200 to this request body, and with 500 to any other.
+fn endpoint_expecting(expected: Arc<Vec<u8>>) -> RawEndpoint {
+    RawEndpoint::start(move |head, stream| {
+        let is_unchanged = read_body(head, stream).is_some_and(|body| body == *expected);
+        let response = if is_unchanged { OK } else { INTERNAL_ERROR };
+        send(stream, response.as_bytes());
+    })
+}
+
+/// Starts an endpoint that reports of each request whether its body was complete, and does not respond.
+fn endpoint_reporting_completeness() -> (RawEndpoint, Receiver<bool>) {
+    let (sender, is_complete) = channel();
+    let sender = Mutex::new(sender);
+    let endpoint = RawEndpoint::start(move |head, stream| {
+        let body = read_body(head, stream);
+        sender
+            .lock()
+            .expect("the only user")
+            .send(body.is_some())
+            .expect("the test is running");
+    });
+    (endpoint, is_complete)
+}
+
+/// A large response in each framing arrives unchanged, and its beginning arrives before its end has been sent.
 #[test]
-fn large_answers_pass_unchanged_as_they_come() {
+fn large_responses_are_streamed_unchanged() {
     let body = Arc::new(pattern(3 * MB));
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
-    let given = body.clone();
+    let (rest_allowed, allow_rest) = channel::<()>();
+    let allow_rest = Mutex::new(allow_rest);
+    let response_body = body.clone();
     let endpoint = RawEndpoint::start(move |head, stream| {
         let framing = ["content-length", "chunked", "close"]
             .into_iter()
-            .find(|f| head.contains(f))
-            .expect("the request says which");
-        let line = match framing {
+            .find(|framing| head.contains(framing))
+            .expect("a framing in the request");
+        let response_head = match framing {
             "content-length" => {
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", given.len())
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+                    response_body.len()
+                )
             }
             "chunked" => "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into(),
             _ => "HTTP/1.1 200 OK\r\n\r\n".into(),
         };
-        send(stream, line.as_bytes());
-        let (first, rest) = given.split_at(MB);
-        for (n, part) in [first, rest].into_iter().enumerate() {
-            if n == 1 {
-                released
+        send(stream, response_head.as_bytes());
+        let (first, rest) = response_body.split_at(MB);
+        for (number, part) in [first, rest].into_iter().enumerate() {
+            if number == 1 {
+                allow_rest
                     .lock()
-                    .expect("the only one")
+                    .expect("the only user")
                     .recv()
-                    .expect("the test goes on");
+                    .expect("the test is running");
             }
             match framing {
                 "chunked" => send(stream, &chunk(part)),
@@ -51,13 +79,13 @@
             "close" => stream
                 .get_mut()
                 .shutdown(Shutdown::Both)
-                .expect("it is open"),
+                .expect("the connection is open"),
             _ => {}
         }
     });
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let mut client = connect(&sidecar);
-    for (n, framing) in ["content-length", "chunked", "close", "content-length"]
+    for (number, framing) in ["content-length", "chunked", "close", "content-length"]
         .into_iter()
         .enumerate()
     {
@@ -67,16 +95,20 @@
                 .replace("/api", &format!("/api?{framing}"))
                 .as_bytes(),
         );
-        let head = read_head(&mut client).expect("the beginning, before the end is there");
+        let head = read_head(&mut client).expect("the beginning, before the end is sent");
         assert_eq!(status(&head), "200");
-        assert_eq!(sidecar.metric("pending"), Some(1), "it has not ended");
-        release.send(()).expect("the endpoint waits");
+        assert_eq!(
+            sidecar.metric("pending"),
+            Some(1),
+            "the response is not complete"
+        );
+        rest_allowed.send(()).expect("the endpoint waits");
         assert!(
-            read_body(&head, &mut client).expect("all of it") == **body,
+            read_body(&head, &mut client).expect("a complete body") == **body,
             "{framing}"
         );
-        wait_until("it is served", || {
-            sidecar.requests_ended("completed", "safe") == Some(n as u64 + 1)
+        wait_until("the request is served", || {
+            sidecar.requests_ended("completed", "safe") == Some(number as u64 + 1)
         });
     }
     assert_eq!(
@@ -88,22 +120,22 @@
     );
 }
 
-/// Guards memory: many large answers at once, read by nobody for a while, wait at the endpoints and not here.
+/// Many large responses at once, which their clients do not read for a while, wait at the endpoints and not in memory.
 #[test]
-fn answers_that_nobody_reads_wait_at_their_endpoints() {
+fn responses_that_clients_do_not_read_take_no_memory() {
     const LARGE: usize = 32 * MB;
     let endpoint = RawEndpoint::start(move |_, stream| {
         let piece = vec![b'x'; MB];
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
-        let mut left = LARGE;
-        let mut writes = stream.get_mut().write_all(head.as_bytes());
-        while writes.is_ok() && left > 0 {
-            writes = stream.get_mut().write_all(&piece);
-            left -= MB;
+        let mut bytes_left = LARGE;
+        let mut written = stream.get_mut().write_all(head.as_bytes());
+        while written.is_ok() && bytes_left > 0 {
+            written = stream.get_mut().write_all(&piece);
+            bytes_left -= MB;
         }
     });
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
-    let before = sidecar.memory_kb();
+    let memory_before = sidecar.memory_kb();
     let mut clients: Vec<BufferedStream> = (0..8).map(|_| connect(&sidecar)).collect();
     for client in &mut clients {
         send(client, get_request("15").as_bytes());
@@ -117,39 +149,27 @@
             .status(),
         200
     );
-    let held = sidecar.memory_kb() - before;
-    assert!(held < 16 << 10, "{held} kB for 256 MB");
+    let growth = sidecar.memory_kb() - memory_before;
+    assert!(growth < 16 << 10, "{growth} kB for 256 MB");
     let mut piece = vec![0; MB];
     for client in &mut clients {
         for _ in 0..LARGE / MB {
             client.read_exact(&mut piece).expect("the rest");
         }
     }
-    wait_until("all are served", || {
+    wait_until("all requests are served", || {
         sidecar.requests_ended("completed", "safe") == Some(8)
     });
 }
 
-/// Guards large requests in each framing: they come unchanged, their beginning before their end is there, and count as
-/// sent once they are whole.
+/// A large request in each framing arrives unchanged, and its beginning arrives before its end has been sent. It counts
+/// as sent once it is complete.
 #[test]
-fn large_requests_pass_unchanged_as_they_come() {
+fn large_requests_are_streamed_unchanged() {
     let body = Arc::new(pattern(3 * MB));
-    let wanted = body.clone();
-    let endpoint = RawEndpoint::start(move |head, stream| {
-        let same = read_body(head, stream).is_some_and(|body| body == *wanted);
-        send(
-            stream,
-            if same {
-                OK
-            } else {
-                "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
-            }
-            .as_bytes(),
-        );
-    });
+    let endpoint = endpoint_expecting(body.clone());
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
-    for (n, chunked) in [false, true, false].into_iter().enumerate() {
+    for (number, chunked) in [false, true, false].into_iter().enumerate() {
         let mut client = connect(&sidecar);
         let framing = if chunked {
             "Transfer-Encoding: chunked".into()
@@ -162,18 +182,22 @@
             &mut client,
             &if chunked { chunk(first) } else { first.into() },
         );
-        let begun = endpoint.next_head();
+        let forwarded = endpoint.next_head();
         assert_eq!(
-            header(&begun, "content-length").is_none(),
+            header(&forwarded, "content-length").is_none(),
             chunked,
-            "{begun}"
+            "{forwarded}"
         );
         assert_eq!(
             sidecar.metric("upstream_requests"),
-            Some(n as u64),
-            "it is not whole"
+            Some(number as u64),
+            "the request is not complete"
+        );
+        assert_eq!(
+            sidecar.metric("pending"),
+            Some(0),
+            "it has not been received either"
         );
-        assert_eq!(sidecar.metric("pending"), Some(0), "nor has it come");
         send(
             &mut client,
             &if chunked { chunk(rest) } else { rest.into() },
@@ -181,26 +205,26 @@
         if chunked {
             send(&mut client, b"0\r\nX-Sum: 1\r\n\r\n");
         }
-        let head = read_head(&mut client).expect("an answer");
+        let head = read_head(&mut client).expect("a response");
         assert_eq!(status(&head), "200", "{head}");
-        assert_eq!(sidecar.metric("upstream_requests"), Some(n as u64 + 1));
+        assert_eq!(sidecar.metric("upstream_requests"), Some(number as u64 + 1));
         if !chunked {
             let mut two = [0; 2];
             client.read_exact(&mut two).expect("the answer's body");
-            // The connection goes on.
+            // The connection stays open.
             send(&mut client, b"GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
-            assert_eq!(status(&read_head(&mut client).expect("an answer")), "200");
+            assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
         }
     }
     assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(3));
 }
 
-/// Guards `Expect`: a caller that waits for the word gets it, and its body goes through.
+/// A client that waits for `100 Continue` gets it, and its body is forwarded.
 #[test]
-fn a_caller_that_waits_for_the_word_gets_it() {
+fn a_client_that_expects_100_continue_gets_it() {
     let endpoint = RawEndpoint::start(|head, stream| {
-        let whole = read_body(head, stream).is_some();
-        assert!(whole && header(head, "expect").is_none(), "{head}");
+        let is_complete = read_body(head, stream).is_some();
+        assert!(is_complete && header(head, "expect").is_none(), "{head}");
         send(stream, OK.as_bytes());
     });
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
@@ -214,16 +238,19 @@
             )
             .as_bytes(),
         );
-        assert_eq!(status(&read_head(&mut client).expect("the word")), "100");
+        assert_eq!(
+            status(&read_head(&mut client).expect("100 Continue")),
+            "100"
+        );
         send(&mut client, &pattern(length));
-        assert_eq!(status(&read_head(&mut client).expect("an answer")), "200");
+        assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
     }
 }
 
-/// Guards rule 2 and the body: once some of it has gone on that is not kept, there is no second attempt, whatever the
-/// class; as it never ran, trying again is harmless. Before that there may be one.
+/// Once some of a body that is not buffered has been forwarded there is no second attempt, whatever the class. As the
+/// request never ran, it is rejected: trying again is harmless.
 #[test]
-fn a_large_request_is_not_sent_twice() {
+fn a_streamed_request_is_not_sent_twice() {
     for class in ["keyed", "unsafe"] {
         let endpoints = [0, 1].map(|_| {
             RawEndpoint::start(|_, stream| {
@@ -238,14 +265,17 @@
             &mut client,
             request_head(class, &format!("Content-Length: {}", 8 * MB)).as_bytes(),
         );
-        // What it does not read any more may break off.
+        // The sidecar may close the connection before it has read everything.
         let _ = client.get_mut().write_all(&pattern(8 * MB));
         assert_eq!(
-            status(&read_head(&mut client).expect("an answer")),
+            status(&read_head(&mut client).expect("a response")),
             "503",
             "{class}"
         );
-        let attempts: usize = endpoints.iter().map(|e| e.heads.try_iter().count()).sum();
+        let attempts: usize = endpoints
+            .iter()
+            .map(|endpoint| endpoint.heads.try_iter().count())
+            .sum();
         assert_eq!(
             (attempts, sidecar.metric("upstream_requests")),
             (1, Some(0)),
@@ -255,25 +285,18 @@
     }
 }
 
-/// Guards the first attempt's failure ahead of its first byte: what is kept is all that there is so far, and the next
-/// endpoint gets it whole.
+/// When the first attempt fails before its first byte, all that has been received is still buffered, and the next
+/// endpoint gets the complete body.
 #[test]
-fn a_large_request_that_has_not_gone_on_is_sent_elsewhere() {
+fn a_large_request_whose_first_attempt_never_began_is_retried() {
     let endpoint = RawEndpoint::start(|head, stream| {
-        let whole = read_body(head, stream).is_some_and(|body| body == pattern(body.len()));
-        send(
-            stream,
-            if whole {
-                OK
-            } else {
-                "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
-            }
-            .as_bytes(),
-        );
+        let is_complete = read_body(head, stream).is_some_and(|body| body == pattern(body.len()));
+        let response = if is_complete { OK } else { INTERNAL_ERROR };
+        send(stream, response.as_bytes());
     });
-    let taken = TcpStream::connect(endpoint.address).expect("a connection");
-    let dead = taken.local_addr().expect("an address"); // that nobody listens on
-    let (sidecar, _discovery) = start_sidecar(&[dead, endpoint.address]);
+    let connection = TcpStream::connect(endpoint.address).expect("a connection");
+    let closed = connection.local_addr().expect("an address"); // nobody listens on it
+    let (sidecar, _discovery) = start_sidecar(&[closed, endpoint.address]);
     for _ in 0..12 {
         let mut client = connect(&sidecar);
         send(
@@ -281,32 +304,24 @@
             request_head("keyed", &format!("Content-Length: {MB}")).as_bytes(),
         );
         send(&mut client, &pattern(MB));
-        let answer = status(&read_head(&mut client).expect("an answer")).to_string();
+        let answer = status(&read_head(&mut client).expect("a response")).to_string();
         assert!(
             answer == "200" || answer == "503",
-            "refused where the module grants no retry: {answer}"
+            "rejected where the retry budget is spent: {answer}"
         );
     }
     assert!(
         sidecar
             .requests_ended("completed", "keyed")
-            .is_some_and(|n| n >= 6)
+            .is_some_and(|count| count >= 6)
     );
 }
 
-/// Guards memory and endpoints against bodies beyond all that there should be: said ahead, they are turned down at
-/// once; else where they pass the limit, and no endpoint has them whole.
+/// A request whose declared length is over the limit gets 413 at once, another one when it exceeds the limit. No
+/// endpoint gets a complete body.
 #[test]
-fn what_is_far_too_large_is_turned_down() {
-    let (tell, whole) = channel();
-    let tell = Mutex::new(tell);
-    let endpoint = RawEndpoint::start(move |head, stream| {
-        let body = read_body(head, stream);
-        tell.lock()
-            .expect("the only one")
-            .send(body.is_some())
-            .expect("the test runs");
-    });
+fn requests_over_the_size_limit_get_413() {
+    let (endpoint, is_complete) = endpoint_reporting_completeness();
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let mut client = connect(&sidecar);
     send(
@@ -314,7 +329,7 @@
         request_head("unsafe", "Content-Length: 62914560").as_bytes(),
     );
     assert_eq!(
-        status(&read_head(&mut client).expect("an answer, unread")),
+        status(&read_head(&mut client).expect("a response before the body is read")),
         "413"
     );
     let mut client = connect(&sidecar);
@@ -323,39 +338,32 @@
         request_head("unsafe", "Transfer-Encoding: chunked").as_bytes(),
     );
     let piece = chunk(&vec![b'x'; MB]);
-    let mut other = client.get_ref().try_clone().expect("its other half");
-    let writes = thread::spawn(move || {
+    let mut writer = client.get_ref().try_clone().expect("a second handle");
+    let writing = thread::spawn(move || {
         (0..60)
-            .take_while(|_| other.write_all(&piece).is_ok())
+            .take_while(|_| writer.write_all(&piece).is_ok())
             .count()
     });
-    assert_eq!(status(&read_head(&mut client).expect("an answer")), "413");
+    assert_eq!(status(&read_head(&mut client).expect("a response")), "413");
     drop(client);
-    writes.join().expect("it ends");
+    writing.join().expect("the writer ends");
     assert!(
-        !whole
+        !is_complete
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the endpoint saw the beginning")
+            .expect("the endpoint got the beginning")
     );
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
-/// Guards endpoints and memory against callers that stop in the middle of a large body, or spoil it: they are told, and
-/// the endpoint's connection goes.
+/// When a client stops in the middle of a large body, sends a malformed chunk or disconnects, its request ends, and so
+/// does the connection to the endpoint.
 #[test]
-fn a_large_request_that_stops_or_breaks_is_ended() {
-    let (tell, ends) = channel();
-    let tell = Mutex::new(tell);
-    let endpoint = RawEndpoint::start(move |head, stream| {
-        let body = read_body(head, stream);
-        tell.lock()
-            .expect("the only one")
-            .send(body.is_some())
-            .expect("the test runs");
-    });
+fn an_incomplete_large_request_ends_with_its_attempt() {
+    let (endpoint, is_complete) = endpoint_reporting_completeness();
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
-    let ended = || {
-        ends.recv_timeout(TEST_TIMEOUT)
+    let is_received = || {
+        is_complete
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the endpoint's connection ends")
     };
     let begin = |framing: &str, body: &[u8]| {
@@ -365,40 +373,30 @@
         endpoint.next_head();
         client
     };
-    // It stops.
+    // The client stops.
     let mut client = begin("Content-Length: 500000", &pattern(100_000));
-    assert_eq!(status(&read_head(&mut client).expect("an answer")), "408");
-    assert!(!ended());
-    // It ends in what is no chunk.
+    assert_eq!(status(&read_head(&mut client).expect("a response")), "408");
+    assert!(!is_received());
+    // The client sends a malformed chunk size.
     let mut client = begin("Transfer-Encoding: chunked", &chunk(&pattern(100_000)));
     send(&mut client, b"not a size\r\n");
-    let _ = read_head(&mut client); // an answer or a close
-    assert!(!ended());
-    // It leaves.
+    let _ = read_head(&mut client); // a response or a close
+    assert!(!is_received());
+    // The client disconnects.
     drop(begin("Content-Length: 500000", &pattern(100_000)));
-    assert!(!ended());
-    wait_until("nothing is open", || sidecar.metric("pending") == Some(0));
+    assert!(!is_received());
+    wait_until("no request is pending", || {
+        sidecar.metric("pending") == Some(0)
+    });
     assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(0));
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
-/// Guards slow callers: a large body at 64 kB a second is waited for, though it takes longer than a small one may.
+/// A large body at 64 kB a second is received, although it takes longer than a small one may.
 #[test]
-fn a_slow_caller_is_waited_for() {
+fn a_slow_client_above_the_minimum_rate_is_served() {
     let body = Arc::new(pattern(320_000));
-    let wanted = body.clone();
-    let endpoint = RawEndpoint::start(move |head, stream| {
-        let same = read_body(head, stream).is_some_and(|body| body == *wanted);
-        send(
-            stream,
-            if same {
-                OK
-            } else {
-                "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
-            }
-            .as_bytes(),
-        );
-    });
+    let endpoint = endpoint_expecting(body.clone());
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
     let mut client = connect(&sidecar);
     send(
@@ -409,13 +407,13 @@
         send(&mut client, piece);
         thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(status(&read_head(&mut client).expect("an answer")), "200");
+    assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
 }
 
-/// Guards the caller's sight: an answer that breaks off once it has begun to go on ends so that the caller can tell, is
-/// counted as failed, and is not tried again.
+/// When a response breaks off after its beginning was forwarded, the client can tell, the request is counted as failed,
+/// and it is not tried again.
 #[test]
-fn a_large_answer_that_breaks_off_is_seen_to() {
+fn a_large_response_that_breaks_off_is_visible_to_its_client() {
     for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
         let endpoints = [0, 1].map(|_| {
             RawEndpoint::start(move |_, stream| {
@@ -441,13 +439,13 @@
         let head = read_head(&mut client).expect("the beginning");
         assert_eq!(status(&head), "200");
         assert_eq!(read_body(&head, &mut client), None, "{framing}");
-        wait_until("it is counted", || {
+        wait_until("the request is counted", || {
             sidecar.requests_ended("failed", "safe") == Some(1)
         });
         assert_eq!(
             endpoints
                 .iter()
-                .map(|e| e.heads.try_iter().count())
+                .map(|endpoint| endpoint.heads.try_iter().count())
                 .sum::<usize>(),
             1
         );
@@ -455,17 +453,21 @@
     }
 }
 
-/// Guards the limit of memory for what is kept: with no room for an answer it goes on as it comes, and is whole.
+/// With no memory to buffer a response it is streamed, and arrives completely.
 #[test]
-fn answers_without_room_pass_as_they_come() {
+fn responses_are_streamed_when_the_memory_budget_is_exhausted() {
     let body = Arc::new(pattern(50_000));
-    let given = body.clone();
+    let response_body = body.clone();
     let endpoint = RawEndpoint::start(move |_, stream| {
         send(
             stream,
-            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", given.len()).as_bytes(),
+            format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+                response_body.len()
+            )
+            .as_bytes(),
         );
-        for piece in given.chunks(10_000) {
+        for piece in response_body.chunks(10_000) {
             send(stream, piece);
         }
     });
@@ -479,11 +481,11 @@
     let mut client = connect(&sidecar);
     for _ in 0..3 {
         send(&mut client, get_request("15").as_bytes());
-        let head = read_head(&mut client).expect("an answer");
+        let head = read_head(&mut client).expect("a response");
         assert_eq!(status(&head), "200");
-        assert!(read_body(&head, &mut client).expect("all of it") == **body);
+        assert!(read_body(&head, &mut client).expect("a complete body") == **body);
     }
-    wait_until("they are served", || {
+    wait_until("the requests are served", || {
         sidecar.requests_ended("completed", "safe") == Some(3)
     });
 }
