--- /dev/null
+++ b/tests/sidecar/large_responses.rs
@@ -0,0 +1,215 @@
+//! Response bodies too large to be buffered: they are streamed, within the memory budget.
+
+use crate::stubs::raw_http::*;
+use crate::stubs::*;
+use std::io::{Read, Write};
+use std::net::Shutdown;
+use std::sync::mpsc::channel;
+use std::sync::{Arc, Mutex};
+
+const MB: usize = 1 << 20;
+
+/// A large response in each framing arrives unchanged, and its beginning arrives before its end has been sent.
+#[test]
+fn large_responses_are_streamed_unchanged() {
+    let body = Arc::new(pattern(3 * MB));
+    let (rest_allowed, allow_rest) = channel::<()>();
+    let allow_rest = Mutex::new(allow_rest);
+    let response_body = body.clone();
+    let endpoint = RawEndpoint::start(move |head, stream| {
+        let framing = ["content-length", "chunked", "close"]
+            .into_iter()
+            .find(|framing| head.contains(framing))
+            .expect("a framing in the request");
+        let response_head = match framing {
+            "content-length" => {
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+                    response_body.len()
+                )
+            }
+            "chunked" => "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into(),
+            _ => "HTTP/1.1 200 OK\r\n\r\n".into(),
+        };
+        send(stream, response_head.as_bytes());
+        let (first, rest) = response_body.split_at(MB);
+        for (number, part) in [first, rest].into_iter().enumerate() {
+            if number == 1 {
+                allow_rest
+                    .lock()
+                    .expect("the only user")
+                    .recv()
+                    .expect("the test is running");
+            }
+            match framing {
+                "chunked" => send(stream, &chunk(part)),
+                _ => send(stream, part),
+            }
+        }
+        match framing {
+            "chunked" => send(stream, b"0\r\nX-Sum: 1\r\n\r\n"),
+            "close" => stream
+                .get_mut()
+                .shutdown(Shutdown::Both)
+                .expect("the connection is open"),
+            _ => {}
+        }
+    });
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
+    let mut client = connect(&sidecar);
+    for (number, framing) in ["content-length", "chunked", "close", "content-length"]
+        .into_iter()
+        .enumerate()
+    {
+        send(
+            &mut client,
+            get_request("15")
+                .replace("/api", &format!("/api?{framing}"))
+                .as_bytes(),
+        );
+        let head = read_head(&mut client).expect("the beginning, before the end is sent");
+        assert_eq!(status(&head), "200");
+        assert_eq!(
+            sidecar.metric("pending"),
+            Some(1),
+            "the response is not complete"
+        );
+        rest_allowed.send(()).expect("the endpoint waits");
+        assert!(
+            read_body(&head, &mut client).expect("a complete body") == **body,
+            "{framing}"
+        );
+        wait_until("the request is served", || {
+            sidecar.requests_ended("completed", "safe") == Some(number as u64 + 1)
+        });
+    }
+    assert_eq!(
+        (
+            sidecar.metric("pending"),
+            sidecar.metric("upstream_requests")
+        ),
+        (Some(0), Some(4))
+    );
+}
+
+/// Many large responses at once, which their clients do not read for a while, wait at the endpoints and not in memory.
+#[test]
+fn responses_that_clients_do_not_read_take_no_memory() {
+    const LARGE: usize = 32 * MB;
+    let endpoint = RawEndpoint::start(move |_, stream| {
+        let piece = vec![b'x'; MB];
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
+        let mut bytes_left = LARGE;
+        let mut written = stream.get_mut().write_all(head.as_bytes());
+        while written.is_ok() && bytes_left > 0 {
+            written = stream.get_mut().write_all(&piece);
+            bytes_left -= MB;
+        }
+    });
+    let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
+    let memory_before = sidecar.memory_kb();
+    let mut clients: Vec<BufferedStream> = (0..8).map(|_| connect(&sidecar)).collect();
+    for client in &mut clients {
+        send(client, get_request("15").as_bytes());
+        let head = read_head(client).expect("the beginning");
+        assert_eq!(status(&head), "200");
+    }
+    assert_eq!(
+        sidecar
+            .client()
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status(),
+        200
+    );
+    let growth = sidecar.memory_kb() - memory_before;
+    assert!(growth < 16 << 10, "{growth} kB for 256 MB");
+    let mut piece = vec![0; MB];
+    for client in &mut clients {
+        for _ in 0..LARGE / MB {
+            client.read_exact(&mut piece).expect("the rest");
+        }
+    }
+    wait_until("all requests are served", || {
+        sidecar.requests_ended("completed", "safe") == Some(8)
+    });
+}
+
+/// When a response breaks off after its beginning was forwarded, the client can tell, the request is counted as failed,
+/// and it is not tried again.
+#[test]
+fn a_large_response_that_breaks_off_is_visible_to_its_client() {
+    for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
+        let endpoints = [0, 1].map(|_| {
+            RawEndpoint::start(move |_, stream| {
+                send(
+                    stream,
+                    format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").as_bytes(),
+                );
+                let part = pattern(MB);
+                send(
+                    stream,
+                    &if framing.starts_with('T') {
+                        chunk(&part)
+                    } else {
+                        part
+                    },
+                );
+                let _ = stream.get_mut().shutdown(Shutdown::Both);
+            })
+        });
+        let (sidecar, _discovery) = start_sidecar(&[endpoints[0].address, endpoints[1].address]);
+        let mut client = connect(&sidecar);
+        send(&mut client, get_request("15").as_bytes());
+        let head = read_head(&mut client).expect("the beginning");
+        assert_eq!(status(&head), "200");
+        assert_eq!(read_body(&head, &mut client), None, "{framing}");
+        wait_until("the request is counted", || {
+            sidecar.requests_ended("failed", "safe") == Some(1)
+        });
+        assert_eq!(
+            endpoints
+                .iter()
+                .map(|endpoint| endpoint.heads.try_iter().count())
+                .sum::<usize>(),
+            1
+        );
+        assert_eq!(sidecar.metric("pending"), Some(0));
+    }
+}
+
+/// With no memory to buffer a response it is streamed, and arrives completely.
+#[test]
+fn responses_are_streamed_when_the_memory_budget_is_exhausted() {
+    let body = Arc::new(pattern(50_000));
+    let response_body = body.clone();
+    let endpoint = RawEndpoint::start(move |_, stream| {
+        send(
+            stream,
+            format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+                response_body.len()
+            )
+            .as_bytes(),
+        );
+        for piece in response_body.chunks(10_000) {
+            send(stream, piece);
+        }
+    });
+    let discovery = Discovery::start();
+    let mut config = with_admin_address(config(
+        discovery.address,
+        &[entry("e0", endpoint.address, "SERVING")],
+    ));
+    config["limits"]["memory_mb"] = serde_json::json!(0);
+    let sidecar = Sidecar::start(&config);
+    let mut client = connect(&sidecar);
+    for _ in 0..3 {
+        send(&mut client, get_request("15").as_bytes());
+        let head = read_head(&mut client).expect("a response");
+        assert_eq!(status(&head), "200");
+        assert!(read_body(&head, &mut client).expect("a complete body") == **body);
+    }
+    wait_until("the requests are served", || {
+        sidecar.requests_ended("completed", "safe") == Some(3)
+    });
+}
