--- a/src/sidecar/handover.rs
+++ b/src/sidecar/handover.rs
@@ -5,9 +5,9 @@
 //! Once the newer one is ready it says so, and the older one stops accepting and asks its callers to come again. Until it
 //! ends, both tell each other what they hold of the limits that they share.
 
+use super::hot_restart::{OtherProcessId, ProcessMessage, ProcessRole, SharedDirectory};
 use super::node::{NodeHandle, TakeoverEnd};
 use super::server;
-use super::upgrade::{Order, ProcessMessage, ProcessNumber, SharedDirectory};
 use rustix::io::Errno;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -40,17 +40,17 @@
 const HANDOVER_BYTE: &[u8] = b"L";
 
 /// What the older process has handed over.
-pub struct OlderProcess {
+pub struct OldProcess {
     listener: std::net::TcpListener,
     stream: BlockingStream,
 }
 
 /// Asks the process that serves already, if one does, for its listening socket.
-pub fn ask(directory: &SharedDirectory) -> Option<OlderProcess> {
+pub fn request_listener(directory: &SharedDirectory) -> Option<OldProcess> {
     // Nobody there is the usual case, at every start but an upgrade.
     let stream = BlockingStream::connect(directory.socket()).ok()?;
-    match receive(&stream) {
-        Ok(listener) => Some(OlderProcess { listener, stream }),
+    match receive_listener(&stream) {
+        Ok(listener) => Some(OldProcess { listener, stream }),
         Err(failure) => {
             log!("the process before hands nothing over: {failure}");
             None
@@ -58,7 +58,7 @@
     }
 }
 
-fn receive(stream: &BlockingStream) -> io::Result<std::net::TcpListener> {
+fn receive_listener(stream: &BlockingStream) -> io::Result<std::net::TcpListener> {
     stream.set_read_timeout(Some(ANSWER_WITHIN))?;
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -83,11 +83,11 @@
 pub fn listen(
     address: SocketAddr,
     shared: bool,
-    older: Option<&OlderProcess>,
+    old_process: Option<&OldProcess>,
 ) -> io::Result<TcpListener> {
-    if let Some(older) = older {
-        older.listener.set_nonblocking(true)?;
-        return TcpListener::from_std(older.listener.try_clone()?);
+    if let Some(old_process) = old_process {
+        old_process.listener.set_nonblocking(true)?;
+        return TcpListener::from_std(old_process.listener.try_clone()?);
     }
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
@@ -104,14 +104,14 @@
 
 /// The newer process's part: it waits until it is ready, as long as the older one serves, has callers come to it, and
 /// stays in touch until the older one has ended.
-pub async fn take_over(node: &NodeHandle, older: OlderProcess) -> io::Result<()> {
-    older.stream.set_nonblocking(true)?;
-    let stream = UnixStream::from_std(older.stream)?;
-    let (number, messages) = node.add_process(Order::Before);
-    let talker = node.clone();
+pub async fn take_over(node: &NodeHandle, old_process: OldProcess) -> io::Result<()> {
+    old_process.stream.set_nonblocking(true)?;
+    let stream = UnixStream::from_std(old_process.stream)?;
+    let (number, messages) = node.add_process(ProcessRole::Old);
+    let message_node = node.clone();
     tokio::task::spawn_local(async move {
-        talk(&talker, number, stream, messages).await;
-        talker.process_ended(number);
+        exchange_messages(&message_node, number, stream, messages).await;
+        message_node.process_ended(number);
         log!("the process before has ended");
     });
     let is_alone = || !node.has_process(number);
@@ -135,10 +135,10 @@
             Ok(socket) => socket,
             Err(failure) => return log!("no hand-over from this process: {failure}"),
         };
-        let stream = give_to_next(socket, &listener).await;
-        let (number, messages) = node.add_process(Order::After);
+        let stream = hand_over_to_next(socket, &listener).await;
+        let (number, messages) = node.add_process(ProcessRole::New);
         node.send_disabled_endpoints();
-        talk(&node, number, stream, messages).await;
+        exchange_messages(&node, number, stream, messages).await;
         node.process_ended(number);
         let callers = match node.takeover_ended() {
             // Perhaps the last part of it that is open: what waits there is accepted by nobody else.
@@ -161,20 +161,20 @@
 }
 
 /// Hands the listener to the next process that asks and gets it.
-async fn give_to_next(socket: &UnixListener, listener: &std::net::TcpListener) -> UnixStream {
+async fn hand_over_to_next(socket: &UnixListener, listener: &std::net::TcpListener) -> UnixStream {
     loop {
         let Ok((stream, _)) = socket.accept().await else {
             sleep(HEARTBEAT).await;
             continue;
         };
-        match give(&stream, listener).await {
+        match send_listener(&stream, listener).await {
             Ok(()) => return stream,
             Err(failure) => log!("the callers' socket could not be handed over: {failure}"),
         }
     }
 }
 
-async fn give(stream: &UnixStream, listener: &std::net::TcpListener) -> io::Result<()> {
+async fn send_listener(stream: &UnixStream, listener: &std::net::TcpListener) -> io::Result<()> {
     let send = || {
         let descriptors = [listener.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -188,9 +188,9 @@
 }
 
 /// Messages go back and forth until the other process's end.
-async fn talk(
+async fn exchange_messages(
     node: &NodeHandle,
-    number: ProcessNumber,
+    number: OtherProcessId,
     stream: UnixStream,
     messages: mpsc::Receiver<ProcessMessage>,
 ) {
@@ -230,7 +230,7 @@
     }
 }
 
-async fn read_messages(node: &NodeHandle, number: ProcessNumber, from: OwnedReadHalf) {
+async fn read_messages(node: &NodeHandle, number: OtherProcessId, from: OwnedReadHalf) {
     let mut lines = BufReader::new(from);
     loop {
         let mut line = Vec::new();
