--- a/src/sidecar/body/mod.rs
+++ b/src/sidecar/body/mod.rs
@@ -1,8 +1,8 @@
 //! Request and response bodies on their way through the sidecar.
 //!
-//! A body of up to [`MAX_BUFFERED_BODY`] bytes is received completely before it is forwarded: a request can then be sent
+//! A body of up to [`limits::MAX_BUFFERED_BODY`] bytes is received completely before it is forwarded: a request can then be sent
 //! again in another attempt, and a truncated response is discovered before the client has seen any of it. A larger body
-//! is streamed: at most that much of it is buffered, and more is read only when the receiver has taken what came before.
+//! is streamed: no more than that of it is buffered, and the next piece is read only when the receiver has taken the last.
 
 mod buffered_response;
 mod error;
--- a/src/sidecar/body/upload_deadline.rs
+++ b/src/sidecar/body/upload_deadline.rs
@@ -13,8 +13,8 @@
 /// The least time that is left to a client after a large piece.
 const MIN_TIME_AFTER_LARGE_PIECE: Duration = Duration::from_secs(1);
 
-/// The time by which a client has to have sent more of its body. It stands still while the sidecar does not wait for the
-/// client.
+/// The time by which a client has to have sent more of its body. It is paused while the sidecar does not wait for
+/// the client.
 #[derive(Debug)]
 pub struct UploadDeadline {
     deadline: Instant,
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -23,7 +23,7 @@
 
 /// The size of a connection's read buffer, and so of the longest response head, in bytes.
 const READ_BUFFER: usize = 16 << 10;
-/// The most informational (1xx) responses that may precede a final one.
+/// The maximum number of informational (1xx) responses ahead of a final one.
 const MAX_INFORMATIONAL: usize = 16;
 
 /// A connection to an endpoint. Dropping it closes it.
--- a/src/sidecar/endpoint/hedged_dial.rs
+++ b/src/sidecar/endpoint/hedged_dial.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The most dials for one connection. Where a third of them are late, all three are late for one request in 27.
+/// The maximum number of dials for one connection. Where a third of them are late, all three are late for one request in 27.
 const MAX_DIALS: usize = 3;
 
 /// The fraction of the connect timeout after which the next dial is started. A connection takes one round trip, and the
 /// timeout allows for many.
 const HEDGE_DELAY_FRACTION: f64 = 0.1;
 
-/// Dials until one connection is established, and drops the other dials. Returns `None` where the first dial to end was
-/// refused, or none has ended by the deadline.
+/// Dials until one connection is established, and drops the other dials. Returns `None` if the first dial to end failed,
+/// or none has ended by the deadline.
 ///
 /// `dial` starts one dial; `may_hedge` says whether descriptors allow one more beside those in progress.
 pub async fn dial_hedged<Connection, Dial>(
--- a/src/sidecar/endpoint/pool.rs
+++ b/src/sidecar/endpoint/pool.rs
@@ -13,10 +13,10 @@
 /// which was seen up to 4 ms later. If the connection were used again at once, that would hit the next request; within
 /// this time it is noticed. A longer time needs more connections, some of which are established late.
 const SETTLING_TIME: Duration = Duration::from_millis(20);
-/// The most idle connections to an endpoint. Each takes a descriptor there, and those of a burst are not soon needed
+/// The maximum number of idle connections to an endpoint. Each takes a descriptor there, and those of a burst are not soon needed
 /// again.
 const MAX_IDLE_PER_ENDPOINT: usize = 4;
-/// The most idle connections to an endpoint while it is busy. A request occupies one for [`SETTLING_TIME`] beside its own
+/// The maximum number of idle connections to an endpoint while it is busy. A request occupies one for [`SETTLING_TIME`] beside its own
 /// time, so four would carry 200 requests a second at most.
 const MAX_IDLE_PER_BUSY_ENDPOINT: usize = 16;
 /// How long connections beyond [`MAX_IDLE_PER_ENDPOINT`] stay open after their last use.
@@ -90,7 +90,7 @@
         None
     }
 
-    /// Pools a connection, or closes it where the endpoint has its most idle connections.
+    /// Pools a connection, or closes it if the endpoint already has its maximum of idle connections.
     pub fn put(&mut self, endpoint: &EndpointId, connection: EndpointConnection) -> SweepTask {
         let connections = self.idle.entry(endpoint.clone()).or_default();
         let is_usable = !connection.is_closed() && connection.progress().is_complete();
--- a/src/sidecar/endpoint/response.rs
+++ b/src/sidecar/endpoint/response.rs
@@ -14,7 +14,7 @@
     pub body: Result<ReceivedResponse, BodyTransferError>,
 }
 
-/// Why a response is not read: its end cannot be known, or is not worth waiting for.
+/// Why a response is not read: its length is ambiguous, too large, or does not apply.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum FramingError {
     /// It declares its length more than once. Two readers that believe different lengths see different responses. hyper
@@ -24,7 +24,7 @@
     /// Its declared length is larger than [`MAX_BODY`].
     #[error("the response is too large")]
     TooLarge,
-    /// Its status is a 1xx that leaves HTTP.
+    /// Its status is 101, after which the connection does not carry HTTP any more.
     #[error("the response switches protocols")]
     ProtocolSwitch,
 }
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -133,10 +133,7 @@
 fn an_idle_connection_is_closed_before_the_endpoint_closes_it() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
+    let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
     config["settings"]["bounds"]["connIdleNs"] = json!(500_000_000);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
@@ -244,10 +241,7 @@
 fn an_attempt_without_response_times_out_once() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
+    let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
     config["settings"]["categories"][1]["objectiveNs"] = json!(300_000_000);
     let sidecar = Sidecar::start(&config);
     assert_eq!(
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -9,7 +9,7 @@
 
 /// What an endpoint does with a request.
 pub enum EndpointAction {
-    /// Writes this response and leaves the connection open.
+    /// Writes this response and keeps the connection open.
     Respond(String),
     /// Writes this response and closes the connection.
     RespondThenClose(String),
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -267,7 +267,7 @@
         let _ = self.child.wait();
     }
 
-    /// Asks for a graceful shutdown.
+    /// Starts a graceful shutdown.
     pub fn terminate(&self) {
         self.send_signal("TERM");
     }
