--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -124,8 +124,7 @@
             load,
             rate_multiple,
             FLEET_THREADS,
-        )
-        .map_err(ScenarioError::step("starting the hollow sidecars"))?;
+        )?;
         let watching = sidecars.wait_until_watching(started, START_TIMEOUT);
         let size = self.sidecar_zones.len();
         if watching.missing > 0 {
--- a/fleet-lab/src/scenario/outcome.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -2,6 +2,7 @@
 
 use crate::loopback_tier::TierError;
 use crate::report::Metric;
+use crate::sidecar::simulated::FleetError;
 use std::io;
 
 /// The outcome of an experiment that was run to its end.
@@ -27,6 +28,9 @@
     /// A tier could not be started.
     #[error(transparent)]
     Tier(#[from] TierError),
+    /// A simulated fleet could not be started.
+    #[error("start the simulated sidecars: {0}")]
+    Fleet(#[from] FleetError),
     /// A state that the experiment needs was not reached.
     #[error("{0}")]
     NotReached(String),
--- a/fleet-lab/src/sidecar/mod.rs
+++ b/fleet-lab/src/sidecar/mod.rs
@@ -1,4 +1,4 @@
-//! Sidecars under test: real ones, each a process of the built program, and hollow ones, hundreds in one process.
+//! Sidecars under test: real ones, each a process of the built program, and simulated ones, hundreds in one process.
 
 mod child;
 pub mod configuration;
--- a/fleet-lab/src/sidecar/simulated/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes that are answered in memory.
+//! Attempts and health checks whose answers are simulated in memory.
 
 use super::endpoints::SimulatedEndpoint;
 use super::fleet_state::FleetState;
@@ -9,44 +9,44 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long an endpoint takes to answer a probe.
+/// How long an endpoint takes to answer a health check.
 const HEALTH_CHECK_ANSWER_TIME: Duration = Duration::from_millis(1);
-/// A probe that is not answered for this long has failed, as at the real sidecar.
+/// How long a health check may take, as in the real sidecar.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Who is told how attempts and probes end.
+/// The receiver of the results of attempts and health checks.
 pub(super) trait AttemptOwner {
-    /// An attempt has ended.
-    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: AttemptResult);
+    /// Handles the end of an attempt.
+    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult);
 
-    /// A probe has ended.
-    fn health_check_ended(&self, check_health: &HealthCheck, took: Duration, ending: AttemptResult);
+    /// Handles the end of a health check.
+    fn health_check_ended(&self, health_check: &HealthCheck, took: Duration, result: AttemptResult);
 }
 
-/// An attempt to be made.
+/// An attempt to be simulated.
 pub(super) struct Attempt {
     pub request: RequestId,
     pub number: AttemptNumber,
     pub endpoint: Arc<SimulatedEndpoint>,
-    /// The sidecar waits until then.
-    pub until: Instant,
+    /// When the attempt times out.
+    pub deadline: Instant,
     pub connect_timeout: Duration,
-    /// What the endpoint takes.
+    /// How long the endpoint works on the request.
     pub service_time: Duration,
     pub reporting: Reporting,
 }
 
-/// A probe to be made.
+/// A health check to be simulated.
 pub(super) struct HealthCheck {
     pub endpoint: EndpointId,
-    pub simulated: Arc<SimulatedEndpoint>,
-    /// Which of the endpoint's processes it is meant for.
+    pub simulated_endpoint: Arc<SimulatedEndpoint>,
+    /// The last start of the endpoint that is checked; a later start makes the result obsolete.
     pub started_at: Option<Timestamp>,
     pub connect_timeout: Duration,
     pub reporting: Reporting,
 }
 
-/// How an attempt or a probe ended.
+/// The result of an attempt or a health check.
 pub(super) struct AttemptResult {
     pub outcome: Outcome,
     pub report: Option<LoadReport>,
@@ -61,49 +61,53 @@
     }
 }
 
-/// Makes an attempt and tells the sidecar how it ended.
-pub(super) async fn attempt(owner: impl AttemptOwner, fleet: Arc<FleetState>, attempt: Attempt) {
-    let ending = attempt.answer(&fleet).await;
-    owner.attempt_ended(&attempt.request, attempt.number, ending);
+/// Simulates an attempt and reports its result.
+pub(super) async fn run_attempt(
+    owner: impl AttemptOwner,
+    fleet: Arc<FleetState>,
+    attempt: Attempt,
+) {
+    let result = attempt.run(&fleet).await;
+    owner.attempt_ended(&attempt.request, attempt.number, result);
 }
 
 impl Attempt {
-    async fn answer(&self, fleet: &FleetState) -> AttemptResult {
-        let begun = Instant::now();
+    async fn run(&self, fleet: &FleetState) -> AttemptResult {
+        let started = Instant::now();
         if self.endpoint.is_unreachable() {
-            sleep_until(self.until.min(begun + self.connect_timeout)).await;
+            sleep_until(self.deadline.min(started + self.connect_timeout)).await;
             return AttemptResult::without_answer(Outcome::ConnectFailed);
         }
         fleet
             .endpoints
             .count_attempt(&self.endpoint, fleet.counters.second());
         let losses = self.endpoint.losses();
-        let in_flight = self.endpoint.begin();
-        let finished = begun + self.service_time;
-        sleep_until(finished.min(self.until)).await;
+        let in_flight = self.endpoint.start_request();
+        let finished = started + self.service_time;
+        sleep_until(finished.min(self.deadline)).await;
         drop(in_flight);
-        if finished > self.until || self.endpoint.losses() != losses {
-            sleep_until(self.until).await;
+        if finished > self.deadline || self.endpoint.losses() != losses {
+            sleep_until(self.deadline).await;
             return AttemptResult::without_answer(Outcome::TimedOut);
         }
         let reports = self.reporting == Reporting::WithAnswers;
         AttemptResult {
             outcome: Outcome::Served,
-            report: reports.then(|| self.endpoint.report()),
+            report: reports.then(|| self.endpoint.load_report()),
         }
     }
 }
 
-/// Makes a probe and tells the sidecar how it ended.
-pub(super) async fn check_health(owner: impl AttemptOwner, check_health: HealthCheck) {
+/// Simulates a health check and reports its result.
+pub(super) async fn run_health_check(owner: impl AttemptOwner, health_check: HealthCheck) {
     let sent = Instant::now();
-    let ending = check_health.answer().await;
-    owner.health_check_ended(&check_health, sent.elapsed(), ending);
+    let result = health_check.run().await;
+    owner.health_check_ended(&health_check, sent.elapsed(), result);
 }
 
 impl HealthCheck {
-    async fn answer(&self) -> AttemptResult {
-        if self.simulated.is_unreachable() {
+    async fn run(&self) -> AttemptResult {
+        if self.simulated_endpoint.is_unreachable() {
             sleep(self.connect_timeout.min(HEALTH_CHECK_TIMEOUT)).await;
             return AttemptResult::without_answer(Outcome::ConnectFailed);
         }
@@ -111,7 +115,7 @@
         let reports = self.reporting != Reporting::Off;
         AttemptResult {
             outcome: Outcome::Served,
-            report: reports.then(|| self.simulated.report()),
+            report: reports.then(|| self.simulated_endpoint.load_report()),
         }
     }
 }
--- a/fleet-lab/src/sidecar/simulated/clock.rs
+++ b/fleet-lab/src/sidecar/simulated/clock.rs
@@ -1,14 +1,14 @@
-//! The clock of a hollow sidecar's decision module.
+//! The clock of a simulated sidecar's decision module.
 
 use balancer_sidecar::policy::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The longest time ahead that a timer is set for, so that no sum overflows.
-const LONGEST_TIMER: Duration = Duration::from_secs(3600);
+/// The longest time ahead that a timer is set for, so that no sum of times overflows.
+const MAX_TIMER_DELAY: Duration = Duration::from_secs(3600);
 
-/// One monotonic clock: Unix time at its start, and what has passed since. Starts of endpoints, which discovery gives
-/// in Unix time, are moments of it as they stand.
+/// A monotonic clock that starts at the current Unix time. The start times of endpoints, which discovery publishes in
+/// Unix time, can therefore be compared with it.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     started: Instant,
@@ -16,6 +16,7 @@
 }
 
 impl Clock {
+    /// Starts the clock.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -26,12 +27,13 @@
         }
     }
 
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.started_at + self.started.elapsed()
     }
 
-    /// When the runtime's timers reach a moment.
-    pub fn instant(&self, moment: Timestamp) -> Instant {
-        Instant::now() + moment.since(self.now()).min(LONGEST_TIMER)
+    /// Converts a time of this clock into the runtime's time.
+    pub fn instant(&self, time: Timestamp) -> Instant {
+        Instant::now() + time.since(self.now()).min(MAX_TIMER_DELAY)
     }
 }
--- a/fleet-lab/src/sidecar/simulated/convergence_times.rs
+++ b/fleet-lab/src/sidecar/simulated/convergence_times.rs
@@ -1,12 +1,12 @@
-//! When the sidecars of a fleet reached a state.
+//! The times at which the sidecars of a fleet reached a state.
 
 use std::time::Duration;
 
-/// When each sidecar of a fleet reached a state, since the moment asked from.
+/// The times at which the sidecars of a fleet reached a state, counted from the start of the measurement.
 #[derive(Clone, Debug, Default)]
 pub struct ConvergenceTimes {
-    /// One duration for each sidecar that did, sorted.
+    /// One duration for each sidecar that reached the state, in ascending order.
     pub reached_after: Vec<Duration>,
-    /// Sidecars that did not before the wait ended.
+    /// The number of sidecars that did not reach the state before the timeout.
     pub missing: usize,
 }
--- a/fleet-lab/src/sidecar/simulated/counters.rs
+++ b/fleet-lab/src/sidecar/simulated/counters.rs
@@ -1,10 +1,10 @@
-//! What a fleet counts, in all and for each second.
+//! The counters of a fleet, in total and by second.
 
 use super::usage::{FleetUsage, SecondCounts};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// The counts of a fleet, shared by its threads.
+/// The counters of a fleet, shared by its threads.
 #[derive(Debug)]
 pub(super) struct Counters {
     started: Instant,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whole seconds since the fleet's start.
+    /// Returns the whole seconds since the fleet's start.
     pub fn second(&self) -> u64 {
         self.started.elapsed().as_secs()
     }
@@ -70,11 +70,11 @@
         self.lock().usage
     }
 
-    /// One entry for each second since the start, the present one included.
+    /// Returns the counts of each second since the start, including the current one.
     pub fn timeline(&self) -> Vec<SecondCounts> {
         let mut seconds = self.lock().seconds.clone();
-        let present = usize::try_from(self.second()).unwrap_or(usize::MAX);
-        seconds.resize(seconds.len().max(present + 1), SecondCounts::default());
+        let current = usize::try_from(self.second()).unwrap_or(usize::MAX);
+        seconds.resize(seconds.len().max(current + 1), SecondCounts::default());
         seconds
     }
 
--- a/fleet-lab/src/sidecar/simulated/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -1,26 +1,26 @@
-//! The endpoints that hollow sidecars' attempts go to: whether they can be reached, and what is in flight at them.
+//! The simulated endpoints that all sidecars of a fleet share: their reachability and the requests in flight.
 
 use balancer_sidecar::policy::{EndpointId, LoadReport};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
-/// Requests that an endpoint works on at once; any further ones in flight are reported as waiting.
+/// Requests that an endpoint works on at once; further ones in flight are reported as queued.
 const CORES: u64 = 4;
 
-/// All endpoints of a fleet that were sent to, by name.
+/// All endpoints that a fleet has sent attempts to, by name.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     endpoints: RwLock<HashMap<EndpointId, Arc<SimulatedEndpoint>>>,
     max_attempts_in_a_second: AtomicU64,
 }
 
-/// One endpoint, as all sidecars of the fleet meet it.
+/// One simulated endpoint.
 #[derive(Debug, Default)]
 pub(super) struct SimulatedEndpoint {
     in_flight: AtomicU64,
     is_unreachable: AtomicBool,
-    /// How often its machine has vanished.
+    /// How often it has become unreachable.
     losses: AtomicU64,
     attempts: Mutex<AttemptsInSecond>,
 }
@@ -32,7 +32,7 @@
 }
 
 impl EndpointTable {
-    /// An endpoint by its name; a new one where nothing was sent there yet.
+    /// Returns an endpoint by its name, and creates it for the first attempt.
     pub fn get(&self, name: &EndpointId) -> Arc<SimulatedEndpoint> {
         let endpoints = self
             .endpoints
@@ -49,14 +49,14 @@
         endpoints.entry(name.clone()).or_default().clone()
     }
 
-    /// Counts an attempt that reaches an endpoint in a second since the fleet's start.
+    /// Counts an attempt that reaches an endpoint; `second` counts from the fleet's start.
     pub fn count_attempt(&self, endpoint: &SimulatedEndpoint, second: u64) {
         let attempts = endpoint.count_attempt(second);
         self.max_attempts_in_a_second
             .fetch_max(attempts, Ordering::Relaxed);
     }
 
-    /// The most attempts that reached one endpoint within one second.
+    /// Returns the largest number of attempts that reached one endpoint within one second.
     pub fn max_attempts_in_a_second(&self) -> u64 {
         self.max_attempts_in_a_second.load(Ordering::Relaxed)
     }
@@ -81,26 +81,26 @@
         self.is_unreachable.load(Ordering::Relaxed)
     }
 
-    /// How often its machine has vanished: what was in flight then is never answered.
+    /// Returns how often the endpoint has become unreachable. An attempt during which this changes gets no answer.
     pub fn losses(&self) -> u64 {
         self.losses.load(Ordering::Relaxed)
     }
 
-    /// The load report that an answer or a probe brings.
-    pub fn report(&self) -> LoadReport {
+    /// Returns the load report that answers and health checks carry.
+    pub fn load_report(&self) -> LoadReport {
         let in_flight = self.in_flight.load(Ordering::Relaxed);
-        let waiting = in_flight.saturating_sub(CORES);
+        let queued = in_flight.saturating_sub(CORES);
         LoadReport {
-            queue_length: Some(waiting as f64),
+            queue_length: Some(queued as f64),
             in_flight: Some(in_flight as f64),
             ..LoadReport::default()
         }
     }
 
     /// Counts a request in flight until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> InFlight {
+    pub fn start_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlight(self.clone())
+        InFlightGuard(self.clone())
     }
 
     fn count_attempt(&self, second: u64) -> u64 {
@@ -116,10 +116,10 @@
     }
 }
 
-/// A request in flight at an endpoint.
-pub(super) struct InFlight(Arc<SimulatedEndpoint>);
+/// Counts a request in flight at an endpoint until it is dropped.
+pub(super) struct InFlightGuard(Arc<SimulatedEndpoint>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- /dev/null
+++ b/fleet-lab/src/sidecar/simulated/error.rs
@@ -0,0 +1,32 @@
+//! Errors of a simulated fleet.
+
+use balancer_sidecar::configuration::settings_document::SettingsDocumentError;
+use balancer_sidecar::policy::SettingsError;
+use std::io;
+
+/// Why a fleet could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum FleetError {
+    /// The settings of a sidecar are invalid.
+    #[error("settings of {sidecar}: {source}")]
+    Settings {
+        /// The sidecar's name.
+        sidecar: String,
+        /// The cause.
+        source: InvalidSettings,
+    },
+    /// The threads that host the sidecars could not be started.
+    #[error("start a thread: {0}")]
+    Thread(#[from] io::Error),
+}
+
+/// Why settings are invalid.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidSettings {
+    /// The settings object is malformed.
+    #[error(transparent)]
+    Document(#[from] SettingsDocumentError),
+    /// The decision module rejects the settings.
+    #[error(transparent)]
+    Rejected(#[from] SettingsError),
+}
--- a/fleet-lab/src/sidecar/simulated/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -1,8 +1,9 @@
-//! A fleet of hollow sidecars as experiments hold it.
+//! The handle with which experiments control a fleet of simulated sidecars.
 
 use super::convergence_times::ConvergenceTimes;
 use super::counters::Counters;
 use super::endpoints::{EndpointTable, SimulatedEndpoint};
+use super::error::FleetError;
 use super::fleet_state::FleetState;
 use super::load::SimulatedLoad;
 use super::milestones::{self, Milestones};
@@ -13,47 +14,47 @@
 use crate::sidecar::configuration::SidecarConfiguration;
 use crate::topology::EndpointName;
 use balancer_sidecar::policy::EndpointId;
-use std::io;
+
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A fleet of hollow sidecars on threads of its own, ended when it is dropped.
+/// A fleet of simulated sidecars on threads of its own, which is stopped when it is dropped.
 #[derive(Debug)]
 pub struct SimulatedFleet {
     state: Arc<FleetState>,
-    /// What each sidecar is started from.
+    /// The configuration with which each sidecar is started.
     plans: Mutex<Vec<Arc<SidecarPlan>>>,
     threads: Vec<HostThread>,
 }
 
 impl SimulatedFleet {
-    /// Starts one hollow sidecar for each configuration, all at once, spread over so many threads.
+    /// Starts a sidecar for each configuration, all at the same time, spread over a number of threads.
     ///
     /// # Errors
-    /// No threads could be had, or settings that the decision module turns down.
+    /// Fails where a thread cannot be started or the decision module rejects settings.
     pub fn start(
         configurations: &[SidecarConfiguration],
         load: SimulatedLoad,
         threads: usize,
-    ) -> io::Result<Self> {
+    ) -> Result<Self, FleetError> {
         Self::start_with_rates(configurations, load, |_| 1.0, threads)
     }
 
-    /// Starts a fleet in which the rate of each sidecar's calls is the load's times a multiple, by the sidecar's place
-    /// in the configurations.
+    /// Starts a fleet in which each sidecar's rate of calls is the load's rate times a factor, by the sidecar's index in
+    /// the configurations.
     ///
     /// # Errors
-    /// As [`SimulatedFleet::start`].
+    /// Fails as [`SimulatedFleet::start`] does.
     pub fn start_with_rates(
         configurations: &[SidecarConfiguration],
         load: SimulatedLoad,
         rate_multiple: impl Fn(usize) -> f64,
         threads: usize,
-    ) -> io::Result<Self> {
+    ) -> Result<Self, FleetError> {
         let plans = configurations
             .iter()
             .map(|configuration| SidecarPlan::from_configuration(configuration).map(Arc::new));
-        let plans = plans.collect::<io::Result<Vec<_>>>()?;
+        let plans = plans.collect::<Result<Vec<_>, _>>()?;
         let state = Arc::new(FleetState {
             load,
             rate_multiples: (0..plans.len()).map(rate_multiple).collect(),
@@ -62,7 +63,7 @@
             milestones: plans.iter().map(|_| Milestones::default()).collect(),
         });
         let threads = (0..threads.max(1)).map(|number| HostThread::start(number, state.clone()));
-        let threads = threads.collect::<io::Result<Vec<_>>>()?;
+        let threads = threads.collect::<Result<Vec<_>, _>>()?;
         let fleet = SimulatedFleet {
             state,
             plans: Mutex::new(plans),
@@ -78,39 +79,38 @@
         Ok(fleet)
     }
 
-    /// Waits until every sidecar has been told this version or a later one, for `longest` at most. Times count from
-    /// `since`; a sidecar that had it earlier counts as zero.
+    /// Waits until every sidecar has received this version or a later one. Times count from `since`, and are zero for
+    /// sidecars that had it earlier.
     pub fn wait_for_version(
         &self,
         version: u64,
         since: Instant,
-        longest: Duration,
+        timeout: Duration,
     ) -> ConvergenceTimes {
-        milestones::wait(&self.state.milestones, since, longest, |m| {
-            m.version_at(version)
+        milestones::wait(&self.state.milestones, since, timeout, |milestones| {
+            milestones.version_at(version)
         })
     }
 
-    /// Waits until every sidecar is ready: it knows an endpoint that takes work.
-    pub fn wait_until_ready(&self, since: Instant, longest: Duration) -> ConvergenceTimes {
-        milestones::wait(&self.state.milestones, since, longest, Milestones::ready_at)
+    /// Waits until every sidecar is ready, which it is while its list has a serving endpoint.
+    pub fn wait_until_ready(&self, since: Instant, timeout: Duration) -> ConvergenceTimes {
+        milestones::wait(&self.state.milestones, since, timeout, Milestones::ready_at)
     }
 
     /// Waits until every sidecar has an open watch.
-    pub fn wait_until_watching(&self, since: Instant, longest: Duration) -> ConvergenceTimes {
+    pub fn wait_until_watching(&self, since: Instant, timeout: Duration) -> ConvergenceTimes {
         milestones::wait(
             &self.state.milestones,
             since,
-            longest,
+            timeout,
             Milestones::watching_at,
         )
     }
 
-    /// Ends these sidecars at once, by their place in the configurations, and starts them again from nothing
-    /// but their configuration.
-    pub fn restart(&self, which: &[usize]) {
+    /// Kills these sidecars, by their index in the configurations, and starts them again with their configuration.
+    pub fn restart(&self, indices: &[usize]) {
         let plans = self.plans();
-        for index in which.iter().copied() {
+        for index in indices.iter().copied() {
             let restarts = self.state.milestones[index].restart();
             let incarnation = Incarnation { index, restarts };
             self.thread(index).send(Command::Start {
@@ -120,15 +120,15 @@
         }
     }
 
-    /// Points these sidecars at other configurations, as a reload by SIGHUP does. One that the decision module turns
-    /// down is logged, and its sidecar goes on as before.
-    pub fn reload(&self, which: &[usize], configuration: impl Fn(usize) -> SidecarConfiguration) {
+    /// Reloads these sidecars with other configurations, as SIGHUP does. A configuration that the decision module rejects
+    /// is logged, and its sidecar keeps the present one.
+    pub fn reload(&self, indices: &[usize], configuration: impl Fn(usize) -> SidecarConfiguration) {
         let mut plans = self.plans();
-        for index in which.iter().copied() {
+        for index in indices.iter().copied() {
             let plan = match SidecarPlan::from_configuration(&configuration(index)) {
                 Ok(plan) => Arc::new(plan),
-                Err(problem) => {
-                    tracing::warn!(index, "configuration not taken: {problem}");
+                Err(error) => {
+                    tracing::warn!(index, %error, "configuration rejected");
                     continue;
                 }
             };
@@ -159,12 +159,12 @@
         self.state.endpoints.get(&EndpointId::from(name.as_str()))
     }
 
-    /// What the fleet did in each second since its start.
+    /// Returns the counts of each second since the fleet's start.
     pub fn timeline(&self) -> Vec<SecondCounts> {
         self.state.counters.timeline()
     }
 
-    /// What the fleet has done so far.
+    /// Returns the total counts since the fleet's start.
     pub fn usage(&self) -> FleetUsage {
         FleetUsage {
             max_attempts_at_an_endpoint: self.state.endpoints.max_attempts_in_a_second(),
--- a/fleet-lab/src/sidecar/simulated/fleet_state.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet_state.rs
@@ -1,18 +1,18 @@
-//! What the sidecars of a fleet share.
+//! The state that the sidecars of a fleet share.
 
 use super::counters::Counters;
 use super::endpoints::EndpointTable;
 use super::load::SimulatedLoad;
 use super::milestones::Milestones;
 
-/// What the sidecars of a fleet share: counters, and the endpoints that answer them.
+/// The state that the sidecars of a fleet share.
 #[derive(Debug)]
 pub(super) struct FleetState {
     pub(super) load: SimulatedLoad,
-    /// What the mean rate of calls is multiplied by, for each sidecar.
+    /// The factor of each sidecar's rate of calls.
     pub(super) rate_multiples: Vec<f64>,
     pub(super) counters: Counters,
     pub(super) endpoints: EndpointTable,
-    /// One for each sidecar.
+    /// The milestones of each sidecar.
     pub(super) milestones: Vec<Milestones>,
 }
--- a/fleet-lab/src/sidecar/simulated/milestones.rs
+++ b/fleet-lab/src/sidecar/simulated/milestones.rs
@@ -1,32 +1,44 @@
-//! When each sidecar of a fleet had a version of the list, was ready, and had an open watch.
+//! The times at which each sidecar of a fleet received a version of the list, became ready and opened a watch.
 
 use super::convergence_times::ConvergenceTimes;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a wait looks at the sidecars; what it finds has times of its own.
+/// The interval at which a wait checks the sidecars. It does not limit the precision of the recorded times.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// The milestones of one place in a fleet. What a sidecar notes under an earlier start is ignored: it was ended.
+/// The milestones of one sidecar. Records of an earlier start, which has been killed, are ignored.
 #[derive(Debug, Default)]
 pub(super) struct Milestones(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    /// How often the sidecar was started again.
+    /// How often the sidecar was restarted.
     restarts: u64,
-    /// How often its discovery has moved since.
+    /// How often the address of discovery has changed since the last start.
     source: u64,
-    /// Versions that it was told, in order.
-    versions: Vec<(u64, Instant)>,
-    ready: Option<Instant>,
-    /// Its open watch, and the source that it follows.
-    watch: Option<(u64, Instant)>,
+    /// The received versions, in order.
+    versions: Vec<ReceivedVersion>,
+    ready_at: Option<Instant>,
+    watch: Option<OpenWatch>,
+}
+
+#[derive(Debug)]
+struct ReceivedVersion {
+    version: u64,
+    at: Instant,
+}
+
+#[derive(Debug)]
+struct OpenWatch {
+    /// The source that is watched.
+    source: u64,
+    opened_at: Instant,
 }
 
 impl Milestones {
-    /// Forgets what was reached; returns the number of the next start.
+    /// Clears the milestones; returns the new number of restarts.
     pub fn restart(&self) -> u64 {
         let mut state = self.lock();
         let restarts = state.restarts + 1;
@@ -37,56 +49,61 @@
         restarts
     }
 
-    /// The sidecar's discovery has moved: a watch on the one before no longer counts.
+    /// Records that the address of discovery has changed. Watches on the previous one no longer count.
     pub fn record_discovery_change(&self) {
         self.lock().source += 1;
     }
 
+    /// Records that a version was received.
     pub fn record_version(&self, restarts: u64, version: u64) {
-        self.record(restarts, |state, now| state.versions.push((version, now)));
+        self.record(restarts, |state, at| {
+            state.versions.push(ReceivedVersion { version, at });
+        });
     }
 
-    pub fn record_readiness(&self, restarts: u64, ready: bool) {
+    /// Records whether the sidecar is ready.
+    pub fn record_readiness(&self, restarts: u64, is_ready: bool) {
         self.record(restarts, |state, now| {
-            state.ready = ready.then(|| state.ready.unwrap_or(now));
+            state.ready_at = is_ready.then(|| state.ready_at.unwrap_or(now));
         });
     }
 
+    /// Records that a watch was opened.
     pub fn record_watch_opened(&self, restarts: u64, source: u64) {
-        self.record(restarts, |state, now| {
-            // One on the discovery before may open late.
-            if state.watch.is_none_or(|(open, _)| open <= source) {
-                state.watch = Some((source, now));
+        self.record(restarts, |state, opened_at| {
+            // A watch on the previous discovery may open after one on the present discovery.
+            let is_current = |open: &OpenWatch| open.source <= source;
+            if state.watch.as_ref().is_none_or(is_current) {
+                state.watch = Some(OpenWatch { source, opened_at });
             }
         });
     }
 
+    /// Records that a watch has ended.
     pub fn record_watch_lost(&self, restarts: u64, source: u64) {
         self.record(restarts, |state, _| {
-            state.watch.take_if(|(open, _)| *open == source);
+            state.watch.take_if(|watch| watch.source == source);
         });
     }
 
-    /// When it was first told this version or a later one.
+    /// Returns when the sidecar first received this version or a later one.
     pub fn version_at(&self, version: u64) -> Option<Instant> {
         let state = self.lock();
-        state
-            .versions
-            .iter()
-            .find(|(known, _)| *known >= version)
-            .map(|(_, at)| *at)
+        let mut versions = state.versions.iter();
+        let received = versions.find(|received| received.version >= version)?;
+        Some(received.at)
     }
 
+    /// Returns since when the sidecar is ready.
     pub fn ready_at(&self) -> Option<Instant> {
-        self.lock().ready
+        self.lock().ready_at
     }
 
+    /// Returns when the open watch on the present discovery was opened.
     pub fn watching_at(&self) -> Option<Instant> {
         let state = self.lock();
-        state
-            .watch
-            .filter(|(source, _)| *source == state.source)
-            .map(|(_, at)| at)
+        let watch = state.watch.as_ref()?;
+        (watch.source == state.source).then_some(watch.opened_at)
     }
 
     fn record(&self, restarts: u64, change: impl FnOnce(&mut State, Instant)) {
@@ -101,17 +118,17 @@
     }
 }
 
-/// Waits for `longest` at most until all have reached something, and tells when each did.
+/// Waits until all sidecars have reached a milestone or the timeout has passed, and returns when each reached it.
 pub(super) fn wait(
     fleet: &[Milestones],
     since: Instant,
-    longest: Duration,
+    timeout: Duration,
     reached_at: impl Fn(&Milestones) -> Option<Instant>,
 ) -> ConvergenceTimes {
-    let give_up = Instant::now() + longest;
+    let give_up_at = Instant::now() + timeout;
     loop {
         let reached: Vec<Instant> = fleet.iter().filter_map(&reached_at).collect();
-        if reached.len() == fleet.len() || Instant::now() >= give_up {
+        if reached.len() == fleet.len() || Instant::now() >= give_up_at {
             return convergence_times(fleet.len(), since, &reached);
         }
         sleep(POLL_INTERVAL);
--- a/fleet-lab/src/sidecar/simulated/mod.rs
+++ b/fleet-lab/src/sidecar/simulated/mod.rs
@@ -1,11 +1,12 @@
-//! Hollow sidecars: hundreds in one process, each with the real decision module and the real discovery client over
-//! real loopback sockets, while its calls are answered in memory.
+//! Simulated sidecars: hundreds in one process, each with the real decision module and the real discovery client over
+//! loopback sockets, while calls and attempts are simulated in memory.
 
 mod attempts;
 mod clock;
 mod convergence_times;
 mod counters;
 mod endpoints;
+mod error;
 mod fleet;
 mod fleet_state;
 mod load;
@@ -17,6 +18,7 @@
 mod usage;
 
 pub use convergence_times::ConvergenceTimes;
+pub use error::{FleetError, InvalidSettings};
 pub use fleet::SimulatedFleet;
 pub use load::SimulatedLoad;
 pub use usage::{FleetUsage, SecondCounts};
--- a/fleet-lab/src/sidecar/simulated/pending_calls.rs
+++ b/fleet-lab/src/sidecar/simulated/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Callers of a hollow sidecar: when calls arrive, and those that are open.
+//! The generator of a simulated sidecar's calls, and the calls that are pending.
 
 use balancer_sidecar::policy::{AttemptNumber, RequestId, Timestamp};
 use balancer_sidecar::task::Task;
@@ -6,29 +6,29 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// The longest pause between two calls, so that no sum overflows.
-const LONGEST_GAP: Duration = Duration::from_secs(3600);
+/// The longest time between two calls, so that no sum of times overflows.
+const MAX_INTERARRIVAL_TIME: Duration = Duration::from_secs(3600);
 
-/// Whose calls arrive.
+/// The receiver of generated calls.
 pub(super) trait CallTarget {
-    /// The time between two calls; none where no calls come.
+    /// Draws the time until the next call; none if there are no calls.
     fn time_to_next_call(&self) -> Option<Duration>;
 
-    /// A call arrives.
+    /// Receives a call.
     fn call(&self);
 }
 
-/// Makes calls without end, as a Poisson process: whether earlier ones were answered makes no difference.
+/// Generates calls without end in an open loop: the times between calls do not depend on answers.
 pub(super) async fn generate_calls(target: impl CallTarget) {
     let mut due = Instant::now();
-    while let Some(gap) = target.time_to_next_call() {
-        due += gap.min(LONGEST_GAP);
+    while let Some(interarrival_time) = target.time_to_next_call() {
+        due += interarrival_time.min(MAX_INTERARRIVAL_TIME);
         sleep_until(due).await;
         target.call();
     }
 }
 
-/// The calls of a sidecar that are unanswered or have attempts out.
+/// The calls of a sidecar that are unanswered or have attempts in flight.
 #[derive(Default)]
 pub(super) struct PendingCalls(HashMap<RequestId, PendingCall>);
 
@@ -40,11 +40,11 @@
 
 struct AttemptRecord {
     sent: Timestamp,
-    /// Gone once the attempt has ended.
+    /// The task that simulates the attempt; none once the attempt has ended.
     task: Option<Task>,
 }
 
-/// What is to be known of a call before an attempt of it.
+/// The number of a call's next attempt, and the state of the call.
 pub(super) struct NextAttempt {
     pub number: AttemptNumber,
     pub deadline: Timestamp,
@@ -53,13 +53,21 @@
 
 /// An attempt that has just ended.
 pub(super) struct EndedAttempt {
-    /// Since when it was out.
+    /// When the attempt was sent.
     pub sent: Timestamp,
-    /// Its call has its final answer.
+    /// Whether its call has its final answer.
     pub call_is_answered: bool,
 }
 
+impl PendingCall {
+    fn is_complete(&self) -> bool {
+        let has_attempts_in_flight = self.attempts.iter().any(|record| record.task.is_some());
+        self.is_answered && !has_attempts_in_flight
+    }
+}
+
 impl PendingCalls {
+    /// Adds a call.
     pub fn insert(&mut self, request: RequestId, deadline: Timestamp) {
         self.0.insert(
             request,
@@ -71,14 +79,12 @@
         );
     }
 
+    /// Returns the number of calls without an answer.
     pub fn unanswered_count(&self) -> u64 {
-        self.0
-            .values()
-            .map(|call| u64::from(!call.is_answered))
-            .sum()
+        self.0.values().filter(|call| !call.is_answered).count() as u64
     }
 
-    /// The next attempt of a call, if the call is open.
+    /// Returns the next attempt of a call; none if the call is not pending.
     pub fn next_attempt(&self, request: &RequestId) -> Option<NextAttempt> {
         let call = self.0.get(request)?;
         Some(NextAttempt {
@@ -88,14 +94,14 @@
         })
     }
 
-    /// Adds a call's next attempt; one without a task has ended already.
-    pub fn begin_attempt(&mut self, request: &RequestId, sent: Timestamp, task: Option<Task>) {
+    /// Adds a call's next attempt; an attempt without a task has already ended.
+    pub fn start_attempt(&mut self, request: &RequestId, sent: Timestamp, task: Option<Task>) {
         if let Some(call) = self.0.get_mut(request) {
             call.attempts.push(AttemptRecord { sent, task });
         }
     }
 
-    /// Ends an attempt, unless it has ended before. The first one that was served answers its call.
+    /// Ends an attempt; none if it has already ended. An attempt that was served answers its call.
     pub fn end_attempt(
         &mut self,
         request: &RequestId,
@@ -103,16 +109,15 @@
         served: bool,
     ) -> Option<EndedAttempt> {
         let call = self.0.get_mut(request)?;
-        let open = call.attempts.get_mut(attempt)?;
-        open.task.take()?;
-        let sent = open.sent;
+        let record = call.attempts.get_mut(attempt)?;
+        record.task.take()?;
         Some(EndedAttempt {
-            sent,
+            sent: record.sent,
             call_is_answered: call.is_answered || served,
         })
     }
 
-    /// Answers a call; false if it was answered before.
+    /// Marks a call as answered. Returns false if it already was.
     pub fn answer(&mut self, request: &RequestId) -> bool {
         match self.0.get_mut(request) {
             Some(call) if !call.is_answered => {
@@ -123,11 +128,9 @@
         }
     }
 
-    /// Kept as long as the decision module keeps it: until it is answered and none of its attempts is out.
+    /// Removes a call once it is answered and has no attempts in flight, as the decision module does.
     pub fn remove_if_complete(&mut self, request: &RequestId) {
-        let is_finished =
-            |call: &PendingCall| call.is_answered && call.attempts.iter().all(|a| a.task.is_none());
-        if self.0.get(request).is_some_and(is_finished) {
+        if self.0.get(request).is_some_and(PendingCall::is_complete) {
             self.0.remove(request);
         }
     }
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -1,4 +1,5 @@
-//! One hollow sidecar: a decision module with its open calls, attempts and timers, and the only place that calls it.
+//! One simulated sidecar: a decision module with its pending calls, attempts and timers. Only this module calls the
+//! decision module.
 
 mod actions;
 mod discovery;
@@ -19,15 +20,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Parts the seeds of a sidecar's starts from each other.
+/// Distance between the seeds of a sidecar's incarnations.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Which sidecar of the fleet it is, and which of its starts.
+/// Identifies a sidecar of the fleet and one of its starts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Incarnation {
-    /// Its place in the configurations.
+    /// The sidecar's index in the configurations.
     pub index: usize,
-    /// How often it was started before.
+    /// How often the sidecar was restarted before.
     pub restarts: u64,
 }
 
@@ -37,31 +38,31 @@
     clock: Clock,
     settings: Settings,
     settings_document: serde_json::Value,
-    /// The module's ids of the settings' classes, in their order.
+    /// The module's ids of the request classes, in the order of the settings.
     classes: Vec<ClassId>,
     balancer: Balancer,
     subscription: Subscription,
     pending_calls: PendingCalls,
     calls_started: u64,
-    /// Once callers have begun to call: when the sidecar is first ready, as they ask for that.
+    /// Whether calls are generated, which starts when the sidecar first becomes ready.
     callers_started: bool,
-    /// Seed of this start's random numbers.
+    /// Seed of this incarnation's random numbers.
     seed: u64,
     random: Pcg64,
     events: VecDeque<Event>,
     actions: Vec<Action>,
 }
 
-/// What tasks hold of a sidecar. Its methods borrow it, pass an event on, carry out the actions and let go.
+/// A shared handle of a sidecar. Its methods borrow the sidecar only while they handle an event.
 #[derive(Clone)]
 pub(super) struct SidecarHandle(Rc<RefCell<SimulatedSidecar>>);
 
 impl SidecarHandle {
-    /// Starts a sidecar on the local tasks that the caller has entered. It is told the endpoints in the plan, and
-    /// follows discovery as its module decides; at once where lists are pushed, and where it knows no endpoints.
+    /// Starts a sidecar on the current set of local tasks. It applies the cached list, and starts a watch when its module
+    /// requests one; immediately if lists are pushed or there is no cached list.
     ///
     /// # Errors
-    /// Settings that the decision module turns down.
+    /// Fails where the decision module rejects the settings.
     pub fn start(
         incarnation: Incarnation,
         fleet: Arc<FleetState>,
@@ -99,23 +100,22 @@
             sidecar.apply_list(cached_list, ListKind::Cached);
         }
         if follows_at_once {
-            sidecar.borrow().begin_watch(&sidecar);
+            sidecar.borrow().start_watch(&sidecar);
         }
         Ok(sidecar)
     }
 
-    /// Takes over what a configuration now says: settings first, then a discovery that has moved, which is asked at
-    /// once; until it has spoken the one before is listened to.
+    /// Applies another configuration: first its settings, then the address of discovery. The watch on a previous
+    /// discovery continues until the present one has sent a list.
     pub fn reload(&self, plan: &SidecarPlan) {
-        if let Err(problem) = self.change_settings(plan) {
-            return tracing::warn!(
-                index = self.borrow().incarnation.index,
-                "configuration not taken: {problem}"
-            );
+        if let Err(error) = self.change_settings(plan) {
+            let index = self.borrow().incarnation.index;
+            tracing::warn!(index, %error, "configuration rejected");
+            return;
         }
         let mut sidecar = self.borrow();
         if sidecar.subscription.move_to(plan.discovery) == SourceChange::Moved {
-            sidecar.begin_watch(self);
+            sidecar.start_watch(self);
         }
     }
 
@@ -137,10 +137,10 @@
             sidecar.execute(self, action);
         }
         if mode_changed {
-            sidecar.begin_watch(self);
+            sidecar.start_watch(self);
         }
         drop(sidecar);
-        self.handle_event(Event::Timer { token: 0 }); // what carrying out has brought goes on to the module
+        self.handle_event(Event::Timer { token: 0 }); // also handles the events that the actions have queued
         Ok(())
     }
 
@@ -148,7 +148,7 @@
         self.0.borrow_mut()
     }
 
-    /// Passes an event on and carries out what comes of it, in order.
+    /// Passes an event to the decision module and executes the actions, in order.
     fn handle_event(&self, event: Event) {
         let mut sidecar = self.borrow();
         sidecar.events.push_back(event);
@@ -165,7 +165,6 @@
 }
 
 impl CallTarget for SidecarHandle {
-    /// The time between two calls; none where no calls come.
     fn time_to_next_call(&self) -> Option<Duration> {
         let mut sidecar = self.borrow();
         let fleet = &sidecar.fleet;
@@ -174,7 +173,7 @@
         (rate > 0.0).then(|| Duration::try_from_secs_f64(unit_time / rate).unwrap_or(Duration::MAX))
     }
 
-    /// A call arrives, of any class with the same chance.
+    /// Receives a call of a random class, each with the same probability.
     fn call(&self) {
         let mut sidecar = self.borrow();
         sidecar.fleet.counters.count_call();
@@ -191,10 +190,10 @@
 }
 
 impl AttemptOwner for SidecarHandle {
-    /// An attempt has ended. The first one served is its call's answer.
-    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, ending: AttemptResult) {
+    /// Handles the end of an attempt. The first one that is served answers its call.
+    fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult) {
         let mut sidecar = self.borrow();
-        let served = ending.outcome == Outcome::Served;
+        let served = result.outcome == Outcome::Served;
         let Some(ended) = sidecar.pending_calls.end_attempt(request, attempt, served) else {
             return;
         };
@@ -204,44 +203,43 @@
         let event = Event::AttemptEnded(AttemptEnd {
             request: request.clone(),
             attempt,
-            outcome: ending.outcome,
+            outcome: result.outcome,
             took: sidecar.clock.now().since(ended.sent),
             request_ended: ended.call_is_answered,
-            report: ending.report,
+            report: result.report,
         });
         drop(sidecar);
         self.handle_event(event);
         self.borrow().pending_calls.remove_if_complete(request);
     }
 
-    /// A probe has ended. It says nothing of a process that has been started since.
+    /// Handles the end of a health check, unless the endpoint has been restarted since.
     fn health_check_ended(
         &self,
-        check_health: &HealthCheck,
+        health_check: &HealthCheck,
         took: Duration,
-        ending: AttemptResult,
+        result: AttemptResult,
     ) {
-        if self.borrow().started_at(&check_health.endpoint) != Some(check_health.started_at) {
+        if self.borrow().started_at(&health_check.endpoint) != Some(health_check.started_at) {
             return;
         }
-        let (endpoint, AttemptResult { outcome, report }) = (check_health.endpoint.clone(), ending);
         self.handle_event(Event::HealthCheckEnded {
-            endpoint,
-            outcome,
+            endpoint: health_check.endpoint.clone(),
+            outcome: result.outcome,
             took,
-            report,
+            report: result.report,
         });
     }
 }
 
 impl SimulatedSidecar {
-    /// When an endpoint last started; none where it is not listed. Answers in memory have no addresses, so an endpoint that
-    /// starts at another's address does not replace it here.
+    /// Returns the last start of an endpoint; none if it is not listed. Simulated endpoints have no addresses, so unlike in
+    /// the real sidecar an endpoint is not replaced by another one at its address.
     fn started_at(&self, endpoint: &EndpointId) -> Option<Option<Timestamp>> {
         self.subscription
             .membership()
             .get(endpoint)
-            .map(|sidecar| sidecar.started_at)
+            .map(|endpoint| endpoint.started_at)
     }
 
     fn new_request(&mut self) -> Request {
@@ -263,7 +261,7 @@
 }
 
 impl Drop for SimulatedSidecar {
-    /// What a sidecar has open when it ends is lost.
+    /// Counts the pending calls as unserved.
     fn drop(&mut self) {
         self.fleet
             .counters
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -1,4 +1,4 @@
-//! What the decision module has a hollow sidecar do.
+//! Execution of the actions that the decision module returns.
 
 use super::super::attempts::{self, Attempt, HealthCheck};
 use super::super::pending_calls::NextAttempt;
@@ -16,7 +16,7 @@
 use tokio::time::sleep_until;
 
 impl SimulatedSidecar {
-    /// Does what one action says. What comes of it at once is put with the events to be told.
+    /// Executes an action. Events that it causes immediately are queued for the decision module.
     pub(super) fn execute(&mut self, handle: &SidecarHandle, action: Action) {
         match action {
             Action::Send {
@@ -29,14 +29,14 @@
                 self.end_unserved(&request);
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
-            // An agent that pushes is followed unasked.
+            // The watch on an agent does not depend on the module.
             Action::Subscribe | Action::Unsubscribe
                 if self.settings.discovery == DiscoveryMode::Pushed => {}
-            Action::Unsubscribe => self.end_watch(),
+            Action::Unsubscribe => self.stop_watch(),
             Action::Subscribe => {
-                // A reload may have asked already; a second watch would cost discovery a call for nothing.
+                // A reload may have started a watch already, and a second one would cost discovery a call.
                 if !self.subscription.is_watching() {
-                    self.begin_watch(handle);
+                    self.start_watch(handle);
                 }
             }
             Action::FetchList => drop(spawn_local(discovery::fetch(
@@ -45,12 +45,12 @@
             ))),
             Action::HealthCheck { endpoint } => self.check_health(handle, endpoint),
             Action::Log(text) => tracing::debug!(index = self.incarnation.index, "{text}"),
-            // There are no connections, and no peers.
+            // Simulated sidecars have neither connections to endpoints nor peers.
             Action::CloseIdleConnections { .. } | Action::SendPeerMessage { .. } => {}
         }
     }
 
-    /// Has a timer event come at a time.
+    /// Schedules a timer event.
     fn set_timer(&self, handle: &SidecarHandle, at: Timestamp, token: u64) {
         let (handle, due) = (handle.clone(), self.clock.instant(at));
         spawn_local(async move {
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Begins an attempt, unless its call is answered or its endpoint is gone.
+    /// Starts an attempt, unless its call is answered or its endpoint was removed from the list.
     fn send(
         &mut self,
         handle: &SidecarHandle,
@@ -72,31 +72,31 @@
             return;
         };
         if next.call_is_answered || self.subscription.membership().get(endpoint).is_none() {
-            self.pending_calls.begin_attempt(&request, now, None);
+            self.pending_calls.start_attempt(&request, now, None);
             self.events.push_back(not_sent(request, &next));
             return;
         }
         self.fleet.counters.count_attempt();
-        let until = timeout.map_or(next.deadline, |timeout| next.deadline.min(now + timeout));
+        let deadline = timeout.map_or(next.deadline, |timeout| next.deadline.min(now + timeout));
         let unit_time: f64 = self.random.sample(Exp1);
         let attempt = Attempt {
             request: request.clone(),
             number: next.number,
             endpoint: self.fleet.endpoints.get(endpoint),
-            until: self.clock.instant(until),
+            deadline: self.clock.instant(deadline),
             connect_timeout: self.settings.limits.connect_timeout,
             service_time: self.fleet.load.mean_service_time.mul_f64(unit_time),
             reporting: self.settings.reporting,
         };
-        let task = Task::spawn(attempts::attempt(
+        let task = Task::spawn(attempts::run_attempt(
             handle.clone(),
             self.fleet.clone(),
             attempt,
         ));
-        self.pending_calls.begin_attempt(&request, now, Some(task));
+        self.pending_calls.start_attempt(&request, now, Some(task));
     }
 
-    /// Ends an attempt whose answer is no longer wanted.
+    /// Cancels an attempt.
     fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
         let Some(ended) = self.pending_calls.end_attempt(request, attempt, false) else {
             return;
@@ -112,7 +112,7 @@
         self.pending_calls.remove_if_complete(request);
     }
 
-    /// Answers a call without having served it, unless it is answered.
+    /// Answers a call as rejected or failed, unless it is already answered.
     fn end_unserved(&mut self, request: &RequestId) {
         if self.pending_calls.answer(request) {
             self.fleet.counters.count_unserved(1);
@@ -120,24 +120,24 @@
         }
     }
 
-    /// Probes an endpoint, if it is listed.
+    /// Checks the health of an endpoint, if it is listed.
     fn check_health(&mut self, handle: &SidecarHandle, endpoint: EndpointId) {
         let Some(started_at) = self.started_at(&endpoint) else {
             return;
         };
         self.fleet.counters.count_health_check();
-        let check_health = HealthCheck {
-            simulated: self.fleet.endpoints.get(&endpoint),
+        let health_check = HealthCheck {
+            simulated_endpoint: self.fleet.endpoints.get(&endpoint),
             endpoint,
             started_at,
             connect_timeout: self.settings.limits.connect_timeout,
             reporting: self.settings.reporting,
         };
-        spawn_local(attempts::check_health(handle.clone(), check_health));
+        spawn_local(attempts::run_health_check(handle.clone(), health_check));
     }
 }
 
-/// The end of an attempt that has nowhere to go, or comes too late.
+/// Returns the end of an attempt that was not sent.
 fn not_sent(request: RequestId, attempt: &NextAttempt) -> Event {
     Event::AttemptEnded(AttemptEnd {
         request,
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -1,4 +1,4 @@
-//! The hollow sidecar as the client of discovery sees it: the lists it is told, and its watch.
+//! The simulated sidecar as a consumer of the discovery client: the lists that it receives, and its watch.
 
 use super::super::pending_calls;
 use super::{Incarnation, SidecarHandle, SimulatedSidecar};
@@ -37,14 +37,14 @@
 }
 
 impl SimulatedSidecar {
-    /// Begins to follow discovery, in place of the watch that there was.
-    pub(super) fn begin_watch(&mut self, handle: &SidecarHandle) {
+    /// Starts a watch on discovery, in place of an earlier one.
+    pub(super) fn start_watch(&mut self, handle: &SidecarHandle) {
         self.subscription
             .start_watch(handle.clone(), self.settings.discovery);
     }
 
-    /// Follows discovery no more.
-    pub(super) fn end_watch(&mut self) {
+    /// Stops the watch on discovery.
+    pub(super) fn stop_watch(&mut self) {
         self.subscription.stop_watch();
         let Incarnation { index, restarts } = self.incarnation;
         self.fleet.milestones[index]
@@ -67,7 +67,8 @@
         Ok(())
     }
 
-    /// That is no less than word that nothing has changed, which may not come before the first change.
+    /// Forwards an empty list of changes. An open watch confirms the present version, and the next list may come only
+    /// with the next change.
     fn watch_opened(&self, source: Source) {
         let sidecar = self.borrow();
         sidecar.fleet.milestones[sidecar.incarnation.index]
@@ -82,7 +83,7 @@
         }
     }
 
-    /// That of a discovery that is no longer asked was to be.
+    /// Forwards a failure, except that of a discovery which the sidecar no longer uses.
     fn discovery_failed(&self, source: Source) {
         let mut sidecar = self.borrow();
         if source == sidecar.subscription.source() {
--- a/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -1,19 +1,19 @@
-//! What a hollow sidecar is started from and reloaded with.
+//! The configuration of a simulated sidecar, in the form that its decision module and its discovery client need.
 
+use super::error::{FleetError, InvalidSettings};
 use crate::discovery::{EndpointEntry, EndpointStatus, ListSnapshot};
 use crate::sidecar::configuration::SidecarConfiguration;
 use balancer_sidecar::configuration::settings_document::parse_settings;
 use balancer_sidecar::discovery::{EndpointList, EntryStatus, ListEntry};
 use balancer_sidecar::policy::Settings;
 use serde_json::Value;
-use std::io;
 use std::net::SocketAddr;
 
-/// A configuration in the decision module's form.
+/// The configuration of a simulated sidecar.
 #[derive(Debug)]
 pub(super) struct SidecarPlan {
     pub settings: Settings,
-    /// The settings as the configuration has them, to tell whether a reload changes them.
+    /// The settings as the configuration contains them, to detect whether a reload changes them.
     pub settings_document: Value,
     pub discovery: SocketAddr,
     pub cached_list: Option<EndpointList>,
@@ -21,15 +21,17 @@
 }
 
 impl SidecarPlan {
+    /// Converts a configuration.
+    ///
     /// # Errors
-    /// Settings that the decision module turns down.
-    pub fn from_configuration(configuration: &SidecarConfiguration) -> io::Result<Self> {
+    /// Fails where the decision module rejects the settings.
+    pub fn from_configuration(configuration: &SidecarConfiguration) -> Result<Self, FleetError> {
         let settings_document = configuration.settings();
-        let settings = parse_settings(&settings_document.to_string());
-        let settings = settings.map_err(|error| invalid(&configuration.name, error))?;
-        settings
-            .validate()
-            .map_err(|error| invalid(&configuration.name, error))?;
+        let settings =
+            checked_settings(&settings_document).map_err(|source| FleetError::Settings {
+                sidecar: configuration.name.clone(),
+                source,
+            })?;
         Ok(SidecarPlan {
             settings,
             settings_document,
@@ -40,6 +42,12 @@
     }
 }
 
+fn checked_settings(document: &Value) -> Result<Settings, InvalidSettings> {
+    let settings = parse_settings(&document.to_string())?;
+    settings.validate()?;
+    Ok(settings)
+}
+
 /// Converts a snapshot into the form of the discovery client.
 fn endpoint_list(snapshot: &ListSnapshot) -> EndpointList {
     EndpointList {
@@ -49,13 +57,6 @@
     }
 }
 
-fn invalid(name: &str, error: impl std::fmt::Display) -> io::Error {
-    io::Error::new(
-        io::ErrorKind::InvalidInput,
-        format!("settings of {name}: {error}"),
-    )
-}
-
 /// Converts an entry into the form of the discovery client.
 fn list_entry(entry: &EndpointEntry) -> ListEntry {
     ListEntry {
--- a/fleet-lab/src/sidecar/simulated/thread.rs
+++ b/fleet-lab/src/sidecar/simulated/thread.rs
@@ -1,4 +1,4 @@
-//! Threads that host hollow sidecars, each sidecar on a set of local tasks of its own, which end with it.
+//! Threads that host simulated sidecars. Each sidecar has a set of local tasks of its own, which ends with it.
 
 use super::fleet_state::FleetState;
 use super::sidecar::{Incarnation, SidecarHandle};
@@ -15,26 +15,26 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 
-/// What a thread is to do.
+/// A command to a host thread.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Start a sidecar, in place of the one that runs there.
+    /// Start a sidecar and replace its earlier incarnation.
     Start {
-        /// Which sidecar, and which of its starts.
+        /// The sidecar's index and its number of restarts.
         incarnation: Incarnation,
-        /// What it is started from.
+        /// The sidecar's configuration.
         plan: Arc<SidecarPlan>,
     },
-    /// Have a sidecar take over a configuration.
+    /// Reload a sidecar with another configuration.
     Reload {
-        /// Its place.
+        /// The sidecar's index.
         index: usize,
-        /// The configuration.
+        /// The new configuration.
         plan: Arc<SidecarPlan>,
     },
 }
 
-/// A thread with a runtime of its own, ended when it is dropped.
+/// A thread with a runtime of its own, which is stopped when it is dropped.
 #[derive(Debug)]
 pub(super) struct HostThread {
     commands: Option<UnboundedSender<Command>>,
@@ -42,13 +42,14 @@
 }
 
 impl HostThread {
+    /// Starts a thread without sidecars.
     pub fn start(number: usize, fleet: Arc<FleetState>) -> io::Result<Self> {
         let runtime = runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
         let (commands, receiver) = unbounded_channel();
         let thread = Builder::new()
-            .name(format!("hollow-{number}"))
+            .name(format!("simulated-{number}"))
             .spawn(move || {
                 LocalSet::new().block_on(&runtime, host(fleet, receiver));
             })?;
@@ -58,14 +59,14 @@
         })
     }
 
-    /// Sends a command; commands are carried out in order.
+    /// Sends a command; commands are executed in order.
     pub fn send(&self, command: Command) {
         let sent = self
             .commands
             .as_ref()
             .is_some_and(|commands| commands.send(command).is_ok());
         if !sent {
-            tracing::error!("a thread of hollow sidecars has ended");
+            tracing::error!("a thread of simulated sidecars has ended");
         }
     }
 }
@@ -76,12 +77,12 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            tracing::error!("a thread of hollow sidecars has panicked");
+            tracing::error!("a thread of simulated sidecars has panicked");
         }
     }
 }
 
-/// Carries out commands until their sender is gone.
+/// Executes commands until their sender is dropped.
 async fn host(fleet: Arc<FleetState>, mut commands: UnboundedReceiver<Command>) {
     let mut sidecars: HashMap<usize, HostedSidecar> = HashMap::new();
     while let Some(command) = commands.recv().await {
@@ -90,8 +91,8 @@
                 sidecars.remove(&incarnation.index);
                 match HostedSidecar::start(incarnation, fleet.clone(), &plan) {
                     Ok(sidecar) => drop(sidecars.insert(incarnation.index, sidecar)),
-                    Err(problem) => {
-                        tracing::error!(index = incarnation.index, "not started: {problem}");
+                    Err(error) => {
+                        tracing::error!(index = incarnation.index, %error, "sidecar not started");
                     }
                 }
             }
@@ -104,7 +105,7 @@
     }
 }
 
-/// A sidecar with its tasks. Dropped, it ends at once: its connections are closed, and what it has open is lost.
+/// A sidecar and its tasks. Dropping it kills the sidecar: its connections are closed and its pending calls are lost.
 struct HostedSidecar {
     handle: SidecarHandle,
     tasks: Rc<LocalSet>,
@@ -122,8 +123,8 @@
             let _entered = tasks.enter();
             SidecarHandle::start(incarnation, fleet, plan)?
         };
-        let driven = tasks.clone();
-        let driver = Task::spawn(async move { driven.run_until(pending::<()>()).await });
+        let driven_tasks = tasks.clone();
+        let driver = Task::spawn(async move { driven_tasks.run_until(pending::<()>()).await });
         Ok(HostedSidecar {
             handle,
             tasks,
--- a/fleet-lab/src/sidecar/simulated/usage.rs
+++ b/fleet-lab/src/sidecar/simulated/usage.rs
@@ -1,39 +1,39 @@
-//! What a hollow fleet has done.
+//! Counters of a simulated fleet.
 
 use serde::Serialize;
 
-/// Counts of a hollow fleet since its start.
+/// Counts of a simulated fleet since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct FleetUsage {
-    /// Calls that callers made.
+    /// Calls that were received.
     pub calls: u64,
-    /// Attempts that the modules started.
+    /// Attempts that the decision modules started.
     pub attempts: u64,
     /// Calls that were served.
     pub served: u64,
-    /// Calls that were refused or failed.
+    /// Calls that were rejected or failed.
     #[serde(rename = "not_served")]
     pub unserved: u64,
-    /// Probes that the modules started.
+    /// Health checks that the decision modules started.
     #[serde(rename = "probes")]
     pub health_checks: u64,
-    /// Calls of discovery that failed, and watches that were lost.
+    /// Failed calls of discovery and lost watches.
     pub discovery_failures: u64,
-    /// The most attempts that one endpoint got within one second.
+    /// The largest number of attempts that one endpoint received within one second.
     #[serde(rename = "most_attempts_at_an_endpoint")]
     pub max_attempts_at_an_endpoint: u64,
 }
 
-/// What a hollow fleet did within one second.
+/// Counts of a simulated fleet within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SecondCounts {
-    /// Calls that callers made.
+    /// Calls that were received.
     pub calls: u64,
-    /// Attempts that the modules started.
+    /// Attempts that the decision modules started.
     pub attempts: u64,
     /// Calls that were served.
     pub served: u64,
-    /// Calls that were refused or failed.
+    /// Calls that were rejected or failed.
     #[serde(rename = "not_served")]
     pub unserved: u64,
 }
