--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -1,107 +1,111 @@
-//! The pauses between calls of discovery.
+//! The delays between calls of discovery.
 
 use balancer_sidecar::discovery::Backoff;
 use balancer_sidecar::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
+use std::ops::Range;
 use std::time::Duration;
 
-const SEEDS: std::ops::Range<u64> = 0..200;
+const SEEDS: Range<u64> = 0..200;
 const FAILURES: usize = 20;
-const AT_ONCE: Duration = Duration::ZERO;
+/// The duration of a call that failed immediately.
+const IMMEDIATE: Duration = Duration::ZERO;
+/// The delay after the first failure in a row lies between these bounds.
+const MIN_FIRST_DELAY: Duration = Duration::from_millis(150);
+const MAX_FIRST_DELAY: Duration = Duration::from_millis(450);
 
-fn pauses(seed: u64, took: Duration) -> Vec<Duration> {
+/// The delays after failures in a row of calls that each took this long.
+fn delays(seed: u64, call_duration: Duration) -> Vec<Duration> {
     let mut backoff = Backoff::new(seed);
-    (0..FAILURES).map(|_| backoff.delay_after(took)).collect()
+    (0..FAILURES)
+        .map(|_| backoff.delay_after(call_duration))
+        .collect()
 }
 
-/// The mean over all seeds of the pause after so many failures before.
-fn mean(failures_before: usize, took: Duration) -> Duration {
-    SEEDS
-        .map(|seed| pauses(seed, took)[failures_before])
-        .sum::<Duration>()
-        / SEEDS.end as u32
+/// The mean over all seeds of the delay after this number of earlier failures.
+fn mean_delay(earlier_failures: usize, call_duration: Duration) -> Duration {
+    let delays = SEEDS.map(|seed| delays(seed, call_duration)[earlier_failures]);
+    delays.sum::<Duration>() / SEEDS.end as u32
 }
 
-/// Guards the time in which a change is in force: the next call begins early enough after the one that failed, or soon
-/// after it where that one took longer; after one that failed at once it can be waited for as long as any. No pause is so
-/// short that calls come in a row.
+/// Guards the propagation deadline of changes: the next call begins early enough after the failed one, or soon after it if
+/// that took longer, and after an immediate failure it can still wait the full time-out. Delays have a minimum.
 #[test]
-fn the_next_call_begins_in_time_whatever_the_failed_one_took() {
-    let soon = Duration::from_millis(450);
-    let shortest = Duration::from_millis(150);
-    for took in [
-        AT_ONCE,
+fn next_call_begins_in_time_whatever_the_duration_of_the_failed_one() {
+    for call_duration in [
+        IMMEDIATE,
         Duration::from_secs(2),
         DISCOVERY_TIMEOUT,
         MAX_CALL_INTERVAL,
         10 * MAX_CALL_INTERVAL,
     ] {
-        for pause in SEEDS.flat_map(|seed| pauses(seed, took)) {
-            assert!(pause >= shortest, "{pause:?} after {took:?}");
+        for delay in SEEDS.flat_map(|seed| delays(seed, call_duration)) {
             assert!(
-                pause + DISCOVERY_TIMEOUT <= CHANGE_PROPAGATION_DEADLINE,
-                "{pause:?} after {took:?}"
+                delay >= MIN_FIRST_DELAY,
+                "{delay:?} after {call_duration:?}"
             );
             assert!(
-                pause <= soon || took + pause <= MAX_CALL_INTERVAL,
-                "{pause:?} after {took:?}"
+                delay + DISCOVERY_TIMEOUT <= CHANGE_PROPAGATION_DEADLINE,
+                "{delay:?} after {call_duration:?}"
+            );
+            assert!(
+                delay <= MAX_FIRST_DELAY || call_duration + delay <= MAX_CALL_INTERVAL,
+                "{delay:?} after {call_duration:?}"
             );
         }
     }
 }
 
-/// Guards discovery against the calls of an outage: pauses double, up to four times the first, and begin anew with a call
-/// that was answered.
+/// Guards discovery against the calls of an outage: the mean delay doubles, up to four times the first, and starts again
+/// after a response.
 #[test]
-fn pauses_grow_until_discovery_has_answered() {
-    for failures_before in 1..3 {
-        let (before, after) = (
-            mean(failures_before - 1, AT_ONCE),
-            mean(failures_before, AT_ONCE),
-        );
-        assert!(after > before.mul_f64(1.6), "{before:?}, then {after:?}");
+fn delays_grow_until_a_response_resets_them() {
+    for earlier_failures in 1..3 {
+        let previous = mean_delay(earlier_failures - 1, IMMEDIATE);
+        let next = mean_delay(earlier_failures, IMMEDIATE);
+        assert!(next > previous.mul_f64(1.6), "{previous:?}, then {next:?}");
     }
-    assert!(mean(FAILURES - 1, AT_ONCE) > mean(0, AT_ONCE) * 3);
-    let first_longest = Duration::from_millis(450);
+    assert!(mean_delay(FAILURES - 1, IMMEDIATE) > mean_delay(0, IMMEDIATE) * 3);
     for seed in SEEDS {
         let mut backoff = Backoff::new(seed);
         for _ in 0..FAILURES {
-            let _ = backoff.delay_after(AT_ONCE);
+            let _ = backoff.delay_after(IMMEDIATE);
         }
         backoff.reset();
-        assert!(backoff.delay_after(AT_ONCE) <= first_longest);
+        assert!(backoff.delay_after(IMMEDIATE) <= MAX_FIRST_DELAY);
     }
 }
 
-/// Guards against sidecars that call in step: another seed has other pauses, and the same has the same.
+/// Guards against sidecars that call in step: each seed has delays of its own, and they are reproducible.
 #[test]
-fn the_jitter_differs_by_seed() {
+fn jitter_differs_by_seed_and_is_reproducible() {
     for seed in SEEDS {
-        assert_eq!(pauses(seed, AT_ONCE), pauses(seed, AT_ONCE));
-        let both = pauses(seed, AT_ONCE)
+        let next_seed = seed + 1;
+        assert_eq!(delays(seed, IMMEDIATE), delays(seed, IMMEDIATE));
+        let mut pairs = delays(seed, IMMEDIATE)
             .into_iter()
-            .zip(pauses(seed + 1, AT_ONCE));
+            .zip(delays(next_seed, IMMEDIATE));
         assert!(
-            both.into_iter().all(|(one, other)| one != other),
-            "seeds {seed} and {}",
-            seed + 1
+            pairs.all(|(one, other)| one != other),
+            "seeds {seed} and {next_seed}"
         );
         assert_ne!(
             Backoff::new(seed).hedge_delay(),
-            Backoff::new(seed + 1).hedge_delay()
+            Backoff::new(next_seed).hedge_delay()
         );
     }
 }
 
-/// Guards a call that is late: it has its time before another is made, and that begins in time however many came before.
+/// Guards a late call: it has the full time-out before it is hedged, and the hedged call begins in time however many there
+/// were before.
 #[test]
-fn another_call_begins_in_time_beside_one_that_is_late() {
+fn hedge_delay_stays_within_its_bounds() {
     for seed in SEEDS {
         let mut backoff = Backoff::new(seed);
         for _ in 0..FAILURES {
-            let time = backoff.hedge_delay();
+            let delay = backoff.hedge_delay();
             assert!(
-                (DISCOVERY_TIMEOUT..=MAX_CALL_INTERVAL).contains(&time),
-                "{time:?}"
+                (DISCOVERY_TIMEOUT..=MAX_CALL_INTERVAL).contains(&delay),
+                "{delay:?}"
             );
         }
     }
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -1,5 +1,5 @@
-//! Discovery that fails and recovers, in each order that is not the usual one: what it has to tell once it can be reached
-//! is in force, whether lists are asked for or pushed.
+//! Recovery after failures of discovery: whatever failed before, the changes are applied once discovery can be reached,
+//! both when lists are fetched and when an agent pushes them.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -7,18 +7,21 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
-/// Calls that fail before discovery is back: so many that every later wait is as long as the longest.
-const MANY_FAILED: usize = 6;
+/// Failed calls in a row after which the backoff has reached its maximum.
+const FAILURES_TO_MAX_BACKOFF: usize = 6;
 
-/// A discovery that is down: its port refuses connections, and nobody else is given it.
-struct Down(Socket);
+/// The beginning of a list whose rest never comes.
+const INCOMPLETE_LIST: &str = "{\"index\":50,\"snapshot\":true,\"endpoints\":[";
 
-impl Down {
-    fn start() -> Self {
+/// A discovery that is down: its port is reserved and refuses connections.
+struct StoppedDiscovery(Socket);
+
+impl StoppedDiscovery {
+    fn reserve() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).expect("a port");
-        Down(socket)
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        socket.bind(&any_port.into()).expect("a port");
+        StoppedDiscovery(socket)
     }
 
     fn address(&self) -> SocketAddr {
@@ -29,14 +32,14 @@
             .expect("an address")
     }
 
-    fn comes_back(self) -> ManualDiscovery {
+    fn start(self) -> ManualDiscovery {
         self.0.listen(128).expect("it listens");
         ManualDiscovery::from_listener(TcpListener::from(self.0))
     }
 }
 
-/// A sidecar that knows two endpoints, with a third that only discovery can tell of.
-struct Site {
+/// A sidecar with a cached list of two endpoints, and a third endpoint that only discovery lists.
+struct Fixture {
     mode: &'static str,
     endpoints: [Endpoint; 3],
     config: Value,
@@ -44,15 +47,15 @@
     sidecar: Sidecar,
 }
 
-impl Site {
+impl Fixture {
     fn start(mode: &'static str, discovery: SocketAddr) -> Self {
         let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
-        let known = serving_entries(&[&endpoints[0], &endpoints[1]]);
-        let mut config = with_admin_address(config(discovery, &known));
+        let cached_entries = serving_entries(&[&endpoints[0], &endpoints[1]]);
+        let mut config = with_admin_address(config(discovery, &cached_entries));
         config["settings"]["discovery"] = json!(mode);
         let path = temporary_file(&config.to_string());
         let sidecar = Sidecar::start_with_file(&path);
-        Site {
+        Fixture {
             mode,
             endpoints,
             config,
@@ -61,52 +64,54 @@
         }
     }
 
-    fn moves_discovery(&mut self, to: SocketAddr) {
-        self.config["discovery"] = json!(to.to_string());
-        self.reloads();
+    /// Reloads with another address of discovery.
+    fn move_discovery(&mut self, address: SocketAddr) {
+        self.config["discovery"] = json!(address.to_string());
+        self.reload();
     }
 
-    fn reloads(&self) {
+    fn reload(&self) {
         std::fs::write(&self.path, self.config.to_string()).expect("the file is written");
         self.sidecar.send_signal("HUP");
     }
 
-    /// The first endpoint drains and the third is new.
-    fn change(&self) -> [Value; 2] {
+    /// Waits until enough lines of the log report a refused call.
+    fn wait_for_refused_calls(&self, is_refused: impl Fn(&str) -> bool) {
+        wait_until("calls are refused", || {
+            let log = self.sidecar.log();
+            let refused_calls = log.iter().filter(|line| is_refused(line)).count();
+            refused_calls >= FAILURES_TO_MAX_BACKOFF
+        });
+    }
+
+    /// The entries that change: the first endpoint drains, and the third one is new.
+    fn changed_entries(&self) -> [Value; 2] {
         [
             entry("e0", self.endpoints[0].address, "DRAINING"),
             entry("e2", self.endpoints[2].address, "SERVING"),
         ]
     }
 
-    /// The change as the whole list, which all three endpoints are in.
-    fn whole_list(&self, index: u64) -> String {
-        let [drains, new] = self.change();
-        list(
-            index,
-            true,
-            &[
-                drains,
-                entry("e1", self.endpoints[1].address, "SERVING"),
-                new,
-            ],
-        )
+    /// The full list after the change.
+    fn full_list(&self, version: u64) -> String {
+        let [draining, new] = self.changed_entries();
+        let unchanged = entry("e1", self.endpoints[1].address, "SERVING");
+        list(version, true, &[draining, unchanged, new])
     }
 
-    fn awaits_change(&self) {
+    /// Waits until the change is applied: the third endpoint gets requests and the first one does not.
+    fn wait_for_change(&self) {
         wait_for_unavailable(&self.sidecar, 1);
-        wait_until("the third is known", || {
+        wait_until("the third endpoint is listed", || {
             self.sidecar.metric("members") == Some(3)
         });
-        self.endpoints.iter().for_each(|e| drop(e.take_requests()));
+        for endpoint in &self.endpoints {
+            drop(endpoint.take_requests());
+        }
         let mut client = self.sidecar.client();
-        wait_until("the third serves", || {
-            assert_eq!(
-                client.exchange(&get_request("5")).status(),
-                200,
-                "{}",
-                self.mode
-            );
+        wait_until("the third endpoint gets a request", || {
+            let status = client.exchange(&get_request("5")).status();
+            assert_eq!(status, 200, "{}", self.mode);
             self.endpoints[2].take_request_count() > 0
         });
         assert_eq!(
@@ -118,38 +123,29 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Fixture {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
-fn opens_watch(discovery: &ManualDiscovery, since: u64) -> DiscoveryCall {
+/// Waits for a watch from this version on, and opens it.
+fn open_next_watch(discovery: &ManualDiscovery, version: u64) -> DiscoveryCall {
     let mut watch = discovery.next_call();
-    assert!(watch.is_watch_since(since), "{}", watch.request_line);
+    assert!(watch.is_watch_since(version), "{}", watch.request_line);
     watch.open_watch();
     watch
 }
 
-fn next_whole_list(discovery: &ManualDiscovery) -> DiscoveryCall {
+/// Waits for a fetch of the full list.
+fn next_fetch(discovery: &ManualDiscovery) -> DiscoveryCall {
     let call = discovery.next_call();
-    assert!(
-        call.request_line.starts_with("GET /v1/endpoints "),
-        "{}",
-        call.request_line
-    );
+    assert!(call.is_fetch(), "{}", call.request_line);
     call
 }
 
-fn answers_whole(mut call: DiscoveryCall, text: &str) {
-    call.write(&format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
-        text.len()
-    ));
-}
-
-/// A failed call, whose body counts for nothing though it is a list.
-fn answers_unavailable(call: &mut DiscoveryCall) {
+/// Rejects a call with a body that is a list, which must not be applied.
+fn reject_with_list(call: &mut DiscoveryCall) {
     let body = list(99, true, &[]);
     call.write(&format!(
         "HTTP/1.1 503 No\r\nContent-Length: {}\r\n\r\n{body}",
@@ -157,168 +153,176 @@
     ));
 }
 
-/// Guards the call after one that was refused, however many were: discovery that is back is asked, and its change holds.
+/// Guards the retries after refused calls: however many there were, discovery is called once it is back.
 #[test]
-fn discovery_that_refused_calls_is_called_until_it_is_back() {
+fn watch_is_opened_once_discovery_stops_refusing_connections() {
     for mode in DISCOVERY_MODES {
-        let down = Down::start();
-        let site = Site::start(mode, down.address());
-        let refused =
-            |line: &&String| line.contains("the watch on discovery") && line.contains("refused");
-        wait_until("calls are refused", || {
-            site.sidecar.log().iter().filter(refused).count() >= MANY_FAILED
+        let stopped = StoppedDiscovery::reserve();
+        let fixture = Fixture::start(mode, stopped.address());
+        fixture.wait_for_refused_calls(|line| {
+            line.contains("the watch on discovery") && line.contains("refused")
         });
-        let discovery = down.comes_back();
-        let mut watch = opens_watch(&discovery, 41);
-        watch.write_line(&list(42, false, &site.change()));
-        site.awaits_change();
+
+        let discovery = stopped.start();
+        let mut watch = open_next_watch(&discovery, 41);
+        watch.write_line(&list(42, false, &fixture.changed_entries()));
+
+        fixture.wait_for_change();
     }
 }
 
-/// Guards the watch on an agent that pushes lists against each way to go wrong: 503, a reset, an end before the answer or
-/// in half a list, no JSON, silence before the answer and after it. `watches.rs` holds the same for lists that are asked
-/// for.
+/// Guards the watch on an agent against each kind of failure: 503, a reset, an end before the response or within a list,
+/// malformed JSON, silence before and after the head of the response. `discovery_watch.rs` covers lists that are fetched.
 #[test]
-fn a_watch_on_an_agent_is_opened_anew_whatever_became_of_the_one_before() {
+fn agent_watch_is_reopened_after_each_kind_of_failure() {
     let discovery = ManualDiscovery::start();
-    let site = Site::start("automatic", discovery.address());
-    let half = "{\"index\":50,\"snapshot\":true,\"endpoints\":[";
-    let mut refuses = discovery.next_call();
-    answers_unavailable(&mut refuses);
+    let fixture = Fixture::start(PUSHED_MODE, discovery.address());
+
+    let mut rejected = discovery.next_call();
+    reject_with_list(&mut rejected);
     discovery.next_call().reset();
     drop(discovery.next_call());
-    opens_watch(&discovery, 41).write_chunk(half);
-    let mut spoilt = opens_watch(&discovery, 41);
-    spoilt.write_chunk("no JSON\n"); // held open, so that nothing but the text ends it
+    open_next_watch(&discovery, 41).write_chunk(INCOMPLETE_LIST);
+    let mut malformed = open_next_watch(&discovery, 41);
+    malformed.write_chunk("no JSON\n"); // it stays open, so that only the text can have ended it
     let unanswered = discovery.next_call();
-    let silent = opens_watch(&discovery, 41);
-    let mut watch = opens_watch(&discovery, 41);
-    watch.write_line(&list(51, false, &site.change()));
-    site.awaits_change();
-    drop((refuses, spoilt, unanswered, silent));
+    let silent = open_next_watch(&discovery, 41);
+    let mut watch = open_next_watch(&discovery, 41);
+    watch.write_line(&list(51, false, &fixture.changed_entries()));
+
+    fixture.wait_for_change();
+    drop((rejected, malformed, unanswered, silent));
 }
 
-/// Guards against half a list with beats behind it, which is no silence: the rest never comes, and the watch is lost.
+/// Guards the silence time-out: heartbeats do not put it off while a list is incomplete.
 #[test]
-fn half_a_list_with_beats_behind_it_does_not_keep_a_watch() {
+fn watch_is_reopened_when_only_heartbeats_follow_an_incomplete_list() {
     for mode in DISCOVERY_MODES {
         let discovery = ManualDiscovery::start();
-        let site = Site::start(mode, discovery.address());
-        let mut spoilt = opens_watch(&discovery, 41);
-        spoilt.write_chunk("{\"index\":50,\"snapshot\":true,\"endpoints\":[");
-        let mut anew = None;
-        wait_until("a watch is opened anew", || {
-            spoilt.try_write_heartbeat();
-            anew = discovery.try_next_call();
-            anew.is_some()
+        let fixture = Fixture::start(mode, discovery.address());
+        let mut incomplete = open_next_watch(&discovery, 41);
+        incomplete.write_chunk(INCOMPLETE_LIST);
+
+        let mut next_call = None;
+        wait_until("the watch is reopened", || {
+            incomplete.try_write_heartbeat();
+            next_call = discovery.try_next_call();
+            next_call.is_some()
         });
-        let mut watch = anew.expect("a call");
+        let mut watch = next_call.expect("a call");
         assert!(watch.is_watch_since(41), "{}", watch.request_line);
         watch.open_watch();
-        watch.write_line(&list(51, false, &site.change()));
-        site.awaits_change();
+        watch.write_line(&list(51, false, &fixture.changed_entries()));
+
+        fixture.wait_for_change();
     }
 }
 
-/// Guards a call that is out while discovery comes back, with a SIGHUP in between that changes other settings: the call
-/// stays out, and what is then answered counts, with no further call.
+/// Guards an outstanding call against a reload that leaves discovery as it is: the call goes on, and its response is
+/// applied without a further call.
 #[test]
-fn a_call_that_is_out_as_discovery_comes_back_is_answered() {
+fn outstanding_call_survives_a_reload_that_keeps_discovery() {
     for mode in DISCOVERY_MODES {
         let discovery = ManualDiscovery::start();
-        let mut site = Site::start(mode, discovery.address());
-        drop(opens_watch(&discovery, 41));
-        let mut out = discovery.next_call();
-        assert!(out.is_watch_since(41), "{}", out.request_line);
-        site.config["settings"]["bounds"]["sendCap"] = json!(2);
-        site.reloads();
-        site.sidecar
+        let mut fixture = Fixture::start(mode, discovery.address());
+        drop(open_next_watch(&discovery, 41));
+        let mut outstanding = discovery.next_call();
+        assert!(
+            outstanding.is_watch_since(41),
+            "{}",
+            outstanding.request_line
+        );
+
+        fixture.config["settings"]["bounds"]["sendCap"] = json!(2);
+        fixture.reload();
+        fixture
+            .sidecar
             .wait_for_log("discovery stays, settings change in bounds");
-        out.open_watch();
-        out.write_chunk(&format!("{}\n", site.whole_list(60)));
-        site.awaits_change();
+        outstanding.open_watch();
+        outstanding.write_line(&fixture.full_list(60));
+
+        fixture.wait_for_change();
     }
 }
 
-/// Guards the whole list of a discovery that SIGHUP has moved to, where each of its first answers goes wrong: refused, 503,
-/// silence before the answer, half a list that ends and half a list that stays open. The list that is known holds
-/// meanwhile, and the whole list is asked for until it has come.
+/// Guards the fetch after a reload has moved discovery, with each kind of failure first: refused, 503, no response, half a
+/// list that ends and half a list that stays open. Meanwhile the known list stays in force.
 #[test]
-fn a_discovery_that_moved_is_asked_until_its_whole_list_has_come() {
+fn full_list_of_a_moved_discovery_is_fetched_until_it_is_complete() {
     for mode in DISCOVERY_MODES {
-        let (old, down) = (ManualDiscovery::start(), Down::start());
-        let mut site = Site::start(mode, old.address());
-        let _watch = opens_watch(&old, 41);
-        site.moves_discovery(down.address());
-        let refused = |line: &&String| line.contains("refused");
-        wait_until("calls are refused", || {
-            site.sidecar.log().iter().filter(refused).count() >= MANY_FAILED
-        });
-        let new = down.comes_back();
-        answers_unavailable(&mut next_whole_list(&new));
-        let unanswered = next_whole_list(&new);
-        let text = site.whole_list(7);
-        let half = format!(
+        let (old, stopped) = (ManualDiscovery::start(), StoppedDiscovery::reserve());
+        let mut fixture = Fixture::start(mode, old.address());
+        let _watch = open_next_watch(&old, 41);
+        fixture.move_discovery(stopped.address());
+        fixture.wait_for_refused_calls(|line| line.contains("refused"));
+
+        let new = stopped.start();
+        reject_with_list(&mut next_fetch(&new));
+        let unanswered = next_fetch(&new);
+        let full_list = fixture.full_list(7);
+        let incomplete_response = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
-            text.len(),
-            &text[..text.len() / 2]
+            full_list.len(),
+            &full_list[..full_list.len() / 2]
         );
-        next_whole_list(&new).write(&half);
-        let mut stays_open = next_whole_list(&new);
-        stays_open.write(&half);
-        let whole = next_whole_list(&new);
+        next_fetch(&new).write(&incomplete_response);
+        let mut stays_open = next_fetch(&new);
+        stays_open.write(&incomplete_response);
+        let mut last_fetch = next_fetch(&new);
         assert_eq!(
-            site.sidecar.metric("members"),
+            fixture.sidecar.metric("members"),
             Some(2),
-            "half a list counts for nothing"
+            "an incomplete list has no effect"
         );
-        answers_whole(whole, &text);
-        let _watch = opens_watch(&new, 7);
-        site.awaits_change();
+        last_fetch.respond_with_list(&full_list);
+        let _watch = open_next_watch(&new, 7);
+
+        fixture.wait_for_change();
         drop((unanswered, stays_open));
     }
 }
 
-/// Guards a discovery that comes back together with a SIGHUP that moves away from it: what it answers to the call that is
-/// out holds until the new one has spoken, and the older list of that one does not take the drain back.
+/// Guards a reload that moves away from a discovery that recovers at this moment: its response to the outstanding call is
+/// in force until the new one has sent a list, and the older list of the new one does not undo the drain.
 #[test]
-fn a_discovery_that_comes_back_as_a_reload_moves_away_is_still_heard() {
+fn previous_discovery_counts_until_the_new_one_has_sent_a_list() {
     for mode in DISCOVERY_MODES {
-        let (old, down) = (ManualDiscovery::start(), Down::start());
-        let mut site = Site::start(mode, old.address());
-        let mut out = old.next_call();
-        site.sidecar.suspend();
-        site.moves_discovery(down.address());
-        out.open_watch();
-        out.write_line(&list(42, false, &site.change()));
-        site.sidecar.resume();
-        site.sidecar.wait_for_log("configuration read again");
-        site.awaits_change();
-        let new = down.comes_back();
-        let all = site.endpoints.each_ref();
-        answers_whole(
-            next_whole_list(&new),
-            &list(7, true, &serving_entries(&all)),
-        );
-        let _watch = opens_watch(&new, 7);
-        site.awaits_change();
+        let (old, stopped) = (ManualDiscovery::start(), StoppedDiscovery::reserve());
+        let mut fixture = Fixture::start(mode, old.address());
+        let mut outstanding = old.next_call();
+
+        fixture.sidecar.suspend();
+        fixture.move_discovery(stopped.address());
+        outstanding.open_watch();
+        outstanding.write_line(&list(42, false, &fixture.changed_entries()));
+        fixture.sidecar.resume();
+        fixture.sidecar.wait_for_log("configuration read again");
+        fixture.wait_for_change();
+
+        let new = stopped.start();
+        let all_entries = serving_entries(&fixture.endpoints.each_ref());
+        next_fetch(&new).respond_with_list(&list(7, true, &all_entries));
+        let _watch = open_next_watch(&new, 7);
+        fixture.wait_for_change();
     }
 }
 
-/// Guards a discovery that comes back while the SIGHUP that moves to it is still to be handled, with calls to the one
-/// before refused and another due: it is asked for its whole list.
+/// Guards a discovery that starts while the reload that moves to it is not handled yet, with calls to the old one refused
+/// and another one due.
 #[test]
-fn a_discovery_that_comes_back_with_a_reload_under_way_is_asked() {
+fn new_discovery_is_called_if_it_starts_before_the_reload_is_handled() {
     for mode in DISCOVERY_MODES {
-        let (old, down) = (Down::start(), Down::start());
-        let mut site = Site::start(mode, old.address());
-        site.sidecar.wait_for_log("refused");
-        site.sidecar.suspend();
-        site.moves_discovery(down.address());
-        let new = down.comes_back();
-        site.sidecar.resume();
-        answers_whole(next_whole_list(&new), &site.whole_list(7));
-        let _watch = opens_watch(&new, 7);
-        site.awaits_change();
+        let (old, stopped) = (StoppedDiscovery::reserve(), StoppedDiscovery::reserve());
+        let mut fixture = Fixture::start(mode, old.address());
+        fixture.sidecar.wait_for_log("refused");
+
+        fixture.sidecar.suspend();
+        fixture.move_discovery(stopped.address());
+        let new = stopped.start();
+        fixture.sidecar.resume();
+        next_fetch(&new).respond_with_list(&fixture.full_list(7));
+        let _watch = open_next_watch(&new, 7);
+
+        fixture.wait_for_change();
     }
 }
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of endpoints, and what they change.
+//! The effect of endpoint lists on connections and requests.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -6,11 +6,12 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Guards rule 3: with word of a drain, or of a loss, the endpoint's idle connections go and nothing new comes.
+/// Guards rule 3: when an endpoint is listed as draining or is removed, its idle connections are closed and it gets no new
+/// request.
 #[test]
-fn nothing_goes_to_an_endpoint_that_drains_or_is_gone() {
-    let changes = [Some("DRAINING"), Some("DELETED"), None];
-    for change in changes {
+fn draining_or_removed_endpoint_gets_no_request() {
+    let listed_statuses = [Some("DRAINING"), Some("DELETED"), None];
+    for status in listed_statuses {
         let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
         let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut watch = discovery.next_watch();
@@ -25,11 +26,13 @@
         while endpoints[0].take_request_count() == 0 {
             assert_eq!(client.exchange(&get_request("2")).status(), 200);
         }
+
         watch.write_line("");
-        watch.write_line(&match change {
+        watch.write_line(&match status {
             Some(status) => list(42, false, &[entry("e0", endpoints[0].address, status)]),
             None => list(42, true, &[entry("e1", endpoints[1].address, "SERVING")]),
         });
+
         endpoints[0].next_connection_close();
         for _ in 0..20 {
             assert_eq!(client.exchange(&get_request("2")).status(), 200);
@@ -38,40 +41,45 @@
     }
 }
 
-/// Guards against half-read news: a broken line fails the watch and leaves no trace in the list.
+/// Guards against malformed events: the watch is lost, the event has no effect, and the next watch resumes from the last
+/// version.
 #[test]
-fn a_broken_line_fails_the_watch_and_the_next_goes_on_from_the_last_version() {
+fn malformed_event_ends_the_watch_and_the_next_resumes_from_the_last_version() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_watch();
     watch.write_line(&list(57, true, &[entry("e0", endpoint.address, "SERVING")]));
+
     watch.write_line(r#"{"index":58,"snapshot":false,"endpoints":[{"name":"e0"}]}"#);
+
     assert!(
         discovery.next_watch().request_line.contains("since=57 "),
-        "version 58 was not taken"
+        "version 58 was not applied"
     );
     sidecar.wait_for_log("watch on discovery ended");
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 }
 
-/// Guards pushed lists: the agent is followed unasked, and again where its watch ends.
+/// Guards lists that an agent pushes: the sidecar watches the agent from the start, and again after a watch has ended.
 #[test]
-fn an_agent_that_pushes_lists_is_followed() {
+fn agent_is_watched_from_the_start_and_after_a_watch_has_ended() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
         &[entry("e0", endpoints[0].address, "SERVING")],
     );
-    config["settings"]["discovery"] = json!("automatic");
+    config["settings"]["discovery"] = json!(PUSHED_MODE);
     let sidecar = Sidecar::start(&config);
     let mut watch = discovery.next_watch();
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
+
     watch.write_line(&list(
         42,
         true,
         &[entry("e1", endpoints[1].address, "SERVING")],
     ));
+
     assert_eq!(endpoints[0].next_connection_close(), 0);
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
     assert_eq!(endpoints[1].take_request_count(), 1);
@@ -79,24 +87,23 @@
     assert!(discovery.next_watch().request_line.contains("since=42 "));
 }
 
-/// Guards against a discovery that has vanished with its machine: it says nothing, and its connection stays open.
+/// Guards against a discovery whose machine has vanished: it sends nothing, and its connection stays open.
 #[test]
-fn a_silent_watch_is_asked_for_again() {
+fn silent_watch_is_reopened() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (_sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let _silent = discovery.next_watch();
     assert!(discovery.next_watch().request_line.contains("since=41 "));
 }
 
-/// Guards the check before the first byte: nothing is written to an endpoint that drains by the time that its
-/// connection is there, and the request, which never ran, is no failure. The connection waits for a place in
-/// the backlog.
+/// Guards the check before the first byte of a request: if the endpoint drains while the connection is established, nothing
+/// is written, and the request counts as not run. The connection waits for a slot in the endpoint's full backlog.
 #[test]
-fn nothing_is_written_once_the_endpoint_drains() {
+fn nothing_is_written_to_an_endpoint_that_drains_while_the_connection_is_established() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
-    let fillers: Vec<TcpStream> = std::iter::from_fn(|| fill().ok()).collect();
+    let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
+    let backlog: Vec<TcpStream> = std::iter::from_fn(|| connect().ok()).collect();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[entry("e0", address, "SERVING")]);
     config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
@@ -105,35 +112,31 @@
     let mut watch = discovery.next_watch();
     let mut client = sidecar.client();
     client.write(&post_request("unsafe", "15", "x"));
-    // What the sidecar answers to later callers it answers with the request taken.
-    assert_eq!(
-        sidecar
-            .client()
-            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
-            .status(),
-        200
-    );
+    // The sidecar has taken the request before it answers a later caller.
+    assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 200);
+
     watch.write_line(&list(42, false, &[entry("e0", address, "DRAINING")]));
     drop(watch);
     assert!(
         discovery.next_watch().request_line.contains("since=42 "),
         "the drain is known"
     );
-    let ours: Vec<_> = fillers
+    let backlog_peers: Vec<_> = backlog
         .iter()
-        .map(|f| f.local_addr().expect("an address"))
+        .map(|stream| stream.local_addr().expect("an address"))
         .collect();
-    let mut from_sidecar = loop {
+    let mut sidecar_stream = loop {
         let (stream, peer) = listener.accept().expect("a connection");
-        if !ours.contains(&peer) {
+        if !backlog_peers.contains(&peer) {
             break stream;
         }
     };
+
     let mut written = Vec::new();
-    from_sidecar
+    sidecar_stream
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
-    from_sidecar
+    sidecar_stream
         .read_to_end(&mut written)
         .expect("the sidecar closes it");
     assert!(written.is_empty(), "{}", String::from_utf8_lossy(&written));
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -1,54 +1,52 @@
-//! Many sidecars that restart at once, over a discovery that handles few calls: none is ready later for the others' calls,
-//! and none makes more calls than it has to.
+//! Many sidecars that restart at the same time while discovery answers few calls: no sidecar becomes ready later because
+//! of the others' calls, and none makes more calls than it has to.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 use std::process::Child;
 
-/// Sidecars of a fleet, enough for their calls to queue.
+/// The size of the fleet, large enough for its calls to queue.
 const SIDECARS: usize = 20;
 const OVERLOADED: &str = "HTTP/1.1 503 Overloaded\r\nContent-Length: 0\r\n\r\n";
 
-/// How sidecars learn of changes, as the settings name it.
-const PUSHED: &str = "automatic";
-const ASKED: &str = "subscribe";
-
-/// A sidecar, and discovery as it alone reaches it: whose a call is shows in where it comes.
-struct Member {
+/// A sidecar with a discovery stub of its own, which shows whose a call is.
+struct FleetMember {
     sidecar: Sidecar,
     discovery: ManualDiscovery,
     config: Value,
 }
 
-impl Member {
+impl FleetMember {
     fn is_ready(&self) -> bool {
-        let status = self
-            .sidecar
-            .client()
-            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
-            .status();
+        let status = self.sidecar.client().exchange(READY_REQUEST).status();
         assert!(matches!(status, 200 | 503), "{status}");
         status == 200
     }
 
-    /// Its one call that waits for an answer. A second one beside it would cost discovery an answer for nothing.
+    /// Waits for the sidecar's only outstanding call. A second one would cost discovery a response for nothing.
     fn only_call(&self) -> DiscoveryCall {
         let mut calls = Vec::new();
         wait_until("a call", || {
             calls = self.discovery.take_open_calls();
             !calls.is_empty()
         });
+        let request_lines: Vec<_> = calls.iter().map(|call| &call.request_line).collect();
+        assert_eq!(calls.len(), 1, "{request_lines:?}");
+        calls.remove(0)
+    }
+
+    /// Asserts that the sidecar is ready, by HTTP and for the operators, and serves a request.
+    fn assert_serves(&self, mode: &str) {
+        assert!(self.is_ready(), "{mode}: {:?}", self.sidecar.log());
+        assert!(self.sidecar.call_is_yes("READY"));
         assert_eq!(
-            calls.len(),
-            1,
-            "{:?}",
-            calls.iter().map(|c| &c.request_line).collect::<Vec<_>>()
+            self.sidecar.client().exchange(&get_request("5")).status(),
+            200
         );
-        calls.remove(0)
     }
 }
 
-/// Starts a process for each configuration, all before any is looked at.
+/// Starts a process for each configuration before it waits for any of them.
 fn start_at_once(configs: &[Value]) -> Vec<Sidecar> {
     let paths: Vec<_> = configs
         .iter()
@@ -68,15 +66,17 @@
     sidecars
 }
 
-/// A fleet that has just started, no call of which has been answered. No other test uses its network address, so that a
-/// port that a killed process had stays free: processes that the operators can call would share it unnoticed.
-fn fleet(network_address: &str, mode: &str, known: &Value) -> Vec<Member> {
+/// Starts a fleet, none of whose calls has been answered.
+///
+/// The network address must be that of one test alone, so that the port of a killed process stays free: processes with
+/// operators' calls share listening ports, and one that took the port would go unnoticed.
+fn start_fleet(network_address: &str, mode: &str, cached_list: &Value) -> Vec<FleetMember> {
     let discoveries: Vec<ManualDiscovery> =
         (0..SIDECARS).map(|_| ManualDiscovery::start()).collect();
     let configure = |(number, discovery): (usize, &ManualDiscovery)| {
         let mut config = with_admin_address(config(discovery.address(), &[]));
         config["listen"] = json!(format!("{network_address}:0"));
-        config["known"] = known.clone();
+        config["known"] = cached_list.clone();
         config["settings"]["discovery"] = json!(mode);
         config["settings"]["balancers"] = json!(SIDECARS);
         config["settings"]["myNumber"] = json!(number);
@@ -84,9 +84,9 @@
     };
     let configs: Vec<Value> = discoveries.iter().enumerate().map(configure).collect();
     let sidecars = start_at_once(&configs);
-    let parts = sidecars.into_iter().zip(discoveries).zip(configs);
-    parts
-        .map(|((sidecar, discovery), config)| Member {
+    let members = sidecars.into_iter().zip(discoveries).zip(configs);
+    members
+        .map(|((sidecar, discovery), config)| FleetMember {
             sidecar,
             discovery,
             config,
@@ -94,8 +94,8 @@
         .collect()
 }
 
-/// Kills all processes and starts them again under their addresses. What they asked of discovery died with them.
-fn restart_at_once(fleet: &mut [Member]) {
+/// Kills all processes and starts them again at their addresses. Their calls of discovery end with them.
+fn restart_at_once(fleet: &mut [FleetMember]) {
     for member in fleet.iter_mut() {
         member.config["listen"] = json!(member.sidecar.address.to_string());
         member.sidecar.kill();
@@ -106,31 +106,23 @@
     }
 }
 
-fn known(endpoints: &[Value]) -> Value {
+fn cached_list(endpoints: &[Value]) -> Value {
     json!({"index": 41, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Guards the start with known endpoints: all serve before discovery has answered anyone, a call that fails leaves them
-/// serving, and each is current with the first answer that it gets. One call a process waits at any time.
-fn known_endpoints_are_enough(network_address: &str, mode: &str) {
+/// Guards the start with a cached list: all sidecars serve before discovery has answered any call, a failed call leaves
+/// them serving, and the first response to each makes its list current. Each sidecar has one outstanding call at a time.
+fn assert_cached_list_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let mut fleet = fleet(
-        network_address,
-        mode,
-        &known(&serving_entries(&[&endpoint])),
-    );
-    let connected: Vec<Client> = fleet.iter().map(|member| member.sidecar.client()).collect();
+    let cached_list = cached_list(&serving_entries(&[&endpoint]));
+    let mut fleet = start_fleet(network_address, mode, &cached_list);
+    let clients: Vec<Client> = fleet.iter().map(|member| member.sidecar.client()).collect();
     restart_at_once(&mut fleet);
-    drop(connected);
-    let serves = |member: &Member| {
-        assert!(member.is_ready(), "{mode}: {:?}", member.sidecar.log());
-        assert!(member.sidecar.call_is_yes("READY"));
-        assert_eq!(
-            member.sidecar.client().exchange(&get_request("5")).status(),
-            200
-        );
-    };
-    fleet.iter().for_each(serves);
+    drop(clients);
+
+    for member in &fleet {
+        member.assert_serves(mode);
+    }
     for member in &fleet {
         let mut call = member.only_call();
         assert!(call.is_watch_since(41), "{mode}: {}", call.request_line);
@@ -140,7 +132,7 @@
     for member in &fleet {
         let mut watch = member.only_call();
         assert!(watch.is_watch_since(41), "{mode}: {}", watch.request_line);
-        serves(member);
+        member.assert_serves(mode);
         watch.open_watch();
         let started = entry(
             "started",
@@ -154,42 +146,36 @@
         assert_eq!(
             member.discovery.take_open_calls().len(),
             0,
-            "{mode}: it has all that it needs"
+            "{mode}: it makes no further call"
         );
         watches.push(watch);
     }
 }
 
 #[test]
-fn sidecars_that_know_endpoints_serve_before_their_agents_answer() {
-    known_endpoints_are_enough("127.20.0.1", PUSHED);
+fn sidecars_with_a_cached_list_serve_before_their_agents_answer() {
+    assert_cached_list_suffices("127.20.0.1", PUSHED_MODE);
 }
 
 #[test]
-fn sidecars_that_know_endpoints_serve_before_discovery_answers() {
-    known_endpoints_are_enough("127.20.0.2", ASKED);
+fn sidecars_with_a_cached_list_serve_before_discovery_answers() {
+    assert_cached_list_suffices("127.20.0.2", ON_REQUEST_MODE);
 }
 
-/// Guards the start with no known endpoint: each is ready with the one whole list that it asks for, and does not wait for
-/// the answer to the watch that follows. So many answers make so many ready.
-fn one_answer_is_enough(network_address: &str, mode: &str) {
+/// Guards the start without a cached list: each sidecar is ready once its one fetch is answered and does not wait for the
+/// watch that follows. So each response makes one sidecar ready.
+fn assert_one_fetch_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let mut fleet = fleet(network_address, mode, &Value::Null);
+    let mut fleet = start_fleet(network_address, mode, &Value::Null);
     restart_at_once(&mut fleet);
     assert!(fleet.iter().all(|member| !member.is_ready()));
-    for (answers, member) in fleet.iter().enumerate() {
+
+    for (responses, member) in fleet.iter().enumerate() {
         let mut call = member.only_call();
-        assert!(
-            call.request_line.starts_with("GET /v1/endpoints "),
-            "{mode}: {}",
-            call.request_line
-        );
-        assert_eq!(fleet.iter().filter(|m| m.is_ready()).count(), answers);
-        let text = list(42, true, &serving_entries(&[&endpoint]));
-        call.write(&format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
-            text.len()
-        ));
+        assert!(call.is_fetch(), "{mode}: {}", call.request_line);
+        let ready_count = fleet.iter().filter(|member| member.is_ready()).count();
+        assert_eq!(ready_count, responses);
+        call.respond_with_list(&list(42, true, &serving_entries(&[&endpoint])));
         wait_until("it is ready", || member.is_ready());
         assert_eq!(
             member.sidecar.client().exchange(&get_request("5")).status(),
@@ -201,11 +187,11 @@
 }
 
 #[test]
-fn sidecars_that_know_nothing_are_ready_with_one_answer_of_their_agents() {
-    one_answer_is_enough("127.20.0.3", PUSHED);
+fn sidecars_without_a_cached_list_are_ready_after_one_response_of_their_agents() {
+    assert_one_fetch_suffices("127.20.0.3", PUSHED_MODE);
 }
 
 #[test]
-fn sidecars_that_know_nothing_are_ready_with_one_answer_of_discovery() {
-    one_answer_is_enough("127.20.0.4", ASKED);
+fn sidecars_without_a_cached_list_are_ready_after_one_response_of_discovery() {
+    assert_one_fetch_suffices("127.20.0.4", ON_REQUEST_MODE);
 }
--- a/tests/sidecar/stubs/manual_discovery.rs
+++ b/tests/sidecar/stubs/manual_discovery.rs
@@ -7,8 +7,11 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The modes of discovery as the settings name them: lists are fetched on request, or pushed by an agent.
-pub const DISCOVERY_MODES: [&str; 2] = ["subscribe", "automatic"];
+/// The settings' name of the mode in which lists are fetched on request.
+pub const ON_REQUEST_MODE: &str = "subscribe";
+/// The settings' name of the mode in which an agent pushes lists.
+pub const PUSHED_MODE: &str = "automatic";
+pub const DISCOVERY_MODES: [&str; 2] = [ON_REQUEST_MODE, PUSHED_MODE];
 
 const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
