--- a/src/sidecar/hot_restart/message.rs
+++ b/src/sidecar/hot_restart/message.rs
@@ -1,22 +1,27 @@
-//! What the processes of one sidecar say to each other.
+//! The messages that the processes of one sidecar exchange.
 
 use serde::{Deserialize, Serialize};
 
-/// A message, one line of JSON.
+/// A message to another process of this sidecar, serialized as one line of JSON.
+///
+/// The other process may be of another release: the serialized names must not change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ProcessMessage {
-    /// So many connections are held.
-    Holds(usize),
-    /// The newer process accepts callers from now on.
+    /// The sender has this many connections open.
+    #[serde(rename = "holds")]
+    OpenConnections(usize),
+    /// The sender, a new process, accepts callers from now on.
     Serving,
-    /// This one stops, and accepts nobody before long.
-    Stopping,
+    /// The sender is shutting down, and will soon accept no more callers.
+    #[serde(rename = "stopping")]
+    ShuttingDown,
     /// The operators have disabled an endpoint, or enabled it.
-    Disabled {
-        /// Which.
+    #[serde(rename = "disabled")]
+    AdminState {
+        /// The endpoint's id.
         endpoint: String,
-        /// Disabled, or enabled.
+        /// Whether it is disabled now; else it is enabled.
         disabled: bool,
     },
 }
--- a/src/sidecar/hot_restart/mod.rs
+++ b/src/sidecar/hot_restart/mod.rs
@@ -1,7 +1,8 @@
-//! Upgrades: several processes that are one sidecar for a while, and what they share.
+//! Hot restart: several processes that are one sidecar for a while, and what they share.
 //!
-//! The hand-over itself is in [`handover`](super::handover).
+//! These are the parts that the node builds upon. The [listener hand-over](super::listener_handover) builds upon the node.
 
+mod disabled_endpoints_file;
 mod message;
 mod other_processes;
 mod shared_directory;
--- a/src/sidecar/hot_restart/other_processes.rs
+++ b/src/sidecar/hot_restart/other_processes.rs
@@ -1,100 +1,101 @@
-//! The other processes that are one sidecar with this one for a while: the one before, and the one after.
+//! The registry of the other processes that are one sidecar with this one for a while.
 
 use super::message::ProcessMessage;
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// Messages that may wait to be written. The other side reads at once, or is gone.
-const MAX_WAITING: usize = 256;
+/// Messages that may wait to be written to one process. More are dropped: a process that runs reads them at once.
+const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Whether a process came before this one or after it.
-#[derive(Clone, Copy, PartialEq)]
+/// Another process's side of the hot restart.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessRole {
-    /// This one was given the listening socket by it.
+    /// It handed the listening socket to this process.
     Old,
-    /// It was given the listening socket by this one.
+    /// It received the listening socket from this process.
     New,
 }
 
-/// Tells other processes apart.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+/// Identifies another process within this one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OtherProcessId(u64);
 
-/// The other processes.
-#[derive(Default)]
+/// The other processes that run.
+#[derive(Debug, Default)]
 pub struct OtherProcesses {
-    next: u64,
+    next_id: u64,
     processes: BTreeMap<OtherProcessId, OtherProcess>,
 }
 
+#[derive(Debug)]
 struct OtherProcess {
     messages: mpsc::Sender<ProcessMessage>,
     role: ProcessRole,
-    /// Connections, as far as it has told.
-    connections_in_use: Option<usize>,
+    /// The number in its last report, once it has sent one.
+    open_connections: Option<usize>,
 }
 
 impl OtherProcesses {
-    /// Another process has come; returns what is to be written to it.
+    /// Adds a process; returns its id and the queue of messages to be written to it.
     pub fn add(&mut self, role: ProcessRole) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
-        let (sender, messages) = mpsc::channel(MAX_WAITING);
-        let number = OtherProcessId(self.next);
-        self.next += 1;
+        let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let id = OtherProcessId(self.next_id);
+        self.next_id += 1;
         let process = OtherProcess {
             messages: sender,
             role,
-            connections_in_use: None,
+            open_connections: None,
         };
-        self.processes.insert(number, process);
-        (number, messages)
+        self.processes.insert(id, process);
+        (id, messages)
     }
 
-    /// Another process has ended, and holds nothing any more.
-    pub fn remove(&mut self, number: OtherProcessId) {
-        self.processes.remove(&number);
+    /// Removes a process that has ended, and its open connections with it.
+    pub fn remove(&mut self, id: OtherProcessId) {
+        self.processes.remove(&id);
     }
 
-    /// Whether a process is still there.
-    pub fn contains(&self, number: OtherProcessId) -> bool {
-        self.processes.contains_key(&number)
+    /// Returns whether a process still runs.
+    #[must_use]
+    pub fn contains(&self, id: OtherProcessId) -> bool {
+        self.processes.contains_key(&id)
     }
 
-    /// Sends a message to the others that still listen, but for the one that it comes from.
-    pub fn send(&self, message: &ProcessMessage, from: Option<OtherProcessId>) {
-        for (_, process) in self
-            .processes
-            .iter()
-            .filter(|(number, _)| Some(**number) != from)
-        {
+    /// Sends a message to all processes but the one that it came from.
+    pub fn send(&self, message: &ProcessMessage, origin: Option<OtherProcessId>) {
+        let receivers = self.processes.iter().filter(|(id, _)| Some(**id) != origin);
+        for (_, process) in receivers {
             let _ = process.messages.try_send(message.clone());
         }
     }
 
-    /// Whether another process has the listening socket from this one.
+    /// Returns whether any process received the listening socket from this one.
+    #[must_use]
     pub fn has_new_process(&self) -> bool {
         self.processes
             .values()
             .any(|process| process.role == ProcessRole::New)
     }
 
-    /// Whether a process has the listening socket from this one.
-    pub fn is_new_process(&self, number: OtherProcessId) -> bool {
+    /// Returns whether this process received the listening socket from this one.
+    #[must_use]
+    pub fn is_new_process(&self, id: OtherProcessId) -> bool {
         self.processes
-            .get(&number)
+            .get(&id)
             .is_some_and(|process| process.role == ProcessRole::New)
     }
 
-    /// A process holds so many connections.
-    pub fn set_connections_in_use(&mut self, number: OtherProcessId, connections: usize) {
-        if let Some(process) = self.processes.get_mut(&number) {
-            process.connections_in_use = Some(connections);
+    /// Sets how many connections a process has reported as open.
+    pub fn set_open_connections(&mut self, id: OtherProcessId, connections: usize) {
+        if let Some(process) = self.processes.get_mut(&id) {
+            process.open_connections = Some(connections);
         }
     }
 
-    /// What each holds, as far as it has told.
-    pub fn connections_in_use(&self) -> impl Iterator<Item = usize> {
+    /// Returns the number of open connections of each process that has reported one.
+    pub fn open_connections(&self) -> impl Iterator<Item = usize> {
         self.processes
             .values()
-            .filter_map(|process| process.connections_in_use)
+            .filter_map(|process| process.open_connections)
     }
 }
--- a/src/sidecar/hot_restart/shared_directory.rs
+++ b/src/sidecar/hot_restart/shared_directory.rs
@@ -1,124 +1,68 @@
-//! The directory that a sidecar's processes share, one after another: `$TMPDIR`, which they have and nobody else does.
+//! The directory that the processes of one sidecar share, and no other program uses: `$TMPDIR`.
 
-use std::cell::Cell;
-use std::collections::BTreeSet;
+use super::disabled_endpoints_file::DisabledEndpointsFile;
 use std::fs::File;
-use std::io::{self, Read};
 use std::os::fd::AsRawFd;
 use std::path::{Path, PathBuf};
 
-/// Names the directory.
+/// The environment variable with the directory's path.
 const DIRECTORY_VARIABLE: &str = "TMPDIR";
-/// The longest path that an address of a Unix socket holds.
-const LONGEST_SOCKET_PATH: usize = 107;
+/// The longest path that the address of a Unix socket can hold, in bytes.
+const MAX_SOCKET_PATH_LENGTH: usize = 107;
 const SOCKET_NAME: &str = "pipittray.sock";
-const DISABLED_NAME: &str = "pipittray.disabled";
-/// The largest file of disabled endpoints that is read: thousands of them.
-const LARGEST_FILE: u64 = 1 << 20;
+const DISABLED_ENDPOINTS_NAME: &str = "pipittray.disabled";
 
-/// The directory, and what is kept there.
+/// The shared directory.
+#[derive(Debug)]
 pub struct SharedDirectory {
     path: PathBuf,
-    /// Open, so that a path too long for a socket's address can be named through it.
-    opened: File,
-    /// What is kept there is short of what this process was told, as the last change could not be written.
-    is_behind: Cell<bool>,
-}
-
-/// Why the file of disabled endpoints cannot be read.
-#[derive(Debug, thiserror::Error)]
-enum ReadError {
-    #[error(transparent)]
-    Io(#[from] io::Error),
-    #[error(transparent)]
-    Json(#[from] serde_json::Error),
+    /// Kept open: a path that is too long for a socket's address is named through this descriptor.
+    directory: File,
+    disabled_endpoints: DisabledEndpointsFile,
 }
 
 impl SharedDirectory {
-    /// `$TMPDIR`, if there is one that can be used.
+    /// Opens `$TMPDIR`. Returns `None` where it is not set or not a directory that can be opened.
     pub fn from_environment() -> Option<Self> {
         let path =
             PathBuf::from(std::env::var_os(DIRECTORY_VARIABLE).filter(|path| !path.is_empty())?);
-        let opened = File::open(&path).ok()?;
-        let is_directory = opened.metadata().is_ok_and(|metadata| metadata.is_dir());
-        is_directory.then(|| SharedDirectory {
-            path,
-            opened,
-            is_behind: Cell::new(false),
+        let directory = File::open(&path).ok()?;
+        let is_directory = directory.metadata().is_ok_and(|metadata| metadata.is_dir());
+        is_directory.then(|| {
+            let temporary_name = format!("{}.disabled", std::process::id());
+            SharedDirectory {
+                disabled_endpoints: DisabledEndpointsFile::new(
+                    file_path(&path, &directory, DISABLED_ENDPOINTS_NAME),
+                    file_path(&path, &directory, &temporary_name),
+                ),
+                path,
+                directory,
+            }
         })
     }
 
-    /// Where a process hands its listening socket over.
+    /// Returns the path of the socket where the process that serves hands its listener over.
     pub fn socket(&self) -> PathBuf {
-        self.file(SOCKET_NAME)
+        file_path(&self.path, &self.directory, SOCKET_NAME)
     }
 
-    /// The same for this process alone, until it is moved into place.
+    /// Returns the path where this process binds its socket before it is renamed to [`Self::socket`].
     pub fn own_socket(&self) -> PathBuf {
-        self.file(&format!("{}.sock", std::process::id()))
+        let name = format!("{}.sock", std::process::id());
+        file_path(&self.path, &self.directory, &name)
     }
 
-    fn file(&self, name: &str) -> PathBuf {
-        let path = self.path.join(name);
-        if path.as_os_str().len() <= LONGEST_SOCKET_PATH {
-            return path;
-        }
-        PathBuf::from(format!("/proc/self/fd/{}/{name}", self.opened.as_raw_fd()))
-    }
-
-    /// Whether what is kept is short of what this process was told.
-    pub fn is_behind(&self) -> bool {
-        self.is_behind.get()
-    }
-
-    /// The endpoints that the operators had disabled when the process before ended, or as it goes on; none where nothing
-    /// is kept. What cannot be read is one line of the log.
-    pub fn disabled_endpoints(&self) -> Option<BTreeSet<String>> {
-        match self.read_disabled() {
-            Ok(disabled) => Some(disabled),
-            Err(ReadError::Io(failure)) if failure.kind() == io::ErrorKind::NotFound => None,
-            Err(failure) => {
-                log!("the file of disabled endpoints is ignored: {failure}");
-                None
-            }
-        }
-    }
-
-    fn read_disabled(&self) -> Result<BTreeSet<String>, ReadError> {
-        let mut text = String::new();
-        File::open(self.file(DISABLED_NAME))?
-            .take(LARGEST_FILE)
-            .read_to_string(&mut text)?;
-        Ok(serde_json::from_str(&text)?)
-    }
-
-    /// Keeps for the other processes that an endpoint is disabled, or enabled, beside what they have kept; where nothing
-    /// is, with all that this one knows.
-    pub fn store_admin_state<'a>(
-        &self,
-        endpoint: &str,
-        disabled: bool,
-        known: impl Iterator<Item = &'a str>,
-    ) {
-        let mut all = self
-            .disabled_endpoints()
-            .unwrap_or_else(|| known.map(String::from).collect());
-        if disabled {
-            all.insert(endpoint.into());
-        } else {
-            all.remove(endpoint);
-        }
-        let kept = self.write_disabled(&all);
-        self.is_behind.set(kept.is_err());
-        if let Err(failure) = kept {
-            log!("an upgrade will not know what is disabled: {failure}");
-        }
+    /// Returns the file of disabled endpoints.
+    pub fn disabled_endpoints(&self) -> &DisabledEndpointsFile {
+        &self.disabled_endpoints
     }
+}
 
-    /// Written aside and moved into place, so that no reader finds half of it.
-    fn write_disabled(&self, disabled: &BTreeSet<String>) -> io::Result<()> {
-        let aside = self.file(&format!("{}.disabled", std::process::id()));
-        std::fs::write(&aside, serde_json::to_vec(disabled)?)?;
-        std::fs::rename::<&Path, PathBuf>(&aside, self.file(DISABLED_NAME))
+/// Returns a path of a file in the directory that is short enough for a socket's address.
+fn file_path(path: &Path, directory: &File, name: &str) -> PathBuf {
+    let path = path.join(name);
+    if path.as_os_str().len() <= MAX_SOCKET_PATH_LENGTH {
+        return path;
     }
+    PathBuf::from(format!("/proc/self/fd/{}/{name}", directory.as_raw_fd()))
 }
--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -51,12 +51,12 @@
 
     /// Sets how many connections a process has open.
     pub fn set_connections(&mut self, number: OtherProcessId, connections: usize) {
-        self.processes.set_connections_in_use(number, connections);
+        self.processes.set_open_connections(number, connections);
     }
 
     /// Returns how many connections each process has open, as far as it has reported.
     pub fn connections(&self) -> impl Iterator<Item = usize> {
-        self.processes.connections_in_use()
+        self.processes.open_connections()
     }
 
     /// Sends a message to all other processes.
@@ -71,7 +71,7 @@
         state: AdminState,
         origin: Option<OtherProcessId>,
     ) {
-        let message = ProcessMessage::Disabled {
+        let message = ProcessMessage::AdminState {
             endpoint: endpoint.0.to_string(),
             disabled: state.is_disabled(),
         };
@@ -80,7 +80,7 @@
 
     /// Returns the disabled endpoints that the shared directory holds; `None` where it holds none or there is no directory.
     pub fn stored_disabled_endpoints(&self) -> Option<BTreeSet<String>> {
-        self.directory.as_ref()?.disabled_endpoints()
+        self.directory.as_ref()?.disabled_endpoints().load()
     }
 
     /// Stores an endpoint's administrative state in the shared directory. Where nothing is stored yet, all the endpoints
@@ -93,7 +93,9 @@
     ) {
         if let Some(directory) = &self.directory {
             let disabled = disabled.map(|endpoint| &*endpoint.0);
-            directory.store_admin_state(&endpoint.0, state.is_disabled(), disabled);
+            directory
+                .disabled_endpoints()
+                .store(&endpoint.0, state, disabled);
         }
     }
 
@@ -101,6 +103,6 @@
     pub fn is_store_behind(&self) -> bool {
         self.directory
             .as_ref()
-            .is_some_and(|directory| directory.is_behind())
+            .is_some_and(|directory| directory.disabled_endpoints().is_stale())
     }
 }
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -43,7 +43,7 @@
     pub fn announce_shutdown(&self) {
         self.borrow()
             .hot_restart
-            .broadcast(&ProcessMessage::Stopping);
+            .broadcast(&ProcessMessage::ShuttingDown);
     }
 
     /// Sends the disabled endpoints to the other processes: a new one has read the file, but perhaps before the last
@@ -97,11 +97,11 @@
     /// Handles a message from another process.
     pub fn receive(&self, origin: OtherProcessId, message: ProcessMessage) {
         match message {
-            ProcessMessage::Disabled { endpoint, disabled } => {
+            ProcessMessage::AdminState { endpoint, disabled } => {
                 let state = AdminState::from_disabled(disabled);
                 self.receive_admin_state(origin, endpoint.as_str().into(), state);
             }
-            ProcessMessage::Holds(connections) => {
+            ProcessMessage::OpenConnections(connections) => {
                 let mut guard = self.borrow();
                 let node = &mut *guard;
                 node.hot_restart.set_connections(origin, connections);
@@ -110,9 +110,9 @@
             }
             ProcessMessage::Serving => {
                 self.borrow().connections.suspend_accepting();
-                log!("callers go over to the process after");
+                log!("hot restart: the new process accepts callers");
             }
-            ProcessMessage::Stopping => self.receive_stopping(origin),
+            ProcessMessage::ShuttingDown => self.receive_stopping(origin),
         }
     }
 
@@ -120,7 +120,7 @@
     fn receive_stopping(&self, origin: OtherProcessId) {
         let mut node = self.borrow();
         if node.hot_restart.is_new_process(origin) && node.connections.resume_accepting() {
-            log!("the process after stops; callers are let in here again");
+            log!("hot restart: the new process shuts down; accepting callers again");
         }
     }
 
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -1,7 +1,7 @@
 //! The process: its start, its signals and its end.
 
-use super::handover;
 use super::hot_restart::SharedDirectory;
+use super::listener_handover::{self, PortSharing};
 use super::node::{NodeHandle, StartMode, StartOptions};
 use super::operators;
 use super::report;
@@ -54,7 +54,7 @@
     },
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    #[error("the process before: {0}")]
+    #[error("hot restart: {0}")]
     Handover(io::Error),
 }
 
@@ -93,10 +93,17 @@
         .as_ref()
         .and_then(|_| SharedDirectory::from_environment())
         .map(Rc::new);
-    let old_process = directory.as_deref().and_then(handover::request_listener);
+    let old_process = directory
+        .as_deref()
+        .and_then(listener_handover::request_listener);
     let listen_failed = |failure| ProcessError::Listen { address, failure };
-    let listener = handover::listen(address, operators.is_some(), old_process.as_ref())
-        .map_err(listen_failed)?;
+    let sharing = if operators.is_some() {
+        PortSharing::Shared
+    } else {
+        PortSharing::Exclusive
+    };
+    let listener =
+        listener_handover::listen(address, sharing, old_process.as_ref()).map_err(listen_failed)?;
     let address = listener.local_addr().map_err(listen_failed)?;
     let node = NodeHandle::start(StartOptions {
         config,
@@ -114,14 +121,14 @@
     log!("{name} listens on {address}");
     if let Some(old_process) = old_process {
         let taken_over = tokio::select! {
-            taken_over = handover::take_over(&node, old_process) => taken_over,
+            taken_over = listener_handover::take_over(&node, old_process) => taken_over,
             _ = stop.recv() => {
                 log!("{name} stops before it has taken over");
                 return Ok(());
             }
         };
         taken_over.map_err(ProcessError::Handover)?;
-        log!("{name} takes over from the process before");
+        log!("{name} takes over from the old process");
     }
     let offer = match directory {
         Some(directory) => {
@@ -129,7 +136,7 @@
                 .as_fd()
                 .try_clone_to_owned()
                 .map_err(listen_failed)?;
-            Some(Task::spawn(handover::offer(
+            Some(Task::spawn(listener_handover::serve_new_processes(
                 node.clone(),
                 directory,
                 descriptor.into(),
--- a/tests/sidecar/bans.rs
+++ b/tests/sidecar/bans.rs
@@ -129,10 +129,10 @@
     let all = [&endpoints[0], &endpoints[1], &endpoints[2]];
     let first = start(&folder, &discovery, &all, None);
     let second = start(&folder, &discovery, &all, Some(&first));
-    first.wait_for_log("callers go over");
+    first.wait_for_log("the new process accepts callers");
     second.wait_for_log("takes over");
     let third = start(&folder, &discovery, &all, Some(&second));
-    second.wait_for_log("callers go over");
+    second.wait_for_log("the new process accepts callers");
     let out = |sidecar: &Sidecar| sidecar.metric("members_unavailable");
     for (n, told) in [&first, &second, &third].into_iter().enumerate() {
         assert!(told.call_is_yes(&format!("DISABLE e{n}")));
@@ -144,11 +144,11 @@
         wait_until("all follow", follow);
     }
     drop(first);
-    second.wait_for_log("the process before has ended");
+    second.wait_for_log("the old process has ended");
     assert!(second.call_is_yes("ENABLE e2"));
     wait_until("the third follows", || out(&third) == Some(2));
     drop(third);
-    second.wait_for_log("callers are let in here again");
+    second.wait_for_log("accepting callers again");
     assert_eq!(
         second
             .client()
--- a/tests/sidecar/cancellation_support/replacement.rs
+++ b/tests/sidecar/cancellation_support/replacement.rs
@@ -23,7 +23,7 @@
         ));
         config["listen"] = json!(sidecar.address.to_string());
         let next = Sidecar::start_in_directory(folder, &config);
-        sidecar.wait_for_log("callers go over to the process after");
+        sidecar.wait_for_log("the new process accepts callers");
         return Some(next);
     }
     match word {
--- a/tests/sidecar/crossings_of_stops.rs
+++ b/tests/sidecar/crossings_of_stops.rs
@@ -233,7 +233,7 @@
         drop(newer);
     };
     dies("[\"e1", "");
-    sidecar.wait_for_log("file of disabled endpoints is ignored");
+    sidecar.wait_for_log("disabled endpoints: the stored file is ignored");
     assert_eq!(out(), Some(1));
     dies("[]", "");
     wait_until("it is back here too", || out() == Some(0));
--- a/tests/sidecar/upgrade.rs
+++ b/tests/sidecar/upgrade.rs
@@ -82,10 +82,10 @@
                 next.requests_ended("completed", "safe")
                     .is_some_and(|n| n > 20)
             });
-            serves.wait_for_log("callers go over to the process after");
+            serves.wait_for_log("the new process accepts callers");
             serves.terminate();
             assert!(serves.wait().success());
-            next.wait_for_log("the process before has ended");
+            next.wait_for_log("the old process has ended");
             serves = next;
         }
         done.store(true, Ordering::Relaxed);
@@ -111,10 +111,10 @@
     assert_eq!(next.requests_ended("completed", "safe"), Some(0));
     watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
     wait_until("it is ready", || next.call_is_yes("READY"));
-    before.wait_for_log("callers go over to the process after");
+    before.wait_for_log("the new process accepts callers");
     // With the older one gone, one that knows of no endpoint is all that there is.
     next.kill();
-    before.wait_for_log("let in here again");
+    before.wait_for_log("accepting callers again");
     let mut next = place.start(Some(before.address));
     place.speaks();
     next.terminate();
@@ -124,7 +124,7 @@
     place.speaks();
     assert!(!last.call_is_yes("READY"));
     before.kill();
-    last.wait_for_log("takes over from the process before");
+    last.wait_for_log("takes over from the old process");
     assert_eq!(
         last.client()
             .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
@@ -145,7 +145,9 @@
     let told = |what: &str| before.log().iter().filter(|l| l.contains(what)).count();
     for times in 1..=2 {
         let mut next = place.start(Some(before.address));
-        wait_until("callers go over", || told("callers go over") == times);
+        wait_until("the new process accepts callers", || {
+            told("the new process accepts callers") == times
+        });
         assert_eq!(
             before.client().exchange(&get_request("5")).status(),
             200,
@@ -153,7 +155,7 @@
         );
         next.kill();
         wait_until("they are let in again", || {
-            told("let in here again") == times
+            told("accepting callers again") == times
         });
         assert_eq!(before.client().exchange(&get_request("5")).status(), 200);
     }
@@ -184,7 +186,7 @@
     });
     assert!(before.wait().success());
     assert_eq!(next.client().exchange(&get_request("9")).status(), 200);
-    next.wait_for_log("the process before has ended");
+    next.wait_for_log("the old process has ended");
 }
 
 /// Guards callers where the newer process is told to stop while the older one is there, and has a request out that keeps it
@@ -199,12 +201,12 @@
     let place = Place::over(&[&endpoints[0], &endpoints[1]]);
     let before = place.start(None);
     let mut next = place.start(Some(before.address));
-    before.wait_for_log("callers go over");
+    before.wait_for_log("the new process accepts callers");
     let mut out = next.client();
     out.write(&post_request("unsafe", "10", "x"));
     wait_until("it is out", || next.metric("pending") == Some(1));
     next.terminate();
-    before.wait_for_log("callers are let in here again");
+    before.wait_for_log("accepting callers again");
     wait_until("the older one serves", || {
         assert_eq!(before.client().exchange(&get_request("9")).status(), 200);
         before.requests_ended("completed", "safe") > Some(0)
@@ -216,9 +218,9 @@
     );
     drop(out);
     assert!(next.wait().success());
-    before.wait_for_log("the process after has ended");
+    before.wait_for_log("the new process has ended");
     let third = place.start(Some(before.address));
-    third.wait_for_log("takes over from the process before");
+    third.wait_for_log("takes over from the old process");
     assert_eq!(before.client().exchange(&get_request("5")).status(), 200);
 }
 
@@ -240,7 +242,7 @@
     std::fs::remove_file(&socket).expect("it goes");
     std::fs::create_dir(&socket).expect("a folder in its place");
     let sidecar = place.start(None);
-    sidecar.wait_for_log("no hand-over from this process");
+    sidecar.wait_for_log("hot restart: not possible from this process");
     assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
     let config = with_admin_address(config(place.discovery.address, &place.known));
     assert!(
@@ -271,7 +273,7 @@
     let _held = hold(&before, 100);
     wait_until("it holds them", || before.metric("pending") == Some(100));
     let next = start(Some(before.address));
-    before.wait_for_log("callers go over");
+    before.wait_for_log("the new process accepts callers");
     thread::sleep(Duration::from_millis(200)); // they tell each other what they hold
     let _more = hold(&next, 200);
     wait_until("it holds some", || {
