--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -1,7 +1,7 @@
 //! The process: its start, its signals and its end.
 
-use super::handover::{self, OldProcess};
 use super::hot_restart::SharedDirectory;
+use super::listener_handover::{self, OldProcess, PortSharing};
 use super::node::{NodeHandle, StartMode, StartOptions};
 use super::operators;
 use super::report;
@@ -126,8 +126,14 @@
             .as_ref()
             .and_then(|_| SharedDirectory::from_environment())
             .map(Rc::new);
-        let old_process = directory.as_deref().and_then(handover::request_listener);
-        let listener = handover::listen(address, operators.is_some(), old_process.as_ref())
+        let old_process = directory
+            .as_deref()
+            .and_then(listener_handover::request_listener);
+        let sharing = match operators {
+            Some(_) => PortSharing::Shared,
+            None => PortSharing::Exclusive,
+        };
+        let listener = listener_handover::listen(address, sharing, old_process.as_ref())
             .map_err(|source| ProcessError::Listen { address, source })?;
         let address = listener
             .local_addr()
@@ -165,9 +171,9 @@
     ) -> Result<Takeover, ProcessError> {
         let name = &self.name;
         tokio::select! {
-            result = handover::take_over(&self.node, old_process) => {
+            result = listener_handover::take_over(&self.node, old_process) => {
                 result.map_err(ProcessError::HotRestart)?;
-                log!("{name} takes over from the process before");
+                log!("{name} takes over from the old process");
                 Ok(Takeover::Completed)
             }
             _ = terminate.recv() => {
@@ -185,7 +191,8 @@
         let listener = self
             .duplicate_listener()
             .map_err(ProcessError::HotRestart)?;
-        let offer = handover::offer(self.node.clone(), directory.clone(), listener);
+        let offer =
+            listener_handover::serve_new_processes(self.node.clone(), directory.clone(), listener);
         Ok(Some(Task::spawn(offer)))
     }
 
