--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -17,10 +17,10 @@
     for difference in &differences {
         line(difference);
     }
-    let is_turned_down = differences
+    let is_rejected = differences
         .iter()
-        .any(|difference| difference.effect == Effect::TurnedDown);
-    if is_turned_down {
+        .any(|difference| difference.effect == Effect::Rejected);
+    if is_rejected {
         Outcome::Failed
     } else {
         Outcome::Done
--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -12,10 +12,10 @@
         Err(outcome) => return outcome,
     };
     let admin = match Config::admin_from_environment() {
-        Ok(admin) => admin.map(|address| address.to_string()),
+        Ok(admin) => admin,
         Err(error) => return bad_input(&error),
     };
-    let values = configuration::explain(&parsed, admin.as_deref());
+    let values = configuration::effective_values(&parsed, admin);
     for value in &values {
         line(value);
     }
--- a/src/command_line/file.rs
+++ b/src/command_line/file.rs
@@ -1,7 +1,7 @@
 //! Configuration files that commands are given.
 
 use super::output::{Outcome, bad_input, complaint};
-use crate::configuration::{self, Parsed};
+use crate::configuration::{self, ParsedConfiguration};
 use std::fs;
 use std::path::Path;
 
@@ -11,9 +11,9 @@
 }
 
 /// Reads a configuration, or complains of all that is wrong with it, a line each.
-pub(super) fn parse(text: &str) -> Result<Parsed, Outcome> {
-    configuration::parse(text).map_err(|faults| {
-        faults.0.iter().for_each(|fault| complaint(fault));
+pub(super) fn parse(text: &str) -> Result<ParsedConfiguration, Outcome> {
+    configuration::parse(text).map_err(|errors| {
+        errors.0.iter().for_each(|error| complaint(error));
         Outcome::BadInput
     })
 }
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -1,69 +1,71 @@
 //! What another configuration would change in a running sidecar.
 
 use super::config::Config;
-use super::flat::leaves;
+use super::leaf_values::leaf_values;
 use serde_json::Value;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What a change needs.
+/// How a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// SIGHUP takes it over.
+    /// With a reload, on SIGHUP.
     Reload,
-    /// Only a restart takes it over.
+    /// With a restart only.
     Restart,
-    /// SIGHUP turns the whole file down.
-    TurnedDown,
+    /// Not at all: a reload rejects the whole file.
+    Rejected,
 }
 
 /// One value that differs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// Its path in the document.
+    /// The path in the document.
     pub path: String,
-    /// Before, if it was there.
-    pub before: Option<Value>,
-    /// After, if it is there.
-    pub after: Option<Value>,
-    /// What the change needs.
+    /// The value in the running configuration, if any.
+    pub running: Option<Value>,
+    /// The value in the next configuration, if any.
+    pub next: Option<Value>,
+    /// How the change takes effect.
     pub effect: Effect,
 }
 
-/// What differs between the configuration that a sidecar runs with and another. A key that has gone for which the whole
-/// file would be turned down is the only difference then.
+/// Returns the differences between the configuration that a sidecar runs with and the next one.
+///
+/// If the next one lacks a key for which a reload rejects the whole file, that is the only difference.
 #[must_use]
 pub fn differences(running: &Config, next: &Config) -> Vec<Difference> {
-    if let Some(path) = next.missing_key(&running.document) {
+    if let Some(path) = next.missing_key(&running.settings_and_limits) {
         return vec![Difference {
             path,
-            before: None,
-            after: None,
-            effect: Effect::TurnedDown,
+            running: None,
+            next: None,
+            effect: Effect::Rejected,
         }];
     }
-    let (before, after) = (leaves(&running.value), leaves(&next.value));
-    let paths: BTreeSet<&String> = before.iter().chain(&after).map(|(path, _)| path).collect();
-    let value_of = |leaves: &[(String, Value)], path: &str| {
-        leaves
-            .iter()
-            .find(|(other, _)| other == path)
-            .map(|(_, value)| value.clone())
-    };
-    let differing = paths.into_iter().filter_map(|path| {
-        let (before, after) = (value_of(&before, path), value_of(&after, path));
-        let effect = effect(path)?;
-        (before != after).then(|| Difference {
-            path: path.clone(),
-            before,
-            after,
-            effect,
+    let running = values_by_path(&running.file_content);
+    let next = values_by_path(&next.file_content);
+    let paths: BTreeSet<&String> = running.keys().chain(next.keys()).collect();
+    let differing = paths
+        .into_iter()
+        .filter(|path| running.get(*path) != next.get(*path));
+    differing
+        .filter_map(|path| {
+            Some(Difference {
+                path: path.clone(),
+                running: running.get(path).cloned(),
+                next: next.get(path).cloned(),
+                effect: effect(path)?,
+            })
         })
-    });
-    differing.collect()
+        .collect()
 }
 
-/// None for what counts at a start alone (`known`, `seed`): a running sidecar knows better.
+fn values_by_path(document: &Value) -> BTreeMap<String, Value> {
+    leaf_values(document).into_iter().collect()
+}
+
+/// Returns how a change of this value takes effect; none for what a process reads only at its start (`known`, `seed`).
 fn effect(path: &str) -> Option<Effect> {
     match path.split(['.', '[']).next() {
         Some("settings" | "discovery") => Some(Effect::Reload),
@@ -74,12 +76,10 @@
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown =
-            |value: &Option<Value>| value.as_ref().map_or("absent".into(), Value::to_string);
         let effect = match self.effect {
             Effect::Reload => "SIGHUP changes",
             Effect::Restart => "only a restart changes",
-            Effect::TurnedDown => {
+            Effect::Rejected => {
                 return write!(
                     f,
                     "turned down: {} is missing, which was there before",
@@ -91,8 +91,12 @@
             f,
             "{effect} {}: {} to {}",
             self.path,
-            shown(&self.before),
-            shown(&self.after)
+            shown(self.running.as_ref()),
+            shown(self.next.as_ref())
         )
     }
 }
+
+fn shown(value: Option<&Value>) -> String {
+    value.map_or_else(|| "absent".to_owned(), Value::to_string)
+}
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -1,45 +1,50 @@
-//! The configuration as its file has it.
+//! The document types of the configuration file. Their doc comments are the descriptions in the published JSON Schema.
 
 use super::settings_document::SettingsDocument;
 use crate::discovery::EndpointList;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
+use std::num::ParseIntError;
 
-/// A sidecar's configuration.
+/// The configuration of a sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ConfigurationDocument {
-    /// The sidecar's name, the same after a restart.
+    /// The name of the sidecar, which stays the same over restarts.
     pub name: String,
-    /// Where callers connect: address and port.
+    /// The IP address and port on which callers connect.
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Discovery: address and port.
+    /// The IP address and port of discovery.
     #[schemars(with = "String")]
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere: address and port. `ROUTER_ADMIN_ADDR` goes first.
+    /// The IP address and port for operators' calls. Absent: there is none. The environment variable
+    /// `ROUTER_ADMIN_ADDR` takes precedence.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub admin_addr: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// The seed of the random numbers, different for each start.
     pub seed: Seed,
-    /// What the process may hold.
-    pub limits: LimitsDocument,
-    /// The endpoints as this sidecar last had them; perhaps old.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub known: Option<EndpointList>,
-    /// What the decision module goes by.
+    /// The resource limits of the process.
+    pub limits: ProcessLimitsDocument,
+    /// The endpoint list from before the start, possibly out of date.
+    #[serde(rename = "known", skip_serializing_if = "Option::is_none")]
+    pub cached_list: Option<EndpointList>,
+    /// The settings of the load balancer.
     pub settings: SettingsDocument,
 }
 
-/// What the process may hold.
+/// The resource limits of the process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct LimitsDocument {
-    /// File descriptors.
-    pub sockets: usize,
-    /// Memory, in MB.
-    pub memory_mb: usize,
-    /// Processor cores. Read for its absence to be seen.
+pub struct ProcessLimitsDocument {
+    /// The maximum number of file descriptors.
+    #[serde(rename = "sockets")]
+    pub max_descriptors: usize,
+    /// The maximum memory, in MB.
+    #[serde(rename = "memory_mb")]
+    pub max_memory_mb: usize,
+    /// The number of processor cores. It has no effect.
+    // It is read so that a reload notices its absence.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cores: Option<f64>,
 }
@@ -50,12 +55,12 @@
 #[schemars(with = "String", extend("pattern" = "^[0-9a-fA-F]{1,16}$"))]
 pub struct Seed(pub u64);
 
-/// The text is no number of 64 bits in hexadecimal digits.
+/// The text of a seed is not a hexadecimal number of 64 bits.
 #[derive(Debug, thiserror::Error)]
-#[error("seed {text}: {problem}")]
+#[error("seed {text}: {source}")]
 pub struct SeedError {
     text: String,
-    problem: std::num::ParseIntError,
+    source: ParseIntError,
 }
 
 impl TryFrom<String> for Seed {
@@ -64,7 +69,7 @@
     fn try_from(text: String) -> Result<Self, SeedError> {
         u64::from_str_radix(&text, 16)
             .map(Seed)
-            .map_err(|problem| SeedError { text, problem })
+            .map_err(|source| SeedError { text, source })
     }
 }
 
--- /dev/null
+++ b/src/configuration/effective_value.rs
@@ -0,0 +1,133 @@
+//! The configuration in effect, value by value.
+
+use super::leaf_values::leaf_values;
+use super::parse::ParsedConfiguration;
+use super::variables::ADMIN_VARIABLE;
+use crate::discovery::EndpointList;
+use serde_json::Value;
+use std::collections::HashSet;
+use std::fmt;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Where a value comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Origin {
+    /// The configuration file.
+    File,
+    /// The default, because the file does not have it.
+    Default,
+    /// The environment.
+    Environment,
+}
+
+/// One value in effect.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EffectiveValue {
+    /// The path in the document.
+    pub path: String,
+    /// The value.
+    pub value: Value,
+    /// The unit, and for times the value in a readable form.
+    pub unit: Option<String>,
+    /// Where the value comes from.
+    pub origin: Origin,
+}
+
+/// The units of keys other than times, by the end of the path.
+const UNITS: [(&str, &str); 6] = [
+    ("memory_mb", "MB"),
+    ("limits.sockets", "descriptors"),
+    ("limits.cores", "cores"),
+    ("quotaPerS", "requests/s"),
+    ("sendCap", "attempts"),
+    ("maxOpen", "requests"),
+];
+/// The end of keys whose values are times in nanoseconds.
+const NANOSECONDS_SUFFIX: &str = "Ns";
+/// The key of the address for operators' calls.
+const ADMIN_KEY: &str = "admin_addr";
+/// The key of the cached endpoint list, of which only the size is shown.
+const CACHED_LIST_KEY: &str = "known";
+
+/// Returns all values in effect. An address for operators' calls in the environment replaces that of the file.
+#[must_use]
+pub fn effective_values(
+    parsed: &ParsedConfiguration,
+    admin_from_environment: Option<SocketAddr>,
+) -> Vec<EffectiveValue> {
+    let mut values = document_values(parsed);
+    if let Some(address) = admin_from_environment {
+        values.retain(|value| value.path != ADMIN_KEY);
+        values.push(EffectiveValue {
+            path: ADMIN_KEY.to_owned(),
+            value: Value::from(address.to_string()),
+            unit: None,
+            origin: Origin::Environment,
+        });
+    }
+    values.extend(parsed.document.cached_list.as_ref().map(cached_list_size));
+    values
+}
+
+fn document_values(parsed: &ParsedConfiguration) -> Vec<EffectiveValue> {
+    let mut document = serde_json::to_value(&parsed.document).unwrap_or_default();
+    if let Some(object) = document.as_object_mut() {
+        object.remove(CACHED_LIST_KEY);
+    }
+    let file_values = leaf_values(&parsed.file_content);
+    let file_paths: HashSet<String> = file_values.into_iter().map(|(path, _)| path).collect();
+    let effective = leaf_values(&document).into_iter();
+    effective
+        .map(|(path, value)| EffectiveValue {
+            unit: unit(&path, &value),
+            origin: if file_paths.contains(&path) {
+                Origin::File
+            } else {
+                Origin::Default
+            },
+            path,
+            value,
+        })
+        .collect()
+}
+
+fn cached_list_size(list: &EndpointList) -> EffectiveValue {
+    EffectiveValue {
+        path: CACHED_LIST_KEY.to_owned(),
+        value: Value::from(list.endpoints.len()),
+        unit: Some(format!("endpoints, version {}", list.index)),
+        origin: Origin::File,
+    }
+}
+
+fn unit(path: &str, value: &Value) -> Option<String> {
+    if path.ends_with(NANOSECONDS_SUFFIX) {
+        let time = value.as_u64().map(Duration::from_nanos)?;
+        return Some(format!("ns, {time:?}"));
+    }
+    UNITS
+        .iter()
+        .find(|(path_end, _)| path.ends_with(path_end))
+        .map(|(_, unit)| (*unit).to_owned())
+}
+
+impl fmt::Display for Origin {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Origin::File => "file",
+            Origin::Default => "default",
+            Origin::Environment => ADMIN_VARIABLE,
+        })
+    }
+}
+
+impl fmt::Display for EffectiveValue {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} = {}", self.path, self.value)?;
+        if let Some(unit) = &self.unit {
+            write!(f, " {unit}")?;
+        }
+        write!(f, " ({})", self.origin)
+    }
+}
--- /dev/null
+++ b/src/configuration/error.rs
@@ -0,0 +1,34 @@
+//! Errors of loading a configuration.
+
+use super::validation::ValidationErrors;
+use super::variables::{ADMIN_VARIABLE, FILE_VARIABLE};
+use std::ffi::OsString;
+use std::io;
+use std::path::PathBuf;
+
+/// Why a configuration cannot be loaded. The message fits on one line.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The environment names no file.
+    #[error("{FILE_VARIABLE} is not set")]
+    NoFile,
+    /// The file cannot be read.
+    #[error("{path}: {source}", path = path.display())]
+    Read {
+        /// The path of the file.
+        path: PathBuf,
+        /// Why it cannot be read.
+        source: io::Error,
+    },
+    /// The content of the file is invalid.
+    #[error("{path}: {source}", path = path.display())]
+    Invalid {
+        /// The path of the file.
+        path: PathBuf,
+        /// All that is wrong with the content.
+        source: ValidationErrors,
+    },
+    /// The value of `ROUTER_ADMIN_ADDR` is not an IP address and port.
+    #[error("{ADMIN_VARIABLE} is no address: {text}", text = .0.display())]
+    AdminAddress(OsString),
+}
--- a/src/configuration/flat.rs
+++ b/src/configuration/leaf_values.rs
@@ -1,9 +1,10 @@
-//! Values of a document by their paths.
+//! The values of a JSON document, each with its path.
 
 use serde_json::Value;
 
-/// The values of a document that are no objects and no lists of objects, by their paths, in the document's order.
-pub(super) fn leaves(document: &Value) -> Vec<(String, Value)> {
+/// Returns the values of a document that contain no objects, each with its path, such as
+/// `settings.categories[0].worth`.
+pub(super) fn leaf_values(document: &Value) -> Vec<(String, Value)> {
     let mut leaves = Vec::new();
     collect("", document, &mut leaves);
     leaves
--- /dev/null
+++ b/src/configuration/missing_key.rs
@@ -0,0 +1,56 @@
+//! Keys that an earlier document has and a later one lacks.
+
+use serde_json::Value;
+
+/// Keys of settings that a later document may leave out. The absence of any other key marks a damaged file, even where
+/// the key has a default at the start.
+const OPTIONAL_KEYS: [&str; 5] = [
+    "aimStretch",
+    "passesDeadline",
+    "warmKeys",
+    "drainCloseNs",
+    "orderPauseNs",
+];
+
+/// Returns the path of the first key that the earlier document has and the later one lacks.
+///
+/// Lists may change their length: each element of the later list needs the keys that all elements of the earlier one
+/// have.
+pub(super) fn missing_key(earlier: &Value, later: &Value) -> Option<String> {
+    match (earlier, later) {
+        (Value::Object(earlier), Value::Object(later)) => {
+            let required = earlier
+                .iter()
+                .filter(|(key, _)| !OPTIONAL_KEYS.contains(&key.as_str()));
+            required
+                .map(|(key, value)| (key, value, later.get(key)))
+                .find_map(|(key, value, later_value)| match later_value {
+                    None => Some(key.clone()),
+                    Some(later_value) => {
+                        missing_key(value, later_value).map(|rest| format!("{key}.{rest}"))
+                    }
+                })
+        }
+        (Value::Array(earlier), Value::Array(later)) => {
+            let common = with_common_keys(earlier)?;
+            later.iter().enumerate().find_map(|(position, element)| {
+                missing_key(&common, element).map(|rest| format!("{position}.{rest}"))
+            })
+        }
+        _ => None,
+    }
+}
+
+/// Returns the first element with only the keys that all elements have; null where an element is not an object.
+fn with_common_keys(elements: &[Value]) -> Option<Value> {
+    elements
+        .iter()
+        .cloned()
+        .reduce(|common, element| match (common, element) {
+            (Value::Object(mut common), Value::Object(element)) => {
+                common.retain(|key, _| element.contains_key(key));
+                Value::Object(common)
+            }
+            _ => Value::Null,
+        })
+}
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,20 +1,26 @@
-//! The sidecar's configuration: its document, what can be wrong with it, and what a change of it means.
+//! The sidecar's configuration: its file format, validation, JSON Schema, and the effect of a change.
 
 mod config;
 mod difference;
 mod document;
-mod document_path;
-mod explanation;
-mod fault;
-mod flat;
+mod effective_value;
+mod error;
+mod leaf_values;
+mod missing_key;
 mod parse;
+mod restart_values;
 mod schema;
 pub mod settings_document;
+mod validation;
+mod variables;
 
-pub use config::{ADMIN_VARIABLE, Config, ConfigError, FILE_VARIABLE, FixedValues};
+pub use config::Config;
 pub use difference::{Difference, Effect, differences};
-pub use document::{ConfigurationDocument, LimitsDocument, Seed};
-pub use explanation::{Explained, Origin, explain};
-pub use fault::{Fault, Faults};
-pub use parse::{Parsed, UnknownKey, parse, unknown_keys};
+pub use document::{ConfigurationDocument, ProcessLimitsDocument, Seed, SeedError};
+pub use effective_value::{EffectiveValue, Origin, effective_values};
+pub use error::ConfigError;
+pub use parse::{ParsedConfiguration, UnknownKey, parse, unknown_keys};
+pub use restart_values::RestartValues;
 pub use schema::schema;
+pub use validation::{ValidationError, ValidationErrors};
+pub use variables::{ADMIN_VARIABLE, FILE_VARIABLE};
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -1,24 +1,25 @@
-//! Reading a configuration's text, at the start, at SIGHUP and in `check` alike.
+//! Reading and validating the text of a configuration: at the start, on SIGHUP and in the commands.
 
 use super::document::ConfigurationDocument;
-use super::document_path::document_path;
-use super::fault::{Fault, Faults};
-use super::schema;
-use crate::policy::Settings;
+use super::schema::schema_errors;
+use super::settings_document::document_key_path;
+use super::validation::{ValidationError, ValidationErrors};
+use crate::policy::{Settings, SettingsError};
 use serde_json::Value;
 use std::fmt;
 
-/// A configuration that can be used.
-pub struct Parsed {
-    /// As its types have it, defaults filled in.
+/// A valid configuration.
+#[derive(Debug)]
+pub struct ParsedConfiguration {
+    /// The document, with defaults for what the file leaves out.
     pub document: ConfigurationDocument,
-    /// As the file has it.
-    pub value: Value,
+    /// The content of the file.
+    pub file_content: Value,
     /// The settings in the decision module's form.
     pub settings: Settings,
 }
 
-/// A key that no part of the program reads.
+/// The path of a key that the sidecar does not read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownKey(pub String);
 
@@ -28,80 +29,79 @@
     }
 }
 
-/// Reads a configuration.
+/// Reads and validates the text of a configuration.
 ///
 /// # Errors
-/// All that is wrong with it.
-pub fn parse(text: &str) -> Result<Parsed, Faults> {
-    let value: Value = serde_json::from_str(text).map_err(|error| Faults(vec![no_json(&error)]))?;
-    let document = read(text).map_err(|fault| Faults(all_faults(&value, fault)))?;
-    let settings = document.settings.clone().settings();
-    let settings = settings.map_err(|error| Faults(vec![settings_fault(error.to_string())]))?;
-    let faults: Vec<Fault> = settings
-        .faults()
-        .into_iter()
-        .map(|error| {
-            let path = format!("settings.{}", document_path(&error.field));
-            Fault {
-                path,
-                problem: error.problem.into(),
-            }
-        })
-        .collect();
-    if faults.is_empty() {
-        Ok(Parsed {
-            document,
-            value,
-            settings,
-        })
-    } else {
-        Err(Faults(faults))
+/// Returns all that is wrong with it.
+pub fn parse(text: &str) -> Result<ParsedConfiguration, ValidationErrors> {
+    let file_content: Value =
+        serde_json::from_str(text).map_err(|error| ValidationErrors(vec![not_json(&error)]))?;
+    let document = read_document_text(text)
+        .map_err(|error| ValidationErrors(all_errors(&file_content, error)))?;
+    let settings = Settings::try_from(document.settings.clone())
+        .map_err(|error| ValidationErrors(vec![invalid_settings(error.to_string())]))?;
+    let errors: Vec<ValidationError> = settings.faults().iter().map(invalid_setting).collect();
+    if !errors.is_empty() {
+        return Err(ValidationErrors(errors));
     }
+    Ok(ParsedConfiguration {
+        document,
+        file_content,
+        settings,
+    })
 }
 
-/// The keys of a configuration that no part of the program reads.
+/// Returns the keys of a configuration that the sidecar does not read, in the order of the text.
 #[must_use]
 pub fn unknown_keys(text: &str) -> Vec<UnknownKey> {
     let mut keys = Vec::new();
     let mut note = |path: serde_ignored::Path<'_>| keys.push(UnknownKey(path.to_string()));
     let mut deserializer = serde_json::Deserializer::from_str(text);
-    let read: Result<ConfigurationDocument, _> =
+    let document: Result<ConfigurationDocument, _> =
         serde_ignored::deserialize(&mut deserializer, &mut note);
-    drop(read); // what is wrong with it is told elsewhere
+    drop(document); // errors are reported by `parse`
     keys
 }
 
-fn read(text: &str) -> Result<ConfigurationDocument, Fault> {
+fn read_document_text(text: &str) -> Result<ConfigurationDocument, ValidationError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         let path = error.path().to_string();
-        Fault {
+        ValidationError {
             path: if path == "." { String::new() } else { path },
-            problem: error.into_inner().to_string(),
+            message: error.into_inner().to_string(),
         }
     })
 }
 
-/// Reading ends at the first fault; the schema finds all, but for what only reading tells.
-fn all_faults(value: &Value, first: Fault) -> Vec<Fault> {
-    let faults = schema::faults(value);
-    if faults.is_empty() {
+/// Returns all errors of a document. Reading ends at the first error, so the schema is asked for all; the first one is
+/// returned where the schema does not cover it.
+fn all_errors(value: &Value, first: ValidationError) -> Vec<ValidationError> {
+    let errors = schema_errors(value);
+    if errors.is_empty() {
         vec![first]
     } else {
-        faults
+        errors
     }
 }
 
-fn no_json(error: &serde_json::Error) -> Fault {
-    Fault {
+fn not_json(error: &serde_json::Error) -> ValidationError {
+    ValidationError {
         path: String::new(),
-        problem: format!("it is no JSON: {error}"),
+        message: format!("it is no JSON: {error}"),
     }
 }
 
-fn settings_fault(problem: String) -> Fault {
-    Fault {
+fn invalid_settings(message: String) -> ValidationError {
+    ValidationError {
         path: "settings".into(),
-        problem,
+        message,
+    }
+}
+
+fn invalid_setting(error: &SettingsError) -> ValidationError {
+    ValidationError {
+        path: format!("settings.{}", document_key_path(&error.field)),
+        message: error.problem.into(),
     }
 }
--- /dev/null
+++ b/src/configuration/settings_document/conversion.rs
@@ -0,0 +1,187 @@
+//! Conversion of the document types to the settings of the decision module.
+
+use super::error::SettingsDocumentError;
+use super::types::{
+    ClassDocument, DiscoveryModeDocument, IdempotencyDocument, KeyScopeDocument, LimitsDocument,
+    PricesDocument, ReportingModeDocument, RulesDocument, SettingsDocument, SizeMeaningDocument,
+    TenantDocument, ValueBasisDocument,
+};
+use crate::policy::{
+    Class, DiscoveryMode, Idempotency, KeyScope, Limits, PeerId, Prices, Reporting, Rules,
+    Settings, SizeMeaning, Tenant, ValueBasis,
+};
+use std::time::Duration;
+
+impl TryFrom<SettingsDocument> for Settings {
+    type Error = SettingsDocumentError;
+
+    fn try_from(document: SettingsDocument) -> Result<Self, SettingsDocumentError> {
+        let classes = document.classes.into_iter().map(Class::try_from);
+        let tenants = document.tenants.into_iter().map(Tenant::from);
+        Ok(Settings {
+            balancers: document.balancers,
+            instance: PeerId(document.instance),
+            zone: document.zone.as_str().into(),
+            zones: document.zones.len(),
+            tier: document.tier,
+            tiers: document.tiers.len(),
+            passes_deadline: document.service.passes_deadline,
+            warm_keys: document.service.warm_keys,
+            classes: classes.collect::<Result<_, _>>()?,
+            tenants: tenants.collect(),
+            over_share_value: document.over_share_value,
+            limits: document.limits.into(),
+            rules: document.rules.into(),
+            prices: document.prices.into(),
+            discovery: document.discovery.into(),
+            sizes: document.size_meaning.unwrap_or_default().into(),
+            reporting: document.reporting.mode.into(),
+            value_basis: document.value_basis.unwrap_or_default().into(),
+            marks_retry: document.clients.marks_retry,
+            tick: Duration::from_nanos(document.tick_ns),
+        })
+    }
+}
+
+impl TryFrom<ClassDocument> for Class {
+    type Error = SettingsDocumentError;
+
+    fn try_from(document: ClassDocument) -> Result<Self, SettingsDocumentError> {
+        let idempotency = document.idempotency()?;
+        Ok(Class {
+            name: document.name,
+            objective: Duration::from_nanos(document.objective_ns),
+            objective_per_work: document.objective_per_work,
+            deadline: Duration::from_nanos(document.deadline_ns),
+            priority_weight: document.priority_weight,
+            late_value: document.late_value,
+            idempotency,
+            stream: document.stream,
+            by_arrival: document.by_arrival,
+        })
+    }
+}
+
+impl ClassDocument {
+    fn idempotency(&self) -> Result<Idempotency, SettingsDocumentError> {
+        match (&self.idempotency, &self.key_scope) {
+            (IdempotencyDocument::Idempotent, _) => Ok(Idempotency::Idempotent),
+            (IdempotencyDocument::Unsafe, _) => Ok(Idempotency::Unsafe),
+            (IdempotencyDocument::Keyed, Some(scope)) => Ok(Idempotency::Keyed {
+                scope: scope.into(),
+                window: Duration::from_nanos(self.deduplication_window_ns),
+            }),
+            (IdempotencyDocument::Keyed, None) => Err(SettingsDocumentError::MissingKeyScope {
+                class: self.name.clone(),
+            }),
+        }
+    }
+}
+
+impl From<&KeyScopeDocument> for KeyScope {
+    fn from(document: &KeyScopeDocument) -> Self {
+        match document {
+            KeyScopeDocument::All => KeyScope::All,
+            KeyScopeDocument::Zone => KeyScope::Zone,
+            KeyScopeDocument::Group => KeyScope::Group,
+        }
+    }
+}
+
+impl From<TenantDocument> for Tenant {
+    fn from(document: TenantDocument) -> Self {
+        Tenant {
+            name: document.name,
+            share: document.quota_share,
+            quota_per_s: document.quota_per_s,
+        }
+    }
+}
+
+impl From<LimitsDocument> for Limits {
+    fn from(document: LimitsDocument) -> Self {
+        Limits {
+            cancel: document.cancel,
+            health_checks: document.health_checks,
+            peers: document.peers,
+            parallel_attempts: document.parallel_attempts,
+            retry_after: document.retry_after,
+            max_retry_after: Duration::from_nanos(document.max_retry_after_ns),
+            max_attempts: document.max_attempts,
+            max_open: document.max_open,
+            streams_per_connection: document.streams_per_connection,
+            idle_timeout: Duration::from_nanos(document.idle_timeout_ns),
+            connect_timeout: Duration::from_nanos(document.connect_timeout_ns),
+        }
+    }
+}
+
+impl From<RulesDocument> for Rules {
+    fn from(document: RulesDocument) -> Self {
+        Rules {
+            answer_slack: Duration::from_nanos(document.answer_slack_ns),
+            drain_grace: Duration::from_nanos(document.drain_grace_ns),
+            poll_interval: Duration::from_nanos(document.poll_interval_ns),
+            initial_capacity: document.initial_capacity,
+            warm_up_time: Duration::from_nanos(document.warm_up_time_ns),
+            overload_multiple: document.overload_multiple,
+            overload_window: Duration::from_nanos(document.overload_window_ns),
+            drain_close: document.drain_close_ns.map(Duration::from_nanos),
+            key_cooldown: document.key_cooldown_ns.map(Duration::from_nanos),
+        }
+    }
+}
+
+impl From<PricesDocument> for Prices {
+    fn from(document: PricesDocument) -> Self {
+        Prices {
+            cross_zone: document.cross_zone,
+            waste: document.waste,
+            health_check: document.health_check,
+            peer: document.peer,
+            handshake: document.handshake,
+            connection: document.connection,
+            late_fail: document.late_fail,
+            discovery: document.discovery,
+        }
+    }
+}
+
+impl From<DiscoveryModeDocument> for DiscoveryMode {
+    fn from(document: DiscoveryModeDocument) -> Self {
+        match document {
+            DiscoveryModeDocument::Pushed => DiscoveryMode::Pushed,
+            DiscoveryModeDocument::OnRequest => DiscoveryMode::OnRequest,
+        }
+    }
+}
+
+impl From<SizeMeaningDocument> for SizeMeaning {
+    fn from(document: SizeMeaningDocument) -> Self {
+        match document {
+            SizeMeaningDocument::None => SizeMeaning::None,
+            SizeMeaningDocument::Nominal => SizeMeaning::Nominal,
+            SizeMeaningDocument::Rough => SizeMeaning::Rough,
+            SizeMeaningDocument::Live => SizeMeaning::Live,
+        }
+    }
+}
+
+impl From<ReportingModeDocument> for Reporting {
+    fn from(document: ReportingModeDocument) -> Self {
+        match document {
+            ReportingModeDocument::WithAnswers => Reporting::WithAnswers,
+            ReportingModeDocument::WithHealthChecks => Reporting::WithHealthChecks,
+            ReportingModeDocument::Off => Reporting::Off,
+        }
+    }
+}
+
+impl From<ValueBasisDocument> for ValueBasis {
+    fn from(document: ValueBasisDocument) -> Self {
+        match document {
+            ValueBasisDocument::Request => ValueBasis::Request,
+            ValueBasisDocument::Work => ValueBasis::Work,
+        }
+    }
+}
--- /dev/null
+++ b/src/configuration/settings_document/mod.rs
@@ -0,0 +1,47 @@
+//! The settings as JSON: `params` of the simulator's first message to an instance, and `settings` in a sidecar's
+//! configuration.
+//!
+//! This format keeps the words of the operators' pages. They are turned into the code's terms here and nowhere else:
+//! each field of the document types carries the code's term, and its `serde` name is the key in the document.
+//!
+//! | key in the document | term in the code |
+//! | --- | --- |
+//! | `categories`, `customers` | classes, tenants |
+//! | `effect`: `free`, `guarded`, `single_shot` | idempotency: idempotent, keyed, unsafe |
+//! | `hardLimitNs`, `objectiveNs`, `aimStretch` | deadline, latency objective, its growth with a request's work |
+//! | `memorySpanNs`, `keyScope`: `cell` | deduplication window, key scope: group |
+//! | `worth`, `lateShare`, `worthBy` | priority weight, late value, value basis |
+//! | `portion`, `overShareWorth` | quota share, value of a request beyond it |
+//! | `bounds`, `fees` | limits, prices |
+//! | `sendCap`, `parallelTries`, `maxOpen` | maximum of attempts, parallel attempts, maximum of pending requests |
+//! | `probes`, `probe`, `on_probe` | health checks |
+//! | `mayTell` | messages between peers |
+//! | `dcs`, `stages`, `myNumber` | zones, tiers, instance number |
+//! | `discovery`: `automatic`, `subscribe` | lists pushed, lists on request |
+//! | `weightSource` | meaning of an endpoint's size |
+//! | `coldFrom`, `warmWithinNs` | initial capacity, warm-up time |
+//! | `fallMultiple`, `fallNs` | overload multiple, overload window |
+//! | `askWithinNs` | poll interval |
+//! | `orderPauseNs` | key cool-down |
+//! | `granularityNs` | tick |
+
+mod conversion;
+mod error;
+mod key_path;
+mod types;
+
+pub use error::SettingsDocumentError;
+pub(super) use key_path::document_key_path;
+pub use types::SettingsDocument;
+
+use crate::policy::Settings;
+
+/// Reads a settings document.
+///
+/// # Errors
+/// Returns an error if the text is not JSON, if a value is missing or has the wrong type, or if a keyed class has no
+/// key scope. Whether the values make sense is checked by [`Settings::check`].
+pub fn parse_settings(json: &str) -> Result<Settings, SettingsDocumentError> {
+    let document: SettingsDocument = serde_json::from_str(json)?;
+    Settings::try_from(document)
+}
--- /dev/null
+++ b/src/configuration/settings_document/types.rs
@@ -0,0 +1,315 @@
+//! The types of the settings document. Their doc comments are the descriptions in the published JSON Schema.
+//!
+//! Variants of enums have ordinary comments: with doc comments, the schema would describe each variant by a schema of
+//! its own, and a wrong value would no longer be reported with the list of the allowed ones.
+
+use schemars::JsonSchema;
+use serde::{Deserialize, Serialize};
+
+/// The settings of the load balancer.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase")]
+pub struct SettingsDocument {
+    /// The number of sidecars of this tier.
+    pub(super) balancers: u32,
+    /// What the platform allows.
+    #[serde(rename = "bounds")]
+    pub(super) limits: LimitsDocument,
+    /// The classes of requests.
+    #[serde(rename = "categories")]
+    pub(super) classes: Vec<ClassDocument>,
+    /// How clients behave.
+    #[serde(default, rename = "clientHabits")]
+    pub(super) clients: ClientsDocument,
+    /// The tenants that requests belong to; may be empty.
+    #[serde(default, rename = "customers")]
+    pub(super) tenants: Vec<TenantDocument>,
+    /// The names of the zones.
+    #[serde(default, rename = "dcs")]
+    pub(super) zones: Vec<String>,
+    /// How endpoint lists arrive: `automatic`, pushed by discovery, or `subscribe`, only on request.
+    pub(super) discovery: DiscoveryModeDocument,
+    /// Properties of the service.
+    #[serde(default, rename = "familyInfo")]
+    pub(super) service: ServiceDocument,
+    /// The prices of what the balancer spends, as fractions of the result.
+    #[serde(default, rename = "fees")]
+    pub(super) prices: PricesDocument,
+    /// The least time between two batches of events, in nanoseconds.
+    #[serde(default, rename = "granularityNs")]
+    pub(super) tick_ns: u64,
+    /// The number of this sidecar in its tier, counted from 0.
+    #[serde(rename = "myNumber")]
+    pub(super) instance: u32,
+    /// The value of a request beyond its tenant's share, as a fraction of its ordinary value, from 0 to 1.
+    #[serde(default, rename = "overShareWorth")]
+    pub(super) over_share_value: f64,
+    /// How endpoints report their load.
+    #[serde(rename = "report")]
+    pub(super) reporting: ReportingDocument,
+    /// Times and multiples that the platform's rules set.
+    pub(super) rules: RulesDocument,
+    /// The names of the tiers.
+    #[serde(default, rename = "stages")]
+    pub(super) tiers: Vec<String>,
+    /// The tier that this sidecar sends requests to, counted from 0.
+    #[serde(default)]
+    pub(super) tier: usize,
+    /// What an endpoint's size means: `nominal` (capacity as registered), `rough` (approximately so), `live`
+    /// (capacity under its present load) or `off` (nothing). Default: `off`.
+    #[serde(rename = "weightSource")]
+    pub(super) size_meaning: Option<SizeMeaningDocument>,
+    /// Whether a request's value counts by `request` or by the `work` in it. Default: `request`.
+    #[serde(rename = "worthBy")]
+    pub(super) value_basis: Option<ValueBasisDocument>,
+    /// The zone of this sidecar.
+    pub(super) zone: String,
+}
+
+/// How endpoint lists arrive.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+pub(super) enum DiscoveryModeDocument {
+    // Discovery pushes them.
+    #[serde(rename = "automatic")]
+    Pushed,
+    // Only on request.
+    #[serde(rename = "subscribe")]
+    OnRequest,
+}
+
+/// What an endpoint's size means.
+#[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum SizeMeaningDocument {
+    // Nothing.
+    #[default]
+    #[serde(rename = "off")]
+    None,
+    // Capacity as registered.
+    Nominal,
+    // Capacity approximately as registered.
+    Rough,
+    // Capacity under the present load.
+    Live,
+}
+
+/// Whether a request's value counts by request or by the work in it.
+#[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum ValueBasisDocument {
+    #[default]
+    Request,
+    Work,
+}
+
+/// What the platform allows.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase")]
+pub(super) struct LimitsDocument {
+    /// Whether attempts may be cancelled.
+    pub(super) cancel: bool,
+    /// The time after which endpoints close an idle connection, in nanoseconds.
+    #[serde(rename = "connIdleNs")]
+    pub(super) idle_timeout_ns: u64,
+    /// The time after which a connection that is not yet established has failed, in nanoseconds.
+    pub(super) connect_timeout_ns: u64,
+    /// The maximum number of pending requests of one sidecar.
+    pub(super) max_open: u64,
+    /// The maximum Retry-After that clients obey, in nanoseconds.
+    #[serde(default)]
+    pub(super) max_retry_after_ns: u64,
+    /// The maximum number of concurrent attempts on one connection.
+    #[serde(rename = "maxStreams")]
+    pub(super) streams_per_connection: u64,
+    /// Whether sidecars may send messages to each other.
+    #[serde(rename = "mayTell")]
+    pub(super) peers: bool,
+    /// Whether a request may have two attempts in flight at once.
+    #[serde(rename = "parallelTries")]
+    pub(super) parallel_attempts: bool,
+    /// Whether endpoints may be sent health checks.
+    #[serde(rename = "probes")]
+    pub(super) health_checks: bool,
+    /// Whether clients obey the Retry-After of a rejection.
+    pub(super) retry_after: bool,
+    /// The maximum number of attempts of a request, above 0.
+    #[serde(rename = "sendCap")]
+    pub(super) max_attempts: usize,
+}
+
+/// A class of requests.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase")]
+pub(super) struct ClassDocument {
+    /// The name of the class.
+    pub(super) name: String,
+    /// Whether a request may run more than once: `free` (any number of times), `guarded` (endpoints drop repeats) or
+    /// `single_shot` (never twice).
+    #[serde(rename = "effect")]
+    pub(super) idempotency: IdempotencyDocument,
+    /// The time after which a client gives up, in nanoseconds, above 0.
+    #[serde(rename = "hardLimitNs")]
+    pub(super) deadline_ns: u64,
+    /// The latency objective: an answer within this time has full value. In nanoseconds, above 0.
+    pub(super) objective_ns: u64,
+    /// The endpoints that drop each other's repeats of a guarded request: `all`, those of one `zone`, or those of one
+    /// `cell`.
+    pub(super) key_scope: Option<KeyScopeDocument>,
+    /// How long endpoints drop repeats of a guarded request, in nanoseconds.
+    #[serde(default, rename = "memorySpanNs")]
+    pub(super) deduplication_window_ns: u64,
+    /// The fraction of its value that an answer after the objective keeps, from 0 to 1.
+    #[serde(default, rename = "lateShare")]
+    pub(super) late_value: f64,
+    /// The multiple of the request's work by which the objective grows.
+    #[serde(default, rename = "aimStretch")]
+    pub(super) objective_per_work: f64,
+    /// Whether the answer is a stream.
+    #[serde(default)]
+    pub(super) stream: bool,
+    /// Whether requests with the same key are sent one at a time, in order of arrival.
+    #[serde(default)]
+    pub(super) by_arrival: bool,
+    /// The value of one request, which orders the classes by priority.
+    #[serde(rename = "worth")]
+    pub(super) priority_weight: f64,
+}
+
+/// Whether a request may run more than once.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+pub(super) enum IdempotencyDocument {
+    // Any number of times.
+    #[serde(rename = "free")]
+    Idempotent,
+    // Never twice.
+    #[serde(rename = "single_shot")]
+    Unsafe,
+    // Endpoints drop repeats.
+    #[serde(rename = "guarded")]
+    Keyed,
+}
+
+/// The endpoints that drop each other's repeats.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum KeyScopeDocument {
+    // All endpoints.
+    All,
+    // The endpoints of one zone.
+    Zone,
+    // The endpoints of one group.
+    #[serde(rename = "cell")]
+    Group,
+}
+
+/// How clients behave.
+#[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase", default)]
+pub(super) struct ClientsDocument {
+    /// Whether clients mark their retries.
+    pub(super) marks_retry: bool,
+}
+
+/// A tenant.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase")]
+pub(super) struct TenantDocument {
+    /// The name of the tenant.
+    pub(super) name: String,
+    /// The fraction of the service that the tenant has agreed, from 0 to 1.
+    #[serde(rename = "portion")]
+    pub(super) quota_share: f64,
+    /// The requests per second within that share, over all sidecars of the tier.
+    #[serde(default)]
+    pub(super) quota_per_s: f64,
+}
+
+/// Properties of the service.
+#[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase", default)]
+pub(super) struct ServiceDocument {
+    /// Whether calls carry the remaining time of the request.
+    pub(super) passes_deadline: bool,
+    /// Whether a request takes an endpoint less work if the endpoint served its key lately.
+    pub(super) warm_keys: bool,
+}
+
+/// The prices of what the balancer spends, as fractions of the result.
+#[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase", default)]
+pub(super) struct PricesDocument {
+    /// The price of 100 open connections per endpoint.
+    pub(super) connection: f64,
+    /// The price of attempts that cross zones, per first attempt.
+    pub(super) cross_zone: f64,
+    /// The price of 100 lines of endpoint lists, per first attempt.
+    pub(super) discovery: f64,
+    /// The price of new connections, per first attempt.
+    pub(super) handshake: f64,
+    /// The price of value that is still unserved after its objective.
+    pub(super) late_fail: f64,
+    /// The price of messages between sidecars, per first attempt.
+    pub(super) peer: f64,
+    /// The price of health checks, per first attempt.
+    #[serde(rename = "probe")]
+    pub(super) health_check: f64,
+    /// The price of endpoint work that led to no answer.
+    pub(super) waste: f64,
+}
+
+/// How endpoints report their load.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+pub(super) struct ReportingDocument {
+    /// Where load reports come: `inline` (with each answer and health check), `on_probe` (with health checks only) or
+    /// `off` (nowhere).
+    #[serde(rename = "how")]
+    pub(super) mode: ReportingModeDocument,
+}
+
+/// Where load reports come.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+pub(super) enum ReportingModeDocument {
+    // With answers and health checks.
+    #[serde(rename = "inline")]
+    WithAnswers,
+    // With health checks only.
+    #[serde(rename = "on_probe")]
+    WithHealthChecks,
+    // Nowhere.
+    #[serde(rename = "off")]
+    Off,
+}
+
+/// Times and multiples that the platform's rules set.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+#[serde(rename_all = "camelCase")]
+pub(super) struct RulesDocument {
+    /// The time after a client's deadline within which a final answer still counts, in nanoseconds.
+    pub(super) answer_slack_ns: u64,
+    /// The maximum time between two calls of discovery, in nanoseconds. A sidecar that has made no call for longer
+    /// counts as notified of all changes.
+    #[serde(default, rename = "askWithinNs")]
+    pub(super) poll_interval_ns: u64,
+    /// The fraction of its full capacity with which an endpoint starts, from 0 to 1.
+    #[serde(rename = "coldFrom")]
+    pub(super) initial_capacity: f64,
+    /// The time within which idle connections to a draining endpoint have to be closed, in nanoseconds. Absent: there
+    /// is no such rule.
+    pub(super) drain_close_ns: Option<u64>,
+    /// The time within which sends to a draining endpoint have to end, in nanoseconds.
+    pub(super) drain_grace_ns: u64,
+    /// The multiple of its present capacity beyond which a warming endpoint fails if it is sent so much for
+    /// `fallNs`.
+    #[serde(rename = "fallMultiple")]
+    pub(super) overload_multiple: f64,
+    /// The time for which a warming endpoint endures more than `fallMultiple`, in nanoseconds.
+    #[serde(rename = "fallNs")]
+    pub(super) overload_window_ns: u64,
+    /// The time for which a key is not used after an attempt that may still run, in nanoseconds. Absent: there is no
+    /// such rule.
+    #[serde(rename = "orderPauseNs")]
+    pub(super) key_cooldown_ns: Option<u64>,
+    /// The time after its start within which an endpoint reaches its full capacity, in nanoseconds.
+    #[serde(rename = "warmWithinNs")]
+    pub(super) warm_up_time_ns: u64,
+}
--- a/src/configuration/fault.rs
+++ b/src/configuration/validation.rs
@@ -3,35 +3,35 @@
 use std::fmt;
 
 /// One thing that is wrong with a configuration.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Where it is in the document, as `settings.categories[0].priority_weight`; empty for the document itself.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub struct ValidationError {
+    /// The path in the document, such as `settings.categories[0].worth`; empty for the document itself.
     pub path: String,
-    /// What was found there, and what is allowed.
-    pub problem: String,
+    /// What was found there and what is allowed.
+    pub message: String,
 }
 
 /// All that is wrong with a configuration; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let path = if self.path.is_empty() {
             "the document"
         } else {
             &self.path
         };
-        write!(f, "{path}: {}", self.problem)
+        write!(f, "{path}: {}", self.message)
     }
 }
 
-/// All of them on one line.
-impl fmt::Display for Faults {
+/// Writes all errors on one line.
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (position, fault) in self.0.iter().enumerate() {
+        for (position, error) in self.0.iter().enumerate() {
             let separator = if position == 0 { "" } else { "; " };
-            write!(f, "{separator}{fault}")?;
+            write!(f, "{separator}{error}")?;
         }
         Ok(())
     }
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -27,7 +27,11 @@
         let changed = self.change_settings(&config)?;
         self.borrow().metrics.reloads += 1;
         let has_moved = self.move_discovery(&config);
-        let fixed = self.borrow().fixed.differences(&config.fixed).join(", ");
+        let fixed = self
+            .borrow()
+            .fixed
+            .differences(&config.restart_values)
+            .join(", ");
         let discovery = if has_moved {
             format!("moves to {}", config.discovery)
         } else {
@@ -78,7 +82,7 @@
         node.metrics
             .add_classes(settings.classes.iter().map(|class| class.name.as_str()));
         node.settings.replace(SettingsInForce { settings, classes });
-        node.document = config.document.clone();
+        node.document = config.settings_and_limits.clone();
         for action in actions {
             node.carry_out(self, action);
         }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -3,7 +3,7 @@
 use super::open_request::OpenRequest;
 use super::settings_in_force::SettingsHistory;
 use super::watches::Watches;
-use crate::configuration::{Config, FixedValues};
+use crate::configuration::{Config, RestartValues};
 use crate::discovery::Membership;
 use crate::policy::{
     Action, Balancer, BalancerStatus, DiscoveryMode, EndpointId, Event, ListKind, RequestId,
@@ -38,7 +38,7 @@
     pub settings: SettingsHistory,
     /// The configuration's settings and limits, as its file has them.
     pub(super) document: Value,
-    pub(super) fixed: FixedValues,
+    pub(super) fixed: RestartValues,
     /// Callers' connections.
     pub callers: CallerTable,
     /// Idle connections to endpoints.
@@ -103,7 +103,7 @@
             replaces,
             reserved_descriptors,
         } = start;
-        let known = config.known.clone();
+        let known = config.cached_list.clone();
         let node = NodeHandle(Rc::new(RefCell::new(Node::new(
             config,
             directory,
@@ -178,14 +178,14 @@
             seed: config.seed,
             callers: CallerTable::default(),
             pool: ConnectionPool::new(&config.settings.limits),
-            descriptors: Descriptors::new(config.sockets, reserved_descriptors),
-            request_memory: MemoryBudget::part_of(config.memory_mb, REQUEST_MEMORY_PARTS),
-            answer_memory: MemoryBudget::part_of(config.memory_mb, ANSWER_MEMORY_PARTS),
+            descriptors: Descriptors::new(config.max_descriptors, reserved_descriptors),
+            request_memory: MemoryBudget::part_of(config.max_memory_mb, REQUEST_MEMORY_PARTS),
+            answer_memory: MemoryBudget::part_of(config.max_memory_mb, ANSWER_MEMORY_PARTS),
             counters: Counters::default(),
             metrics,
             settings: SettingsHistory::new(config.settings),
-            document: config.document,
-            fixed: config.fixed,
+            document: config.settings_and_limits,
+            fixed: config.restart_values,
             membership: Membership::default(),
             open: HashMap::new(),
             unanswered: 0,
