--- a/fleet-lab/src/tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -29,7 +29,7 @@
 const SIDECAR_DESCRIPTORS: u32 = 1_024;
 
 /// A running tier, ended when it is dropped.
-pub struct StandInTier {
+pub struct LoopbackTier {
     discovery: DiscoveryServer,
     endpoints: Vec<EndpointHandle>,
     _host: EndpointHost,
@@ -44,7 +44,7 @@
     pub operators: SocketAddr,
 }
 
-impl StandInTier {
+impl LoopbackTier {
     /// Starts so many endpoints, and a discovery service that lists them.
     ///
     /// # Errors
@@ -59,7 +59,7 @@
         let entries: Vec<EndpointEntry> = endpoints.iter().map(EndpointHandle::entry).collect();
         let discovery =
             DiscoveryServer::start(discovery_options(), &[ZoneName::from(ZONE)], entries)?;
-        Ok(StandInTier {
+        Ok(LoopbackTier {
             discovery,
             endpoints,
             _host: host,
@@ -126,8 +126,8 @@
 fn discovery_options() -> DiscoveryOptions {
     DiscoveryOptions {
         calls_per_second: 100.0,
-        longest_wait: Duration::from_secs(5),
+        queue_timeout: Duration::from_secs(5),
         heartbeat: Duration::from_secs(2),
-        remembered_changes: 100,
+        retained_changes: 100,
     }
 }
--- a/fleet-lab/src/sidecar/hollow/plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -3,14 +3,14 @@
 use crate::discovery::{EndpointEntry, EndpointStatus};
 use crate::sidecar::configuration::SidecarConfiguration;
 use balancer_sidecar::configuration::settings_document::parse_settings;
-use balancer_sidecar::discovery::{EndpointList, Entry, Status};
+use balancer_sidecar::discovery::{EndpointList, EntryStatus, ListEntry};
 use balancer_sidecar::policy::Settings;
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
 
 /// A configuration in the decision module's form.
-pub(super) struct MemberPlan {
+pub(super) struct SidecarPlan {
     pub settings: Settings,
     /// The settings as the configuration has them, to tell whether a reload changes them.
     pub settings_document: Value,
@@ -19,7 +19,7 @@
     pub seed: u64,
 }
 
-impl MemberPlan {
+impl SidecarPlan {
     /// # Errors
     /// Settings that the decision module turns down.
     pub fn from_configuration(configuration: SidecarConfiguration) -> io::Result<Self> {
@@ -27,9 +27,9 @@
         let settings = parse_settings(&settings_document.to_string());
         let settings = settings.map_err(|error| invalid(&configuration.name, error))?;
         settings
-            .check()
+            .validate()
             .map_err(|error| invalid(&configuration.name, error))?;
-        Ok(MemberPlan {
+        Ok(SidecarPlan {
             settings,
             settings_document,
             discovery: configuration.discovery,
@@ -39,7 +39,7 @@
     }
 
     /// The endpoints as the sidecar last had them, as a list from discovery.
-    pub fn known_list(&self) -> Option<EndpointList> {
+    pub fn cached_list(&self) -> Option<EndpointList> {
         let (index, entries) = self.known.as_ref()?;
         Some(EndpointList {
             index: *index,
@@ -57,17 +57,17 @@
 }
 
 /// An entry in the form of the discovery client.
-fn client_entry(entry: &EndpointEntry) -> Entry {
-    Entry {
+fn client_entry(entry: &EndpointEntry) -> ListEntry {
+    ListEntry {
         name: entry.name.clone(),
         address: entry.address,
         zone: entry.zone.to_string(),
         kind: entry.kind.clone(),
         group: entry.group,
         status: match entry.status {
-            EndpointStatus::Serving => Status::Serving,
-            EndpointStatus::Draining => Status::Draining,
-            EndpointStatus::Deleted => Status::Deleted,
+            EndpointStatus::Serving => EntryStatus::Serving,
+            EndpointStatus::Draining => EntryStatus::Draining,
+            EndpointStatus::Deleted => EntryStatus::Deleted,
         },
         weight: entry.weight,
         since_ms: entry.since_ms,
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -40,7 +40,11 @@
         .map_err(|error| ValidationErrors(all_errors(&file_content, error)))?;
     let settings = Settings::try_from(document.settings.clone())
         .map_err(|error| ValidationErrors(vec![invalid_settings(error.to_string())]))?;
-    let errors: Vec<ValidationError> = settings.faults().iter().map(invalid_setting).collect();
+    let errors: Vec<ValidationError> = settings
+        .validation_errors()
+        .iter()
+        .map(invalid_setting)
+        .collect();
     if !errors.is_empty() {
         return Err(ValidationErrors(errors));
     }
--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -20,12 +20,12 @@
         let tenants = document.tenants.into_iter().map(Tenant::from);
         Ok(Settings {
             balancers: document.balancers,
-            instance: PeerId(document.instance),
+            peer_id: PeerId(document.peer_id),
             zone: document.zone.as_str().into(),
             zones: document.zones.len(),
             tier: document.tier,
             tiers: document.tiers.len(),
-            passes_deadline: document.service.passes_deadline,
+            propagates_deadline: document.service.propagates_deadline,
             warm_keys: document.service.warm_keys,
             classes: classes.collect::<Result<_, _>>()?,
             tenants: tenants.collect(),
@@ -57,7 +57,7 @@
             late_value: document.late_value,
             idempotency,
             stream: document.stream,
-            by_arrival: document.by_arrival,
+            is_key_ordered: document.is_key_ordered,
         })
     }
 }
@@ -92,7 +92,7 @@
     fn from(document: TenantDocument) -> Self {
         Tenant {
             name: document.name,
-            share: document.quota_share,
+            quota_share: document.quota_share,
             quota_per_s: document.quota_per_s,
         }
     }
--- a/src/configuration/settings_document/mod.rs
+++ b/src/configuration/settings_document/mod.rs
@@ -16,7 +16,8 @@
 //! | `sendCap`, `parallelTries`, `maxOpen` | maximum of attempts, parallel attempts, maximum of pending requests |
 //! | `probes`, `probe`, `on_probe` | health checks |
 //! | `mayTell` | messages between peers |
-//! | `dcs`, `stages`, `myNumber` | zones, tiers, instance number |
+//! | `dcs`, `stages`, `myNumber` | zones, tiers, peer ID |
+//! | `passesDeadline`, `byArrival` | deadline propagation, key order |
 //! | `discovery`: `automatic`, `subscribe` | lists pushed, lists on request |
 //! | `weightSource` | meaning of an endpoint's size |
 //! | `coldFrom`, `warmWithinNs` | initial capacity, warm-up time |
@@ -40,7 +41,7 @@
 ///
 /// # Errors
 /// Returns an error if the text is not JSON, if a value is missing or has the wrong type, or if a keyed class has no
-/// key scope. Whether the values make sense is checked by [`Settings::check`].
+/// key scope. Whether the values make sense is checked by [`Settings::validate`].
 pub fn parse_settings(json: &str) -> Result<Settings, SettingsDocumentError> {
     let document: SettingsDocument = serde_json::from_str(json)?;
     Settings::try_from(document)
--- a/src/configuration/settings_document/types.rs
+++ b/src/configuration/settings_document/types.rs
@@ -40,7 +40,7 @@
     pub(super) tick_ns: u64,
     /// The number of this sidecar in its tier, counted from 0.
     #[serde(rename = "myNumber")]
-    pub(super) instance: u32,
+    pub(super) peer_id: u32,
     /// The value of a request beyond its tenant's share, as a fraction of its ordinary value, from 0 to 1.
     #[serde(default, rename = "overShareWorth")]
     pub(super) over_share_value: f64,
@@ -168,8 +168,8 @@
     #[serde(default)]
     pub(super) stream: bool,
     /// Whether requests with the same key are sent one at a time, in order of arrival.
-    #[serde(default)]
-    pub(super) by_arrival: bool,
+    #[serde(default, rename = "byArrival")]
+    pub(super) is_key_ordered: bool,
     /// The value of one request, which orders the classes by priority.
     #[serde(rename = "worth")]
     pub(super) priority_weight: f64,
@@ -229,7 +229,8 @@
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct ServiceDocument {
     /// Whether calls carry the remaining time of the request.
-    pub(super) passes_deadline: bool,
+    #[serde(rename = "passesDeadline")]
+    pub(super) propagates_deadline: bool,
     /// Whether a request takes an endpoint less work if the endpoint served its key lately.
     pub(super) warm_keys: bool,
 }
--- /dev/null
+++ b/src/discovery/hedged_call.rs
@@ -0,0 +1,147 @@
+//! Calls of discovery with hedging: a call without a response keeps its place in discovery's queue while another one is
+//! made beside it.
+//!
+//! Discovery handles the calls of all sidecars in turn and spends time on abandoned calls as well. If a fleet abandoned
+//! its calls before their turn and repeated them at the end of the queue, discovery would be busy with abandoned calls for
+//! as long as the overload lasts (congestion collapse). On the other hand, a call without a response may have been lost in
+//! the network. So the oldest call is kept for its place in the queue, and the newest one finds out whether discovery can
+//! be reached.
+
+use super::backoff::Backoff;
+use super::error::DiscoveryError;
+use bytes::Bytes;
+use http_body_util::Empty;
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::{Request, StatusCode, header};
+use hyper_util::rt::TokioIo;
+use std::cell::Cell;
+use std::collections::VecDeque;
+use std::future::{Future, poll_fn};
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep_until};
+
+/// The maximum number of outstanding calls: the oldest, which is the next in discovery's queue, and the newest.
+const MAX_CONCURRENT_CALLS: usize = 2;
+/// A call without a response is replaced by a newer one after this long: it may have been lost in the network, and as long
+/// as it is kept, the other call is replaced over and over and may never reach the front of a long queue. The value exceeds
+/// the time that 500 sidecars wait for a discovery that answers 20 calls a second.
+const MAX_CALL_AGE: Duration = Duration::from_secs(30);
+
+/// Sends a GET request to discovery and returns the body of the first successful response.
+///
+/// While there is no response, a further call is made after each [`Backoff::hedge_delay`], and `on_hedge` is called.
+///
+/// # Errors
+/// Returns the last error once all outstanding calls have failed.
+pub(super) async fn fetch_with_hedging(
+    address: SocketAddr,
+    path: &str,
+    backoff: &mut Backoff,
+    on_hedge: impl Fn(),
+) -> Result<Incoming, DiscoveryError> {
+    let mut calls = OutstandingCalls::default();
+    loop {
+        calls.start(address, path);
+        let hedge_at = Instant::now() + backoff.hedge_delay();
+        loop {
+            tokio::select! {
+                biased;
+                response = calls.next_response() => match response {
+                    Err(error) if calls.is_empty() => return Err(error),
+                    Err(_) => {}
+                    Ok(body) => return Ok(body),
+                },
+                () = sleep_until(hedge_at) => break,
+            }
+        }
+        on_hedge();
+    }
+}
+
+/// The calls without a response, oldest first.
+#[derive(Default)]
+struct OutstandingCalls(VecDeque<Call>);
+
+impl OutstandingCalls {
+    /// Starts a call and drops those that it replaces: all but the oldest that still has a place in discovery's queue.
+    fn start(&mut self, address: SocketAddr, path: &str) {
+        self.0.retain(Call::is_queued);
+        self.0.truncate(MAX_CONCURRENT_CALLS - 1);
+        self.0.push_back(Call::start(address, path));
+    }
+
+    fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Waits until one of the calls completes, and removes it.
+    async fn next_response(&mut self) -> Result<Incoming, DiscoveryError> {
+        poll_fn(|context| self.poll_response(context)).await
+    }
+
+    fn poll_response(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Result<Incoming, DiscoveryError>> {
+        for index in 0..self.0.len() {
+            if let Poll::Ready(response) = self.0[index].response.as_mut().poll(context) {
+                self.0.remove(index);
+                return Poll::Ready(response);
+            }
+        }
+        Poll::Pending
+    }
+}
+
+/// A call without a response. Dropping it closes its connection.
+struct Call {
+    started_at: Instant,
+    is_connected: Rc<Cell<bool>>,
+    response: Pin<Box<dyn Future<Output = Result<Incoming, DiscoveryError>>>>,
+}
+
+impl Call {
+    fn start(address: SocketAddr, path: &str) -> Self {
+        let is_connected = Rc::new(Cell::new(false));
+        let response = Box::pin(send_request(address, path.to_owned(), is_connected.clone()));
+        Call {
+            started_at: Instant::now(),
+            is_connected,
+            response,
+        }
+    }
+
+    /// Returns whether the call is worth keeping for its place in discovery's queue. Without a connection it has none.
+    fn is_queued(&self) -> bool {
+        self.is_connected.get() && self.started_at.elapsed() < MAX_CALL_AGE
+    }
+}
+
+/// Sends a GET request on a new connection and returns the body of the response.
+async fn send_request(
+    address: SocketAddr,
+    path: String,
+    is_connected: Rc<Cell<bool>>,
+) -> Result<Incoming, DiscoveryError> {
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(DiscoveryError::Connect)?;
+    is_connected.set(true);
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
+    // The task ends once the sender and the body are dropped.
+    tokio::task::spawn_local(connection);
+    let request = Request::get(path)
+        .header(header::HOST, address.to_string())
+        .body(Empty::<Bytes>::new())?;
+    let response = sender.send_request(request).await?;
+    match response.status() {
+        StatusCode::OK => Ok(response.into_body()),
+        status => Err(DiscoveryError::Status(status)),
+    }
+}
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -3,8 +3,8 @@
 use super::state::NodeHandle;
 use crate::policy::{EndpointId, Event};
 use crate::sidecar::caller::DrainState;
-use crate::sidecar::task::Task;
 use crate::sidecar::upgrade::ProcessMessage;
+use crate::task::Task;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -29,7 +29,7 @@
         disabled: bool,
     ) -> Result<(), UnknownEndpoint> {
         let node = self.borrow();
-        if !node.balancer.knows(&endpoint) {
+        if !node.balancer.is_listed_or_disabled(&endpoint) {
             return Err(UnknownEndpoint);
         }
         let message = ProcessMessage::Disabled {
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -1,7 +1,7 @@
 //! The pauses between calls of discovery.
 
 use balancer_sidecar::discovery::Backoff;
-use balancer_sidecar::policy::{CHANGE_DEADLINE, DISCOVERY_TIMEOUT, NEXT_CALL_WITHIN};
+use balancer_sidecar::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
 use std::time::Duration;
 
 const SEEDS: std::ops::Range<u64> = 0..200;
@@ -10,7 +10,7 @@
 
 fn pauses(seed: u64, took: Duration) -> Vec<Duration> {
     let mut backoff = Backoff::new(seed);
-    (0..FAILURES).map(|_| backoff.pause_after(took)).collect()
+    (0..FAILURES).map(|_| backoff.delay_after(took)).collect()
 }
 
 /// The mean over all seeds of the pause after so many failures before.
@@ -32,17 +32,17 @@
         AT_ONCE,
         Duration::from_secs(2),
         DISCOVERY_TIMEOUT,
-        NEXT_CALL_WITHIN,
-        10 * NEXT_CALL_WITHIN,
+        MAX_CALL_INTERVAL,
+        10 * MAX_CALL_INTERVAL,
     ] {
         for pause in SEEDS.flat_map(|seed| pauses(seed, took)) {
             assert!(pause >= shortest, "{pause:?} after {took:?}");
             assert!(
-                pause + DISCOVERY_TIMEOUT <= CHANGE_DEADLINE,
+                pause + DISCOVERY_TIMEOUT <= CHANGE_PROPAGATION_DEADLINE,
                 "{pause:?} after {took:?}"
             );
             assert!(
-                pause <= soon || took + pause <= NEXT_CALL_WITHIN,
+                pause <= soon || took + pause <= MAX_CALL_INTERVAL,
                 "{pause:?} after {took:?}"
             );
         }
@@ -65,10 +65,10 @@
     for seed in SEEDS {
         let mut backoff = Backoff::new(seed);
         for _ in 0..FAILURES {
-            let _ = backoff.pause_after(AT_ONCE);
+            let _ = backoff.delay_after(AT_ONCE);
         }
         backoff.reset();
-        assert!(backoff.pause_after(AT_ONCE) <= first_longest);
+        assert!(backoff.delay_after(AT_ONCE) <= first_longest);
     }
 }
 
@@ -86,8 +86,8 @@
             seed + 1
         );
         assert_ne!(
-            Backoff::new(seed).time_to_next_call(),
-            Backoff::new(seed + 1).time_to_next_call()
+            Backoff::new(seed).hedge_delay(),
+            Backoff::new(seed + 1).hedge_delay()
         );
     }
 }
@@ -98,9 +98,9 @@
     for seed in SEEDS {
         let mut backoff = Backoff::new(seed);
         for _ in 0..FAILURES {
-            let time = backoff.time_to_next_call();
+            let time = backoff.hedge_delay();
             assert!(
-                (DISCOVERY_TIMEOUT..=NEXT_CALL_WITHIN).contains(&time),
+                (DISCOVERY_TIMEOUT..=MAX_CALL_INTERVAL).contains(&time),
                 "{time:?}"
             );
         }
