--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -4,9 +4,9 @@
 //!
 //! | layer | files |
 //! | --- | --- |
-//! | foundations | `log.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
+//! | foundations | `log.rs`, `admin_state.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
-//! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `upgrade/`: to other processes |
+//! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
 //! | addresses | `server/`: the callers'; `operators.rs`: the operators'; `handover.rs`: the next process's; `report.rs`: the log |
 //! | process | `process.rs` |
@@ -14,6 +14,7 @@
 #[macro_use]
 mod log;
 
+mod admin_state;
 mod body;
 mod caller;
 mod clock;
@@ -21,6 +22,7 @@
 mod descriptors;
 mod endpoint;
 mod handover;
+mod hot_restart;
 mod memory;
 mod metrics;
 mod node;
@@ -29,6 +31,5 @@
 mod report;
 mod server;
 mod sockets;
-mod upgrade;
 
 pub use process::main;
