--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration in force, and the settings that it replaced a moment ago.
 
-use crate::configuration::{Config, FixedValues};
+use crate::configuration::{Config, RestartValues};
 use crate::policy::{ClassId, Settings};
 use serde_json::Value;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     /// Settings and limits as the file has them.
     document: Value,
     /// Values that only a restart changes.
-    fixed: FixedValues,
+    fixed: RestartValues,
 }
 
 struct ReplacedSettings {
@@ -45,7 +45,7 @@
 
 impl ActiveConfiguration {
     /// Creates it from the configuration of the start.
-    pub fn new(settings: Settings, document: Value, fixed: FixedValues) -> Self {
+    pub fn new(settings: Settings, document: Value, fixed: RestartValues) -> Self {
         let classes = (0..settings.classes.len()).map(ClassId).collect();
         ActiveConfiguration {
             settings: Rc::new(ActiveSettings { settings, classes }),
@@ -84,7 +84,7 @@
 
     /// Returns the names of the values that differ in the next configuration and that only a restart changes.
     pub fn restart_only_changes(&self, next: &Config) -> Vec<&'static str> {
-        self.fixed.differences(&next.fixed)
+        self.fixed.differences(&next.restart_values)
     }
 
     /// Replaces the settings by those of the next configuration, with the balancer's ids of its classes.
@@ -97,6 +97,6 @@
             settings: std::mem::replace(&mut self.settings, settings),
             replaced_at: Instant::now(),
         });
-        self.document = next.document.clone();
+        self.document = next.settings_and_limits.clone();
     }
 }
