--- a/tests/sidecar/callers.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -27,7 +27,7 @@
 /// Guards against a request that hides another: where its body ends must not depend on who reads it. It gets one answer,
 /// nothing behind it is read as a request, and no endpoint sees any of it.
 #[test]
-fn a_body_whose_length_is_not_clear_is_turned_down() {
+fn request_with_ambiguous_body_length_is_rejected() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let hidden = get_request("5");
@@ -76,7 +76,7 @@
 /// Guards callers' time: heads and bodies that do not end get an error or a close, long before any deadline, and so does
 /// silence; what cannot be read is told at once. A request in time on a connection that was in use before is served.
 #[test]
-fn what_does_not_end_is_ended() {
+fn incomplete_requests_and_silent_connections_time_out() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let texts = [
@@ -123,7 +123,7 @@
 /// Guards the answer to what is turned down early: with the rest unread, closing at once would reset the connection, and
 /// the answer would be lost. 60 MB are not kept, either.
 #[test]
-fn an_early_answer_can_be_read() {
+fn early_error_response_is_readable_while_the_body_is_unread() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let body = "x".repeat(60_000_000);
@@ -148,7 +148,7 @@
 
 /// Guards what is kept of a request: ids and keys have a bound, and a deadline is no longer than its class allows.
 #[test]
-fn ids_and_deadlines_have_a_bound() {
+fn long_ids_are_rejected_and_deadlines_are_capped() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
@@ -183,7 +183,7 @@
 
 /// Guards the first request against a second with its id: that one is turned away, and the first is served.
 #[test]
-fn a_repeated_id_does_not_touch_the_first_request() {
+fn repeated_id_is_rejected_and_the_first_request_is_served() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |_| {
@@ -207,7 +207,7 @@
 /// Guards the descriptors against those who connect and say nothing, or half a request: with hundreds of them there, a
 /// caller is still served, over connections to endpoints that are still to be had, and the watch can be had again.
 #[test]
-fn a_flood_leaves_room_for_requests() {
+fn requests_are_served_while_clients_flood_the_descriptors() {
     let endpoint = Endpoint::start(|_| {
         EndpointAction::RespondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
     });
@@ -247,7 +247,7 @@
 
 /// Guards slow callers in a crowd: one whose head comes in pieces is not closed to make room while others stand idle.
 #[test]
-fn a_slow_head_outlives_idle_connections_in_a_crowd() {
+fn slow_head_is_served_while_idle_connections_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(
@@ -283,7 +283,7 @@
 /// Guards new callers in a crowd: those that connect together are not closed for each other before their requests come,
 /// while others stand idle. A machine that stalls between may spoil a round, not five.
 #[test]
-fn new_connections_do_not_close_each_other() {
+fn new_connections_are_served_while_older_idle_ones_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(
--- a/tests/sidecar/cancellation_support/closes.rs
+++ b/tests/sidecar/cancellation_support/connection_close.rs
@@ -6,9 +6,9 @@
 
 /// How a client closes its connection.
 #[derive(Clone, Copy, Debug)]
-pub enum Close {
+pub enum CloseKind {
     /// Both sides, after what was written.
-    Whole,
+    Full,
     /// Its sending side alone.
     Half,
     /// Both sides at once, by a reset.
@@ -16,17 +16,17 @@
 }
 
 /// Every way to close.
-pub const CLOSES: [Close; 3] = [Close::Whole, Close::Half, Close::Reset];
+pub const ALL_CLOSES: [CloseKind; 3] = [CloseKind::Full, CloseKind::Half, CloseKind::Reset];
 
 /// Closes a connection; what is left of it stays open for as long as the result is kept.
-pub fn close(stream: TcpStream, how: Close) -> Option<TcpStream> {
+pub fn close(stream: TcpStream, how: CloseKind) -> Option<TcpStream> {
     match how {
-        Close::Whole => None,
-        Close::Half => {
+        CloseKind::Full => None,
+        CloseKind::Half => {
             stream.shutdown(Shutdown::Write).expect("it is open");
             Some(stream)
         }
-        Close::Reset => {
+        CloseKind::Reset => {
             SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
                 .expect("an option");
--- a/tests/sidecar/cancellation_support/late.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 /// An endpoint whose connections come up late: its backlog is full until the test takes from it.
-pub struct Late {
+pub struct FullBacklogEndpoint {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-impl Late {
+impl FullBacklogEndpoint {
     /// Listens on a free port, and fills the backlog.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -20,7 +20,7 @@
         let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
         let fillers = std::iter::from_fn(|| fill().ok()).collect();
         listener.set_nonblocking(true).expect("an option");
-        Late { listener, fillers }
+        FullBacklogEndpoint { listener, fillers }
     }
 
     /// Its entry in a list of discovery.
@@ -33,7 +33,7 @@
     }
 
     /// A connection of the sidecar's, if one has come up.
-    pub fn now(&self) -> Option<TcpStream> {
+    pub fn try_accept(&self) -> Option<TcpStream> {
         let ours = |peer| {
             self.fillers
                 .iter()
@@ -52,12 +52,12 @@
     }
 
     /// What is written on the next connection of the sidecar's on which something is.
-    pub fn next_written(&self) -> String {
+    pub fn next_written_text(&self) -> String {
         let mut written = String::new();
         wait_until("something is written", || {
             let mut bytes = [0; 4096];
             let n = self
-                .now()
+                .try_accept()
                 .map_or(0, |mut stream| stream.read(&mut bytes).unwrap_or(0));
             written = String::from_utf8_lossy(&bytes[..n]).to_lowercase();
             !written.is_empty()
--- a/tests/sidecar/cancellation_support/mod.rs
+++ b/tests/sidecar/cancellation_support/mod.rs
@@ -1,15 +1,15 @@
-//! Helpers for the tests of clients that leave while their request waits.
+//! Helpers for the tests of clients that disconnect while their request waits.
 
-mod clients;
-mod closes;
-mod holding;
-mod late;
-mod replacement;
-mod sockets;
+mod connection_close;
+mod full_backlog_endpoint;
+mod lifecycle;
+mod queueing_sidecar;
+mod tcp_table;
+mod waiting_client;
 
-pub use clients::*;
-pub use closes::*;
-pub use holding::*;
-pub use late::*;
-pub use replacement::*;
-pub use sockets::*;
+pub use connection_close::*;
+pub use full_backlog_endpoint::*;
+pub use lifecycle::*;
+pub use queueing_sidecar::*;
+pub use tcp_table::*;
+pub use waiting_client::*;
--- a/tests/sidecar/cancellation_support/holding.rs
+++ b/tests/sidecar/cancellation_support/queueing_sidecar.rs
@@ -4,14 +4,14 @@
 use serde_json::{Value, json};
 
 /// One that knows of no endpoint, so that all is held, and what makes it send.
-pub struct Holds {
+pub struct QueueingSidecar {
     pub sidecar: Sidecar,
     pub endpoint: Endpoint,
     watch: Watch,
     discovery: Discovery,
 }
 
-impl Holds {
+impl QueueingSidecar {
     /// Starts the sidecar after this change to its configuration.
     pub fn with(change: impl FnOnce(&mut Value)) -> Self {
         Self::start(change, Sidecar::start)
@@ -32,7 +32,7 @@
         change(&mut config);
         let sidecar = start(&config);
         let watch = discovery.next_watch();
-        Holds {
+        QueueingSidecar {
             sidecar,
             endpoint: Endpoint::start(|_| respond_ok("x")),
             watch,
@@ -49,24 +49,24 @@
     }
 
     /// Has discovery write a line to the sidecar.
-    pub fn says(&mut self, line: &str) {
+    pub fn write_list(&mut self, line: &str) {
         self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
     /// Waits until so many requests are pending.
-    pub fn has_pending(&mut self, n: usize) {
+    pub fn wait_for_pending(&mut self, n: usize) {
         self.wait_until(&format!("{n} are pending"), |sidecar| {
             sidecar.metric("pending") == Some(n as u64)
         });
     }
 
     /// Lists the endpoint, so that what is held is sent there.
-    pub fn lets_go(&mut self) {
-        self.says(&list(42, false, &serving_entries(&[&self.endpoint])));
+    pub fn list_endpoint(&mut self) {
+        self.write_list(&list(42, false, &serving_entries(&[&self.endpoint])));
     }
 
     /// What the endpoint has seen of the ids of these requests, when all are answered.
-    pub fn saw(&self) -> Vec<String> {
+    pub fn received_request_ids(&self) -> Vec<String> {
         self.endpoint
             .take_requests()
             .iter()
--- a/tests/sidecar/cancellation_support/sockets.rs
+++ b/tests/sidecar/cancellation_support/tcp_table.rs
@@ -1,6 +1,6 @@
 //! The state of TCP connections as the system lists it.
 
-use super::late::Late;
+use super::full_backlog_endpoint::FullBacklogEndpoint;
 use std::net::SocketAddr;
 
 /// A TCP socket of this machine, its ports and state as the system lists them.
@@ -35,9 +35,9 @@
 }
 
 /// How many connections to it are being made.
-pub fn dialling(late: &Late) -> usize {
+pub fn count_connecting(full_backlog_endpoint: &FullBacklogEndpoint) -> usize {
     const SYN_SENT: &str = "02";
-    let entry = late.entry();
+    let entry = full_backlog_endpoint.entry();
     let address: SocketAddr = entry["address"]
         .as_str()
         .and_then(|a| a.parse().ok())
@@ -48,7 +48,7 @@
 }
 
 /// Whether the end of a connection has reached the other side.
-pub fn has_ended(from: SocketAddr, to: SocketAddr) -> bool {
+pub fn has_received_close(from: SocketAddr, to: SocketAddr) -> bool {
     const CLOSE_WAIT: &str = "08";
     // A reset connection is listed no more.
     sockets()
--- a/tests/sidecar/cancellation_support/clients.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -8,36 +8,36 @@
 
 /// How a client leaves, and what it has written behind its request by then.
 #[derive(Clone, Copy, Debug)]
-pub enum Leaves {
-    ByItsEnd(Behind),
-    ByReset(Behind),
+pub enum Disconnect {
+    ByFin(PipelinedBytes),
+    ByReset(PipelinedBytes),
 }
 
 /// What a client has written behind its request when it leaves.
 #[derive(Clone, Copy, Debug)]
-pub enum Behind {
+pub enum PipelinedBytes {
     Nothing,
-    HalfAHead,
-    AWholeRequest,
+    PartialHead,
+    CompleteRequest,
     MoreThanIsRead,
 }
 
 /// Every way to leave, with everything that may be written behind the request.
-pub const WAYS: [Leaves; 8] = [
-    Leaves::ByItsEnd(Behind::Nothing),
-    Leaves::ByItsEnd(Behind::HalfAHead),
-    Leaves::ByItsEnd(Behind::AWholeRequest),
-    Leaves::ByItsEnd(Behind::MoreThanIsRead),
-    Leaves::ByReset(Behind::Nothing),
-    Leaves::ByReset(Behind::HalfAHead),
-    Leaves::ByReset(Behind::AWholeRequest),
-    Leaves::ByReset(Behind::MoreThanIsRead),
+pub const ALL_DISCONNECTS: [Disconnect; 8] = [
+    Disconnect::ByFin(PipelinedBytes::Nothing),
+    Disconnect::ByFin(PipelinedBytes::PartialHead),
+    Disconnect::ByFin(PipelinedBytes::CompleteRequest),
+    Disconnect::ByFin(PipelinedBytes::MoreThanIsRead),
+    Disconnect::ByReset(PipelinedBytes::Nothing),
+    Disconnect::ByReset(PipelinedBytes::PartialHead),
+    Disconnect::ByReset(PipelinedBytes::CompleteRequest),
+    Disconnect::ByReset(PipelinedBytes::MoreThanIsRead),
 ];
 
 /// A client whose request, or what there is of it, is written.
-pub struct Waits(pub TcpStream);
+pub struct WaitingClient(pub TcpStream);
 
-impl Waits {
+impl WaitingClient {
     /// Connects to the sidecar and writes this.
     pub fn with(sidecar: &Sidecar, request: &str) -> Self {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
@@ -45,20 +45,20 @@
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
         stream.write_all(request.as_bytes()).expect("it is written");
-        Waits(stream)
+        WaitingClient(stream)
     }
 
     /// Writes what is to be behind the request, and closes the connection.
-    pub fn leaves(mut self, how: Leaves) {
-        let (Leaves::ByItsEnd(behind) | Leaves::ByReset(behind)) = how;
+    pub fn disconnect(mut self, how: Disconnect) {
+        let (Disconnect::ByFin(behind) | Disconnect::ByReset(behind)) = how;
         let text = match behind {
-            Behind::Nothing => String::new(),
-            Behind::HalfAHead => "GET /api HTTP/1.1\r\nX-Ha".into(),
-            Behind::AWholeRequest => get_request("10"),
-            Behind::MoreThanIsRead => get_request("10").repeat(400),
+            PipelinedBytes::Nothing => String::new(),
+            PipelinedBytes::PartialHead => "GET /api HTTP/1.1\r\nX-Ha".into(),
+            PipelinedBytes::CompleteRequest => get_request("10"),
+            PipelinedBytes::MoreThanIsRead => get_request("10").repeat(400),
         };
         self.0.write_all(text.as_bytes()).expect("it is open");
-        if let Leaves::ByReset(_) = how {
+        if let Disconnect::ByReset(_) = how {
             // What was written goes first, so that it may stand unread.
             std::thread::sleep(Duration::from_millis(20));
             SockRef::from(&self.0)
@@ -75,7 +75,7 @@
 }
 
 /// The value of the `X-Request-Id` header of a request.
-pub fn id(request: &str) -> String {
+pub fn request_id(request: &str) -> String {
     let from = request.split("X-Request-Id: ").nth(1).expect("it has one");
     from.split("\r\n").next().expect("a line").to_string()
 }
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -5,7 +5,8 @@
 //! test has a second request in the same place whose client stays: that one is served, so that the wait was over.
 
 use crate::cancellation_support::{
-    CLOSES, Close, Holds, Late, Replaceable, Waits, close, dialling, has_ended, id, in_every_phase,
+    ALL_CLOSES, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
+    close, count_connecting, has_received_close, in_every_lifecycle_phase, request_id,
 };
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -18,28 +19,28 @@
 
 // ---- Further attempts ------------------------------------------------------------------------------------
 
-const TURNED_AWAY: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+const NOT_RUN_RESPONSE: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// Safe requests that earn the retries of a test.
-const EARNING: usize = 20;
+const RETRY_EARNING_REQUESTS: usize = 20;
 
 /// An endpoint that serves safe requests, and turns away each unsafe one when the test says so, by the request's body.
-struct TurnsAway {
+struct RejectingEndpoint {
     endpoint: Endpoint,
-    leaver: Sender<()>,
-    stayer: Sender<()>,
+    closing: Sender<()>,
+    staying: Sender<()>,
 }
 
-const LEAVES: &str = "leaves";
-const STAYS: &str = "stays";
+const CLOSING_BODY: &str = "leaves";
+const STAYING_BODY: &str = "stays";
 
-impl TurnsAway {
+impl RejectingEndpoint {
     fn start() -> Self {
-        let (leaver, leaver_may) = channel::<()>();
-        let (stayer, stayer_may) = channel::<()>();
+        let (closing, closing_released) = channel::<()>();
+        let (staying, staying_released) = channel::<()>();
         let gates: [(&str, Mutex<Receiver<()>>); 2] = [
-            (LEAVES, Mutex::new(leaver_may)),
-            (STAYS, Mutex::new(stayer_may)),
+            (CLOSING_BODY, Mutex::new(closing_released)),
+            (STAYING_BODY, Mutex::new(staying_released)),
         ];
         let endpoint = Endpoint::start(move |message| {
             let gate = gates
@@ -49,107 +50,107 @@
                 return respond_ok("x");
             };
             let _ = gate.lock().expect("the only one").recv();
-            EndpointAction::RespondThenClose(TURNED_AWAY.into())
+            EndpointAction::RespondThenClose(NOT_RUN_RESPONSE.into())
         });
-        TurnsAway {
+        RejectingEndpoint {
             endpoint,
-            leaver,
-            stayer,
+            closing,
+            staying,
         }
     }
 
     /// Turns the leaver's request away; the answer is on its connection when this returns.
-    fn turns_leaver_away(&self) {
-        self.leaver.send(()).expect("it waits");
+    fn reject_closing(&self) {
+        self.closing.send(()).expect("it waits");
         self.endpoint.next_connection_close();
     }
 
-    fn turns_stayer_away(&self) {
-        self.stayer.send(()).expect("it waits");
+    fn reject_staying(&self) {
+        self.staying.send(()).expect("it waits");
         self.endpoint.next_connection_close();
     }
 }
 
 /// Two requests of which the first attempt is out at the same endpoint, the only one that is known.
 struct FirstAttempts {
-    sidecar: Replaceable,
-    turns_away: TurnsAway,
+    sidecar: LifecycleSidecar,
+    rejecting: RejectingEndpoint,
     /// Gone once it has closed.
-    leaver: Option<Waits>,
-    stayer: Waits,
-    stayer_id: String,
+    closing: Option<WaitingClient>,
+    staying: WaitingClient,
+    staying_id: String,
     /// Attempts written up to now.
     attempts: u64,
 }
 
 impl FirstAttempts {
     fn start(cancel: bool) -> Self {
-        let turns_away = TurnsAway::start();
-        let mut sidecar = Replaceable::start(|config| {
-            config["known"]["endpoints"] = json!(serving_entries(&[&turns_away.endpoint]));
+        let rejecting = RejectingEndpoint::start();
+        let mut sidecar = LifecycleSidecar::start(|config| {
+            config["known"]["endpoints"] = json!(serving_entries(&[&rejecting.endpoint]));
             config["settings"]["bounds"]["cancel"] = json!(cancel);
             config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         });
-        let mut earns = sidecar.holds.sidecar.client();
-        for _ in 0..EARNING {
+        let mut earns = sidecar.queueing.sidecar.client();
+        for _ in 0..RETRY_EARNING_REQUESTS {
             assert_eq!(earns.exchange(&get_request("60")).status(), 200);
-            turns_away.endpoint.next_request();
+            rejecting.endpoint.next_request();
         }
-        let request = post_request("unsafe", "60", STAYS);
-        let leaver = Waits::with(
-            &sidecar.holds.sidecar,
-            &post_request("unsafe", "60", LEAVES),
+        let request = post_request("unsafe", "60", STAYING_BODY);
+        let closing = WaitingClient::with(
+            &sidecar.queueing.sidecar,
+            &post_request("unsafe", "60", CLOSING_BODY),
         );
-        let stayer = Waits::with(&sidecar.holds.sidecar, &request);
-        (0..2).for_each(|_| drop(turns_away.endpoint.next_request()));
-        sidecar.holds.has_pending(2);
+        let staying = WaitingClient::with(&sidecar.queueing.sidecar, &request);
+        (0..2).for_each(|_| drop(rejecting.endpoint.next_request()));
+        sidecar.queueing.wait_for_pending(2);
         let attempts = sidecar.attempts();
         FirstAttempts {
             sidecar,
-            turns_away,
-            leaver: Some(leaver),
-            stayer,
-            stayer_id: id(&request),
+            rejecting,
+            closing: Some(closing),
+            staying,
+            staying_id: request_id(&request),
             attempts,
         }
     }
 
     /// Both have been turned away, and wait for an endpoint that has not done so.
-    fn both_are_turned_away(&mut self) {
-        self.turns_away.turns_leaver_away();
-        self.turns_away.turns_stayer_away();
-        self.sidecar.holds.has_pending(2);
+    fn reject_both(&mut self) {
+        self.rejecting.reject_closing();
+        self.rejecting.reject_staying();
+        self.sidecar.queueing.wait_for_pending(2);
     }
 
     /// The leaver closes its connection, and the sidecar has seen it.
-    fn leaver_closes(&mut self, how: Close) -> Option<TcpStream> {
-        let leaver = self.leaver.take().expect("it closes once");
-        let half = close(leaver.0, how);
-        self.sidecar.holds.has_pending(1);
+    fn close_client(&mut self, close_kind: CloseKind) -> Option<TcpStream> {
+        let closing = self.closing.take().expect("it closes once");
+        let half = close(closing.0, close_kind);
+        self.sidecar.queueing.wait_for_pending(1);
         half
     }
 
     /// Lists an endpoint to which a retry may go.
-    fn lists(&mut self, entry: Value) {
-        let holds = &mut self.sidecar.holds;
-        holds.says(&list(42, false, &[entry]));
-        holds.wait_until("it is listed", |sidecar| {
+    fn list_other_endpoint(&mut self, entry: Value) {
+        let queueing = &mut self.sidecar.queueing;
+        queueing.write_list(&list(42, false, &[entry]));
+        queueing.wait_until("it is listed", |sidecar| {
             sidecar.metric("members") == Some(2)
         });
     }
 
-    fn lists_other(&mut self) {
-        let address = self.sidecar.holds.endpoint.address;
-        self.lists(entry("other", address, "SERVING"));
+    fn list_queueing_endpoint(&mut self) {
+        let address = self.sidecar.queueing.endpoint.address;
+        self.list_other_endpoint(entry("other", address, "SERVING"));
     }
 
     /// The stayer's retry is served at the other endpoint, and there is no further attempt.
-    fn only_the_stayer_is_retried(&mut self, context: &str) {
-        assert!(self.stayer.is_served(), "{context}");
+    fn assert_only_staying_is_retried(&mut self, context: &str) {
+        assert!(self.staying.is_served(), "{context}");
         assert_eq!(self.sidecar.attempts(), self.attempts + 1, "{context}");
         assert_eq!(
-            self.sidecar.holds.saw(),
-            std::slice::from_ref(&self.stayer_id),
+            self.sidecar.queueing.received_request_ids(),
+            std::slice::from_ref(&self.staying_id),
             "{context}"
         );
     }
@@ -157,31 +158,31 @@
 
 /// Guards a retry that is held as no endpoint is left for it: its client closes, and then there is one.
 #[test]
-fn a_held_retry_is_not_sent_after_the_close() {
-    in_every_phase(|phase| {
-        for how in CLOSES {
-            let mut both = FirstAttempts::start(true);
-            both.both_are_turned_away();
-            both.sidecar.enters(phase);
-            let _half = both.leaver_closes(how);
-            both.lists_other();
-            both.only_the_stayer_is_retried(&format!("{phase:?} {how:?}"));
+fn queued_retry_is_not_sent_after_the_client_closes() {
+    in_every_lifecycle_phase(|phase| {
+        for close_kind in ALL_CLOSES {
+            let mut attempts_pair = FirstAttempts::start(true);
+            attempts_pair.reject_both();
+            attempts_pair.sidecar.enter_phase(phase);
+            let _half = attempts_pair.close_client(close_kind);
+            attempts_pair.list_queueing_endpoint();
+            attempts_pair.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
         }
     });
 }
 
 /// Guards a first attempt that may not be called off: it fails after its client has closed, and is not followed by another.
 #[test]
-fn an_attempt_that_fails_after_the_close_is_not_retried() {
-    in_every_phase(|phase| {
-        for how in CLOSES {
-            let mut both = FirstAttempts::start(false);
-            both.sidecar.enters(phase);
-            let _half = both.leaver_closes(how);
-            both.lists_other();
-            both.turns_away.turns_leaver_away();
-            both.turns_away.turns_stayer_away();
-            both.only_the_stayer_is_retried(&format!("{phase:?} {how:?}"));
+fn attempt_that_fails_after_the_client_closes_is_not_retried() {
+    in_every_lifecycle_phase(|phase| {
+        for close_kind in ALL_CLOSES {
+            let mut attempts_pair = FirstAttempts::start(false);
+            attempts_pair.sidecar.enter_phase(phase);
+            let _half = attempts_pair.close_client(close_kind);
+            attempts_pair.list_queueing_endpoint();
+            attempts_pair.rejecting.reject_closing();
+            attempts_pair.rejecting.reject_staying();
+            attempts_pair.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
         }
     });
 }
@@ -202,35 +203,37 @@
 
 /// Guards a retry whose connection comes up after the close: nothing is written on it, whether or not it may be called off.
 #[test]
-fn a_retry_that_is_being_dialled_is_not_written_after_the_close() {
-    in_every_phase(|phase| {
+fn connecting_retry_is_not_written_after_the_client_closes() {
+    in_every_lifecycle_phase(|phase| {
         for cancel in [true, false] {
-            let mut both = FirstAttempts::start(cancel);
-            both.both_are_turned_away();
-            let late = Late::start();
-            both.lists(late.entry());
-            wait_until("both are dialled", || dialling(&late) == 2);
-            both.sidecar.enters(phase);
-            let _half = both.leaver_closes(Close::Whole);
+            let mut attempts_pair = FirstAttempts::start(cancel);
+            attempts_pair.reject_both();
+            let full_backlog_endpoint = FullBacklogEndpoint::start();
+            attempts_pair.list_other_endpoint(full_backlog_endpoint.entry());
+            wait_until("both are dialled", || {
+                count_connecting(&full_backlog_endpoint) == 2
+            });
+            attempts_pair.sidecar.enter_phase(phase);
+            let _half = attempts_pair.close_client(CloseKind::Full);
             // Called off, the leaver's never comes up.
             let come_up = if cancel { 1 } else { 2 };
             let mut connections = Vec::new();
             wait_until("all have come up", || {
-                connections.extend(late.now());
-                connections.len() == come_up && dialling(&late) == 0
+                connections.extend(full_backlog_endpoint.try_accept());
+                connections.len() == come_up && count_connecting(&full_backlog_endpoint) == 0
             });
             let mut seen = String::new();
             wait_until("the stayer's is written", || {
                 seen += &written(&mut connections);
-                seen.contains(STAYS)
+                seen.contains(STAYING_BODY)
             });
             assert_eq!(
-                both.sidecar.attempts(),
-                both.attempts + 1,
+                attempts_pair.sidecar.attempts(),
+                attempts_pair.attempts + 1,
                 "{phase:?}, cancel {cancel}"
             );
             seen += &written(&mut connections);
-            assert!(!seen.contains(LEAVES), "{phase:?}, cancel {cancel}");
+            assert!(!seen.contains(CLOSING_BODY), "{phase:?}, cancel {cancel}");
         }
     });
 }
@@ -246,8 +249,8 @@
 
 /// Guards requests that wait for the gap of a throttled endpoint to be over, the only one there is.
 #[test]
-fn a_request_that_waits_for_a_gap_is_not_sent_after_the_close() {
-    in_every_phase(|phase| {
+fn request_queued_for_a_gap_is_not_sent_after_the_client_closes() {
+    in_every_lifecycle_phase(|phase| {
         let throttled = Endpoint::start(|message| {
             if message.body == b"throttles" {
                 thread::sleep(QUIET);
@@ -255,51 +258,51 @@
             }
             respond_ok("x")
         });
-        let mut sidecar = Replaceable::start(|config| {
+        let mut sidecar = LifecycleSidecar::start(|config| {
             config["known"]["endpoints"] = json!(serving_entries(&[&throttled]));
         });
         let throttles =
             sidecar
-                .holds
+                .queueing
                 .sidecar
                 .client()
                 .exchange(&post_request("unsafe", "60", "throttles"));
         assert_eq!(throttles.status(), 200);
         throttled.next_request();
-        let leavers = CLOSES.map(|how| {
+        let leavers = ALL_CLOSES.map(|close_kind| {
             (
-                how,
-                Waits::with(
-                    &sidecar.holds.sidecar,
-                    &post_request("unsafe", "60", LEAVES),
+                close_kind,
+                WaitingClient::with(
+                    &sidecar.queueing.sidecar,
+                    &post_request("unsafe", "60", CLOSING_BODY),
                 ),
             )
         });
-        let request = post_request("unsafe", "60", STAYS);
-        let mut stayer = Waits::with(&sidecar.holds.sidecar, &request);
-        sidecar.holds.has_pending(CLOSES.len() + 1);
-        sidecar.enters(phase);
-        let _half = leavers.map(|(how, client)| close(client.0, how));
-        sidecar.holds.has_pending(1);
+        let request = post_request("unsafe", "60", STAYING_BODY);
+        let mut staying = WaitingClient::with(&sidecar.queueing.sidecar, &request);
+        sidecar.queueing.wait_for_pending(ALL_CLOSES.len() + 1);
+        sidecar.enter_phase(phase);
+        let _half = leavers.map(|(close_kind, client)| close(client.0, close_kind));
+        sidecar.queueing.wait_for_pending(1);
         assert_eq!(
             throttled.take_request_count(),
             0,
             "{phase:?}: the gap is not over"
         );
-        assert!(stayer.is_served(), "{phase:?}");
+        assert!(staying.is_served(), "{phase:?}");
         let seen: Vec<_> = throttled
             .take_requests()
             .iter()
             .map(|m| m.body.clone())
             .collect();
-        assert_eq!(seen, [STAYS.as_bytes()], "{phase:?}");
+        assert_eq!(seen, [STAYING_BODY.as_bytes()], "{phase:?}");
     });
 }
 
 // ---- Closes that come together with the request ----------------------------------------------------------
 
 /// What comes on a connection at once, with the close right behind it.
-fn arrivals() -> Vec<(&'static str, String)> {
+fn pipelined_arrivals() -> Vec<(&'static str, String)> {
     let chunked = |end: &str| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
@@ -339,7 +342,7 @@
 }
 
 /// Has the connection asked something, and all of the answer read: a close over unread bytes would be a reset.
-fn has_asked(connection: &mut TcpStream) {
+fn complete_exchange(connection: &mut TcpStream) {
     connection
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
@@ -353,7 +356,7 @@
 /// Guards the moment in which a request is read: with its client's close already there, no attempt is written, on a new
 /// connection as on a kept one, whether or not attempts may be called off.
 #[test]
-fn a_request_that_is_read_together_with_its_close_is_not_sent() {
+fn request_read_together_with_its_close_is_not_sent() {
     for cancel in [true, false] {
         let endpoint = Endpoint::start(|_| respond_ok("x"));
         let discovery = Discovery::start();
@@ -361,24 +364,27 @@
             with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         let sidecar = Sidecar::start(&config);
-        for how in CLOSES {
-            for (what, text) in arrivals() {
+        for close_kind in ALL_CLOSES {
+            for (what, text) in pipelined_arrivals() {
                 for is_kept in [true, false] {
-                    let context = format!("{what}, {how:?}, kept {is_kept}, cancel {cancel}");
-                    let mut leaver = TcpStream::connect(sidecar.address).expect("it accepts");
+                    let context =
+                        format!("{what}, {close_kind:?}, kept {is_kept}, cancel {cancel}");
+                    let mut closing = TcpStream::connect(sidecar.address).expect("it accepts");
                     if is_kept {
-                        has_asked(&mut leaver);
+                        complete_exchange(&mut closing);
                     }
-                    let from = leaver.local_addr().expect("an address");
+                    let from = closing.local_addr().expect("an address");
                     sidecar.suspend();
-                    leaver.write_all(text.as_bytes()).expect("it is open");
-                    let _half = close(leaver, how);
-                    wait_until("the close is there", || has_ended(from, sidecar.address));
+                    closing.write_all(text.as_bytes()).expect("it is open");
+                    let _half = close(closing, close_kind);
+                    wait_until("the close is there", || {
+                        has_received_close(from, sidecar.address)
+                    });
                     sidecar.resume();
                     assert_eq!(
                         sidecar
                             .client()
-                            .exchange(&post_request("unsafe", "10", STAYS))
+                            .exchange(&post_request("unsafe", "10", STAYING_BODY))
                             .status(),
                         200
                     );
@@ -387,7 +393,7 @@
                         .iter()
                         .map(|m| m.body.clone())
                         .collect();
-                    assert_eq!(seen, [STAYS.as_bytes()], "{context}");
+                    assert_eq!(seen, [STAYING_BODY.as_bytes()], "{context}");
                 }
             }
         }
@@ -399,29 +405,33 @@
 /// Guards a later tier against its caller's end: a request that it holds goes with the process of the earlier tier that
 /// asked for it, and with that one's client.
 #[test]
-fn a_request_held_in_a_later_tier_ends_with_its_caller() {
+fn request_queued_in_a_later_tier_ends_with_its_caller() {
     for caller_dies in [true, false] {
-        let mut later = Holds::with(|config| {
+        let mut later = QueueingSidecar::with(|config| {
             config["settings"]["tier"] = json!(1);
             config["settings"]["stages"] = json!(["one", "two"]);
         });
         let discovery = Discovery::start();
         let known = [entry("later", later.sidecar.address, "SERVING")];
         let mut earlier = Sidecar::start(&with_admin_address(config(discovery.address, &known)));
-        let leaver = Waits::with(&earlier, &get_request("10"));
-        later.has_pending(1);
+        let closing = WaitingClient::with(&earlier, &get_request("10"));
+        later.wait_for_pending(1);
         let _open = if caller_dies {
             earlier.kill();
-            Some(leaver)
+            Some(closing)
         } else {
-            close(leaver.0, Close::Whole).map(Waits)
+            close(closing.0, CloseKind::Full).map(WaitingClient)
         };
-        later.has_pending(0);
+        later.wait_for_pending(0);
         let request = get_request("60");
-        let mut stayer = Waits::with(&later.sidecar, &request);
-        later.has_pending(1);
-        later.lets_go();
-        assert!(stayer.is_served());
-        assert_eq!(later.saw(), [id(&request)], "caller dies: {caller_dies}");
+        let mut staying = WaitingClient::with(&later.sidecar, &request);
+        later.wait_for_pending(1);
+        later.list_endpoint();
+        assert!(staying.is_served());
+        assert_eq!(
+            later.received_request_ids(),
+            [request_id(&request)],
+            "caller dies: {caller_dies}"
+        );
     }
 }
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -10,41 +10,41 @@
 use std::time::Duration;
 
 /// Descriptors that the process may hold, by its configuration and by the system.
-const LIMIT: usize = 256;
+const DESCRIPTOR_LIMIT: usize = 256;
 /// Requests that stay open at their endpoint: each holds its caller's connection and the endpoint's.
 const OPEN_REQUESTS: usize = 100;
 /// Enough for the requests to be spread thinly.
 const ENDPOINTS: usize = 50;
 /// Requests held at least, most of what callers may have.
-const HELD_REQUESTS: usize = 120;
+const MIN_QUEUED_REQUESTS: usize = 120;
 /// Descriptors in use from which on the sidecar is short: idle clients have what the open requests leave.
-const SHORT: usize = 205;
+const SATURATED_DESCRIPTORS: usize = 205;
 /// Clients that connect, ask once and stay, more than there can be.
 const IDLE_CLIENTS: usize = 150;
 /// Clients that connect and say nothing.
 const SILENT_CLIENTS: usize = 50;
 /// Connections to the operators' address that hold half a call. With as many as there can be, one would close another,
 /// and a call as well that is slow to be written.
-const HALF_CALLS: usize = 12;
+const PARTIAL_CALLS: usize = 12;
 /// Connections that take the place of closed ones until what was freed is sure to be taken.
-const TURNOVER: usize = 300;
+const SATURATION_RECONNECTS: usize = 300;
 /// Pause between two rounds over the connections, for the sidecar to have a share of the machine.
 const ROUND_PAUSE: Duration = Duration::from_millis(5);
 /// What an open request carries.
-const STAYS: &[u8] = b"stays";
+const OPEN_REQUEST_BODY: &[u8] = b"stays";
 
 /// A connection that is opened again whenever the sidecar closes it.
-struct Idler {
-    to: SocketAddr,
-    says: &'static str,
+struct ReconnectingClient {
+    address: SocketAddr,
+    request: &'static str,
     stream: Option<TcpStream>,
 }
 
-impl Idler {
-    fn new(to: SocketAddr, says: &'static str) -> Self {
-        Idler {
-            to,
-            says,
+impl ReconnectingClient {
+    fn new(address: SocketAddr, request: &'static str) -> Self {
+        ReconnectingClient {
+            address,
+            request,
             stream: None,
         }
     }
@@ -60,77 +60,77 @@
     }
 
     fn connect(&mut self) {
-        let mut stream = TcpStream::connect(self.to).expect("the backlog has room");
-        let _ = stream.write_all(self.says.as_bytes()); // it may be closed again already
+        let mut stream = TcpStream::connect(self.address).expect("the backlog has room");
+        let _ = stream.write_all(self.request.as_bytes()); // it may be closed again already
         stream.set_nonblocking(true).expect("an option");
         self.stream = Some(stream);
     }
 }
 
 /// Connections that take every descriptor that the sidecar lets them have, for as long as this lives.
-struct Crowd {
-    ends: Arc<AtomicBool>,
+struct IdleClients {
+    stop: Arc<AtomicBool>,
     connected: Arc<AtomicUsize>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn gather(sidecar: &Sidecar) -> Self {
+impl IdleClients {
+    fn start(sidecar: &Sidecar) -> Self {
         let asks = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
         let kinds = [
             (IDLE_CLIENTS, sidecar.address, asks),
             (SILENT_CLIENTS, sidecar.address, ""),
-            (HALF_CALLS, sidecar.admin(), "STA"),
+            (PARTIAL_CALLS, sidecar.admin(), "STA"),
         ];
-        let idlers = kinds
-            .into_iter()
-            .flat_map(|(n, to, says)| (0..n).map(move |_| Idler::new(to, says)));
-        let mut idlers: Vec<Idler> = idlers.collect();
-        let (ends, connected) = (
+        let clients = kinds.into_iter().flat_map(|(n, address, request)| {
+            (0..n).map(move |_| ReconnectingClient::new(address, request))
+        });
+        let mut clients: Vec<ReconnectingClient> = clients.collect();
+        let (stop, connected) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let (told, count) = (ends.clone(), connected.clone());
+        let (stop_requested, count) = (stop.clone(), connected.clone());
         let thread = spawn(move || {
-            while !told.load(Ordering::Relaxed) {
-                for idler in idlers
+            while !stop_requested.load(Ordering::Relaxed) {
+                for client in clients
                     .iter_mut()
-                    .filter_map(|idler| (!idler.is_open()).then_some(idler))
+                    .filter_map(|client| (!client.is_open()).then_some(client))
                 {
-                    idler.connect();
+                    client.connect();
                     count.fetch_add(1, Ordering::Relaxed);
                 }
                 sleep(ROUND_PAUSE);
             }
         });
-        Crowd {
-            ends,
+        IdleClients {
+            stop,
             connected,
             thread: Some(thread),
         }
     }
 
     /// Waits until so many further connections have been opened that none is left that could be.
-    fn fills_up(&self, sidecar: &Sidecar) {
+    fn wait_until_saturated(&self, sidecar: &Sidecar) {
         let before = self.connected.load(Ordering::Relaxed);
         wait_until("the crowd has all", || {
-            self.connected.load(Ordering::Relaxed) >= before + TURNOVER
-                && sidecar.descriptor_count() >= SHORT
+            self.connected.load(Ordering::Relaxed) >= before + SATURATION_RECONNECTS
+                && sidecar.descriptor_count() >= SATURATED_DESCRIPTORS
         });
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
 /// A sidecar with so few descriptors over these endpoints.
-fn limited(discovery: &ManualDiscovery, endpoints: &[&Endpoint], mode: &str) -> Sidecar {
+fn start_limited(discovery: &ManualDiscovery, endpoints: &[&Endpoint], mode: &str) -> Sidecar {
     let mut config = with_admin_address(config(discovery.address(), &serving_entries(endpoints)));
-    config["limits"]["sockets"] = json!(LIMIT);
+    config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
     config["settings"]["discovery"] = json!(mode);
     for class in config["settings"]["categories"]
         .as_array_mut()
@@ -140,14 +140,14 @@
         class["hardLimitNs"] = json!(120_000_000_000u64);
     }
     let path = temporary_file(&config.to_string());
-    let sidecar = Sidecar::start_with_descriptor_limit(&path, LIMIT);
+    let sidecar = Sidecar::start_with_descriptor_limit(&path, DESCRIPTOR_LIMIT);
     std::fs::remove_file(path).expect("the file goes");
     sidecar
 }
 
 /// Opens requests that their endpoints do not answer.
 fn open_requests(sidecar: &Sidecar, endpoints: &[Endpoint]) -> Vec<Client> {
-    let text = std::str::from_utf8(STAYS).expect("text");
+    let text = std::str::from_utf8(OPEN_REQUEST_BODY).expect("text");
     let open = |_| {
         let mut client = sidecar.client();
         client.write(&post_request("unsafe", "100", text));
@@ -166,7 +166,7 @@
 }
 
 /// Asks once more on a new connection where one was closed or reset unread, as clients do.
-fn is_served(sidecar: &Sidecar) {
+fn assert_request_is_served(sidecar: &Sidecar) {
     wait_until("a request is served", || {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
         stream
@@ -178,18 +178,18 @@
     });
 }
 
-fn operators_are_answered(sidecar: &Sidecar) {
+fn assert_operators_are_answered(sidecar: &Sidecar) {
     assert!(sidecar.call_is_yes("READY"));
     assert_eq!(sidecar.metric("pending"), Some(OPEN_REQUESTS as u64));
 }
 
 /// Guards the descriptors that callers may not have: while discovery is down they take all others, what its watch held
 /// among them. Operators, requests and endpoints get theirs all the while, and the watch once discovery is back.
-fn a_crowd_leaves_descriptors_for_the_rest(network_address: &str, mode: &str) {
+fn check_with_every_descriptor_held_by_clients(network_address: &str, mode: &str) {
     // No other test uses its network address, so that the port stays free while it is down.
     let start = format!("{network_address}:0").parse().expect("an address");
     let answer = |message: &Message| {
-        if message.body == STAYS {
+        if message.body == OPEN_REQUEST_BODY {
             EndpointAction::Hang
         } else {
             respond_ok("")
@@ -197,18 +197,18 @@
     };
     let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|_| Endpoint::start(answer)).collect();
     let discovery = ManualDiscovery::start_at(start);
-    let sidecar = limited(&discovery, &endpoints.iter().collect::<Vec<_>>(), mode);
+    let sidecar = start_limited(&discovery, &endpoints.iter().collect::<Vec<_>>(), mode);
     let mut watch = discovery.next_call();
     watch.open_watch();
     let _open = open_requests(&sidecar, &endpoints);
-    let crowd = Crowd::gather(&sidecar);
-    crowd.fills_up(&sidecar);
+    let idle_clients = IdleClients::start(&sidecar);
+    idle_clients.wait_until_saturated(&sidecar);
     let address = discovery.address();
     drop((discovery, watch));
     sidecar.wait_for_log("the watch on discovery");
-    crowd.fills_up(&sidecar);
-    operators_are_answered(&sidecar);
-    is_served(&sidecar);
+    idle_clients.wait_until_saturated(&sidecar);
+    assert_operators_are_answered(&sidecar);
+    assert_request_is_served(&sidecar);
     let started = Endpoint::start(|_| respond_ok(""));
     let changed: Vec<Value> = vec![entry("started", started.address, "SERVING")];
     let discovery = ManualDiscovery::start_at(address);
@@ -219,30 +219,30 @@
     wait_until("the list is current", || {
         sidecar.metric("members") == Some(1)
     });
-    crowd.fills_up(&sidecar);
-    operators_are_answered(&sidecar);
-    is_served(&sidecar);
+    idle_clients.wait_until_saturated(&sidecar);
+    assert_operators_are_answered(&sidecar);
+    assert_request_is_served(&sidecar);
     started.next_request();
     let log = sidecar.log().join("\n");
     assert!(!log.contains("Too many open files"), "{log}");
 }
 
 #[test]
-fn a_crowd_leaves_descriptors_for_the_rest_while_an_agent_is_down() {
-    a_crowd_leaves_descriptors_for_the_rest("127.21.0.1", "automatic");
+fn agent_reconnects_while_clients_hold_every_descriptor() {
+    check_with_every_descriptor_held_by_clients("127.21.0.1", "automatic");
 }
 
 #[test]
-fn a_crowd_leaves_descriptors_for_the_rest_while_discovery_is_down() {
-    a_crowd_leaves_descriptors_for_the_rest("127.21.0.2", "subscribe");
+fn discovery_reconnects_while_clients_hold_every_descriptor() {
+    check_with_every_descriptor_held_by_clients("127.21.0.2", "subscribe");
 }
 
 /// Guards the descriptors of attempts against the requests that need them: with as many requests held as callers may
 /// have, each is served once an endpoint is listed.
 #[test]
-fn held_requests_leave_descriptors_for_their_attempts() {
+fn attempts_connect_while_queued_requests_hold_the_callers_descriptors() {
     let discovery = ManualDiscovery::start();
-    let sidecar = limited(&discovery, &[], "automatic");
+    let sidecar = start_limited(&discovery, &[], "automatic");
     let mut watch = discovery.next_call();
     watch.open_watch();
     let connect = |_| {
@@ -252,7 +252,7 @@
     };
     // All have come before it reads the first.
     sidecar.suspend();
-    let mut clients: Vec<Client> = (0..LIMIT).map(connect).collect();
+    let mut clients: Vec<Client> = (0..DESCRIPTOR_LIMIT).map(connect).collect();
     sidecar.resume();
     // Each has been refused or closed by then, or is held.
     wait_until("all have been read", || {
@@ -260,7 +260,7 @@
         sidecar.metric("pending") == Some(silent as u64)
     });
     clients.retain(Client::is_silent);
-    assert!(clients.len() >= HELD_REQUESTS, "{}", clients.len());
+    assert!(clients.len() >= MIN_QUEUED_REQUESTS, "{}", clients.len());
     let endpoints: Vec<Endpoint> = (0..ENDPOINTS)
         .map(|_| Endpoint::start(|_| respond_ok("")))
         .collect();
@@ -281,23 +281,23 @@
 /// Guards the descriptors against connections that were answered early and are read on for a while: they make room as
 /// others do. All have come before the sidecar reads the first, and none leaves by itself.
 #[test]
-fn early_answers_leave_descriptors_for_the_rest() {
+fn operators_are_answered_while_early_responses_linger() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = ManualDiscovery::start();
-    let sidecar = limited(&discovery, &[&endpoint], "automatic");
+    let sidecar = start_limited(&discovery, &[&endpoint], "automatic");
     let connect = |_| {
         let mut client = sidecar.client();
         client.write(&post_request("no-class", "5", "half").replace("Length: 4", "Length: 50"));
         client
     };
     sidecar.suspend();
-    let clients: Vec<Client> = (0..2 * LIMIT).map(connect).collect();
+    let clients: Vec<Client> = (0..2 * DESCRIPTOR_LIMIT).map(connect).collect();
     sidecar.resume();
     wait_until("all are answered or closed", || {
         clients.iter().all(|client| !client.is_silent())
     });
     assert!(sidecar.call_is_yes("READY"));
-    assert!(sidecar.descriptor_count() < LIMIT);
+    assert!(sidecar.descriptor_count() < DESCRIPTOR_LIMIT);
     let log = sidecar.log().join("\n");
     assert!(!log.contains("Too many open files"), "{log}");
 }
--- a/tests/sidecar/crossings.rs
+++ b/tests/sidecar/event_races.rs
@@ -11,20 +11,20 @@
 use std::time::Duration;
 
 /// An endpoint whose every connection the test writes and ends itself.
-fn raw() -> (TcpListener, Value) {
+fn raw_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let known = entry("raw", listener.local_addr().expect("an address"), "SERVING");
-    (listener, known)
+    let endpoint_entry = entry("raw", listener.local_addr().expect("an address"), "SERVING");
+    (listener, endpoint_entry)
 }
 
-fn asked(listener: &TcpListener) -> (Message, TcpStream) {
+fn accept_request(listener: &TcpListener) -> (Message, TcpStream) {
     let (stream, _) = listener.accept().expect("a connection");
     let mut reader = BufReader::new(stream);
     let message = read_message(&mut reader).expect("a request");
     (message, reader.into_inner())
 }
 
-fn resets(stream: TcpStream) {
+fn reset_on_drop(stream: TcpStream) {
     SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
         .expect("an option");
@@ -33,18 +33,21 @@
 /// Guards a reset against the answer that came before it: what is whole is served, what is not has failed, and what must
 /// not run twice is sent once either way.
 #[test]
-fn a_reset_right_behind_an_answer_takes_nothing_from_it() {
+fn complete_response_is_served_when_a_reset_follows_it() {
     let whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     for (text, status) in [(whole, 200), (&whole[..whole.len() - 1], 502), ("", 502)] {
-        let (listener, known) = raw();
+        let (listener, endpoint_entry) = raw_endpoint();
         let discovery = Discovery::start();
-        let sidecar = Sidecar::start(&with_admin_address(config(discovery.address, &[known])));
+        let sidecar = Sidecar::start(&with_admin_address(config(
+            discovery.address,
+            &[endpoint_entry],
+        )));
         let mut client = sidecar.client();
         client.write(&post_request("unsafe", "9", "x"));
-        let (_, mut stream) = asked(&listener);
+        let (_, mut stream) = accept_request(&listener);
         sidecar.suspend();
         stream.write_all(text.as_bytes()).expect("it is open");
-        resets(stream);
+        reset_on_drop(stream);
         sidecar.resume();
         assert_eq!(client.read().expect("an answer").status(), status, "{text}");
         assert_eq!(sidecar.metric("upstream_requests"), Some(1));
@@ -55,29 +58,32 @@
 /// Guards answers that say nothing of their length, which last until their connection's end: a reset is none, whatever has
 /// come by then, and what may have run fails.
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
-    for (resets_it, status) in [(true, 502), (false, 200)] {
+fn reset_fails_a_response_without_a_length() {
+    for (is_reset, status) in [(true, 502), (false, 200)] {
         for text in [
             "HTTP/1.1 200 OK\r\n\r\n",
             "HTTP/1.1 200 OK\r\n\r\nbegun",
             "HTTP/1.0 200 OK\r\n\r\nbegun",
         ] {
-            let (listener, known) = raw();
+            let (listener, endpoint_entry) = raw_endpoint();
             let discovery = Discovery::start();
-            let sidecar = Sidecar::start(&with_admin_address(config(discovery.address, &[known])));
+            let sidecar = Sidecar::start(&with_admin_address(config(
+                discovery.address,
+                &[endpoint_entry],
+            )));
             let mut client = sidecar.client();
             client.write(&post_request("unsafe", "9", "x"));
-            let (_, mut stream) = asked(&listener);
+            let (_, mut stream) = accept_request(&listener);
             stream.write_all(text.as_bytes()).expect("it is open");
             std::thread::sleep(Duration::from_millis(50)); // it is read before the end comes, and after
-            if resets_it {
-                resets(stream);
+            if is_reset {
+                reset_on_drop(stream);
             } else {
                 drop(stream);
             }
             let answer = client.read().expect("an answer");
             assert_eq!(answer.status(), status, "{text}");
-            if !resets_it {
+            if !is_reset {
                 assert_eq!(
                     answer.body,
                     text.split_once("\r\n\r\n").expect("a head").1.as_bytes()
@@ -91,15 +97,15 @@
 /// Guards the time-out against an answer that has come by then: one of them is the end, the client gets one answer, and
 /// nothing is sent again. The connection that was given up carries nothing more.
 #[test]
-fn a_time_out_and_the_answer_at_once_are_one_end() {
-    let (listener, known) = raw();
+fn timeout_that_races_the_response_ends_the_request_once() {
+    let (listener, endpoint_entry) = raw_endpoint();
     let discovery = Discovery::start();
     let mut config = config_with_deadline(&discovery, &[], Duration::from_secs(1));
-    config["known"]["endpoints"] = json!([known]);
+    config["known"]["endpoints"] = json!([endpoint_entry]);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
     client.write(&post_request("unsafe", "1", "x"));
-    let (_, mut stream) = asked(&listener);
+    let (_, mut stream) = accept_request(&listener);
     sidecar.suspend();
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -123,7 +129,7 @@
 }
 
 /// A sidecar over an endpoint that answers as told, with a few retries earned, which can be given other settings.
-struct Retuned {
+struct ReloadableSidecar {
     told: ScriptedEndpoint,
     sidecar: Sidecar,
     discovery: Discovery,
@@ -132,7 +138,7 @@
     path: PathBuf,
 }
 
-impl Retuned {
+impl ReloadableSidecar {
     fn start() -> Self {
         let (told, discovery) = (ScriptedEndpoint::start(), Discovery::start());
         let config = with_admin_address(config(
@@ -143,7 +149,7 @@
         let sidecar = Sidecar::start_with_file(&path);
         let watch = discovery.next_watch();
         told.earn_retries(&mut sidecar.client());
-        Retuned {
+        ReloadableSidecar {
             told,
             sidecar,
             discovery,
@@ -154,18 +160,18 @@
     }
 
     /// A client whose request is out at the endpoint.
-    fn asks(&self, request: &str) -> Client {
+    fn send_to_endpoint(&self, request: &str) -> Client {
         let mut client = self.sidecar.client();
         client.write(request);
         self.told.endpoint.next_request();
         client
     }
 
-    fn lists(&mut self, line: &str) {
+    fn write_list(&mut self, line: &str) {
         self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
-    fn retunes(&mut self, change: impl FnOnce(&mut Vec<Value>)) {
+    fn reload_classes(&mut self, change: impl FnOnce(&mut Vec<Value>)) {
         change(
             self.config["settings"]["categories"]
                 .as_array_mut()
@@ -178,14 +184,14 @@
         });
     }
 
-    fn fails(&self) {
+    fn fail_next_attempt(&self) {
         self.told.respond_next(EndpointAction::Respond(
             "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
         ));
     }
 }
 
-impl Drop for Retuned {
+impl Drop for ReloadableSidecar {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.path);
     }
@@ -194,19 +200,22 @@
 /// Guards an attempt that is out against a new effect from SIGHUP: a request keeps the class that it came with, so that one
 /// that must not run twice is not sent again because others of its name now may.
 #[test]
-fn a_new_effect_does_not_reach_an_attempt_that_is_out() {
-    let (mut retuned, other) = (Retuned::start(), Endpoint::start(|_| respond_ok("other")));
-    let mut client = retuned.asks(&post_request("unsafe", "9", "x"));
-    retuned.lists(&list(
+fn reload_of_idempotency_leaves_an_attempt_in_flight_unchanged() {
+    let (mut reloadable, other) = (
+        ReloadableSidecar::start(),
+        Endpoint::start(|_| respond_ok("other")),
+    );
+    let mut client = reloadable.send_to_endpoint(&post_request("unsafe", "9", "x"));
+    reloadable.write_list(&list(
         42,
         true,
-        &serving_entries(&[&retuned.told.endpoint, &other]),
+        &serving_entries(&[&reloadable.told.endpoint, &other]),
     ));
     wait_until("the other is listed", || {
-        retuned.sidecar.metric("members") == Some(2)
+        reloadable.sidecar.metric("members") == Some(2)
     });
-    retuned.retunes(|classes| classes[1]["effect"] = json!("free"));
-    retuned.fails();
+    reloadable.reload_classes(|classes| classes[1]["effect"] = json!("free"));
+    reloadable.fail_next_attempt();
     assert_eq!(client.read().expect("an answer").status(), 502);
     assert_eq!(other.take_request_count(), 0, "it is not sent again");
 }
@@ -214,31 +223,37 @@
 /// Guards attempts that are out against fewer worth levels from SIGHUP: a request keeps its worth among those that are left,
 /// be it retried, or its client gone.
 #[test]
-fn fewer_levels_do_not_reach_an_attempt_that_is_out() {
-    let (mut retuned, other) = (Retuned::start(), Endpoint::start(|_| respond_ok("other")));
+fn reload_with_fewer_priority_levels_leaves_attempts_in_flight_unchanged() {
+    let (mut reloadable, other) = (
+        ReloadableSidecar::start(),
+        Endpoint::start(|_| respond_ok("other")),
+    );
     let keyed =
         || post_request("keyed", "9", "x").replace("X-Class", "Idempotency-Key: k\r\nX-Class");
-    let (mut client, gone) = (retuned.asks(&keyed()), retuned.asks(&keyed()));
-    retuned.lists(&list(
+    let (mut client, disconnecting) = (
+        reloadable.send_to_endpoint(&keyed()),
+        reloadable.send_to_endpoint(&keyed()),
+    );
+    reloadable.write_list(&list(
         42,
         false,
-        &[entry("e0", retuned.told.endpoint.address, "DRAINING")],
+        &[entry("e0", reloadable.told.endpoint.address, "DRAINING")],
     ));
     wait_until("it drains", || {
-        retuned.sidecar.metric("members_unavailable") == Some(1)
+        reloadable.sidecar.metric("members_unavailable") == Some(1)
     });
-    retuned.retunes(|classes| {
+    reloadable.reload_classes(|classes| {
         // Only one class is left beside theirs, and worth as much.
         classes.truncate(1);
         classes[0]["worth"] = json!(2.0);
     });
-    drop(gone);
+    drop(disconnecting);
     wait_until("it has left", || {
-        retuned.sidecar.metric("pending") == Some(1)
+        reloadable.sidecar.metric("pending") == Some(1)
     });
-    (0..2).for_each(|_| retuned.fails());
+    (0..2).for_each(|_| reloadable.fail_next_attempt());
     std::thread::sleep(Duration::from_millis(100)); // the retry waits
-    retuned.lists(&list(43, false, &[entry("e1", other.address, "SERVING")]));
+    reloadable.write_list(&list(43, false, &[entry("e1", other.address, "SERVING")]));
     let answer = client.read().expect("an answer");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -250,7 +265,7 @@
         "and all is as ever"
     );
     assert!(
-        !retuned
+        !reloadable
             .sidecar
             .log()
             .iter()
@@ -263,7 +278,7 @@
 /// Guards the close that makes room against the request that is on its way: each caller gets its answer whole, or a close
 /// with nothing on it, and then its request was not sent on.
 #[test]
-fn a_close_to_make_room_and_the_next_request_do_not_cross() {
+fn eviction_that_races_the_next_request_answers_it_or_sends_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
--- a/tests/sidecar/main.rs
+++ b/tests/sidecar/main.rs
@@ -2,10 +2,10 @@
 
 mod admin;
 mod bans;
-mod callers;
+mod caller_limits;
 mod cancellation_support;
 mod client_cancellation;
-mod crossings;
+mod client_disconnects;
 mod crossings_of_stops;
 mod customers;
 mod descriptor_pressure;
@@ -15,10 +15,10 @@
 mod drains;
 mod endpoint_churn;
 mod endpoint_lists;
+mod event_races;
 mod hedged_dials;
 mod hot_restart_formats;
 mod large_bodies;
-mod leaving;
 mod malformed_responses;
 mod mass_restart;
 mod process;
