--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::EndpointId;
 use crate::sidecar::admin_state::AdminState;
-use crate::sidecar::upgrade::{
-    Order, OtherProcesses, ProcessMessage, ProcessNumber, SharedDirectory,
+use crate::sidecar::hot_restart::{
+    OtherProcessId, OtherProcesses, ProcessMessage, ProcessRole, SharedDirectory,
 };
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -26,37 +26,37 @@
 
     /// Returns whether this process has handed its listening socket to another one that still runs.
     pub fn has_new_process(&self) -> bool {
-        self.processes.has_one_after()
+        self.processes.has_new_process()
     }
 
     /// Adds another process; returns what is to be written to it.
-    pub fn add(&mut self, order: Order) -> (ProcessNumber, mpsc::Receiver<ProcessMessage>) {
-        self.processes.add(order)
+    pub fn add(&mut self, role: ProcessRole) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
+        self.processes.add(role)
     }
 
     /// Removes a process that has ended.
-    pub fn remove(&mut self, number: ProcessNumber) {
+    pub fn remove(&mut self, number: OtherProcessId) {
         self.processes.remove(number);
     }
 
     /// Returns whether a process still runs.
-    pub fn contains(&self, number: ProcessNumber) -> bool {
+    pub fn contains(&self, number: OtherProcessId) -> bool {
         self.processes.contains(number)
     }
 
     /// Returns whether a process was given the listening socket by this one.
-    pub fn is_new_process(&self, number: ProcessNumber) -> bool {
-        self.processes.is_after(number)
+    pub fn is_new_process(&self, number: OtherProcessId) -> bool {
+        self.processes.is_new_process(number)
     }
 
     /// Sets how many connections a process has open.
-    pub fn set_connections(&mut self, number: ProcessNumber, connections: usize) {
-        self.processes.set_held(number, connections);
+    pub fn set_connections(&mut self, number: OtherProcessId, connections: usize) {
+        self.processes.set_connections_in_use(number, connections);
     }
 
     /// Returns how many connections each process has open, as far as it has reported.
     pub fn connections(&self) -> impl Iterator<Item = usize> {
-        self.processes.held_connections()
+        self.processes.connections_in_use()
     }
 
     /// Sends a message to all other processes.
@@ -69,7 +69,7 @@
         &self,
         endpoint: &EndpointId,
         state: AdminState,
-        origin: Option<ProcessNumber>,
+        origin: Option<OtherProcessId>,
     ) {
         let message = ProcessMessage::Disabled {
             endpoint: endpoint.0.to_string(),
@@ -93,7 +93,7 @@
     ) {
         if let Some(directory) = &self.directory {
             let disabled = disabled.map(|endpoint| &*endpoint.0);
-            directory.keep_disabled(&endpoint.0, state.is_disabled(), disabled);
+            directory.store_admin_state(&endpoint.0, state.is_disabled(), disabled);
         }
     }
 
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -3,7 +3,7 @@
 use super::state::NodeHandle;
 use crate::policy::EndpointId;
 use crate::sidecar::admin_state::AdminState;
-use crate::sidecar::upgrade::{Order, ProcessMessage, ProcessNumber};
+use crate::sidecar::hot_restart::{OtherProcessId, ProcessMessage, ProcessRole};
 use std::collections::BTreeSet;
 use tokio::sync::mpsc;
 
@@ -20,12 +20,15 @@
 
 impl NodeHandle {
     /// Adds another process; returns what is to be written to it.
-    pub fn add_process(&self, order: Order) -> (ProcessNumber, mpsc::Receiver<ProcessMessage>) {
-        self.borrow().hot_restart.add(order)
+    pub fn add_process(
+        &self,
+        role: ProcessRole,
+    ) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
+        self.borrow().hot_restart.add(role)
     }
 
     /// Returns whether another process still runs.
-    pub fn has_process(&self, number: ProcessNumber) -> bool {
+    pub fn has_process(&self, number: OtherProcessId) -> bool {
         self.borrow().hot_restart.contains(number)
     }
 
@@ -55,7 +58,7 @@
 
     /// Removes a process that has ended, with the connections that it had. It may have stored a last change without
     /// sending it on, so that what is stored applies.
-    pub fn process_ended(&self, number: ProcessNumber) {
+    pub fn process_ended(&self, number: OtherProcessId) {
         let mut guard = self.borrow();
         let node = &mut *guard;
         node.hot_restart.remove(number);
@@ -92,7 +95,7 @@
     }
 
     /// Handles a message from another process.
-    pub fn receive(&self, origin: ProcessNumber, message: ProcessMessage) {
+    pub fn receive(&self, origin: OtherProcessId, message: ProcessMessage) {
         match message {
             ProcessMessage::Disabled { endpoint, disabled } => {
                 let state = AdminState::from_disabled(disabled);
@@ -114,14 +117,14 @@
     }
 
     /// Accepts callers again where the new process shuts down. The old process's shutdown changes nothing here.
-    fn receive_stopping(&self, origin: ProcessNumber) {
+    fn receive_stopping(&self, origin: OtherProcessId) {
         let mut node = self.borrow();
         if node.hot_restart.is_new_process(origin) && node.connections.resume_accepting() {
             log!("the process after stops; callers are let in here again");
         }
     }
 
-    fn receive_admin_state(&self, origin: ProcessNumber, endpoint: EndpointId, state: AdminState) {
+    fn receive_admin_state(&self, origin: OtherProcessId, endpoint: EndpointId, state: AdminState) {
         if self.borrow().admin_state(&endpoint) == state {
             return;
         }
