--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -57,7 +57,7 @@
         sidecar
             .log()
             .iter()
-            .any(|l| l.contains("now open=0 queued=0 in_flight=0")),
+            .any(|l| l.contains("now pending=0 queued=0 in_flight=0")),
         "{:?}",
         sidecar.log()
     );
