--- a/src/discovery/hedged_call.rs
+++ b/src/discovery/hedged_call.rs
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Returns whether the call is worth keeping for its place in discovery's queue. Without a connection it has none.
+    /// Returns whether the call keeps its place in discovery's queue. Without a connection it has none, and an old call may
+    /// have been lost.
     fn is_queued(&self) -> bool {
         self.is_connected.get() && self.started_at.elapsed() < MAX_CALL_AGE
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -41,6 +41,8 @@
 mod hedged_call;
 mod list;
 mod list_decoder;
+#[cfg(test)]
+mod list_decoder_tests;
 mod membership;
 mod source;
 mod subscription;
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -24,7 +24,7 @@
     watches: Receiver<Watch>,
 }
 
-/// A call of discovery whose response has begun; a watch, unless the sidecar asked for the full list.
+/// A call of discovery whose response has begun; a watch, or a fetch of the full list.
 pub struct Watch {
     pub request_line: String,
     stream: TcpStream,
--- a/tests/sidecar/stubs/manual_discovery.rs
+++ b/tests/sidecar/stubs/manual_discovery.rs
@@ -95,12 +95,12 @@
         is_open_and_silent(&self.stream)
     }
 
-    /// Returns whether the call asks for the full list.
+    /// Returns whether the call is a fetch of the full list.
     pub fn is_fetch(&self) -> bool {
         self.request_line.starts_with("GET /v1/endpoints ")
     }
 
-    /// Returns whether the call asks for a watch on the changes after a version.
+    /// Returns whether the call is a watch on the changes after a version.
     pub fn is_watch_since(&self, version: u64) -> bool {
         self.request_line
             .starts_with(&format!("GET /v1/endpoints?follow=1&since={version} "))
--- a/tests/sidecar/stubs/scripted_endpoint.rs
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers when the test tells it to, and a sidecar with a short deadline.
+//! An endpoint whose responses the test sends one by one, and a sidecar with a short deadline.
 
 use super::caller::*;
 use super::config::*;
@@ -15,7 +15,7 @@
 /// Requests for which the retry budget earns a few retries.
 const REQUESTS_THAT_EARN_RETRIES: usize = 10;
 
-/// An endpoint that waits with each request until the test says how to respond.
+/// An endpoint that responds to each request once the test has set the response.
 pub struct ScriptedEndpoint {
     pub endpoint: Endpoint,
     actions: Sender<EndpointAction>,
