--- /dev/null
+++ b/src/sidecar/hot_restart/shared_directory.rs
@@ -0,0 +1,68 @@
+//! The directory that the processes of one sidecar share, and no other program uses: `$TMPDIR`.
+
+use super::disabled_endpoints_file::DisabledEndpointsFile;
+use std::fs::File;
+use std::os::fd::AsRawFd;
+use std::path::{Path, PathBuf};
+
+/// The environment variable with the directory's path.
+const DIRECTORY_VARIABLE: &str = "TMPDIR";
+/// The longest path that the address of a Unix socket can hold, in bytes.
+const MAX_SOCKET_PATH_LENGTH: usize = 107;
+const SOCKET_NAME: &str = "pipittray.sock";
+const DISABLED_ENDPOINTS_NAME: &str = "pipittray.disabled";
+
+/// The shared directory.
+#[derive(Debug)]
+pub struct SharedDirectory {
+    path: PathBuf,
+    /// Kept open: a path that is too long for a socket's address is named through this descriptor.
+    directory: File,
+    disabled_endpoints: DisabledEndpointsFile,
+}
+
+impl SharedDirectory {
+    /// Opens `$TMPDIR`. Returns `None` where it is not set or not a directory that can be opened.
+    pub fn from_environment() -> Option<Self> {
+        let path =
+            PathBuf::from(std::env::var_os(DIRECTORY_VARIABLE).filter(|path| !path.is_empty())?);
+        let directory = File::open(&path).ok()?;
+        let is_directory = directory.metadata().is_ok_and(|metadata| metadata.is_dir());
+        is_directory.then(|| {
+            let temporary_name = format!("{}.disabled", std::process::id());
+            SharedDirectory {
+                disabled_endpoints: DisabledEndpointsFile::new(
+                    file_path(&path, &directory, DISABLED_ENDPOINTS_NAME),
+                    file_path(&path, &directory, &temporary_name),
+                ),
+                path,
+                directory,
+            }
+        })
+    }
+
+    /// Returns the path of the socket where the process that serves hands its listener over.
+    pub fn socket(&self) -> PathBuf {
+        file_path(&self.path, &self.directory, SOCKET_NAME)
+    }
+
+    /// Returns the path where this process binds its socket before it is renamed to [`Self::socket`].
+    pub fn own_socket(&self) -> PathBuf {
+        let name = format!("{}.sock", std::process::id());
+        file_path(&self.path, &self.directory, &name)
+    }
+
+    /// Returns the file of disabled endpoints.
+    pub fn disabled_endpoints(&self) -> &DisabledEndpointsFile {
+        &self.disabled_endpoints
+    }
+}
+
+/// Returns a path of a file in the directory that is short enough for a socket's address.
+fn file_path(path: &Path, directory: &File, name: &str) -> PathBuf {
+    let path = path.join(name);
+    if path.as_os_str().len() <= MAX_SOCKET_PATH_LENGTH {
+        return path;
+    }
+    PathBuf::from(format!("/proc/self/fd/{}/{name}", directory.as_raw_fd()))
+}
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -6,10 +6,10 @@
 //! | --- | --- |
 //! | foundations | `log.rs`, `admin_state.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
-//! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `upgrade/`: to other processes |
+//! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
-//! | addresses | `server/`: the callers'; `operators.rs`: the operators'; `handover.rs`: the next process's; `report.rs`: the log |
-//! | process | `process.rs` |
+//! | addresses | `server/`: the callers'; `operators.rs`: the operators'; `listener_handover/`: the new process's; `report.rs`: the log |
+//! | process | `process.rs`: start and signals; `shutdown.rs`: serving until SIGTERM and the graceful shutdown |
 
 #[macro_use]
 mod log;
@@ -21,7 +21,8 @@
 mod counters;
 mod descriptors;
 mod endpoint;
-mod handover;
+mod hot_restart;
+mod listener_handover;
 mod memory;
 mod metrics;
 mod node;
@@ -29,7 +30,7 @@
 mod process;
 mod report;
 mod server;
+mod shutdown;
 mod sockets;
-mod upgrade;
 
 pub use process::main;
--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::EndpointId;
 use crate::sidecar::admin_state::AdminState;
-use crate::sidecar::upgrade::{
-    Order, OtherProcesses, ProcessMessage, ProcessNumber, SharedDirectory,
+use crate::sidecar::hot_restart::{
+    OtherProcessId, OtherProcesses, ProcessMessage, ProcessRole, SharedDirectory,
 };
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -26,37 +26,37 @@
 
     /// Returns whether this process has handed its listening socket to another one that still runs.
     pub fn has_new_process(&self) -> bool {
-        self.processes.has_one_after()
+        self.processes.has_new_process()
     }
 
     /// Adds another process; returns what is to be written to it.
-    pub fn add(&mut self, order: Order) -> (ProcessNumber, mpsc::Receiver<ProcessMessage>) {
-        self.processes.add(order)
+    pub fn add(&mut self, role: ProcessRole) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
+        self.processes.add(role)
     }
 
     /// Removes a process that has ended.
-    pub fn remove(&mut self, number: ProcessNumber) {
+    pub fn remove(&mut self, number: OtherProcessId) {
         self.processes.remove(number);
     }
 
     /// Returns whether a process still runs.
-    pub fn contains(&self, number: ProcessNumber) -> bool {
+    pub fn contains(&self, number: OtherProcessId) -> bool {
         self.processes.contains(number)
     }
 
     /// Returns whether a process was given the listening socket by this one.
-    pub fn is_new_process(&self, number: ProcessNumber) -> bool {
-        self.processes.is_after(number)
+    pub fn is_new_process(&self, number: OtherProcessId) -> bool {
+        self.processes.is_new_process(number)
     }
 
     /// Sets how many connections a process has open.
-    pub fn set_connections(&mut self, number: ProcessNumber, connections: usize) {
-        self.processes.set_held(number, connections);
+    pub fn set_connections(&mut self, number: OtherProcessId, connections: usize) {
+        self.processes.set_open_connections(number, connections);
     }
 
     /// Returns how many connections each process has open, as far as it has reported.
     pub fn connections(&self) -> impl Iterator<Item = usize> {
-        self.processes.held_connections()
+        self.processes.open_connections()
     }
 
     /// Sends a message to all other processes.
@@ -69,9 +69,9 @@
         &self,
         endpoint: &EndpointId,
         state: AdminState,
-        origin: Option<ProcessNumber>,
+        origin: Option<OtherProcessId>,
     ) {
-        let message = ProcessMessage::Disabled {
+        let message = ProcessMessage::AdminState {
             endpoint: endpoint.0.to_string(),
             disabled: state.is_disabled(),
         };
@@ -80,7 +80,7 @@
 
     /// Returns the disabled endpoints that the shared directory holds; `None` where it holds none or there is no directory.
     pub fn stored_disabled_endpoints(&self) -> Option<BTreeSet<String>> {
-        self.directory.as_ref()?.disabled_endpoints()
+        self.directory.as_ref()?.disabled_endpoints().load()
     }
 
     /// Stores an endpoint's administrative state in the shared directory. Where nothing is stored yet, all the endpoints
@@ -93,7 +93,9 @@
     ) {
         if let Some(directory) = &self.directory {
             let disabled = disabled.map(|endpoint| &*endpoint.0);
-            directory.keep_disabled(&endpoint.0, state.is_disabled(), disabled);
+            directory
+                .disabled_endpoints()
+                .store(&endpoint.0, state, disabled);
         }
     }
 
@@ -101,6 +103,6 @@
     pub fn is_store_behind(&self) -> bool {
         self.directory
             .as_ref()
-            .is_some_and(|directory| directory.is_behind())
+            .is_some_and(|directory| directory.disabled_endpoints().is_stale())
     }
 }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -14,9 +14,9 @@
 use crate::sidecar::clock::Clock;
 use crate::sidecar::counters::{Counters, CountersLine};
 use crate::sidecar::descriptors::{DescriptorBudget, OpenConnections};
+use crate::sidecar::hot_restart::SharedDirectory;
 use crate::sidecar::memory::MemoryBudget;
 use crate::sidecar::metrics::{MemberCounts, Metrics, RequestCount};
-use crate::sidecar::upgrade::SharedDirectory;
 use std::cell::{RefCell, RefMut};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -94,7 +94,7 @@
     /// The balancer cannot work with the settings.
     pub fn start(options: StartOptions) -> Result<Self, SettingsError> {
         let mode = options.mode;
-        let cached_list = options.config.known.clone();
+        let cached_list = options.config.cached_list.clone();
         let has_cached_list = cached_list.is_some();
         let node = NodeHandle(Rc::new(RefCell::new(Node::new(options)?)));
         node.restore_disabled_endpoints();
@@ -144,7 +144,7 @@
         } = options;
         let mut metrics = Metrics::default();
         metrics.add_classes(&config.settings.classes);
-        let descriptors = DescriptorBudget::new(config.sockets, reserved_descriptors);
+        let descriptors = DescriptorBudget::new(config.max_descriptors, reserved_descriptors);
         Ok(Node {
             clock: Clock::start(),
             balancer: Balancer::new(config.settings.clone(), config.seed)?,
@@ -152,11 +152,18 @@
             endpoints: Endpoints::new(config.discovery),
             connections: Connections::new(&config.settings.limits, descriptors),
             hot_restart: HotRestart::new(directory),
-            request_memory: MemoryBudget::fraction_of(config.memory_mb, REQUEST_MEMORY_DIVISOR),
-            response_memory: MemoryBudget::fraction_of(config.memory_mb, RESPONSE_MEMORY_DIVISOR),
+            request_memory: MemoryBudget::fraction_of(config.max_memory_mb, REQUEST_MEMORY_DIVISOR),
+            response_memory: MemoryBudget::fraction_of(
+                config.max_memory_mb,
+                RESPONSE_MEMORY_DIVISOR,
+            ),
             counters: Counters::default(),
             metrics,
-            configuration: ActiveConfiguration::new(config.settings, config.document, config.fixed),
+            configuration: ActiveConfiguration::new(
+                config.settings,
+                config.settings_and_limits,
+                config.restart_values,
+            ),
             seed: config.seed,
             events: VecDeque::new(),
             actions: Vec::new(),
