--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -14,9 +14,9 @@
     for _ in 0..requests {
         host.now = host.now + ms(25);
         let (id, actions) = host.request(1);
-        if let Some(to) = sends(&actions).first() {
+        if let Some(to) = send_targets(&actions).first() {
             assert!(!to.0.is_empty());
-            host.tell(Event::AttemptEnded(AttemptEnd {
+            host.handle(Event::AttemptEnded(AttemptEnd {
                 request: id.clone(),
                 attempt: 0,
                 outcome: Outcome::Served,
@@ -25,14 +25,14 @@
                 report: None,
             }));
         }
-        host.tell(Event::ClientDisconnected { request: id });
-        for endpoint in probed(&actions) {
+        host.handle(Event::ClientDisconnected { request: id });
+        for endpoint in checked_endpoints(&actions) {
             all.push(endpoint.clone());
             let report = queue_length.map(|d| LoadReport {
                 queue_length: Some(d),
                 ..LoadReport::default()
             });
-            host.tell(Event::HealthCheckEnded {
+            host.handle(Event::HealthCheckEnded {
                 endpoint,
                 outcome,
                 took: ms(5),
@@ -44,53 +44,66 @@
 }
 
 #[test]
-fn queues_are_asked_for_where_answers_do_not_tell_them() {
-    let mut host = health_check(0.01);
-    let asked = serve_and_answer(&mut host, 400, Outcome::Served, Some(0.0));
-    let each: std::collections::BTreeSet<_> = asked.iter().collect();
+fn health_checks_are_sent_where_answers_carry_no_load_report() {
+    let mut host = host_with_health_checks(0.01);
+    let checked = serve_and_answer(&mut host, 400, Outcome::Served, Some(0.0));
+    let each: std::collections::BTreeSet<_> = checked.iter().collect();
     assert!(
         each.len() == 4,
-        "all of a small tier are asked, not {each:?}"
+        "all of a small tier are checked, not {each:?}"
     );
     assert!(
-        asked.len() <= 400,
-        "{} probes for 400 requests",
-        asked.len()
+        checked.len() <= 400,
+        "{} health checks for 400 requests",
+        checked.len()
     );
-    assert!(is_sent(&mut host, 0), "all are told to be empty");
-    // A deep queue, and a probe that met one, throttle the least worthy; without a word the state lapses.
+    assert!(
+        is_sent_at_once(&mut host, 0),
+        "all have reported empty queues"
+    );
+    // A long queue, and a health check that implies one, throttle the lowest priority.
     for (outcome, queue_length) in [
         (Outcome::Served, Some(2.0)),
         (Outcome::Rejected, None),
         (Outcome::TimedOut, None),
     ] {
-        let mut host = health_check(0.01);
+        let mut host = host_with_health_checks(0.01);
         serve_and_answer(&mut host, 400, outcome, queue_length);
-        assert!(!is_sent(&mut host, 0), "{outcome:?} {queue_length:?}");
+        assert!(
+            !is_sent_at_once(&mut host, 0),
+            "{outcome:?} {queue_length:?}"
+        );
     }
-    let mut host = health_check(0.01);
+    let mut host = host_with_health_checks(0.01);
     serve_and_answer(&mut host, 400, Outcome::Reset, None);
     assert!(
-        is_sent(&mut host, 0),
-        "a probe that broke off tells of no queue"
+        is_sent_at_once(&mut host, 0),
+        "a broken health check shows no queue"
     );
 }
 
 #[test]
-fn probes_are_few_where_dear_and_none_where_answers_tell_or_they_are_forbidden() {
+fn health_checks_are_few_where_costly_and_none_where_needless_or_forbidden() {
     let count = |host: &mut Host| serve_and_answer(host, 400, Outcome::Served, Some(0.0)).len();
-    let (cheap, dear) = (
-        count(&mut health_check(0.001)),
-        count(&mut health_check(1.0)),
+    let (cheap, costly) = (
+        count(&mut host_with_health_checks(0.001)),
+        count(&mut host_with_health_checks(1.0)),
+    );
+    assert!(
+        costly * 2 < cheap,
+        "{costly} where costly, {cheap} where cheap"
     );
-    assert!(dear * 2 < cheap, "{dear} where dear, {cheap} where cheap");
-    let mut set = two_levels();
-    set.limits.health_checks = true;
+    let mut settings = two_level_settings();
+    settings.limits.health_checks = true;
     assert_eq!(
-        count(&mut Host::new(set.clone(), listings(4))),
+        count(&mut Host::new(settings.clone(), endpoint_entries(4))),
         0,
         "reports come with answers"
     );
-    (set.limits.health_checks, set.reporting) = (false, Reporting::WithHealthChecks);
-    assert_eq!(count(&mut Host::new(set, listings(4))), 0, "forbidden");
+    (settings.limits.health_checks, settings.reporting) = (false, Reporting::WithHealthChecks);
+    assert_eq!(
+        count(&mut Host::new(settings, endpoint_entries(4))),
+        0,
+        "forbidden"
+    );
 }
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -1,17 +1,20 @@
-//! Settings and a small host for tests of the decision module.
+//! Settings, a small host, and queries on actions, for tests of the decision module.
 
 use balancer_sidecar::policy::*;
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Returns a duration of so many milliseconds.
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+/// Returns the time so many milliseconds after the start of a test.
 pub fn at(n: u64) -> Timestamp {
     Timestamp::from_nanos(1_000_000_000_000 + n * 1_000_000)
 }
 
+/// Returns a class with an objective of 1 s and a deadline of 3 s.
 pub fn class(name: &str, priority_weight: f64, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
@@ -26,8 +29,9 @@
     }
 }
 
-pub fn settings() -> Settings {
-    let keyed = |scope| Idempotency::Keyed {
+/// Returns settings with one class of each idempotency.
+pub fn default_settings() -> Settings {
+    let keyed_request = |scope| Idempotency::Keyed {
         scope,
         window: ms(300),
     };
@@ -43,9 +47,9 @@
         classes: vec![
             class("safe", 1.0, Idempotency::Idempotent),
             class("unsafe", 3.0, Idempotency::Unsafe),
-            class("keyed-all", 2.0, keyed(KeyScope::All)),
-            class("keyed-zone", 2.0, keyed(KeyScope::Zone)),
-            class("keyed-cell", 2.0, keyed(KeyScope::Group)),
+            class("keyed-all", 2.0, keyed_request(KeyScope::All)),
+            class("keyed-zone", 2.0, keyed_request(KeyScope::Zone)),
+            class("keyed-cell", 2.0, keyed_request(KeyScope::Group)),
         ],
         tenants: Vec::new(),
         over_share_value: 0.0,
@@ -83,7 +87,8 @@
     }
 }
 
-pub fn listing(name: &str, zone: &str, group: u64) -> EndpointEntry {
+/// Returns the entry of a serving endpoint.
+pub fn endpoint_entry(name: &str, zone: &str, group: u64) -> EndpointEntry {
     EndpointEntry {
         endpoint: name.into(),
         zone: zone.into(),
@@ -95,51 +100,60 @@
     }
 }
 
-pub fn listings(n: usize) -> Vec<EndpointEntry> {
-    (0..n).map(|i| listing(&format!("e{i}"), "a", 0)).collect()
+/// Returns the entries of the endpoints `e0`, `e1` and so on, in zone `a`.
+pub fn endpoint_entries(n: usize) -> Vec<EndpointEntry> {
+    (0..n)
+        .map(|number| endpoint_entry(&format!("e{number}"), "a", 0))
+        .collect()
 }
 
-/// One instance with its clock.
+/// One balancer with its clock.
 pub struct Host {
     pub balancer: Balancer,
     pub now: Timestamp,
-    next: u64,
+    next_request: u64,
 }
 
 impl Host {
+    /// Creates a balancer that has a cached list of these endpoints.
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let mut host = Host {
-            balancer: Balancer::new(settings, 7).expect("settings that make sense"),
+            balancer: Balancer::new(settings, 7).expect("valid settings"),
             now: at(0),
-            next: 0,
+            next_request: 0,
         };
-        host.members(ListKind::Cached, entries);
+        host.apply_list(ListKind::Cached, entries);
         host
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        out
+    /// Handles an event and returns the actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
-    pub fn members(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
-        self.tell(Event::EndpointList {
+    /// Handles an endpoint list.
+    pub fn apply_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.handle(Event::EndpointList {
             version: 1,
             kind,
             entries: Arc::from(entries),
         })
     }
 
+    /// Handles a failed call of discovery.
     pub fn discovery_failed(&mut self) -> Vec<Action> {
-        self.tell(Event::DiscoveryFailed)
+        self.handle(Event::DiscoveryFailed)
     }
 
+    /// Handles a new request of a class.
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.request_of(class, None)
+        self.request_of_tenant(class, None)
     }
 
-    pub fn request_of(
+    /// Handles a new request of a class and a tenant.
+    pub fn request_of_tenant(
         &mut self,
         class: usize,
         tenant: Option<TenantId>,
@@ -147,7 +161,8 @@
         self.request_with(class, tenant, None)
     }
 
-    pub fn keyed(&mut self, class: usize, key: &str) -> (RequestId, Vec<Action>) {
+    /// Handles a new request of a class with a key.
+    pub fn keyed_request(&mut self, class: usize, key: &str) -> (RequestId, Vec<Action>) {
         self.request_with(class, None, Some(key.into()))
     }
 
@@ -157,8 +172,8 @@
         tenant: Option<TenantId>,
         key: Option<Key>,
     ) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId::from(format!("r{}", self.next).as_str());
+        self.next_request += 1;
+        let id = RequestId::from(format!("r{}", self.next_request).as_str());
         let request = Request {
             id: id.clone(),
             class: ClassId(class),
@@ -169,9 +184,10 @@
             client_retry: false,
             write: false,
         };
-        (id, self.tell(Event::Request(request)))
+        (id, self.handle(Event::Request(request)))
     }
 
+    /// Ends an attempt after `took` milliseconds, with a load report of a queue length.
     pub fn end(
         &mut self,
         id: &RequestId,
@@ -184,7 +200,7 @@
             queue_length: Some(queue_length),
             ..LoadReport::default()
         });
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: id.clone(),
             attempt,
             outcome,
@@ -194,12 +210,12 @@
         }))
     }
 
-    /// Serves requests of the safe class until all endpoints have told of this depth.
-    pub fn soak(&mut self, rounds: usize, queue_length: f64) {
+    /// Sends requests of the unsafe class, 10 ms apart, each served with a load report of this queue length.
+    pub fn serve_requests(&mut self, rounds: usize, queue_length: f64) {
         for _ in 0..rounds {
             let (id, actions) = self.request(1);
             self.now = self.now + ms(10);
-            if sends(&actions).is_empty() {
+            if send_targets(&actions).is_empty() {
                 continue;
             }
             self.end(&id, 0, Outcome::Served, 10, queue_length);
@@ -207,86 +223,92 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<EndpointId> {
-    let to = |a: &Action| match a {
+/// Returns the endpoints that attempts are sent to, in order.
+pub fn send_targets(actions: &[Action]) -> Vec<EndpointId> {
+    let endpoint_of = |action: &Action| match action {
         Action::Send { endpoint, .. } => Some(endpoint.clone()),
         _ => None,
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(endpoint_of).collect()
 }
 
-/// The requests that are sent, in order.
-pub fn sent(actions: &[Action]) -> Vec<RequestId> {
-    let of = |a: &Action| match a {
+/// Returns the requests that are sent, in order.
+pub fn sent_requests(actions: &[Action]) -> Vec<RequestId> {
+    let request_of = |action: &Action| match action {
         Action::Send { request, .. } => Some(request.clone()),
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(request_of).collect()
 }
 
-pub fn closes(actions: &[Action]) -> Vec<EndpointId> {
-    let to = |a: &Action| match a {
+/// Returns the endpoints whose idle connections are closed.
+pub fn closed_endpoints(actions: &[Action]) -> Vec<EndpointId> {
+    let endpoint_of = |action: &Action| match action {
         Action::CloseIdleConnections { endpoint } => Some(endpoint.clone()),
         _ => None,
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(endpoint_of).collect()
 }
 
-pub fn timers(actions: &[Action]) -> Vec<(Timestamp, u64)> {
-    let timer = |a: &Action| match a {
+/// Returns the timers that are set, with their tokens.
+pub fn set_timers(actions: &[Action]) -> Vec<(Timestamp, u64)> {
+    let timer = |action: &Action| match action {
         Action::SetTimer { at, token } => Some((*at, *token)),
         _ => None,
     };
     actions.iter().filter_map(timer).collect()
 }
 
-pub fn answered(actions: &[Action], id: &RequestId) -> usize {
-    let ours = |a: &&Action| matches!(a, Action::Reject { request, .. } | Action::Fail { request } if request == id);
-    actions.iter().filter(ours).count()
+/// Returns how many final answers a request is given.
+pub fn final_answers(actions: &[Action], id: &RequestId) -> usize {
+    let is_final_answer = |a: &&Action| matches!(a, Action::Reject { request, .. } | Action::Fail { request } if request == id);
+    actions.iter().filter(is_final_answer).count()
 }
 
-/// Settings in which every endpoint is in the subset and told states last long.
-pub fn two_levels() -> Settings {
-    let mut set = settings();
-    set.classes.truncate(2); // worths 1 and 3: two levels, thresholds evenly from 0.3 to 2.0
-    set
+/// Returns settings with two priority levels.
+pub fn two_level_settings() -> Settings {
+    let mut settings = default_settings();
+    settings.classes.truncate(2); // priority weights 1 and 3: two levels, with thresholds at equal distances from 0.3 to 2.6
+    settings
 }
 
-pub fn is_sent(host: &mut Host, class: usize) -> bool {
+/// Returns whether a request of a class is sent at once; ends it without an effect.
+pub fn is_sent_at_once(host: &mut Host, class: usize) -> bool {
     let (id, actions) = host.request(class);
-    let sent = sends(&actions).len() == 1;
-    if sent {
-        // AttemptEnd as moot: it says nothing of the endpoint.
+    let sent_requests = send_targets(&actions).len() == 1;
+    if sent_requests {
+        // This outcome shows nothing of the endpoint.
         host.end(&id, 0, Outcome::NotSent, 0, 0.0);
     }
-    host.tell(Event::ClientDisconnected { request: id });
-    sent
+    host.handle(Event::ClientDisconnected { request: id });
+    sent_requests
 }
 
-/// A copy whose endpoints report their load in answers to probes alone, each of which has this price.
-pub fn health_check(price: f64) -> Host {
-    let mut set = two_levels();
-    set.limits.health_checks = true;
-    set.reporting = Reporting::WithHealthChecks;
-    set.prices.health_check = price;
-    Host::new(set, listings(4))
+/// Returns a host whose endpoints report their load in answers to health checks alone, which have this price.
+pub fn host_with_health_checks(price: f64) -> Host {
+    let mut settings = two_level_settings();
+    settings.limits.health_checks = true;
+    settings.reporting = Reporting::WithHealthChecks;
+    settings.prices.health_check = price;
+    Host::new(settings, endpoint_entries(4))
 }
 
-pub fn probed(actions: &[Action]) -> Vec<EndpointId> {
-    let of = |a: &Action| match a {
+/// Returns the endpoints that are sent health checks.
+pub fn checked_endpoints(actions: &[Action]) -> Vec<EndpointId> {
+    let endpoint_of = |action: &Action| match action {
         Action::HealthCheck { endpoint } => Some(endpoint.clone()),
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(endpoint_of).collect()
 }
 
-/// Serves so many requests, some time apart, and counts those that an endpoint got.
-pub fn got(host: &mut Host, endpoint: &str, requests: usize) -> usize {
+/// Serves a number of requests, 20 ms apart, and returns how many were sent to an endpoint.
+pub fn count_sent_to(host: &mut Host, endpoint: &str, requests: usize) -> usize {
     let mut count = 0;
     for _ in 0..requests {
         host.now = host.now + ms(20);
         let (id, actions) = host.request(0);
-        let to = sends(&actions);
+        let to = send_targets(&actions);
         count += to.iter().filter(|e| **e == endpoint.into()).count();
         if !to.is_empty() {
             host.end(&id, 0, Outcome::Served, 10, 0.0);
--- a/tests/policy/legal.rs
+++ b/tests/policy/legal.rs
@@ -9,56 +9,56 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-fn play(seed: u64, parallel: bool, steps: Vec<Step>) {
-    let mut set = settings();
-    set.limits.parallel_attempts = parallel;
-    (set.rules.drain_close, set.rules.key_cooldown) = (Some(ms(200)), Some(ms(50)));
+fn run_sequence(seed: u64, parallel: bool, steps: Vec<Step>) {
+    let mut settings = default_settings();
+    settings.limits.parallel_attempts = parallel;
+    (settings.rules.drain_close, settings.rules.key_cooldown) = (Some(ms(200)), Some(ms(50)));
     for c in &[1, 3, 4] {
-        set.classes[*c].is_key_ordered = true;
+        settings.classes[*c].is_key_ordered = true;
     }
-    set.prices.cross_zone = if seed.is_multiple_of(2) { 0.01 } else { 0.0 };
-    set.discovery = if seed.is_multiple_of(3) {
+    settings.prices.cross_zone = if seed.is_multiple_of(2) { 0.01 } else { 0.0 };
+    settings.discovery = if seed.is_multiple_of(3) {
         DiscoveryMode::OnRequest
     } else {
         DiscoveryMode::Pushed
     };
-    let balancer = Balancer::new(set.clone(), seed).expect("settings that make sense");
-    let mut world = World {
-        set,
+    let balancer = Balancer::new(settings.clone(), seed).expect("settings that make sense");
+    let mut model = Model {
+        settings,
         balancer,
         now: at(0),
-        up: vec![true; 6],
-        since: vec![None; 6],
+        is_serving: vec![true; 6],
+        started_at: vec![None; 6],
         requests: BTreeMap::new(),
-        timers: BTreeSet::new(),
-        links: vec![Links::default(); 6],
+        set_timers: BTreeSet::new(),
+        idle_connections: vec![IdleConnections::default(); 6],
         parallel,
         seed,
     };
-    let mut arrived = 0;
-    let all = (0..6).map(|i| world.entry(i, Readiness::Serving)).collect();
-    world.members(ListKind::Cached, all);
+    let mut arrival_count = 0;
+    let all = (0..6).map(|i| model.entry(i, Readiness::Serving)).collect();
+    model.apply_list(ListKind::Cached, all);
     for step in steps {
         match step {
-            Step::Arrive {
+            Step::RequestArrives {
                 class,
                 left,
                 hint,
                 key,
             } => {
-                arrived += 1;
-                let id = RequestId::from(format!("r{arrived}").as_str());
-                let deadline = world.now + ms(left);
-                let known = Known {
+                arrival_count += 1;
+                let id = RequestId::from(format!("r{arrival_count}").as_str());
+                let deadline = model.now + ms(left);
+                let record = RequestRecord {
                     class,
                     key,
-                    taken: arrived,
+                    arrival_number: arrival_count,
                     deadline,
-                    tries: Vec::new(),
-                    over: false,
+                    attempts: Vec::new(),
+                    is_answered: false,
                 };
-                world.requests.insert(id.clone(), known);
-                world.tell(Event::Request(Request {
+                model.requests.insert(id.clone(), record);
+                model.handle(Event::Request(Request {
                     id,
                     class: ClassId(class),
                     tenant: None,
@@ -69,43 +69,43 @@
                     write: false,
                 }));
             }
-            Step::End {
+            Step::AttemptEnds {
                 pick,
                 outcome,
                 queue_length,
             } => {
-                let out = world.out();
-                if let Some((_, id, n)) = out.get(pick % out.len().max(1)).cloned() {
-                    world.end(&id, n, OUTCOMES[outcome], f64::from(queue_length));
+                let in_flight = model.in_flight();
+                if let Some((_, id, n)) = in_flight.get(pick % in_flight.len().max(1)).cloned() {
+                    model.end(&id, n, OUTCOMES[outcome], f64::from(queue_length));
                 }
             }
-            Step::Gone { pick } => {
-                let open: Vec<_> = world
+            Step::ClientDisconnects { pick } => {
+                let open: Vec<_> = model
                     .requests
                     .iter()
-                    .filter(|(_, k)| !k.over)
+                    .filter(|(_, k)| !k.is_answered)
                     .map(|(id, _)| id.clone())
                     .collect();
                 if let Some(id) = open.get(pick % open.len().max(1)).cloned() {
-                    world.requests.get_mut(&id).expect("known").over = true;
-                    world.tell(Event::ClientDisconnected { request: id });
+                    model.requests.get_mut(&id).expect("known").is_answered = true;
+                    model.handle(Event::ClientDisconnected { request: id });
                 }
             }
-            Step::Ready {
+            Step::ReadinessChanges {
                 endpoint,
                 readiness,
             } => {
                 let readiness = [Readiness::Serving, Readiness::Draining, Readiness::Removed]
                     [usize::from(readiness)];
-                world.up[endpoint] = readiness == Readiness::Serving;
-                world.told(endpoint, readiness);
-                let entry = world.entry(endpoint, readiness);
-                world.members(ListKind::Changes, vec![entry]);
+                model.is_serving[endpoint] = readiness == Readiness::Serving;
+                model.drain_notified(endpoint, readiness);
+                let entry = model.entry(endpoint, readiness);
+                model.apply_list(ListKind::Changes, vec![entry]);
             }
-            Step::List { missing } => {
-                world.up = (0..6).map(|i| i != missing).collect();
+            Step::FullListArrives { missing } => {
+                model.is_serving = (0..6).map(|i| i != missing).collect();
                 (0..6).for_each(|i| {
-                    world.told(
+                    model.drain_notified(
                         i,
                         if i == missing {
                             Readiness::Removed
@@ -116,38 +116,38 @@
                 });
                 let list = (0..6)
                     .filter(|i| *i != missing)
-                    .map(|i| world.entry(i, Readiness::Serving))
+                    .map(|i| model.entry(i, Readiness::Serving))
                     .collect();
-                world.members(ListKind::Full, list);
+                model.apply_list(ListKind::Full, list);
             }
-            Step::Restart { endpoint } => {
-                world.since[endpoint] = Some(world.now);
-                world.up[endpoint] = true;
-                world.told(endpoint, Readiness::Serving);
-                let entry = world.entry(endpoint, Readiness::Serving);
-                world.members(ListKind::Changes, vec![entry]);
+            Step::EndpointRestarts { endpoint } => {
+                model.started_at[endpoint] = Some(model.now);
+                model.is_serving[endpoint] = true;
+                model.drain_notified(endpoint, Readiness::Serving);
+                let entry = model.entry(endpoint, Readiness::Serving);
+                model.apply_list(ListKind::Changes, vec![entry]);
             }
-            Step::LostNews => world.discovery_failed(),
-            Step::Reborn => world.reborn(),
-            Step::Wait { ms: n } => {
-                let end = world.now + ms(n);
-                world.run_to(end);
+            Step::DiscoveryFails => model.discovery_failed(),
+            Step::BalancerRestarts => model.restart_balancer(),
+            Step::TimePasses { ms: n } => {
+                let end = model.now + ms(n);
+                model.run_to(end);
             }
         }
     }
-    let end = world.now + ms(4000);
-    world.run_to(end);
-    for (id, known) in &world.requests {
-        assert!(known.over, "rule 1: {id:?} was never answered");
+    let end = model.now + ms(4000);
+    model.run_to(end);
+    for (id, record) in &model.requests {
+        assert!(record.is_answered, "rule 1: {id:?} was never answered");
     }
     // Each book is empty again, however requests and attempts ended: nothing was freed twice, or not at all.
-    world.tell(Event::Timer { token: 0 });
+    model.handle(Event::Timer { token: 0 });
     let BalancerStatus {
         pending,
         queued,
         in_flight,
         ..
-    } = world.balancer.status(world.now);
+    } = model.balancer.status(model.now);
     assert_eq!(
         (pending, queued, in_flight),
         (0, 0, 0),
@@ -165,7 +165,7 @@
     let input = (0..1000u64, any::<bool>(), steps());
     runner
         .run(&input, |(seed, parallel, steps)| {
-            play(seed, parallel, steps);
+            run_sequence(seed, parallel, steps);
             Ok(())
         })
         .expect("the rules hold");
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The decision module, driven event by event. Each test says what of the code it guards.
+//! Tests of the decision module, which is driven event by event. Each test names the behaviour that it guards.
 
 mod answer_time;
 mod discovery_calls;
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -1,161 +1,176 @@
-//! Endpoints that the operators take out and back in.
+//! Endpoints that the operators disable and enable.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-fn ban(host: &mut Host, endpoint: &str, out: bool) -> Vec<Action> {
-    let endpoint = endpoint.into();
-    host.tell(if out {
-        Event::EndpointDisabled(endpoint)
-    } else {
-        Event::EndpointEnabled(endpoint)
-    })
+fn disable(host: &mut Host, endpoint: &str) -> Vec<Action> {
+    host.handle(Event::EndpointDisabled(endpoint.into()))
 }
 
-/// Guards the operators' word in picks: it holds whatever lists say, is not undone by half, and only for that one.
+fn enable(host: &mut Host, endpoint: &str) -> Vec<Action> {
+    host.handle(Event::EndpointEnabled(endpoint.into()))
+}
+
+/// Guards disabling against later lists: it lasts until the endpoint is enabled, once, and affects no other endpoint.
 #[test]
-fn an_endpoint_that_is_taken_out_gets_nothing_whatever_lists_say() {
-    let mut host = Host::new(settings(), listings(3));
-    assert!(got(&mut host, "e1", 60) > 0);
+fn a_disabled_endpoint_is_sent_nothing_whatever_lists_say() {
+    let mut host = Host::new(default_settings(), endpoint_entries(3));
+    assert!(count_sent_to(&mut host, "e1", 60) > 0);
     assert_eq!(
-        closes(&ban(&mut host, "e1", true)),
+        closed_endpoints(&disable(&mut host, "e1")),
         ["e1".into()],
-        "its idle connections go"
+        "its idle connections are closed"
     );
-    assert_eq!(got(&mut host, "e1", 60), 0);
-    host.members(ListKind::Full, listings(3));
+    assert_eq!(count_sent_to(&mut host, "e1", 60), 0);
+    host.apply_list(ListKind::Full, endpoint_entries(3));
     let restarted = EndpointEntry {
         started_at: Some(at(0)),
-        ..listing("e1", "a", 0)
+        ..endpoint_entry("e1", "a", 0)
     };
-    host.members(ListKind::Changes, vec![restarted]);
-    assert_eq!(got(&mut host, "e1", 60), 0);
-    host.members(
+    host.apply_list(ListKind::Changes, vec![restarted]);
+    assert_eq!(count_sent_to(&mut host, "e1", 60), 0);
+    host.apply_list(
         ListKind::Full,
-        listings(3)
+        endpoint_entries(3)
             .into_iter()
             .filter(|l| l.endpoint != "e1".into())
             .collect(),
     );
-    host.members(ListKind::Full, listings(3));
+    host.apply_list(ListKind::Full, endpoint_entries(3));
     assert_eq!(
-        got(&mut host, "e1", 60),
+        count_sent_to(&mut host, "e1", 60),
         0,
-        "also where it was missing for a while"
+        "also after it was missing from a list"
+    );
+    disable(&mut host, "e1");
+    enable(&mut host, "e1");
+    assert!(
+        count_sent_to(&mut host, "e1", 200) > 0,
+        "enabling once undoes both"
     );
-    ban(&mut host, "e1", true);
-    ban(&mut host, "e1", false);
-    assert!(got(&mut host, "e1", 200) > 0, "one call back undoes both");
-    ban(&mut host, "never-listed", false);
+    enable(&mut host, "never-listed");
     assert!(
         host.balancer.is_listed_or_disabled(&"e1".into())
             && !host.balancer.is_listed_or_disabled(&"never-listed".into())
     );
 }
 
-/// Guards held calls and retries: neither finds its way to an endpoint that has been taken out meanwhile.
+/// Guards queued requests and retries: neither is sent to an endpoint that was disabled in the meantime.
 #[test]
-fn held_calls_and_retries_keep_off_an_endpoint_that_is_taken_out() {
-    let mut host = Host::new(settings(), listings(2));
-    assert!(got(&mut host, "e0", 20) > 0);
-    ban(&mut host, "e1", true);
+fn queued_requests_and_retries_are_not_sent_to_a_disabled_endpoint() {
+    let mut host = Host::new(default_settings(), endpoint_entries(2));
+    assert!(count_sent_to(&mut host, "e0", 20) > 0);
+    disable(&mut host, "e1");
     let (id, actions) = host.request(0);
-    assert_eq!(sends(&actions), ["e0".into()]);
+    assert_eq!(send_targets(&actions), ["e0".into()]);
     assert!(
-        sends(&host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0)).is_empty(),
+        send_targets(&host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0)).is_empty(),
         "no retry at e1"
     );
-    ban(&mut host, "e0", true);
+    disable(&mut host, "e0");
     let (_, actions) = host.request(0);
-    assert!(sends(&actions).is_empty(), "held");
-    let mut back = ban(&mut host, "e0", false);
+    assert!(send_targets(&actions).is_empty(), "queued");
+    let mut actions_after = enable(&mut host, "e0");
     for _ in 0..20 {
         host.now = host.now + ms(10);
-        back.extend(host.tell(Event::Timer { token: 0 }));
+        actions_after.extend(host.handle(Event::Timer { token: 0 }));
     }
-    assert!(!sends(&back).is_empty(), "it goes once one is back");
-    assert!(sends(&back).iter().all(|e| *e == "e0".into()));
+    assert!(
+        !send_targets(&actions_after).is_empty(),
+        "it is sent once an endpoint is enabled"
+    );
+    assert!(
+        send_targets(&actions_after)
+            .iter()
+            .all(|e| *e == "e0".into())
+    );
 }
 
-/// Guards probes: none goes to an endpoint that is taken out.
+/// Guards health checks: none is sent to a disabled endpoint.
 #[test]
-fn an_endpoint_that_is_taken_out_is_not_probed() {
-    let mut host = health_check(0.0);
-    ban(&mut host, "e1", true);
-    let mut asked = Vec::new();
+fn a_disabled_endpoint_is_sent_no_health_checks() {
+    let mut host = host_with_health_checks(0.0);
+    disable(&mut host, "e1");
+    let mut checked = Vec::new();
     for _ in 0..60 {
         host.now = host.now + ms(200);
         let (id, actions) = host.request(0);
-        asked.extend(probed(&actions));
-        if !sends(&actions).is_empty() {
-            asked.extend(probed(&host.end(&id, 0, Outcome::Served, 10, 0.0)));
+        checked.extend(checked_endpoints(&actions));
+        if !send_targets(&actions).is_empty() {
+            checked.extend(checked_endpoints(&host.end(
+                &id,
+                0,
+                Outcome::Served,
+                10,
+                0.0,
+            )));
         }
     }
     assert!(
-        !asked.is_empty() && asked.iter().all(|e| *e != "e1".into()),
-        "{asked:?}"
+        !checked.is_empty() && checked.iter().all(|e| *e != "e1".into()),
+        "{checked:?}"
     );
 }
 
-/// Guards an endpoint that comes back: it counts as cold though the list still tells of an old start, and it gets its
-/// first call soon, as the operators look for it.
+/// Guards an enabled endpoint: it counts as warming up although the list has an old start time, and its first request is
+/// sent soon, as the operators look for it.
 #[test]
-fn an_endpoint_that_comes_back_is_cold_and_used_soon() {
-    let mut host = Host::new(settings(), listings(4));
-    let before = got(&mut host, "e1", 200);
-    ban(&mut host, "e1", true);
-    got(&mut host, "e1", 20);
-    ban(&mut host, "e1", false);
-    assert!(got(&mut host, "e1", 20) > 0, "soon");
-    let after = got(&mut host, "e1", 200);
+fn an_enabled_endpoint_warms_up_and_is_used_soon() {
+    let mut host = Host::new(default_settings(), endpoint_entries(4));
+    let while_warm = count_sent_to(&mut host, "e1", 200);
+    disable(&mut host, "e1");
+    count_sent_to(&mut host, "e1", 20);
+    enable(&mut host, "e1");
+    assert!(count_sent_to(&mut host, "e1", 20) > 0, "soon");
+    let after = count_sent_to(&mut host, "e1", 200);
     assert!(
-        after > 0 && after * 3 < before * 2,
-        "{after} of 200, {before} when it was warm"
+        after > 0 && after * 3 < while_warm * 2,
+        "{after} of 200, {while_warm} when it was warm"
     );
-    host.members(ListKind::Full, listings(4));
-    let later = got(&mut host, "e1", 200);
+    host.apply_list(ListKind::Full, endpoint_entries(4));
+    let later = count_sent_to(&mut host, "e1", 200);
     assert!(
-        later * 5 < before * 6,
-        "an old list does not make it warm: {later}, {before}"
+        later * 5 < while_warm * 6,
+        "an old list does not make it warm: {later}, {while_warm}"
     );
-    // Not listed as serving when it is called back, it has its turn once it is.
-    let mut host = Host::new(settings(), listings(4));
-    got(&mut host, "e1", 40);
-    ban(&mut host, "e1", true);
-    let gone = EndpointEntry {
+    // An endpoint that is not listed when it is enabled is used once it is listed.
+    let mut host = Host::new(default_settings(), endpoint_entries(4));
+    count_sent_to(&mut host, "e1", 40);
+    disable(&mut host, "e1");
+    let removed = EndpointEntry {
         readiness: Readiness::Removed,
-        ..listing("e1", "a", 0)
+        ..endpoint_entry("e1", "a", 0)
     };
-    host.members(ListKind::Changes, vec![gone]);
-    ban(&mut host, "e1", false);
-    assert_eq!(got(&mut host, "e1", 20), 0);
-    host.members(
+    host.apply_list(ListKind::Changes, vec![removed]);
+    enable(&mut host, "e1");
+    assert_eq!(count_sent_to(&mut host, "e1", 20), 0);
+    host.apply_list(
         ListKind::Changes,
         vec![EndpointEntry {
             started_at: Some(host.now),
-            ..listing("e1", "a", 0)
+            ..endpoint_entry("e1", "a", 0)
         }],
     );
-    assert!(got(&mut host, "e1", 60) > 0);
+    assert!(count_sent_to(&mut host, "e1", 60) > 0);
 }
 
-/// Guards the return against a copy so quiet that it always goes to the endpoint that it knows as the quickest.
+/// Guards the first request after enabling, at a balancer with so few requests that it always picks the fastest endpoint.
 #[test]
-fn an_endpoint_that_comes_back_is_used_beside_a_quicker_one() {
-    let mut host = Host::new(settings(), listings(2));
+fn an_enabled_endpoint_is_used_beside_a_faster_one() {
+    let mut host = Host::new(default_settings(), endpoint_entries(2));
     for _ in 0..100 {
         host.now = host.now + ms(20);
         let (id, actions) = host.request(0);
-        // e1 is so much slower that it is left alone in the end.
-        let took = if sends(&actions) == ["e1".into()] {
+        // e1 is so much slower that it is no longer picked in the end.
+        let took = if send_targets(&actions) == ["e1".into()] {
             100
         } else {
             10
         };
         host.end(&id, 0, Outcome::Served, took, 0.0);
     }
-    ban(&mut host, "e1", true);
-    ban(&mut host, "e1", false);
+    disable(&mut host, "e1");
+    enable(&mut host, "e1");
     let (_, actions) = host.request(0);
-    assert_eq!(sends(&actions), ["e1".into()]);
+    assert_eq!(send_targets(&actions), ["e1".into()]);
 }
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -1,30 +1,34 @@
-//! Requests that wait to be sent, and those that are refused for want of room.
+//! Requests that wait to be sent, and those that are shed.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
 #[test]
-fn a_timer_that_comes_early_leaves_no_held_request_behind() {
-    let mut host = Host::new(settings(), Vec::new());
+fn a_timer_that_expires_early_leaves_no_queued_request_unanswered() {
+    let mut host = Host::new(default_settings(), Vec::new());
     let (first, actions) = host.request(0);
-    assert_eq!(answered(&actions, &first), 0, "nowhere to send: held");
-    let mut pending = timers(&actions);
-    assert!(!pending.is_empty());
-    let mut done = 0;
-    while let Some((when, token)) = pending.pop() {
-        // A hair before its time, as a host with a coarser clock may deliver it.
+    assert_eq!(
+        final_answers(&actions, &first),
+        0,
+        "no endpoint takes it: queued"
+    );
+    let mut timers = set_timers(&actions);
+    assert!(!timers.is_empty());
+    let mut answers = 0;
+    while let Some((when, token)) = timers.pop() {
+        // Slightly early, as with a host whose clock has a coarser resolution.
         host.now = Timestamp::from_nanos(when.as_nanos() - 405);
-        let actions = host.tell(Event::Timer { token });
-        done += answered(&actions, &first);
-        pending.extend(timers(&actions));
+        let actions = host.handle(Event::Timer { token });
+        answers += final_answers(&actions, &first);
+        timers.extend(set_timers(&actions));
     }
-    assert_eq!(done, 1);
+    assert_eq!(answers, 1);
     assert!(host.now < at(2000), "answered in time");
 }
 
 #[test]
-fn held_calls_leave_the_worthiest_first_and_the_least_worthy_is_shed() {
-    let mut host = Host::new(two_levels(), Vec::new());
+fn queued_requests_are_sent_by_priority_and_the_lowest_is_shed() {
+    let mut host = Host::new(two_level_settings(), Vec::new());
     let mut low = Vec::new();
     for _ in 0..3 {
         low.push(host.request(0).0);
@@ -34,11 +38,18 @@
     for _ in 0..6 {
         host.now = host.now + ms(1);
         let (_, actions) = host.request(1);
-        shed.extend(low.iter().filter(|id| answered(&actions, id) == 1).cloned());
-        assert_eq!(answered(&actions, &high), 0);
+        shed.extend(
+            low.iter()
+                .filter(|id| final_answers(&actions, id) == 1)
+                .cloned(),
+        );
+        assert_eq!(final_answers(&actions, &high), 0);
     }
-    assert!(!shed.is_empty(), "past the queue limit the low ones go");
-    let actions = host.members(ListKind::Full, listings(4));
+    assert!(
+        !shed.is_empty(),
+        "past the queue limit requests of the low priority are shed"
+    );
+    let actions = host.apply_list(ListKind::Full, endpoint_entries(4));
     let first = actions.iter().find_map(|a| match a {
         Action::Send { request, .. } => Some(request.clone()),
         _ => None,
@@ -46,47 +57,54 @@
     assert_eq!(first, Some(high));
 }
 
-/// Guards the queue limit: clients that leave while they are held make room for those that come after them, also
-/// behind one that stays.
+/// Guards the queue limit: requests of disconnected clients no longer count towards it, also behind one that stays.
 #[test]
-fn a_held_request_whose_client_has_left_is_held_no_more() {
-    let mut host = Host::new(settings(), Vec::new());
+fn a_queued_request_is_removed_when_its_client_disconnects() {
+    let mut host = Host::new(default_settings(), Vec::new());
     let (stays, actions) = host.request(0);
-    assert_eq!(answered(&actions, &stays), 0, "nowhere to send: held");
+    assert_eq!(
+        final_answers(&actions, &stays),
+        0,
+        "no endpoint takes it: queued"
+    );
     for _ in 0..8 {
         host.now = host.now + ms(100);
         let (id, actions) = host.request(0);
-        assert_eq!(answered(&actions, &id), 0, "only one other is there: held");
-        let actions = host.tell(Event::ClientDisconnected {
+        assert_eq!(
+            final_answers(&actions, &id),
+            0,
+            "only one other is queued: queued"
+        );
+        let actions = host.handle(Event::ClientDisconnected {
             request: id.clone(),
         });
         assert!(
             actions.iter().all(|a| matches!(a, Action::SetTimer { .. })),
-            "nothing is owed or out"
+            "nothing to answer or to cancel"
         );
-        let census = host.balancer.status(host.now);
-        assert_eq!((census.queued, census.pending), (1, 1));
-        host.tell(Event::ClientDisconnected { request: id });
+        let status = host.balancer.status(host.now);
+        assert_eq!((status.queued, status.pending), (1, 1));
+        host.handle(Event::ClientDisconnected { request: id });
     }
-    let actions = host.members(ListKind::Changes, listings(1));
-    assert_eq!(sent(&actions), [stays]);
+    let actions = host.apply_list(ListKind::Changes, endpoint_entries(1));
+    assert_eq!(sent_requests(&actions), [stays]);
 }
 
 #[test]
-fn a_tenant_beyond_its_share_ranks_below_all_only_where_throttled() {
-    let mut set = two_levels();
-    let tenant = |name: &str, share| Tenant {
+fn a_tenant_over_its_share_has_the_lowest_priority_only_under_throttling() {
+    let mut settings = two_level_settings();
+    let tenant = |name: &str, quota_share| Tenant {
         name: name.into(),
-        quota_share: share,
+        quota_share,
         quota_per_s: 10.0,
     };
-    set.tenants = vec![tenant("small", 0.1), tenant("large", 0.9)];
-    let mut host = Host::new(set, listings(1));
+    settings.tenants = vec![tenant("small", 0.1), tenant("large", 0.9)];
+    let mut host = Host::new(settings, endpoint_entries(1));
     for _ in 0..100 {
         host.now = host.now + ms(20);
-        let (id, actions) = host.request_of(1, Some(TenantId(0)));
+        let (id, actions) = host.request_of_tenant(1, Some(TenantId(0)));
         assert_eq!(
-            sends(&actions).len(),
+            send_targets(&actions).len(),
             1,
             "over its share, but nothing is throttled"
         );
@@ -95,12 +113,12 @@
     let mut counts = [0, 0];
     for n in 0..200 {
         host.now = host.now + ms(40);
-        let (id, actions) = host.request_of(1, Some(TenantId(n % 2)));
-        if sends(&actions).len() == 1 {
+        let (id, actions) = host.request_of_tenant(1, Some(TenantId(n % 2)));
+        if send_targets(&actions).len() == 1 {
             counts[n % 2] += 1;
             host.end(&id, 0, Outcome::Served, 20, 0.6); // past the lowest onset only
         } else {
-            host.tell(Event::ClientDisconnected { request: id });
+            host.handle(Event::ClientDisconnected { request: id });
         }
     }
     assert!(counts[0] < counts[1], "{counts:?}");
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -1,31 +1,35 @@
-//! What may follow an attempt, and what a client is told.
+//! What may follow an attempt, and what the client is answered.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// What a request may do after one attempt ended so: go out again, be refused, or only fail.
-fn after(class: usize, outcome: Outcome, elapsed: u64) -> (Vec<EndpointId>, Option<Action>) {
-    // e0 and e1 share a cell, e2 shares only their zone, e3 neither.
+/// Returns the endpoints that a request is sent to where its first attempt ends with an outcome, and its final answer.
+fn attempts_and_answer(
+    class: usize,
+    outcome: Outcome,
+    elapsed: u64,
+) -> (Vec<EndpointId>, Option<Action>) {
+    // e0 and e1 share a group, e2 shares only their zone, e3 and e4 neither.
     let entries = vec![
-        listing("e0", "a", 1),
-        listing("e1", "a", 1),
-        listing("e2", "a", 2),
-        listing("e3", "b", 3),
-        listing("e4", "b", 3),
+        endpoint_entry("e0", "a", 1),
+        endpoint_entry("e1", "a", 1),
+        endpoint_entry("e2", "a", 2),
+        endpoint_entry("e3", "b", 3),
+        endpoint_entry("e4", "b", 3),
     ];
-    let mut host = Host::new(settings(), entries);
+    let mut host = Host::new(default_settings(), entries);
     for _ in 0..60 {
-        // Retries are paid for by requests.
+        // Requests earn the retry budget.
         let (id, _) = host.request(1);
         host.end(&id, 0, Outcome::Served, 20, 0.0);
         host.now = host.now + ms(20);
     }
     let (id, actions) = host.request(class);
-    let first = sends(&actions)[0].clone();
+    let first = send_targets(&actions)[0].clone();
     host.now = host.now + ms(elapsed);
     let actions = host.end(&id, 0, outcome, elapsed, 0.0);
     let mut to = vec![first];
-    to.extend(sends(&actions));
+    to.extend(send_targets(&actions));
     let last = actions
         .into_iter()
         .find(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }));
@@ -33,7 +37,7 @@
 }
 
 #[test]
-fn effects_decide_what_may_follow_an_attempt() {
+fn idempotency_decides_what_may_follow_an_attempt() {
     let outcomes = [
         Outcome::Error,
         Outcome::Rejected,
@@ -49,18 +53,18 @@
         _ => ("b", 3),
     };
     for outcome in outcomes {
-        let unrun = matches!(
+        let proves_not_run = matches!(
             outcome,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
-        assert_eq!(outcome.proves_not_run(), unrun);
-        let (to, last) = after(0, outcome, 100);
+        assert_eq!(outcome.proves_not_run(), proves_not_run);
+        let (to, last) = attempts_and_answer(0, outcome, 100);
         assert!(
             to.len() == 2 && last.is_none() && to[0] != to[1],
             "safe {outcome:?} {to:?} {last:?}"
         );
-        let (to, last) = after(1, outcome, 100);
-        if unrun {
+        let (to, last) = attempts_and_answer(1, outcome, 100);
+        if proves_not_run {
             assert!(to.len() == 2 && last.is_none(), "unsafe {outcome:?}");
         } else {
             assert!(
@@ -69,8 +73,8 @@
             );
         }
         for (class, same) in [(3, 0), (4, 1)] {
-            let (to, last) = after(class, outcome, 100);
-            if let (Some(next), false) = (to.get(1), unrun) {
+            let (to, last) = attempts_and_answer(class, outcome, 100);
+            if let (Some(next), false) = (to.get(1), proves_not_run) {
                 let (a, b) = (group(&to[0]), group(next));
                 assert!(
                     a.0 == b.0 && (same == 0 || a.1 == b.1),
@@ -78,76 +82,81 @@
                 );
             }
             assert!(
-                unrun || !matches!(last, Some(Action::Reject { .. })),
+                proves_not_run || !matches!(last, Some(Action::Reject { .. })),
                 "class {class} {outcome:?}"
             );
-            // Past the window only the proven go again.
-            let (to, last) = after(class, outcome, 400);
+            // After the window only requests that provably did not run are retried.
+            let (to, last) = attempts_and_answer(class, outcome, 400);
             assert!(
-                unrun || to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
+                proves_not_run || to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
                 "{class} {outcome:?}"
             );
         }
-        let (to, last) = after(2, outcome, 400);
+        let (to, last) = attempts_and_answer(2, outcome, 400);
         assert!(
-            unrun || to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
+            proves_not_run || to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
             "keyed-all {outcome:?} {last:?}"
         );
     }
 }
 
 #[test]
-fn no_attempt_beyond_the_cap() {
-    let mut host = Host::new(settings(), listings(8));
-    host.soak(60, 0.0);
+fn a_request_has_no_more_attempts_than_the_limit() {
+    let mut host = Host::new(default_settings(), endpoint_entries(8));
+    host.serve_requests(60, 0.0);
     let (id, actions) = host.request(0);
-    let mut sent = sends(&actions).len();
+    let mut sent_requests = send_targets(&actions).len();
     let mut answers = 0;
     for attempt in 0..5 {
         host.now = host.now + ms(5);
         let actions = host.end(&id, attempt, Outcome::ConnectFailed, 5, 0.0);
-        sent += sends(&actions).len();
-        answers += answered(&actions, &id);
+        sent_requests += send_targets(&actions).len();
+        answers += final_answers(&actions, &id);
     }
-    assert_eq!((sent, answers), (3, 1));
+    assert_eq!((sent_requests, answers), (3, 1));
 }
 
 #[test]
-fn an_attempt_ends_when_its_answer_is_worth_nothing() {
-    let timeout = |set: Settings, class| match host_with(set).request(class).1.as_slice() {
+fn an_attempt_times_out_when_its_answer_has_no_value() {
+    let timeout = |settings: Settings, class| match host_with(settings).request(class).1.as_slice()
+    {
         [Action::Send { timeout, .. }, ..] => *timeout,
         other => panic!("{other:?}"),
     };
     assert_eq!(
-        timeout(settings(), 0),
+        timeout(default_settings(), 0),
         Some(ms(1000)),
-        "the objective, as late answers earn nothing"
+        "the objective, as late answers have no value"
     );
-    let mut late = settings();
+    let mut late = default_settings();
     late.classes[1].late_value = 0.5;
     assert_eq!(
         timeout(late, 1),
         None,
-        "a late answer still earns half, up to the deadline"
+        "a late answer keeps half of its value, up to the deadline"
     );
 }
 
-fn host_with(set: Settings) -> Host {
-    Host::new(set, listings(4))
+fn host_with(settings: Settings) -> Host {
+    Host::new(settings, endpoint_entries(4))
 }
 
 #[test]
-fn a_refused_client_is_told_to_keep_away_where_it_is_permitted() {
+fn a_rejected_client_is_given_retry_after_where_that_is_permitted() {
     for permitted in [true, false] {
-        let mut set = settings();
-        set.limits.retry_after = permitted;
-        let mut host = Host::new(set, Vec::new());
-        let refused = (0..12)
-            .flat_map(|_| host.request(0).1)
-            .find_map(|a| match a {
-                Action::Reject { retry_after, .. } => Some(retry_after),
-                _ => None,
-            });
-        assert_eq!(refused, Some(permitted.then_some(ms(2000))));
+        let mut settings = default_settings();
+        settings.limits.retry_after = permitted;
+        let mut host = Host::new(settings, Vec::new());
+        let retry_after_of_rejection =
+            (0..12)
+                .flat_map(|_| host.request(0).1)
+                .find_map(|a| match a {
+                    Action::Reject { retry_after, .. } => Some(retry_after),
+                    _ => None,
+                });
+        assert_eq!(
+            retry_after_of_rejection,
+            Some(permitted.then_some(ms(2000)))
+        );
     }
 }
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -65,7 +65,7 @@
             readiness,
             size,
             started_at,
-            ..listing(&e, "a", 0)
+            ..endpoint_entry(&e, "a", 0)
         },
     );
     let outcome = (0..8usize).prop_map(|n| {
@@ -166,20 +166,21 @@
     );
     TestRunner::new(config)
         .run(&input, |(seed, events)| {
-            let mut set = settings();
+            let mut settings = default_settings();
             (
-                set.classes[1].is_key_ordered,
-                set.classes[0].objective_per_work,
+                settings.classes[1].is_key_ordered,
+                settings.classes[0].objective_per_work,
             ) = (true, 1e9);
-            set.rules.key_cooldown = Some(ms(50));
-            set.rules.drain_close = Some(ms(50));
-            set.discovery = if seed.is_multiple_of(2) {
+            settings.rules.key_cooldown = Some(ms(50));
+            settings.rules.drain_close = Some(ms(50));
+            settings.discovery = if seed.is_multiple_of(2) {
                 DiscoveryMode::OnRequest
             } else {
                 DiscoveryMode::Pushed
             };
-            set.tenants = tenants(1);
-            let mut balancer = Balancer::new(set.clone(), seed).expect("settings that make sense");
+            settings.tenants = tenants(1);
+            let mut balancer =
+                Balancer::new(settings.clone(), seed).expect("settings that make sense");
             let mut out = Vec::new();
             for (now, told) in events {
                 match told {
@@ -189,12 +190,12 @@
                         priority_weight,
                         tenants: n,
                     } => {
-                        let mut set = set.clone();
-                        set.classes.truncate(classes);
-                        (set.classes[0].priority_weight, set.tenants) =
+                        let mut settings = settings.clone();
+                        settings.classes.truncate(classes);
+                        (settings.classes[0].priority_weight, settings.tenants) =
                             (priority_weight, tenants(n));
                         let ids = balancer
-                            .change_settings(now, set, &mut out)
+                            .change_settings(now, settings, &mut out)
                             .expect("settings that make sense");
                         prop_assert_eq!(ids.len(), classes);
                     }
@@ -207,7 +208,7 @@
 
 #[test]
 fn unknown_ids_change_nothing() {
-    let mut host = Host::new(settings(), listings(2));
+    let mut host = Host::new(default_settings(), endpoint_entries(2));
     let (id, _) = host.request(0);
     let unknown = |class, tenant| Request {
         id: "new".into(),
@@ -246,12 +247,12 @@
     ];
     for event in events {
         let told = format!("{event:?}");
-        assert_eq!(host.tell(event), [], "{told}");
+        assert_eq!(host.handle(event), [], "{told}");
     }
     host.end(&id, 9, Outcome::Served, 5, 0.0);
     let actions = host.end(&id, 0, Outcome::ConnectFailed, 5, 0.0);
     assert_eq!(
-        sends(&actions).len() + answered(&actions, &id),
+        send_targets(&actions).len() + final_answers(&actions, &id),
         1,
         "still ours"
     );
@@ -288,11 +289,11 @@
             (s.discovery, s.rules.poll_interval) = (DiscoveryMode::OnRequest, Duration::ZERO);
         }),
     ];
-    assert!(Balancer::new(settings(), 1).is_ok());
+    assert!(Balancer::new(default_settings(), 1).is_ok());
     for (field, spoil) in cases {
-        let mut set = settings();
-        spoil(&mut set);
-        let refused = Balancer::new(set, 1).expect_err(field);
+        let mut settings = default_settings();
+        spoil(&mut settings);
+        let refused = Balancer::new(settings, 1).expect_err(field);
         assert_eq!(refused.field, field);
         assert!(refused.to_string().starts_with(field));
     }
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -1,121 +1,138 @@
-//! Settings that change while an instance runs.
+//! Settings that change while a balancer runs.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
-/// Has the host go on with settings that are changed so.
-fn retune(host: &mut Host, change: impl FnOnce(&mut Settings)) -> (Vec<ClassId>, Vec<Action>) {
-    let (mut set, mut out) = (settings(), Vec::new());
-    change(&mut set);
+/// Changes the default settings and gives them to the running balancer.
+fn change_settings(
+    host: &mut Host,
+    change: impl FnOnce(&mut Settings),
+) -> (Vec<ClassId>, Vec<Action>) {
+    let (mut settings, mut actions) = (default_settings(), Vec::new());
+    change(&mut settings);
     let ids = host
         .balancer
-        .change_settings(host.now, set, &mut out)
-        .expect("settings that make sense");
-    (ids, out)
+        .change_settings(host.now, settings, &mut actions)
+        .expect("valid settings");
+    (ids, actions)
 }
 
-/// Guards requests under way: they keep the class that they came with, whatever becomes of its name; new ones go by the
-/// new one. What stays as it was keeps its id.
+/// Guards pending requests: they keep the class that they came with, while new requests get the changed class. An unchanged
+/// class keeps its id.
 #[test]
-fn requests_under_way_keep_their_class() {
-    let mut host = Host::new(settings(), listings(3));
-    got(&mut host, "e0", 20);
-    let (before, actions) = host.request(0);
-    assert_eq!(sends(&actions).len(), 1);
-    let (ids, _) = retune(&mut host, |set| {
-        set.classes[0].idempotency = Idempotency::Unsafe;
+fn pending_requests_keep_their_class() {
+    let mut host = Host::new(default_settings(), endpoint_entries(3));
+    count_sent_to(&mut host, "e0", 20);
+    let (earlier, actions) = host.request(0);
+    assert_eq!(send_targets(&actions).len(), 1);
+    let (ids, _) = change_settings(&mut host, |settings| {
+        settings.classes[0].idempotency = Idempotency::Unsafe;
     });
+    assert_eq!(ids[1..], [1, 2, 3, 4].map(ClassId), "these are unchanged");
+    let actions = host.end(&earlier, 0, Outcome::Reset, 5, 0.0);
     assert_eq!(
-        ids[1..],
-        [1, 2, 3, 4].map(ClassId),
-        "these are as they were"
+        send_targets(&actions).len(),
+        1,
+        "it was idempotent when it came"
     );
-    let again = host.end(&before, 0, Outcome::Reset, 5, 0.0);
-    assert_eq!(sends(&again).len(), 1, "it came as one that may run again");
-    let (after, actions) = host.request(ids[0].0);
-    assert_eq!(sends(&actions).len(), 1);
-    let failed = host.end(&after, 0, Outcome::Reset, 5, 0.0);
-    assert!(sends(&failed).is_empty());
+    let (later, actions) = host.request(ids[0].0);
+    assert_eq!(send_targets(&actions).len(), 1);
+    let failed = host.end(&later, 0, Outcome::Reset, 5, 0.0);
+    assert!(send_targets(&failed).is_empty());
     assert!(
-        failed.contains(&Action::Fail { request: after }),
-        "it may have run: no refusal"
+        failed.contains(&Action::Fail { request: later }),
+        "it may have run: not rejected"
+    );
+    let (restored, _) = change_settings(&mut host, |_| {});
+    assert_eq!(
+        restored[0],
+        ClassId(0),
+        "its old id, which no other class has"
     );
-    let (back, _) = retune(&mut host, |_| {});
-    assert_eq!(back[0], ClassId(0), "its old id, as nothing else has it");
 }
 
-/// Guards classes that vanish and appear, with worths of their own: what is held is neither lost nor left out of order.
+/// Guards queued requests while classes and priority weights change: none is lost, and their order is right.
 #[test]
-fn held_requests_go_on_under_other_classes() {
-    let mut host = Host::new(two_levels(), Vec::new());
-    let (plain, _) = host.request(0);
-    let (worthy, _) = host.request(1);
-    let (ids, out) = retune(&mut host, |set| {
-        set.classes.truncate(1);
-        set.classes
+fn queued_requests_survive_a_change_of_classes() {
+    let mut host = Host::new(two_level_settings(), Vec::new());
+    let (low, _) = host.request(0);
+    let (high, _) = host.request(1);
+    let (ids, actions) = change_settings(&mut host, |settings| {
+        settings.classes.truncate(1);
+        settings
+            .classes
             .push(class("new", 10.0, Idempotency::Idempotent));
-        set.classes
+        settings
+            .classes
             .push(class("least", 0.5, Idempotency::Idempotent));
     });
-    assert_eq!(answered(&out, &plain) + answered(&out, &worthy), 0);
+    assert_eq!(
+        final_answers(&actions, &low) + final_answers(&actions, &high),
+        0
+    );
     let (newest, _) = host.request(ids[1].0);
-    let mut sent_to = host.members(ListKind::Full, listings(4));
+    let mut sent_to = host.apply_list(ListKind::Full, endpoint_entries(4));
     for _ in 0..40 {
         host.now = host.now + ms(5);
-        sent_to.extend(host.tell(Event::Timer { token: 0 }));
+        sent_to.extend(host.handle(Event::Timer { token: 0 }));
     }
     assert_eq!(
-        sent(&sent_to),
-        [newest, worthy, plain],
-        "the worthiest first, and all of them"
+        sent_requests(&sent_to),
+        [newest, high, low],
+        "all of them, the highest priority first"
     );
 }
 
-/// Guards the smaller number of attempts, from the swap on, also for requests under way.
+/// Guards a lower attempt limit: it applies to pending requests too.
 #[test]
-fn fewer_attempts_hold_at_once() {
-    let mut host = Host::new(settings(), listings(4));
-    got(&mut host, "e0", 40);
+fn a_lower_attempt_limit_applies_at_once() {
+    let mut host = Host::new(default_settings(), endpoint_entries(4));
+    count_sent_to(&mut host, "e0", 40);
     let (id, _) = host.request(0);
-    retune(&mut host, |set| set.limits.max_attempts = 1);
-    let out = host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0);
-    assert_eq!((sends(&out).len(), answered(&out, &id)), (0, 1));
+    change_settings(&mut host, |settings| settings.limits.max_attempts = 1);
+    let actions = host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0);
+    assert_eq!(
+        (send_targets(&actions).len(), final_answers(&actions, &id)),
+        (0, 1)
+    );
 }
 
-/// Guards against half-taken settings: those that make no sense leave all as it was.
+/// Guards against partly applied settings: invalid settings change nothing.
 #[test]
-fn senseless_settings_change_nothing() {
-    let mut host = Host::new(settings(), listings(3));
-    let mut out = Vec::new();
+fn invalid_settings_change_nothing() {
+    let mut host = Host::new(default_settings(), endpoint_entries(3));
+    let mut actions = Vec::new();
     let changes: [fn(&mut Settings); 5] = [
-        |set| set.classes.clear(),
-        |set| set.limits.max_attempts = 0,
-        |set| set.classes[2].deadline = Duration::ZERO,
-        |set| set.classes[1].priority_weight = f64::NAN,
-        |set| set.classes[1].name = set.classes[0].name.clone(),
+        |settings| settings.classes.clear(),
+        |settings| settings.limits.max_attempts = 0,
+        |settings| settings.classes[2].deadline = Duration::ZERO,
+        |settings| settings.classes[1].priority_weight = f64::NAN,
+        |settings| settings.classes[1].name = settings.classes[0].name.clone(),
     ];
     for change in changes {
-        let mut set = settings();
-        change(&mut set);
+        let mut settings = default_settings();
+        change(&mut settings);
         host.balancer
-            .change_settings(host.now, set, &mut out)
-            .expect_err("senseless");
-        assert!(out.is_empty());
-        assert!(got(&mut host, "e0", 30) > 0);
+            .change_settings(host.now, settings, &mut actions)
+            .expect_err("invalid");
+        assert!(actions.is_empty());
+        assert!(count_sent_to(&mut host, "e0", 30) > 0);
     }
 }
 
-/// Guards memory where settings change all day: places of classes that nobody has are given again.
+/// Guards memory where settings change all day: ids of unused classes are reused.
 #[test]
-fn classes_that_come_and_go_do_not_add_up() {
-    let mut host = Host::new(settings(), listings(3));
-    let mut most = 0;
+fn ids_of_retired_classes_are_reused() {
+    let mut host = Host::new(default_settings(), endpoint_entries(3));
+    let mut max_id = 0;
     for n in 0..200 {
         host.now = host.now + ms(20_000);
-        let (ids, _) = retune(&mut host, |set| set.classes[0].name = format!("c{n}"));
-        most = most.max(ids[0].0);
-        assert!(got(&mut host, "e0", 1) < 2);
+        let (ids, _) = change_settings(&mut host, |settings| {
+            settings.classes[0].name = format!("c{n}");
+        });
+        max_id = max_id.max(ids[0].0);
+        assert!(count_sent_to(&mut host, "e0", 1) < 2);
     }
-    assert!(most < 12, "{most}");
+    assert!(max_id < 12, "{max_id}");
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,30 +1,30 @@
-//! How much cold endpoints get.
+//! How many requests warming endpoints are sent.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
 #[test]
-fn all_copies_together_spare_a_cold_endpoint() {
-    // 200 quiet copies, 10 endpoints, one of which has just started: it can do 0.3 of its share at first.
-    let (copies, calls) = (200, 40);
-    let (mut cold, mut all) = (0, 0);
-    for seed in 0..copies {
-        let set = Settings {
-            balancers: copies as u32,
+fn all_balancers_together_spare_a_warming_endpoint() {
+    // 200 balancers with few requests, 10 endpoints, one of which has just started: it serves 0.3 of its share at first.
+    let (balancer_count, requests) = (200, 40);
+    let (mut warming, mut total) = (0, 0);
+    for seed in 0..balancer_count {
+        let settings = Settings {
+            balancers: balancer_count as u32,
             peer_id: PeerId(seed as u32),
-            ..settings()
+            ..default_settings()
         };
-        let mut balancer = Balancer::new(set, seed).expect("settings that make sense");
-        let mut out = Vec::new();
-        let mut entries = listings(10);
+        let mut balancer = Balancer::new(settings, seed).expect("valid settings");
+        let mut actions = Vec::new();
+        let mut entries = endpoint_entries(10);
         entries[3].started_at = Some(at(0));
-        let news = Event::EndpointList {
+        let list = Event::EndpointList {
             version: 1,
             kind: ListKind::Cached,
             entries: entries.into(),
         };
-        balancer.handle(at(0), news, &mut out);
-        for n in 0..calls {
+        balancer.handle(at(0), list, &mut actions);
+        for n in 0..requests {
             let now = at(50 * n);
             let id = RequestId::from(format!("r{n}").as_str());
             let request = Request {
@@ -37,11 +37,11 @@
                 client_retry: false,
                 write: false,
             };
-            out.clear();
-            balancer.handle(now, Event::Request(request), &mut out);
-            let to = sends(&out);
-            all += to.len();
-            cold += to.iter().filter(|e| **e == EndpointId::from("e3")).count();
+            actions.clear();
+            balancer.handle(now, Event::Request(request), &mut actions);
+            let to = send_targets(&actions);
+            total += to.len();
+            warming += to.iter().filter(|e| **e == EndpointId::from("e3")).count();
             let report = Some(LoadReport {
                 queue_length: Some(0.0),
                 ..LoadReport::default()
@@ -55,30 +55,30 @@
                 request_ended: true,
                 report,
             };
-            balancer.handle(now + took, Event::AttemptEnded(ended), &mut out);
+            balancer.handle(now + took, Event::AttemptEnded(ended), &mut actions);
         }
     }
-    let share = cold as f64 / (all as f64 / 10.0);
+    let share = warming as f64 / (total as f64 / 10.0);
     assert!(
         share > 0.05 && share < 0.5,
-        "{share} of a fair share, 0.3 to 0.44 of its capacity there"
+        "{share} of a fair share, with 0.3 to 0.44 of its capacity"
     );
 }
 
 #[test]
-fn a_copy_whose_first_members_are_cold_still_has_warm_ones() {
-    // Half of the tier has just started; the subset must not be mostly cold members that may hardly be used.
-    let mut entries = listings(12);
+fn a_subset_whose_first_members_are_warming_has_warm_members_too() {
+    // Half of the tier has just started; these endpoints may be sent few requests, and must not be most of the subset.
+    let mut entries = endpoint_entries(12);
     entries
         .iter_mut()
         .take(6)
         .for_each(|e| e.started_at = Some(at(0)));
     let mut warm = std::collections::BTreeSet::new();
-    let mut host = Host::new(settings(), entries);
+    let mut host = Host::new(default_settings(), entries);
     for _ in 0..60 {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
-        let to = sends(&actions)[0].clone();
+        let to = send_targets(&actions)[0].clone();
         host.end(&id, 0, Outcome::Served, 10, 0.2);
         if to.0[1..].parse::<usize>().expect("a number") >= 6 {
             warm.insert(to);
@@ -88,47 +88,48 @@
 }
 
 #[test]
-fn a_half_warm_endpoint_is_spared_while_the_rest_is_throttled() {
-    // Five seconds after its start it may be sent more than a fair share, but not all that the others can't take.
-    let mut entries = listings(4);
+fn a_half_warm_endpoint_is_spared_while_the_others_are_throttled() {
+    // Five seconds after its start it may be sent more than a fair share, but not all that the others do not take.
+    let mut entries = endpoint_entries(4);
     entries[3].started_at = Some(at(0));
-    let mut host = Host::new(settings(), entries);
+    let mut host = Host::new(default_settings(), entries);
     host.now = at(5000);
-    let (mut cold, calls) = (0, 400);
-    for _ in 0..calls {
+    let (mut warming, requests) = (0, 400);
+    for _ in 0..requests {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
-        for to in sends(&actions) {
+        for to in send_targets(&actions) {
             let queue_length = if to == EndpointId::from("e3") {
                 0.0
             } else {
                 5.0
             };
-            cold += usize::from(queue_length == 0.0);
+            warming += usize::from(queue_length == 0.0);
             host.end(&id, 0, Outcome::Served, 5, queue_length);
         }
-        host.tell(Event::ClientDisconnected { request: id });
+        host.handle(Event::ClientDisconnected { request: id });
     }
     assert!(
-        cold < calls / 2,
-        "{cold} of {calls} calls went to one of four endpoints that is not yet warm"
+        warming < requests / 2,
+        "{warming} of {requests} requests were sent to the one of four endpoints that is warming up"
     );
 }
 
-/// Guards a copy whose own zone has but one endpoint, which is cold: its first turn comes after so many own sends, and the
-/// only others have failed some, as where the network does. Something is sent all the same, and so its turn comes, too.
+/// Guards a balancer whose own zone has one endpoint, which is warming up: its first slot comes after a number of sends, and
+/// the only other endpoints have failed some requests, as with network faults. Requests are sent all the same, so that
+/// slow start advances.
 #[test]
-fn a_cold_zone_beside_faulty_ones_is_no_dead_end() {
-    let mut set = settings();
-    set.prices.cross_zone = 0.1;
-    let far = |n: usize| listing(&format!("e{n}"), "b", 0);
-    let mut host = Host::new(set, vec![far(1), far(2)]);
+fn a_warming_zone_beside_faulty_endpoints_is_used() {
+    let mut settings = default_settings();
+    settings.prices.cross_zone = 0.1;
+    let remote = |n: usize| endpoint_entry(&format!("e{n}"), "b", 0);
+    let mut host = Host::new(settings, vec![remote(1), remote(2)]);
     for n in 0..12 {
         let (id, actions) = host.request(0);
         host.now = host.now + ms(50);
         let fails = n % 2 == 0;
-        if !sends(&actions).is_empty() {
-            let again = host.end(
+        if !send_targets(&actions).is_empty() {
+            let actions = host.end(
                 &id,
                 0,
                 if fails {
@@ -139,32 +140,35 @@
                 10,
                 0.0,
             );
-            if !sends(&again).is_empty() {
+            if !send_targets(&actions).is_empty() {
                 host.end(&id, 1, Outcome::ConnectFailed, 10, 0.0);
             }
         }
     }
-    let cold = EndpointEntry {
+    let warming = EndpointEntry {
         started_at: Some(host.now),
-        ..listing("e0", "a", 0)
+        ..endpoint_entry("e0", "a", 0)
     };
-    host.members(ListKind::Changes, vec![cold]);
-    let mut sent: Vec<EndpointId> = Vec::new();
+    host.apply_list(ListKind::Changes, vec![warming]);
+    let mut sent_requests: Vec<EndpointId> = Vec::new();
     for _ in 0..60 {
         let (id, actions) = host.request(0);
         host.now = host.now + ms(20);
-        let to = sends(&actions);
+        let to = send_targets(&actions);
         if !to.is_empty() {
             host.end(&id, 0, Outcome::Served, 10, 0.0);
         }
-        sent.extend(to);
+        sent_requests.extend(to);
     }
-    assert!(sent.len() > 50, "{} of 60", sent.len());
-    assert!(sent.contains(&"e0".into()), "the cold one had its turn");
-    let cold = sent.iter().filter(|e| **e == "e0".into()).count();
+    assert!(sent_requests.len() > 50, "{} of 60", sent_requests.len());
     assert!(
-        cold < 40,
-        "and no more than it bears: {cold} of {}",
-        sent.len()
+        sent_requests.contains(&"e0".into()),
+        "the warming endpoint was sent a request"
+    );
+    let warming = sent_requests.iter().filter(|e| **e == "e0".into()).count();
+    assert!(
+        warming < 40,
+        "and no more than it can serve: {warming} of {}",
+        sent_requests.len()
     );
 }
--- a/tests/policy/slow_start_fleet/scenario.rs
+++ b/tests/policy/slow_start_fleet/scenario.rs
@@ -1,6 +1,6 @@
 //! What is simulated: the fleet, its endpoints, and how the cold one comes to be cold.
 
-use crate::host::settings;
+use crate::host::default_settings;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
         warm_up_time: Duration::from_secs(24),
         overload_multiple: 3.0,
         overload_window: Duration::from_secs(2),
-        ..settings().rules
+        ..default_settings().rules
     }
 }
 
@@ -85,7 +85,7 @@
         warm_up_time: Duration::from_secs(12),
         overload_multiple: 2.0,
         overload_window: Duration::from_secs(1),
-        ..settings().rules
+        ..default_settings().rules
     }
 }
 
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -1,7 +1,7 @@
 //! The simulation: a deterministic run of events on a simulated clock.
 
 use super::scenario::*;
-use crate::host::{at, class, listing, listings, ms, settings};
+use crate::host::{at, class, default_settings, endpoint_entries, endpoint_entry, ms};
 use balancer_sidecar::policy::*;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +16,7 @@
     pub request: RequestId,
     pub number: AttemptNumber,
     pub endpoint: usize,
-    pub sent: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// What happens at a moment.
@@ -214,9 +214,9 @@
                 } else {
                     Event::EndpointEnabled(endpoint)
                 };
-                self.tell(instance, event);
+                self.handle(instance, event);
             }
-            Step::Timer { instance, token } => self.tell(instance, Event::Timer { token }),
+            Step::Timer { instance, token } => self.handle(instance, Event::Timer { token }),
             Step::Arrival { instance } => self.arrive(instance),
             Step::Reaches(attempt) => self.reach(attempt),
             Step::Finishes(attempt) => self.finish(attempt),
@@ -231,23 +231,23 @@
     // ---- Instances ---------------------------------------------------------------------------------------
 
     pub fn start(&mut self, instance: usize) {
-        let set = Settings {
+        let settings = Settings {
             balancers: INSTANCES as u32,
             peer_id: PeerId(instance as u32),
             classes: vec![class("safe", 1.0, Idempotency::Idempotent)],
             rules: self.scenario.rules.clone(),
-            ..settings()
+            ..default_settings()
         };
         let seed = self.random.next_u64();
         self.balancers[instance] =
-            Some(Balancer::new(set, seed).expect("settings that make sense"));
+            Some(Balancer::new(settings, seed).expect("settings that make sense"));
         self.learn(instance, ListKind::Cached);
         self.plan_arrival(instance);
     }
 
     pub fn learn(&mut self, instance: usize, kind: ListKind) {
-        let entries = self.listings();
-        self.tell(
+        let entries = self.endpoint_entries();
+        self.handle(
             instance,
             Event::EndpointList {
                 version: 1,
@@ -258,11 +258,11 @@
     }
 
     /// The list as of now.
-    pub fn listings(&self) -> Vec<EndpointEntry> {
+    pub fn endpoint_entries(&self) -> Vec<EndpointEntry> {
         let ramp_began = self.now >= ramp_start();
         let cold_by = self.scenario.cold_by;
-        let mut entries = listings(WARM_ENDPOINTS);
-        let mut cold = listing(&name(COLD), "a", 0);
+        let mut entries = endpoint_entries(WARM_ENDPOINTS);
+        let mut cold = endpoint_entry(&name(COLD), "a", 0);
         cold.started_at = (ramp_began && cold_by != ColdBy::Ban).then_some(ramp_start());
         if ramp_began || cold_by != ColdBy::Joining {
             entries.push(cold);
@@ -301,11 +301,11 @@
             client_retry: false,
             write: false,
         };
-        self.tell(instance, Event::Request(request));
+        self.handle(instance, Event::Request(request));
     }
 
     /// Tells an instance of an event and carries out what it decides.
-    pub fn tell(&mut self, instance: usize, event: Event) {
+    pub fn handle(&mut self, instance: usize, event: Event) {
         let mut actions = Vec::new();
         let Some(balancer) = &mut self.balancers[instance] else {
             return;
@@ -351,7 +351,7 @@
             request,
             number,
             endpoint,
-            sent: self.now,
+            sent_at: self.now,
         };
         let wait = timeout.map_or(left, |timeout| timeout.min(left));
         self.after(
@@ -386,11 +386,11 @@
             request: attempt.request,
             attempt: attempt.number,
             outcome,
-            took: self.now.since(attempt.sent),
+            took: self.now.since(attempt.sent_at),
             request_ended,
             report,
         };
-        self.tell(attempt.instance, Event::AttemptEnded(ended));
+        self.handle(attempt.instance, Event::AttemptEnded(ended));
     }
 
     // ---- Endpoints ---------------------------------------------------------------------------------------
