--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -8,7 +8,7 @@
 //! | bodies | `body/` |
 //! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
 //! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
-//! | addresses | `server/`: the callers'; `operators.rs`: the operators'; `listener_handover/`: the new process's; `report.rs`: the log |
+//! | addresses | `server/`: the callers'; `operators/`: the operators'; `listener_handover/`: the new process's; `report.rs`: the log |
 //! | process | `process.rs` |
 
 #[macro_use]
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -34,6 +34,7 @@
 
 pub use active_configuration::ActiveSettings;
 pub use open_request::{FinalAnswer, RequestRejected};
+pub use operators::UnknownEndpoint;
 pub use process_messages::TakeoverEnd;
 pub use state::{NodeHandle, NodeReport, StartMode, StartOptions};
 
--- /dev/null
+++ b/src/sidecar/operators/response.rs
@@ -0,0 +1,52 @@
+//! Responses to operators' commands.
+
+use super::command::CommandError;
+use crate::sidecar::node::UnknownEndpoint;
+use std::fmt;
+
+/// The last line of the metrics.
+const METRICS_END: &str = "END";
+
+/// A response to a command.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Response {
+    /// It is so, or it is done.
+    Yes,
+    /// It is not so, or it cannot be done.
+    No(Refusal),
+    /// The metrics, one a line.
+    Metrics(String),
+}
+
+/// Why a response is negative. The texts are part of the protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Refusal {
+    /// The sidecar is not ready to serve.
+    #[error("not ready to serve")]
+    NotReady,
+    /// No such endpoint is known.
+    #[error(transparent)]
+    UnknownEndpoint(#[from] UnknownEndpoint),
+    /// The line is not a command.
+    #[error(transparent)]
+    InvalidCommand(#[from] CommandError),
+}
+
+impl<E: Into<Refusal>> From<Result<(), E>> for Response {
+    fn from(result: Result<(), E>) -> Self {
+        match result {
+            Ok(()) => Response::Yes,
+            Err(error) => Response::No(error.into()),
+        }
+    }
+}
+
+impl fmt::Display for Response {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Response::Yes => writeln!(f, "YES"),
+            Response::No(refusal) => writeln!(f, "NO {refusal}"),
+            Response::Metrics(metrics) => writeln!(f, "{metrics}{METRICS_END}"),
+        }
+    }
+}
