--- a/fleet-lab/src/loopback_tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -4,7 +4,7 @@
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry};
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
 use crate::sidecar::configuration::{
-    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+    LoadReports, RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
 };
 use crate::topology::{EndpointName, ZoneName};
 use balancer_sidecar::policy::DiscoveryMode;
@@ -112,7 +112,7 @@
             discovery_mode: DiscoveryMode::Pushed,
             cached_list: Some(self.discovery.snapshot()),
             classes,
-            health_checks: false,
+            load_reports: LoadReports::WithAnswers,
             seed: seed ^ (u64::from(position.tier) << 32) ^ u64::from(position.number),
             limits,
         }
--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -1,10 +1,10 @@
 //! A chain of tiers. Each endpoint, except those of the last tier, calls the next tier through a sidecar of its own.
 
 use super::context::RunContext;
+use super::load::CALLER_DEADLINE;
 use super::outcome::ScenarioError;
 use super::single_sidecar::{
-    CALLER_DEADLINE, DISCOVERY_OPTIONS, SIDECAR_LIMITS, request_classes, start_host, start_sidecar,
-    wait_until_ready,
+    DISCOVERY_OPTIONS, SIDECAR_LIMITS, request_classes, start_host, start_sidecar, wait_until_ready,
 };
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
 use crate::loopback_tier::{LoopbackTier, LoopbackTierOptions, start_endpoint};
--- a/fleet-lab/src/scenario/client_connections.rs
+++ b/fleet-lab/src/scenario/client_connections.rs
@@ -1,18 +1,18 @@
-//! Connections that callers hold open to a sidecar: with a request that is not answered yet, or idle.
+//! Connections that clients keep open to a sidecar, either with a pending request or idle.
 
-use super::single_sidecar::{SAFE_CLASS, UNSAFE_CLASS};
+use super::load::{SAFE_CLASS, UNSAFE_CLASS};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
 /// How long an answer may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most header fields of an answer.
+/// The largest number of headers of an answer.
 const MAX_HEADERS: usize = 32;
 /// The largest answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 10;
 
-/// Connections to one sidecar, each held until all are dropped.
+/// Connections to one sidecar, which are closed when this is dropped.
 pub(super) struct ClientConnections {
     address: SocketAddr,
     deadline: Duration,
@@ -20,7 +20,7 @@
 }
 
 impl ClientConnections {
-    /// None yet.
+    /// Creates an empty set of connections.
     pub(super) fn new(address: SocketAddr, deadline: Duration) -> Self {
         ClientConnections {
             address,
@@ -29,8 +29,7 @@
         }
     }
 
-    /// Opens connections until there are so many, each with a request that is unsafe to repeat and whose answer is not
-    /// waited for.
+    /// Opens connections until there are `count`, each with a pending request that is unsafe to repeat.
     pub(super) fn open_requests(&mut self, count: usize) -> io::Result<()> {
         while self.connections.len() < count {
             let request = self.request("POST", UNSAFE_CLASS);
@@ -41,7 +40,7 @@
         Ok(())
     }
 
-    /// Opens connections until there are so many, each idle after one answered request.
+    /// Opens connections until there are `count`, each idle after one answered request.
     pub(super) fn open_idle(&mut self, count: usize) -> io::Result<()> {
         while self.connections.len() < count {
             let request = self.request("GET", SAFE_CLASS);
@@ -75,26 +74,26 @@
     }
 }
 
-/// Reads one answer with its body, whose length it has to tell.
+/// Reads one answer, which needs a `Content-Length`.
 fn read_answer(connection: &mut TcpStream) -> io::Result<()> {
     let mut answer = Vec::new();
-    let mut part = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
-        let read = connection.read(&mut part)?;
+        let read = connection.read(&mut chunk)?;
         if read == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        answer.extend_from_slice(&part[..read]);
+        answer.extend_from_slice(&chunk[..read]);
         if answer_length(&answer)?.is_some_and(|length| answer.len() >= length) {
             return Ok(());
         }
         if answer.len() > MAX_ANSWER_BYTES {
-            return Err(io::Error::other("the answer does not end"));
+            return Err(io::Error::other("the answer is too long"));
         }
     }
 }
 
-/// The length of an answer with its head, once all of its head is there.
+/// Returns the length of an answer including its head; none while the head is incomplete.
 fn answer_length(answer: &[u8]) -> io::Result<Option<usize>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -114,5 +113,5 @@
     let length = length.and_then(|header| str::from_utf8(header.value).ok()?.parse::<usize>().ok());
     length
         .map(|length| Some(head + length))
-        .ok_or_else(|| io::Error::other("the answer tells no length"))
+        .ok_or_else(|| io::Error::other("the answer has no length"))
 }
--- a/fleet-lab/src/scenario/context.rs
+++ b/fleet-lab/src/scenario/context.rs
@@ -1,8 +1,8 @@
-//! What all experiments of a run share.
+//! The context that all experiments of a run share.
 
 use std::path::PathBuf;
 
-/// What all experiments of a run share.
+/// The context that all experiments of a run share.
 #[derive(Clone, Debug)]
 pub struct RunContext {
     /// The built sidecar program.
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -1,25 +1,25 @@
-//! Processor time and bytes for changes of the list, probes and reloads of a real sidecar.
+//! Processor time and bytes that list changes, health checks and reloads cost a real sidecar.
 
 use super::context::RunContext;
 use super::latency::toggle_weight;
+use super::load::{CALLER_DEADLINE, SAFE_CLASS, describe_unserved, load_target, run_load};
 use super::metric_table::MetricTable;
 use super::outcome::{ScenarioError, ScenarioOutcome};
-use super::single_sidecar::{
-    CALLER_DEADLINE, SAFE_CLASS, SingleSidecar, SingleSidecarOptions, describe_unserved,
-};
-use crate::caller::{self, LoadPlan, LoadTarget};
+use super::single_sidecar::{SingleSidecar, SingleSidecarOptions};
+use crate::caller::LoadPlan;
 use crate::endpoint::{EndpointOptions, ServiceTime};
 use crate::experiment::ControlCost;
 use crate::report::Metric;
+use crate::sidecar::configuration::LoadReports;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The worth that a reload gives the class of safe requests, in turn with its own.
+/// The priority weight that every second reload gives the class of safe requests.
 const CHANGED_PRIORITY_WEIGHT: f64 = 0.9;
-/// How long a sidecar rests before its idle state is measured.
+/// How long a sidecar runs before its idle state is measured.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// Endpoints that answer at once, with load reports.
+/// Endpoints that answer immediately, with load reports.
 const ENDPOINT: EndpointOptions = EndpointOptions {
     cores: 64,
     queue: 64,
@@ -38,7 +38,7 @@
     let period = Duration::from_secs_f64(plan.seconds);
     let mut outcome = ScenarioOutcome::default();
     {
-        let single_sidecar = start(plan.endpoints, false, seed, context)?;
+        let single_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
         thread::sleep(SETTLE);
         let idle = Cost::over(&single_sidecar, || {
             thread::sleep(period);
@@ -58,14 +58,14 @@
     Ok(outcome)
 }
 
-/// What something cost the sidecar and discovery.
+/// The cost of an action for the sidecar and for discovery.
 struct Cost {
     processor_time: Duration,
     watch_bytes: u64,
 }
 
 impl Cost {
-    /// What this costs while it runs.
+    /// Measures the cost of an action.
     fn over(
         single_sidecar: &SingleSidecar,
         action: impl FnOnce() -> Result<(), ScenarioError>,
@@ -82,12 +82,12 @@
         })
     }
 
-    /// Processor time beyond that of an idle period of the same length, in milliseconds.
+    /// Returns the processor time beyond that of an idle period of the same length, in milliseconds.
     fn milliseconds_beyond(&self, idle: &Cost) -> f64 {
         (self.processor_time.as_secs_f64() - idle.processor_time.as_secs_f64()) * 1e3
     }
 
-    /// Bytes of the watch beyond those of an idle period of the same length.
+    /// Returns the bytes on the watch beyond those of an idle period of the same length.
     fn bytes_beyond(&self, idle: &Cost) -> f64 {
         self.watch_bytes as f64 - idle.watch_bytes as f64
     }
@@ -95,7 +95,7 @@
 
 fn start(
     endpoints: u32,
-    health_checks: bool,
+    load_reports: LoadReports,
     seed: u64,
     context: &RunContext,
 ) -> Result<SingleSidecar, ScenarioError> {
@@ -103,7 +103,7 @@
         endpoints,
         endpoint: &ENDPOINT,
         deadline: CALLER_DEADLINE,
-        health_checks,
+        load_reports,
         seed,
     };
     SingleSidecar::start(&options, context)
@@ -129,7 +129,7 @@
     table.with_slopes()
 }
 
-/// Runs an action so many times, evenly within a period, and waits for the period's end.
+/// Runs an action a number of times, spread evenly over a period, and waits for the period's end.
 fn spread(
     count: u32,
     period: Duration,
@@ -211,7 +211,7 @@
     Ok(table.with_slopes())
 }
 
-/// Probes that a sidecar makes at each rate of calls, and what a call costs it with them and without.
+/// Measures the health checks that a sidecar makes at each rate of calls, and its processor time with and without them.
 fn health_checks(
     plan: &ControlCost,
     seed: u64,
@@ -219,26 +219,43 @@
     period: Duration,
     outcome: &mut ScenarioOutcome,
 ) -> Result<(), ScenarioError> {
-    let health_check = start(plan.endpoints, true, seed, context)?;
-    let reported = start(plan.endpoints, false, seed, context)?;
+    let checking_sidecar = start(plan.endpoints, LoadReports::WithHealthChecks, seed, context)?;
+    let reporting_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
     let mut table = MetricTable::over("calls/s");
     for rate in &plan.health_check_rates {
-        let with = call_cost(&health_check, *rate, period, seed, &mut outcome.problems)?;
-        let without = call_cost(&reported, *rate, period, seed, &mut outcome.problems)?;
-        table.add("probes a call", "1", *rate, with.health_checks / with.calls);
+        let with_checks = call_cost(
+            &checking_sidecar,
+            *rate,
+            period,
+            seed,
+            &mut outcome.problems,
+        )?;
+        let without_checks = call_cost(
+            &reporting_sidecar,
+            *rate,
+            period,
+            seed,
+            &mut outcome.problems,
+        )?;
+        table.add(
+            "probes a call",
+            "1",
+            *rate,
+            with_checks.health_checks / with_checks.calls,
+        );
         table.add(
             "probes a second",
             "1",
             *rate,
-            with.health_checks / period.as_secs_f64(),
+            with_checks.health_checks / period.as_secs_f64(),
         );
         table.add(
             "processor time a call with probes",
             "µs",
             *rate,
-            with.microseconds / with.calls,
+            with_checks.microseconds / with_checks.calls,
         );
-        let microseconds = without.microseconds / without.calls;
+        let microseconds = without_checks.microseconds / without_checks.calls;
         table.add(
             "processor time a call without probes",
             "µs",
@@ -250,7 +267,7 @@
     Ok(())
 }
 
-/// What calls at one rate came to.
+/// The calls at one rate and what they cost.
 struct CallCost {
     calls: f64,
     health_checks: f64,
@@ -264,13 +281,7 @@
     seed: u64,
     problems: &mut Vec<String>,
 ) -> Result<CallCost, ScenarioError> {
-    let target = LoadTarget {
-        address: single_sidecar.sidecar.address(),
-        calls_per_second: rate,
-        class: SAFE_CLASS.into(),
-        is_unsafe: false,
-        deadline: CALLER_DEADLINE,
-    };
+    let target = load_target(single_sidecar.sidecar.address(), rate, SAFE_CLASS);
     let load = LoadPlan {
         targets: vec![target],
         warm_up: Duration::ZERO,
@@ -280,15 +291,14 @@
     let health_checks = single_sidecar.endpoint_health_checks();
     let mut calls = 0;
     let cost = Cost::over(single_sidecar, || {
-        for result in caller::run(&load).map_err(ScenarioError::step("run the callers"))? {
+        for result in run_load(&load)? {
             calls += result.sent;
-            let what = if single_sidecar.configuration.health_checks {
-                "with probes"
-            } else {
-                "without probes"
+            let measurement = match single_sidecar.configuration.load_reports {
+                LoadReports::WithHealthChecks => "with health checks",
+                LoadReports::WithAnswers => "without health checks",
             };
             problems.extend(describe_unserved(
-                &format!("{what} at {rate} calls/s"),
+                &format!("{measurement} at {rate} calls/s"),
                 &result,
             ));
         }
--- a/fleet-lab/src/scenario/depth.rs
+++ b/fleet-lab/src/scenario/depth.rs
@@ -1,14 +1,13 @@
-//! Chains of tiers, each with its real sidecar: latency that they add, and attempts that retries multiply, by depth.
+//! Chains of tiers with a real sidecar for each endpoint: added latency and retry amplification by depth.
 
 use super::chain::{Chain, ChainOptions, start_direct_chain};
 use super::context::RunContext;
+use super::load::{SAFE_CLASS, describe_unserved, load_target, quantile_ms, run_load};
 use super::metric_table::MetricTable;
 use super::outcome::{ScenarioError, ScenarioOutcome};
-use super::single_sidecar::{CALLER_DEADLINE, SAFE_CLASS, describe_unserved, quantile_ms};
-use crate::caller::{self, LoadPlan, LoadTarget, TargetResult};
+use crate::caller::{LoadPlan, TargetResult};
 use crate::endpoint::EndpointOptions;
 use crate::experiment::{AddedLatencyByDepth, RetryAmplification};
-use std::net::SocketAddr;
 use std::time::Duration;
 
 pub(super) fn run_latency(
@@ -30,13 +29,13 @@
         let direct = start_direct_chain(&chain.host, *depth, &plan.endpoint)?;
         let load = LoadPlan {
             targets: [direct, chain.address()]
-                .map(|to| target(to, plan.calls_per_second))
+                .map(|to| load_target(to, plan.calls_per_second, SAFE_CLASS))
                 .into(),
             warm_up: Duration::from_secs_f64(plan.warm_up_seconds),
             duration: Duration::from_secs_f64(plan.seconds),
             seed,
         };
-        let results = run_callers(&load)?;
+        let results = run_load(&load)?;
         let [direct, proxied] = &results[..] else {
             return Err(ScenarioError::NotReached("a result for each target".into()));
         };
@@ -96,12 +95,16 @@
         };
         let chain = Chain::start(&options, context)?;
         let load = LoadPlan {
-            targets: vec![target(chain.address(), plan.calls_per_second)],
+            targets: vec![load_target(
+                chain.address(),
+                plan.calls_per_second,
+                SAFE_CLASS,
+            )],
             warm_up: Duration::ZERO,
             duration: Duration::from_secs_f64(plan.seconds),
             seed,
         };
-        let results = run_callers(&load)?;
+        let results = run_load(&load)?;
         let calls = results.iter().map(|result| result.sent).sum::<u64>().max(1) as f64;
         let served = results.iter().map(|result| result.served).sum::<u64>() as f64;
         let size = f64::from(*depth);
@@ -118,17 +121,3 @@
         problems: Vec::new(),
     })
 }
-
-fn run_callers(load: &LoadPlan) -> Result<Vec<TargetResult>, ScenarioError> {
-    caller::run(load).map_err(ScenarioError::step("run the callers"))
-}
-
-fn target(address: SocketAddr, calls_per_second: f64) -> LoadTarget {
-    LoadTarget {
-        address,
-        calls_per_second,
-        class: SAFE_CLASS.into(),
-        is_unsafe: false,
-        deadline: CALLER_DEADLINE,
-    }
-}
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -1,9 +1,9 @@
-//! What each failure of the operators' plan costs a fleet, and for how long.
+//! The cost of each failure of the operators' plan for a fleet, and its duration.
 //!
-//! One hollow sidecar stands beside each endpoint. Two things are simpler than in the plan. Sidecars beside machines
-//! that have vanished go on calling until they start again with their machines, so a lost zone costs more calls here
-//! than there. And the endpoints that can be reached are the same for all sidecars, so a region is cut off from
-//! discovery, but not from the other region's endpoints.
+//! There is one simulated sidecar for each endpoint. Two simplifications are made: sidecars on failed machines go on
+//! calling until they are restarted with their machines, so a lost zone costs more calls than in the plan. And all
+//! sidecars reach the same endpoints, so a partitioned region loses discovery, but not the endpoints of the other
+//! region.
 
 mod cost;
 mod injection;
@@ -20,7 +20,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What every figure's sizes count.
+/// The unit of the metrics' sizes.
 const FAULT_NUMBER: &str = "fault";
 
 pub(super) fn run(plan: &Failures, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
@@ -54,7 +54,7 @@
     })
 }
 
-/// A fleet with one sidecar for each endpoint of the topology, in the endpoint's zone.
+/// Plans a fleet with one sidecar for each endpoint of the topology, in the endpoint's zone.
 fn fleet_plan(plan: &Failures, topology: &Topology, seed: u64) -> FleetPlan {
     let placements = &topology.placements;
     let entries = (0..).zip(placements).map(|(number, placement)| {
@@ -79,14 +79,14 @@
     }
 }
 
-/// What the fleet does while nothing fails.
+/// Measures the fleet without a fault.
 fn measure_idle(fleet: &RunningFleet, pause: Duration) -> FaultCost {
     let from = fleet.current_second();
     thread::sleep(pause);
     FaultCost::over(&fleet.seconds_since(from))
 }
 
-/// What a fault costs from its start until the rest after it is over and the list is current again.
+/// Measures the cost of a fault from its start until the list is current again and the pause after it is over.
 fn measure_fault(
     injector: &FaultInjector<'_>,
     fault: &Fault,
@@ -114,10 +114,12 @@
         Fault::Restarts { wave, .. } => format!("{machines} machines restart, {wave} at once"),
         Fault::Rack => format!("a rack with {machines} machines vanishes"),
         Fault::Zone => {
-            format!("a zone with {machines} machines vanishes, its discovery address is silent")
+            format!(
+                "a zone with {machines} machines vanishes, and it is partitioned from discovery"
+            )
         }
         Fault::RegionCut => format!(
-            "a region of {} zones is cut off from discovery, but not from the other region's endpoints",
+            "a region of {} zones is partitioned from discovery, but not from the other region's endpoints",
             impact.partitioned_zones.len()
         ),
         Fault::DiscoveryOutage => "discovery is down".to_owned(),
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -1,37 +1,37 @@
-//! What a fleet's timeline says of a fault.
+//! The cost of a fault, computed from a fleet's timeline.
 
 use crate::scenario::fleet::add_convergence_times;
 use crate::scenario::metric_table::MetricTable;
 use crate::sidecar::simulated::{ConvergenceTimes, SecondCounts};
 use std::time::Duration;
 
-/// How long the list may take to be current everywhere after a fault's end.
+/// How long the list may take to become current everywhere after a fault.
 pub(super) const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A second with a smaller share of calls not served counts as recovered.
+/// A second with a smaller fraction of unserved calls counts as recovered.
 const RECOVERED_FRACTION: f64 = 0.01;
 
-/// What a fault cost the fleet's callers, and how long its list was behind.
+/// The cost of a fault for the fleet's callers, and the time until its list is current again.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FaultCost {
-    /// Calls, over all seconds.
+    /// All calls.
     pub calls: u64,
-    /// Calls that were refused or failed.
+    /// Calls that were rejected or failed.
     pub unserved: u64,
     /// Attempts that were started.
     pub attempts: u64,
-    /// The largest share of calls not served within one second.
+    /// The largest fraction of unserved calls within one second.
     pub worst_unserved_fraction: f64,
-    /// The most attempts beyond one for each call within one second.
+    /// The largest number of retries for each call within one second.
     pub worst_retries_per_call: f64,
-    /// Seconds until the share was below [`RECOVERED_FRACTION`] for good.
+    /// Seconds until the fraction stayed below [`RECOVERED_FRACTION`].
     pub seconds_until_recovered: usize,
-    /// When each sidecar knew the fault's last change after its end.
+    /// When each sidecar received the last change, counted from the fault's end.
     pub current: Option<ConvergenceTimes>,
 }
 
 impl FaultCost {
-    /// What these seconds cost.
+    /// Computes the cost over these seconds.
     pub fn over(seconds: &[SecondCounts]) -> Self {
         let total = |count: fn(&SecondCounts) -> u64| seconds.iter().map(count).sum();
         let last_unrecovered = seconds
@@ -52,14 +52,14 @@
     }
 }
 
-/// The share of a second's calls that were not served. A call counts in the second of its end, so an end of calls
-/// that came a second earlier may exceed all.
+/// Returns the fraction of a second's calls that were unserved. A call counts in the second of its end, so the unserved
+/// calls may include some of the previous second.
 fn unserved_fraction(second: &SecondCounts) -> f64 {
     ratio(second.unserved, second.calls).min(1.0)
 }
 
-/// Attempts beyond one, for each call. A call that was refused has none, and one that came in the last millisecond may
-/// have its first attempt in the next second, so there may seem to be fewer than none.
+/// Returns the retries for each call. A rejected call has no attempt, and a call of the last millisecond may have its
+/// first attempt in the next second, so there may be fewer attempts than calls.
 fn retries_per_call(attempts: u64, calls: u64) -> f64 {
     ratio(attempts.saturating_sub(calls), calls)
 }
@@ -68,7 +68,7 @@
     part as f64 / whole.max(1) as f64
 }
 
-/// Adds a fault's cost to the figures.
+/// Adds a fault's cost to the metrics.
 pub(super) fn record(table: &mut MetricTable, fault: u64, cost: &FaultCost) {
     let number = fault as f64;
     let mut add = |name: &str, unit: &str, value: f64| table.add(name, unit, number, value);
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -1,15 +1,15 @@
-//! What experiments with a fleet of hollow sidecars share: a discovery service with a list of endpoints, the
-//! sidecars' configurations, and their start.
+//! What experiments with a fleet of simulated sidecars share: discovery, the sidecars' configurations, and the start of
+//! both.
 
 mod metrics;
 
-pub(super) use metrics::{add_convergence_times, add_discovery_calls, merge};
+pub(super) use metrics::{add_convergence_times, add_discovery_calls};
 
 use super::outcome::ScenarioError;
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use crate::experiment::{DiscoveryCapacity, Fleet};
 use crate::sidecar::configuration::{
-    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+    LoadReports, RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
 };
 use crate::sidecar::simulated::{SecondCounts, SimulatedFleet, SimulatedLoad};
 use crate::topology::ZoneName;
@@ -17,19 +17,19 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// Zones of a fleet whose experiment describes no topology; the plan has as many.
+/// Zones of a fleet whose experiment has no topology, as many as in the operators' plan.
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
-/// Time between the empty lines of an idle watch, as the protocol page has it.
+/// Time between the empty lines on an idle watch, as in the discovery protocol.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Past changes that discovery remembers: more than any experiment publishes.
+/// Past changes that discovery retains: more than any experiment publishes.
 const RETAINED_CHANGES: usize = 1000;
-/// Threads that drive a fleet.
+/// Threads that host a fleet.
 const FLEET_THREADS: usize = 2;
-/// Mean time that an endpoint takes for a call.
+/// Mean service time of the endpoints.
 const MEAN_SERVICE_TIME: Duration = Duration::from_millis(5);
-/// Each sidecar whose number is a multiple of this is a busy one,
+/// Every sidecar whose number is a multiple of this is a busy one,
 const BUSY_EVERY: usize = 10;
-/// with so many times the mean rate of calls.
+/// with this multiple of the mean rate of calls.
 const BUSY_MULTIPLE: f64 = 3.0;
 /// How long a caller waits.
 const CALL_DEADLINE: Duration = Duration::from_secs(1);
@@ -38,14 +38,14 @@
     memory_mb: 128,
     descriptors: 1024,
 };
-/// Calls that discovery answers a second until all sidecars watch; the experiment's capacity holds from then on, so
-/// that it does not take minutes to start a fleet.
+/// Calls that discovery handles a second during the start. The experiment's capacity applies afterwards, as the start
+/// would take minutes with it.
 const START_CALLS_PER_SECOND: f64 = 1000.0;
 /// How long a start may take.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Port of all endpoints. Nobody listens there: hollow sidecars answer their calls in memory.
+/// The port of all endpoints. Nothing listens there, as attempts are simulated in memory.
 const ENDPOINT_PORT: u16 = 7070;
-/// The weight of an endpoint, and the one that a change gives it.
+/// The weight of an endpoint, and the weight after a change.
 const WEIGHT: f64 = 1.0;
 const CHANGED_WEIGHT: f64 = 0.9;
 
@@ -113,7 +113,7 @@
             &self.zones,
             self.endpoints.clone(),
         )
-        .map_err(ScenarioError::step("starting discovery"))?;
+        .map_err(ScenarioError::step("start discovery"))?;
         let started = Instant::now();
         let load = SimulatedLoad {
             calls_per_second: self.calls_per_second,
@@ -129,14 +129,14 @@
         let size = self.sidecar_zones.len();
         if watching.missing > 0 {
             let problem = format!(
-                "{} of {size} sidecars had no watch in time",
+                "{} of {size} sidecars had no open watch in time",
                 watching.missing
             );
             return Err(ScenarioError::NotReached(problem));
         }
         discovery
             .set_calls_per_second(self.capacity.calls_per_second)
-            .map_err(ScenarioError::step("setting discovery's capacity"))?;
+            .map_err(ScenarioError::step("set discovery's capacity"))?;
         Ok(RunningFleet {
             sidecars,
             discovery,
@@ -174,7 +174,7 @@
                 discovery_mode: self.discovery_mode,
                 cached_list: cached_list.clone(),
                 classes: vec![request_class()],
-                health_checks: false,
+                load_reports: LoadReports::WithAnswers,
                 seed: self.seed.wrapping_add(u64::from(number)),
                 limits: SIDECAR_LIMITS,
             })
@@ -182,18 +182,18 @@
     }
 }
 
-/// A fleet at work. The sidecars end before discovery does.
+/// A running fleet. The sidecars are stopped before discovery.
 pub(super) struct RunningFleet {
     /// The sidecars.
     pub sidecars: SimulatedFleet,
-    /// What they watch.
+    /// The discovery service that they watch.
     pub discovery: DiscoveryServer,
-    /// How many sidecars there are.
+    /// The number of sidecars.
     pub size: usize,
 }
 
 impl RunningFleet {
-    /// Publishes another weight for one endpoint, a different endpoint for each number; returns the new version.
+    /// Publishes a changed weight of one endpoint, by its number; returns the new version.
     pub fn publish_change(&self, number: u32) -> u64 {
         let endpoints = self.discovery.snapshot().endpoints;
         let mut entry = endpoints[number as usize % endpoints.len()].clone();
@@ -205,12 +205,12 @@
         self.discovery.publish(vec![entry])
     }
 
-    /// The present second of the sidecars' timeline.
+    /// Returns the index of the current second in the sidecars' timeline.
     pub fn current_second(&self) -> usize {
         self.sidecars.timeline().len().saturating_sub(1)
     }
 
-    /// The timeline from this second on, up to the present one, which is not over yet.
+    /// Returns the timeline from this second on, without the current second, which is incomplete.
     pub fn seconds_since(&self, from: usize) -> Vec<SecondCounts> {
         let mut seconds = self.sidecars.timeline();
         seconds.pop();
@@ -218,7 +218,7 @@
     }
 }
 
-/// A serving endpoint of long ago, at an address of its own that nobody listens at.
+/// Returns a serving endpoint that started long ago, with an address of its own at which nothing listens.
 pub(super) fn endpoint_entry(name: String, zone: ZoneName, number: u32) -> EndpointEntry {
     let [_, _, high, low] = number.to_be_bytes();
     EndpointEntry {
@@ -242,7 +242,7 @@
     }
 }
 
-/// What the mean rate is multiplied by for a sidecar; the multiples of ten sidecars in a row add up to ten.
+/// Returns the factor of a sidecar's rate of calls. The factors of ten consecutive sidecars add up to ten.
 fn rate_multiple(sidecar: usize) -> f64 {
     if sidecar.is_multiple_of(BUSY_EVERY) {
         return BUSY_MULTIPLE;
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -1,28 +1,28 @@
-//! What a fleet's arrivals and its calls of discovery add to the figures.
+//! Metrics of convergence times and of calls of discovery.
 
 use crate::discovery::DiscoveryUsage;
 use crate::scenario::metric_table::MetricTable;
 use crate::sidecar::simulated::ConvergenceTimes;
 use std::time::Duration;
 
-/// What is said of a figure made from a quantile of arrivals where some are missing.
+/// The note on a quantile of convergence times where sidecars are missing.
 const MISSING_NOTE: &str = "Over all sidecars; \
-    one that did not arrive counts with the whole wait, \
+    one that is missing counts with the timeout, \
     so the value may be a lower bound.";
 
-/// Adds the times at which this share of the sidecars had arrived, for each of these shares, and how many were
-/// missing at the end of a wait of `timeout`.
+/// Adds quantiles of convergence times and the number of sidecars that were missing at the timeout. Where sidecars are
+/// missing, a quantile may be the timeout.
 pub(in crate::scenario) fn add_convergence_times(
     table: &mut MetricTable,
     what: &str,
-    shares: &[(&str, f64)],
+    quantiles: &[(&str, f64)],
     size: f64,
     times: &ConvergenceTimes,
     timeout: Duration,
 ) {
-    for (label, unserved_fraction) in shares {
+    for (label, fraction) in quantiles {
         let name = format!("{what}: {label}");
-        let time = quantile(times, *unserved_fraction).unwrap_or(timeout);
+        let time = quantile(times, *fraction).unwrap_or(timeout);
         table.add(&name, "ms", size, milliseconds(time));
         if times.missing > 0 {
             table.note(&name, MISSING_NOTE);
@@ -37,46 +37,35 @@
     );
 }
 
-/// Adds what discovery was called for each sidecar between two readings of its usage.
+/// Adds the calls of discovery for each sidecar between two readings of its usage.
 pub(in crate::scenario) fn add_discovery_calls(
     table: &mut MetricTable,
     when: &str,
     size: f64,
-    before: &DiscoveryUsage,
-    after: &DiscoveryUsage,
+    start: &DiscoveryUsage,
+    end: &DiscoveryUsage,
 ) {
     let counts = [
-        ("connections", before.connections, after.connections),
-        ("lists", before.lists, after.lists),
-        (
-            "watches opened",
-            before.watches_opened,
-            after.watches_opened,
-        ),
-        ("calls rejected", before.rejected, after.rejected),
-        ("calls abandoned", before.disconnected, after.disconnected),
+        ("connections", start.connections, end.connections),
+        ("lists", start.lists, end.lists),
+        ("watches opened", start.watches_opened, end.watches_opened),
+        ("calls rejected", start.rejected, end.rejected),
+        ("calls abandoned", start.disconnected, end.disconnected),
     ];
-    for (what, before, after) in counts {
+    for (what, start, end) in counts {
         let name = format!("{what} {when}");
-        table.add(&name, "a sidecar", size, (after - before) as f64 / size);
+        table.add(&name, "a sidecar", size, (end - start) as f64 / size);
     }
 }
 
-/// Adds the arrivals of another wait to these.
-pub(in crate::scenario) fn merge(times: &mut ConvergenceTimes, other: ConvergenceTimes) {
-    times.reached_after.extend(other.reached_after);
-    times.reached_after.sort();
-    times.missing += other.missing;
-}
-
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
 }
 
-/// The time at which this share of all sidecars had arrived, by nearest rank; none if not so many did.
-fn quantile(times: &ConvergenceTimes, unserved_fraction: f64) -> Option<Duration> {
+/// Returns a quantile of the convergence times of all sidecars, by nearest rank; none if too few have converged.
+fn quantile(times: &ConvergenceTimes, fraction: f64) -> Option<Duration> {
     let all = times.reached_after.len() + times.missing;
-    let rank = (unserved_fraction * all as f64).ceil() as usize;
+    let rank = (fraction * all as f64).ceil() as usize;
     times.reached_after.get(rank.max(1) - 1).copied()
 }
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -1,4 +1,4 @@
-//! Time until all sidecars are ready that restart at once, by fleet size.
+//! Time until all sidecars are ready after a simultaneous restart, by fleet size.
 
 use super::fleet::{
     CachedList, FleetPlan, RunningFleet, add_convergence_times, add_discovery_calls,
@@ -8,15 +8,16 @@
 use crate::experiment::FleetRestart;
 use std::time::{Duration, Instant};
 
-/// The shares of a fleet whose arrival is reported.
+/// The fractions of a fleet whose convergence time is reported.
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
-/// What the sidecars' configurations hold, and how figures call it.
+/// The contents of the sidecars' configurations, and their names in the metrics.
 const VARIANTS: [(CachedList, &str); 2] = [
     (CachedList::Full, "endpoints known"),
     (CachedList::Missing, "none known"),
 ];
-/// What keeps sidecars that know endpoints from being ready at once.
-const READY_NOTE: &str = "All decision modules start on two threads of one process, and the time that takes is included.";
+/// A note on sidecars that have a cached list and are not ready immediately.
+const READY_NOTE: &str =
+    "Includes the time in which all decision modules start, on two threads of one process.";
 
 pub(super) fn run(plan: &FleetRestart, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let mut table = MetricTable::over("sidecars");
@@ -35,18 +36,18 @@
     })
 }
 
-/// Restarts all sidecars at once and waits until all are ready and watch.
+/// Restarts all sidecars at the same time and waits until all are ready and have an open watch.
 fn measure(plan: &FleetRestart, fleet: &RunningFleet, label: &str, table: &mut MetricTable) {
     let size = fleet.size as f64;
     let timeout = Duration::from_secs_f64(plan.longest_seconds);
     let all: Vec<usize> = (0..fleet.size).collect();
 
-    let before = fleet.discovery.usage();
+    let start_usage = fleet.discovery.usage();
     let restarted = Instant::now();
     fleet.sidecars.restart(&all);
     let ready = fleet.sidecars.wait_until_ready(restarted, timeout);
     let watching = fleet.sidecars.wait_until_watching(restarted, timeout);
-    let after = fleet.discovery.usage();
+    let end_usage = fleet.discovery.usage();
 
     add_convergence_times(
         table,
@@ -68,7 +69,7 @@
         table,
         &format!("until all watch, {label}"),
         size,
-        &before,
-        &after,
+        &start_usage,
+        &end_usage,
     );
 }
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -1,23 +1,24 @@
-//! Latency that one real sidecar adds, and its processor time a call, by rate.
+//! Latency that one real sidecar adds, and its processor time for each call, by rate.
 
 use super::context::RunContext;
+use super::load::{
+    CALLER_DEADLINE, SAFE_CLASS, UNSAFE_CLASS, describe_unserved, load_target, quantile_ms,
+};
 use super::metric_table::MetricTable;
 use super::outcome::{ScenarioError, ScenarioOutcome};
-use super::single_sidecar::{
-    CALLER_DEADLINE, SAFE_CLASS, SingleSidecar, SingleSidecarOptions, UNSAFE_CLASS,
-    describe_unserved, quantile_ms,
-};
-use crate::caller::{self, LoadPlan, LoadTarget, TargetResult};
+use super::single_sidecar::{SingleSidecar, SingleSidecarOptions};
+use crate::caller::{self, LoadPlan, TargetResult};
 use crate::discovery::EndpointEntry;
 use crate::experiment::AddedLatency;
 use crate::loopback_tier::LoopbackTier;
 use crate::measure::ProcessUsage;
+use crate::sidecar::configuration::LoadReports;
 use std::io;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The weight that a change gives an endpoint, in turn with its own.
+/// The weight that every second change of an endpoint gives it.
 const CHANGED_WEIGHT: f64 = 0.9;
 
 pub(super) fn run(
@@ -29,7 +30,7 @@
         endpoints: plan.endpoints,
         endpoint: &plan.endpoint,
         deadline: CALLER_DEADLINE,
-        health_checks: false,
+        load_reports: LoadReports::WithAnswers,
         seed,
     };
     let single_sidecar = SingleSidecar::start(&options, context)?;
@@ -52,11 +53,11 @@
 fn add_notes(table: &mut MetricTable) {
     table.note(
         "through p99.9",
-        "The longest one where fewer than 1,000 calls were measured.",
+        "The maximum where fewer than 1,000 calls were measured.",
     );
     table.note(
         "unsafe added p99",
-        "The longest one where fewer than 100 unsafe calls were measured.",
+        "The maximum where fewer than 100 unsafe calls were measured.",
     );
     table.note(
         "processor time a call",
@@ -64,15 +65,15 @@
     );
     table.note(
         "resident memory",
-        "It grows with the connections that are open, which `descriptors` tells.",
+        "It grows with the open connections, see `descriptors`.",
     );
 }
 
-/// What was measured at one rate.
+/// The measurements at one rate.
 struct Measured {
     direct: TargetResult,
     proxied: TargetResult,
-    /// Calls that are unsafe to repeat, where there are any.
+    /// Calls that are unsafe to repeat, if the experiment has any.
     proxied_unsafe: Option<TargetResult>,
     processor_time: Duration,
     attempts: u64,
@@ -80,7 +81,7 @@
     usage: ProcessUsage,
 }
 
-/// The same rate straight to an endpoint and through the sidecar, there perhaps parted over two classes.
+/// Plans the same rate directly to an endpoint and through the sidecar, where it may be split over two classes.
 fn load_plan(
     plan: &AddedLatency,
     rate: f64,
@@ -90,11 +91,11 @@
 ) -> LoadPlan {
     let unsafe_rate = rate * plan.unsafe_share;
     let mut targets = vec![
-        target(direct, rate, SAFE_CLASS),
-        target(sidecar, rate - unsafe_rate, SAFE_CLASS),
+        load_target(direct, rate, SAFE_CLASS),
+        load_target(sidecar, rate - unsafe_rate, SAFE_CLASS),
     ];
     if unsafe_rate > 0.0 {
-        targets.push(target(sidecar, unsafe_rate, UNSAFE_CLASS));
+        targets.push(load_target(sidecar, unsafe_rate, UNSAFE_CLASS));
     }
     LoadPlan {
         targets,
@@ -104,16 +105,6 @@
     }
 }
 
-fn target(address: SocketAddr, calls_per_second: f64, class: &str) -> LoadTarget {
-    LoadTarget {
-        address,
-        calls_per_second,
-        class: class.into(),
-        is_unsafe: class == UNSAFE_CLASS,
-        deadline: CALLER_DEADLINE,
-    }
-}
-
 fn measure(
     single_sidecar: &SingleSidecar,
     load: &LoadPlan,
@@ -148,7 +139,7 @@
     })
 }
 
-/// Runs a load to its end, while the list changes at a steady rate.
+/// Runs a load to its end while the list changes at a constant rate.
 fn run_with_changes(
     load: &LoadPlan,
     changes_per_second: f64,
@@ -167,7 +158,7 @@
     })
 }
 
-/// Changes the weight of one endpoint after another, once each period.
+/// Changes the weight of one endpoint after another, one in each period.
 fn publish_changes(tier: &LoopbackTier, period: Duration, is_over: impl Fn() -> bool) {
     let mut entries = tier.entries();
     let mut due = Instant::now();
@@ -182,7 +173,7 @@
     }
 }
 
-/// Changes an endpoint's weight, or changes it back.
+/// Changes an endpoint's weight, or restores it.
 pub(super) fn toggle_weight(entry: &mut EndpointEntry) -> EndpointEntry {
     entry.weight = if entry.weight == CHANGED_WEIGHT {
         1.0
--- a/fleet-lab/src/scenario/memory.rs
+++ b/fleet-lab/src/scenario/memory.rs
@@ -1,25 +1,27 @@
-//! A real sidecar's memory by listed endpoints, open requests and callers' connections.
+//! A real sidecar's memory by listed endpoints, pending requests and client connections.
 
 use super::client_connections::ClientConnections;
 use super::context::RunContext;
+use super::load::CALLER_DEADLINE;
 use super::metric_table::MetricTable;
 use super::outcome::{ScenarioError, ScenarioOutcome};
-use super::single_sidecar::{CALLER_DEADLINE, SingleSidecar, SingleSidecarOptions};
+use super::single_sidecar::{SingleSidecar, SingleSidecarOptions};
 use crate::endpoint::{EndpointOptions, ServiceTime};
 use crate::experiment::Memory;
 use crate::measure::ProcessUsage;
+use crate::sidecar::configuration::LoadReports;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Endpoints of the measurements whose size is another.
+/// The number of endpoints in measurements that vary something else.
 const FEW_ENDPOINTS: u32 = 20;
-/// How long an endpoint works on a request that is held open.
+/// How long an endpoint works on a request that is to stay pending.
 const SERVICE_TIME: Duration = Duration::from_secs(60);
-/// How long a sidecar rests before it is measured.
+/// How long a sidecar runs before it is measured.
 const SETTLE: Duration = Duration::from_secs(1);
-/// How long requests may take to be open all at once.
+/// How long it may take until all requests are pending.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time between two looks at a state that is waited for.
+/// The interval at which an awaited state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub(super) fn run(
@@ -79,18 +81,18 @@
         client_connections
             .open_requests(*count as usize)
             .map_err(ScenarioError::step("open requests"))?;
-        let open = wait_for_pending(&single_sidecar, u64::from(*count))?;
+        let pending = wait_for_pending(&single_sidecar, u64::from(*count))?;
         thread::sleep(SETTLE);
         add(
             &mut table,
             "memory by open requests",
-            open as f64,
+            pending as f64,
             &single_sidecar.usage()?,
         );
-        if open < u64::from(*count) {
-            outcome
-                .problems
-                .push(format!("of {count} requests {open} were open at once"));
+        if pending < u64::from(*count) {
+            outcome.problems.push(format!(
+                "of {count} requests {pending} were pending at once"
+            ));
         }
     }
     outcome.metrics.extend(table.with_slopes());
@@ -128,7 +130,7 @@
         if usage.descriptors < u64::from(*count) {
             let descriptors = usage.descriptors;
             outcome.problems.push(format!(
-                "of {count} connections at most {descriptors} were held"
+                "of {count} connections at most {descriptors} were open"
             ));
         }
     }
@@ -156,7 +158,7 @@
         endpoints,
         endpoint: &endpoint,
         deadline,
-        health_checks: false,
+        load_reports: LoadReports::WithAnswers,
         seed,
     };
     SingleSidecar::start(&options, context)
@@ -166,12 +168,12 @@
     table.add(name, "bytes", size, usage.anonymous_bytes as f64);
 }
 
-/// Waits until so many requests are open; how many are at the end of the wait.
+/// Waits until this many requests are pending; returns how many are at the end of the wait.
 fn wait_for_pending(single_sidecar: &SingleSidecar, count: u64) -> Result<u64, ScenarioError> {
-    let give_up = Instant::now() + OPEN_TIMEOUT;
+    let give_up_at = Instant::now() + OPEN_TIMEOUT;
     loop {
         let pending = single_sidecar.metric("pending")?;
-        if pending >= count || Instant::now() >= give_up {
+        if pending >= count || Instant::now() >= give_up_at {
             return Ok(pending);
         }
         thread::sleep(POLL_INTERVAL);
--- a/fleet-lab/src/scenario/metric_table.rs
+++ b/fleet-lab/src/scenario/metric_table.rs
@@ -1,22 +1,22 @@
-//! Figures that are collected size by size.
+//! Metrics that are collected size by size.
 
 use crate::measure::{Point, Slope};
 use crate::report::Metric;
 use std::collections::BTreeSet;
 
-/// The fewest measurements of which a line can leave something unexplained.
+/// The smallest number of points for a slope; two points would always leave nothing unexplained.
 const MIN_POINTS_FOR_SLOPE: usize = 3;
 
-/// Figures over one kind of size, in the order in which they were first added.
+/// Metrics over one kind of size, in the order of their first measurement.
 pub(super) struct MetricTable {
     size_unit: &'static str,
     metrics: Vec<Metric>,
-    /// Names of figures that no line is put through.
+    /// Names of metrics that get no slope.
     without_slope: BTreeSet<String>,
 }
 
 impl MetricTable {
-    /// No figures yet; `size_unit` tells what the sizes count.
+    /// Creates an empty table; `size_unit` is the unit of the sizes.
     pub(super) fn over(size_unit: &'static str) -> Self {
         MetricTable {
             size_unit,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds a measurement to a figure.
+    /// Adds a measurement to a metric.
     pub(super) fn add(&mut self, name: &str, unit: &str, size: f64, value: f64) {
         let point = Point { size, value };
         if let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) {
@@ -42,7 +42,7 @@
         });
     }
 
-    /// Tells what else is to be known of a figure. What is told twice stands once.
+    /// Adds a note to a metric, unless the metric already has it.
     pub(super) fn note(&mut self, name: &str, note: &str) {
         let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) else {
             return;
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Puts no line through a figure, some of whose values are bounds and no measurements.
+    /// Omits the slope of a metric, for one whose values are bounds and not measurements.
     pub(super) fn omit_slope(&mut self, name: &str) {
         self.without_slope.insert(name.to_owned());
     }
 
-    /// Tells what else is to be known of all figures.
+    /// Adds a note to all metrics.
     pub(super) fn note_all(&mut self, note: &str) {
         let names: Vec<String> = self
             .metrics
@@ -71,12 +71,12 @@
         }
     }
 
-    /// The figures alone, where sizes are no quantity.
+    /// Returns the metrics without slopes, for sizes that are not quantities.
     pub(super) fn without_slopes(self) -> Vec<Metric> {
         self.metrics
     }
 
-    /// The figures, each with the line through its measurements where there are enough of them.
+    /// Returns the metrics, with the slopes of those that have enough points.
     pub(super) fn with_slopes(mut self) -> Vec<Metric> {
         for metric in &mut self.metrics {
             if metric.points.len() >= MIN_POINTS_FOR_SLOPE
--- a/fleet-lab/src/scenario/mod.rs
+++ b/fleet-lab/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! How each kind of experiment is run: what is started, loaded, broken and measured, in which order.
+//! How each kind of experiment is run: which parts are started, loaded, failed and measured, in which order.
 
 mod chain;
 mod client_connections;
@@ -9,6 +9,7 @@
 mod fleet;
 mod fleet_restart;
 mod latency;
+mod load;
 mod memory;
 mod metric_table;
 mod outage;
@@ -26,7 +27,7 @@
 /// Runs one experiment.
 ///
 /// # Errors
-/// It could not be run to its end.
+/// Fails where the experiment cannot be run to its end.
 pub fn run(
     experiment: &Experiment,
     context: &RunContext,
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -1,4 +1,4 @@
-//! Time until the list is current everywhere after discovery was down, by fleet size.
+//! Time until the list is current everywhere after an outage of discovery, by fleet size.
 
 use super::fleet::{
     CachedList, FleetPlan, RunningFleet, add_convergence_times, add_discovery_calls,
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The shares of a fleet whose arrival is reported.
+/// The fractions of a fleet whose convergence time is reported.
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
 
 pub(super) fn run(plan: &Outage, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
@@ -24,7 +24,7 @@
     })
 }
 
-/// Has discovery go down, publishes a change meanwhile, and waits until all have it after discovery's return.
+/// Publishes a change during an outage of discovery, and waits until all sidecars have it after the outage.
 fn measure(plan: &Outage, fleet: &RunningFleet, table: &mut MetricTable) {
     let size = fleet.size as f64;
     let half_of_outage = Duration::from_secs_f64(plan.outage_seconds / 2.0);
@@ -34,11 +34,11 @@
     let version = fleet.publish_change(0);
     thread::sleep(half_of_outage);
 
-    let before = fleet.discovery.usage();
+    let start_usage = fleet.discovery.usage();
     let returned = Instant::now();
     fleet.discovery.end_outage();
     let times = fleet.sidecars.wait_for_version(version, returned, timeout);
-    let after = fleet.discovery.usage();
+    let end_usage = fleet.discovery.usage();
 
     add_convergence_times(
         table,
@@ -48,11 +48,17 @@
         &times,
         timeout,
     );
-    add_discovery_calls(table, "until the last is current", size, &before, &after);
+    add_discovery_calls(
+        table,
+        "until the last is current",
+        size,
+        &start_usage,
+        &end_usage,
+    );
     table.add(
         "longest queue until the last is current",
         "calls",
         size,
-        after.max_queue_length as f64,
+        end_usage.max_queue_length as f64,
     );
 }
--- a/fleet-lab/src/scenario/propagation.rs
+++ b/fleet-lab/src/scenario/propagation.rs
@@ -1,6 +1,6 @@
-//! Time until a change is known everywhere, and what it costs discovery, by fleet size.
+//! Propagation delay of a change, and its cost for discovery, by fleet size.
 
-use super::fleet::{CachedList, FleetPlan, RunningFleet, add_convergence_times, merge};
+use super::fleet::{CachedList, FleetPlan, RunningFleet, add_convergence_times};
 use super::metric_table::MetricTable;
 use super::outcome::{ScenarioError, ScenarioOutcome};
 use crate::discovery::DiscoveryUsage;
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long discovery is measured while nothing changes: three of its heartbeats.
+/// How long discovery is measured without changes: three of its heartbeats.
 const IDLE_MEASUREMENT: Duration = Duration::from_secs(6);
-/// The shares of a fleet whose arrival is reported.
+/// The fractions of a fleet whose convergence time is reported.
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("99 in 100", 0.99), ("last", 1.0)];
 
 pub(super) fn run(plan: &Propagation, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
@@ -27,38 +27,35 @@
     })
 }
 
-/// Bytes and processor time of discovery's watches while nothing changes.
+/// Measures the bytes and the processor time of idle watches.
 fn measure_idle(fleet: &RunningFleet, table: &mut MetricTable) {
     let started = Instant::now();
-    let before = fleet.discovery.usage();
+    let start_usage = fleet.discovery.usage();
     thread::sleep(IDLE_MEASUREMENT);
-    let after = fleet.discovery.usage();
+    let end_usage = fleet.discovery.usage();
     let watch_seconds = fleet.size as f64 * started.elapsed().as_secs_f64();
     let size = fleet.size as f64;
-    let bytes = (after.bytes_written - before.bytes_written) as f64;
+    let bytes = (end_usage.bytes_written - start_usage.bytes_written) as f64;
     table.add("idle bytes", "bytes/s a watch", size, bytes / watch_seconds);
     table.add(
         "idle processor time of discovery",
         "us/s a watch",
         size,
-        processor_microseconds(&before, &after) / watch_seconds,
+        processor_microseconds(&start_usage, &end_usage) / watch_seconds,
     );
 }
 
-/// Publishes the changes one after another, each once the one before is known everywhere.
+/// Publishes the changes one after another, each after all sidecars have received the previous one.
 fn measure_changes(plan: &Propagation, fleet: &RunningFleet, table: &mut MetricTable) {
     let timeout = Duration::from_secs_f64(plan.longest_seconds);
     let mut times = ConvergenceTimes::default();
-    let before = fleet.discovery.usage();
+    let start_usage = fleet.discovery.usage();
     for number in 0..plan.changes {
         let published = Instant::now();
         let version = fleet.publish_change(number);
-        merge(
-            &mut times,
-            fleet.sidecars.wait_for_version(version, published, timeout),
-        );
+        times.merge(fleet.sidecars.wait_for_version(version, published, timeout));
     }
-    let after = fleet.discovery.usage();
+    let end_usage = fleet.discovery.usage();
     add_convergence_times(
         table,
         "change known",
@@ -67,20 +64,20 @@
         &times,
         timeout,
     );
-    record_cost(plan.changes, fleet, &before, &after, table);
+    record_cost(plan.changes, fleet, &start_usage, &end_usage, table);
 }
 
 fn record_cost(
     changes: u32,
     fleet: &RunningFleet,
-    before: &DiscoveryUsage,
-    after: &DiscoveryUsage,
+    start_usage: &DiscoveryUsage,
+    end_usage: &DiscoveryUsage,
     table: &mut MetricTable,
 ) {
     let size = fleet.size as f64;
     let deliveries = size * f64::from(changes);
-    let bytes = after.bytes_written - before.bytes_written;
-    let heartbeat_bytes = after.heartbeat_bytes - before.heartbeat_bytes;
+    let bytes = end_usage.bytes_written - start_usage.bytes_written;
+    let heartbeat_bytes = end_usage.heartbeat_bytes - start_usage.heartbeat_bytes;
     let change_bytes = (bytes - heartbeat_bytes) as f64;
     table.add(
         "bytes of a change",
@@ -92,10 +89,10 @@
         "processor time of discovery for a change",
         "us a watch",
         size,
-        processor_microseconds(before, after) / deliveries,
+        processor_microseconds(start_usage, end_usage) / deliveries,
     );
 }
 
-fn processor_microseconds(before: &DiscoveryUsage, after: &DiscoveryUsage) -> f64 {
-    (after.processor_time - before.processor_time).as_secs_f64() * 1e6
+fn processor_microseconds(start_usage: &DiscoveryUsage, end_usage: &DiscoveryUsage) -> f64 {
+    (end_usage.processor_time - start_usage.processor_time).as_secs_f64() * 1e6
 }
--- a/fleet-lab/src/scenario/single_sidecar.rs
+++ b/fleet-lab/src/scenario/single_sidecar.rs
@@ -1,26 +1,19 @@
 //! One real sidecar in front of one tier, and what other experiments with real sidecars share with it.
 
 use super::context::RunContext;
+use super::load::{SAFE_CLASS, UNSAFE_CLASS};
 use super::outcome::ScenarioError;
-use crate::caller::TargetResult;
 use crate::discovery::DiscoveryOptions;
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
 use crate::loopback_tier::{LoopbackTier, LoopbackTierOptions, start_endpoint};
 use crate::measure::ProcessUsage;
 use crate::sidecar::configuration::{
-    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+    LoadReports, RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
 };
 use crate::sidecar::process::SidecarProcess;
-use hdrhistogram::Histogram;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The class of requests that are safe to repeat.
-pub(super) const SAFE_CLASS: &str = "read";
-/// The class of requests that must never run twice.
-pub(super) const UNSAFE_CLASS: &str = "write";
-/// How long callers wait, unless an experiment says otherwise.
-pub(super) const CALLER_DEADLINE: Duration = Duration::from_secs(1);
 /// Limits of a sidecar, wide enough for all open requests of an experiment.
 pub(super) const SIDECAR_LIMITS: ResourceLimits = ResourceLimits {
     memory_mb: 192,
@@ -37,7 +30,6 @@
 const ENDPOINT_THREADS: usize = 2;
 /// How long a sidecar may take to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
 
 /// The options in which experiments with one sidecar differ.
 pub(super) struct SingleSidecarOptions<'a> {
@@ -47,8 +39,8 @@
     pub(super) endpoint: &'a EndpointOptions,
     /// How long callers wait.
     pub(super) deadline: Duration,
-    /// Whether load reports come with health checks.
-    pub(super) health_checks: bool,
+    /// Where load reports come from.
+    pub(super) load_reports: LoadReports,
     /// Seed of all random numbers.
     pub(super) seed: u64,
 }
@@ -83,7 +75,7 @@
         };
         let classes = request_classes(options.deadline);
         let configuration = SidecarConfiguration {
-            health_checks: options.health_checks,
+            load_reports: options.load_reports,
             ..tier.sidecar_configuration(position, classes, SIDECAR_LIMITS, options.seed)
         };
         let sidecar = start_sidecar(&configuration, context)?;
@@ -166,25 +158,3 @@
         .map(drop)
         .ok_or_else(timed_out)
 }
-
-/// Returns a quantile of latencies in milliseconds.
-pub(super) fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
-    latencies.value_at_quantile(quantile) as f64 / NANOSECONDS_PER_MILLISECOND
-}
-
-/// Describes the calls of a measurement that were not served; none if all were.
-pub(super) fn describe_unserved(measurement: &str, result: &TargetResult) -> Option<String> {
-    let TargetResult {
-        sent,
-        served,
-        rejected,
-        failed,
-        unanswered,
-        ..
-    } = result;
-    (served < sent).then(|| {
-        format!(
-            "{measurement}: of {sent} calls {rejected} rejected, {failed} failed, {unanswered} unanswered"
-        )
-    })
-}
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -81,6 +81,15 @@
     pub descriptors: u32,
 }
 
+/// Where a sidecar's load reports come from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LoadReports {
+    /// Endpoints send them with their answers, and health checks are not allowed.
+    WithAnswers,
+    /// Endpoints send them with the answers to health checks only.
+    WithHealthChecks,
+}
+
 /// The settings that differ between the sidecars of a fleet and between experiments.
 #[derive(Clone, Debug)]
 pub struct SidecarConfiguration {
@@ -100,8 +109,8 @@
     pub cached_list: Option<ListSnapshot>,
     /// Request classes.
     pub classes: Vec<RequestClass>,
-    /// Whether health checks are allowed. Then load reports come with health checks only, else with answers.
-    pub health_checks: bool,
+    /// Where load reports come from.
+    pub load_reports: LoadReports,
     /// Seed of its random numbers.
     pub seed: u64,
     /// The resources that it may use.
@@ -168,10 +177,9 @@
     }
 
     fn report(&self) -> Value {
-        let how = if self.health_checks {
-            "on_probe"
-        } else {
-            "inline"
+        let how = match self.load_reports {
+            LoadReports::WithAnswers => "inline",
+            LoadReports::WithHealthChecks => "on_probe",
         };
         json!({"fields": ["concurrent", "depth", "load_share"], "how": how})
     }
@@ -186,7 +194,7 @@
             "maxStreams": 1,
             "mayTell": false,
             "parallelTries": true,
-            "probes": self.health_checks,
+            "probes": self.load_reports == LoadReports::WithHealthChecks,
             "retryAfter": true,
             "sendCap": MOST_ATTEMPTS,
         })
--- a/fleet-lab/src/sidecar/simulated/convergence_times.rs
+++ b/fleet-lab/src/sidecar/simulated/convergence_times.rs
@@ -10,3 +10,12 @@
     /// The number of sidecars that did not reach the state before the timeout.
     pub missing: usize,
 }
+
+impl ConvergenceTimes {
+    /// Adds the times of another measurement.
+    pub fn merge(&mut self, other: ConvergenceTimes) {
+        self.reached_after.extend(other.reached_after);
+        self.reached_after.sort();
+        self.missing += other.missing;
+    }
+}
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -6,7 +6,7 @@
 use balancer_sidecar::policy::{DiscoveryMode, Idempotency, Reporting};
 use fleet_lab::discovery::{EndpointEntry, EndpointStatus, ListSnapshot};
 use fleet_lab::sidecar::configuration::{
-    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+    LoadReports, RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
 };
 use fleet_lab::sidecar::process::SidecarProcess;
 use std::io::{BufRead, BufReader, Write};
@@ -45,7 +45,7 @@
             endpoints,
         }),
         classes: vec![class("browse", false), class("order", true)],
-        health_checks: false,
+        load_reports: LoadReports::WithAnswers,
         seed: 7,
         limits: ResourceLimits {
             memory_mb: 128,
@@ -142,7 +142,7 @@
     );
 
     configuration.discovery_mode = DiscoveryMode::Pushed;
-    configuration.health_checks = true;
+    configuration.load_reports = LoadReports::WithHealthChecks;
     let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
     assert_eq!(settings.discovery, DiscoveryMode::Pushed);
     assert_eq!(settings.reporting, Reporting::WithHealthChecks);
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -3,7 +3,7 @@
 use balancer_sidecar::policy::DiscoveryMode;
 use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use fleet_lab::sidecar::configuration::{
-    RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
+    LoadReports, RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
 };
 use fleet_lab::sidecar::simulated::{ConvergenceTimes, FleetUsage, SimulatedFleet, SimulatedLoad};
 use fleet_lab::topology::{EndpointName, ZoneName};
@@ -76,7 +76,7 @@
             priority_weight: 1.0,
             deadline: Duration::from_millis(300),
         }],
-        health_checks: false,
+        load_reports: LoadReports::WithAnswers,
         seed: u64::from(number) + 1,
         limits: ResourceLimits {
             memory_mb: 64,
