--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -1,17 +1,17 @@
-//! Draining a sidecar of its callers, and taking it back to work.
+//! `DRAIN` and `UNDRAIN`: the operators drain a sidecar of its callers, and take it back into service.
 
 use crate::stubs::*;
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// When the rule on drains looks: 4 s after the call.
-const DUE: Duration = Duration::from_secs(4);
+/// When a drain must have closed idle connections, after the command.
+const IDLE_CLOSE_DEADLINE: Duration = Duration::from_secs(4);
 
-/// Guards the steps: the front is told no at once; callers that still come are served, then sent away one by one with
-/// their answers, and idle connections close; a request under way keeps its answer; and all is as before after UNDRAIN.
+/// The sidecar is not ready from the command on; callers that still come are served, then connections close with their
+/// responses, and idle ones close; a request in flight is answered; and `UNDRAIN` undoes it all.
 #[test]
-fn a_drained_sidecar_sends_its_callers_away_and_loses_none() {
+fn drained_sidecar_closes_connections_and_answers_every_request() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |message| {
@@ -21,57 +21,66 @@
         respond_ok("x")
     });
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    let (mut busy, mut idle, mut waits) = (sidecar.client(), sidecar.client(), sidecar.client());
+    let (mut busy, mut idle, mut waiting) = (sidecar.client(), sidecar.client(), sidecar.client());
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
     let mut front = sidecar.client();
     assert_eq!(front.exchange(READY_REQUEST).status(), 200);
-    waits.write(&post_request("unsafe", "15", "x"));
+    waiting.write(&post_request("unsafe", "15", "x"));
     while endpoint.next_request().1.header("x-class") != Some("unsafe") {}
     assert!(sidecar.call_is_yes("DRAIN"));
-    let begun = Instant::now();
-    assert!(sidecar.call_is_yes("DRAIN"), "twice is as once");
+    let started_at = Instant::now();
+    assert!(
+        sidecar.call_is_yes("DRAIN"),
+        "a second command changes nothing"
+    );
     assert!(!sidecar.call_is_yes("READY"));
     assert_eq!(front.exchange(READY_REQUEST).status(), 503);
     assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 503);
-    // Callers come back until they are told that their connection closes.
+    // The caller sends requests until a response closes its connection.
     loop {
-        let answer = busy.exchange(&get_request("5"));
-        assert_eq!(answer.status(), 200);
-        if answer.header("connection") == Some("close") {
+        let response = busy.exchange(&get_request("5"));
+        assert_eq!(response.status(), 200);
+        if response.header("connection") == Some("close") {
             break;
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT, "it is never sent away");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "its connection never closes"
+        );
     }
     assert!(busy.is_closed());
     assert!(
-        idle.is_closed() && begun.elapsed() < DUE,
+        idle.is_closed() && started_at.elapsed() < IDLE_CLOSE_DEADLINE,
         "an idle one closes in time"
     );
     let mut late = sidecar.client();
     assert_eq!(
         late.exchange(&get_request("5")).status(),
         200,
-        "one that comes all the same is served"
+        "a late caller is served"
     );
     assert!(late.is_closed());
     assert_eq!(sidecar.metric("pending"), Some(1));
     release.send(()).expect("the endpoint waits");
-    assert_eq!(waits.read().expect("its answer").status(), 200);
-    assert!(waits.is_closed());
+    assert_eq!(waiting.read().expect("its answer").status(), 200);
+    assert!(waiting.is_closed());
 
     assert!(sidecar.call_is_yes("UNDRAIN"));
     assert!(sidecar.call_is_yes("READY"));
     let mut client = sidecar.client();
     assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     for _ in 0..3 {
-        let answer = client.exchange(&get_request("5"));
-        assert_eq!((answer.status(), answer.header("connection")), (200, None));
+        let response = client.exchange(&get_request("5"));
+        assert_eq!(
+            (response.status(), response.header("connection")),
+            (200, None)
+        );
     }
 }
 
-/// Guards UNDRAIN in the middle of a drain: the steps still to come do not, and one that was never drained is not.
+/// `UNDRAIN` cancels the remaining steps of a drain, and changes nothing without one.
 #[test]
-fn a_drain_that_is_called_off_closes_nothing_more() {
+fn undrain_cancels_the_remaining_steps_of_a_drain() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
@@ -79,7 +88,7 @@
     assert_eq!(idle.exchange(READY_REQUEST).status(), 200);
     assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
     assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
-    std::thread::sleep(Duration::from_secs(3)); // past all steps of the one called off
+    std::thread::sleep(Duration::from_secs(3)); // past all steps of the cancelled drain
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
     assert!(
         !sidecar.call_is_yes("DRAIN NOW")
@@ -88,9 +97,9 @@
     );
 }
 
-/// Guards a drained sidecar that is stopped: it ends in order.
+/// A drained sidecar shuts down like any other.
 #[test]
-fn a_drained_sidecar_stops_as_any() {
+fn drained_sidecar_shuts_down_on_sigterm() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (mut sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     let mut idle = sidecar.client();
--- a/tests/sidecar/main.rs
+++ b/tests/sidecar/main.rs
@@ -1,14 +1,12 @@
 //! The built program over loopback sockets. Each test says what of the code it guards.
 
-mod admin;
-mod bans;
 mod caller_limits;
 mod cancellation_support;
 mod client_cancellation;
 mod client_disconnects;
-mod crossings_of_stops;
 mod customers;
 mod descriptor_pressure;
+mod disabled_endpoints;
 mod discovery_hedging;
 mod discovery_recovery;
 mod discovery_watch;
@@ -17,14 +15,16 @@
 mod endpoint_lists;
 mod event_races;
 mod hedged_dials;
+mod hot_restart;
 mod hot_restart_formats;
 mod large_requests;
 mod large_responses;
 mod malformed_responses;
 mod mass_restart;
+mod operators;
 mod process;
 mod reload;
 mod requests;
+mod shutdown_races;
 mod stubs;
-mod upgrade;
 mod warming_endpoint;
--- a/tests/sidecar/admin.rs
+++ b/tests/sidecar/operators.rs
@@ -1,4 +1,4 @@
-//! The second address: what those who run the sidecar may ask of it, and what it answers to anything else.
+//! The operators' address: its commands, and its responses to anything else.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -8,35 +8,37 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// Guards READY: it is what `/ready` tells the front, and turns to no with it.
+/// `READY` is yes while the sidecar serves, and no once it shuts down with a request still pending.
 #[test]
-fn ready_is_told_at_both_addresses() {
+fn ready_turns_to_no_on_sigterm() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert!(sidecar.call_is_yes("READY"));
-    let mut waits = sidecar.client();
-    waits.write(&post_request("unsafe", "10", "x"));
+    let mut waiting = sidecar.client();
+    waiting.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    wait_until("it says no once it stops", || !sidecar.call_is_yes("READY"));
+    wait_until("it is not ready once it shuts down", || {
+        !sidecar.call_is_yes("READY")
+    });
 }
 
-/// Guards against a sidecar that is called ready with nowhere to send.
+/// A sidecar that knows no endpoint is not ready until discovery lists one.
 #[test]
-fn with_no_endpoint_it_is_not_ready() {
+fn sidecar_without_endpoints_is_not_ready() {
     let (sidecar, discovery) = Sidecar::start_with_admin(&[]);
     assert!(!sidecar.call_is_yes("READY"));
     let endpoint = Endpoint::start(|_| respond_ok(""));
     discovery
         .next_watch()
         .write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
-    wait_until("it knows of an endpoint", || sidecar.call_is_yes("READY"));
+    wait_until("it knows an endpoint", || sidecar.call_is_yes("READY"));
 }
 
-/// Guards the figures: each request under one outcome of its class, as its client saw it, attempts as endpoints saw
-/// them, and what is open for as long as it is.
+/// Each request counts under one outcome of its class, as its client saw it, each attempt as endpoints saw it, and a
+/// pending request for as long as it is.
 #[test]
-fn figures_tell_what_happened() {
+fn metrics_count_each_request_under_one_outcome() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |message| match message.header("x-class") {
@@ -51,7 +53,7 @@
     assert_eq!(
         sidecar.requests_ended("completed", "keyed"),
         Some(0),
-        "also before the first"
+        "zero before the first request"
     );
     let mut client = sidecar.client();
     for _ in 0..3 {
@@ -69,23 +71,23 @@
             .status(),
         503
     );
-    let mut waits = sidecar.client();
-    waits.write(
+    let mut waiting = sidecar.client();
+    waiting.write(
         &post_request("keyed", "15", "x").replace("Host: s", "Host: s\r\nIdempotency-Key: k"),
     );
     while endpoint.next_request().1.header("x-class") != Some("keyed") {}
     assert_eq!(sidecar.metric("pending"), Some(1));
     assert_eq!(sidecar.metric("upstream_requests"), Some(6));
     release.send(()).expect("the endpoint waits");
-    assert_eq!(waits.read().expect("an answer").status(), 200);
-    let ended = |how| {
+    assert_eq!(waiting.read().expect("an answer").status(), 200);
+    let ended = |outcome| {
         ["safe", "unsafe", "keyed"]
-            .map(|class| sidecar.requests_ended(how, class).expect("a count"))
+            .map(|class| sidecar.requests_ended(outcome, class).expect("a count"))
     };
     assert_eq!(ended("completed"), [3, 0, 1]);
     assert_eq!(ended("rejected"), [0, 1, 0]);
     assert_eq!(ended("failed"), [0, 2, 0]);
-    let rest = [
+    let other_metrics = [
         "pending",
         "members",
         "members_unavailable",
@@ -93,43 +95,45 @@
         "config_reload_errors",
     ];
     assert_eq!(
-        rest.map(|name| sidecar.metric(name)),
+        other_metrics.map(|name| sidecar.metric(name)),
         [0, 1, 0, 0, 0].map(Some)
     );
-    wait_until("the log tells the same", || {
+    wait_until("the log's counters agree", || {
         ["served", "rejected", "failed"].map(|name| sidecar.logged_count(name)) == [4, 1, 2]
     });
 }
 
-/// Guards `pending` against clients that leave, and what never was a request.
+/// `pending` counts neither requests of disconnected clients nor what never was a whole request.
 #[test]
-fn what_is_not_owed_is_not_pending() {
+fn disconnected_and_incomplete_requests_are_not_pending() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    let mut leaves = sidecar.client();
-    leaves.write(&post_request("unsafe", "10", "x"));
+    let mut disconnecting = sidecar.client();
+    disconnecting.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     assert_eq!(sidecar.metric("pending"), Some(1));
-    drop(leaves);
-    wait_until("nothing is owed", || sidecar.metric("pending") == Some(0));
+    drop(disconnecting);
+    wait_until("no request is pending", || {
+        sidecar.metric("pending") == Some(0)
+    });
     assert_eq!(
         sidecar.client().exchange(&get_request("soon")).status(),
         400
     );
-    let mut short = sidecar.client();
-    short.write(&post_request("unsafe", "10", "whole").replace("Length: 5", "Length: 50"));
-    assert_eq!(sidecar.metric("pending"), Some(0), "it has not come yet");
-    drop(short);
+    let mut incomplete = sidecar.client();
+    incomplete.write(&post_request("unsafe", "10", "whole").replace("Length: 5", "Length: 50"));
+    assert_eq!(sidecar.metric("pending"), Some(0), "its body is incomplete");
+    drop(incomplete);
     assert_eq!(sidecar.requests_ended("failed", "safe"), Some(0));
     assert_eq!(sidecar.requests_ended("failed", "unsafe"), Some(0));
 }
 
-/// Guards the form: what is no call of one line gets a no or a close, and costs neither the service nor the calls.
+/// What is not a command of one line is refused or its connection closed, and neither callers nor later commands suffer.
 #[test]
-fn what_is_no_call_gets_a_no_or_a_close() {
+fn invalid_commands_are_refused_or_closed() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    let long = [vec![b'x'; 100_000], b"\n".to_vec()].concat();
+    let long_line = [vec![b'x'; 100_000], b"\n".to_vec()].concat();
     for bytes in [
         &b"\n"[..],
         b"ready\n",
@@ -141,48 +145,56 @@
         b"DISABLE\n",
         b"ENABLE\n",
     ] {
-        let answer = sidecar.call_raw(bytes);
+        let response = sidecar.call_raw(bytes);
         assert!(
-            answer.starts_with("NO") && answer.lines().count() == 1,
-            "{bytes:?}: {answer:?}"
+            response.starts_with("NO") && response.lines().count() == 1,
+            "{bytes:?}: {response:?}"
         );
     }
-    // So much may be cut off, with the answer, by the close.
+    // So long a line may be reset by the close, and the response with it.
     let mut stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
-    let _ = stream.write_all(&long);
-    let mut answer = String::new();
-    let _ = stream.read_to_string(&mut answer);
-    assert!(answer.is_empty() || answer.starts_with("NO"), "{answer:?}");
-    let mut cut = TcpStream::connect(sidecar.admin()).expect("it accepts");
-    cut.write_all(b"STA").expect("it is open");
-    cut.shutdown(std::net::Shutdown::Write).expect("it is open");
-    cut.set_read_timeout(Some(TEST_TIMEOUT))
+    let _ = stream.write_all(&long_line);
+    let mut response = String::new();
+    let _ = stream.read_to_string(&mut response);
+    assert!(
+        response.is_empty() || response.starts_with("NO"),
+        "{response:?}"
+    );
+    let mut cut_off = TcpStream::connect(sidecar.admin()).expect("it accepts");
+    cut_off.write_all(b"STA").expect("it is open");
+    cut_off
+        .shutdown(std::net::Shutdown::Write)
+        .expect("it is open");
+    cut_off
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
-    answer.clear();
-    cut.read_to_string(&mut answer).expect("a whole answer");
-    assert!(answer.starts_with("NO"), "{answer:?}");
+    response.clear();
+    cut_off
+        .read_to_string(&mut response)
+        .expect("a whole answer");
+    assert!(response.starts_with("NO"), "{response:?}");
     assert_eq!(
         sidecar.call_raw(b"READY\r\n"),
         "YES\n",
-        "as some write lines"
+        "a line may end in CRLF"
     );
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 }
 
-/// Guards calls, descriptors and service against callers that hold connections with no whole call.
+/// Connections that never send a whole command delay no command, and take no descriptors from callers.
 #[test]
-fn held_connections_neither_delay_calls_nor_add_up() {
+fn idle_connections_neither_delay_commands_nor_accumulate() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut config = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
     config["limits"]["sockets"] = json!(96);
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 96);
-    let mut held = Vec::new();
+    let mut idle_connections = Vec::new();
     for _ in 0..200 {
         let mut stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
         let _ = stream.write_all(b"STA");
-        held.push(stream);
+        idle_connections.push(stream);
         assert!(sidecar.call_is_yes("READY"));
     }
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
@@ -191,27 +203,30 @@
         "{}",
         sidecar.descriptor_count()
     );
-    for stream in &mut held {
+    for stream in &mut idle_connections {
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
-        let mut answer = String::new();
-        let _ = stream.read_to_string(&mut answer); // the end comes, in order or not
-        assert!(answer.is_empty() || answer.starts_with("NO"), "{answer:?}");
+        let mut response = String::new();
+        let _ = stream.read_to_string(&mut response); // it closes, or is reset
+        assert!(
+            response.is_empty() || response.starts_with("NO"),
+            "{response:?}"
+        );
     }
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the environment's way of naming the address, and the start where it can't be had: one plain line.
+/// The address may come from the environment; one that cannot be bound fails the start with one plain line.
 #[test]
-fn the_address_may_come_from_the_environment_and_must_be_free() {
+fn address_may_come_from_the_environment_and_must_be_free() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let path =
         temporary_file(&config(discovery.address, &serving_entries(&[&endpoint])).to_string());
-    let mut named = sidecar_command();
+    let mut command = sidecar_command();
     let sidecar = Sidecar::spawn(
-        named
+        command
             .env("ROUTER_CONFIG", &path)
             .env("ROUTER_ADMIN_ADDR", "127.0.0.1:0"),
     );
@@ -228,24 +243,39 @@
             "{error}"
         );
     }
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the days before there was a second address: nothing listens beside the callers' one.
+/// Without an operators' address the sidecar listens at the callers' address alone.
 #[test]
-fn without_a_second_address_none_is_opened() {
+fn sidecar_without_an_operators_address_opens_one_listener() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    let (plain, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let (called, _other) = Sidecar::start_with_admin(&[&endpoint]);
-    assert_eq!(plain.client().exchange(&get_request("2")).status(), 200);
-    assert_eq!(called.client().exchange(&get_request("2")).status(), 200);
-    let listening = |sidecar: &Sidecar| sidecar.listener_count();
-    assert_eq!((listening(&plain), listening(&called)), (1, 2));
+    let (without_operators, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
+    let (with_operators, _other) = Sidecar::start_with_admin(&[&endpoint]);
+    assert_eq!(
+        without_operators
+            .client()
+            .exchange(&get_request("2"))
+            .status(),
+        200
+    );
+    assert_eq!(
+        with_operators.client().exchange(&get_request("2")).status(),
+        200
+    );
+    let listener_count_of = |sidecar: &Sidecar| sidecar.listener_count();
+    assert_eq!(
+        (
+            listener_count_of(&without_operators),
+            listener_count_of(&with_operators)
+        ),
+        (1, 2)
+    );
 }
 
-/// Guards the tolerance in time: calls are answered while the callers' side is busy.
+/// Commands are answered while the callers' side is busy.
 #[test]
-fn calls_are_answered_beside_many_requests() {
+fn commands_are_answered_beside_many_requests() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     let done = std::sync::atomic::AtomicBool::new(false);
--- /dev/null
+++ b/tests/sidecar/shutdown_races.rs
@@ -0,0 +1,386 @@
+//! A shutdown or a listener hand-over that races other events. `docs/crossings.md` lists the pairs.
+
+use crate::stubs::*;
+use serde_json::json;
+use std::io::Read;
+use std::net::TcpStream;
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// SIGTERM while requests are partly read: each is answered once it is complete. A second SIGTERM, a `DRAIN` and an
+/// `UNDRAIN` in between change nothing.
+#[test]
+fn shutdown_waits_for_partly_read_requests() {
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
+    let discovery = Discovery::start();
+    let mut sidecar = Sidecar::start(&config_with_deadline(
+        &discovery,
+        &[&endpoint],
+        Duration::from_secs(1),
+    ));
+    let mut idle_client = sidecar.client();
+    assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+    let requests = [get_request("1"), post_request("unsafe", "1", "hello")];
+    let mut partial_requests: Vec<(Client, &str)> = Vec::new();
+    sidecar.terminate();
+    wait_until("it shuts down", || {
+        sidecar.client().exchange(READY_REQUEST).status() == 503
+    });
+    for (request, split_at) in requests.iter().zip([20, requests[1].len() - 3]) {
+        let mut client = sidecar.client();
+        client.write(&request[..split_at]);
+        partial_requests.push((client, &request[split_at..]));
+    }
+    sidecar.terminate();
+    assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
+    assert!(
+        sidecar.call_is_yes("UNDRAIN") && !sidecar.call_is_yes("READY"),
+        "it shuts down all the same"
+    );
+    assert!(idle_client.is_closed(), "idle connections close");
+    for (client, rest) in &mut partial_requests {
+        client.write(rest);
+        assert_eq!(client.read().expect("an answer").status(), 200);
+        assert!(client.is_closed());
+    }
+    assert!(sidecar.wait().success());
+}
+
+/// Connections in the kernel's backlog when the listener closes are accepted and answered, not reset.
+#[test]
+fn shutdown_answers_connections_in_the_backlog_of_the_closing_listener() {
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
+    let discovery = Discovery::start();
+    let mut sidecar = Sidecar::start(&config_with_deadline(
+        &discovery,
+        &[&endpoint],
+        Duration::from_secs(3),
+    ));
+    let mut idle_client = sidecar.client();
+    assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+    sidecar.terminate();
+    assert!(idle_client.is_closed(), "idle connections are being closed");
+    sidecar.suspend();
+    let mut late_clients: Vec<Client> = (0..12)
+        .map(|_| {
+            let mut client = sidecar.client();
+            client.write(&get_request("3"));
+            client
+        })
+        .collect();
+    std::thread::sleep(Duration::from_millis(900)); // past the last step
+    sidecar.resume();
+    for client in &mut late_clients {
+        // Served, or rejected as the request time of the shutdown is over.
+        let response = client.read().map(|response| response.status());
+        assert!(
+            matches!(response, Some(200 | 503)),
+            "{response:?} {:?}",
+            sidecar.log()
+        );
+    }
+    assert!(sidecar.wait().success());
+}
+
+/// Callers that connected while the process was suspended past its last step of accepting, and send a request soon after it
+/// resumes, are answered. One that sends none does not delay the shutdown.
+#[test]
+fn shutdown_answers_callers_accepted_at_its_last_step() {
+    let endpoint = Endpoint::start(|_| respond_ok("x"));
+    // Soon is within 0.3 s, for which a busy machine may take longer; then all is repeated.
+    wait_until("they send requests in time", || {
+        let discovery = Discovery::start();
+        let mut sidecar = Sidecar::start(&config_with_deadline(
+            &discovery,
+            &[&endpoint],
+            Duration::from_secs(3),
+        ));
+        let mut idle_client = sidecar.client();
+        assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+        sidecar.terminate();
+        assert!(idle_client.is_closed(), "idle connections are being closed");
+        sidecar.suspend();
+        let descriptors_before = sidecar.descriptor_count();
+        let mut late_clients: Vec<Client> = (0..12).map(|_| sidecar.client()).collect();
+        let mut silent_client = sidecar.client();
+        std::thread::sleep(Duration::from_millis(900)); // past the last step
+        let from = Instant::now();
+        sidecar.resume();
+        wait_until("they are accepted", || {
+            sidecar.descriptor_count() > descriptors_before + 11
+        });
+        for client in &mut late_clients {
+            client.write(&get_request("3"));
+        }
+        let in_time = from.elapsed() < Duration::from_millis(250);
+        for client in &mut late_clients {
+            let response = client.read().map(|response| response.status());
+            assert!(
+                matches!(response, Some(200 | 503)) || !in_time,
+                "{response:?} {:?}",
+                sidecar.log()
+            );
+        }
+        assert!(silent_client.is_closed());
+        assert!(sidecar.wait().success());
+        in_time
+    });
+}
+
+/// SIGTERM while requests are queued, in flight or waiting for a retry: each is answered once, and the process ends after
+/// the last response.
+#[test]
+fn shutdown_answers_queued_in_flight_and_retried_requests() {
+    let scripted_endpoint = ScriptedEndpoint::start();
+    let (discovery, other_endpoint) =
+        (Discovery::start(), Endpoint::start(|_| respond_ok("other")));
+    let mut sidecar = Sidecar::start(&config_with_deadline(
+        &discovery,
+        &[&scripted_endpoint.endpoint],
+        Duration::from_secs(10),
+    ));
+    let mut watch = discovery.next_watch();
+    let mut client = sidecar.client();
+    scripted_endpoint.earn_retries(&mut client);
+    let send = |request: String| {
+        let mut client = sidecar.client();
+        client.write(&request);
+        client
+    };
+    let mut retried_client = send(get_request("9"));
+    scripted_endpoint.endpoint.next_request();
+    let mut in_flight_client = send(post_request("unsafe", "9", "x"));
+    scripted_endpoint.endpoint.next_request();
+    watch.write_line(&list(
+        42,
+        false,
+        &[entry("e0", scripted_endpoint.endpoint.address, "DRAINING")],
+    ));
+    wait_until("the endpoint is draining", || {
+        sidecar.metric("members_unavailable") == Some(1)
+    });
+    let mut queued_client = send(get_request("9"));
+    wait_until("all requests are pending", || {
+        sidecar.metric("pending") == Some(3)
+    });
+    sidecar.terminate();
+    wait_until("no callers are accepted any more", || {
+        TcpStream::connect(sidecar.address).is_err()
+    });
+    scripted_endpoint.respond_next(EndpointAction::Respond(
+        "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
+    ));
+    scripted_endpoint.respond_next(respond_ok("out"));
+    watch.write_line(&list(
+        43,
+        false,
+        &[entry("e1", other_endpoint.address, "SERVING")],
+    ));
+    // Either of the two may be answered first; each is recognised by its class.
+    for (client, bodies) in [
+        (&mut retried_client, ["other", "out"]),
+        (&mut in_flight_client, ["out", ""]),
+        (&mut queued_client, ["other", "other"]),
+    ] {
+        let response = client.read().expect("an answer");
+        let body = String::from_utf8(response.body.clone()).expect("text");
+        assert!(
+            bodies.contains(&body.as_str()),
+            "{} {body}",
+            response.status()
+        );
+    }
+    drop((retried_client, in_flight_client, queued_client, client));
+    assert!(sidecar.wait().success());
+}
+
+/// A process stores an administrative state before it answers the command, and may die before it has sent it to the others:
+/// these read what is stored. The test plays the process that dies.
+#[test]
+fn disabled_endpoint_stays_disabled_after_the_process_that_stored_it_died() {
+    let shared_directory = temporary_directory();
+    let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
+    let discovery = Discovery::start();
+    let entries = serving_entries(&[&endpoints[0], &endpoints[1]]);
+    let sidecar = Sidecar::start_in_directory(
+        &shared_directory,
+        &with_admin_address(config(discovery.address, &entries)),
+    );
+    let socket = shared_directory.join("pipittray.sock");
+    wait_until("it listens for a new process", || socket.exists());
+    let new_process = UnixStream::connect(&socket).expect("it accepts a new process");
+    let mut byte = [0];
+    (&new_process)
+        .read_exact(&mut byte)
+        .expect("the socket comes with a byte");
+    let disabled_file = shared_directory.join("pipittray.disabled");
+    let unavailable = || sidecar.metric("members_unavailable");
+    std::fs::write(&disabled_file, "[\"e1\"]").expect("the file is written");
+    assert_eq!(unavailable(), Some(0));
+    drop(new_process);
+    wait_until("it is disabled here too", || unavailable() == Some(1));
+    let mut client = sidecar.client();
+    for _ in 0..20 {
+        assert_eq!(client.exchange(&get_request("5")).status(), 200);
+    }
+    assert_eq!(endpoints[1].take_request_count(), 0);
+    // Enabled again by the next new process; but a file that cannot be read changes nothing.
+    let mut connect_store_and_die = |text: &str, command: &str| {
+        let new_process = UnixStream::connect(&socket).expect("it accepts a new process");
+        (&new_process)
+            .read_exact(&mut byte)
+            .expect("the socket comes with a byte");
+        std::fs::write(&disabled_file, text).expect("the file is written");
+        assert_eq!(unavailable(), Some(1));
+        if !command.is_empty() {
+            assert!(sidecar.call_is_yes(command));
+        }
+        drop(new_process);
+    };
+    connect_store_and_die("[\"e1", "");
+    sidecar.wait_for_log("disabled endpoints: the stored file is ignored");
+    assert_eq!(unavailable(), Some(1));
+    connect_store_and_die("[]", "");
+    wait_until("it is enabled here too", || unavailable() == Some(0));
+    // Each of the two processes receives a command of its own at the same time.
+    assert!(sidecar.call_is_yes("DISABLE e1"));
+    connect_store_and_die("[\"e0\",\"e1\"]", "ENABLE e1");
+    sidecar.wait_for_log("endpoint e0 is disabled by the operators");
+    assert_eq!(unavailable(), Some(1));
+    assert_eq!(
+        std::fs::read_to_string(&disabled_file).expect("it is stored"),
+        "[\"e0\"]"
+    );
+    std::fs::remove_dir_all(shared_directory).expect("it is removed");
+}
+
+/// Returns a sidecar that may be replaced and is shutting down, and the client of an attempt in flight that keeps it from
+/// ending: it has accepted its last caller, and its own descriptor of the listener is closed.
+fn shut_down_with_request_in_flight(
+    scripted_endpoint: &ScriptedEndpoint,
+    discovery: &Discovery,
+    connect_new_process: impl FnOnce(&Path),
+) -> (Sidecar, Client) {
+    let shared_directory = temporary_directory();
+    let config = config_with_deadline(
+        discovery,
+        &[&scripted_endpoint.endpoint],
+        Duration::from_secs(15),
+    );
+    let sidecar = Sidecar::start_in_directory(&shared_directory, &config);
+    let socket = shared_directory.join("pipittray.sock");
+    wait_until("it listens for a new process", || socket.exists());
+    connect_new_process(&socket);
+    let mut in_flight_client = sidecar.client();
+    in_flight_client.write(&post_request("unsafe", "15", "x"));
+    scripted_endpoint.endpoint.next_request();
+    let listeners = sidecar.listener_count();
+    sidecar.terminate();
+    wait_until("its listener is closed", || {
+        sidecar.listener_count() < listeners
+    });
+    std::fs::remove_dir_all(shared_directory).expect("it is removed");
+    (sidecar, in_flight_client)
+}
+
+/// With no new process, the descriptor of the listener kept for a hand-over closes with the other one, so that callers are
+/// refused and go elsewhere instead of waiting up to the process's end.
+#[test]
+fn shutdown_closes_a_listener_that_nobody_took_over() {
+    let (scripted_endpoint, discovery) = (ScriptedEndpoint::start(), Discovery::start());
+    let (mut sidecar, mut in_flight_client) =
+        shut_down_with_request_in_flight(&scripted_endpoint, &discovery, |_| {});
+    assert!(
+        TcpStream::connect(sidecar.address).is_err(),
+        "no process accepts it"
+    );
+    scripted_endpoint.respond_next(respond_ok("x"));
+    assert_eq!(in_flight_client.read().expect("an answer").status(), 200);
+    assert!(sidecar.wait().success());
+}
+
+/// The new process dies while the old one shuts down: the old one accepts and answers what waits in the backlog of the
+/// listener that both have. The test plays the new process.
+#[test]
+fn shutdown_answers_the_backlog_of_a_new_process_that_died() {
+    let (scripted_endpoint, discovery) = (ScriptedEndpoint::start(), Discovery::start());
+    let mut new_process = None;
+    let (mut sidecar, mut in_flight_client) =
+        shut_down_with_request_in_flight(&scripted_endpoint, &discovery, |socket| {
+            let mut stream = UnixStream::connect(socket).expect("it accepts a new process");
+            stream
+                .read_exact(&mut [0])
+                .expect("the socket comes with a byte");
+            new_process = Some(stream);
+        });
+    let mut backlog_clients: Vec<Client> = (0..3)
+        .map(|_| {
+            let mut client = sidecar.client();
+            client.write(&get_request("9"));
+            client
+        })
+        .collect();
+    drop(new_process);
+    for client in &mut backlog_clients {
+        // Served, or rejected: the request time of the shutdown is nearly over.
+        let response = client.read().map(|response| response.status());
+        assert!(
+            matches!(response, Some(200 | 503)),
+            "{response:?} {:?}",
+            sidecar.log()
+        );
+    }
+    wait_until("no callers are accepted any more", || {
+        TcpStream::connect(sidecar.address).is_err()
+    });
+    scripted_endpoint.respond_next(respond_ok("x"));
+    assert_eq!(in_flight_client.read().expect("an answer").status(), 200);
+    assert!(sidecar.wait().success());
+}
+
+/// The queue deadline of a request that has left the queue does nothing: a request in flight is the endpoint's to answer,
+/// and one that was answered gets no second response.
+#[test]
+fn queue_deadline_of_a_sent_request_answers_nobody() {
+    let scripted_endpoint = ScriptedEndpoint::start();
+    let discovery = Discovery::start();
+    let mut config = with_admin_address(config(discovery.address, &[]));
+    // Queued for up to 2 s, though a late answer has value too.
+    config["settings"]["categories"][0]["objectiveNs"] = json!(2_000_000_000u64);
+    config["settings"]["categories"][0]["lateShare"] = json!(0.5);
+    let sidecar = Sidecar::start(&config);
+    let mut watch = discovery.next_watch();
+    let [mut answered_client, mut in_flight_client] = [0, 1].map(|already_pending| {
+        let mut client = sidecar.client();
+        client.write(&get_request("9"));
+        wait_until("it is queued", || {
+            sidecar.metric("pending") == Some(already_pending + 1)
+        });
+        client
+    });
+    watch.write_line(&list(
+        42,
+        false,
+        &serving_entries(&[&scripted_endpoint.endpoint]),
+    ));
+    scripted_endpoint.endpoint.next_request();
+    scripted_endpoint.respond_next(respond_ok("x"));
+    assert_eq!(answered_client.read().expect("an answer").status(), 200);
+    std::thread::sleep(Duration::from_millis(2_500)); // both queue deadlines are past
+    let draining_entry = entry("e1", "127.0.0.1:1".parse().expect("an address"), "DRAINING");
+    watch.write_line(&list(43, false, &[draining_entry]));
+    wait_until("the balancer has handled its timers", || {
+        sidecar.metric("members") == Some(2)
+    });
+    scripted_endpoint.respond_next(respond_ok("x"));
+    assert_eq!(in_flight_client.read().expect("an answer").status(), 200);
+    assert_eq!(
+        answered_client.exchange(READY_REQUEST).status(),
+        200,
+        "no second response came before"
+    );
+    let outcomes =
+        ["completed", "rejected", "failed"].map(|outcome| sidecar.requests_ended(outcome, "safe"));
+    assert_eq!(outcomes, [Some(2), Some(0), Some(0)]);
+}
