--- a/fleet-lab/src/sidecar/simulated/clock.rs
+++ b/fleet-lab/src/sidecar/simulated/clock.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// The longest time ahead that a timer is set for, so that no sum of times overflows.
-const MAX_TIMER_DELAY: Duration = Duration::from_secs(3600);
+const MAX_TIME_AHEAD: Duration = Duration::from_secs(3600);
 
 /// A monotonic clock that starts at the current Unix time. The start times of endpoints, which discovery publishes in
 /// Unix time, can therefore be compared with it.
@@ -34,6 +34,6 @@
 
     /// Converts a time of this clock into the runtime's time.
     pub fn instant(&self, time: Timestamp) -> Instant {
-        Instant::now() + time.since(self.now()).min(MAX_TIMER_DELAY)
+        Instant::now() + time.since(self.now()).min(MAX_TIME_AHEAD)
     }
 }
--- a/src/sidecar/clock.rs
+++ b/src/sidecar/clock.rs
@@ -1,44 +1,44 @@
-//! The sidecar's clock, which the decision module is run by.
+//! The sidecar's clock, which the balancer runs by.
 
 use crate::policy::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The longest time ahead that is told apart from later ones, so that no sum overflows.
-pub const FARTHEST: Duration = Duration::from_secs(3600);
+/// The longest time from now on that is distinguished: timers and deadlines are limited to it, so that no sum overflows.
+pub const MAX_TIME_AHEAD: Duration = Duration::from_secs(3600);
 
-/// One monotonic clock: Unix time at the start, and what has passed since. Starts of endpoints, which discovery gives in
-/// Unix time, are points on it as they stand.
-#[derive(Clone, Copy)]
+/// A monotonic clock that reads Unix time at its start and advances by the time elapsed since. The starts of endpoints,
+/// which discovery gives in Unix time, need no conversion.
+#[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started: Instant,
-    started_at: Timestamp,
+    start_instant: Instant,
+    start_time: Timestamp,
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts a clock at the present Unix time.
     pub fn start() -> Self {
         let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            started: Instant::now(),
-            started_at: Timestamp::default() + unix_time,
+            start_instant: Instant::now(),
+            start_time: Timestamp::default() + unix_time,
         }
     }
 
-    /// Now.
+    /// Returns the present time.
     pub fn now(&self) -> Timestamp {
-        self.started_at + self.started.elapsed()
+        self.start_time + self.start_instant.elapsed()
     }
 
-    /// A past instant of the runtime's clock.
+    /// Converts a past instant of the runtime's clock; one before the clock's start is that start.
     pub fn timestamp(&self, instant: Instant) -> Timestamp {
-        self.started_at + instant.saturating_duration_since(self.started)
+        self.start_time + instant.saturating_duration_since(self.start_instant)
     }
 
-    /// When the runtime's timers reach a point in time.
+    /// Converts a point in time to an instant of the runtime's timers.
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
-        Instant::now() + timestamp.since(self.now()).min(FARTHEST)
+        Instant::now() + timestamp.since(self.now()).min(MAX_TIME_AHEAD)
     }
 }
--- a/src/sidecar/log.rs
+++ b/src/sidecar/log.rs
@@ -1,6 +1,6 @@
 //! The log: lines on standard error.
 
-/// Writes a line of the log, at once and whole. One that nobody reads any more is no reason to stop.
+/// Writes one line of the log in one system call. A failure is ignored: the sidecar goes on without a reader of its log.
 macro_rules! log {
     ($($text:tt)*) => {{
         let line = format!("balancer-sidecar: {}\n", format_args!($($text)*));
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -1,13 +1,13 @@
-//! The sidecar: one program that balances its callers' requests over endpoints, as the decision module says.
+//! The sidecar: forwards its callers' requests to endpoints, as the balancer in [`policy`](crate::policy) decides.
 //!
-//! Its layers, of which each imports those above it alone:
+//! Its layers, each of which imports only those above it:
 //!
 //! | layer | files |
 //! | --- | --- |
 //! | foundations | `log.rs`, `admin_state.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
 //! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
-//! | requests and attempts | `node/`: the one owner of their state, and the only place that calls the decision module |
+//! | requests and attempts | `node/`: the owner of their state, and the only caller of the balancer |
 //! | addresses | `server/`: the callers'; `operators.rs`: the operators'; `listener_handover/`: the new process's; `report.rs`: the log |
 //! | process | `process.rs`: start and signals; `shutdown.rs`: serving until SIGTERM and the graceful shutdown |
 
--- a/src/sidecar/node/first_list_tests.rs
+++ b/src/sidecar/node/first_list_tests.rs
@@ -1,4 +1,4 @@
-//! Tests on the runtime's paused clock of when a process that replaces another is ready.
+//! Tests of when the new process of a hot restart is ready, on the runtime's paused clock.
 
 use super::state::{NodeHandle, StartMode, StartOptions};
 use crate::configuration::Config;
@@ -7,7 +7,7 @@
 use tokio::task::LocalSet;
 use tokio::time::advance;
 
-/// A configuration with one endpoint known.
+/// A configuration with one endpoint in its cached list.
 fn config() -> Config {
     let config = serde_json::json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
@@ -30,28 +30,28 @@
     Config::parse(&config.to_string()).expect("a configuration")
 }
 
-/// Starts a process that replaces another, and calls back with it.
-fn replacing(check: impl AsyncFnOnce(NodeHandle)) {
-    let builder = tokio::runtime::Builder::new_current_thread()
+/// Starts the node of a new process in a hot restart, and passes it to a check.
+fn with_new_process(check: impl AsyncFnOnce(NodeHandle)) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&builder.expect("a runtime"), async {
-        let start = StartOptions {
+    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+        let options = StartOptions {
             config: config(),
             directory: None,
             mode: StartMode::HotRestart,
             reserved_descriptors: 0,
         };
-        check(NodeHandle::start(start).unwrap_or_else(|e| panic!("{e}"))).await;
+        check(NodeHandle::start(options).unwrap_or_else(|error| panic!("{error}"))).await;
     });
 }
 
-/// Guards an upgrade where nothing has changed since the list that the newer process knows: the watch is open and stays
-/// silent up to its first heartbeat, and that is no reason to wait as long as for a discovery that cannot be reached.
+/// Guards a hot restart where nothing has changed since the cached list: the watch is open and sends nothing up to its first
+/// heartbeat, which must not delay readiness for as long as an unreachable discovery does.
 #[test]
-fn a_silent_watch_makes_a_replacing_process_ready() {
-    replacing(async |node| {
+fn new_process_is_ready_soon_after_its_watch_opens_without_a_list() {
+    with_new_process(async |node| {
         assert!(!node.borrow().is_ready(), "discovery has not been reached");
         let source = node.borrow().endpoints.source();
         node.watch_opened(source);
@@ -61,11 +61,11 @@
     });
 }
 
-/// Guards an upgrade while discovery cannot be reached: callers are not sent to a list that may be old at once, and not
-/// kept from it for good.
+/// Guards a hot restart while discovery is unreachable: callers do not depend on a list that may be old at once, but do
+/// after a limited time.
 #[test]
-fn a_replacing_process_waits_for_a_discovery_that_cannot_be_reached_and_no_longer() {
-    replacing(async |node| {
+fn new_process_waits_a_limited_time_for_an_unreachable_discovery() {
+    with_new_process(async |node| {
         advance(Duration::from_millis(2_900)).await;
         assert!(!node.borrow().is_ready());
         advance(Duration::from_millis(200)).await;
--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -35,23 +35,23 @@
     }
 
     /// Removes a process that has ended.
-    pub fn remove(&mut self, number: OtherProcessId) {
-        self.processes.remove(number);
+    pub fn remove(&mut self, process: OtherProcessId) {
+        self.processes.remove(process);
     }
 
     /// Returns whether a process still runs.
-    pub fn contains(&self, number: OtherProcessId) -> bool {
-        self.processes.contains(number)
+    pub fn contains(&self, process: OtherProcessId) -> bool {
+        self.processes.contains(process)
     }
 
     /// Returns whether a process was given the listening socket by this one.
-    pub fn is_new_process(&self, number: OtherProcessId) -> bool {
-        self.processes.is_new_process(number)
+    pub fn is_new_process(&self, process: OtherProcessId) -> bool {
+        self.processes.is_new_process(process)
     }
 
     /// Sets how many connections a process has open.
-    pub fn set_connections(&mut self, number: OtherProcessId, connections: usize) {
-        self.processes.set_open_connections(number, connections);
+    pub fn set_connections(&mut self, process: OtherProcessId, connections: usize) {
+        self.processes.set_open_connections(process, connections);
     }
 
     /// Returns how many connections each process has open, as far as it has reported.
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -28,8 +28,8 @@
     }
 
     /// Returns whether another process still runs.
-    pub fn has_process(&self, number: OtherProcessId) -> bool {
-        self.borrow().hot_restart.contains(number)
+    pub fn has_process(&self, process: OtherProcessId) -> bool {
+        self.borrow().hot_restart.contains(process)
     }
 
     /// Announces to the old process that this one accepts callers from now on.
@@ -58,10 +58,10 @@
 
     /// Removes a process that has ended, with the connections that it had. It may have stored a last change without
     /// sending it on, so that what is stored applies.
-    pub fn process_ended(&self, number: OtherProcessId) {
+    pub fn process_ended(&self, process: OtherProcessId) {
         let mut guard = self.borrow();
         let node = &mut *guard;
-        node.hot_restart.remove(number);
+        node.hot_restart.remove(process);
         node.connections
             .set_other_process_connections(node.hot_restart.connections());
         let Some(stored) = node.hot_restart.stored_disabled_endpoints() else {
@@ -112,12 +112,12 @@
                 self.borrow().connections.suspend_accepting();
                 log!("hot restart: the new process accepts callers");
             }
-            ProcessMessage::ShuttingDown => self.receive_stopping(origin),
+            ProcessMessage::ShuttingDown => self.receive_shutting_down(origin),
         }
     }
 
     /// Accepts callers again where the new process shuts down. The old process's shutdown changes nothing here.
-    fn receive_stopping(&self, origin: OtherProcessId) {
+    fn receive_shutting_down(&self, origin: OtherProcessId) {
         let mut node = self.borrow();
         if node.hot_restart.is_new_process(origin) && node.connections.resume_accepting() {
             log!("hot restart: the new process shuts down; accepting callers again");
--- a/src/sidecar/server/request.rs
+++ b/src/sidecar/server/request.rs
@@ -2,7 +2,7 @@
 
 use super::request_error::RequestError;
 use crate::policy::{ClassId, Idempotency, Key, Request, RequestId, Settings, TenantId, Timestamp};
-use crate::sidecar::clock::FARTHEST;
+use crate::sidecar::clock::MAX_TIME_AHEAD;
 use crate::sidecar::endpoint::DEADLINE_HEADER;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode};
@@ -110,8 +110,9 @@
     let seconds = text
         .and_then(|text| text.trim().parse().ok())
         .filter(|seconds: &f64| seconds.is_finite());
-    let time = seconds
-        .and_then(|seconds| Duration::try_from_secs_f64(seconds.min(FARTHEST.as_secs_f64())).ok());
+    let time = seconds.and_then(|seconds| {
+        Duration::try_from_secs_f64(seconds.min(MAX_TIME_AHEAD.as_secs_f64())).ok()
+    });
     time.ok_or(bad_request("X-Deadline is not a number of seconds"))
 }
 
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -1,4 +1,4 @@
-//! Limits, start and stop.
+//! Limits, the log's counters, the start and the graceful shutdown.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -7,9 +7,9 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// Guards the budget of descriptors: idle connections make room, so that every caller is accepted and served.
+/// Guards the descriptor budget: idle connections are evicted, so that every caller is accepted and served.
 #[test]
-fn idle_connections_make_room_for_new_ones() {
+fn idle_connections_are_evicted_for_new_ones() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut config = config(
@@ -24,13 +24,13 @@
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
         kept.push(client);
     }
-    assert!(kept[0].is_closed(), "the oldest has made room");
+    assert!(kept[0].is_closed(), "the oldest was evicted");
 }
 
-/// Guards SIGTERM: what was taken is answered, also on connections that come after it; those between requests
-/// close; it ends in order.
+/// Guards SIGTERM: open requests are answered, also on connections accepted after it; idle connections close; the process
+/// exits successfully.
 #[test]
-fn a_stop_answers_all_that_was_taken() {
+fn shutdown_answers_every_open_request() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |message| {
@@ -46,30 +46,30 @@
             .status(),
         200
     );
-    let mut waits = sidecar.client();
-    waits.write(&post_request("unsafe", "10", "x"));
+    let mut pending = sidecar.client();
+    pending.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle.is_closed(), "it was between requests");
+    assert!(idle.is_closed(), "it was idle");
     assert_eq!(
         sidecar.client().exchange(&get_request("2")).status(),
         200,
-        "a connection that comes after the word"
+        "a connection accepted after SIGTERM"
     );
     release.send(()).expect("the endpoint waits");
-    let answer = waits.read().expect("what was taken is answered");
+    let answer = pending.read().expect("the open request is answered");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         (200, "late".as_bytes())
     );
-    assert!(waits.is_closed());
+    assert!(pending.is_closed());
     assert!(sidecar.wait().success());
 }
 
-/// Guards the module's eyes where reports come with probes alone: they are asked for on the endpoint's own path, with no
-/// request's id, and what its answer says reaches the module. Where probes are forbidden none is sent.
+/// Guards load reports that only health checks bring: these go to the endpoint's own path, without a request id, and the
+/// reports in their responses reach the balancer. Where health checks are forbidden none is sent.
 #[test]
-fn load_reports_are_asked_for_where_only_probes_bring_them() {
+fn health_checks_collect_load_reports_where_responses_carry_none() {
     for (allowed, report) in [
         (true, "TEXT load_share=0.1, depth=0"),
         (true, "no report"),
@@ -99,13 +99,13 @@
             );
         }
         let count = |name: &str| sidecar.logged_count(name);
-        wait_until("the counts are told", || {
+        wait_until("the counters are logged", || {
             count("requests") == 40 && (count("health_checks") > 0) == allowed
         });
         let health_checks = endpoint
             .take_requests()
             .into_iter()
-            .filter(|m| m.header("x-request-id").is_none());
+            .filter(|message| message.header("x-request-id").is_none());
         let health_checks: Vec<String> = health_checks.map(|m| m.start_line).collect();
         assert!(
             health_checks
@@ -113,20 +113,21 @@
                 .all(|first| first == "GET /status/load HTTP/1.1"),
             "{health_checks:?}"
         );
-        let told = if report.starts_with("TEXT") {
+        let expected_reports = if report.starts_with("TEXT") {
             health_checks.len() as u64
         } else {
             0
         };
-        wait_until("all reports are told", || {
-            count("health_checks") == health_checks.len() as u64 && count("reports") == told
+        wait_until("all reports are logged", || {
+            count("health_checks") == health_checks.len() as u64
+                && count("reports") == expected_reports
         });
     }
 }
 
-/// Guards the operators' eyes: what was asked, how it ended and what is held stand in the log, and not the silence after.
+/// Guards the counters line of the log: requests, final answers, attempts and connections are counted.
 #[test]
-fn the_log_counts_what_was_asked_and_how_it_ended() {
+fn log_counts_requests_and_how_they_ended() {
     let endpoint = Endpoint::start(|_| {
         EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
     });
@@ -143,7 +144,7 @@
         503
     );
     let count = |name: &str| sidecar.logged_count(name);
-    wait_until("both are told", || {
+    wait_until("both are logged", || {
         count("requests") == 2 && count("attempts_error") == 1 && count("rejected") == 1
     });
     assert_eq!(
@@ -154,10 +155,9 @@
     );
 }
 
-/// Guards service against the end of whoever reads the log: lines that cannot be written are left out, and a stop is one in
-/// order.
+/// Guards service against a closed log: lines that cannot be written are dropped, and the shutdown is graceful.
 #[test]
-fn it_serves_on_where_nobody_reads_its_log() {
+fn sidecar_serves_while_nobody_reads_its_log() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let path = temporary_file(
@@ -170,12 +170,12 @@
     let mut lines = BufReader::new(child.stderr.take().expect("its log"))
         .lines()
         .map_while(Result::ok);
-    let listens = lines.find_map(|line| line.split_once("listens on ")?.1.parse().ok());
+    let address = lines.find_map(|line| line.split_once("listens on ")?.1.parse().ok());
     drop(lines);
-    let mut client = Client::connect(listens.expect("it tells where it listens"));
+    let mut client = Client::connect(address.expect("it logs where it listens"));
     assert_eq!(client.exchange(&get_request("5")).status(), 200);
     for _ in 0..2 {
-        drop(discovery.next_watch()); // a line each
+        drop(discovery.next_watch()); // each is logged
     }
     send_signal(&child, "HUP");
     discovery.next_watch();
@@ -183,16 +183,16 @@
     assert_eq!(
         client.exchange(&get_request("5")).status(),
         200,
-        "its connections serve on for a while"
+        "connections are served during a shutdown"
     );
     assert!(child.wait().expect("it ends").success());
     std::fs::remove_file(path).expect("the file goes");
 }
 
-/// Guards callers while another sidecar is down too: after SIGTERM none is sent here any more, but the connections that
-/// they have still serve for a while, and what comes on them is answered well before the sidecar may be killed.
+/// Guards callers while another sidecar is down too: after SIGTERM the sidecar is not ready, but connections are served for
+/// a while, and requests on them are answered well before the process may be killed.
 #[test]
-fn connections_serve_on_for_a_while_after_a_stop() {
+fn connections_are_served_for_a_while_after_sigterm() {
     let endpoint = Endpoint::start(|message| {
         if message.header("x-class") == Some("unsafe") {
             EndpointAction::Hang
@@ -211,8 +211,8 @@
             .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status()
     };
-    wait_until("no new callers are asked for", || ready() == 503);
-    let stopped = Instant::now();
+    wait_until("it is not ready", || ready() == 503);
+    let shutdown_begun = Instant::now();
     assert_eq!(
         first.exchange(&get_request("2")).status(),
         200,
@@ -221,22 +221,22 @@
     assert_eq!(
         second.exchange(&post_request("unsafe", "10", "x")).status(),
         504,
-        "an answer, before the sidecar is gone"
+        "answered before the process exits"
     );
     assert!(
-        stopped.elapsed() < Duration::from_secs(9),
-        "not just at the request's own deadline"
+        shutdown_begun.elapsed() < Duration::from_secs(9),
+        "ahead of the request's own deadline"
     );
     assert!(first.is_closed());
     assert!(sidecar.wait().success());
 }
 
-/// Guards the start: what is wrong with the configuration is one plain line and a failure.
+/// Guards the start: an invalid configuration is one line of the log and a failure.
 #[test]
-fn a_bad_configuration_is_one_plain_line() {
+fn invalid_configuration_fails_the_start_with_one_line() {
     let discovery = "127.0.0.1:1".parse().expect("an address");
-    let mut senseless = config(discovery, &[]);
-    senseless["settings"]["bounds"]["sendCap"] = json!(0);
+    let mut invalid = config(discovery, &[]);
+    invalid["settings"]["bounds"]["sendCap"] = json!(0);
     let mut unknown = config(discovery, &[]);
     unknown["settings"]["discovery"] = json!("hearsay");
     let mut seedless = config(discovery, &[]);
@@ -245,7 +245,7 @@
     for text in [
         "",
         "{",
-        &senseless.to_string(),
+        &invalid.to_string(),
         &unknown.to_string(),
         &seedless.to_string(),
     ] {
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again while the program runs.
+//! Reload of the configuration on SIGHUP.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -9,15 +9,15 @@
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 
-fn write(path: &Path, config: &Value) {
+fn write_config(path: &Path, config: &Value) {
     std::fs::write(path, config.to_string()).expect("the file is written");
 }
 
-/// Guards the move of discovery: the new one is asked for the whole list, as no version of the old one's means
-/// anything there; the old one is listened to until the new one has spoken, and not missed after; an old word of the new
-/// one's does not bring back what drains, nor does the file's `known`; requests go on throughout.
+/// Guards the move to another discovery: the new one is asked for the full list, as versions of the old one mean nothing
+/// there; the old one is followed until the new one has sent a list, and dropped then; neither an older list of the new
+/// one nor the cached list of the file ends a drain; requests are served all the time.
 #[test]
-fn discovery_moves_without_a_gap() {
+fn previous_discovery_is_followed_until_the_new_one_has_sent_a_list() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -26,21 +26,23 @@
         respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
-    let all = |status: &str| {
+    let entries_with_first = |status: &str| {
         let names = ["e0", "e1"].iter().zip(&endpoints);
-        let mut all: Vec<Value> = names.map(|(n, e)| entry(n, e.address, "SERVING")).collect();
-        all[0]["status"] = json!(status);
-        all
+        let mut entries: Vec<Value> = names
+            .map(|(name, endpoint)| entry(name, endpoint.address, "SERVING"))
+            .collect();
+        entries[0]["status"] = json!(status);
+        entries
     };
     let path =
         temporary_file(&config(old.address, &[entry("slow", slow.address, "SERVING")]).to_string());
     let sidecar = Sidecar::start_with_file(&path);
-    let mut watch = old.next_watch();
-    let mut waits = sidecar.client();
-    waits.write(&post_request("unsafe", "15", "x"));
+    let mut old_watch = old.next_watch();
+    let mut pending = sidecar.client();
+    pending.write(&post_request("unsafe", "15", "x"));
     slow.next_request();
 
-    write(&path, &config(new.address, &all("SERVING")));
+    write_config(&path, &config(new.address, &entries_with_first("SERVING")));
     sidecar.send_signal("HUP");
     let mut next = new.next_watch();
     assert!(
@@ -48,21 +50,21 @@
         "the whole list: {}",
         next.request_line
     );
-    // The old one still has something to tell.
-    watch.write_line(&list(42, true, &all("DRAINING")));
+    // The old one still sends a change.
+    old_watch.write_line(&list(42, true, &entries_with_first("DRAINING")));
     let mut client = sidecar.client();
     while client.exchange(&get_request("2")).status() != 200 {}
-    next.write_line(&list(7, true, &all("SERVING")));
+    next.write_line(&list(7, true, &entries_with_first("SERVING")));
     next.finish();
     let mut next = new.next_watch();
     assert!(
         next.request_line.contains("?follow=1&since=7 "),
-        "the new one's version counts now: {}",
+        "the new discovery's version is in force: {}",
         next.request_line
     );
     assert!(
-        watch.is_closed(),
-        "the old one is let go once the new one has spoken"
+        old_watch.is_closed(),
+        "the old watch ends once the new discovery has sent a list"
     );
     for _ in 0..20 {
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
@@ -70,7 +72,7 @@
     assert_eq!(
         endpoints[0].take_request_count(),
         0,
-        "it drains, whatever an older list or the file say"
+        "it drains, whatever an older list or the file says"
     );
     next.write_line(&list(8, false, &[]));
     drop(next);
@@ -78,16 +80,16 @@
 
     release.send(()).expect("the endpoint waits");
     assert_eq!(
-        waits.read().expect("what was taken is answered").body,
+        pending.read().expect("the open request is answered").body,
         b"late"
     );
     std::fs::remove_file(path).expect("the file goes");
 }
 
-/// Guards against a configuration that cannot be read, and one that a running process cannot take over: each is a
-/// line of the log, and the old one goes on. Two signals in a row are as one.
+/// Guards the log: a configuration that cannot be read, and one that only a restart can apply, are a line each, and the
+/// old one stays in force. Two signals in a row count as one.
 #[test]
-fn what_cannot_be_taken_over_is_named() {
+fn reload_logs_what_it_cannot_apply() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let good = config(
@@ -105,7 +107,7 @@
     let mut other = good;
     other["listen"] = json!("127.0.0.1:1");
     other["settings"]["bounds"]["sendCap"] = json!(2);
-    write(&path, &other);
+    write_config(&path, &other);
     sidecar.send_signal("HUP");
     sidecar.send_signal("HUP");
     sidecar
@@ -114,9 +116,9 @@
     std::fs::remove_file(path).expect("the file goes");
 }
 
-/// Guards the stop: a reload in the middle of it neither ends nor lengthens it, and what was taken is answered.
+/// Guards the graceful shutdown: a reload during it neither ends nor lengthens it, and open requests are answered.
 #[test]
-fn a_reload_while_it_stops() {
+fn reload_during_shutdown_is_applied_and_open_requests_are_answered() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |_| {
@@ -133,12 +135,12 @@
             .status(),
         200
     );
-    let mut waits = sidecar.client();
-    waits.write(&post_request("unsafe", "10", "x"));
+    let mut pending = sidecar.client();
+    pending.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle.is_closed(), "it stops");
-    write(&path, &config(new.address, &known));
+    assert!(idle.is_closed(), "it shuts down");
+    write_config(&path, &config(new.address, &known));
     sidecar.send_signal("HUP");
     assert!(
         new.next_watch()
@@ -147,29 +149,29 @@
     );
     release.send(()).expect("the endpoint waits");
     assert_eq!(
-        waits.read().expect("what was taken is answered").body,
+        pending.read().expect("the open request is answered").body,
         b"late"
     );
     assert!(sidecar.wait().success());
     std::fs::remove_file(path).expect("the file goes");
 }
 
-fn classes(config: &mut Value) -> &mut Vec<Value> {
+fn classes_of(config: &mut Value) -> &mut Vec<Value> {
     config["settings"]["categories"]
         .as_array_mut()
         .expect("a list")
 }
 
-fn named(name: &str, like: &Value) -> Value {
+fn class_like(name: &str, like: &Value) -> Value {
     let mut class = like.clone();
     class["name"] = json!(name);
     class
 }
 
-/// Guards settings that change: a class that appears is served, one that vanishes is not but keeps its count, a stricter
-/// effect holds for what comes after, and requests under way keep theirs.
+/// Guards changed settings: a class that is added is served, one that is removed is not but keeps its count, a stricter
+/// effect holds for later requests, and open requests keep the settings that they came under.
 #[test]
-fn settings_change_while_it_serves() {
+fn changed_settings_apply_to_later_requests_alone() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("x")));
@@ -196,7 +198,7 @@
             .status(),
         200
     );
-    // Under way while its class changes.
+    // Open while its class changes.
     let mut waits: Vec<Client> = (0..12)
         .map(|_| {
             let mut client = sidecar.client();
@@ -204,17 +206,17 @@
             client
         })
         .collect();
-    wait_until("some wait", || {
+    wait_until("some are pending", || {
         sidecar.metric("pending").is_some_and(|n| n > 0)
     });
 
-    let new = named("new", &classes(&mut config)[0]);
-    classes(&mut config).push(new);
-    classes(&mut config)[2]["effect"] = json!("single_shot"); // `keyed`
+    let new = class_like("new", &classes_of(&mut config)[0]);
+    classes_of(&mut config).push(new);
+    classes_of(&mut config)[2]["effect"] = json!("single_shot"); // `keyed`
     config["settings"]["bounds"]["sendCap"] = json!(1);
-    write(&path, &config);
+    write_config(&path, &config);
     sidecar.send_signal("HUP");
-    wait_until("it is taken", || reloads() == 1);
+    wait_until("it is applied", || reloads() == 1);
     sidecar.wait_for_log("settings change in bounds, categories");
     assert_eq!(sidecar.requests_ended("completed", "new"), Some(0));
     assert_eq!(
@@ -237,12 +239,12 @@
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
 
-    // `safe` vanishes; a moment later nothing of it is served.
-    classes(&mut config).remove(0);
-    write(&path, &config);
+    // `safe` is removed; a moment later its requests are rejected.
+    classes_of(&mut config).remove(0);
+    write_config(&path, &config);
     sidecar.send_signal("HUP");
-    wait_until("it is taken", || reloads() == 2);
-    wait_until("what may be late is over", || {
+    wait_until("it is applied", || reloads() == 2);
+    wait_until("requests sent before the reload are over", || {
         client.exchange(&get_request("5")).status() == 400
     });
     assert_eq!(
@@ -257,37 +259,38 @@
             .is_some_and(|n| n >= 1),
         "its count stays"
     );
-    // The same file again is taken, and changes nothing.
+    // The same file again is applied, and changes nothing.
     sidecar.send_signal("HUP");
-    wait_until("it is taken", || reloads() == 3);
+    wait_until("it is applied", || reloads() == 3);
     assert_eq!(sidecar.metric("config_reload_errors"), Some(0));
     std::fs::remove_file(path).expect("the file goes");
 }
 
-/// Guards the old settings against every kind of broken file: they stay, whole, with the old discovery, and the log says
-/// what is wrong.
+/// Guards the settings in force against every kind of broken file: they stay complete, with their discovery, and the log
+/// says what is wrong.
 #[test]
-fn a_broken_file_leaves_all_as_it_was() {
+fn invalid_configuration_changes_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (discovery, other) = (Discovery::start(), Discovery::start());
     let good = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
     let path = temporary_file(&good.to_string());
     let sidecar = Sidecar::start_with_file(&path);
     let errors = || sidecar.metric("config_reload_errors").expect("a figure");
-    let with = |change: &dyn Fn(&mut Value)| {
+    let changed_by = |change: &dyn Fn(&mut Value)| {
         let mut broken = good.clone();
-        // Good news beside what is broken is not to be taken either.
+        // Valid changes beside the invalid one must not be applied either.
         broken["discovery"] = json!(other.address.to_string());
-        let new = named("new", &classes(&mut broken)[0]);
-        classes(&mut broken).push(new);
+        let new = class_like("new", &classes_of(&mut broken)[0]);
+        classes_of(&mut broken).push(new);
         change(&mut broken);
         broken.to_string()
     };
-    let text = with(&|_| {});
+    let text = changed_by(&|_| {});
     let without = |at: &'static str, key: &'static str| {
-        with(&move |b| {
+        changed_by(&move |broken| {
             drop(
-                b.pointer_mut(at)
+                broken
+                    .pointer_mut(at)
                     .expect("it is there")
                     .as_object_mut()
                     .expect("an object")
@@ -296,7 +299,7 @@
         })
     };
     let set = |at: &'static str, to: Value| {
-        with(&move |b| *b.pointer_mut(at).expect("it is there") = to.clone())
+        changed_by(&move |broken| *broken.pointer_mut(at).expect("it is there") = to.clone())
     };
     let mut files = vec![
         String::new(),
@@ -341,11 +344,11 @@
         files.push(without(at, key));
     }
     let mut client = sidecar.client();
-    for (n, text) in files.iter().enumerate() {
+    for (earlier_errors, text) in files.iter().enumerate() {
         std::fs::write(&path, text).expect("the file is written");
         sidecar.send_signal("HUP");
-        wait_until(&format!("it is turned down: {text}"), || {
-            errors() == n as u64 + 1
+        wait_until(&format!("it is rejected: {text}"), || {
+            errors() == earlier_errors as u64 + 1
         });
         assert_eq!(client.exchange(&get_request("5")).status(), 200);
         assert_eq!(
@@ -357,26 +360,30 @@
     }
     std::fs::remove_file(&path).expect("the file goes");
     sidecar.send_signal("HUP");
-    wait_until("a missing file is turned down", || {
+    wait_until("a missing file is rejected", || {
         errors() == files.len() as u64 + 1
     });
     assert_eq!(sidecar.metric("config_reloads"), Some(0));
-    // The log is read beside the calls, and may be a line behind what they tell.
-    let told = |l: &&String| l.contains("reload rejected, the configuration is unchanged: ");
-    wait_until("each has its line", || {
-        sidecar.log().iter().filter(told).count() > files.len()
+    // The log is read on another thread, and may lag behind the metrics.
+    let is_rejection =
+        |line: &&String| line.contains("reload rejected, the configuration is unchanged: ");
+    wait_until("each is logged", || {
+        sidecar.log().iter().filter(is_rejection).count() > files.len()
     });
-    assert_eq!(sidecar.log().iter().filter(told).count(), files.len() + 1);
-    write(&path, &serde_json::from_str(&text).expect("it is good"));
+    assert_eq!(
+        sidecar.log().iter().filter(is_rejection).count(),
+        files.len() + 1
+    );
+    write_config(&path, &serde_json::from_str(&text).expect("it is good"));
     sidecar.send_signal("HUP");
     assert!(
         other
             .next_watch()
             .request_line
             .starts_with("GET /v1/endpoints "),
-        "the whole of it is taken"
+        "all of it is applied"
     );
-    wait_until("the class is there", || {
+    wait_until("the class is served", || {
         client
             .exchange(&get_request("5").replace("safe", "new"))
             .status()
@@ -385,10 +392,10 @@
     std::fs::remove_file(path).expect("the file goes");
 }
 
-/// Guards the start against signals that come while the configuration is still being read: SIGHUP has it read again, and
-/// SIGTERM is an end in order. The file is a pipe, so that the program waits for it as long as the test likes.
+/// Guards the start against signals that arrive while the configuration is being read: SIGHUP has it reloaded, and SIGTERM
+/// shuts the process down gracefully. The file is a pipe, so that the program waits for it as long as the test does.
 #[test]
-fn a_signal_that_comes_as_the_program_starts_is_heard() {
+fn signals_during_the_start_are_handled() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let config =
@@ -401,32 +408,32 @@
             .expect("mkfifo runs")
             .success()
     );
-    // Opened once the program has it open, too.
-    let open = || {
+    // Opening blocks until the program has opened it, too.
+    let open_pipe = || {
         OpenOptions::new()
             .write(true)
             .open(&pipe)
             .expect("it is read")
     };
-    let starts = |name: &str| {
+    let start_and_signal = |name: &str| {
         let child = sidecar_command()
             .env("ROUTER_CONFIG", &pipe)
             .spawn()
             .expect("the program starts");
-        let mut write = open();
+        let mut write = open_pipe();
         send_signal(&child, name);
         write.write_all(config.as_bytes()).expect("it is read");
         drop(write);
         Sidecar::from_child(child)
     };
-    let sidecar = starts("HUP");
-    open()
+    let sidecar = start_and_signal("HUP");
+    open_pipe()
         .write_all(config.as_bytes())
-        .expect("it is read again");
-    wait_until("it is taken", || {
+        .expect("it is reloaded");
+    wait_until("it is applied", || {
         sidecar.metric("config_reloads") == Some(1)
     });
     assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
-    assert!(starts("TERM").wait().success());
+    assert!(start_and_signal("TERM").wait().success());
     std::fs::remove_dir_all(pipe.parent().expect("its folder")).expect("it goes");
 }
--- a/tests/sidecar/customers.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -1,4 +1,5 @@
-//! Settings of unlike customers: all comes from them, and from one set to the next nothing of the first is left.
+//! Two sets of settings that have little in common: each determines all behaviour, and a reload leaves nothing of the
+//! first behind.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -6,8 +7,8 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// One customer's settings over these endpoints.
-fn bakery(mut config: Value) -> Value {
+/// A configuration without tenants and keys.
+fn bakery_config(mut config: Value) -> Value {
     let settings = &mut config["settings"];
     settings["categories"] = json!([
         {"name": "menu", "effect": "free", "keyScope": "all", "memorySpanNs": 1u64, "worth": 1.0, "lateShare": 0.0,
@@ -22,8 +23,8 @@
     config
 }
 
-/// Another's, which has tenants, keys and other limits.
-fn archive(mut config: Value) -> Value {
+/// A configuration with tenants, keys and other limits.
+fn archive_config(mut config: Value) -> Value {
     let settings = &mut config["settings"];
     settings["categories"] = json!([
         {"name": "fetch", "effect": "free", "keyScope": "all", "memorySpanNs": 1u64, "worth": 3.0, "lateShare": 0.5,
@@ -40,65 +41,68 @@
     config
 }
 
-fn read(class: &str, deadline: &str, more: &str) -> String {
-    get_request(deadline).replace("X-Class: safe", &format!("X-Class: {class}{more}"))
+fn read_request(class: &str, deadline: &str, headers: &str) -> String {
+    get_request(deadline).replace("X-Class: safe", &format!("X-Class: {class}{headers}"))
 }
 
-/// How long an endpoint was told that it may take.
-fn left(endpoint: &Endpoint) -> f64 {
+/// The time left that the next request at an endpoint carries.
+fn next_time_left(endpoint: &Endpoint) -> f64 {
     let (_, request) = endpoint.next_request();
     request
         .header("x-deadline")
-        .and_then(|d| d.parse().ok())
+        .and_then(|seconds| seconds.parse().ok())
         .expect("a deadline")
 }
 
-fn is_bakery(sidecar: &Sidecar, endpoint: &Endpoint) {
+fn assert_bakery_in_force(sidecar: &Sidecar, endpoint: &Endpoint) {
     let mut client = sidecar.client();
     endpoint.take_request_count();
     assert_eq!(
-        client.exchange(&read("menu", "9", "")).status(),
+        client.exchange(&read_request("menu", "9", "")).status(),
         200,
-        "no tenant is asked for"
+        "no tenant is required"
     );
-    assert!(left(endpoint) <= 0.9, "the class's own deadline");
+    assert!(next_time_left(endpoint) <= 0.9, "the class's own deadline");
     assert_eq!(
         client.exchange(&post_request("pay", "9", "x")).status(),
         200,
         "nor a key"
     );
-    assert!(left(endpoint) > 7.0);
-    let refused = client.exchange(&read("menu", "0", ""));
+    assert!(next_time_left(endpoint) > 7.0);
+    let rejected = client.exchange(&read_request("menu", "0", ""));
     assert_eq!(
-        (refused.status(), refused.header("retry-after")),
+        (rejected.status(), rejected.header("retry-after")),
         (503, Some("3.5"))
     );
     assert_eq!(
         client
-            .exchange(&read("fetch", "9", "\r\nX-Tenant: north"))
+            .exchange(&read_request("fetch", "9", "\r\nX-Tenant: north"))
             .status(),
         400
     );
 }
 
-fn is_archive(sidecar: &Sidecar, endpoint: &Endpoint) {
+fn assert_archive_in_force(sidecar: &Sidecar, endpoint: &Endpoint) {
     let mut client = sidecar.client();
     let north = "\r\nX-Tenant: north";
-    wait_until("what may be late is over", || {
-        client.exchange(&read("menu", "9", north)).status() == 400
+    wait_until("requests sent before the reload are over", || {
+        client.exchange(&read_request("menu", "9", north)).status() == 400
     });
     endpoint.take_request_count();
-    assert_eq!(client.exchange(&read("fetch", "9", north)).status(), 200);
-    let given = left(endpoint);
-    assert!(given <= 5.0 && given > 3.0, "{given}");
     assert_eq!(
-        client.exchange(&read("fetch", "9", "")).status(),
+        client.exchange(&read_request("fetch", "9", north)).status(),
+        200
+    );
+    let time_left = next_time_left(endpoint);
+    assert!(time_left <= 5.0 && time_left > 3.0, "{time_left}");
+    assert_eq!(
+        client.exchange(&read_request("fetch", "9", "")).status(),
         400,
-        "whose it is"
+        "the tenant is required"
     );
     assert_eq!(
         client
-            .exchange(&read("fetch", "9", "\r\nX-Tenant: west"))
+            .exchange(&read_request("fetch", "9", "\r\nX-Tenant: west"))
             .status(),
         400
     );
@@ -107,18 +111,18 @@
     let keyed =
         post_request("pay", "9", "x").replace("pay", &format!("pay{north}\r\nIdempotency-Key: k"));
     assert_eq!(client.exchange(&keyed).status(), 200);
-    let refused = client.exchange(&read("fetch", "0", north));
+    let rejected = client.exchange(&read_request("fetch", "0", north));
     assert_eq!(
-        (refused.status(), refused.header("retry-after")),
+        (rejected.status(), rejected.header("retry-after")),
         (503, None)
     );
 }
 
-/// Guards refusals for want of room, which the module is not asked about: they say when to come back as all others do, as
-/// far as settings allow. There is room for one request, and none for any body.
+/// Guards early rejections, which the balancer does not see: they carry Retry-After as all others do, if the settings allow
+/// it. One request may be open, and there is no memory for any body.
 #[test]
-fn what_is_turned_away_for_want_of_room_says_when_to_come_back() {
-    for (allowed, told) in [(true, Some("2")), (false, None)] {
+fn early_rejections_carry_retry_after_where_settings_allow_it() {
+    for (allowed, retry_after) in [(true, Some("2")), (false, None)] {
         let endpoint = Endpoint::start(|_| EndpointAction::Hang);
         let discovery = Discovery::start();
         let mut config =
@@ -126,85 +130,91 @@
         config["settings"]["bounds"]["maxOpen"] = json!(1);
         config["settings"]["bounds"]["retryAfter"] = json!(allowed);
         let sidecar = Sidecar::start(&config);
-        let mut waits = sidecar.client();
-        waits.write(&post_request("unsafe", "9", "x"));
-        wait_until("it is open", || sidecar.metric("pending") == Some(1));
-        let refused = sidecar.client().exchange(&get_request("9"));
+        let mut pending = sidecar.client();
+        pending.write(&post_request("unsafe", "9", "x"));
+        wait_until("it is pending", || sidecar.metric("pending") == Some(1));
+        let rejected = sidecar.client().exchange(&get_request("9"));
         assert_eq!(
-            (refused.status(), refused.header("retry-after")),
-            (503, told)
+            (rejected.status(), rejected.header("retry-after")),
+            (503, retry_after)
         );
         config["limits"]["memory_mb"] = json!(0);
-        let refused = Sidecar::start(&config)
+        let rejected = Sidecar::start(&config)
             .client()
             .exchange(&post_request("unsafe", "9", "x"));
         assert_eq!(
-            (refused.status(), refused.header("retry-after")),
-            (503, told)
+            (rejected.status(), rejected.header("retry-after")),
+            (503, retry_after)
         );
     }
 }
 
-/// Guards against one customer's names or figures anywhere: two unlike sets at their start, and each after the other at
-/// SIGHUP. Only a request under way keeps its class, and idle connections are kept as the new limits say.
+/// Guards against names or values of one deployment in the code: two unlike sets of settings from the start, and each after
+/// the other by SIGHUP. Only an open request keeps its class, and idle connections are kept as the new limits say.
 #[test]
-fn settings_of_unlike_customers_leave_nothing_behind() {
+fn reload_to_unlike_settings_leaves_nothing_of_the_first_behind() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let endpoint = Endpoint::start(move |message| {
-        if message.body == b"waits" {
+        if message.body == b"blocks" {
             let _ = released.lock().expect("the only one").recv();
         }
         respond_ok("x")
     });
     let discovery = Discovery::start();
     let plain = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
-    let (bakery, archive) = (bakery(plain.clone()), archive(plain));
-    is_archive(&Sidecar::start(&archive), &endpoint);
+    let (bakery, archive) = (bakery_config(plain.clone()), archive_config(plain));
+    assert_archive_in_force(&Sidecar::start(&archive), &endpoint);
 
     let path = temporary_file(&bakery.to_string());
     let sidecar = Sidecar::start_with_file(&path);
-    let retunes = |config: &Value, times| {
+    let reload = |config: &Value, reload_count| {
         std::fs::write(&path, config.to_string()).expect("the file is written");
         sidecar.send_signal("HUP");
-        wait_until("it is taken", || {
-            sidecar.metric("config_reloads") == Some(times)
+        wait_until("it is applied", || {
+            sidecar.metric("config_reloads") == Some(reload_count)
         });
     };
-    is_bakery(&sidecar, &endpoint);
-    let mut waits = sidecar.client();
-    waits.write(&post_request("pay", "19", "waits"));
-    assert!(left(&endpoint) > 15.0);
-    // A connection that stands idle from here on, which the first customer's limits keep for 42 s.
+    assert_bakery_in_force(&sidecar, &endpoint);
+    let mut pending = sidecar.client();
+    pending.write(&post_request("pay", "19", "blocks"));
+    assert!(next_time_left(&endpoint) > 15.0);
+    // This connection is idle from here on; the first limits would keep it for 42 s.
     assert_eq!(
-        sidecar.client().exchange(&read("menu", "9", "")).status(),
+        sidecar
+            .client()
+            .exchange(&read_request("menu", "9", ""))
+            .status(),
         200
     );
-    let (kept, _) = endpoint.next_request();
-    retunes(&archive, 1);
-    std::thread::sleep(Duration::from_millis(800)); // past 0.7 s, which is what the second's limits keep one
-    let asked = post_request("pay", "9", "x")
+    let (idle_connection, _) = endpoint.next_request();
+    reload(&archive, 1);
+    std::thread::sleep(Duration::from_millis(800)); // past 0.7 s, for which the second limits keep it
+    let archive_request = post_request("pay", "9", "x")
         .replace("pay", "pay\r\nX-Tenant: north\r\nIdempotency-Key: k");
-    assert_eq!(sidecar.client().exchange(&asked).status(), 200);
+    assert_eq!(sidecar.client().exchange(&archive_request).status(), 200);
     assert_ne!(
         endpoint.next_request().0,
-        kept,
-        "it stood idle too long for that"
+        idle_connection,
+        "it was idle for too long"
     );
-    is_archive(&sidecar, &endpoint);
+    assert_archive_in_force(&sidecar, &endpoint);
     release.send(()).expect("the endpoint waits");
     assert_eq!(
-        waits.read().expect("what was taken is answered").status(),
+        pending
+            .read()
+            .expect("the open request is answered")
+            .status(),
         200
     );
-    retunes(&bakery, 2);
-    wait_until("what may be late is over", || {
+    reload(&bakery, 2);
+    wait_until("requests sent before the reload are over", || {
         sidecar
             .client()
-            .exchange(&read("fetch", "9", "\r\nX-Tenant: north"))
+            .exchange(&read_request("fetch", "9", "\r\nX-Tenant: north"))
             .status()
             == 400
     });
-    is_bakery(&sidecar, &endpoint);
+    assert_bakery_in_force(&sidecar, &endpoint);
     std::fs::remove_file(path).expect("the file goes");
 }
