--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Callers that send what is no request, or nothing, or too much.
+//! Callers that send invalid, incomplete or oversized requests, or nothing, or that are too many.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -8,24 +8,25 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// What a connection reads to its end after it has written this; an error where it was reset.
+/// Writes a text on a new connection and reads until its end; an error where it was reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
-    let _ = stream.write_all(text); // the answer may come, and the end with it, before all is written
+    let _ = stream.write_all(text); // the response and FIN may come before all is written
     let mut read = Vec::new();
     stream.read_to_end(&mut read)?;
     Ok(String::from_utf8_lossy(&read).into_owned())
 }
 
+/// The head of an unsafe request with further header lines.
 fn head(lines: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: r\r\nX-Class: unsafe\r\nX-Deadline: 5\r\n{lines}\r\n"
     )
 }
 
-/// Guards against a request that hides another: where its body ends must not depend on who reads it. It gets one answer,
-/// nothing behind it is read as a request, and no endpoint sees any of it.
+/// Guards against request smuggling: where a body ends must not depend on who reads it. The request gets one response,
+/// nothing after it is read as a request, and no endpoint receives any of it.
 #[test]
 fn request_with_ambiguous_body_length_is_rejected() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -50,7 +51,7 @@
         assert_eq!(read.matches("HTTP/1.1 ").count(), 1, "{lines}: {read}");
     }
     assert_eq!(endpoint.take_request_count(), 0);
-    // A body in chunks is one all the same, and two requests written at once are two.
+    // A chunked body is accepted, and so are two pipelined requests.
     let chunked = format!(
         "{}5\r\nhello\r\n0\r\n\r\n",
         head("Transfer-Encoding: chunked\r\n")
@@ -73,8 +74,8 @@
     }
 }
 
-/// Guards callers' time: heads and bodies that do not end get an error or a close, long before any deadline, and so does
-/// silence; what cannot be read is told at once. A request in time on a connection that was in use before is served.
+/// Guards against requests that do not end: incomplete heads and bodies get an error, and a silent connection is closed, long
+/// before the requests' deadline. A head that is too long or malformed is answered at once.
 #[test]
 fn incomplete_requests_and_silent_connections_time_out() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -120,8 +121,8 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the answer to what is turned down early: with the rest unread, closing at once would reset the connection, and
-/// the answer would be lost. 60 MB are not kept, either.
+/// Guards the response to a request that is rejected while its body comes: closing with bytes unread would reset the
+/// connection, and the response would be lost. The 60 MB are not buffered, either.
 #[test]
 fn early_error_response_is_readable_while_the_body_is_unread() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -146,7 +147,7 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards what is kept of a request: ids and keys have a bound, and a deadline is no longer than its class allows.
+/// Guards what is stored of a request: ids and keys have a maximum length, and a deadline is capped by its class.
 #[test]
 fn long_ids_are_rejected_and_deadlines_are_capped() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -181,7 +182,7 @@
     assert!(left.expect("a deadline") <= 10.0, "{left:?}");
 }
 
-/// Guards the first request against a second with its id: that one is turned away, and the first is served.
+/// Guards a request against a second one with its id, which is rejected.
 #[test]
 fn repeated_id_is_rejected_and_the_first_request_is_served() {
     let (release, released) = channel::<()>();
@@ -204,8 +205,8 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the descriptors against those who connect and say nothing, or half a request: with hundreds of them there, a
-/// caller is still served, over connections to endpoints that are still to be had, and the watch can be had again.
+/// Guards the descriptors against clients that connect and send nothing, or part of a request: with hundreds of them a
+/// caller is still served, over new connections to endpoints, and the watch can be opened again.
 #[test]
 fn requests_are_served_while_clients_flood_the_descriptors() {
     let endpoint = Endpoint::start(|_| {
@@ -219,13 +220,13 @@
     config["limits"]["sockets"] = json!(256);
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
-    let mut kept = Vec::new();
+    let mut flood = Vec::new();
     for n in 0..600 {
         let mut stream = TcpStream::connect(sidecar.address).expect("the backlog has room");
         if n % 2 == 0 {
             let _ = stream.write_all(b"GET /api HTTP/1.1\r\nX-Ha");
         }
-        kept.push(stream);
+        flood.push(stream);
         if n % 20 == 19 {
             assert_eq!(
                 sidecar.client().exchange(&get_request("5")).status(),
@@ -239,13 +240,13 @@
     discovery.next_watch();
     let log = sidecar.log().join("\n");
     assert!(!log.contains("could not be accepted"), "{log}");
-    for k in &kept {
-        drop(k.shutdown(Shutdown::Both));
+    for stream in &flood {
+        drop(stream.shutdown(Shutdown::Both));
     }
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards slow callers in a crowd: one whose head comes in pieces is not closed to make room while others stand idle.
+/// Guards slow callers among many idle clients: one whose head comes in pieces is not evicted while others are idle.
 #[test]
 fn slow_head_is_served_while_idle_connections_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -263,7 +264,7 @@
     let mut idle = Vec::new();
     for piece in request.as_bytes().chunks(request.len().div_ceil(5)) {
         slow.write_all(piece).expect("it is open");
-        // More than the callers' part of the descriptors, in all.
+        // In all more than the callers' limit on descriptors.
         for _ in 0..20 {
             let mut client = sidecar.client();
             assert_eq!(
@@ -280,8 +281,8 @@
     assert_eq!(&answer, b"HTTP/1.1 200");
 }
 
-/// Guards new callers in a crowd: those that connect together are not closed for each other before their requests come,
-/// while others stand idle. A machine that stalls between may spoil a round, not five.
+/// Guards new callers among many idle clients: those that connect at the same time do not evict each other before their
+/// requests come, while others are idle. A stall of the machine may spoil one round, not five.
 #[test]
 fn new_connections_are_served_while_older_idle_ones_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -302,18 +303,18 @@
             .map(|_| TcpStream::connect(sidecar.address).expect("it accepts"))
             .collect();
         std::thread::sleep(Duration::from_millis(50));
-        let ask = |stream: &mut TcpStream| {
+        let is_served = |stream: &mut TcpStream| {
             let mut answer = [0; 12];
             stream
                 .set_read_timeout(Some(TEST_TIMEOUT))
                 .expect("a time-out");
-            let asked = stream.write_all(get_request("5").as_bytes());
-            asked
+            let written = stream.write_all(get_request("5").as_bytes());
+            written
                 .and_then(|()| stream.read_exact(&mut answer))
                 .is_ok_and(|()| &answer == b"HTTP/1.1 200")
         };
         new.iter_mut()
-            .filter_map(|stream| ask(stream).then_some(()))
+            .filter_map(|stream| is_served(stream).then_some(()))
             .count()
     };
     let rounds: Vec<usize> = (0..5).map(served).collect();
--- a/tests/sidecar/cancellation_support/connection_close.rs
+++ b/tests/sidecar/cancellation_support/connection_close.rs
@@ -1,4 +1,4 @@
-//! The ways in which a client closes its connection.
+//! How a client closes its connection.
 
 use socket2::SockRef;
 use std::net::{Shutdown, TcpStream};
@@ -7,20 +7,20 @@
 /// How a client closes its connection.
 #[derive(Clone, Copy, Debug)]
 pub enum CloseKind {
-    /// Both sides, after what was written.
+    /// Both directions, after the written bytes.
     Full,
-    /// Its sending side alone.
+    /// The sending direction alone, by FIN.
     Half,
-    /// Both sides at once, by a reset.
+    /// Both directions, by a reset.
     Reset,
 }
 
-/// Every way to close.
+/// Every kind of close.
 pub const ALL_CLOSES: [CloseKind; 3] = [CloseKind::Full, CloseKind::Half, CloseKind::Reset];
 
-/// Closes a connection; what is left of it stays open for as long as the result is kept.
-pub fn close(stream: TcpStream, how: CloseKind) -> Option<TcpStream> {
-    match how {
+/// Closes a connection. The result keeps the other direction of a half-closed one open.
+pub fn close(stream: TcpStream, kind: CloseKind) -> Option<TcpStream> {
+    match kind {
         CloseKind::Full => None,
         CloseKind::Half => {
             stream.shutdown(Shutdown::Write).expect("it is open");
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that accepts connections late.
+//! An endpoint whose listen backlog is full.
 
 use crate::stubs::*;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An endpoint whose connections come up late: its backlog is full until the test takes from it.
+/// An endpoint to which connections are not established until the test accepts some, as its backlog is full.
 pub struct FullBacklogEndpoint {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
@@ -23,7 +23,7 @@
         FullBacklogEndpoint { listener, fillers }
     }
 
-    /// Its entry in a list of discovery.
+    /// Its entry in the endpoint list.
     pub fn entry(&self) -> Value {
         entry(
             "late",
@@ -32,15 +32,15 @@
         )
     }
 
-    /// A connection of the sidecar's, if one has come up.
+    /// Accepts a connection of the sidecar's, if one is established.
     pub fn try_accept(&self) -> Option<TcpStream> {
-        let ours = |peer| {
+        let is_filler = |peer| {
             self.fillers
                 .iter()
-                .any(|f| f.local_addr().expect("an address") == peer)
+                .any(|filler| filler.local_addr().expect("an address") == peer)
         };
         while let Ok((stream, peer)) = self.listener.accept() {
-            if !ours(peer) {
+            if !is_filler(peer) {
                 stream.set_nonblocking(false).expect("an option");
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
@@ -51,15 +51,15 @@
         None
     }
 
-    /// What is written on the next connection of the sidecar's on which something is.
+    /// Accepts connections until the sidecar has written on one; returns the text in lower case.
     pub fn next_written_text(&self) -> String {
         let mut written = String::new();
         wait_until("something is written", || {
             let mut bytes = [0; 4096];
-            let n = self
+            let length = self
                 .try_accept()
                 .map_or(0, |mut stream| stream.read(&mut bytes).unwrap_or(0));
-            written = String::from_utf8_lossy(&bytes[..n]).to_lowercase();
+            written = String::from_utf8_lossy(&bytes[..length]).to_lowercase();
             !written.is_empty()
         });
         written
--- a/tests/sidecar/cancellation_support/lifecycle.rs
+++ b/tests/sidecar/cancellation_support/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A sidecar that is drained, stopped or replaced while requests wait there.
+//! A sidecar that is drained, shut down or hot-restarted while requests wait in it.
 
 use super::queueing_sidecar::QueueingSidecar;
 use crate::stubs::*;
@@ -6,41 +6,58 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 
-/// Changes of a sidecar that requests may wait through: a drain by hand, a stop, an upgrade.
-pub const LIFECYCLE_CHANGES: [&str; 3] = ["DRAIN", "TERM", "upgrade"];
+/// A change in a sidecar's life during which requests stay queued.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LifecycleChange {
+    /// The operators' DRAIN.
+    Drain,
+    /// Graceful shutdown by SIGTERM.
+    Shutdown,
+    /// A new process takes the listener over.
+    HotRestart,
+}
+
+/// Every lifecycle change.
+pub const LIFECYCLE_CHANGES: [LifecycleChange; 3] = [
+    LifecycleChange::Drain,
+    LifecycleChange::Shutdown,
+    LifecycleChange::HotRestart,
+];
 
-/// What a sidecar is told while requests wait there; the next process, if one serves from now on.
+/// Applies the change to a sidecar, and waits until it takes effect. Returns the new process of a hot restart, whose
+/// configuration lists the endpoint.
 pub fn apply_change(
-    word: &str,
+    change: LifecycleChange,
     sidecar: &Sidecar,
-    folder: &Path,
+    directory: &Path,
     endpoint: &Endpoint,
 ) -> Option<Sidecar> {
-    if word == "upgrade" {
+    if change == LifecycleChange::HotRestart {
         let mut config = with_admin_address(config(
             Discovery::start().address,
             &serving_entries(&[endpoint]),
         ));
         config["listen"] = json!(sidecar.address.to_string());
-        let next = Sidecar::start_in_directory(folder, &config);
+        let next = Sidecar::start_in_directory(directory, &config);
         sidecar.wait_for_log("the new process accepts callers");
         return Some(next);
     }
-    match word {
-        "DRAIN" => assert!(sidecar.call_is_yes("DRAIN")),
-        _ => sidecar.terminate(),
+    if change == LifecycleChange::Drain {
+        assert!(sidecar.call_is_yes("DRAIN"));
+    } else {
+        sidecar.terminate();
     }
-    wait_until("it takes no more callers", || !sidecar.call_is_yes("READY"));
+    wait_until("the sidecar is not ready", || !sidecar.call_is_yes("READY"));
     None
 }
 
 /// What happens to the sidecar between a request and its client's close: nothing, or one of [`LIFECYCLE_CHANGES`].
-fn phases() -> impl Iterator<Item = Option<&'static str>> {
+fn phases() -> impl Iterator<Item = Option<LifecycleChange>> {
     std::iter::once(None).chain(LIFECYCLE_CHANGES.map(Some))
 }
 
-/// Runs a test in every phase, each with a sidecar of its own and all at once.
-pub fn in_every_lifecycle_phase(test: impl Fn(Option<&str>) + Sync) {
+/// Runs a test in every phase concurrently, each with a sidecar of its own.
+pub fn in_every_lifecycle_phase(test: impl Fn(Option<LifecycleChange>) + Sync) {
     thread::scope(|scope| {
         for phase in phases() {
             let test = &test;
@@ -49,39 +66,41 @@
     });
 }
 
-/// A sidecar that can be drained, stopped or replaced, with a folder of its own.
+/// A sidecar that can be drained, shut down or hot-restarted, with a shared directory of its own.
 pub struct LifecycleSidecar {
+    /// The process that the requests are queued in.
     pub queueing: QueueingSidecar,
-    folder: PathBuf,
+    directory: PathBuf,
+    /// The new process of a hot restart.
     next: Option<Sidecar>,
 }
 
 impl LifecycleSidecar {
-    /// Starts the sidecar after this change to its configuration.
+    /// Starts the sidecar with a changed configuration.
     pub fn start(change: impl FnOnce(&mut Value)) -> Self {
-        let folder = temporary_directory();
+        let directory = temporary_directory();
         let queueing = QueueingSidecar::start(change, |config| {
-            Sidecar::start_in_directory(&folder, config)
+            Sidecar::start_in_directory(&directory, config)
         });
         LifecycleSidecar {
             queueing,
-            folder,
+            directory,
             next: None,
         }
     }
 
-    /// Applies the change of this phase, and keeps the next process if there is one.
-    pub fn enter_phase(&mut self, phase: Option<&str>) {
-        let Some(word) = phase else { return };
+    /// Applies the change of this phase, if there is one.
+    pub fn enter_phase(&mut self, phase: Option<LifecycleChange>) {
+        let Some(change) = phase else { return };
         self.next = apply_change(
-            word,
+            change,
             &self.queueing.sidecar,
-            &self.folder,
+            &self.directory,
             &self.queueing.endpoint,
         );
     }
 
-    /// Attempts that have been written to endpoints, by this process and the next.
+    /// Returns how many attempts the old process and the new one have written to endpoints.
     pub fn attempts(&self) -> u64 {
         let written = |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a figure");
         written(&self.queueing.sidecar) + self.next.as_ref().map_or(0, written)
@@ -90,6 +109,6 @@
 
 impl Drop for LifecycleSidecar {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/tests/sidecar/cancellation_support/queueing_sidecar.rs
+++ b/tests/sidecar/cancellation_support/queueing_sidecar.rs
@@ -1,23 +1,25 @@
-//! A sidecar that holds requests until the test lists an endpoint.
+//! A sidecar that queues requests until the test lists an endpoint.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 
-/// One that knows of no endpoint, so that all is held, and what makes it send.
+/// A sidecar without endpoints, so that it queues all requests, and an endpoint that can be listed.
 pub struct QueueingSidecar {
+    /// The sidecar under test.
     pub sidecar: Sidecar,
+    /// The endpoint that is not listed yet.
     pub endpoint: Endpoint,
     watch: Watch,
     discovery: Discovery,
 }
 
 impl QueueingSidecar {
-    /// Starts the sidecar after this change to its configuration.
+    /// Starts the sidecar with a changed configuration.
     pub fn with(change: impl FnOnce(&mut Value)) -> Self {
         Self::start(change, Sidecar::start)
     }
 
-    /// The same, with a sidecar that `start` makes from the configuration.
+    /// Starts the sidecar with a changed configuration by `start`.
     pub fn start(change: impl FnOnce(&mut Value), start: impl FnOnce(&Value) -> Sidecar) -> Self {
         let discovery = Discovery::start();
         let mut config = with_admin_address(config(discovery.address, &[]));
@@ -40,37 +42,37 @@
         }
     }
 
-    /// Waits until something is so; discovery shows that it is there meanwhile.
-    pub fn wait_until(&mut self, what: &str, is_so: impl Fn(&Sidecar) -> bool) {
-        wait_until(what, || {
+    /// Waits until a condition is met, while discovery sends heartbeats.
+    pub fn wait_until(&mut self, description: &str, is_met: impl Fn(&Sidecar) -> bool) {
+        wait_until(description, || {
             self.watch.write_line_reconnecting(&self.discovery, "");
-            is_so(&self.sidecar)
+            is_met(&self.sidecar)
         });
     }
 
-    /// Has discovery write a line to the sidecar.
+    /// Has discovery send a list.
     pub fn write_list(&mut self, line: &str) {
         self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
-    /// Waits until so many requests are pending.
-    pub fn wait_for_pending(&mut self, n: usize) {
-        self.wait_until(&format!("{n} are pending"), |sidecar| {
-            sidecar.metric("pending") == Some(n as u64)
+    /// Waits until this number of requests is pending.
+    pub fn wait_for_pending(&mut self, count: usize) {
+        self.wait_until(&format!("{count} are pending"), |sidecar| {
+            sidecar.metric("pending") == Some(count as u64)
         });
     }
 
-    /// Lists the endpoint, so that what is held is sent there.
+    /// Lists the endpoint, so that queued requests are sent there.
     pub fn list_endpoint(&mut self) {
         self.write_list(&list(42, false, &serving_entries(&[&self.endpoint])));
     }
 
-    /// What the endpoint has seen of the ids of these requests, when all are answered.
+    /// Takes the ids of the requests that the endpoint has received.
     pub fn received_request_ids(&self) -> Vec<String> {
         self.endpoint
             .take_requests()
             .iter()
-            .filter_map(|m| m.header("x-request-id").map(String::from))
+            .filter_map(|message| message.header("x-request-id").map(String::from))
             .collect()
     }
 }
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -1,4 +1,4 @@
-//! Clients that write a request and leave while it waits.
+//! Clients that write a request and disconnect while it waits.
 
 use crate::stubs::*;
 use socket2::SockRef;
@@ -6,23 +6,29 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How a client leaves, and what it has written behind its request by then.
+/// How a client disconnects, and what it has written after its request by then.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
+    /// It closes the connection.
     ByFin(PipelinedBytes),
+    /// It resets the connection.
     ByReset(PipelinedBytes),
 }
 
-/// What a client has written behind its request when it leaves.
+/// What a client has written after its request when it disconnects.
 #[derive(Clone, Copy, Debug)]
 pub enum PipelinedBytes {
+    /// No bytes.
     Nothing,
+    /// The beginning of a head.
     PartialHead,
+    /// A second request.
     CompleteRequest,
+    /// More than the sidecar buffers while it answers a request.
     MoreThanIsRead,
 }
 
-/// Every way to leave, with everything that may be written behind the request.
+/// Every way to disconnect, with every kind of pipelined bytes.
 pub const ALL_DISCONNECTS: [Disconnect; 8] = [
     Disconnect::ByFin(PipelinedBytes::Nothing),
     Disconnect::ByFin(PipelinedBytes::PartialHead),
@@ -34,11 +40,11 @@
     Disconnect::ByReset(PipelinedBytes::MoreThanIsRead),
 ];
 
-/// A client whose request, or what there is of it, is written.
+/// A client that has written its request, or a part of one.
 pub struct WaitingClient(pub TcpStream);
 
 impl WaitingClient {
-    /// Connects to the sidecar and writes this.
+    /// Connects to the sidecar and writes a request.
     pub fn with(sidecar: &Sidecar, request: &str) -> Self {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
         stream
@@ -48,10 +54,10 @@
         WaitingClient(stream)
     }
 
-    /// Writes what is to be behind the request, and closes the connection.
+    /// Writes the pipelined bytes, and disconnects.
     pub fn disconnect(mut self, how: Disconnect) {
-        let (Disconnect::ByFin(behind) | Disconnect::ByReset(behind)) = how;
-        let text = match behind {
+        let (Disconnect::ByFin(pipelined) | Disconnect::ByReset(pipelined)) = how;
+        let text = match pipelined {
             PipelinedBytes::Nothing => String::new(),
             PipelinedBytes::PartialHead => "GET /api HTTP/1.1\r\nX-Ha".into(),
             PipelinedBytes::CompleteRequest => get_request("10"),
@@ -59,7 +65,7 @@
         };
         self.0.write_all(text.as_bytes()).expect("it is open");
         if let Disconnect::ByReset(_) = how {
-            // What was written goes first, so that it may stand unread.
+            // The written bytes arrive first, so that they may be unread when the reset comes.
             std::thread::sleep(Duration::from_millis(20));
             SockRef::from(&self.0)
                 .set_linger(Some(Duration::ZERO))
@@ -67,15 +73,15 @@
         }
     }
 
-    /// Whether an answer with status 200 comes.
+    /// Returns whether a response with status 200 comes.
     pub fn is_served(&mut self) -> bool {
         let mut start = [0; 13];
         self.0.read_exact(&mut start).is_ok() && &start == b"HTTP/1.1 200 "
     }
 }
 
-/// The value of the `X-Request-Id` header of a request.
+/// Returns the value of a request's `X-Request-Id` header.
 pub fn request_id(request: &str) -> String {
-    let from = request.split("X-Request-Id: ").nth(1).expect("it has one");
-    from.split("\r\n").next().expect("a line").to_string()
+    let value = request.split("X-Request-Id: ").nth(1).expect("it has one");
+    value.split("\r\n").next().expect("a line").to_string()
 }
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -1,8 +1,9 @@
-//! Cancellation by the client: once it has closed its connection no attempt of its request begins, first or further.
+//! Cancellation by the client: once it has closed its connection no attempt of its request begins, first or retry.
 //!
-//! `leaving.rs` has the first attempts that are held or dialled. Here are further attempts, requests that wait for the gap
-//! of a throttled endpoint, closes that arrive together with the request, and callers that die in an earlier tier. Each
-//! test has a second request in the same place whose client stays: that one is served, so that the wait was over.
+//! `client_disconnects.rs` covers first attempts that are queued or connecting. This file covers retries, requests that
+//! wait for the gap of a throttled endpoint, closes that arrive together with the request, and callers that die in an
+//! earlier tier. Each test has a second request in the same place whose client stays: as that one is served, the wait was
+//! over.
 
 use crate::cancellation_support::{
     ALL_CLOSES, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
@@ -17,14 +18,14 @@
 use std::thread;
 use std::time::Duration;
 
-// ---- Further attempts ------------------------------------------------------------------------------------
+// ---- Retries ---------------------------------------------------------------------------------------------
 
 const NOT_RUN_RESPONSE: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// Safe requests that earn the retries of a test.
+/// The number of safe requests that earn a test's retry budget.
 const RETRY_EARNING_REQUESTS: usize = 20;
 
-/// An endpoint that serves safe requests, and turns away each unsafe one when the test says so, by the request's body.
+/// An endpoint that serves safe requests, and rejects unsafe ones when the test releases them, by their body.
 struct RejectingEndpoint {
     endpoint: Endpoint,
     closing: Sender<()>,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Turns the leaver's request away; the answer is on its connection when this returns.
+    /// Rejects the request of the client that closes. The response has been written when this returns.
     fn reject_closing(&self) {
         self.closing.send(()).expect("it waits");
         self.endpoint.next_connection_close();
@@ -71,15 +72,15 @@
     }
 }
 
-/// Two requests of which the first attempt is out at the same endpoint, the only one that is known.
+/// Two requests whose first attempts are in flight to the same endpoint, the only one that is listed.
 struct FirstAttempts {
     sidecar: LifecycleSidecar,
     rejecting: RejectingEndpoint,
-    /// Gone once it has closed.
+    /// The client that closes; none once it has.
     closing: Option<WaitingClient>,
     staying: WaitingClient,
     staying_id: String,
-    /// Attempts written up to now.
+    /// The number of attempts written so far.
     attempts: u64,
 }
 
@@ -115,26 +116,26 @@
         }
     }
 
-    /// Both have been turned away, and wait for an endpoint that has not done so.
+    /// Rejects both requests, which then wait for another endpoint.
     fn reject_both(&mut self) {
         self.rejecting.reject_closing();
         self.rejecting.reject_staying();
         self.sidecar.queueing.wait_for_pending(2);
     }
 
-    /// The leaver closes its connection, and the sidecar has seen it.
+    /// Closes one client's connection, and waits until the sidecar has noticed.
     fn close_client(&mut self, close_kind: CloseKind) -> Option<TcpStream> {
-        let closing = self.closing.take().expect("it closes once");
+        let closing = self.closing.take().expect("it has not closed yet");
         let half = close(closing.0, close_kind);
         self.sidecar.queueing.wait_for_pending(1);
         half
     }
 
-    /// Lists an endpoint to which a retry may go.
+    /// Lists an endpoint to which retries can be sent.
     fn list_other_endpoint(&mut self, entry: Value) {
         let queueing = &mut self.sidecar.queueing;
         queueing.write_list(&list(42, false, &[entry]));
-        queueing.wait_until("it is listed", |sidecar| {
+        queueing.wait_until("the endpoint is listed", |sidecar| {
             sidecar.metric("members") == Some(2)
         });
     }
@@ -144,7 +145,7 @@
         self.list_other_endpoint(entry("other", address, "SERVING"));
     }
 
-    /// The stayer's retry is served at the other endpoint, and there is no further attempt.
+    /// Asserts that the retry of the client that stays is served by the other endpoint, and that no other attempt is made.
     fn assert_only_staying_is_retried(&mut self, context: &str) {
         assert!(self.staying.is_served(), "{context}");
         assert_eq!(self.sidecar.attempts(), self.attempts + 1, "{context}");
@@ -156,80 +157,82 @@
     }
 }
 
-/// Guards a retry that is held as no endpoint is left for it: its client closes, and then there is one.
+/// Guards a retry that is queued for lack of an endpoint when its client closes.
 #[test]
 fn queued_retry_is_not_sent_after_the_client_closes() {
     in_every_lifecycle_phase(|phase| {
         for close_kind in ALL_CLOSES {
-            let mut attempts_pair = FirstAttempts::start(true);
-            attempts_pair.reject_both();
-            attempts_pair.sidecar.enter_phase(phase);
-            let _half = attempts_pair.close_client(close_kind);
-            attempts_pair.list_queueing_endpoint();
-            attempts_pair.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
+            let mut requests = FirstAttempts::start(true);
+            requests.reject_both();
+            requests.sidecar.enter_phase(phase);
+            let _half = requests.close_client(close_kind);
+            requests.list_queueing_endpoint();
+            requests.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
         }
     });
 }
 
-/// Guards a first attempt that may not be called off: it fails after its client has closed, and is not followed by another.
+/// Guards a first attempt that may not be cancelled: it fails after its client has closed, and is not retried.
 #[test]
 fn attempt_that_fails_after_the_client_closes_is_not_retried() {
     in_every_lifecycle_phase(|phase| {
         for close_kind in ALL_CLOSES {
-            let mut attempts_pair = FirstAttempts::start(false);
-            attempts_pair.sidecar.enter_phase(phase);
-            let _half = attempts_pair.close_client(close_kind);
-            attempts_pair.list_queueing_endpoint();
-            attempts_pair.rejecting.reject_closing();
-            attempts_pair.rejecting.reject_staying();
-            attempts_pair.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
+            let mut requests = FirstAttempts::start(false);
+            requests.sidecar.enter_phase(phase);
+            let _half = requests.close_client(close_kind);
+            requests.list_queueing_endpoint();
+            requests.rejecting.reject_closing();
+            requests.rejecting.reject_staying();
+            requests.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
         }
     });
 }
 
-/// What has been written on any of these connections.
+/// Reads what has been written on any of these connections.
 fn written(connections: &mut [TcpStream]) -> String {
     let mut all = Vec::new();
     for connection in connections {
         connection.set_nonblocking(true).expect("an option");
         let mut bytes = [0; 4096];
         match connection.read(&mut bytes) {
-            Ok(n) => all.extend_from_slice(&bytes[..n]),
-            Err(failure) => assert_eq!(failure.kind(), ErrorKind::WouldBlock),
+            Ok(length) => all.extend_from_slice(&bytes[..length]),
+            Err(error) => assert_eq!(error.kind(), ErrorKind::WouldBlock),
         }
     }
     String::from_utf8(all).expect("text")
 }
 
-/// Guards a retry whose connection comes up after the close: nothing is written on it, whether or not it may be called off.
+/// Guards a retry whose connection is established after the close: nothing is written on it, whether or not attempts may
+/// be cancelled.
 #[test]
 fn connecting_retry_is_not_written_after_the_client_closes() {
     in_every_lifecycle_phase(|phase| {
         for cancel in [true, false] {
-            let mut attempts_pair = FirstAttempts::start(cancel);
-            attempts_pair.reject_both();
+            let mut requests = FirstAttempts::start(cancel);
+            requests.reject_both();
             let full_backlog_endpoint = FullBacklogEndpoint::start();
-            attempts_pair.list_other_endpoint(full_backlog_endpoint.entry());
-            wait_until("both are dialled", || {
+            requests.list_other_endpoint(full_backlog_endpoint.entry());
+            wait_until("both retries are connecting", || {
                 count_connecting(&full_backlog_endpoint) == 2
             });
-            attempts_pair.sidecar.enter_phase(phase);
-            let _half = attempts_pair.close_client(CloseKind::Full);
-            // Called off, the leaver's never comes up.
-            let come_up = if cancel { 1 } else { 2 };
+            requests.sidecar.enter_phase(phase);
+            let _half = requests.close_client(CloseKind::Full);
+            // A cancelled retry's connection is never established.
+            let expected_connections = if cancel { 1 } else { 2 };
             let mut connections = Vec::new();
-            wait_until("all have come up", || {
+            wait_until("all connections are established", || {
                 connections.extend(full_backlog_endpoint.try_accept());
-                connections.len() == come_up && count_connecting(&full_backlog_endpoint) == 0
+                connections.len() == expected_connections
+                    && count_connecting(&full_backlog_endpoint) == 0
             });
             let mut seen = String::new();
-            wait_until("the stayer's is written", || {
+            wait_until("the retry of the client that stays is written", || {
                 seen += &written(&mut connections);
                 seen.contains(STAYING_BODY)
             });
             assert_eq!(
-                attempts_pair.sidecar.attempts(),
-                attempts_pair.attempts + 1,
+                requests.sidecar.attempts(),
+                requests.attempts + 1,
                 "{phase:?}, cancel {cancel}"
             );
             seen += &written(&mut connections);
@@ -240,14 +243,14 @@
 
 // ---- Waiting for a gap -----------------------------------------------------------------------------------
 
-/// An answer whose report has the class of the more worth held to the gap, and not yet discarded.
+/// A response whose load report puts the class of the higher priority into the gapping state, short of discarding.
 const THROTTLED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\
                          X-Load: TEXT concurrent=3, depth=2.3, load_share=0.5\r\n\r\nx";
 
-/// After so long without a request the sidecar sees a low rate, and keeps long gaps: some seconds.
+/// After this time without a request the sidecar measures a low rate, so that gaps last some seconds.
 const QUIET: Duration = Duration::from_secs(3);
 
-/// Guards requests that wait for the gap of a throttled endpoint to be over, the only one there is.
+/// Guards requests that wait for the end of the only endpoint's gap.
 #[test]
 fn request_queued_for_a_gap_is_not_sent_after_the_client_closes() {
     in_every_lifecycle_phase(|phase| {
@@ -293,7 +296,7 @@
         let seen: Vec<_> = throttled
             .take_requests()
             .iter()
-            .map(|m| m.body.clone())
+            .map(|message| message.body.clone())
             .collect();
         assert_eq!(seen, [STAYING_BODY.as_bytes()], "{phase:?}");
     });
@@ -301,17 +304,17 @@
 
 // ---- Closes that come together with the request ----------------------------------------------------------
 
-/// What comes on a connection at once, with the close right behind it.
+/// What arrives on a connection at once, directly before the close.
 fn pipelined_arrivals() -> Vec<(&'static str, String)> {
     let chunked = |end: &str| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
         format!("{head}5\r\nhello\r\n{end}")
     };
-    let part_of_a_body = |length: usize, part: usize| {
+    let part_of_a_body = |length: usize, written: usize| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", &format!("Content-Length: {length}"));
-        format!("{head}{}", "x".repeat(part))
+        format!("{head}{}", "x".repeat(written))
     };
     vec![
         ("a request", get_request("60")),
@@ -341,7 +344,7 @@
     ]
 }
 
-/// Has the connection asked something, and all of the answer read: a close over unread bytes would be a reset.
+/// Sends a request and reads its whole response: a close with unread bytes would be a reset.
 fn complete_exchange(connection: &mut TcpStream) {
     connection
         .set_read_timeout(Some(TEST_TIMEOUT))
@@ -353,8 +356,8 @@
     assert_eq!(answer.status(), 200);
 }
 
-/// Guards the moment in which a request is read: with its client's close already there, no attempt is written, on a new
-/// connection as on a kept one, whether or not attempts may be called off.
+/// Guards the moment in which a request is read: with its client's close already there, no attempt is written, on new and
+/// on reused connections, whether or not attempts may be cancelled.
 #[test]
 fn request_read_together_with_its_close_is_not_sent() {
     for cancel in [true, false] {
@@ -391,7 +394,7 @@
                     let seen: Vec<_> = endpoint
                         .take_requests()
                         .iter()
-                        .map(|m| m.body.clone())
+                        .map(|message| message.body.clone())
                         .collect();
                     assert_eq!(seen, [STAYING_BODY.as_bytes()], "{context}");
                 }
@@ -402,8 +405,8 @@
 
 // ---- Later tiers -----------------------------------------------------------------------------------------
 
-/// Guards a later tier against its caller's end: a request that it holds goes with the process of the earlier tier that
-/// asked for it, and with that one's client.
+/// Guards a later tier against its caller's end: a queued request ends with the process of the earlier tier that sent it,
+/// and with that one's client.
 #[test]
 fn request_queued_in_a_later_tier_ends_with_its_caller() {
     for caller_dies in [true, false] {
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -1,4 +1,4 @@
-//! A sidecar that is short of descriptors, as idle clients and open requests hold all that they may.
+//! A sidecar that is short of descriptors, as many idle clients and pending requests hold as many as they may.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -9,31 +9,31 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::Duration;
 
-/// Descriptors that the process may hold, by its configuration and by the system.
+/// The limit on the process's descriptors, by its configuration and by the system.
 const DESCRIPTOR_LIMIT: usize = 256;
-/// Requests that stay open at their endpoint: each holds its caller's connection and the endpoint's.
+/// Requests that stay in flight: each holds its caller's connection and the endpoint's.
 const OPEN_REQUESTS: usize = 100;
-/// Enough for the requests to be spread thinly.
+/// Enough endpoints for a few requests each.
 const ENDPOINTS: usize = 50;
-/// Requests held at least, most of what callers may have.
+/// The least number of queued requests, most of what the callers' limit allows.
 const MIN_QUEUED_REQUESTS: usize = 120;
-/// Descriptors in use from which on the sidecar is short: idle clients have what the open requests leave.
+/// Descriptors in use from which on the sidecar is saturated: idle clients hold what the open requests leave.
 const SATURATED_DESCRIPTORS: usize = 205;
-/// Clients that connect, ask once and stay, more than there can be.
+/// Clients that connect, send one request and stay; more than fit.
 const IDLE_CLIENTS: usize = 150;
-/// Clients that connect and say nothing.
+/// Clients that connect and send nothing.
 const SILENT_CLIENTS: usize = 50;
-/// Connections to the operators' address that hold half a call. With as many as there can be, one would close another,
-/// and a call as well that is slow to be written.
+/// Connections to the operators' address with an incomplete call. With as many as fit, each new one would close another,
+/// and also a complete call that is written slowly.
 const PARTIAL_CALLS: usize = 12;
-/// Connections that take the place of closed ones until what was freed is sure to be taken.
+/// Reconnects after which every descriptor that was freed is certainly taken again.
 const SATURATION_RECONNECTS: usize = 300;
-/// Pause between two rounds over the connections, for the sidecar to have a share of the machine.
+/// Pause between two rounds over the connections, which leaves processor time to the sidecar.
 const ROUND_PAUSE: Duration = Duration::from_millis(5);
-/// What an open request carries.
+/// The body of a request that stays open.
 const OPEN_REQUEST_BODY: &[u8] = b"stays";
 
-/// A connection that is opened again whenever the sidecar closes it.
+/// A client that connects again whenever the sidecar closes its connection.
 struct ReconnectingClient {
     address: SocketAddr,
     request: &'static str,
@@ -54,20 +54,20 @@
             return false;
         };
         match stream.read(&mut [0; 512]) {
-            Ok(n) => n > 0,
-            Err(e) => e.kind() == ErrorKind::WouldBlock,
+            Ok(length) => length > 0,
+            Err(error) => error.kind() == ErrorKind::WouldBlock,
         }
     }
 
     fn connect(&mut self) {
         let mut stream = TcpStream::connect(self.address).expect("the backlog has room");
-        let _ = stream.write_all(self.request.as_bytes()); // it may be closed again already
+        let _ = stream.write_all(self.request.as_bytes()); // the sidecar may have closed it already
         stream.set_nonblocking(true).expect("an option");
         self.stream = Some(stream);
     }
 }
 
-/// Connections that take every descriptor that the sidecar lets them have, for as long as this lives.
+/// Clients that take every descriptor that the sidecar grants them, until this is dropped.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     connected: Arc<AtomicUsize>,
@@ -76,14 +76,14 @@
 
 impl IdleClients {
     fn start(sidecar: &Sidecar) -> Self {
-        let asks = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
+        let readiness_check = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
         let kinds = [
-            (IDLE_CLIENTS, sidecar.address, asks),
+            (IDLE_CLIENTS, sidecar.address, readiness_check),
             (SILENT_CLIENTS, sidecar.address, ""),
             (PARTIAL_CALLS, sidecar.admin(), "STA"),
         ];
-        let clients = kinds.into_iter().flat_map(|(n, address, request)| {
-            (0..n).map(move |_| ReconnectingClient::new(address, request))
+        let clients = kinds.into_iter().flat_map(|(count, address, request)| {
+            (0..count).map(move |_| ReconnectingClient::new(address, request))
         });
         let mut clients: Vec<ReconnectingClient> = clients.collect();
         let (stop, connected) = (
@@ -110,10 +110,10 @@
         }
     }
 
-    /// Waits until so many further connections have been opened that none is left that could be.
+    /// Waits until every descriptor that clients can have is taken.
     fn wait_until_saturated(&self, sidecar: &Sidecar) {
         let before = self.connected.load(Ordering::Relaxed);
-        wait_until("the crowd has all", || {
+        wait_until("clients hold every descriptor", || {
             self.connected.load(Ordering::Relaxed) >= before + SATURATION_RECONNECTS
                 && sidecar.descriptor_count() >= SATURATED_DESCRIPTORS
         });
@@ -127,7 +127,7 @@
     }
 }
 
-/// A sidecar with so few descriptors over these endpoints.
+/// Starts a sidecar with [`DESCRIPTOR_LIMIT`] descriptors.
 fn start_limited(discovery: &ManualDiscovery, endpoints: &[&Endpoint], mode: &str) -> Sidecar {
     let mut config = with_admin_address(config(discovery.address(), &serving_entries(endpoints)));
     config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
@@ -141,11 +141,11 @@
     }
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, DESCRIPTOR_LIMIT);
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
     sidecar
 }
 
-/// Opens requests that their endpoints do not answer.
+/// Sends requests that their endpoints do not answer.
 fn open_requests(sidecar: &Sidecar, endpoints: &[Endpoint]) -> Vec<Client> {
     let text = std::str::from_utf8(OPEN_REQUEST_BODY).expect("text");
     let open = |_| {
@@ -165,7 +165,7 @@
     clients
 }
 
-/// Asks once more on a new connection where one was closed or reset unread, as clients do.
+/// Asserts that a request is served. Like other clients it tries again on a new connection where one was closed unread.
 fn assert_request_is_served(sidecar: &Sidecar) {
     wait_until("a request is served", || {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
@@ -178,24 +178,25 @@
     });
 }
 
+/// Asserts that operators' calls are answered while the open requests are pending.
 fn assert_operators_are_answered(sidecar: &Sidecar) {
     assert!(sidecar.call_is_yes("READY"));
     assert_eq!(sidecar.metric("pending"), Some(OPEN_REQUESTS as u64));
 }
 
-/// Guards the descriptors that callers may not have: while discovery is down they take all others, what its watch held
-/// among them. Operators, requests and endpoints get theirs all the while, and the watch once discovery is back.
+/// Guards the descriptors that are reserved from callers: while discovery is down clients take all others, also the one of
+/// the watch. Operators' calls, requests and endpoints get descriptors throughout, and the watch does once discovery is back.
 fn check_with_every_descriptor_held_by_clients(network_address: &str, mode: &str) {
-    // No other test uses its network address, so that the port stays free while it is down.
+    // No other test uses this network address, so that the port stays free while discovery is down.
     let start = format!("{network_address}:0").parse().expect("an address");
-    let answer = |message: &Message| {
+    let respond = |message: &Message| {
         if message.body == OPEN_REQUEST_BODY {
             EndpointAction::Hang
         } else {
             respond_ok("")
         }
     };
-    let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|_| Endpoint::start(answer)).collect();
+    let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|_| Endpoint::start(respond)).collect();
     let discovery = ManualDiscovery::start_at(start);
     let sidecar = start_limited(&discovery, &endpoints.iter().collect::<Vec<_>>(), mode);
     let mut watch = discovery.next_call();
@@ -237,8 +238,8 @@
     check_with_every_descriptor_held_by_clients("127.21.0.2", "subscribe");
 }
 
-/// Guards the descriptors of attempts against the requests that need them: with as many requests held as callers may
-/// have, each is served once an endpoint is listed.
+/// Guards the descriptors of attempts against queued requests: with as many queued as the callers' limit allows, each is
+/// served once endpoints are listed.
 #[test]
 fn attempts_connect_while_queued_requests_hold_the_callers_descriptors() {
     let discovery = ManualDiscovery::start();
@@ -250,11 +251,11 @@
         client.write(&get_request("100"));
         client
     };
-    // All have come before it reads the first.
+    // All requests arrive before the sidecar reads the first.
     sidecar.suspend();
     let mut clients: Vec<Client> = (0..DESCRIPTOR_LIMIT).map(connect).collect();
     sidecar.resume();
-    // Each has been refused or closed by then, or is held.
+    // Each has been rejected or closed by then, or is queued.
     wait_until("all have been read", || {
         let silent = clients.iter().filter(|client| client.is_silent()).count();
         sidecar.metric("pending") == Some(silent as u64)
@@ -278,8 +279,8 @@
     }
 }
 
-/// Guards the descriptors against connections that were answered early and are read on for a while: they make room as
-/// others do. All have come before the sidecar reads the first, and none leaves by itself.
+/// Guards the descriptors against connections in a lingering close after an early response: they are evicted like others.
+/// All requests arrive before the sidecar reads the first, and no client closes.
 #[test]
 fn operators_are_answered_while_early_responses_linger() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -1,6 +1,6 @@
-//! Pairs of events that may come in either order, in the one that is not the usual. `docs/crossings.md` lists them.
+//! Races between two events, each in its less usual order. `docs/crossings.md` lists them.
 //!
-//! The order is forced: a stub stops at a step and goes on when told, or the program stands still while all comes.
+//! The order is forced: a stub waits at a step for the test, or the sidecar is suspended while the events arrive.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -10,13 +10,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// An endpoint whose every connection the test writes and ends itself.
+/// A listener whose connections the test writes and closes itself, and its entry in the endpoint list.
 fn raw_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let endpoint_entry = entry("raw", listener.local_addr().expect("an address"), "SERVING");
     (listener, endpoint_entry)
 }
 
+/// Accepts a connection and reads the request on it.
 fn accept_request(listener: &TcpListener) -> (Message, TcpStream) {
     let (stream, _) = listener.accept().expect("a connection");
     let mut reader = BufReader::new(stream);
@@ -24,18 +25,23 @@
     (message, reader.into_inner())
 }
 
-fn reset_on_drop(stream: TcpStream) {
+/// Resets a connection.
+fn reset(stream: TcpStream) {
     SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
         .expect("an option");
 }
 
-/// Guards a reset against the answer that came before it: what is whole is served, what is not has failed, and what must
-/// not run twice is sent once either way.
+/// Guards a response that a reset follows: a complete one is served, an incomplete one fails, and a request that must not
+/// run twice is sent once either way.
 #[test]
 fn complete_response_is_served_when_a_reset_follows_it() {
-    let whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    for (text, status) in [(whole, 200), (&whole[..whole.len() - 1], 502), ("", 502)] {
+    let complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    for (text, status) in [
+        (complete, 200),
+        (&complete[..complete.len() - 1], 502),
+        ("", 502),
+    ] {
         let (listener, endpoint_entry) = raw_endpoint();
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&with_admin_address(config(
@@ -47,7 +53,7 @@
         let (_, mut stream) = accept_request(&listener);
         sidecar.suspend();
         stream.write_all(text.as_bytes()).expect("it is open");
-        reset_on_drop(stream);
+        reset(stream);
         sidecar.resume();
         assert_eq!(client.read().expect("an answer").status(), status, "{text}");
         assert_eq!(sidecar.metric("upstream_requests"), Some(1));
@@ -55,8 +61,8 @@
     }
 }
 
-/// Guards answers that say nothing of their length, which last until their connection's end: a reset is none, whatever has
-/// come by then, and what may have run fails.
+/// Guards responses without a length, which last until the connection is closed: a reset is no such end, whatever has come
+/// by then, and the request fails.
 #[test]
 fn reset_fails_a_response_without_a_length() {
     for (is_reset, status) in [(true, 502), (false, 200)] {
@@ -75,9 +81,9 @@
             client.write(&post_request("unsafe", "9", "x"));
             let (_, mut stream) = accept_request(&listener);
             stream.write_all(text.as_bytes()).expect("it is open");
-            std::thread::sleep(Duration::from_millis(50)); // it is read before the end comes, and after
+            std::thread::sleep(Duration::from_millis(50)); // the text is read before the connection ends
             if is_reset {
-                reset_on_drop(stream);
+                reset(stream);
             } else {
                 drop(stream);
             }
@@ -94,8 +100,8 @@
     }
 }
 
-/// Guards the time-out against an answer that has come by then: one of them is the end, the client gets one answer, and
-/// nothing is sent again. The connection that was given up carries nothing more.
+/// Guards a timeout that races the response: one of them ends the request, the client gets one response, and nothing is
+/// sent again. The connection that timed out is not reused.
 #[test]
 fn timeout_that_races_the_response_ends_the_request_once() {
     let (listener, endpoint_entry) = raw_endpoint();
@@ -117,9 +123,11 @@
     assert_eq!(
         client.exchange(READY_REQUEST).status(),
         200,
-        "the next answer is the next request's"
+        "the next response is that of the next request"
     );
-    wait_until("it is over", || sidecar.metric("pending") == Some(0));
+    wait_until("the request has ended", || {
+        sidecar.metric("pending") == Some(0)
+    });
     assert_eq!(sidecar.metric("upstream_requests"), Some(1));
     let ends: u64 = ["completed", "failed"]
         .iter()
@@ -128,9 +136,9 @@
     assert_eq!(ends, 1);
 }
 
-/// A sidecar over an endpoint that answers as told, with a few retries earned, which can be given other settings.
+/// A sidecar whose settings can be reloaded, with a scripted endpoint and some retry budget.
 struct ReloadableSidecar {
-    told: ScriptedEndpoint,
+    scripted: ScriptedEndpoint,
     sidecar: Sidecar,
     discovery: Discovery,
     watch: Watch,
@@ -140,17 +148,17 @@
 
 impl ReloadableSidecar {
     fn start() -> Self {
-        let (told, discovery) = (ScriptedEndpoint::start(), Discovery::start());
+        let (scripted, discovery) = (ScriptedEndpoint::start(), Discovery::start());
         let config = with_admin_address(config(
             discovery.address,
-            &serving_entries(&[&told.endpoint]),
+            &serving_entries(&[&scripted.endpoint]),
         ));
         let path = temporary_file(&config.to_string());
         let sidecar = Sidecar::start_with_file(&path);
         let watch = discovery.next_watch();
-        told.earn_retries(&mut sidecar.client());
+        scripted.earn_retries(&mut sidecar.client());
         ReloadableSidecar {
-            told,
+            scripted,
             sidecar,
             discovery,
             watch,
@@ -159,18 +167,20 @@
         }
     }
 
-    /// A client whose request is out at the endpoint.
+    /// Sends a request, and waits until it is in flight to the endpoint.
     fn send_to_endpoint(&self, request: &str) -> Client {
         let mut client = self.sidecar.client();
         client.write(request);
-        self.told.endpoint.next_request();
+        self.scripted.endpoint.next_request();
         client
     }
 
+    /// Has discovery send a list.
     fn write_list(&mut self, line: &str) {
         self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
+    /// Reloads the configuration with changed classes.
     fn reload_classes(&mut self, change: impl FnOnce(&mut Vec<Value>)) {
         change(
             self.config["settings"]["categories"]
@@ -179,13 +189,14 @@
         );
         std::fs::write(&self.path, self.config.to_string()).expect("the file is written");
         self.sidecar.send_signal("HUP");
-        wait_until("it is taken", || {
+        wait_until("the reload has succeeded", || {
             self.sidecar.metric("config_reloads") == Some(1)
         });
     }
 
+    /// Has the endpoint fail the next attempt.
     fn fail_next_attempt(&self) {
-        self.told.respond_next(EndpointAction::Respond(
+        self.scripted.respond_next(EndpointAction::Respond(
             "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
         ));
     }
@@ -197,8 +208,8 @@
     }
 }
 
-/// Guards an attempt that is out against a new effect from SIGHUP: a request keeps the class that it came with, so that one
-/// that must not run twice is not sent again because others of its name now may.
+/// Guards an attempt in flight against a reload that makes its class idempotent: a request keeps the class that it came
+/// with, so that one that must not run twice is not retried.
 #[test]
 fn reload_of_idempotency_leaves_an_attempt_in_flight_unchanged() {
     let (mut reloadable, other) = (
@@ -209,19 +220,23 @@
     reloadable.write_list(&list(
         42,
         true,
-        &serving_entries(&[&reloadable.told.endpoint, &other]),
+        &serving_entries(&[&reloadable.scripted.endpoint, &other]),
     ));
-    wait_until("the other is listed", || {
+    wait_until("the other endpoint is listed", || {
         reloadable.sidecar.metric("members") == Some(2)
     });
     reloadable.reload_classes(|classes| classes[1]["effect"] = json!("free"));
     reloadable.fail_next_attempt();
     assert_eq!(client.read().expect("an answer").status(), 502);
-    assert_eq!(other.take_request_count(), 0, "it is not sent again");
+    assert_eq!(
+        other.take_request_count(),
+        0,
+        "the request is not sent again"
+    );
 }
 
-/// Guards attempts that are out against fewer worth levels from SIGHUP: a request keeps its worth among those that are left,
-/// be it retried, or its client gone.
+/// Guards attempts in flight against a reload with fewer priority levels: a request keeps its rank among the remaining ones
+/// when it is retried, and when its client disconnects.
 #[test]
 fn reload_with_fewer_priority_levels_leaves_attempts_in_flight_unchanged() {
     let (mut reloadable, other) = (
@@ -237,22 +252,26 @@
     reloadable.write_list(&list(
         42,
         false,
-        &[entry("e0", reloadable.told.endpoint.address, "DRAINING")],
+        &[entry(
+            "e0",
+            reloadable.scripted.endpoint.address,
+            "DRAINING",
+        )],
     ));
-    wait_until("it drains", || {
+    wait_until("the endpoint is draining", || {
         reloadable.sidecar.metric("members_unavailable") == Some(1)
     });
     reloadable.reload_classes(|classes| {
-        // Only one class is left beside theirs, and worth as much.
+        // Only one class remains beside that of the requests, with the same priority weight.
         classes.truncate(1);
         classes[0]["worth"] = json!(2.0);
     });
     drop(disconnecting);
-    wait_until("it has left", || {
+    wait_until("the client has disconnected", || {
         reloadable.sidecar.metric("pending") == Some(1)
     });
     (0..2).for_each(|_| reloadable.fail_next_attempt());
-    std::thread::sleep(Duration::from_millis(100)); // the retry waits
+    std::thread::sleep(Duration::from_millis(100)); // the retry is queued
     reloadable.write_list(&list(43, false, &[entry("e1", other.address, "SERVING")]));
     let answer = client.read().expect("an answer");
     assert_eq!(
@@ -262,7 +281,7 @@
     assert_eq!(
         client.exchange(&get_request("5")).status(),
         200,
-        "and all is as ever"
+        "later requests are served"
     );
     assert!(
         !reloadable
@@ -275,8 +294,8 @@
 
 // ---- Idle connections ------------------------------------------------------------------------------------
 
-/// Guards the close that makes room against the request that is on its way: each caller gets its answer whole, or a close
-/// with nothing on it, and then its request was not sent on.
+/// Guards an eviction that races the connection's next request: each caller gets a complete response, or a close without a
+/// byte of one, and then its request was not sent.
 #[test]
 fn eviction_that_races_the_next_request_answers_it_or_sends_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -304,13 +323,13 @@
                 assert_eq!(answer.status(), 200);
                 answered += 1;
             }
-            None => assert!(client.is_closed(), "nothing of an answer came"),
+            None => assert!(client.is_closed(), "no byte of a response came"),
         }
     }
     assert_eq!(
         endpoint.take_request_count(),
         answered,
-        "what was closed on was not sent on"
+        "requests on evicted connections are not sent"
     );
     for stream in &mut new {
         let _ = stream.write_all(b"x");
