--- a/src/sidecar/listener_handover/mod.rs
+++ b/src/sidecar/listener_handover/mod.rs
@@ -15,5 +15,5 @@
 mod old_process;
 
 pub use listen::{PortSharing, listen};
-pub use new_process::{request_listener, take_over};
+pub use new_process::{OldProcess, request_listener, take_over};
 pub use old_process::serve_new_processes;
