--- a/fleet-lab/src/sidecar/simulated/mod.rs
+++ b/fleet-lab/src/sidecar/simulated/mod.rs
@@ -2,7 +2,6 @@
 //! loopback sockets, while calls and attempts are simulated in memory.
 
 mod attempts;
-mod clock;
 mod convergence_times;
 mod counters;
 mod endpoints;
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -5,10 +5,10 @@
 mod discovery;
 
 use super::attempts::{AttemptOwner, AttemptResult, HealthCheck};
-use super::clock::Clock;
 use super::fleet_state::FleetState;
 use super::pending_calls::{CallTarget, PendingCalls};
 use super::sidecar_plan::SidecarPlan;
+use balancer_sidecar::clock::Clock;
 use balancer_sidecar::discovery::{SourceChange, Subscription};
 use balancer_sidecar::policy::*;
 use rand::{RngExt, SeedableRng};
--- a/src/sidecar/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The sidecar's clock, which the balancer runs by.
+//! The clock that a host runs its balancer by.
 
 use crate::policy::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -17,6 +17,7 @@
 
 impl Clock {
     /// Starts a clock at the present Unix time.
+    #[must_use]
     pub fn start() -> Self {
         let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -28,16 +29,19 @@
     }
 
     /// Returns the present time.
+    #[must_use]
     pub fn now(&self) -> Timestamp {
         self.start_time + self.start_instant.elapsed()
     }
 
     /// Converts a past instant of the runtime's clock; one before the clock's start is that start.
+    #[must_use]
     pub fn timestamp(&self, instant: Instant) -> Timestamp {
         self.start_time + instant.saturating_duration_since(self.start_instant)
     }
 
     /// Converts a point in time to an instant of the runtime's timers.
+    #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
         Instant::now() + timestamp.since(self.now()).min(MAX_TIME_AHEAD)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,7 @@
 //! | [`command_line`] | the program's commands |
 //! | [`simulator`] | the simulator's wire, and the adapter that speaks it |
 //! | [`sidecar`] | the sidecar: sockets, HTTP, connection pools, time |
+//! | [`clock`] | the clock that a host runs its balancer by |
 //! | [`task`] | local tasks that stop with their owner |
 //!
 //! ```
@@ -51,6 +52,7 @@
 #![warn(missing_docs)]
 
 mod backoff;
+pub mod clock;
 pub mod command_line;
 pub mod configuration;
 pub mod discovery;
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -3,8 +3,8 @@
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
 use super::forwarded_request::{AttemptSpec, Target};
+use crate::clock::Clock;
 use crate::policy::{EndpointId, Timestamp};
-use crate::sidecar::clock::Clock;
 use crate::sidecar::descriptors::DescriptorPermit;
 use crate::sidecar::memory::MemoryBudget;
 use std::cell::Cell;
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! | layer | files |
 //! | --- | --- |
-//! | foundations | `log.rs`, `admin_state.rs`, `clock.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
+//! | foundations | `log.rs`, `admin_state.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
 //! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
 //! | requests and attempts | `node/`: the owner of their state, and the only caller of the balancer |
@@ -17,7 +17,6 @@
 mod admin_state;
 mod body;
 mod caller;
-mod clock;
 mod counters;
 mod descriptors;
 mod endpoint;
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -2,8 +2,8 @@
 
 use super::open_request::FinalAnswer;
 use super::state::{Node, NodeHandle};
+use crate::clock::Clock;
 use crate::policy::{EndpointId, Event, Timestamp};
-use crate::sidecar::clock::Clock;
 use crate::sidecar::endpoint::{
     AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, SweepTask, Target,
 };
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -24,11 +24,13 @@
 }
 
 /// Why a request is not submitted to the balancer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestRejected {
     /// A request with its id is open.
+    #[error("a request with this id is open")]
     Repeated,
     /// The limit of unanswered requests is reached.
+    #[error("too many requests are unanswered")]
     TooMany,
 }
 
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long after a drain has begun callers may still be sent here: the front asks for readiness ten times a second, and
+/// How long after a drain has begun callers may still be sent here: the front polls readiness ten times a second, and
 /// sends some callers for 0.2 s after a negative answer.
 const READINESS_PROPAGATION: Duration = Duration::from_millis(600);
 /// How long callers then have for one more request, whose response closes their connection. A drain must have closed all
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -5,13 +5,13 @@
 use super::endpoints::Endpoints;
 use super::hot_restart::HotRestart;
 use super::open_requests::OpenRequests;
+use crate::clock::Clock;
 use crate::configuration::Config;
 use crate::policy::{
     Action, Balancer, BalancerStatus, DiscoveryMode, EndpointId, Event, ListKind, SettingsError,
 };
 use crate::sidecar::admin_state::AdminState;
 use crate::sidecar::caller::CallerTable;
-use crate::sidecar::clock::Clock;
 use crate::sidecar::counters::{Counters, CountersLine};
 use crate::sidecar::descriptors::{DescriptorBudget, OpenConnections};
 use crate::sidecar::hot_restart::SharedDirectory;
--- a/src/sidecar/server/request.rs
+++ b/src/sidecar/server/request.rs
@@ -1,8 +1,8 @@
 //! Parses callers' request heads into the balancer's requests.
 
 use super::request_error::RequestError;
+use crate::clock::MAX_TIME_AHEAD;
 use crate::policy::{ClassId, Idempotency, Key, Request, RequestId, Settings, TenantId, Timestamp};
-use crate::sidecar::clock::MAX_TIME_AHEAD;
 use crate::sidecar::endpoint::DEADLINE_HEADER;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode};
