--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -20,7 +20,11 @@
 
 /// Watches the changes after `known_version` until the watch fails, and reports the failure to the consumer, whose
 /// decision module schedules the next call.
-pub async fn watch<C: ListConsumer>(consumer: C, source: Source, known_version: Option<u64>) {
+pub(super) async fn watch<C: ListConsumer>(
+    consumer: C,
+    source: Source,
+    known_version: Option<u64>,
+) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     let WatchEnd { error, .. } = run_watch(&consumer, source, known_version, &mut backoff).await;
     consumer.watch_ended(source);
@@ -32,7 +36,7 @@
 ///
 /// The decision module does not schedule these calls and is not notified of failures. An agent is silent while discovery
 /// is down, so time-outs are not logged.
-pub async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
+pub(super) async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     loop {
         let started_at = Instant::now();
--- a/src/discovery/error.rs
+++ b/src/discovery/error.rs
@@ -10,7 +10,7 @@
 
 /// Why a call of discovery failed, or a watch ended.
 #[derive(Debug, thiserror::Error)]
-pub enum DiscoveryError {
+pub(super) enum DiscoveryError {
     /// The connection could not be established.
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -23,9 +23,10 @@
 //!
 //! A call fails once all its hedged calls have failed. Who schedules the next call depends on the mode:
 //!
-//! - Lists are fetched on request: [`fetch`] and [`watch`] report the failure to the [`ListConsumer`] and end. The decision
+//! - Lists are fetched on request: a fetch or a watch reports its failure to the [`ListConsumer`] and ends. The decision
 //!   module schedules the next call, with its own backoff.
-//! - Lists are pushed by an agent: [`watch_agent`] reopens the watch with a [`Backoff`] and never ends.
+//! - Lists are pushed by an agent: the watch is reopened with a [`Backoff`], without the decision module, for as long as
+//!   the subscription lasts.
 //!
 //! # State
 //!
@@ -48,9 +49,9 @@
 mod subscription;
 
 pub use backoff::Backoff;
-pub use client::{fetch, watch, watch_agent};
+pub use client::fetch;
 pub use consumer::ListConsumer;
-pub use error::{DiscoveryError, StaleListError};
+pub use error::StaleListError;
 pub use list::{EndpointList, EntryStatus, ListEntry};
 pub use membership::{ListUpdate, Member, Membership};
 pub use source::Source;
