--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -1,18 +1,11 @@
 //! Serves one caller's connection from its acceptance to its close.
 
 use super::caller_connection::CallerConnection;
-use super::forward;
-use super::reply::{Reply, ReplyBody, text_reply};
-use super::request_error::RequestError;
-use crate::sidecar::caller::{
-    ConnectionState, Persistence, RequestReader, ResponseKind, client_disconnected,
-};
+use super::reply::Reply;
+use crate::sidecar::caller::{ConnectionState, Persistence, RequestReader, client_disconnected};
 use crate::sidecar::sockets::{self, ObservedSocket};
-use hyper::body::Incoming;
-use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::convert::Infallible;
 use std::future::poll_fn;
@@ -23,7 +16,7 @@
 use tokio::io::{ReadBuf, join};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::time::{Instant, Sleep, sleep_until, timeout};
+use tokio::time::{Sleep, sleep_until, timeout};
 
 /// Limit for the lingering close of a connection that ended with an early response. Closed with bytes unread it would be
 /// reset, and the response lost with it.
@@ -168,80 +161,3 @@
         () = evicted => {}
     }
 }
-
-impl CallerConnection {
-    /// Answers one request, and decides whether the connection outlives it.
-    async fn serve_one(&self, request: Request<Incoming>) -> Reply {
-        let begun = self.state.request_begun();
-        let mut reply = self.answer(request, begun).await;
-        self.state.response_ready(match reply.body() {
-            ReplyBody::Complete(_) => ResponseKind::Complete,
-            ReplyBody::Streamed(_) => ResponseKind::Streamed,
-        });
-        if self.state.persistence() == Persistence::Close
-            || self.node.borrow().callers().close_after_responses()
-        {
-            reply
-                .headers_mut()
-                .insert(header::CONNECTION, HeaderValue::from_static("close"));
-        }
-        reply
-    }
-
-    async fn answer(&self, request: Request<Incoming>, begun: Instant) -> Reply {
-        if let Some(error) = self.state.head_error() {
-            return RequestError::from(error).reply();
-        }
-        match (request.uri().path(), request.method()) {
-            ("/ready", &Method::GET | &Method::HEAD) => self.readiness(),
-            ("/ready", _) => RequestError::method_not_allowed("GET, HEAD").reply(),
-            ("/api", &Method::GET | &Method::POST) if self.is_rejected_early() => {
-                self.reject_early_and_count(&request)
-            }
-            ("/api", &Method::GET | &Method::POST) => {
-                let answer = forward::answer(self, request, begun).await;
-                answer.unwrap_or_else(|error| self.reply_to_error(error))
-            }
-            ("/api", _) => RequestError::method_not_allowed("GET, POST").reply(),
-            _ => text_reply(StatusCode::NOT_FOUND, "no such path"),
-        }
-    }
-
-    /// Answers an invalid request. Where its body was not read to the end, the start of the next request is not known.
-    fn reply_to_error(&self, error: RequestError) -> Reply {
-        if error.body_is_unread {
-            self.state.set_persistence(Persistence::Close);
-        }
-        error.reply()
-    }
-
-    fn readiness(&self) -> Reply {
-        let status = if self.node.borrow().is_ready() {
-            StatusCode::OK
-        } else {
-            StatusCode::SERVICE_UNAVAILABLE
-        };
-        text_reply(status, "")
-    }
-
-    /// Rejects a request that is not read any further, and counts it for its class.
-    fn reject_early_and_count(&self, request: &Request<Incoming>) -> Reply {
-        let reply = self.reject_early();
-        let name = request
-            .headers()
-            .get("x-class")
-            .and_then(|value| value.to_str().ok());
-        let mut node = self.node.borrow();
-        let is_class = |name: &&str| {
-            node.configuration()
-                .settings()
-                .classes
-                .iter()
-                .any(|class| class.name == **name)
-        };
-        if let Some(name) = name.filter(is_class) {
-            node.begin_request(name).end(reply.status());
-        }
-        reply
-    }
-}
--- a/src/sidecar/server/mod.rs
+++ b/src/sidecar/server/mod.rs
@@ -4,8 +4,11 @@
 mod connection;
 mod forward;
 mod listener;
+mod parsed_request;
+mod pending_request;
 mod reply;
 mod request;
 mod request_error;
+mod service;
 
 pub use listener::{accept, accept_backlog};
--- /dev/null
+++ b/src/sidecar/server/pending_request.rs
@@ -0,0 +1,115 @@
+//! Requests that the node has accepted, and the wait for their final answer.
+
+use super::caller_connection::CallerConnection;
+use super::reply::{Reply, final_reply, text_reply};
+use super::request_error::RequestError;
+use crate::policy::{Request as PolicyRequest, RequestId};
+use crate::sidecar::body::Upload;
+use crate::sidecar::caller::Persistence;
+use crate::sidecar::endpoint::ForwardedRequest;
+use crate::sidecar::metrics::RequestCount;
+use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected};
+use hyper::StatusCode;
+use std::pin::pin;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::sync::oneshot::error::TryRecvError;
+use tokio::time::{Instant, timeout_at};
+
+/// A request that waits for its final answer. Dropped without one, as when its connection ends, it tells the node that the
+/// client has disconnected. Once answered its id may be in use by another request.
+pub struct PendingRequest<'a> {
+    node: &'a NodeHandle,
+    id: RequestId,
+    /// Receives the final answer.
+    pub answer: oneshot::Receiver<FinalAnswer>,
+}
+
+impl<'a> PendingRequest<'a> {
+    /// Submits a request to the node.
+    ///
+    /// # Errors
+    /// The node does not accept the request.
+    pub fn begin(
+        node: &'a NodeHandle,
+        request: PolicyRequest,
+        forwarded: ForwardedRequest,
+    ) -> Result<Self, RequestRejected> {
+        let id = request.id.clone();
+        let answer = node.submit(request, forwarded)?;
+        Ok(PendingRequest { node, id, answer })
+    }
+
+    /// Returns the response for the answer, or for the lack of one in time.
+    pub fn reply(&self, answer: Option<FinalAnswer>) -> Reply {
+        if let Some(answer) = answer {
+            return final_reply(answer);
+        }
+        self.node.deadline_exceeded(&self.id);
+        text_reply(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+    }
+}
+
+impl Drop for PendingRequest<'_> {
+    fn drop(&mut self) {
+        if self
+            .answer
+            .try_recv()
+            .is_err_and(|error| error == TryRecvError::Empty)
+        {
+            self.node.client_disconnected(&self.id);
+        }
+    }
+}
+
+/// How long to wait for the final answer.
+pub struct ResponseTimeout {
+    /// The end of the wait for a request that has arrived completely.
+    pub until: Instant,
+    /// The time from an upload's last byte on.
+    pub after_upload: Duration,
+    /// The connection's persistence once the upload is complete.
+    pub persistence: Persistence,
+}
+
+impl ResponseTimeout {
+    /// Waits for the answer to a complete request. Returns none where there was none in time.
+    pub async fn wait(&self, answer: &mut oneshot::Receiver<FinalAnswer>) -> Option<FinalAnswer> {
+        timeout_at(self.until, answer).await.ok()?.ok()
+    }
+
+    /// Waits for the answer while the request's body still comes. Returns none where there was none in time.
+    ///
+    /// # Errors
+    /// The body did not arrive.
+    pub async fn wait_during_upload(
+        &self,
+        caller: &CallerConnection,
+        upload: &Upload,
+        answer: &mut oneshot::Receiver<FinalAnswer>,
+        count: &mut RequestCount,
+    ) -> Result<Option<FinalAnswer>, RequestError> {
+        // With a response ahead of the body's end, the start of the next request is not known.
+        caller.state.set_persistence(Persistence::Close);
+        let answer = pin!(upload.timeout(self.after_upload, answer));
+        let failed = async {
+            if let Err(error) = upload.wait_until_finished().await {
+                return error;
+            }
+            caller.state.set_persistence(self.persistence);
+            count.set_whole();
+            std::future::pending().await
+        };
+        let answer = tokio::select! {
+            biased;
+            error = failed => return Err(error.into()),
+            answer = answer => answer,
+        };
+        count.set_whole();
+        Ok(answer.and_then(Result::ok))
+    }
+}
+
+#[cfg(test)]
+#[path = "pending_request_tests.rs"]
+mod tests;
--- a/src/sidecar/server/forward_tests.rs
+++ b/src/sidecar/server/pending_request_tests.rs
@@ -1,14 +1,17 @@
-//! Tests that no order of bytes on sockets brings about for sure.
+//! Tests of orders of events that no order of bytes on sockets forces.
 
+use super::super::request::parse_request;
 use super::*;
 use crate::configuration::Config;
 use crate::sidecar::node::{StartMode, StartOptions};
 use bytes::Bytes;
 use hyper::Method;
-use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use hyper::http::uri::PathAndQuery;
 use tokio::task::LocalSet;
 
-fn request(node: &NodeHandle) -> PendingRequest<'_> {
+/// Submits a request with the same id each time.
+fn submit_request(node: &NodeHandle) -> PendingRequest<'_> {
     let now = node.borrow().clock().now();
     let memory = node
         .borrow()
@@ -16,16 +19,16 @@
         .reserve(0)
         .expect("there is room");
     let headers = [("x-request-id", "r"), ("x-class", "c"), ("x-deadline", "9")];
-    let names = headers.map(|(n, v)| {
+    let headers = headers.map(|(name, value)| {
         (
-            header::HeaderName::from_static(n),
-            HeaderValue::from_static(v),
+            HeaderName::from_static(name),
+            HeaderValue::from_static(value),
         )
     });
-    let headers = HeaderMap::from_iter(names);
+    let headers = HeaderMap::from_iter(headers);
     let settings = node.borrow().configuration().settings().clone();
-    let request =
-        parse_request(&Method::GET, &headers, &settings, now).unwrap_or_else(|e| panic!("{e:?}"));
+    let request = parse_request(&Method::GET, &headers, &settings, now)
+        .unwrap_or_else(|error| panic!("{error:?}"));
     let forwarded = ForwardedRequest {
         method: Method::GET,
         path: PathAndQuery::from_static("/api"),
@@ -35,17 +38,14 @@
         is_repeatable: true,
         _memory: memory,
     };
-    let id = request.id.clone();
-    let answer = node
-        .submit(request, forwarded)
-        .unwrap_or_else(|_| panic!("it is taken"));
-    PendingRequest { node, id, answer }
+    PendingRequest::begin(node, request, forwarded)
+        .unwrap_or_else(|_| panic!("the request is accepted"))
 }
 
-/// Guards a request against the end of an earlier one's connection, where both have one id and the earlier one was
-/// answered, but its client has not been given that yet. No order of bytes on sockets brings this about for sure.
+/// Guards a request against the end of an earlier one's connection where both have the same id: the earlier one has its
+/// answer, but its connection has not been polled since.
 #[test]
-fn an_answered_request_that_is_dropped_leaves_the_next_with_its_id_alone() {
+fn dropping_an_answered_request_does_not_cancel_the_next_one_with_its_id() {
     let config = serde_json::json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
         "limits": {"sockets": 256, "memory_mb": 32},
@@ -75,16 +75,16 @@
             mode: StartMode::Fresh,
             reserved_descriptors: 0,
         };
-        let node = NodeHandle::start(start).unwrap_or_else(|e| panic!("{e}"));
-        let first = request(&node);
+        let node = NodeHandle::start(start).unwrap_or_else(|error| panic!("{error}"));
+        let first = submit_request(&node);
         node.borrow()
             .answer(&first.id, FinalAnswer::Failed { timed_out: false });
-        let mut second = request(&node);
+        let mut second = submit_request(&node);
         drop(first);
         assert_eq!(
             second.answer.try_recv().err(),
             Some(TryRecvError::Empty),
-            "it is still owed"
+            "the second request is still pending"
         );
         assert_eq!(node.borrow().counters().disconnected(), 0);
         drop(second);
--- /dev/null
+++ b/src/sidecar/server/service.rs
@@ -0,0 +1,88 @@
+//! Answers the requests of one caller's connection by their paths.
+
+use super::caller_connection::CallerConnection;
+use super::forward;
+use super::reply::{Reply, ReplyBody, text_reply};
+use super::request_error::RequestError;
+use crate::sidecar::caller::{Persistence, ResponseKind};
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+use tokio::time::Instant;
+
+impl CallerConnection {
+    /// Answers one request, and decides whether the connection outlives it.
+    pub async fn serve_one(&self, request: Request<Incoming>) -> Reply {
+        let begun = self.state.request_begun();
+        let mut reply = self.answer(request, begun).await;
+        self.state.response_ready(match reply.body() {
+            ReplyBody::Complete(_) => ResponseKind::Complete,
+            ReplyBody::Streamed(_) => ResponseKind::Streamed,
+        });
+        if self.state.persistence() == Persistence::Close
+            || self.node.borrow().callers().close_after_responses()
+        {
+            reply
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
+        }
+        reply
+    }
+
+    async fn answer(&self, request: Request<Incoming>, begun: Instant) -> Reply {
+        if let Some(error) = self.state.head_error() {
+            return RequestError::from(error).reply();
+        }
+        match (request.uri().path(), request.method()) {
+            ("/ready", &Method::GET | &Method::HEAD) => self.readiness(),
+            ("/ready", _) => RequestError::method_not_allowed("GET, HEAD").reply(),
+            ("/api", &Method::GET | &Method::POST) if self.is_rejected_early() => {
+                self.reject_early_and_count(&request)
+            }
+            ("/api", &Method::GET | &Method::POST) => {
+                let answer = forward::answer(self, request, begun).await;
+                answer.unwrap_or_else(|error| self.reply_to_error(error))
+            }
+            ("/api", _) => RequestError::method_not_allowed("GET, POST").reply(),
+            _ => text_reply(StatusCode::NOT_FOUND, "no such path"),
+        }
+    }
+
+    /// Answers an invalid request. Where its body was not read to the end, the start of the next request is not known.
+    fn reply_to_error(&self, error: RequestError) -> Reply {
+        if error.body_is_unread {
+            self.state.set_persistence(Persistence::Close);
+        }
+        error.reply()
+    }
+
+    fn readiness(&self) -> Reply {
+        let status = if self.node.borrow().is_ready() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
+        text_reply(status, "")
+    }
+
+    /// Rejects a request that is not read any further, and counts it for its class.
+    fn reject_early_and_count(&self, request: &Request<Incoming>) -> Reply {
+        let reply = self.reject_early();
+        let name = request
+            .headers()
+            .get("x-class")
+            .and_then(|value| value.to_str().ok());
+        let mut node = self.node.borrow();
+        let is_class = |name: &&str| {
+            node.configuration()
+                .settings()
+                .classes
+                .iter()
+                .any(|class| class.name == **name)
+        };
+        if let Some(name) = name.filter(is_class) {
+            node.begin_request(name).end(reply.status());
+        }
+        reply
+    }
+}
