--- a/fleet-lab/src/caller/connection.rs
+++ b/fleet-lab/src/caller/connection.rs
@@ -27,7 +27,7 @@
     outgoing: Vec<u8>,
     parser: ResponseParser,
     /// Whether it has carried an answer before.
-    is_kept: bool,
+    is_reused: bool,
 }
 
 impl Connection {
@@ -53,13 +53,13 @@
             is_connecting,
             outgoing: Vec::new(),
             parser: ResponseParser::default(),
-            is_kept: false,
+            is_reused: false,
         })
     }
 
     /// Whether it has carried an answer before, so that the other side may have closed it as idle.
-    pub fn is_kept(&self) -> bool {
-        self.is_kept
+    pub fn is_reused(&self) -> bool {
+        self.is_reused
     }
 
     /// Sends a request, at once or when the connection is up.
@@ -82,7 +82,7 @@
         self.finish_connecting()?;
         self.write()?;
         let answer = self.read(buffer, has_hung_up)?;
-        self.is_kept |= answer.is_some();
+        self.is_reused |= answer.is_some();
         Ok(answer)
     }
 
@@ -122,7 +122,7 @@
                     if answer.is_some() {
                         return Err(ResponseError::ExcessBytes.into());
                     }
-                    answer = self.parser.feed(&buffer[..length])?;
+                    answer = self.parser.push(&buffer[..length])?;
                     if length < buffer.len() && !has_hung_up {
                         return Ok(answer);
                     }
@@ -135,7 +135,7 @@
     }
 
     fn closed(&self) -> ConnectionError {
-        if self.parser.has_begun() {
+        if self.parser.has_started() {
             ConnectionError::ClosedWithinAnswer
         } else {
             ConnectionError::ClosedBeforeAnswer
@@ -153,7 +153,7 @@
 fn ended(answer: Option<Answer>) -> Option<Option<Answer>> {
     answer.map(|answer| {
         Some(Answer {
-            keeps_connection: false,
+            keep_alive: false,
             ..answer
         })
     })
--- a/fleet-lab/src/caller/connection_table.rs
+++ b/fleet-lab/src/caller/connection_table.rs
@@ -7,20 +7,20 @@
 /// one does not reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Token {
-    place: u32,
+    slot: u32,
     generation: u32,
 }
 
 impl Token {
     /// As one number, for the poller.
     pub fn to_u64(self) -> u64 {
-        u64::from(self.generation) << u32::BITS | u64::from(self.place)
+        u64::from(self.generation) << u32::BITS | u64::from(self.slot)
     }
 
     /// From the number that [`Token::to_u64`] gave.
     pub fn from_u64(number: u64) -> Self {
         Token {
-            place: number as u32,
+            slot: number as u32,
             generation: (number >> u32::BITS) as u32,
         }
     }
@@ -38,7 +38,7 @@
     /// Whether it was due within the measurement.
     pub is_measured: bool,
     /// Whether it was sent once more, as a kept connection had been closed.
-    pub is_repeated: bool,
+    pub is_resent: bool,
 }
 
 /// A connection and what it carries.
@@ -49,14 +49,14 @@
     pub exchange: Option<Exchange>,
 }
 
-struct Place {
+struct Slot {
     generation: u32,
     open: Option<OpenConnection>,
 }
 
 /// The open connections of a load.
 pub(super) struct ConnectionTable {
-    places: Vec<Place>,
+    slots: Vec<Slot>,
     free: Vec<u32>,
     /// By target, the most recently used last.
     idle: Vec<Vec<Token>>,
@@ -66,7 +66,7 @@
     /// An empty table for so many targets.
     pub fn new(targets: usize) -> Self {
         ConnectionTable {
-            places: Vec::new(),
+            slots: Vec::new(),
             free: Vec::new(),
             idle: vec![Vec::new(); targets],
         }
@@ -74,34 +74,34 @@
 
     /// Adds a new connection, which is not idle.
     pub fn insert(&mut self, connection: Connection, target: usize) -> Token {
-        let place = self.free.pop().unwrap_or_else(|| {
-            self.places.push(Place {
+        let slot = self.free.pop().unwrap_or_else(|| {
+            self.slots.push(Slot {
                 generation: 0,
                 open: None,
             });
-            (self.places.len() - 1) as u32
+            (self.slots.len() - 1) as u32
         });
-        let held = &mut self.places[place as usize];
-        held.open = Some(OpenConnection {
+        let slot_entry = &mut self.slots[slot as usize];
+        slot_entry.open = Some(OpenConnection {
             connection,
             target,
             exchange: None,
         });
         Token {
-            place,
-            generation: held.generation,
+            slot,
+            generation: slot_entry.generation,
         }
     }
 
     pub fn get_mut(&mut self, token: Token) -> Option<&mut OpenConnection> {
-        self.place_mut(token)?.open.as_mut()
+        self.slot_mut(token)?.open.as_mut()
     }
 
     /// Whether a connection still carries the request with this number.
     pub fn carries(&self, token: Token, number: u64) -> bool {
-        let place = self.places.get(token.place as usize);
-        let open = place
-            .filter(|place| place.generation == token.generation)
+        let slot = self.slots.get(token.slot as usize);
+        let open = slot
+            .filter(|slot| slot.generation == token.generation)
             .and_then(|p| p.open.as_ref());
         let exchange = open.and_then(|open| open.exchange);
         exchange.is_some_and(|exchange| exchange.number == number)
@@ -109,10 +109,10 @@
 
     /// Takes a connection out, so that it closes when it is dropped.
     pub fn remove(&mut self, token: Token) -> Option<OpenConnection> {
-        let place = self.place_mut(token)?;
-        let open = place.open.take()?;
-        place.generation = place.generation.wrapping_add(1);
-        self.free.push(token.place);
+        let slot = self.slot_mut(token)?;
+        let open = slot.open.take()?;
+        slot.generation = slot.generation.wrapping_add(1);
+        self.free.push(token.slot);
         if open.exchange.is_none() {
             self.idle[open.target].retain(|idle| *idle != token);
         }
@@ -120,7 +120,7 @@
     }
 
     /// Ends the request of a connection, which is idle from now on.
-    pub fn rest(&mut self, token: Token) {
+    pub fn mark_idle(&mut self, token: Token) {
         if let Some(open) = self.get_mut(token) {
             open.exchange = None;
             let target = open.target;
@@ -133,8 +133,8 @@
         self.idle[target].pop()
     }
 
-    fn place_mut(&mut self, token: Token) -> Option<&mut Place> {
-        let place = self.places.get_mut(token.place as usize)?;
-        (place.generation == token.generation).then_some(place)
+    fn slot_mut(&mut self, token: Token) -> Option<&mut Slot> {
+        let slot = self.slots.get_mut(token.slot as usize)?;
+        (slot.generation == token.generation).then_some(slot)
     }
 }
--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -77,12 +77,12 @@
         self.started = Instant::now();
         loop {
             self.send_due();
-            self.give_up_overdue();
+            self.expire_requests();
             if self.schedule.next_due().is_none() && self.measured_in_flight == 0 {
                 return Ok(self.results);
             }
-            let longest = self.next_wake().saturating_sub(self.now());
-            self.poller.wait(longest, &mut ready)?;
+            let timeout = self.next_wake().saturating_sub(self.now());
+            self.poller.wait(timeout, &mut ready)?;
             for readiness in &ready {
                 self.advance(*readiness);
                 self.send_due(); // many answers at once delay no request
@@ -115,16 +115,16 @@
             let Some(arrival) = self.schedule.take_due(now) else {
                 return;
             };
-            self.begin(arrival, now);
+            self.start_request(arrival, now);
         }
     }
 
-    fn begin(&mut self, arrival: Arrival, now: Duration) {
+    fn start_request(&mut self, arrival: Arrival, now: Duration) {
         let is_measured = arrival.due >= self.plan.warm_up;
         if is_measured {
             let result = &mut self.results[arrival.target];
             result.sent += 1;
-            result.longest_delay = result.longest_delay.max(now - arrival.due);
+            result.max_send_delay = result.max_send_delay.max(now - arrival.due);
             self.measured_in_flight += 1;
         }
         self.requests += 1;
@@ -133,7 +133,7 @@
             target: arrival.target,
             due: arrival.due,
             is_measured,
-            is_repeated: false,
+            is_resent: false,
         };
         match self.table.take_idle(arrival.target) {
             Some(token) => self.send(token, exchange),
@@ -198,8 +198,8 @@
 
     fn take_answer(&mut self, token: Token, answer: Answer) {
         let exchange = self.table.get_mut(token).and_then(|open| open.exchange);
-        if exchange.is_some() && answer.keeps_connection {
-            self.table.rest(token);
+        if exchange.is_some() && answer.keep_alive {
+            self.table.mark_idle(token);
         } else {
             self.table.remove(token); // also after an answer to nothing
         }
@@ -220,11 +220,11 @@
         let Some(exchange) = lost.exchange else {
             return;
         };
-        let crossed =
-            matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_kept();
-        if crossed && !exchange.is_repeated {
+        let was_idle_close =
+            matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_reused();
+        if was_idle_close && !exchange.is_resent {
             self.send_on_new_connection(Exchange {
-                is_repeated: true,
+                is_resent: true,
                 ..exchange
             });
         } else {
@@ -232,7 +232,7 @@
         }
     }
 
-    fn give_up_overdue(&mut self) {
+    fn expire_requests(&mut self) {
         let now = self.now();
         while let Some(Reverse(expiry)) = self
             .expiries
@@ -244,8 +244,8 @@
             if !self.table.carries(expiry.token, expiry.number) {
                 continue;
             }
-            let given_up = self.table.remove(expiry.token);
-            if let Some(exchange) = given_up.and_then(|open| open.exchange) {
+            let expired = self.table.remove(expiry.token);
+            if let Some(exchange) = expired.and_then(|open| open.exchange) {
                 self.end(exchange, Outcome::Unanswered);
             }
         }
--- a/fleet-lab/src/caller/poller.rs
+++ b/fleet-lab/src/caller/poller.rs
@@ -16,13 +16,13 @@
 use std::time::Duration;
 
 /// Sockets that one wait tells of at most.
-const MOST_EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 /// The number that stands for the timer in place of a token.
 const TIMER: u64 = u64::MAX;
 /// A time of zero would stop the timer.
-const SHORTEST_WAIT: Duration = Duration::from_nanos(1);
+const MIN_WAIT: Duration = Duration::from_nanos(1);
 /// Longer waits end early.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+const MAX_WAIT: Duration = Duration::from_secs(3600);
 const ZERO: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 0,
@@ -56,7 +56,7 @@
         Ok(Poller {
             epoll,
             timer,
-            events: Vec::with_capacity(MOST_EVENTS),
+            events: Vec::with_capacity(MAX_EVENTS),
         })
     }
 
@@ -73,15 +73,15 @@
         Ok(())
     }
 
-    /// Waits for `longest` at most until something is ready, and replaces `ready` by it.
-    pub fn wait(&mut self, longest: Duration, ready: &mut Vec<Readiness>) -> io::Result<()> {
+    /// Waits until a socket is ready or the timeout has passed, and replaces the contents of `ready`.
+    pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Readiness>) -> io::Result<()> {
         ready.clear();
         self.events.clear();
-        let timeout = longest.is_zero().then_some(&ZERO);
-        if !longest.is_zero() {
-            self.set_timer(longest)?;
+        let epoll_timeout = timeout.is_zero().then_some(&ZERO);
+        if !timeout.is_zero() {
+            self.set_timer(timeout)?;
         }
-        match epoll::wait(&self.epoll, spare_capacity(&mut self.events), timeout) {
+        match epoll::wait(&self.epoll, spare_capacity(&mut self.events), epoll_timeout) {
             Ok(_) | Err(Errno::INTR) => {}
             Err(error) => return Err(error.into()),
         }
@@ -91,7 +91,7 @@
     }
 
     fn set_timer(&self, after: Duration) -> io::Result<()> {
-        let after = after.clamp(SHORTEST_WAIT, LONGEST_WAIT);
+        let after = after.clamp(MIN_WAIT, MAX_WAIT);
         let it_value = Timespec {
             tv_sec: after.as_secs() as _,
             tv_nsec: after.subsec_nanos().into(),
--- a/fleet-lab/src/caller/request.rs
+++ b/fleet-lab/src/caller/request.rs
@@ -31,8 +31,8 @@
 
 /// A target's requests, which differ in their ids alone.
 pub(super) struct RequestTemplate {
-    before_id: String,
-    after_id: String,
+    prefix: String,
+    suffix: String,
 }
 
 impl RequestTemplate {
@@ -42,21 +42,21 @@
         let class = &target.class;
         let deadline = target.deadline.as_secs_f64();
         RequestTemplate {
-            before_id: format!("{method} /api HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: "),
-            after_id: format!(
+            prefix: format!("{method} /api HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: "),
+            suffix: format!(
                 "\r\nX-Class: {class}\r\nX-Deadline: {deadline:.6}\r\n{}",
-                rest(target)
+                mark_idle(target)
             ),
         }
     }
 
     pub fn render(&self, id: &str) -> Vec<u8> {
-        [&self.before_id, id, &self.after_id].concat().into_bytes()
+        [&self.prefix, id, &self.suffix].concat().into_bytes()
     }
 }
 
 /// The end of the head, and the body.
-fn rest(target: &LoadTarget) -> String {
+fn mark_idle(target: &LoadTarget) -> String {
     if target.is_unsafe {
         format!(
             "Content-Length: {BODY_BYTES}\r\n\r\n{}",
--- a/fleet-lab/src/caller/response.rs
+++ b/fleet-lab/src/caller/response.rs
@@ -1,16 +1,16 @@
 //! A parser of answers, fed with bytes as they come.
 
 /// Headers that an answer may have.
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// Bytes that an answer's head may have.
-const LONGEST_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// What an answer says, once its last byte has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Answer {
     pub status: u16,
     /// Whether the connection can carry the next request.
-    pub keeps_connection: bool,
+    pub keep_alive: bool,
 }
 
 /// Why bytes are no answer that this caller can read.
@@ -39,25 +39,25 @@
 #[derive(Clone, Copy)]
 struct Body {
     answer: Answer,
-    missing: usize,
+    remaining: usize,
 }
 
 impl ResponseParser {
     /// Whether a part of an answer has come.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.body.is_some() || !self.head.is_empty()
     }
 
     /// Takes the next bytes; the answer where they are its last.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Answer>, ResponseError> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Answer>, ResponseError> {
         let Some(mut body) = self.body.take() else {
             return self.feed_head(bytes);
         };
-        body.missing = body
-            .missing
+        body.remaining = body
+            .remaining
             .checked_sub(bytes.len())
             .ok_or(ResponseError::ExcessBytes)?;
-        if body.missing == 0 {
+        if body.remaining == 0 {
             return Ok(Some(body.answer));
         }
         self.body = Some(body);
@@ -67,7 +67,7 @@
     fn feed_head(&mut self, bytes: &[u8]) -> Result<Option<Answer>, ResponseError> {
         self.head.extend_from_slice(bytes);
         let Some((head_length, body)) = parse_head(&self.head)? else {
-            let is_too_long = self.head.len() > LONGEST_HEAD;
+            let is_too_long = self.head.len() > MAX_HEAD_BYTES;
             return if is_too_long {
                 Err(ResponseError::HeadTooLong)
             } else {
@@ -77,32 +77,32 @@
         let body_bytes = self.head.len() - head_length;
         self.head.clear();
         self.body = Some(body);
-        self.feed(&bytes[bytes.len() - body_bytes..])
+        self.push(&bytes[bytes.len() - body_bytes..])
     }
 }
 
 /// The length of a whole head, and what it says of the body.
 fn parse_head(bytes: &[u8]) -> Result<Option<(usize, Body)>, ResponseError> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(length) = response.parse(bytes)? else {
         return Ok(None);
     };
-    let mut missing = None;
-    let mut keeps_connection = response.version == Some(1);
+    let mut remaining = None;
+    let mut keep_alive = response.version == Some(1);
     for header in response.headers.iter() {
         if header.name.eq_ignore_ascii_case("content-length") {
-            missing = text(header.value).parse().ok();
+            remaining = text(header.value).parse().ok();
         } else if header.name.eq_ignore_ascii_case("connection") {
-            keeps_connection &= !text(header.value).eq_ignore_ascii_case("close");
+            keep_alive &= !text(header.value).eq_ignore_ascii_case("close");
         }
     }
-    let missing = missing.ok_or(ResponseError::NoContentLength)?;
+    let remaining = remaining.ok_or(ResponseError::NoContentLength)?;
     let answer = Answer {
         status: response.code.unwrap_or_default(),
-        keeps_connection,
+        keep_alive,
     };
-    Ok(Some((length, Body { answer, missing })))
+    Ok(Some((length, Body { answer, remaining })))
 }
 
 fn text(value: &[u8]) -> &str {
--- a/fleet-lab/src/caller/result.rs
+++ b/fleet-lab/src/caller/result.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// The longest latency that is told apart; longer ones count as this.
-const LONGEST_LATENCY: Duration = Duration::from_secs(60);
+const MAX_LATENCY: Duration = Duration::from_secs(60);
 /// Significant decimal digits of latencies.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
@@ -26,7 +26,7 @@
     /// Connections that were opened, over warm-up and measurement.
     pub connections: u64,
     /// The longest time that the event loop was late to send a request.
-    pub longest_delay: Duration,
+    pub max_send_delay: Duration,
 }
 
 impl TargetResult {
@@ -39,7 +39,7 @@
             failed: 0,
             unanswered: 0,
             connections: 0,
-            longest_delay: Duration::ZERO,
+            max_send_delay: Duration::ZERO,
         }
     }
 
@@ -52,6 +52,6 @@
 
 /// A histogram for latencies in nanoseconds.
 fn empty_histogram() -> Histogram<u64> {
-    let highest = LONGEST_LATENCY.as_nanos() as u64;
+    let highest = MAX_LATENCY.as_nanos() as u64;
     Histogram::new_with_bounds(1, highest, SIGNIFICANT_DIGITS).expect("the bounds are in order")
 }
--- a/fleet-lab/src/command/tier.rs
+++ b/fleet-lab/src/command/tier.rs
@@ -36,7 +36,7 @@
     slow_start: None,
     load_reports: true,
     answer_bytes: 64,
-    error_share: 0.0,
+    error_rate: 0.0,
 };
 const DISCOVERY_OPTIONS: DiscoveryOptions = DiscoveryOptions {
     calls_per_second: 100.0,
--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -3,7 +3,7 @@
 use super::downstream::Downstream;
 use super::message::{Answer, READ_BYTES, Request, RequestError};
 use super::state::EndpointState;
-use super::work::{Admission, Core, CorePool, LoadReport, QueuePlace};
+use super::work::{Admission, Core, CorePool, LoadReport, QueueSlot};
 use bytes::BytesMut;
 use rand::RngExt;
 use rand_pcg::Pcg64;
@@ -190,7 +190,7 @@
             .and_then(|time_left| Instant::now().checked_add(time_left));
         let core = match endpoint.pool.admit() {
             Admission::Core(core) => core,
-            Admission::Queued(place) => self.wait_for_core(place).await?,
+            Admission::Queued(slot) => self.wait_for_core(slot).await?,
             Admission::RejectedEarly => return Some(Answer::NotRun),
         };
         if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
@@ -200,11 +200,11 @@
     }
 
     /// Waits for a core; none if the sender goes first.
-    async fn wait_for_core<'pool>(&mut self, place: QueuePlace<'pool>) -> Option<Core<'pool>> {
+    async fn wait_for_core<'pool>(&mut self, slot: QueueSlot<'pool>) -> Option<Core<'pool>> {
         tokio::select! {
             biased;
             () = self.end_of_input() => None,
-            core = place.core() => Some(core),
+            core = slot.core() => Some(core),
         }
     }
 
--- a/fleet-lab/src/endpoint/downstream.rs
+++ b/fleet-lab/src/endpoint/downstream.rs
@@ -2,7 +2,7 @@
 //! one call at a time.
 
 use super::message::Request;
-use super::response::{Response, ResponseError, is_spent, read_response};
+use super::response::{Response, ResponseError, is_closed, read_response};
 use bytes::BytesMut;
 use rand::RngExt;
 use rand_pcg::Pcg64;
@@ -20,7 +20,7 @@
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
 /// How long it waits where the request has no deadline.
-const LONGEST_CALL: Duration = Duration::from_secs(30);
+const MAX_CALL_TIME: Duration = Duration::from_secs(30);
 
 const OK: u16 = 200;
 
@@ -88,7 +88,7 @@
         if time_left.is_some_and(|time_left| time_left.is_zero()) {
             return Err(CallError::NoTimeLeft);
         }
-        let longest = time_left.map_or(LONGEST_CALL, |time_left| {
+        let timeout = time_left.map_or(MAX_CALL_TIME, |time_left| {
             time_left.saturating_add(DEADLINE_GRACE)
         });
         let call = Call {
@@ -97,7 +97,7 @@
             deadline,
         };
         self.in_flight.set(self.in_flight.get() + 1);
-        let response = tokio::time::timeout(longest, self.send(&call)).await;
+        let response = tokio::time::timeout(timeout, self.send(&call)).await;
         self.in_flight.set(self.in_flight.get() - 1);
         match response.map_err(|_| CallError::TimedOut)?? {
             Response { status: OK, .. } => Ok(()),
@@ -108,8 +108,8 @@
     /// Sends a call on a kept connection if there is one. When that was closed before the sidecar answered, the call
     /// is sent once more on a new one.
     async fn send(&self, call: &Call<'_>) -> Result<Response, CallError> {
-        if let Some(kept) = self.kept_connection() {
-            match self.send_on(kept, call).await {
+        if let Some(connection) = self.take_idle_connection() {
+            match self.send_on(connection, call).await {
                 Err(error) if error.is_unanswered() => {}
                 outcome => return outcome,
             }
@@ -124,24 +124,24 @@
         call: &Call<'_>,
     ) -> Result<Response, CallError> {
         let response = connection.exchange(call).await?;
-        if response.keeps_connection {
-            self.keep(connection);
+        if response.keep_alive {
+            self.store_idle(connection);
         }
         Ok(response)
     }
 
     /// The connection that was used last and is still open.
-    fn kept_connection(&self) -> Option<CallConnection> {
+    fn take_idle_connection(&self) -> Option<CallConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
-            if !is_spent(&connection.stream) {
+            if !is_closed(&connection.stream) {
                 return Some(connection);
             }
         }
         None
     }
 
-    fn keep(&self, connection: CallConnection) {
+    fn store_idle(&self, connection: CallConnection) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < MAX_IDLE_CONNECTIONS && connection.input.is_empty() {
             idle.push(connection);
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -103,7 +103,7 @@
     /// Its address could not be had again, or its host has ended.
     pub fn start_again(&self) -> io::Result<()> {
         self.stop();
-        self.state.note_restart();
+        self.state.record_restart();
         self.listen()
     }
 
--- a/fleet-lab/src/endpoint/host.rs
+++ b/fleet-lab/src/endpoint/host.rs
@@ -92,11 +92,11 @@
 }
 
 fn run_thread(runtime: &Runtime, commands: mpsc::UnboundedReceiver<Command>, host_seed: u64) {
-    LocalSet::new().block_on(runtime, obey(commands, host_seed));
+    LocalSet::new().block_on(runtime, execute_all(commands, host_seed));
 }
 
 /// Carries out commands until the end.
-async fn obey(mut commands: mpsc::UnboundedReceiver<Command>, host_seed: u64) {
+async fn execute_all(mut commands: mpsc::UnboundedReceiver<Command>, host_seed: u64) {
     let mut running = HashMap::new();
     while let Some(command) = commands.recv().await {
         match command {
--- a/fleet-lab/src/endpoint/options.rs
+++ b/fleet-lab/src/endpoint/options.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest service time that is taken, in milliseconds: a day.
-const LONGEST_SERVICE_MILLISECONDS: f64 = 86_400_000.0;
+const MAX_SERVICE_MILLISECONDS: f64 = 86_400_000.0;
 
 /// How long an endpoint works on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -51,8 +51,8 @@
     /// Bytes of an answer's body.
     pub answer_bytes: usize,
     /// Share of the requests that are answered 500 after their work.
-    #[serde(default)]
-    pub error_share: f64,
+    #[serde(rename = "error_share", default)]
+    pub error_rate: f64,
 }
 
 impl EndpointOptions {
@@ -61,12 +61,12 @@
         if self.cores == 0 {
             return Err("an endpoint needs a core");
         }
-        if !(0.0..=1.0).contains(&self.error_share) {
+        if !(0.0..=1.0).contains(&self.error_rate) {
             return Err("error_share must be from 0 to 1");
         }
         if self
             .slow_start
-            .is_some_and(|ramp| !(ramp.from > 0.0 && ramp.from <= 1.0))
+            .is_some_and(|slow_start| !(slow_start.from > 0.0 && slow_start.from <= 1.0))
         {
             return Err("cold_ramp.from must be above 0 and at most 1");
         }
@@ -75,7 +75,7 @@
             ServiceTime::Fixed { milliseconds } => milliseconds,
             ServiceTime::Exponential { mean_milliseconds } => mean_milliseconds,
         };
-        if !(milliseconds > 0.0 && milliseconds <= LONGEST_SERVICE_MILLISECONDS) {
+        if !(milliseconds > 0.0 && milliseconds <= MAX_SERVICE_MILLISECONDS) {
             return Err("a service time must be above 0 and at most a day");
         }
         Ok(())
--- a/fleet-lab/src/endpoint/response.rs
+++ b/fleet-lab/src/endpoint/response.rs
@@ -12,7 +12,7 @@
 pub(super) struct Response {
     pub status: u16,
     /// Whether the connection can carry another request.
-    pub keeps_connection: bool,
+    pub keep_alive: bool,
 }
 
 /// Why no whole response came.
@@ -62,10 +62,10 @@
         Framing::Chunked => reader.skip_chunks().await?,
         Framing::UntilClose => reader.skip_all().await,
     }
-    let keeps_connection = !head.closes && !matches!(head.framing, Framing::UntilClose);
+    let keep_alive = !head.closes && !matches!(head.framing, Framing::UntilClose);
     Ok(Response {
         status: head.status,
-        keeps_connection,
+        keep_alive,
     })
 }
 
@@ -98,9 +98,9 @@
 
     async fn skip(&mut self, mut length: u64) -> Result<(), ResponseError> {
         loop {
-            let part = length.min(self.buffer.len() as u64);
-            self.buffer.advance(part as usize);
-            length -= part;
+            let skipped = length.min(self.buffer.len() as u64);
+            self.buffer.advance(skipped as usize);
+            length -= skipped;
             if length == 0 {
                 return Ok(());
             }
@@ -200,7 +200,7 @@
 }
 
 /// Whether a connection that rests has been closed by the other side, or sent what nobody asked for.
-pub(super) fn is_spent(stream: &TcpStream) -> bool {
+pub(super) fn is_closed(stream: &TcpStream) -> bool {
     let mut scratch = [0; 1];
     !matches!(stream.try_read(&mut scratch), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/fleet-lab/src/endpoint/state.rs
+++ b/fleet-lab/src/endpoint/state.rs
@@ -78,7 +78,7 @@
     }
 
     /// Notes that it starts again now.
-    pub fn note_restart(&self) {
+    pub fn record_restart(&self) {
         self.since_ms.store(unix_milliseconds(), Ordering::Relaxed);
         self.restarts.fetch_add(1, Ordering::Relaxed);
     }
--- a/fleet-lab/src/endpoint/work.rs
+++ b/fleet-lab/src/endpoint/work.rs
@@ -13,15 +13,15 @@
 const UTILISATION_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
 /// The most by which the end of one work that came late shortens later ones; more is a thread that was held up.
-const LONGEST_CARRIED_LATENESS: Duration = Duration::from_millis(2);
+const MAX_CARRIED_LATENESS: Duration = Duration::from_millis(2);
 
 /// The cores of a running endpoint, and the requests that wait for one.
 pub(super) struct CorePool {
     cores: u32,
     queue_limit: u32,
     service_time: ServiceTime,
-    ramp: Option<SlowStart>,
-    error_share: f64,
+    slow_start: Option<SlowStart>,
+    error_rate: f64,
     started: Instant,
     permits: Semaphore,
     queued: Cell<u32>,
@@ -36,7 +36,7 @@
     /// It has one.
     Core(Core<'pool>),
     /// It waits for one.
-    Queued(QueuePlace<'pool>),
+    Queued(QueueSlot<'pool>),
     /// The queue is full.
     RejectedEarly,
 }
@@ -48,8 +48,8 @@
             cores: options.cores,
             queue_limit: options.queue,
             service_time: options.service_time,
-            ramp: options.slow_start,
-            error_share: options.error_share,
+            slow_start: options.slow_start,
+            error_rate: options.error_rate,
             started,
             permits: Semaphore::new(options.cores as usize),
             queued: Cell::new(0),
@@ -72,12 +72,12 @@
             return Admission::RejectedEarly;
         }
         self.queued.set(self.queued.get() + 1);
-        Admission::Queued(QueuePlace { pool: self })
+        Admission::Queued(QueueSlot { pool: self })
     }
 
     /// Whether the next answer is an error.
     pub fn draw_error(&self) -> bool {
-        self.error_share > 0.0 && self.random.borrow_mut().random_bool(self.error_share)
+        self.error_rate > 0.0 && self.random.borrow_mut().random_bool(self.error_rate)
     }
 
     /// The load now; `calls` are the calls to the next tier that are in flight.
@@ -100,17 +100,20 @@
                 mean_milliseconds * unit_exponential
             }
         };
-        let capacity = self
-            .ramp
-            .map_or(1.0, |ramp| ramp.capacity(self.started.elapsed()));
+        let capacity = self.slow_start.map_or(1.0, |slow_start| {
+            slow_start.capacity(self.started.elapsed())
+        });
         Duration::from_secs_f64(milliseconds / 1000.0 / capacity)
     }
 
     /// Accounts for the time since the last change of the number of busy cores.
     fn update_utilisation(&self) {
-        let busy_share = f64::from(self.busy.get()) / f64::from(self.cores);
-        self.utilisation
-            .set(self.utilisation.get().advanced(busy_share, Instant::now()));
+        let busy_fraction = f64::from(self.busy.get()) / f64::from(self.cores);
+        self.utilisation.set(
+            self.utilisation
+                .get()
+                .advanced(busy_fraction, Instant::now()),
+        );
     }
 }
 
@@ -126,11 +129,11 @@
 }
 
 /// A place in the queue, left when it is dropped.
-pub(super) struct QueuePlace<'pool> {
+pub(super) struct QueueSlot<'pool> {
     pool: &'pool CorePool,
 }
 
-impl<'pool> QueuePlace<'pool> {
+impl<'pool> QueueSlot<'pool> {
     /// Waits for a core; requests get theirs in the order in which they came.
     pub async fn core(self) -> Core<'pool> {
         let permit = self
@@ -143,7 +146,7 @@
     }
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueueSlot<'_> {
     fn drop(&mut self) {
         self.pool.queued.set(self.pool.queued.get() - 1);
     }
@@ -168,20 +171,20 @@
     /// Works on the request. Timers fire at whole milliseconds, always late; the lateness of one work is taken off
     /// the next ones, so that the mean is right, and with it the endpoint's capacity.
     pub async fn work(&self) {
-        let drawn = self.pool.draw_work_time();
-        let carried = drawn.min(self.pool.lateness.get());
+        let service_time = self.pool.draw_work_time();
+        let carried = service_time.min(self.pool.lateness.get());
         self.pool.lateness.set(self.pool.lateness.get() - carried);
-        let planned = drawn - carried;
-        if planned.is_zero() {
+        let sleep_time = service_time - carried;
+        if sleep_time.is_zero() {
             return;
         }
         let begun = Instant::now();
-        tokio::time::sleep(planned).await;
-        let late = begun
+        tokio::time::sleep(sleep_time).await;
+        let lateness = begun
             .elapsed()
-            .saturating_sub(planned)
-            .min(LONGEST_CARRIED_LATENESS);
-        self.pool.lateness.set(self.pool.lateness.get() + late);
+            .saturating_sub(sleep_time)
+            .min(MAX_CARRIED_LATENESS);
+        self.pool.lateness.set(self.pool.lateness.get() + lateness);
     }
 }
 
@@ -201,11 +204,11 @@
 
 impl Utilisation {
     /// The average at a later time, when so many cores were busy since.
-    fn advanced(self, busy_share: f64, now: Instant) -> Self {
+    fn advanced(self, busy_fraction: f64, now: Instant) -> Self {
         let elapsed = now.saturating_duration_since(self.at);
-        let kept = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
+        let connection = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
         Self {
-            average: busy_share + (self.average - busy_share) * kept,
+            average: busy_fraction + (self.average - busy_fraction) * connection,
             at: now,
         }
     }
--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -59,7 +59,8 @@
     /// Changes of the list a second meanwhile.
     pub changes_per_second: f64,
     /// Share of the calls that are unsafe to repeat.
-    pub unsafe_share: f64,
+    #[serde(rename = "unsafe_share")]
+    pub unsafe_fraction: f64,
     /// How the endpoints behave.
     pub endpoint: EndpointOptions,
     /// Seconds before each measurement.
@@ -97,7 +98,8 @@
     /// Calls a second at the first tier.
     pub calls_per_second: f64,
     /// Share of the requests that the last tier answers 500.
-    pub error_share: f64,
+    #[serde(rename = "error_share")]
+    pub error_rate: f64,
     /// How the endpoints behave.
     pub endpoint: EndpointOptions,
     /// Seconds of each measurement.
@@ -140,7 +142,8 @@
     /// Calls that it answers a second.
     pub calls_per_second: f64,
     /// A call that has waited longer is answered 503.
-    pub longest_wait_seconds: f64,
+    #[serde(rename = "longest_wait_seconds")]
+    pub queue_timeout_seconds: f64,
 }
 
 /// What a fleet of hollow sidecars is.
@@ -168,7 +171,8 @@
     /// Changes, one after another.
     pub changes: u32,
     /// Seconds after which a sidecar without the change counts as missing.
-    pub longest_seconds: f64,
+    #[serde(rename = "longest_seconds")]
+    pub timeout_seconds: f64,
 }
 
 /// See [`Measurement::Outage`].
@@ -180,7 +184,8 @@
     /// Seconds that discovery is down.
     pub outage_seconds: f64,
     /// Seconds after its return at which a sidecar without the change counts as missing.
-    pub longest_seconds: f64,
+    #[serde(rename = "longest_seconds")]
+    pub timeout_seconds: f64,
 }
 
 /// See [`Measurement::FleetRestart`].
@@ -190,7 +195,8 @@
     /// The fleet.
     pub fleet: Fleet,
     /// Seconds after which a sidecar that is not ready counts as missing.
-    pub longest_seconds: f64,
+    #[serde(rename = "longest_seconds")]
+    pub timeout_seconds: f64,
 }
 
 /// See [`Measurement::Failures`].
@@ -208,7 +214,8 @@
     /// Seconds that each lasts.
     pub fault_seconds: f64,
     /// Seconds between the end of one and the start of the next.
-    pub rest_seconds: f64,
+    #[serde(rename = "rest_seconds")]
+    pub pause_seconds: f64,
 }
 
 /// Why an experiment file cannot be used.
--- a/fleet-lab/src/experiment/check.rs
+++ b/fleet-lab/src/experiment/check.rs
@@ -10,26 +10,26 @@
 use std::ops::RangeInclusive;
 
 /// The most hollow sidecars of a fleet.
-const MOST_SIDECARS: u32 = 1_000;
+const MAX_SIDECARS: u32 = 1_000;
 /// The most real sidecar processes of a measurement.
-const MOST_PROCESSES: u64 = 300;
+const MAX_PROCESSES: u64 = 300;
 /// The most endpoints of a measurement.
-const MOST_ENDPOINTS: u32 = 5_000;
+const MAX_ENDPOINTS: u32 = 5_000;
 /// The most connections or open requests that are held at once; a sidecar is given 4,096 descriptors, of which an open
 /// request takes two.
-const MOST_HELD: u32 = 2_000;
+const MAX_OPEN: u32 = 2_000;
 /// The most tiers of a chain.
-const MOST_TIERS: u32 = 32;
+const MAX_TIERS: u32 = 32;
 /// The most changes, reloads or faults of a measurement.
-const MOST_EVENTS: u32 = 10_000;
+const MAX_EVENTS: u32 = 10_000;
 /// Calls a second, over all sidecars.
-const HIGHEST_RATE: f64 = 100_000.0;
+const MAX_RATE: f64 = 100_000.0;
 /// The longest duration, in seconds.
-const LONGEST_SECONDS: f64 = 600.0;
+const MAX_SECONDS: f64 = 600.0;
 /// The longest time that an endpoint works on a request, in milliseconds.
-const LONGEST_SERVICE_MILLISECONDS: f64 = 60_000.0;
+const MAX_SERVICE_MILLISECONDS: f64 = 60_000.0;
 /// The largest body, in bytes.
-const LARGEST_BODY: u32 = 64 << 10;
+const MAX_BODY_BYTES: u32 = 64 << 10;
 
 /// All faults of an experiment's values.
 pub(super) fn faults(experiment: &Experiment) -> Vec<ValueFault> {
@@ -55,8 +55,8 @@
 struct Faults(Vec<ValueFault>);
 
 impl Faults {
-    fn require(&mut self, field: &str, holds: bool, problem: impl Into<String>) {
-        if !holds {
+    fn require(&mut self, field: &str, is_valid: bool, problem: impl Into<String>) {
+        if !is_valid {
             self.0.push(ValueFault {
                 field: field.into(),
                 problem: problem.into(),
@@ -74,30 +74,30 @@
         self.require(field, bounds.contains(&value), problem);
     }
 
-    fn share(&mut self, field: &str, value: f64) {
+    fn fraction(&mut self, field: &str, value: f64) {
         self.within(field, value, 0.0..=1.0);
     }
 
-    fn count(&mut self, field: &str, value: u32, most: u32) {
-        self.within(field, value, 1.0..=f64::from(most));
+    fn count(&mut self, field: &str, value: u32, max: u32) {
+        self.within(field, value, 1.0..=f64::from(max));
     }
 
-    /// More than none, and at most `most`.
-    fn positive(&mut self, field: &str, value: f64, most: f64) {
-        let problem = format!("is {value}, not above 0 and at most {most}");
-        self.require(field, value > 0.0 && value <= most, problem);
+    /// More than none, and at most `max`.
+    fn positive(&mut self, field: &str, value: f64, max: f64) {
+        let problem = format!("is {value}, not above 0 and at most {max}");
+        self.require(field, value > 0.0 && value <= max, problem);
     }
 
     fn seconds(&mut self, field: &str, value: f64) {
-        self.positive(field, value, LONGEST_SECONDS);
+        self.positive(field, value, MAX_SECONDS);
     }
 
-    fn seconds_or_none(&mut self, field: &str, value: f64) {
-        self.within(field, value, 0.0..=LONGEST_SECONDS);
+    fn seconds_or_zero(&mut self, field: &str, value: f64) {
+        self.within(field, value, 0.0..=MAX_SECONDS);
     }
 
     /// Sizes are there, positive, bounded, and each is above the one before.
-    fn sizes<T: Copy + Into<f64>>(&mut self, field: &str, sizes: &[T], most: f64) {
+    fn sizes<T: Copy + Into<f64>>(&mut self, field: &str, sizes: &[T], max: f64) {
         let sizes: Vec<f64> = sizes.iter().map(|size| (*size).into()).collect();
         self.require(field, !sizes.is_empty(), "is empty");
         self.require(
@@ -106,104 +106,92 @@
             "is not increasing",
         );
         for size in sizes {
-            self.positive(field, size, most);
+            self.positive(field, size, max);
         }
     }
 }
 
 fn added_latency(plan: &AddedLatency, faults: &mut Faults) {
-    faults.count("measure.endpoints", plan.endpoints, MOST_ENDPOINTS);
-    faults.sizes("measure.rates", &plan.rates, HIGHEST_RATE);
+    faults.count("measure.endpoints", plan.endpoints, MAX_ENDPOINTS);
+    faults.sizes("measure.rates", &plan.rates, MAX_RATE);
     faults.within(
         "measure.changes_per_second",
         plan.changes_per_second,
         0.0..=1_000.0,
     );
-    faults.share("measure.unsafe_share", plan.unsafe_share);
+    faults.fraction("measure.unsafe_share", plan.unsafe_fraction);
     endpoint_options(&plan.endpoint, faults);
-    faults.seconds_or_none("measure.warm_up_seconds", plan.warm_up_seconds);
+    faults.seconds_or_zero("measure.warm_up_seconds", plan.warm_up_seconds);
     faults.seconds("measure.seconds", plan.seconds);
 }
 
 fn added_latency_by_depth(plan: &AddedLatencyByDepth, faults: &mut Faults) {
     chain(&plan.depths, plan.endpoints_per_tier, faults);
-    faults.positive(
-        "measure.calls_per_second",
-        plan.calls_per_second,
-        HIGHEST_RATE,
-    );
+    faults.positive("measure.calls_per_second", plan.calls_per_second, MAX_RATE);
     endpoint_options(&plan.endpoint, faults);
-    faults.seconds_or_none("measure.warm_up_seconds", plan.warm_up_seconds);
+    faults.seconds_or_zero("measure.warm_up_seconds", plan.warm_up_seconds);
     faults.seconds("measure.seconds", plan.seconds);
 }
 
 fn retry_amplification(plan: &RetryAmplification, faults: &mut Faults) {
     chain(&plan.depths, plan.endpoints_per_tier, faults);
-    faults.positive(
-        "measure.calls_per_second",
-        plan.calls_per_second,
-        HIGHEST_RATE,
-    );
-    faults.share("measure.error_share", plan.error_share);
+    faults.positive("measure.calls_per_second", plan.calls_per_second, MAX_RATE);
+    faults.fraction("measure.error_share", plan.error_rate);
     endpoint_options(&plan.endpoint, faults);
     faults.seconds("measure.seconds", plan.seconds);
 }
 
 /// Chains in which each endpoint but those of the last tier has a sidecar of its own.
 fn chain(depths: &[u32], endpoints_per_tier: u32, faults: &mut Faults) {
-    faults.sizes("measure.depths", depths, MOST_TIERS.into());
+    faults.sizes("measure.depths", depths, MAX_TIERS.into());
     faults.count(
         "measure.endpoints_per_tier",
         endpoints_per_tier,
-        MOST_ENDPOINTS,
+        MAX_ENDPOINTS,
     );
-    let deepest = depths.iter().copied().max().unwrap_or(0);
-    let processes = 1 + u64::from(deepest.saturating_sub(1)) * u64::from(endpoints_per_tier);
-    let problem = format!("needs {processes} sidecar processes, more than {MOST_PROCESSES}");
-    faults.require("measure.depths", processes <= MOST_PROCESSES, problem);
+    let max_depth = depths.iter().copied().max().unwrap_or(0);
+    let processes = 1 + u64::from(max_depth.saturating_sub(1)) * u64::from(endpoints_per_tier);
+    let problem = format!("needs {processes} sidecar processes, more than {MAX_PROCESSES}");
+    faults.require("measure.depths", processes <= MAX_PROCESSES, problem);
 }
 
 fn memory(plan: &Memory, faults: &mut Faults) {
-    faults.sizes("measure.endpoints", &plan.endpoints, MOST_ENDPOINTS.into());
+    faults.sizes("measure.endpoints", &plan.endpoints, MAX_ENDPOINTS.into());
     faults.sizes(
         "measure.open_requests",
         &plan.open_requests,
-        MOST_HELD.into(),
+        MAX_OPEN.into(),
     );
     faults.sizes(
         "measure.caller_connections",
         &plan.caller_connections,
-        MOST_HELD.into(),
+        MAX_OPEN.into(),
     );
 }
 
 fn control_cost(plan: &ControlCost, faults: &mut Faults) {
-    faults.count("measure.endpoints", plan.endpoints, MOST_ENDPOINTS);
-    faults.sizes("measure.changes", &plan.changes, MOST_EVENTS.into());
-    faults.sizes("measure.reloads", &plan.reloads, MOST_EVENTS.into());
-    faults.sizes(
-        "measure.probing_rates",
-        &plan.health_check_rates,
-        HIGHEST_RATE,
-    );
+    faults.count("measure.endpoints", plan.endpoints, MAX_ENDPOINTS);
+    faults.sizes("measure.changes", &plan.changes, MAX_EVENTS.into());
+    faults.sizes("measure.reloads", &plan.reloads, MAX_EVENTS.into());
+    faults.sizes("measure.probing_rates", &plan.health_check_rates, MAX_RATE);
     faults.seconds("measure.seconds", plan.seconds);
 }
 
 fn propagation(plan: &Propagation, faults: &mut Faults) {
     fleet(&plan.fleet, faults);
-    faults.count("measure.changes", plan.changes, MOST_EVENTS);
-    faults.seconds("measure.longest_seconds", plan.longest_seconds);
+    faults.count("measure.changes", plan.changes, MAX_EVENTS);
+    faults.seconds("measure.longest_seconds", plan.timeout_seconds);
 }
 
 fn outage(plan: &Outage, faults: &mut Faults) {
     fleet(&plan.fleet, faults);
     faults.seconds("measure.outage_seconds", plan.outage_seconds);
-    faults.seconds("measure.longest_seconds", plan.longest_seconds);
+    faults.seconds("measure.longest_seconds", plan.timeout_seconds);
 }
 
 fn fleet_restart(plan: &FleetRestart, faults: &mut Faults) {
     fleet(&plan.fleet, faults);
-    faults.seconds("measure.longest_seconds", plan.longest_seconds);
+    faults.seconds("measure.longest_seconds", plan.timeout_seconds);
 }
 
 fn failures(plan: &Failures, faults: &mut Faults) {
@@ -211,29 +199,29 @@
     faults.within(
         "measure.calls_per_second",
         plan.calls_per_second,
-        0.0..=HIGHEST_RATE,
+        0.0..=MAX_RATE,
     );
     discovery("measure.discovery", &plan.discovery, faults);
     faults.require("measure.faults", !plan.faults.is_empty(), "is empty");
-    for (place, fault) in plan.faults.iter().enumerate() {
+    for (index, fault) in plan.faults.iter().enumerate() {
         fault_size(
-            &format!("measure.faults.{place}"),
+            &format!("measure.faults.{index}"),
             fault,
             plan.topology.endpoints,
             faults,
         );
     }
     faults.seconds("measure.fault_seconds", plan.fault_seconds);
-    faults.seconds_or_none("measure.rest_seconds", plan.rest_seconds);
+    faults.seconds_or_zero("measure.rest_seconds", plan.pause_seconds);
 }
 
 fn fleet(plan: &Fleet, faults: &mut Faults) {
-    faults.sizes("measure.fleet.sizes", &plan.sizes, MOST_SIDECARS.into());
-    faults.count("measure.fleet.endpoints", plan.endpoints, MOST_ENDPOINTS);
+    faults.sizes("measure.fleet.sizes", &plan.sizes, MAX_SIDECARS.into());
+    faults.count("measure.fleet.endpoints", plan.endpoints, MAX_ENDPOINTS);
     faults.within(
         "measure.fleet.calls_per_second",
         plan.calls_per_second,
-        0.0..=HIGHEST_RATE,
+        0.0..=MAX_RATE,
     );
     discovery("measure.fleet.discovery", &plan.discovery, faults);
 }
@@ -242,11 +230,11 @@
     faults.positive(
         &format!("{field}.calls_per_second"),
         capacity.calls_per_second,
-        HIGHEST_RATE,
+        MAX_RATE,
     );
     faults.seconds(
         &format!("{field}.longest_wait_seconds"),
-        capacity.longest_wait_seconds,
+        capacity.queue_timeout_seconds,
     );
 }
 
@@ -258,8 +246,8 @@
         16,
     );
     faults.count("measure.topology.racks_per_zone", size.racks_per_zone, 64);
-    faults.count("measure.topology.services", size.services, MOST_SIDECARS);
-    faults.count("measure.topology.endpoints", size.endpoints, MOST_SIDECARS);
+    faults.count("measure.topology.services", size.services, MAX_SIDECARS);
+    faults.count("measure.topology.endpoints", size.endpoints, MAX_SIDECARS);
 }
 
 fn fault_size(field: &str, fault: &Fault, endpoints: u32, faults: &mut Faults) {
@@ -278,15 +266,15 @@
     faults.within("measure.endpoint.queue", options.queue, 0.0..=100_000.0);
     service_time(options.service_time, faults);
     if let Some(ramp) = &options.slow_start {
-        faults.share("measure.endpoint.cold_ramp.from", ramp.from);
+        faults.fraction("measure.endpoint.cold_ramp.from", ramp.from);
     }
-    let body_fits = options.answer_bytes <= LARGEST_BODY as usize;
+    let body_fits = options.answer_bytes <= MAX_BODY_BYTES as usize;
     faults.require(
         "measure.endpoint.answer_bytes",
         body_fits,
-        format!("is above {LARGEST_BODY}"),
+        format!("is above {MAX_BODY_BYTES}"),
     );
-    faults.share("measure.endpoint.error_share", options.error_share);
+    faults.fraction("measure.endpoint.error_share", options.error_rate);
 }
 
 fn service_time(service_time: ServiceTime, faults: &mut Faults) {
@@ -300,5 +288,5 @@
             mean_milliseconds,
         ),
     };
-    faults.within(field, milliseconds, 0.0..=LONGEST_SERVICE_MILLISECONDS);
+    faults.within(field, milliseconds, 0.0..=MAX_SERVICE_MILLISECONDS);
 }
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -27,7 +27,7 @@
     slow_start: None,
     load_reports: true,
     answer_bytes: 100,
-    error_share: 0.0,
+    error_rate: 0.0,
 };
 
 pub(super) fn run(
--- a/fleet-lab/src/scenario/depth.rs
+++ b/fleet-lab/src/scenario/depth.rs
@@ -82,7 +82,7 @@
 ) -> Result<ScenarioOutcome, ScenarioError> {
     let mut table = MetricTable::over("tiers");
     let failing = EndpointOptions {
-        error_share: plan.error_share,
+        error_rate: plan.error_rate,
         ..plan.endpoint.clone()
     };
     for depth in &plan.depths {
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -33,7 +33,7 @@
         endpoints: &endpoints,
         duration: Duration::from_secs_f64(plan.fault_seconds),
     };
-    let pause = Duration::from_secs_f64(plan.rest_seconds);
+    let pause = Duration::from_secs_f64(plan.pause_seconds);
 
     let mut table = MetricTable::over(FAULT_NUMBER);
     let mut descriptions = vec!["0: none".to_owned()];
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -147,7 +147,7 @@
     fn discovery_options(&self) -> DiscoveryOptions {
         DiscoveryOptions {
             calls_per_second: START_CALLS_PER_SECOND,
-            queue_timeout: Duration::from_secs_f64(self.capacity.longest_wait_seconds),
+            queue_timeout: Duration::from_secs_f64(self.capacity.queue_timeout_seconds),
             heartbeat: HEARTBEAT,
             retained_changes: RETAINED_CHANGES,
         }
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -39,7 +39,7 @@
 /// Restarts all sidecars at the same time and waits until all are ready and have an open watch.
 fn measure(plan: &FleetRestart, fleet: &RunningFleet, label: &str, table: &mut MetricTable) {
     let size = fleet.size as f64;
-    let timeout = Duration::from_secs_f64(plan.longest_seconds);
+    let timeout = Duration::from_secs_f64(plan.timeout_seconds);
     let all: Vec<usize> = (0..fleet.size).collect();
 
     let start_usage = fleet.discovery.usage();
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -89,7 +89,7 @@
     sidecar: SocketAddr,
     direct: SocketAddr,
 ) -> LoadPlan {
-    let unsafe_rate = rate * plan.unsafe_share;
+    let unsafe_rate = rate * plan.unsafe_fraction;
     let mut targets = vec![
         load_target(direct, rate, SAFE_CLASS),
         load_target(sidecar, rate - unsafe_rate, SAFE_CLASS),
--- a/fleet-lab/src/scenario/memory.rs
+++ b/fleet-lab/src/scenario/memory.rs
@@ -152,7 +152,7 @@
         slow_start: None,
         load_reports: false,
         answer_bytes: 100,
-        error_share: 0.0,
+        error_rate: 0.0,
     };
     let options = SingleSidecarOptions {
         endpoints,
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -28,7 +28,7 @@
 fn measure(plan: &Outage, fleet: &RunningFleet, table: &mut MetricTable) {
     let size = fleet.size as f64;
     let half_of_outage = Duration::from_secs_f64(plan.outage_seconds / 2.0);
-    let timeout = Duration::from_secs_f64(plan.longest_seconds);
+    let timeout = Duration::from_secs_f64(plan.timeout_seconds);
     fleet.discovery.begin_outage();
     thread::sleep(half_of_outage);
     let version = fleet.publish_change(0);
--- a/fleet-lab/src/scenario/propagation.rs
+++ b/fleet-lab/src/scenario/propagation.rs
@@ -47,7 +47,7 @@
 
 /// Publishes the changes one after another, each after all sidecars have received the previous one.
 fn measure_changes(plan: &Propagation, fleet: &RunningFleet, table: &mut MetricTable) {
-    let timeout = Duration::from_secs_f64(plan.longest_seconds);
+    let timeout = Duration::from_secs_f64(plan.timeout_seconds);
     let mut times = ConvergenceTimes::default();
     let start_usage = fleet.discovery.usage();
     for number in 0..plan.changes {
--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Lines of the log that are kept.
-const KEPT_LOG_LINES: usize = 200;
+const MAX_LOG_LINES: usize = 200;
 /// Lines of the log that an error quotes.
 const QUOTED_LOG_LINES: usize = 5;
 
@@ -53,9 +53,9 @@
     pub fn wait_for_addresses(
         &self,
         addresses: &Receiver<Addresses>,
-        longest: Duration,
+        timeout: Duration,
     ) -> io::Result<Addresses> {
-        let problem = match addresses.recv_timeout(longest) {
+        let problem = match addresses.recv_timeout(timeout) {
             Ok(addresses) => return Ok(addresses),
             Err(RecvTimeoutError::Timeout) => "the sidecar did not tell in time where it listens",
             Err(RecvTimeoutError::Disconnected) => "the sidecar ended before it listened",
@@ -78,7 +78,7 @@
 
     /// The last lines of the log.
     pub fn log(&self) -> Vec<String> {
-        self.log.last(KEPT_LOG_LINES)
+        self.log.last(MAX_LOG_LINES)
     }
 
     /// An error that quotes the end of the log.
@@ -123,7 +123,7 @@
 
     fn push(&self, line: String) {
         let mut lines = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() == KEPT_LOG_LINES {
+        if lines.len() == MAX_LOG_LINES {
             lines.pop_front();
         }
         lines.push_back(line);
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -14,11 +14,11 @@
 /// A connection to an endpoint that is not up after this time has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The longest `Retry-After`.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(2);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Attempts for one request.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// Requests that one sidecar may hold open.
-const MOST_OPEN: u32 = 10_000;
+const MAX_PENDING: u32 = 10_000;
 /// Time after the deadline in which an answer still counts.
 const ANSWER_SLACK: Duration = Duration::from_millis(5);
 /// A sidecar that has not asked discovery for so long counts as told of every change.
@@ -28,11 +28,11 @@
 /// Part of its capacity with which an endpoint starts.
 const INITIAL_CAPACITY: f64 = 0.3;
 /// Time in which an endpoint warms up.
-const WARM_WITHIN: Duration = Duration::from_secs(10);
+const WARM_UP_TIME: Duration = Duration::from_secs(10);
 /// A cold endpoint that is sent more than this multiple of its present capacity falls over,
-const FALL_MULTIPLE: f64 = 2.5;
+const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// where that lasts for so long.
-const FALL_TIME: Duration = Duration::from_secs(2);
+const OVERLOAD_TIME: Duration = Duration::from_secs(2);
 /// The least time between two batches of events for the decision module.
 const TICK: Duration = Duration::from_millis(1);
 
@@ -189,14 +189,14 @@
             "cancel": true,
             "connIdleNs": nanoseconds(IDLE_CLOSE),
             "connectTimeoutNs": nanoseconds(CONNECT_TIMEOUT),
-            "maxOpen": MOST_OPEN,
-            "maxRetryAfterNs": nanoseconds(LONGEST_RETRY_AFTER),
+            "maxOpen": MAX_PENDING,
+            "maxRetryAfterNs": nanoseconds(MAX_RETRY_AFTER),
             "maxStreams": 1,
             "mayTell": false,
             "parallelTries": true,
             "probes": self.load_reports == LoadReports::WithHealthChecks,
             "retryAfter": true,
-            "sendCap": MOST_ATTEMPTS,
+            "sendCap": MAX_ATTEMPTS,
         })
     }
 }
@@ -231,9 +231,9 @@
         "askWithinNs": nanoseconds(POLL_INTERVAL),
         "coldFrom": INITIAL_CAPACITY,
         "drainGraceNs": nanoseconds(DRAIN_GRACE),
-        "fallMultiple": FALL_MULTIPLE,
-        "fallNs": nanoseconds(FALL_TIME),
-        "warmWithinNs": nanoseconds(WARM_WITHIN),
+        "fallMultiple": OVERLOAD_MULTIPLE,
+        "fallNs": nanoseconds(OVERLOAD_TIME),
+        "warmWithinNs": nanoseconds(WARM_UP_TIME),
     })
 }
 
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -22,11 +22,11 @@
 /// Environment variables of the program begin with this.
 const ENVIRONMENT_PREFIX: &str = "ROUTER_";
 /// A process that has not told where it listens by then is given up.
-const LONGEST_START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// A reload that cannot be seen in the figures by then has failed.
-const LONGEST_RELOAD: Duration = Duration::from_secs(10);
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// A process that has not ended so long after SIGTERM is killed.
-const LONGEST_END: Duration = Duration::from_secs(60);
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time-out of each read and write on a call to a process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Between two looks at a state that is awaited.
@@ -56,7 +56,7 @@
             &mut command(program, &configuration_file, folder.path()),
             sender,
         )?;
-        let addresses = child.wait_for_addresses(&addresses, LONGEST_START)?;
+        let addresses = child.wait_for_addresses(&addresses, START_TIMEOUT)?;
         Ok(SidecarProcess {
             child,
             addresses,
@@ -91,11 +91,11 @@
         answer.split(' ').nth(1) == Some("200")
     }
 
-    /// Waits until `GET /ready` answers 200; how long that took, or none after `longest`.
+    /// Waits until `GET /ready` answers 200; how long that took, or none after `timeout`.
     #[must_use]
-    pub fn wait_until_ready(&self, longest: Duration) -> Option<Duration> {
+    pub fn wait_until_ready(&self, timeout: Duration) -> Option<Duration> {
         let started = Instant::now();
-        wait_until(longest, || self.is_ready()).then(|| started.elapsed())
+        wait_until(timeout, || self.is_ready()).then(|| started.elapsed())
     }
 
     /// One figure of `STATS`, without its `app_` prefix, if it has it.
@@ -114,18 +114,18 @@
     /// # Errors
     /// The file could not be written, or the signal not sent, or the reload was turned down or not seen in time.
     pub fn reload(&self, configuration: &SidecarConfiguration) -> io::Result<()> {
-        let before = self.reloads()?;
+        let previous = self.reloads()?;
         write_configuration(&self.configuration_file, configuration)?;
         self.child.signal(Signal::HUP)?;
-        let mut after = before;
-        wait_until(LONGEST_RELOAD, || {
-            after = self.reloads().unwrap_or(before);
-            after != before
+        let mut current = previous;
+        wait_until(RELOAD_TIMEOUT, || {
+            current = self.reloads().unwrap_or(previous);
+            current != previous
         });
-        if after.taken > before.taken {
+        if current.applied > previous.applied {
             return Ok(());
         }
-        let problem = if after == before {
+        let problem = if current == previous {
             "the reload was not seen"
         } else {
             "the reload was turned down"
@@ -144,7 +144,7 @@
     /// Sends SIGTERM and waits for its end; one that takes longer than a minute is killed.
     pub fn terminate(mut self) {
         if self.child.signal(Signal::TERM).is_ok() {
-            wait_until(LONGEST_END, || self.child.has_ended());
+            wait_until(TERMINATION_TIMEOUT, || self.child.has_ended());
         }
     }
 
@@ -162,8 +162,8 @@
             self.metric(name).ok_or_else(missing)
         };
         Ok(Reloads {
-            taken: metric("config_reloads")?,
-            turned_down: metric("config_reload_errors")?,
+            applied: metric("config_reloads")?,
+            rejected: metric("config_reload_errors")?,
         })
     }
 }
@@ -171,14 +171,14 @@
 /// The figures that count reloads.
 #[derive(Clone, Copy, PartialEq)]
 struct Reloads {
-    taken: u64,
-    turned_down: u64,
+    applied: u64,
+    rejected: u64,
 }
 
 /// The program's start, with nothing of its environment taken from this process.
 fn command(program: &Path, configuration_file: &Path, folder: &Path) -> Command {
     let mut command = Command::new(program);
-    for (name, _) in std::env::vars_os().filter(|(name, _)| is_programs_variable(name)) {
+    for (name, _) in std::env::vars_os().filter(|(name, _)| is_program_variable(name)) {
         command.env_remove(name);
     }
     command
@@ -191,16 +191,16 @@
     command
 }
 
-fn is_programs_variable(name: &OsStr) -> bool {
+fn is_program_variable(name: &OsStr) -> bool {
     name.as_encoded_bytes()
         .starts_with(ENVIRONMENT_PREFIX.as_bytes())
 }
 
 /// Writes the document aside and moves it into place, so that it is never read half written.
 fn write_configuration(file: &Path, configuration: &SidecarConfiguration) -> io::Result<()> {
-    let aside = file.with_extension("new");
-    fs::write(&aside, configuration.document().to_string())?;
-    fs::rename(aside, file)
+    let temporary = file.with_extension("new");
+    fs::write(&temporary, configuration.document().to_string())?;
+    fs::rename(temporary, file)
 }
 
 /// The answer to a call on a connection of its own, up to the connection's end.
@@ -214,14 +214,14 @@
     Ok(answer)
 }
 
-/// Whether a condition has come to hold before `longest` had passed.
-fn wait_until(longest: Duration, mut holds: impl FnMut() -> bool) -> bool {
+/// Whether a condition has come to hold before `timeout` had passed.
+fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let started = Instant::now();
     loop {
-        if holds() {
+        if condition() {
             return true;
         }
-        if started.elapsed() >= longest {
+        if started.elapsed() >= timeout {
             return false;
         }
         thread::sleep(POLL_INTERVAL);
--- a/fleet-lab/src/topology.rs
+++ b/fleet-lab/src/topology.rs
@@ -111,7 +111,7 @@
 }
 
 /// A zone while endpoints are dealt out.
-struct ZonePlace {
+struct ZoneLayout {
     name: ZoneName,
     region: RegionName,
     racks: Vec<RackName>,
@@ -123,25 +123,25 @@
     /// service. The same size and seed give the same topology; a size with a zero in it gives no placements.
     #[must_use]
     pub fn generate(size: &TopologySize, seed: u64) -> Topology {
-        let places = zone_places(size);
-        let zones = places.iter().map(|place| place.name.clone()).collect();
-        let dealing_order = alternate_regions(&places, size);
+        let layouts = zone_layouts(size);
+        let zones = layouts.iter().map(|zone| zone.name.clone()).collect();
+        let assignment_order = alternate_regions(&layouts, size);
         let sizes = service_sizes(size, &mut Pcg64::seed_from_u64(seed));
         let services = sizes.iter().enumerate().flat_map(|(index, &endpoints)| {
-            (0..endpoints).map(move |_| numbered("service", index, 2))
+            (0..endpoints).map(move |_| numbered_name("service", index, 2))
         });
         let placements = services
             .enumerate()
             .filter_map(|(index, service)| {
-                let place = dealing_order.get(index % dealing_order.len().max(1))?;
-                let turn = index / dealing_order.len();
-                let rack = place.racks.get(turn % place.racks.len().max(1))?;
+                let zone = assignment_order.get(index % assignment_order.len().max(1))?;
+                let round = index / assignment_order.len();
+                let rack = zone.racks.get(round % zone.racks.len().max(1))?;
                 Some(Placement {
-                    endpoint: numbered("endpoint", index, 4).into(),
+                    endpoint: numbered_name("endpoint", index, 4).into(),
                     service: service.into(),
                     rack: rack.clone(),
-                    zone: place.name.clone(),
-                    region: place.region.clone(),
+                    zone: zone.name.clone(),
+                    region: zone.region.clone(),
                 })
             })
             .collect();
@@ -150,52 +150,52 @@
 }
 
 /// A name such as `service-07`, counted from 1.
-fn numbered(kind: &str, index: usize, digits: usize) -> String {
+fn numbered_name(kind: &str, index: usize, digits: usize) -> String {
     format!("{kind}-{:0digits$}", index + 1)
 }
 
 /// All zones with their racks, region by region.
-fn zone_places(size: &TopologySize) -> Vec<ZonePlace> {
-    let mut places = Vec::new();
+fn zone_layouts(size: &TopologySize) -> Vec<ZoneLayout> {
+    let mut zones = Vec::new();
     for region in 1..=size.regions {
         for zone in 1..=size.zones_per_region {
             let racks = (1..=size.racks_per_zone)
                 .map(|rack| format!("r{region}-z{zone}-k{rack}").into())
                 .collect();
-            places.push(ZonePlace {
+            zones.push(ZoneLayout {
                 name: format!("r{region}-z{zone}").into(),
                 region: format!("r{region}").into(),
                 racks,
             });
         }
     }
-    places
+    zones
 }
 
 /// The first zone of each region, then the second of each, so that a small service stands in several regions.
-fn alternate_regions<'a>(places: &'a [ZonePlace], size: &TopologySize) -> Vec<&'a ZonePlace> {
+fn alternate_regions<'a>(zones: &'a [ZoneLayout], size: &TopologySize) -> Vec<&'a ZoneLayout> {
     let zones_per_region = size.zones_per_region as usize;
     (0..zones_per_region)
-        .flat_map(|zone| places.iter().skip(zone).step_by(zones_per_region))
+        .flat_map(|zone| zones.iter().skip(zone).step_by(zones_per_region))
         .collect()
 }
 
 /// How many endpoints each service has: one, and a part of the rest that is log-normally distributed.
 fn service_sizes(size: &TopologySize, random: &mut Pcg64) -> Vec<u32> {
     let services = size.services.min(size.endpoints);
-    let to_share = size.endpoints - services;
+    let remaining = size.endpoints - services;
     let distribution = LogNormal::new(0.0, SERVICE_SIZE_SIGMA).expect("the deviation is finite");
     let weights: Vec<f64> = (0..services).map(|_| distribution.sample(random)).collect();
     let total: f64 = weights.iter().sum();
     // Rounding the running sum and not each part makes the parts add up.
-    let mut running = 0.0;
-    let mut shared = 0;
+    let mut running_weight = 0.0;
+    let mut assigned = 0;
     let mut sizes = Vec::with_capacity(weights.len());
     for weight in weights {
-        running += weight;
-        let shared_by_now = ((running / total) * f64::from(to_share)).round() as u32;
-        sizes.push(1 + shared_by_now - shared);
-        shared = shared_by_now;
+        running_weight += weight;
+        let assigned_so_far = ((running_weight / total) * f64::from(remaining)).round() as u32;
+        sizes.push(1 + assigned_so_far - assigned);
+        assigned = assigned_so_far;
     }
     sizes
 }
--- a/fleet-lab/tests/caller.rs
+++ b/fleet-lab/tests/caller.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Far longer than anything here takes.
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
 /// A request as the server reads it, with its number on its connection and over all connections.
@@ -52,7 +52,7 @@
         let list = self.list.lock().expect("the list");
         let (_list, timeout) = self
             .grown
-            .wait_timeout_while(list, LONG, |list| list.len() < count)
+            .wait_timeout_while(list, TIMEOUT, |list| list.len() < count)
             .expect("the list");
         assert!(!timeout.timed_out(), "{count} requests did not come");
     }
--- a/fleet-lab/tests/command.rs
+++ b/fleet-lab/tests/command.rs
@@ -10,9 +10,9 @@
 
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/experiments");
 /// How long a state may take.
-const LONGEST_WAIT: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 /// Between two looks at a state.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn lab(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
@@ -138,9 +138,9 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let give_up = Instant::now() + LONGEST_WAIT;
-    while children(lab.id()).is_empty() && Instant::now() < give_up {
-        thread::sleep(LOOK);
+    let give_up_at = Instant::now() + TIMEOUT;
+    while children(lab.id()).is_empty() && Instant::now() < give_up_at {
+        thread::sleep(POLL_INTERVAL);
     }
     let sidecars = children(lab.id());
     assert_eq!(sidecars.len(), 1);
@@ -151,7 +151,7 @@
         stat.is_ok_and(|stat| stat.state != 'Z')
     };
     while sidecars.iter().any(is_running) {
-        assert!(Instant::now() < give_up, "a sidecar is still running");
-        thread::sleep(LOOK);
+        assert!(Instant::now() < give_up_at, "a sidecar is still running");
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/fleet-lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -28,7 +28,7 @@
         slow_start: None,
         load_reports: true,
         answer_bytes: 32,
-        error_share: 0.0,
+        error_rate: 0.0,
     }
 }
 
@@ -333,7 +333,7 @@
     let endpoint = add(
         &host,
         EndpointOptions {
-            error_share: 1.0,
+            error_rate: 1.0,
             ..options()
         },
         None,
--- a/fleet-lab/tests/loopback_tier.rs
+++ b/fleet-lab/tests/loopback_tier.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than anything here takes.
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Between two looks at a state.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A process that is killed when the test ends.
 struct Killed(Child);
@@ -45,11 +45,11 @@
     Killed(tier.expect("the lab starts"))
 }
 
-fn awaits(what: &str, mut is_so: impl FnMut() -> bool) {
-    let give_up = Instant::now() + LONG;
-    while !is_so() {
-        assert!(Instant::now() < give_up, "{what}");
-        thread::sleep(LOOK);
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let give_up_at = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < give_up_at, "{what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -65,7 +65,7 @@
 
 fn ask(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("the sidecar listens");
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     stream.write_all(request.as_bytes()).expect("it reads");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -77,7 +77,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let configuration = folder.path().join("sidecar.json");
     let mut tier = start_tier(&configuration);
-    awaits("the configuration is written", || configuration.exists());
+    wait_until("the configuration is written", || configuration.exists());
     let text = fs::read_to_string(&configuration).expect("it is whole");
     assert_eq!(text.matches("\"endpoint-").count(), 2, "{text}");
 
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Far longer than anything here takes.
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn class(name: &str, is_unsafe: bool) -> RequestClass {
     RequestClass {
@@ -104,7 +104,7 @@
 /// The status line of the answer to one request.
 fn ask(sidecar: SocketAddr) -> String {
     let mut stream = TcpStream::connect(sidecar).expect("the sidecar accepts");
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     let request = "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: 1\r\nX-Class: browse\r\nX-Deadline: 10\r\n\r\n";
     stream
         .write_all(request.as_bytes())
@@ -156,7 +156,7 @@
     let sidecar =
         SidecarProcess::start(common::sidecar_program(), &configuration).expect("it starts");
     assert!(
-        sidecar.wait_until_ready(LONG).is_some(),
+        sidecar.wait_until_ready(TIMEOUT).is_some(),
         "{:?}",
         sidecar.log()
     );
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -13,7 +13,7 @@
 const SIDECARS: u32 = 8;
 const THREADS: usize = 2;
 /// No wait that is to succeed lasts longer.
-const LONGEST: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a state is watched that is not to come.
 const SHORT: Duration = Duration::from_millis(300);
 const LOAD: SimulatedLoad = SimulatedLoad {
@@ -108,15 +108,15 @@
 }
 
 fn wait_until(state: &str, is_reached: impl Fn() -> bool) {
-    let give_up = Instant::now() + LONGEST;
+    let give_up_at = Instant::now() + TIMEOUT;
     while !is_reached() {
-        assert!(Instant::now() < give_up, "not reached: {state}");
+        assert!(Instant::now() < give_up_at, "not reached: {state}");
         sleep(Duration::from_millis(1));
     }
 }
 
 fn wait_until_watching(fleet: &SimulatedFleet, discovery: &DiscoveryServer) {
-    assert_all_reached(&fleet.wait_until_watching(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_watching(Instant::now(), TIMEOUT));
     wait_until("a watch of each", || {
         discovery.usage().watches_open == u64::from(SIDECARS)
     });
@@ -135,14 +135,14 @@
     let discovery = discovery(8);
     let started = Instant::now();
     let fleet = fleet(&discovery, discovery_mode);
-    assert_all_reached(&fleet.wait_until_ready(started, LONGEST));
+    assert_all_reached(&fleet.wait_until_ready(started, TIMEOUT));
     wait_until_watching(&fleet, &discovery);
     assert_none_reached(&fleet.wait_for_version(2, started, SHORT));
     for change in 0..3 {
         let published = Instant::now();
         let version = discovery.publish(vec![endpoint(change, EndpointStatus::Draining)]);
         assert_eq!(version, u64::from(change) + 2);
-        assert_all_reached(&fleet.wait_for_version(version, published, LONGEST));
+        assert_all_reached(&fleet.wait_for_version(version, published, TIMEOUT));
     }
     let usage = discovery.usage();
     assert_eq!(
@@ -151,7 +151,7 @@
     );
     assert_eq!(fleet.usage().discovery_failures, 0);
     // Had it been told before, it counts as zero.
-    let late = fleet.wait_for_version(1, Instant::now(), LONGEST);
+    let late = fleet.wait_for_version(1, Instant::now(), TIMEOUT);
     assert_eq!(late.reached_after, vec![Duration::ZERO; SIDECARS as usize]);
 }
 
@@ -193,8 +193,8 @@
         })
         .collect();
     let fleet = SimulatedFleet::start(&configurations, LOAD, THREADS).expect("a fleet");
-    assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
-    assert_all_reached(&fleet.wait_for_version(1, Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_ready(Instant::now(), TIMEOUT));
+    assert_all_reached(&fleet.wait_for_version(1, Instant::now(), TIMEOUT));
     assert_none_reached(&fleet.wait_until_watching(Instant::now(), SHORT));
     wait_until("calls are served", || fleet.usage().served > 0);
 }
@@ -207,7 +207,7 @@
     assert_none_reached(&fleet.wait_until_ready(Instant::now(), SHORT));
     assert_eq!(fleet.usage().calls, 0);
     discovery.end_outage();
-    assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_ready(Instant::now(), TIMEOUT));
     wait_until("calls are served", || fleet.usage().served > 0);
 }
 
@@ -217,12 +217,12 @@
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &discovery);
     fleet.restart(&[1, 4]);
-    assert_all_reached(&fleet.wait_until_ready(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_ready(Instant::now(), TIMEOUT));
     wait_until_watching(&fleet, &discovery);
     assert_eq!(discovery.usage().watches_opened, u64::from(SIDECARS) + 2);
     assert_eq!(fleet.usage().discovery_failures, 0);
     let version = discovery.publish(vec![endpoint(0, EndpointStatus::Draining)]);
-    assert_all_reached(&fleet.wait_for_version(version, Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_for_version(version, Instant::now(), TIMEOUT));
     wait_until_calls_add_up(&fleet);
 }
 
@@ -236,7 +236,7 @@
     assert_none_reached(&fleet.wait_until_watching(Instant::now(), Duration::ZERO));
     let returned = Instant::now();
     discovery.end_outage();
-    assert_all_reached(&fleet.wait_for_version(version, returned, LONGEST));
+    assert_all_reached(&fleet.wait_for_version(version, returned, TIMEOUT));
     wait_until_watching(&fleet, &discovery);
     assert!(fleet.usage().discovery_failures >= u64::from(SIDECARS));
 }
@@ -261,7 +261,7 @@
         let number = u32::try_from(place).expect("a small number");
         configuration(number, &second, DiscoveryMode::Pushed)
     });
-    assert_all_reached(&fleet.wait_until_watching(Instant::now(), LONGEST));
+    assert_all_reached(&fleet.wait_until_watching(Instant::now(), TIMEOUT));
     wait_until("watches have moved", || {
         (first.usage().watches_open, second.usage().watches_open) == (5, 3)
     });
