--- a/fleet-lab/src/caller/connection.rs
+++ b/fleet-lab/src/caller/connection.rs
@@ -23,7 +23,7 @@
 pub(super) struct Connection {
     stream: TcpStream,
     is_connecting: bool,
-    /// What of the request was not written yet.
+    /// The part of the request that has not been written yet.
     outgoing: Vec<u8>,
     parser: ResponseParser,
     /// Whether it has carried an answer before.
@@ -31,10 +31,10 @@
 }
 
 impl Connection {
-    /// Begins to connect.
+    /// Starts to connect.
     ///
     /// # Errors
-    /// There is no socket to be had, or the address cannot be reached.
+    /// Fails where no socket can be created or the address cannot be reached.
     pub fn open(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -57,12 +57,12 @@
         })
     }
 
-    /// Whether it has carried an answer before, so that the other side may have closed it as idle.
+    /// Returns whether the connection has carried an answer before, so that the peer may have closed it as idle.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
-    /// Sends a request, at once or when the connection is up.
+    /// Sends a request, immediately or once the connection is established.
     pub fn send(&mut self, request: Vec<u8>) -> Result<(), ConnectionError> {
         self.outgoing = request;
         if self.is_connecting {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Does what the socket is ready for; the answer where its last byte has come. `has_hung_up` tells that the other
-    /// side's end is there to be read.
+    /// Handles the socket's readiness; returns the answer once it is complete. `has_hung_up` says that the end of the
+    /// peer's data can be read.
     pub fn advance(
         &mut self,
         buffer: &mut [u8],
@@ -107,8 +107,8 @@
         Ok(())
     }
 
-    /// Reads until nothing is left. A read that does not fill the buffer was the last, unless the end is there too: the
-    /// poller tells of more bytes, and of an end that comes later.
+    /// Reads all available bytes. A read that does not fill the buffer was the last one unless the peer has hung up, as
+    /// the poller reports further bytes and a later end.
     fn read(
         &mut self,
         buffer: &mut [u8],
@@ -149,7 +149,7 @@
     }
 }
 
-/// An answer after which the connection has ended.
+/// Returns an answer after which the connection cannot be reused.
 fn ended(answer: Option<Answer>) -> Option<Option<Answer>> {
     answer.map(|answer| {
         Some(Answer {
--- a/fleet-lab/src/caller/connection_table.rs
+++ b/fleet-lab/src/caller/connection_table.rs
@@ -1,10 +1,10 @@
-//! All connections of a load, by token, and which of them are idle.
+//! All connections of a load by token, and the idle ones by target.
 
 use super::connection::Connection;
 use std::time::Duration;
 
-/// Names a connection. A later connection in the same place has another token, so that what was meant for the earlier
-/// one does not reach it.
+/// Identifies a connection. A later connection in the same slot has another generation, so that events for the earlier
+/// one do not reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Token {
     slot: u32,
@@ -12,12 +12,12 @@
 }
 
 impl Token {
-    /// As one number, for the poller.
+    /// Converts the token to a number for the poller.
     pub fn to_u64(self) -> u64 {
         u64::from(self.generation) << u32::BITS | u64::from(self.slot)
     }
 
-    /// From the number that [`Token::to_u64`] gave.
+    /// Converts a number of [`Token::to_u64`] back to the token.
     pub fn from_u64(number: u64) -> Self {
         Token {
             slot: number as u32,
@@ -26,26 +26,26 @@
     }
 }
 
-/// A request that waits for its answer.
+/// A pending request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Exchange {
     /// The request's number within the run.
     pub number: u64,
-    /// The place of its target in the plan.
+    /// The index of its target in the plan.
     pub target: usize,
-    /// When it was due, since the start of the load.
+    /// When it was due, counted from the start of the load.
     pub due: Duration,
-    /// Whether it was due within the measurement.
+    /// Whether it was due during the measurement.
     pub is_measured: bool,
-    /// Whether it was sent once more, as a kept connection had been closed.
+    /// Whether it was sent again because a reused connection had been closed.
     pub is_resent: bool,
 }
 
-/// A connection and what it carries.
+/// A connection and the request that it carries.
 pub(super) struct OpenConnection {
     pub connection: Connection,
     pub target: usize,
-    /// The request under way; none while the connection is idle.
+    /// The request in flight; none while the connection is idle.
     pub exchange: Option<Exchange>,
 }
 
@@ -58,12 +58,12 @@
 pub(super) struct ConnectionTable {
     slots: Vec<Slot>,
     free: Vec<u32>,
-    /// By target, the most recently used last.
+    /// Idle connections by target, the most recently used last.
     idle: Vec<Vec<Token>>,
 }
 
 impl ConnectionTable {
-    /// An empty table for so many targets.
+    /// Creates an empty table.
     pub fn new(targets: usize) -> Self {
         ConnectionTable {
             slots: Vec::new(),
@@ -97,7 +97,7 @@
         self.slot_mut(token)?.open.as_mut()
     }
 
-    /// Whether a connection still carries the request with this number.
+    /// Returns whether a connection still carries the request with this number.
     pub fn carries(&self, token: Token, number: u64) -> bool {
         let slot = self.slots.get(token.slot as usize);
         let open = slot
@@ -107,7 +107,7 @@
         exchange.is_some_and(|exchange| exchange.number == number)
     }
 
-    /// Takes a connection out, so that it closes when it is dropped.
+    /// Removes a connection, which closes it when it is dropped.
     pub fn remove(&mut self, token: Token) -> Option<OpenConnection> {
         let slot = self.slot_mut(token)?;
         let open = slot.open.take()?;
@@ -119,7 +119,7 @@
         Some(open)
     }
 
-    /// Ends the request of a connection, which is idle from now on.
+    /// Marks a connection as idle.
     pub fn mark_idle(&mut self, token: Token) {
         if let Some(open) = self.get_mut(token) {
             open.exchange = None;
--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: sends what is due, takes in answers, gives up what is overdue.
+//! The event loop: sends requests that are due, receives answers, and expires requests past their deadline.
 
 use super::connection::{Connection, ConnectionError};
 use super::connection_table::{ConnectionTable, Exchange, Token};
@@ -13,12 +13,12 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A request is given up so long after its deadline.
+/// How long after its deadline a request expires.
 const GRACE: Duration = Duration::from_millis(500);
 /// Bytes that are read at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a request came to.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outcome {
     Served,
@@ -27,7 +27,7 @@
     Unanswered,
 }
 
-/// When a request is given up, and which connection carries it.
+/// When a request expires, and the connection that carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Duration,
@@ -35,14 +35,14 @@
     number: u64,
 }
 
-/// A load while it runs. Times count from its start.
+/// A running load. Times count from its start.
 pub(super) struct EventLoop<'a> {
     plan: &'a LoadPlan,
     started: Instant,
     schedule: Schedule,
     poller: Poller,
     table: ConnectionTable,
-    /// The earliest first; entries of requests that have ended stay until they come up.
+    /// The earliest expiry first. Entries of requests that have ended are removed lazily.
     expiries: BinaryHeap<Reverse<Expiry>>,
     ids: RequestIds,
     templates: Vec<RequestTemplate>,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Runs until the last request was due and all that are measured have ended.
+    /// Runs until the last request was due and all measured requests have ended.
     pub fn run(mut self) -> io::Result<Vec<TargetResult>> {
         let mut ready = Vec::new();
         self.started = Instant::now();
@@ -94,7 +94,7 @@
         self.started.elapsed()
     }
 
-    /// When the next request is due or overdue.
+    /// Returns when the next request is due or expires.
     fn next_wake(&mut self) -> Duration {
         let table = &self.table;
         while self
@@ -212,7 +212,8 @@
         self.end(exchange, outcome);
     }
 
-    /// A request on a kept connection that was closed before the answer's first byte is sent once more.
+    /// Handles the loss of a connection. A request on a reused connection that was closed before the first byte of the
+    /// answer is sent again.
     fn lose_connection(&mut self, token: Token, error: &ConnectionError) {
         let Some(lost) = self.table.remove(token) else {
             return;
--- a/fleet-lab/src/caller/mod.rs
+++ b/fleet-lab/src/caller/mod.rs
@@ -1,10 +1,9 @@
-//! Open-loop callers: requests are sent when their time comes, however long earlier ones take, and each latency is
-//! counted from the moment at which its request was due, so that waiting does not hide latency (no coordinated
-//! omission).
+//! Open-loop callers. Requests are sent at their arrival times regardless of pending ones, and latencies are measured
+//! from the arrival time, so that waiting does not hide latency (no coordinated omission).
 //!
-//! Callers keep their connections, and a request goes on the idle one to its target that was used last, or on a new one
-//! where none is idle. A request on a kept connection that the other side closes before an answer's first byte is sent
-//! once more on a new connection. Answers need a `Content-Length`: one without, a chunked one too, counts as failed.
+//! Connections are reused: a request is sent on the idle connection to its target that was used last, or on a new one
+//! if none is idle. A request on a reused connection that the peer closes before the first byte of the answer is sent
+//! again on a new connection. Answers need a `Content-Length`; one without it, also a chunked one, counts as failed.
 
 mod connection;
 mod connection_table;
@@ -22,11 +21,11 @@
 use event_loop::EventLoop;
 use std::io;
 
-/// Runs a load to its end on the calling thread; one result for each target, in order. It ends when all requests that
-/// were due within the measurement have ended.
+/// Runs a load to its end on the calling thread; returns the result of each target, in order. The load ends when all
+/// requests of the measurement have ended.
 ///
 /// # Errors
-/// The event loop could not be set up, or a wait failed.
+/// Fails where the event loop cannot be set up or cannot wait for events.
 pub fn run(plan: &LoadPlan) -> io::Result<Vec<TargetResult>> {
     EventLoop::new(plan)?.run()
 }
--- a/fleet-lab/src/caller/poller.rs
+++ b/fleet-lab/src/caller/poller.rs
@@ -1,7 +1,7 @@
-//! Readiness of sockets, and waits with a time-out in nanoseconds.
+//! Readiness of sockets, and waits with timeouts in nanoseconds.
 //!
-//! The time-out of `epoll_wait` is in milliseconds, which would send requests late. A timer descriptor beside the
-//! sockets ends a wait in time.
+//! The timeout of `epoll_wait` is in milliseconds, which would delay requests. A timer descriptor next to the sockets
+//! ends waits on time.
 
 use super::connection_table::Token;
 use rustix::buffer::spare_capacity;
@@ -15,24 +15,24 @@
 use std::io;
 use std::time::Duration;
 
-/// Sockets that one wait tells of at most.
+/// The largest number of events of one wait.
 const MAX_EVENTS: usize = 256;
-/// The number that stands for the timer in place of a token.
+/// The event data of the timer, in place of a token.
 const TIMER: u64 = u64::MAX;
-/// A time of zero would stop the timer.
+/// The shortest wait, as a time of zero would disarm the timer.
 const MIN_WAIT: Duration = Duration::from_nanos(1);
-/// Longer waits end early.
+/// The longest wait; longer ones end early.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
 const ZERO: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 0,
 };
 
-/// A socket with something to do.
+/// A socket that is ready.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Readiness {
     pub token: Token,
-    /// Whether the other side's end, or an error, is there to be read.
+    /// Whether the peer's end of data, or an error, can be read.
     pub has_hung_up: bool,
 }
 
@@ -50,7 +50,7 @@
             TimerfdClockId::Monotonic,
             TimerfdFlags::CLOEXEC | TimerfdFlags::NONBLOCK,
         )?;
-        // Edge-triggered, the timer need not be read: setting it again clears it.
+        // The timer is edge-triggered and need not be read, as arming it again clears it.
         let interest = epoll::EventFlags::IN | epoll::EventFlags::ET;
         epoll::add(&epoll, &timer, epoll::EventData::new_u64(TIMER), interest)?;
         Ok(Poller {
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Watches a socket until it is closed; each change of its state is told once.
+    /// Watches a socket until it is closed. Each change of its readiness is reported once.
     pub fn watch(&self, socket: impl AsFd, token: Token) -> io::Result<()> {
         use epoll::EventFlags as Flags;
         let interest = Flags::IN | Flags::OUT | Flags::RDHUP | Flags::ET;
--- a/fleet-lab/src/caller/request.rs
+++ b/fleet-lab/src/caller/request.rs
@@ -1,4 +1,4 @@
-//! Requests in the form of the protocol page.
+//! Serialization of requests.
 
 use super::plan::LoadTarget;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,10 +6,10 @@
 /// Bytes of the body of a request that is unsafe to repeat.
 const BODY_BYTES: usize = 32;
 
-/// Loads that this process has run.
+/// The number of loads that this process has run.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// Where request ids come from: each is there once, also over the runs of a process with one seed.
+/// A source of request ids that are unique also among the runs of a process with one seed.
 pub(super) struct RequestIds {
     seed: u64,
     run: u32,
@@ -23,13 +23,13 @@
         }
     }
 
-    /// The id of a request by its number within the run.
+    /// Returns the id of a request by its number within the run.
     pub fn id(&self, number: u64) -> String {
         format!("{:016x}{:08x}{number:016x}", self.seed, self.run)
     }
 }
 
-/// A target's requests, which differ in their ids alone.
+/// The requests to a target, which differ only in their ids.
 pub(super) struct RequestTemplate {
     prefix: String,
     suffix: String,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The end of the head, and the body.
+/// Returns the end of the head, and the body.
 fn mark_idle(target: &LoadTarget) -> String {
     if target.is_unsafe {
         format!(
--- a/fleet-lab/src/caller/response.rs
+++ b/fleet-lab/src/caller/response.rs
@@ -1,19 +1,19 @@
-//! A parser of answers, fed with bytes as they come.
+//! An incremental parser of answers.
 
-/// Headers that an answer may have.
+/// The largest number of headers of an answer.
 const MAX_HEADERS: usize = 64;
-/// Bytes that an answer's head may have.
+/// The longest head of an answer, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// What an answer says, once its last byte has come.
+/// A complete answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Answer {
     pub status: u16,
-    /// Whether the connection can carry the next request.
+    /// Whether the connection can carry another request.
     pub keep_alive: bool,
 }
 
-/// Why bytes are no answer that this caller can read.
+/// Why an answer cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(super) enum ResponseError {
     #[error("no HTTP answer: {0}")]
@@ -26,16 +26,16 @@
     ExcessBytes,
 }
 
-/// Reads one answer after another.
+/// Parses one answer after another.
 #[derive(Default)]
 pub(super) struct ResponseParser {
-    /// What has come of the head.
+    /// The incomplete head.
     head: Vec<u8>,
-    /// The rest of the answer, once its head is whole.
+    /// The answer whose body is incomplete, once its head is complete.
     body: Option<Body>,
 }
 
-/// An answer whose head is whole.
+/// An answer whose head is complete.
 #[derive(Clone, Copy)]
 struct Body {
     answer: Answer,
@@ -43,12 +43,12 @@
 }
 
 impl ResponseParser {
-    /// Whether a part of an answer has come.
+    /// Returns whether some bytes of an answer have been received.
     pub fn has_started(&self) -> bool {
         self.body.is_some() || !self.head.is_empty()
     }
 
-    /// Takes the next bytes; the answer where they are its last.
+    /// Parses the next bytes; returns the answer if they complete it.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Answer>, ResponseError> {
         let Some(mut body) = self.body.take() else {
             return self.feed_head(bytes);
@@ -81,7 +81,7 @@
     }
 }
 
-/// The length of a whole head, and what it says of the body.
+/// Parses the head; returns its length and the answer without its body, or none while the head is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<(usize, Body)>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
--- a/fleet-lab/src/caller/result.rs
+++ b/fleet-lab/src/caller/result.rs
@@ -1,31 +1,32 @@
-//! What a load came to.
+//! The result of a load.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// The longest latency that is told apart; longer ones count as this.
+/// The longest latency that is recorded; longer ones count as this one.
 const MAX_LATENCY: Duration = Duration::from_secs(60);
 /// Significant decimal digits of latencies.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What a target's requests came to during the measurement.
+/// The results of a target's requests during the measurement.
 #[derive(Clone, Debug)]
 pub struct TargetResult {
-    /// Latencies of served requests, in nanoseconds, from the moment at which they were due.
+    /// Latencies of served requests in nanoseconds, counted from their arrival times.
     pub latencies: Histogram<u64>,
-    /// Requests that were due; the sum of the four counts that follow.
+    /// Requests that were due: the sum of the following four counts.
     pub sent: u64,
-    /// Answered 200.
+    /// Requests that were answered 200.
     pub served: u64,
-    /// Answered 429 or 503.
+    /// Requests that were answered 429 or 503.
     pub rejected: u64,
-    /// Answered otherwise, or without `Content-Length`, or the connection never came up or ended before the answer did.
+    /// Requests with another answer, without a `Content-Length`, or whose connection failed before the answer was
+    /// complete.
     pub failed: u64,
-    /// Not answered within the deadline and half a second.
+    /// Requests without an answer half a second after their deadline.
     pub unanswered: u64,
-    /// Connections that were opened, over warm-up and measurement.
+    /// Connections that were opened during warm-up and measurement.
     pub connections: u64,
-    /// The longest time that the event loop was late to send a request.
+    /// The longest delay between a request's arrival time and its sending.
     pub max_send_delay: Duration,
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// A histogram for latencies in nanoseconds.
+/// Creates a histogram of latencies in nanoseconds.
 fn empty_histogram() -> Histogram<u64> {
     let highest = MAX_LATENCY.as_nanos() as u64;
     Histogram::new_with_bounds(1, highest, SIGNIFICANT_DIGITS).expect("the bounds are in order")
--- a/fleet-lab/src/caller/schedule.rs
+++ b/fleet-lab/src/caller/schedule.rs
@@ -10,14 +10,14 @@
 /// A request that is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Arrival {
-    /// When, since the start of the load.
+    /// Its arrival time, counted from the start of the load.
     pub due: Duration,
-    /// The place of its target in the plan.
+    /// The index of its target in the plan.
     pub target: usize,
 }
 
-/// The arrivals at all targets up to the end of the load. They depend on the rates and the seed alone, and not on how
-/// the targets answer.
+/// The arrivals at all targets until the end of the load. They depend only on the rates and the seed, not on the
+/// targets' answers.
 pub(super) struct Schedule {
     sources: Vec<Option<Source>>,
     /// The next arrival at each target.
@@ -26,7 +26,7 @@
 }
 
 impl Schedule {
-    /// Arrivals at so many targets as there are rates, in calls a second. A rate of zero has none.
+    /// Creates the schedule for these rates, in calls a second. A target with a rate of zero has no arrivals.
     pub fn new(rates: impl IntoIterator<Item = f64>, end: Duration, seed: u64) -> Self {
         let mut seeds = Pcg64Mcg::seed_from_u64(seed);
         let sources = rates
@@ -44,7 +44,7 @@
         schedule
     }
 
-    /// When the next request is due; none after the last.
+    /// Returns when the next request is due; none after the last one.
     pub fn next_due(&self) -> Option<Duration> {
         self.next.peek().map(|Reverse((due, _))| *due)
     }
@@ -59,7 +59,7 @@
         Some(Arrival { due, target })
     }
 
-    /// Draws the arrival that follows one at this time.
+    /// Draws the arrival after one at this time.
     fn draw(&mut self, target: usize, previous: Duration) {
         let Some(source) = &mut self.sources[target] else {
             return;
--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -14,7 +14,7 @@
 
 /// Exit code of a run that failed.
 const RUN_FAILED: u8 = 1;
-/// Exit code of input that cannot be used, as clap has it for arguments.
+/// Exit code for invalid input, as clap has it for arguments.
 const BAD_INPUT: u8 = 2;
 
 /// Measures what sidecars cost, and how they behave, on one machine.
@@ -27,12 +27,12 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs all experiments of a folder, in the order of their files' names.
+    /// Runs all experiments of a folder, ordered by the names of their files.
     Scale {
         /// The folder of experiments.
         #[arg(long, value_name = "DIR", default_value = "lab/experiments")]
         experiments: PathBuf,
-        /// Only the experiment of this name; may be given several times.
+        /// The name of an experiment to run; may be given several times. All are run by default.
         #[arg(long, value_name = "NAME")]
         only: Vec<String>,
         #[command(flatten)]
@@ -46,9 +46,9 @@
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Starts endpoints and discovery on loopback, and writes the configuration of a sidecar to try on them.
+    /// Starts endpoints and discovery on loopback, and writes the configuration of a sidecar to use with them.
     Tier(TierOptions),
-    /// Tells what is wrong with these files.
+    /// Checks experiment files, and prints what is invalid in them.
     Check {
         /// Experiment files.
         #[arg(required = true, value_name = "FILE")]
@@ -56,27 +56,27 @@
     },
 }
 
-/// What a stand-in tier is told.
+/// Options of the command `tier`.
 #[derive(Args)]
 struct TierOptions {
-    /// Where the sidecar's configuration goes.
+    /// The file to which the sidecar's configuration is written.
     #[arg(long, value_name = "FILE", default_value = "target/lab/sidecar.json")]
     configuration: PathBuf,
-    /// Where the sidecar is to listen for callers.
+    /// The address at which the sidecar is to listen for callers.
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:7070")]
     listen: SocketAddr,
-    /// Where the sidecar is to listen for operators.
+    /// The address at which the sidecar is to listen for operators.
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:7071")]
     admin: SocketAddr,
-    /// Endpoints of the tier.
+    /// The number of endpoints.
     #[arg(long, value_name = "COUNT", default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=100))]
     endpoints: u32,
-    /// How long it runs.
+    /// How many minutes the tier runs.
     #[arg(long, value_name = "MINUTES", default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=60))]
     minutes: u64,
 }
 
-/// What all runs are told.
+/// Options of the commands that run experiments.
 #[derive(Args)]
 struct RunOptions {
     /// The built sidecar.
@@ -86,30 +86,30 @@
         default_value = "target/release/balancer-sidecar"
     )]
     program: PathBuf,
-    /// Where `results.json` and `results.md` go.
+    /// The folder to which `results.json` and `results.md` are written.
     #[arg(long, value_name = "DIR", default_value = "target/lab")]
     output: PathBuf,
-    /// What the report calls the program; its path by default.
+    /// The name of the program in the report; its path by default.
     #[arg(long, value_name = "TEXT")]
     label: Option<String>,
 }
 
-/// Why a command ended without success.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// An experiment cannot be used.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// Some of the files that were checked cannot be used; what is wrong was told.
+    /// Some of the checked files cannot be used, for reasons that were printed.
     #[error("{faulty} of {checked} files cannot be used")]
     Check { faulty: usize, checked: usize },
-    /// The folder has no experiment.
+    /// The folder contains no experiments.
     #[error("{}: no experiments", .0.display())]
     NoExperiments(PathBuf),
-    /// `--only` names what is not there.
+    /// `--only` names an unknown experiment.
     #[error("no experiment is named {0}")]
     UnknownName(String),
-    /// There is no sidecar to run.
+    /// The sidecar program is missing.
     #[error("{}: {source}", path.display())]
     Program { path: PathBuf, source: io::Error },
     /// The report could not be written.
@@ -124,13 +124,13 @@
     /// The sidecar's configuration could not be written.
     #[error("{}: {source}", file.display())]
     WriteConfiguration { file: PathBuf, source: io::Error },
-    /// Experiments did not come to their end; why was logged and stands in the report.
+    /// Experiments failed, for reasons that were logged and are in the report.
     #[error("{failed} of {run} experiments failed")]
     Failed { failed: usize, run: usize },
 }
 
 impl CommandError {
-    /// 2 for bad input, 1 for a run that failed.
+    /// Returns the exit code: 2 for invalid input, 1 for a run that failed.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             CommandError::Experiment(_)
@@ -148,7 +148,7 @@
 }
 
 impl Arguments {
-    /// Does what they ask for.
+    /// Runs the command.
     pub fn run(&self) -> Result<(), CommandError> {
         match &self.command {
             Command::Scale {
--- a/fleet-lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -1,4 +1,4 @@
-//! The commands `scale` and `run`: experiments one after another, with the report written after each.
+//! The commands `scale` and `run`, which run experiments one after another and write the report after each.
 
 use super::{CommandError, RunOptions};
 use crate::stop;
@@ -45,7 +45,7 @@
     run_all(&experiments, options)
 }
 
-/// Runs experiments in order. One that fails is reported, and the next is run all the same.
+/// Runs experiments in order. A failed one is reported, and the next ones are run nevertheless.
 fn run_all(experiments: &[Experiment], options: &RunOptions) -> Result<(), CommandError> {
     let context = RunContext {
         program: program_path(options)?,
@@ -80,7 +80,7 @@
     }
 }
 
-/// The program by its whole path, so that a sidecar's working directory does not matter.
+/// Returns the program's absolute path, so that a sidecar's working directory does not matter.
 fn program_path(options: &RunOptions) -> Result<PathBuf, CommandError> {
     fs::canonicalize(&options.program).map_err(|source| CommandError::Program {
         path: options.program.clone(),
@@ -88,7 +88,7 @@
     })
 }
 
-/// Runs one experiment; whether it failed is told next to its report.
+/// Runs one experiment; returns its report and whether it failed.
 fn run_one(experiment: &Experiment, context: &RunContext) -> (ExperimentReport, bool) {
     info!(experiment = %experiment.name, "begins");
     let started = Instant::now();
--- a/fleet-lab/src/discovery/connection.rs
+++ b/fleet-lab/src/discovery/connection.rs
@@ -23,7 +23,8 @@
 /// How long the rest of a malformed request is read.
 const BAD_REQUEST_LINGER: Duration = Duration::from_secs(1);
 
-/// Serves a connection until it ends; [`configure`] was called on it. Dropping the future earlier resets the connection.
+/// Serves a connection until it ends; [`configure`] was called on it. Dropping the future earlier resets the
+/// connection.
 pub(super) async fn serve(mut stream: TcpStream, zone: Rc<ZoneState>, service: Rc<Service>) {
     let mut partition = zone.is_partitioned.subscribe();
     let session = Session {
@@ -172,8 +173,8 @@
         Ok(())
     }
 
-    /// Answers a malformed request and closes the sending side. The rest of the request is read, because closing a socket
-    /// with unread bytes sends a reset that can overtake the answer.
+    /// Answers a malformed request and closes the sending side. The rest of the request is read, because closing a
+    /// socket with unread bytes sends a reset that can overtake the answer.
     async fn reject_malformed(&mut self) -> io::Result<()> {
         self.write(protocol::BAD_REQUEST).await?;
         self.stream.shutdown().await?;
--- a/fleet-lab/src/discovery/handle.rs
+++ b/fleet-lab/src/discovery/handle.rs
@@ -123,8 +123,8 @@
         listening.expect("discovery can listen at its reserved addresses");
     }
 
-    /// Partitions a zone from discovery until [`DiscoveryServer::heal_zone`]: its connections stay open without traffic,
-    /// and new ones are accepted and get no answer.
+    /// Partitions a zone from discovery until [`DiscoveryServer::heal_zone`]: its connections stay open without
+    /// traffic, and new ones are accepted and get no answer.
     ///
     /// # Panics
     /// Panics if the service was started without this zone.
--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -14,13 +14,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The most bytes that are read ahead while a request waits for its turn; more stay with the kernel.
+/// Bytes that are read ahead while a request is queued; further ones stay in the kernel's buffer.
 const MAX_AHEAD_BYTES: usize = 16 * 1024;
 
-/// What every answer of 200 holds, as often as it takes.
+/// The byte that bodies of successful answers consist of.
 const BODY_BYTE: u8 = b'x';
 
-/// An endpoint from one start to its stop.
+/// An endpoint between a start and the next stop.
 pub(super) struct RunningEndpoint {
     pub state: Arc<EndpointState>,
     pool: CorePool,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The load report that an answer carries, where answers carry one.
+    /// Returns the load report that answers carry, if they carry one.
     fn load_report(&self) -> Option<LoadReport> {
         let calls = self
             .downstream
@@ -54,7 +54,7 @@
             .then(|| self.pool.load_report(calls))
     }
 
-    /// The answer to a probe; none if the request is none.
+    /// Returns the answer to a health check; none if the request is not a health check.
     fn answer_health_check(&self, request: &Request) -> Option<Answer> {
         let answer = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/health") => Answer::Healthy,
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Works on a request that has a core, and calls the next tier where there is one.
+    /// Works on a request that has a core, and calls the next tier if there is one.
     async fn run(&self, request: &Request, core: Core<'_>, deadline: Option<Instant>) -> Answer {
         core.work().await;
         drop(core);
@@ -97,15 +97,15 @@
 
 /// How a connection ends.
 enum Ending {
-    /// Closed in order.
+    /// It is closed.
     Closed,
-    /// Reset, as by a process that dies.
+    /// It is reset, as when a process is killed.
     Reset,
 }
 
-/// Serves a connection until it ends; when dropped earlier, it is reset.
+/// Serves a connection until it ends. Dropping the future earlier resets the connection.
 pub(super) async fn serve(stream: TcpStream, endpoint: Rc<RunningEndpoint>) {
-    // Without it the connection merely is slower.
+    // A failure only makes the connection slower.
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(stream, endpoint);
     match connection.run().await {
@@ -119,7 +119,7 @@
     endpoint: Rc<RunningEndpoint>,
     input: BytesMut,
     output: Vec<u8>,
-    /// Whether it is reset, not closed, when it is dropped.
+    /// Whether dropping it resets the connection instead of closing it.
     resets: bool,
 }
 
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Reads the next request; none at the connection's end.
+    /// Reads the next request; none at the end of the connection.
     async fn next_request(&mut self) -> io::Result<Option<Result<Request, RequestError>>> {
         loop {
             if !self.input.is_empty()
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Sees to a request; no answer if its sender has gone before its turn came.
+    /// Serves a request; no answer if the client disconnects while it is queued.
     async fn answer(&mut self, endpoint: &RunningEndpoint, request: &Request) -> Option<Answer> {
         if let Some(answer) = endpoint.answer_health_check(request) {
             return Some(answer);
@@ -199,7 +199,7 @@
         Some(endpoint.run(request, core, deadline).await)
     }
 
-    /// Waits for a core; none if the sender goes first.
+    /// Waits for a core; none if the client disconnects first.
     async fn wait_for_core<'pool>(&mut self, slot: QueueSlot<'pool>) -> Option<Core<'pool>> {
         tokio::select! {
             biased;
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Waits until the sender closes the connection or its sending on it; what it sends meanwhile is kept.
+    /// Waits until the client closes the connection or its sending side. Input until then is buffered.
     async fn end_of_input(&mut self) {
         while self.input.len() < MAX_AHEAD_BYTES {
             self.input.reserve(READ_BYTES);
@@ -241,14 +241,14 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         if self.resets {
-            // Without it the connection is closed instead.
+            // After a failure the connection is closed instead.
             let _ = self.stream.set_zero_linger();
         }
         self.endpoint.state.counters.connections_open.decrement();
     }
 }
 
-/// Reads until the other side ends, and keeps nothing.
+/// Reads and discards input until the peer closes the connection.
 async fn discard(stream: &mut TcpStream) -> io::Result<()> {
     let mut scratch = [0; READ_BYTES];
     while stream.read(&mut scratch).await? > 0 {}
--- a/fleet-lab/src/endpoint/downstream.rs
+++ b/fleet-lab/src/endpoint/downstream.rs
@@ -1,5 +1,4 @@
-//! The call to the next tier, through the sidecar that stands before it. Connections are kept and used again, each for
-//! one call at a time.
+//! Calls to the next tier through the endpoint's sidecar. Connections are reused, each for one call at a time.
 
 use super::message::Request;
 use super::response::{Response, ResponseError, is_closed, read_response};
@@ -13,18 +12,18 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The most connections that rest at once; further ones are closed after their call.
+/// The largest number of idle connections; further ones are closed after their call.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// How long an endpoint waits for the sidecar beyond the deadline, as its time limits are on sockets.
+/// How long an endpoint waits for the sidecar beyond the deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// How long it waits where the request has no deadline.
+/// How long a call may take if the request has no deadline.
 const MAX_CALL_TIME: Duration = Duration::from_secs(30);
 
 const OK: u16 = 200;
 
-/// Calls through one sidecar.
+/// The client of one sidecar.
 pub(super) struct Downstream {
     sidecar: SocketAddr,
     idle: RefCell<Vec<CallConnection>>,
@@ -32,28 +31,28 @@
     ids: RefCell<Pcg64>,
 }
 
-/// Why a call did not succeed.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
     /// The deadline passed before the call.
     #[error("no time is left for the call")]
     NoTimeLeft,
-    /// No answer came in time.
+    /// No answer was received in time.
     #[error("the call timed out")]
     TimedOut,
-    /// The connection could not be opened, or the request not be written.
+    /// The connection could not be opened or the request not be written.
     #[error("cannot send: {0}")]
     Send(#[from] io::Error),
-    /// No whole response came.
+    /// No complete response was received.
     #[error(transparent)]
     Response(#[from] ResponseError),
-    /// The sidecar answered otherwise than 200.
+    /// The sidecar's status was not 200.
     #[error("status {0}")]
     Status(u16),
 }
 
 impl CallError {
-    /// Whether the connection had ended before the sidecar began to answer.
+    /// Returns whether the connection ended before the sidecar began to answer.
     fn is_unanswered(&self) -> bool {
         matches!(
             self,
@@ -63,7 +62,7 @@
 }
 
 impl Downstream {
-    /// Calls through this sidecar, with ids from these random numbers.
+    /// Creates a client with ids from these random numbers.
     pub fn new(sidecar: SocketAddr, ids: Pcg64) -> Self {
         Self {
             sidecar,
@@ -73,12 +72,12 @@
         }
     }
 
-    /// Calls that wait for their answers.
+    /// Returns the number of calls in flight.
     pub fn calls_in_flight(&self) -> u32 {
         self.in_flight.get()
     }
 
-    /// Passes a request on with a new id and what is left of its time; an error unless the answer is 200.
+    /// Forwards a request with a new id and its remaining time; fails unless the answer is 200.
     pub async fn call(
         &self,
         request: &Request,
@@ -105,8 +104,8 @@
         }
     }
 
-    /// Sends a call on a kept connection if there is one. When that was closed before the sidecar answered, the call
-    /// is sent once more on a new one.
+    /// Sends a call on an idle connection if there is one. If that connection was closed before the sidecar answered,
+    /// the call is sent again on a new one.
     async fn send(&self, call: &Call<'_>) -> Result<Response, CallError> {
         if let Some(connection) = self.take_idle_connection() {
             match self.send_on(connection, call).await {
@@ -130,7 +129,7 @@
         Ok(response)
     }
 
-    /// The connection that was used last and is still open.
+    /// Takes the open idle connection that was used last.
     fn take_idle_connection(&self) -> Option<CallConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
@@ -149,7 +148,7 @@
     }
 }
 
-/// What is sent to the sidecar.
+/// A call to the sidecar.
 struct Call<'request> {
     id: u64,
     request: &'request Request,
@@ -157,7 +156,7 @@
 }
 
 impl Call<'_> {
-    /// Writes the whole call to the end of the output.
+    /// Appends the serialized call to the output.
     fn write(&self, output: &mut Vec<u8>) -> io::Result<()> {
         let Request {
             method,
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -1,4 +1,4 @@
-//! Endpoints as experiments hold them.
+//! The handles with which experiments control simulated endpoints.
 
 use super::host::{CommandSender, HostThread};
 use super::options::EndpointOptions;
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What all endpoints give as the sort of their machine.
+/// The machine type of all endpoints.
 const MACHINE_KIND: &str = "model";
 
-/// Hosts many endpoints on threads of its own, which end when it is dropped.
+/// A host of many endpoints on threads of its own, which are stopped when it is dropped.
 #[derive(Debug)]
 pub struct EndpointHost {
     threads: Vec<HostThread>,
@@ -29,10 +29,10 @@
 }
 
 impl EndpointHost {
-    /// Starts a host without endpoints; the seed is that of all its random numbers.
+    /// Starts a host without endpoints, with a seed for all its random numbers.
     ///
     /// # Errors
-    /// No threads could be had.
+    /// Fails where a thread cannot be started.
     pub fn start(threads: usize, seed: u64) -> io::Result<Self> {
         if threads == 0 {
             return Err(io::Error::new(
@@ -50,10 +50,10 @@
     }
 
     /// Starts an endpoint. With a `next_sidecar` it answers a request only after a call through that sidecar, with a
-    /// new id and the time that is left of the deadline.
+    /// new id and the remaining time.
     ///
     /// # Errors
-    /// No address could be had, or the options make no sense.
+    /// Fails where no address can be reserved or the options are invalid.
     pub fn add(
         &self,
         name: EndpointName,
@@ -77,7 +77,7 @@
 }
 
 impl EndpointHandle {
-    /// Its entry in discovery's list, as serving.
+    /// Returns its entry in discovery's list, with the status serving.
     #[must_use]
     pub fn entry(&self) -> EndpointEntry {
         EndpointEntry {
@@ -92,15 +92,16 @@
         }
     }
 
-    /// Ends it as a process that dies: open connections are reset, new ones refused. Returns once that is done.
+    /// Stops it as if its process were killed: open connections are reset and new ones refused. Returns when that is
+    /// done.
     pub fn stop(&self) {
         self.thread.stop(self.state.number);
     }
 
-    /// Starts it again at the same address, cold where it has a ramp. One that runs is stopped first.
+    /// Starts it again at the same address, warming up if it has a slow start. A running endpoint is stopped first.
     ///
     /// # Errors
-    /// Its address could not be had again, or its host has ended.
+    /// Fails where it cannot listen at its address again or its host has ended.
     pub fn start_again(&self) -> io::Result<()> {
         self.stop();
         self.state.record_restart();
--- a/fleet-lab/src/endpoint/host.rs
+++ b/fleet-lab/src/endpoint/host.rs
@@ -13,23 +13,23 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{self, JoinSet, LocalSet};
 
-/// How long an endpoint rests after a connection could not be accepted, as for want of descriptors.
+/// Pause after a failed accept, for example when descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a host's thread is told.
+/// A command to a host's thread.
 #[derive(Debug)]
 enum Command {
-    /// Run an endpoint on this listener.
+    /// Run an endpoint with this listener.
     Run {
         state: Arc<EndpointState>,
         listener: TcpListener,
     },
-    /// Stop an endpoint if it runs, and tell when that is done.
+    /// Stop an endpoint if it is running, and send a message when that is done.
     Stop {
         number: u64,
         stopped: blocking_mpsc::Sender<()>,
     },
-    /// End the thread with all its endpoints.
+    /// Stop all endpoints and end the thread.
     End,
 }
 
@@ -38,23 +38,23 @@
 pub(super) struct CommandSender(mpsc::UnboundedSender<Command>);
 
 impl CommandSender {
-    /// Runs an endpoint.
+    /// Starts an endpoint.
     pub fn run(&self, state: Arc<EndpointState>, listener: TcpListener) -> io::Result<()> {
         let sent = self.0.send(Command::Run { state, listener });
         sent.map_err(|_| io::Error::new(io::ErrorKind::BrokenPipe, "the endpoint's host has ended"))
     }
 
-    /// Stops an endpoint and waits until its connections are reset; does nothing when its host has ended.
+    /// Stops an endpoint and waits until its connections are reset. Does nothing if its host has ended.
     pub fn stop(&self, number: u64) {
         let (stopped, wait) = blocking_mpsc::channel();
         if self.0.send(Command::Stop { number, stopped }).is_ok() {
-            // An error is the end of the thread, which stops its endpoints too.
+            // The error says that the thread has ended, and with it its endpoints.
             let _ = wait.recv();
         }
     }
 }
 
-/// A thread that runs endpoints, ended when it is dropped.
+/// A thread that runs endpoints, which is stopped when it is dropped.
 #[derive(Debug)]
 pub(super) struct HostThread {
     commands: CommandSender,
@@ -95,7 +95,7 @@
     LocalSet::new().block_on(runtime, execute_all(commands, host_seed));
 }
 
-/// Carries out commands until the end.
+/// Executes commands until [`Command::End`].
 async fn execute_all(mut commands: mpsc::UnboundedReceiver<Command>, host_seed: u64) {
     let mut running = HashMap::new();
     while let Some(command) = commands.recv().await {
@@ -117,7 +117,7 @@
     }
 }
 
-/// One start of an endpoint.
+/// A running endpoint.
 struct Run {
     stop: oneshot::Sender<()>,
     task: task::JoinHandle<()>,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Accepts connections until the endpoint is stopped, then resets them all.
+/// Accepts connections until the endpoint is stopped, then resets all of them.
 async fn accept_until(
     mut stopped: oneshot::Receiver<()>,
     state: Arc<EndpointState>,
--- a/fleet-lab/src/endpoint/message.rs
+++ b/fleet-lab/src/endpoint/message.rs
@@ -1,14 +1,14 @@
-//! Requests as they are read from a connection, and the answers to them.
+//! Parsing of requests and serialization of answers.
 
 use super::work::LoadReport;
 use bytes::{Buf, BytesMut};
 use std::io::Write;
 use std::time::Duration;
 
-/// The most headers of a request or of a sidecar's response.
+/// The largest number of headers of a request or of a sidecar's response.
 pub(super) const MAX_HEADERS: usize = 64;
 
-/// Room for each read, in bytes.
+/// Capacity for each read, in bytes.
 pub(super) const READ_BYTES: usize = 1024;
 /// The longest request line with headers, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -16,36 +16,36 @@
 /// The longest body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A request that came whole.
+/// A complete request.
 #[derive(Debug)]
 pub(super) struct Request {
     pub method: String,
     pub path: String,
     pub has_id: bool,
     pub class: Option<String>,
-    /// How long the sender waits, from when the request came.
+    /// How long the client waits, from the request's arrival.
     pub time_left: Option<Duration>,
-    /// Whether the sender wants the connection closed after the answer.
+    /// Whether the client wants the connection closed after the answer.
     pub closes: bool,
     pub body: Vec<u8>,
 }
 
-/// Why bytes are no request that an endpoint takes.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// They are not HTTP/1.1, or a header's value makes no sense.
+    /// It is not HTTP/1.1, or the value of a header is invalid.
     #[error("malformed request")]
     Malformed,
-    /// The body has no `Content-Length`; chunked bodies are not taken.
+    /// Its body has no `Content-Length`; chunked bodies are not supported.
     #[error("length required")]
     LengthRequired,
-    /// The head or the body is too long.
+    /// Its head or its body is too long.
     #[error("request too large")]
     TooLarge,
 }
 
 impl Request {
-    /// Takes a request from the front of the buffer; none while a part of it is missing.
+    /// Removes a request from the front of the buffer; none while it is incomplete.
     pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>, RequestError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
@@ -67,7 +67,7 @@
         Ok(Some(request))
     }
 
-    /// The request without its body, and the length of the body.
+    /// Returns the request without its body, and the length of the body.
     fn from_head(head: &httparse::Request<'_, '_>) -> Result<(Self, usize), RequestError> {
         let mut request = Request {
             method: head.method.unwrap_or_default().to_owned(),
@@ -103,36 +103,36 @@
     }
 }
 
-/// A time in seconds with decimals; one that has passed counts as zero.
+/// Parses a time in seconds with decimals; a negative one counts as zero.
 fn parse_seconds(text: &str) -> Result<Duration, RequestError> {
     let seconds: f64 = text.parse().map_err(|_| RequestError::Malformed)?;
     Duration::try_from_secs_f64(seconds.max(0.0)).map_err(|_| RequestError::Malformed)
 }
 
-/// What a request is answered with.
+/// The answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Answer {
     /// 200 with the endpoint's body.
     Served,
-    /// 200 to a probe of `/health`.
+    /// 200 to a health check at `/health`.
     Healthy,
-    /// 200 to a probe of `/status/load`, with the load report as the body.
+    /// 200 to a health check at `/status/load`, with the load report as the body.
     Load,
     /// 500: the work, or the call to the next tier, has failed.
     Failed,
     /// 503 with `X-Not-Run: 1`.
     NotRun,
-    /// 404: no id, or a probe where there are none.
+    /// 404: the request has no id, or health checks are not answered.
     NotFound,
-    /// The request was not understood.
+    /// The request was malformed or not supported.
     Rejected(RequestError),
 }
 
-/// Why a write to a buffer in memory is not checked.
+/// Why writing to a buffer in memory cannot fail.
 const CANNOT_FAIL: &str = "memory can be written to";
 
 impl Answer {
-    /// Writes the whole answer to the end of the output.
+    /// Appends the serialized answer to the output.
     pub fn write(
         self,
         output: &mut Vec<u8>,
--- a/fleet-lab/src/endpoint/mod.rs
+++ b/fleet-lab/src/endpoint/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for the servers of a tier: cores, a queue, service times, a cold ramp, load reports and probes.
+//! Simulated endpoints with cores, a queue, service times, slow start, load reports and health checks.
 //!
 //! An [`EndpointHost`] runs hundreds of endpoints on a few threads (`host`). Each connection carries one request at a
-//! time (`connection`, `message`); a request takes a core or waits for one (`work`), and where the endpoint has a
-//! sidecar for the next tier, it is answered after a call through it (`downstream`, `response`). Request bodies need a
-//! `Content-Length`: a chunked one is answered 411.
+//! time (`connection`, `message`). A request is given a core or queued for one (`work`). In a chain of tiers it is
+//! answered after a call to the next tier (`downstream`, `response`). Request bodies need a `Content-Length`; a chunked
+//! one is answered 411.
 
 mod connection;
 mod downstream;
--- a/fleet-lab/src/endpoint/options.rs
+++ b/fleet-lab/src/endpoint/options.rs
@@ -1,24 +1,24 @@
-//! How an endpoint behaves.
+//! Options of a simulated endpoint.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest service time that is taken, in milliseconds: a day.
+/// The longest service time, in milliseconds: a day.
 const MAX_SERVICE_MILLISECONDS: f64 = 86_400_000.0;
 
-/// How long an endpoint works on a request.
+/// The distribution of the time that an endpoint works on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ServiceTime {
-    /// It answers at once.
+    /// No time.
     None,
-    /// Always the same time.
+    /// A fixed time.
     Fixed {
         /// In milliseconds.
         milliseconds: f64,
     },
-    /// Exponentially distributed.
+    /// Exponentially distributed times.
     Exponential {
-        /// Its mean, in milliseconds.
+        /// The mean, in milliseconds.
         mean_milliseconds: f64,
     },
 }
@@ -27,9 +27,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStart {
-    /// The part of its full capacity that it starts with.
+    /// The fraction of its full capacity that it starts with.
     pub from: f64,
-    /// How long it takes to warm up, in milliseconds.
+    /// How long it warms up, in milliseconds.
     pub milliseconds: u64,
 }
 
@@ -39,24 +39,24 @@
 pub struct EndpointOptions {
     /// Requests that it works on at once.
     pub cores: u32,
-    /// Requests that may wait; any further one is turned away with 503 and `X-Not-Run: 1`.
+    /// Requests that may be queued; further ones are rejected with 503 and `X-Not-Run: 1`.
     pub queue: u32,
     /// How long it works on a request.
     pub service_time: ServiceTime,
     /// How its capacity grows after its start.
     #[serde(rename = "cold_ramp")]
     pub slow_start: Option<SlowStart>,
-    /// Whether its answers carry a load report, and probes are answered.
+    /// Whether its answers carry load reports, and health checks are answered.
     pub load_reports: bool,
     /// Bytes of an answer's body.
     pub answer_bytes: usize,
-    /// Share of the requests that are answered 500 after their work.
+    /// The fraction of requests that are answered 500 after their work.
     #[serde(rename = "error_share", default)]
     pub error_rate: f64,
 }
 
 impl EndpointOptions {
-    /// What makes no sense in them, if anything does.
+    /// Returns what is invalid in the options, if anything is.
     pub(super) fn check(&self) -> Result<(), &'static str> {
         if self.cores == 0 {
             return Err("an endpoint needs a core");
--- a/fleet-lab/src/endpoint/response.rs
+++ b/fleet-lab/src/endpoint/response.rs
@@ -1,5 +1,5 @@
-//! Reading a sidecar's response: its status, its body (which is dropped), and whether its connection can be used
-//! again.
+//! Reading of a sidecar's response: its status, its body (which is discarded), and whether its connection can be
+//! reused.
 
 use super::message::{MAX_HEAD_BYTES, MAX_HEADERS, READ_BYTES};
 use bytes::{Buf, BytesMut};
@@ -7,7 +7,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// A response that came whole.
+/// A complete response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Response {
     pub status: u16,
@@ -15,7 +15,7 @@
     pub keep_alive: bool,
 }
 
-/// Why no whole response came.
+/// Why no complete response was received.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
     /// The connection ended before the first byte.
@@ -24,10 +24,10 @@
     /// The connection ended within the response.
     #[error("connection ended within a response")]
     Cut,
-    /// It is not HTTP/1.1.
+    /// The response is not HTTP/1.1.
     #[error("malformed response: {0}")]
     Malformed(#[from] httparse::Error),
-    /// A length makes no sense.
+    /// A length is invalid.
     #[error("malformed length in a response")]
     MalformedLength,
     /// The head is too long.
@@ -35,7 +35,7 @@
     TooLong,
 }
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
     Length(u64),
@@ -49,7 +49,7 @@
     closes: bool,
 }
 
-/// Reads one response from a connection. The buffer holds what was read of the next one.
+/// Reads one response from a connection. The buffer contains bytes that were read beyond it.
 pub(super) async fn read_response(
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
@@ -75,7 +75,7 @@
 }
 
 impl ResponseReader<'_> {
-    /// Reads more; an error at the end of the connection.
+    /// Reads more bytes; fails at the end of the connection.
     async fn fill(&mut self) -> Result<(), ResponseError> {
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(self.buffer).await {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads the head of the final response; interim ones (1xx) are passed over.
+    /// Reads the head of the final response and skips interim ones (1xx).
     async fn head(&mut self) -> Result<ResponseHead, ResponseError> {
         loop {
             match take_head(self.buffer)? {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Passes over the headers after the last chunk, and the empty line.
+    /// Skips the trailers after the last chunk.
     async fn skip_trailers(&mut self) -> Result<(), ResponseError> {
         while !take_trailers(self.buffer)? {
             self.fill().await?;
@@ -148,7 +148,7 @@
     }
 }
 
-/// Takes a response's head from the front of the buffer; none while a part of it is missing.
+/// Removes a response's head from the front of the buffer; none while it is incomplete.
 fn take_head(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -174,8 +174,7 @@
     Ok(Some(head))
 }
 
-/// Takes the headers after the last chunk, with the empty line, from the front of the buffer; false while a part of
-/// them is missing.
+/// Removes the trailers, with the empty line, from the front of the buffer; false while they are incomplete.
 fn take_trailers(buffer: &mut BytesMut) -> Result<bool, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let httparse::Status::Complete((length, _)) = httparse::parse_headers(buffer, &mut headers)?
@@ -186,7 +185,7 @@
     Ok(true)
 }
 
-/// How a body ends whose headers don't tell.
+/// Returns how a body without framing headers ends.
 fn default_framing(status: u16) -> Framing {
     match status {
         100..200 | 204 | 304 => Framing::Length(0),
@@ -199,7 +198,7 @@
     text.parse().map_err(|_| ResponseError::MalformedLength)
 }
 
-/// Whether a connection that rests has been closed by the other side, or sent what nobody asked for.
+/// Returns whether the peer has closed an idle connection, or sent unexpected bytes on it.
 pub(super) fn is_closed(stream: &TcpStream) -> bool {
     let mut scratch = [0; 1];
     !matches!(stream.try_read(&mut scratch), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
--- a/fleet-lab/src/endpoint/state.rs
+++ b/fleet-lab/src/endpoint/state.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's handles and the thread that runs it share: its address, its silence and its counts.
+//! The state that an endpoint's handles share with the thread that runs it.
 
 use super::options::EndpointOptions;
 use super::usage::EndpointUsage;
@@ -11,22 +11,22 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// Connections that wait to be accepted.
+/// Connections that may wait to be accepted.
 const ACCEPT_BACKLOG: i32 = 1024;
 
-/// An endpoint, over all its starts.
+/// An endpoint over all its starts.
 #[derive(Debug)]
 pub(super) struct EndpointState {
-    /// Its number in its host.
+    /// Its number on its host.
     pub number: u64,
     pub name: EndpointName,
     pub zone: ZoneName,
     pub options: EndpointOptions,
     pub next_sidecar: Option<SocketAddr>,
-    /// Where it listens, the same after each start.
+    /// Its address, which stays the same over restarts.
     pub address: SocketAddr,
     pub counters: Counters,
-    /// A socket that is bound but never listens: while the endpoint is stopped, it keeps its port from others.
+    /// A socket that is bound but never listens, so that the port stays reserved while the endpoint is stopped.
     _reservation: Socket,
     since_ms: AtomicU64,
     restarts: AtomicU64,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Listens at its address.
+    /// Starts to listen at the address.
     pub fn listen(&self) -> io::Result<TcpListener> {
         let socket = new_socket()?;
         socket.set_reuse_address(true)?;
@@ -72,18 +72,18 @@
         Ok(socket.into())
     }
 
-    /// Its last start in Unix time milliseconds, or 0 for long ago.
+    /// Returns its last start in Unix time, in milliseconds, or 0 for long ago.
     pub fn since_ms(&self) -> u64 {
         self.since_ms.load(Ordering::Relaxed)
     }
 
-    /// Notes that it starts again now.
+    /// Records a restart at the current time.
     pub fn record_restart(&self) {
         self.since_ms.store(unix_milliseconds(), Ordering::Relaxed);
         self.restarts.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Random numbers for its present start, other ones than those of other endpoints and starts.
+    /// Returns random numbers for the present start, which differ from those of other endpoints and starts.
     pub fn random(&self, host_seed: u64) -> Pcg64 {
         let restarts = self.restarts.load(Ordering::Relaxed);
         let stream = (u128::from(self.number) << u64::BITS) | u128::from(restarts);
@@ -113,7 +113,7 @@
     }
 }
 
-/// Takes a port of the system's choice without listening on it.
+/// Reserves a port that the system chooses, without listening on it.
 fn reserve_address() -> io::Result<(Socket, SocketAddr)> {
     let socket = new_socket()?;
     socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
@@ -135,7 +135,7 @@
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A count that one thread raises and others read.
+/// A counter that one thread updates and others read.
 #[derive(Debug, Default)]
 pub(super) struct Counter(AtomicU64);
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// The counts of [`EndpointUsage`].
+/// The counters of [`EndpointUsage`].
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     pub connections: Counter,
--- a/fleet-lab/src/endpoint/work.rs
+++ b/fleet-lab/src/endpoint/work.rs
@@ -1,4 +1,4 @@
-//! An endpoint's cores and the queue before them, the time that work takes, and the load report.
+//! An endpoint's cores and their queue, the service times, and the load report.
 
 use super::options::{EndpointOptions, ServiceTime, SlowStart};
 use rand::RngExt;
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Time constant of the average that a load report gives as utilisation.
+/// Time constant of the average utilisation in load reports.
 const UTILISATION_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// The most by which the end of one work that came late shortens later ones; more is a thread that was held up.
+/// The longest lateness that shortens later work. A longer one is a stalled thread.
 const MAX_CARRIED_LATENESS: Duration = Duration::from_millis(2);
 
-/// The cores of a running endpoint, and the requests that wait for one.
+/// The cores of a running endpoint and their queue.
 pub(super) struct CorePool {
     cores: u32,
     queue_limit: u32,
@@ -31,11 +31,11 @@
     random: RefCell<Pcg64>,
 }
 
-/// What becomes of a request that asks for a core.
+/// The result of admitting a request.
 pub(super) enum Admission<'pool> {
-    /// It has one.
+    /// It has a core.
     Core(Core<'pool>),
-    /// It waits for one.
+    /// It is queued for a core.
     Queued(QueueSlot<'pool>),
     /// The queue is full.
     RejectedEarly,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Gives a request a core or a place in the queue, or turns it away.
+    /// Gives a request a core or a slot in the queue, or rejects it.
     pub fn admit(&self) -> Admission<'_> {
         if let Ok(permit) = self.permits.try_acquire() {
             return Admission::Core(Core::occupy(self, permit));
@@ -75,12 +75,12 @@
         Admission::Queued(QueueSlot { pool: self })
     }
 
-    /// Whether the next answer is an error.
+    /// Draws whether the next answer is an error.
     pub fn draw_error(&self) -> bool {
         self.error_rate > 0.0 && self.random.borrow_mut().random_bool(self.error_rate)
     }
 
-    /// The load now; `calls` are the calls to the next tier that are in flight.
+    /// Returns the current load. `calls` is the number of calls to the next tier in flight.
     pub fn load_report(&self, calls: u32) -> LoadReport {
         self.update_utilisation();
         LoadReport {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The time that work begun now takes.
+    /// Draws the service time of work that starts now.
     fn draw_work_time(&self) -> Duration {
         let milliseconds = match self.service_time {
             ServiceTime::None => return Duration::ZERO,
@@ -106,7 +106,7 @@
         Duration::from_secs_f64(milliseconds / 1000.0 / capacity)
     }
 
-    /// Accounts for the time since the last change of the number of busy cores.
+    /// Updates the average utilisation for the time since the number of busy cores last changed.
     fn update_utilisation(&self) {
         let busy_fraction = f64::from(self.busy.get()) / f64::from(self.cores);
         self.utilisation.set(
@@ -118,7 +118,7 @@
 }
 
 impl SlowStart {
-    /// The part of its full capacity that an endpoint has so long after its start.
+    /// Returns the fraction of its full capacity that an endpoint has at this time after its start.
     fn capacity(&self, since_start: Duration) -> f64 {
         if self.milliseconds == 0 {
             return 1.0;
@@ -128,13 +128,13 @@
     }
 }
 
-/// A place in the queue, left when it is dropped.
+/// A slot in the queue, which is freed when it is dropped.
 pub(super) struct QueueSlot<'pool> {
     pool: &'pool CorePool,
 }
 
 impl<'pool> QueueSlot<'pool> {
-    /// Waits for a core; requests get theirs in the order in which they came.
+    /// Waits for a core. Cores are given in order of arrival.
     pub async fn core(self) -> Core<'pool> {
         let permit = self
             .pool
@@ -152,7 +152,7 @@
     }
 }
 
-/// A core that works on a request, free again when it is dropped.
+/// A core that works on a request, which is freed when it is dropped.
 pub(super) struct Core<'pool> {
     pool: &'pool CorePool,
     _permit: SemaphorePermit<'pool>,
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Works on the request. Timers fire at whole milliseconds, always late; the lateness of one work is taken off
-    /// the next ones, so that the mean is right, and with it the endpoint's capacity.
+    /// Works on the request. Timers fire late, at whole milliseconds. The lateness of one work shortens the next ones,
+    /// so that the mean service time, and with it the endpoint's capacity, is correct.
     pub async fn work(&self) {
         let service_time = self.pool.draw_work_time();
         let carried = service_time.min(self.pool.lateness.get());
@@ -195,7 +195,7 @@
     }
 }
 
-/// An exponentially weighted average over time of the share of cores that are busy.
+/// The exponentially weighted average over time of the fraction of busy cores.
 #[derive(Clone, Copy)]
 struct Utilisation {
     average: f64,
@@ -203,7 +203,7 @@
 }
 
 impl Utilisation {
-    /// The average at a later time, when so many cores were busy since.
+    /// Returns the average at a later time; `busy_fraction` of the cores were busy since.
     fn advanced(self, busy_fraction: f64, now: Instant) -> Self {
         let elapsed = now.saturating_duration_since(self.at);
         let connection = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
@@ -214,7 +214,7 @@
     }
 }
 
-/// An endpoint's load, as its answers and probes tell it.
+/// An endpoint's load, as answers and health checks carry it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadReport {
     in_flight: u32,
--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name, as reports give it.
+    /// Its name in reports.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// Its purpose, in a sentence.
     pub purpose: String,
     /// Seed of all its random numbers.
     pub seed: u64,
@@ -24,27 +24,28 @@
     pub measure: Measurement,
 }
 
-/// What an experiment measures.
+/// The kind of an experiment's measurement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Measurement {
-    /// Latency through one sidecar less latency straight to an endpoint, and processor time a call, by rate.
+    /// Added latency of one sidecar and its processor time for each call, by rate.
     AddedLatency(AddedLatency),
-    /// Latency through chains of sidecars less that through the same chains without them, by depth.
+    /// Added latency of chains of sidecars, by depth.
     AddedLatencyByDepth(AddedLatencyByDepth),
-    /// Attempts at the last tier for each call of the first, by depth, while the last tier fails a share.
+    /// Attempts at the last tier for each call of the first one, by depth, while the last tier fails a fraction of
+    /// them.
     RetryAmplification(RetryAmplification),
-    /// A real sidecar's memory by listed endpoints, open requests and callers' connections.
+    /// A real sidecar's memory by listed endpoints, pending requests and client connections.
     Memory(Memory),
-    /// A real sidecar's processor time by changes of the list, probes and reloads, and the bytes of its watch.
+    /// A real sidecar's processor time by list changes, health checks and reloads, and the bytes of its watch.
     ControlCost(ControlCost),
-    /// Time until a change is known everywhere, by fleet size.
+    /// Propagation delay of a change, by fleet size.
     Propagation(Propagation),
-    /// Time until the list is current everywhere after discovery was down, by fleet size.
+    /// Time until the list is current everywhere after an outage of discovery, by fleet size.
     Outage(Outage),
-    /// Time until all are ready that restart at once, by fleet size.
+    /// Time until all sidecars are ready after a simultaneous restart, by fleet size.
     FleetRestart(FleetRestart),
-    /// What each failure of the operators' plan costs, and for how long.
+    /// The cost of each failure of the operators' plan, and its duration.
     Failures(Failures),
 }
 
@@ -52,13 +53,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AddedLatency {
-    /// Endpoints that the sidecar knows.
+    /// The number of listed endpoints.
     pub endpoints: u32,
     /// Calls a second, one measurement each.
     pub rates: Vec<f64>,
-    /// Changes of the list a second meanwhile.
+    /// List changes a second during the measurements.
     pub changes_per_second: f64,
-    /// Share of the calls that are unsafe to repeat.
+    /// The fraction of calls that are unsafe to repeat.
     #[serde(rename = "unsafe_share")]
     pub unsafe_fraction: f64,
     /// How the endpoints behave.
@@ -73,9 +74,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AddedLatencyByDepth {
-    /// Tiers of sidecars and endpoints, one measurement each.
+    /// Numbers of tiers, one measurement each.
     pub depths: Vec<u32>,
-    /// Endpoints in each tier.
+    /// The number of endpoints in each tier.
     pub endpoints_per_tier: u32,
     /// Calls a second at the first tier.
     pub calls_per_second: f64,
@@ -91,13 +92,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryAmplification {
-    /// Tiers, one measurement each.
+    /// Numbers of tiers, one measurement each.
     pub depths: Vec<u32>,
-    /// Endpoints in each tier.
+    /// The number of endpoints in each tier.
     pub endpoints_per_tier: u32,
     /// Calls a second at the first tier.
     pub calls_per_second: f64,
-    /// Share of the requests that the last tier answers 500.
+    /// The fraction of requests that the last tier answers 500.
     #[serde(rename = "error_share")]
     pub error_rate: f64,
     /// How the endpoints behave.
@@ -112,9 +113,9 @@
 pub struct Memory {
     /// Numbers of listed endpoints.
     pub endpoints: Vec<u32>,
-    /// Numbers of requests open at once.
+    /// Numbers of pending requests.
     pub open_requests: Vec<u32>,
-    /// Numbers of idle connections that callers hold.
+    /// Numbers of idle client connections.
     pub caller_connections: Vec<u32>,
 }
 
@@ -122,43 +123,43 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlCost {
-    /// Endpoints that the sidecar knows.
+    /// The number of listed endpoints.
     pub endpoints: u32,
-    /// Numbers of changes of the list, each published within the seconds below.
+    /// Numbers of list changes, each published within the seconds below.
     pub changes: Vec<u32>,
     /// Numbers of reloads.
     pub reloads: Vec<u32>,
-    /// Rates of calls at which probes are counted, where load reports come with probes alone.
+    /// Rates of calls at which health checks are counted, with load reports from health checks only.
     #[serde(rename = "probing_rates")]
     pub health_check_rates: Vec<f64>,
     /// Seconds of each measurement.
     pub seconds: f64,
 }
 
-/// How discovery behaves in an experiment with a fleet.
+/// The capacity of discovery in an experiment with a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryCapacity {
-    /// Calls that it answers a second.
+    /// Calls that it handles a second.
     pub calls_per_second: f64,
-    /// A call that has waited longer is answered 503.
+    /// Seconds that a call may be queued; then it is answered 503.
     #[serde(rename = "longest_wait_seconds")]
     pub queue_timeout_seconds: f64,
 }
 
-/// What a fleet of hollow sidecars is.
+/// A fleet of simulated sidecars.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     /// Numbers of sidecars, one measurement each.
     pub sizes: Vec<u32>,
-    /// Endpoints in the list.
+    /// The number of listed endpoints.
     pub endpoints: u32,
     /// Mean calls a second of each sidecar.
     pub calls_per_second: f64,
-    /// Whether lists are pushed, or watched through calls that the decision module asks for.
+    /// Whether an agent pushes lists; otherwise the decision module requests them.
     pub lists_are_pushed: bool,
-    /// How discovery behaves.
+    /// The capacity of discovery.
     pub discovery: DiscoveryCapacity,
 }
 
@@ -168,7 +169,7 @@
 pub struct Propagation {
     /// The fleet.
     pub fleet: Fleet,
-    /// Changes, one after another.
+    /// The number of changes, which are published one after another.
     pub changes: u32,
     /// Seconds after which a sidecar without the change counts as missing.
     #[serde(rename = "longest_seconds")]
@@ -181,9 +182,9 @@
 pub struct Outage {
     /// The fleet.
     pub fleet: Fleet,
-    /// Seconds that discovery is down.
+    /// Seconds of the outage.
     pub outage_seconds: f64,
-    /// Seconds after its return at which a sidecar without the change counts as missing.
+    /// Seconds after the outage at which a sidecar without the change counts as missing.
     #[serde(rename = "longest_seconds")]
     pub timeout_seconds: f64,
 }
@@ -203,17 +204,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failures {
-    /// Regions, zones, racks, services and endpoints.
+    /// The size of the topology.
     pub topology: TopologySize,
     /// Mean calls a second of each sidecar.
     pub calls_per_second: f64,
-    /// How discovery behaves.
+    /// The capacity of discovery.
     pub discovery: DiscoveryCapacity,
     /// The failures, one after another.
     pub faults: Vec<Fault>,
-    /// Seconds that each lasts.
+    /// Seconds that each failure lasts.
     pub fault_seconds: f64,
-    /// Seconds between the end of one and the start of the next.
+    /// Seconds between two failures.
     #[serde(rename = "rest_seconds")]
     pub pause_seconds: f64,
 }
@@ -221,48 +222,48 @@
 /// Why an experiment file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// It could not be read.
+    /// It cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// It is no experiment.
+    /// It is not an experiment.
     #[error("{}: {}", path.display(), one_line(source))]
     Parse {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it, and where.
+        /// The parser's error, with its position.
         source: Box<toml::de::Error>,
     },
-    /// Values make no sense.
+    /// Some of its values are invalid.
     #[error("{}", value_lines(path, faults))]
     Values {
         /// The file.
         path: PathBuf,
-        /// All that is wrong with its values.
+        /// All invalid values.
         faults: Vec<ValueFault>,
     },
 }
 
-/// What is wrong with one value of an experiment file.
+/// An invalid value of an experiment file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field} {problem}")]
 pub struct ValueFault {
-    /// The field, as a path.
+    /// The path of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub problem: String,
 }
 
-/// What the parser says, without its excerpt of the file.
+/// Returns the parser's message without its excerpt of the file.
 fn one_line(error: &toml::de::Error) -> String {
     error.message().trim().replace('\n', "; ")
 }
 
-/// One line for each fault, each with the file's path.
+/// Formats one line for each invalid value, with the file's path.
 fn value_lines(path: &Path, faults: &[ValueFault]) -> String {
     let lines: Vec<String> = faults
         .iter()
@@ -275,7 +276,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// It cannot be read or is no experiment, or values make no sense.
+    /// Fails where the file cannot be read, is not an experiment, or has invalid values.
     pub fn load(path: &Path) -> Result<Self, ExperimentError> {
         let text = fs::read_to_string(path).map_err(|source| read_error(path, source))?;
         let experiment: Experiment =
@@ -294,10 +295,10 @@
         }
     }
 
-    /// Reads all `.toml` files of a folder, by name.
+    /// Reads all `.toml` files of a folder, ordered by name.
     ///
     /// # Errors
-    /// As [`Experiment::load`].
+    /// Fails as [`Experiment::load`] does.
     pub fn load_folder(folder: &Path) -> Result<Vec<Self>, ExperimentError> {
         let mut paths = Vec::new();
         for entry in fs::read_dir(folder).map_err(|source| read_error(folder, source))? {
--- a/fleet-lab/src/experiment/check.rs
+++ b/fleet-lab/src/experiment/check.rs
@@ -1,4 +1,4 @@
-//! Checks of an experiment's values: sizes, rates, shares and durations within bounds that one machine can run.
+//! Checks of an experiment's values: sizes, rates, fractions and durations within limits that one machine can run.
 
 use super::{
     AddedLatency, AddedLatencyByDepth, ControlCost, DiscoveryCapacity, Experiment, Failures, Fleet,
@@ -9,29 +9,29 @@
 use crate::topology::TopologySize;
 use std::ops::RangeInclusive;
 
-/// The most hollow sidecars of a fleet.
+/// The largest number of simulated sidecars of a fleet.
 const MAX_SIDECARS: u32 = 1_000;
-/// The most real sidecar processes of a measurement.
+/// The largest number of real sidecar processes of a measurement.
 const MAX_PROCESSES: u64 = 300;
-/// The most endpoints of a measurement.
+/// The largest number of endpoints of a measurement.
 const MAX_ENDPOINTS: u32 = 5_000;
-/// The most connections or open requests that are held at once; a sidecar is given 4,096 descriptors, of which an open
-/// request takes two.
+/// The largest number of connections or pending requests at once. A sidecar has 4,096 descriptors, and a pending
+/// request needs two.
 const MAX_OPEN: u32 = 2_000;
-/// The most tiers of a chain.
+/// The largest number of tiers of a chain.
 const MAX_TIERS: u32 = 32;
-/// The most changes, reloads or faults of a measurement.
+/// The largest number of changes, reloads or faults of a measurement.
 const MAX_EVENTS: u32 = 10_000;
-/// Calls a second, over all sidecars.
+/// The highest rate of calls a second, over all sidecars.
 const MAX_RATE: f64 = 100_000.0;
 /// The longest duration, in seconds.
 const MAX_SECONDS: f64 = 600.0;
-/// The longest time that an endpoint works on a request, in milliseconds.
+/// The longest service time of an endpoint, in milliseconds.
 const MAX_SERVICE_MILLISECONDS: f64 = 60_000.0;
 /// The largest body, in bytes.
 const MAX_BODY_BYTES: u32 = 64 << 10;
 
-/// All faults of an experiment's values.
+/// Returns all invalid values of an experiment.
 pub(super) fn faults(experiment: &Experiment) -> Vec<ValueFault> {
     let mut faults = Faults::default();
     faults.require("name", !experiment.name.trim().is_empty(), "is empty");
@@ -50,7 +50,7 @@
     faults.0
 }
 
-/// Collects what is wrong.
+/// Collects invalid values.
 #[derive(Default)]
 struct Faults(Vec<ValueFault>);
 
@@ -82,7 +82,7 @@
         self.within(field, value, 1.0..=f64::from(max));
     }
 
-    /// More than none, and at most `max`.
+    /// Requires a value above 0 and up to `max`.
     fn positive(&mut self, field: &str, value: f64, max: f64) {
         let problem = format!("is {value}, not above 0 and at most {max}");
         self.require(field, value > 0.0 && value <= max, problem);
@@ -96,7 +96,7 @@
         self.within(field, value, 0.0..=MAX_SECONDS);
     }
 
-    /// Sizes are there, positive, bounded, and each is above the one before.
+    /// Requires at least one size, all positive and bounded, in ascending order.
     fn sizes<T: Copy + Into<f64>>(&mut self, field: &str, sizes: &[T], max: f64) {
         let sizes: Vec<f64> = sizes.iter().map(|size| (*size).into()).collect();
         self.require(field, !sizes.is_empty(), "is empty");
@@ -141,7 +141,7 @@
     faults.seconds("measure.seconds", plan.seconds);
 }
 
-/// Chains in which each endpoint but those of the last tier has a sidecar of its own.
+/// Checks chains in which each endpoint, except those of the last tier, has a sidecar of its own.
 fn chain(depths: &[u32], endpoints_per_tier: u32, faults: &mut Faults) {
     faults.sizes("measure.depths", depths, MAX_TIERS.into());
     faults.count(
@@ -253,11 +253,11 @@
 fn fault_size(field: &str, fault: &Fault, endpoints: u32, faults: &mut Faults) {
     match fault {
         Fault::Machines { count } => faults.count(&format!("{field}.count"), *count, endpoints),
-        Fault::Restarts { count, wave } => {
+        Fault::RollingRestart { count, wave } => {
             faults.count(&format!("{field}.count"), *count, endpoints);
             faults.count(&format!("{field}.wave"), *wave, *count);
         }
-        Fault::Rack | Fault::Zone | Fault::RegionCut | Fault::DiscoveryOutage => {}
+        Fault::Rack | Fault::Zone | Fault::RegionPartition | Fault::DiscoveryOutage => {}
     }
 }
 
--- a/fleet-lab/src/fault.rs
+++ b/fleet-lab/src/fault.rs
@@ -1,5 +1,5 @@
-//! Faults of the operators' plan: machines, racks and zones that are lost and come back, restarts in waves, regions
-//! that are cut from each other.
+//! Faults of the operators' plan: failed machines, racks and zones, rolling restarts, and regions that are partitioned
+//! from discovery.
 
 use crate::topology::{EndpointName, Placement, RackName, RegionName, Topology, ZoneName};
 use rand::SeedableRng;
@@ -8,67 +8,71 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What fails.
+/// A fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// So many machines vanish.
+    /// Machines fail.
     Machines {
-        /// How many.
+        /// The number of machines.
         count: u32,
     },
-    /// So many machines are restarted or replaced, a wave at a time.
-    Restarts {
-        /// How many in all.
+    /// Machines are restarted or replaced in waves.
+    #[serde(rename = "restarts")]
+    RollingRestart {
+        /// The number of machines in all waves.
         count: u32,
-        /// How many at once.
+        /// The number of machines in a wave.
         wave: u32,
     },
-    /// All machines of a rack vanish.
+    /// All machines of a rack fail.
     Rack,
-    /// All machines of a zone vanish, and the zone's discovery address falls silent.
+    /// All machines of a zone fail, and the zone is partitioned from discovery.
     Zone,
-    /// A region is cut off from discovery: its sidecars' connections stay open and quiet.
-    RegionCut,
-    /// Discovery itself is down.
+    /// A region is partitioned from discovery: its sidecars' connections stay open without traffic.
+    #[serde(rename = "region-cut")]
+    RegionPartition,
+    /// Discovery is down.
     DiscoveryOutage,
 }
 
-/// What a fault hits in a topology.
+/// The parts of a topology that a fault affects.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Impact {
-    /// Endpoints whose machines vanish or restart.
+    /// Endpoints whose machines fail or restart.
     pub endpoints: Vec<EndpointName>,
-    /// Zones that are cut off from discovery.
+    /// Zones that are partitioned from discovery.
     pub partitioned_zones: Vec<ZoneName>,
-    /// The rack that was hit, if it was one.
+    /// The affected rack, if the fault affects one.
     pub rack: Option<RackName>,
-    /// The region that was hit, if it was one.
+    /// The affected region, if the fault affects one.
     pub region: Option<RegionName>,
 }
 
 impl Fault {
-    /// What it hits; the seed chooses which machines, rack, zone or region. Machines that are restarted come in the
-    /// order of their restarts. No more is hit than there is.
+    /// Returns the parts of a topology that the fault affects, chosen by the seed. Machines that are restarted are in
+    /// the order of their restarts. At most all machines are affected.
     #[must_use]
     pub fn impact(&self, topology: &Topology, seed: u64) -> Impact {
         let mut random = Pcg64::seed_from_u64(seed);
         match self {
-            Fault::Machines { count } | Fault::Restarts { count, .. } => {
-                machines_impact(topology, *count, &mut random)
+            Fault::Machines { count } | Fault::RollingRestart { count, .. } => {
+                machine_impact(topology, *count, &mut random)
             }
             Fault::Rack => rack_impact(topology, &mut random),
             Fault::Zone => zone_impact(topology, &mut random),
-            Fault::RegionCut => region_impact(topology, &mut random),
+            Fault::RegionPartition => region_impact(topology, &mut random),
             Fault::DiscoveryOutage => Impact::default(),
         }
     }
 }
 
-fn machines_impact(topology: &Topology, count: u32, random: &mut Pcg64) -> Impact {
-    let hit = topology.placements.sample(random, count as usize);
+fn machine_impact(topology: &Topology, count: u32, random: &mut Pcg64) -> Impact {
+    let affected = topology.placements.sample(random, count as usize);
     Impact {
-        endpoints: hit.map(|placement| placement.endpoint.clone()).collect(),
+        endpoints: affected
+            .map(|placement| placement.endpoint.clone())
+            .collect(),
         ..Impact::default()
     }
 }
@@ -123,7 +127,7 @@
     }
 }
 
-/// One of these, each with the same chance however often it occurs.
+/// Chooses one of the distinct items, each with the same probability.
 fn choose<'a, T: Clone + Ord + 'a>(
     from: impl Iterator<Item = &'a T>,
     random: &mut Pcg64,
@@ -132,10 +136,15 @@
     distinct.into_iter().choose(random).cloned()
 }
 
-fn endpoints_where(topology: &Topology, is_hit: impl Fn(&Placement) -> bool) -> Vec<EndpointName> {
-    let hit = topology
+fn endpoints_where(
+    topology: &Topology,
+    is_affected: impl Fn(&Placement) -> bool,
+) -> Vec<EndpointName> {
+    let affected = topology
         .placements
         .iter()
-        .filter(|placement| is_hit(placement));
-    hit.map(|placement| placement.endpoint.clone()).collect()
+        .filter(|placement| is_affected(placement));
+    affected
+        .map(|placement| placement.endpoint.clone())
+        .collect()
 }
--- a/fleet-lab/src/lib.rs
+++ b/fleet-lab/src/lib.rs
@@ -1,7 +1,7 @@
 //! A model of the systems that the sidecar serves, with tools to load them and to measure what a sidecar costs.
 //!
-//! A run takes an [`experiment`] file, builds a [`topology`], starts a [`discovery`] service, [`endpoint`]s, real and
-//! hollow [`sidecar`]s and open-loop [`caller`]s on loopback, injects [`fault`]s, [`measure`]s what they use, and
+//! A run reads an [`experiment`] file, generates a [`topology`], starts a [`discovery`] service, [`endpoint`]s, real
+//! and simulated [`sidecar`]s and open-loop [`caller`]s on loopback, injects [`fault`]s, [`measure`]s resources, and
 //! writes a [`report`]. The order of these steps for each kind of experiment is in [`scenario`].
 
 #![forbid(unsafe_code)]
--- a/fleet-lab/src/limits.rs
+++ b/fleet-lab/src/limits.rs
@@ -3,7 +3,7 @@
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use tracing::{debug, warn};
 
-/// Raises the soft limit of descriptors to the hard one: fleets and callers hold thousands of sockets.
+/// Raises the soft limit of descriptors to the hard limit, as fleets and callers use thousands of sockets.
 pub fn raise_descriptors() {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     match setrlimit(
--- a/fleet-lab/src/loopback_tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -92,8 +92,8 @@
         self.endpoints.iter().map(EndpointHandle::entry).collect()
     }
 
-    /// Returns the configuration of a sidecar that sends to this tier. It has the full list cached, and its seed differs
-    /// from those of other sidecars with the same `seed`.
+    /// Returns the configuration of a sidecar that sends to this tier. It has the full list cached, and its seed
+    /// differs from those of other sidecars with the same `seed`.
     #[must_use]
     pub fn sidecar_configuration(
         &self,
--- a/fleet-lab/src/main.rs
+++ b/fleet-lab/src/main.rs
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// Names the filter of the log, such as `debug`.
+/// The environment variable with the log filter, such as `debug`.
 const LOG_VARIABLE: &str = "PIPITTRAY_LAB_LOG";
 
 fn main() -> ExitCode {
--- a/fleet-lab/src/measure/mod.rs
+++ b/fleet-lab/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements: what a process uses, and slopes over sizes.
+//! Measurements: the resources that a process uses, and slopes over sizes.
 
 mod process;
 mod slope;
--- a/fleet-lab/src/measure/slope.rs
+++ b/fleet-lab/src/measure/slope.rs
@@ -1,24 +1,24 @@
-//! Least-squares lines through figures that were measured at several sizes.
+//! Least-squares lines through metrics that were measured at several sizes.
 
 use serde::Serialize;
 
 /// One measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// The size at which it was made.
+    /// The size.
     pub size: f64,
-    /// What was measured.
+    /// The measured value.
     pub value: f64,
 }
 
-/// A straight line through measurements, and what it leaves unexplained.
+/// A straight line through measurements, and its residuals.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Slope {
     /// The value at size 0.
     pub intercept: f64,
-    /// The value's growth for each unit of size.
+    /// The slope: the growth of the value for each unit of size.
     pub per_unit: f64,
-    /// The part of the variance that the line does not explain, from 0 to 1; 0 where the values do not vary.
+    /// The fraction of the variance that the line does not explain, from 0 to 1; 0 if the values do not vary.
     pub unexplained: f64,
     /// The largest distance of a point from the line.
     pub largest_residual: f64,
@@ -55,7 +55,7 @@
         })
     }
 
-    /// The line's value at a size.
+    /// Returns the line's value at a size.
     #[must_use]
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.per_unit * size
@@ -65,7 +65,7 @@
         points.iter().map(|point| point.value - self.at(point.size))
     }
 
-    /// 1 - R².
+    /// Returns 1 - R².
     fn unexplained_part(&self, points: &[Point], mean_value: f64) -> f64 {
         let value_squares: f64 = points
             .iter()
--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -41,8 +41,8 @@
 }
 
 impl Chain {
-    /// Starts the tiers from the last to the first, as an endpoint needs the address of its sidecar, and waits until all
-    /// sidecars are ready.
+    /// Starts the tiers from the last to the first, as an endpoint needs the address of its sidecar, and waits until
+    /// all sidecars are ready.
     pub(super) fn start(
         options: &ChainOptions<'_>,
         context: &RunContext,
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -111,14 +111,16 @@
     let machines = impact.endpoints.len();
     match fault {
         Fault::Machines { .. } => format!("{machines} machines vanish"),
-        Fault::Restarts { wave, .. } => format!("{machines} machines restart, {wave} at once"),
+        Fault::RollingRestart { wave, .. } => {
+            format!("{machines} machines restart, {wave} at once")
+        }
         Fault::Rack => format!("a rack with {machines} machines vanishes"),
         Fault::Zone => {
             format!(
                 "a zone with {machines} machines vanishes, and it is partitioned from discovery"
             )
         }
-        Fault::RegionCut => format!(
+        Fault::RegionPartition => format!(
             "a region of {} zones is partitioned from discovery, but not from the other region's endpoints",
             impact.partitioned_zones.len()
         ),
--- a/fleet-lab/src/scenario/failures/injection.rs
+++ b/fleet-lab/src/scenario/failures/injection.rs
@@ -31,8 +31,8 @@
     pub fn inject(&self, fault: &Fault, impact: &Impact) -> u64 {
         match fault {
             Fault::Machines { .. } | Fault::Rack | Fault::Zone => self.fail_machines(impact),
-            Fault::Restarts { wave, .. } => self.restart_in_waves(&impact.endpoints, *wave),
-            Fault::RegionCut => self.partition_region(impact),
+            Fault::RollingRestart { wave, .. } => self.restart_in_waves(&impact.endpoints, *wave),
+            Fault::RegionPartition => self.partition_region(impact),
             Fault::DiscoveryOutage => self.interrupt_discovery(),
         }
     }
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration document that a sidecar is given at its start.
+//! The configuration document of a sidecar under test.
 
 use crate::discovery::ListSnapshot;
 use crate::topology::ZoneName;
@@ -7,43 +7,43 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Loopback, with a port of the system's choice.
+/// A loopback address with a port that the system chooses.
 const ANY_LOOPBACK_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// An idle connection to an endpoint is closed after this time.
+/// The time after which an idle connection to an endpoint is closed.
 const IDLE_CLOSE: Duration = Duration::from_secs(60);
-/// A connection to an endpoint that is not up after this time has failed.
+/// How long connecting to an endpoint may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The longest `Retry-After`.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Attempts for one request.
+/// The largest number of attempts for a request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Requests that one sidecar may hold open.
+/// The largest number of pending requests of a sidecar.
 const MAX_PENDING: u32 = 10_000;
-/// Time after the deadline in which an answer still counts.
+/// Time after the deadline within which an answer still counts.
 const ANSWER_SLACK: Duration = Duration::from_millis(5);
-/// A sidecar that has not asked discovery for so long counts as told of every change.
+/// The poll interval: the longest time between two calls of discovery.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// Time within which a draining endpoint gets nothing new.
+/// Time within which a draining endpoint gets no new requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// Part of its capacity with which an endpoint starts.
+/// The fraction of its capacity with which an endpoint starts.
 const INITIAL_CAPACITY: f64 = 0.3;
-/// Time in which an endpoint warms up.
+/// How long an endpoint warms up.
 const WARM_UP_TIME: Duration = Duration::from_secs(10);
-/// A cold endpoint that is sent more than this multiple of its present capacity falls over,
+/// A warming endpoint fails if it is sent more than this multiple of its present capacity
 const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// where that lasts for so long.
+/// for this time.
 const OVERLOAD_TIME: Duration = Duration::from_secs(2);
-/// The least time between two batches of events for the decision module.
+/// The shortest time between two batches of events for the decision module.
 const TICK: Duration = Duration::from_millis(1);
 
-/// A class of requests, as the settings of a sidecar name it.
+/// A request class, as the settings of a sidecar define it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// Its name.
     pub name: String,
-    /// Whether it must never run twice.
+    /// Whether its requests must never run twice.
     pub is_unsafe: bool,
-    /// What one request is worth.
+    /// The priority weight of a request.
     pub priority_weight: f64,
     /// How long its clients wait.
     pub deadline: Duration,
@@ -118,7 +118,7 @@
 }
 
 impl SidecarConfiguration {
-    /// The settings object alone, with the names and units of the simulator's first message.
+    /// Returns the settings object, with the names and units of the simulator's first message.
     pub fn settings(&self) -> Value {
         let zones: Vec<&str> = self.zones.iter().map(ZoneName::as_str).collect();
         let stages: Vec<String> = (0..self.position.tiers)
@@ -148,13 +148,13 @@
         })
     }
 
-    /// The whole document, of a sidecar that listens on loopback ports of the system's choice.
+    /// Returns the configuration document of a sidecar that listens on loopback ports which the system chooses.
     #[must_use]
     pub fn document(&self) -> Value {
         self.document_at(ANY_LOOPBACK_PORT, ANY_LOOPBACK_PORT)
     }
 
-    /// The whole document, of a sidecar that listens at these addresses.
+    /// Returns the configuration document of a sidecar that listens at these addresses.
     #[must_use]
     pub fn document_at(&self, callers: SocketAddr, operators: SocketAddr) -> Value {
         let mut document = json!({
@@ -202,7 +202,7 @@
 }
 
 impl RequestClass {
-    /// The class in the form of the settings.
+    /// Returns the class in the form of the settings.
     fn category(&self) -> Value {
         let deadline = nanoseconds(self.deadline);
         json!({
@@ -237,7 +237,7 @@
     })
 }
 
-/// A duration as the settings give it; one that is too long for them is cut to the longest.
+/// Converts a duration to nanoseconds, limited to the largest value of the settings.
 fn nanoseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -15,38 +15,38 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The start of the name of a process's folder; short, as the folder holds a Unix socket.
+/// The prefix of the name of a process's folder. It is short because the folder contains a Unix socket.
 const FOLDER_PREFIX: &str = "lab-";
-/// The configuration's file in that folder.
+/// The name of the configuration file in that folder.
 const CONFIGURATION_FILE: &str = "config.json";
-/// Environment variables of the program begin with this.
+/// The prefix of the program's environment variables.
 const ENVIRONMENT_PREFIX: &str = "ROUTER_";
-/// A process that has not told where it listens by then is given up.
+/// How long a process may take until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// A reload that cannot be seen in the figures by then has failed.
+/// How long a reload may take until the process counts it.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// A process that has not ended so long after SIGTERM is killed.
+/// How long a process may take to end after SIGTERM; then it is killed.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time-out of each read and write on a call to a process.
+/// Timeout of each read and write of a call to a process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Between two looks at a state that is awaited.
+/// The interval at which an awaited state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A running sidecar process, killed when it is dropped.
+/// A running sidecar process, which is killed when it is dropped.
 #[derive(Debug)]
 pub struct SidecarProcess {
     child: LoggedChild,
     addresses: Addresses,
     configuration_file: PathBuf,
-    /// Holds the configuration and the process's own files; removed after the process's end.
+    /// The folder with the configuration and the process's own files, which is removed after the process has ended.
     _folder: TempDir,
 }
 
 impl SidecarProcess {
-    /// Starts a process of the program and waits until it tells where it listens.
+    /// Starts a process of the program and waits until it listens.
     ///
     /// # Errors
-    /// It could not be started, or ended before it listened.
+    /// Fails where the process cannot be started, or ends or times out before it listens.
     pub fn start(program: &Path, configuration: &SidecarConfiguration) -> io::Result<Self> {
         let folder = tempfile::Builder::new().prefix(FOLDER_PREFIX).tempdir()?;
         let configuration_file = folder.path().join(CONFIGURATION_FILE);
@@ -65,25 +65,25 @@
         })
     }
 
-    /// Where its callers connect.
+    /// Returns the address for callers.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.addresses.callers
     }
 
-    /// Where its operators call.
+    /// Returns the address for operators.
     #[must_use]
     pub fn admin_address(&self) -> SocketAddr {
         self.addresses.admin
     }
 
-    /// The last lines of its log.
+    /// Returns the last lines of the log.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.child.log()
     }
 
-    /// Whether `GET /ready` answers 200 now.
+    /// Returns whether `GET /ready` is answered 200.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let request = "GET /ready HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n";
@@ -91,14 +91,14 @@
         answer.split(' ').nth(1) == Some("200")
     }
 
-    /// Waits until `GET /ready` answers 200; how long that took, or none after `timeout`.
+    /// Waits until `GET /ready` is answered 200; returns how long that took, or none after the timeout.
     #[must_use]
     pub fn wait_until_ready(&self, timeout: Duration) -> Option<Duration> {
         let started = Instant::now();
         wait_until(timeout, || self.is_ready()).then(|| started.elapsed())
     }
 
-    /// One figure of `STATS`, without its `app_` prefix, if it has it.
+    /// Returns one metric of `STATS` by its name without the `app_` prefix; none if there is no such metric.
     #[must_use]
     pub fn metric(&self, name: &str) -> Option<u64> {
         let answer = call(self.admin_address(), "STATS\n").ok()?;
@@ -109,10 +109,10 @@
         value.parse().ok()
     }
 
-    /// Replaces its configuration and sends SIGHUP; returns once the figure of reloads has risen.
+    /// Replaces the configuration, sends SIGHUP, and waits until the process has counted the reload.
     ///
     /// # Errors
-    /// The file could not be written, or the signal not sent, or the reload was turned down or not seen in time.
+    /// Fails where the file cannot be written or the signal not be sent, and where the reload is rejected or times out.
     pub fn reload(&self, configuration: &SidecarConfiguration) -> io::Result<()> {
         let previous = self.reloads()?;
         write_configuration(&self.configuration_file, configuration)?;
@@ -126,29 +126,29 @@
             return Ok(());
         }
         let problem = if current == previous {
-            "the reload was not seen"
+            "the reload was not counted in time"
         } else {
-            "the reload was turned down"
+            "the reload was rejected"
         };
         Err(self.child.failure(io::ErrorKind::InvalidData, problem))
     }
 
-    /// Processor time, memory and descriptors now.
+    /// Returns the resources that the process uses.
     ///
     /// # Errors
-    /// It has ended.
+    /// Fails where the process has ended.
     pub fn usage(&self) -> io::Result<ProcessUsage> {
         ProcessUsage::of(self.child.id())
     }
 
-    /// Sends SIGTERM and waits for its end; one that takes longer than a minute is killed.
+    /// Sends SIGTERM and waits for the end of the process, which is killed after a minute.
     pub fn terminate(mut self) {
         if self.child.signal(Signal::TERM).is_ok() {
             wait_until(TERMINATION_TIMEOUT, || self.child.has_ended());
         }
     }
 
-    /// Sends SIGKILL and waits for its end.
+    /// Sends SIGKILL and waits for the end of the process.
     pub fn kill(self) {
         drop(self);
     }
@@ -157,7 +157,7 @@
         let metric = |name: &str| {
             let missing = || {
                 self.child
-                    .failure(io::ErrorKind::NotConnected, "the figures could not be read")
+                    .failure(io::ErrorKind::NotConnected, "the metrics could not be read")
             };
             self.metric(name).ok_or_else(missing)
         };
@@ -168,14 +168,14 @@
     }
 }
 
-/// The figures that count reloads.
+/// The metrics that count reloads.
 #[derive(Clone, Copy, PartialEq)]
 struct Reloads {
     applied: u64,
     rejected: u64,
 }
 
-/// The program's start, with nothing of its environment taken from this process.
+/// Returns the command that starts the program, without the program's environment variables of this process.
 fn command(program: &Path, configuration_file: &Path, folder: &Path) -> Command {
     let mut command = Command::new(program);
     for (name, _) in std::env::vars_os().filter(|(name, _)| is_program_variable(name)) {
@@ -196,14 +196,14 @@
         .starts_with(ENVIRONMENT_PREFIX.as_bytes())
 }
 
-/// Writes the document aside and moves it into place, so that it is never read half written.
+/// Writes the document under another name and renames it, so that a partial document is never read.
 fn write_configuration(file: &Path, configuration: &SidecarConfiguration) -> io::Result<()> {
     let temporary = file.with_extension("new");
     fs::write(&temporary, configuration.document().to_string())?;
     fs::rename(temporary, file)
 }
 
-/// The answer to a call on a connection of its own, up to the connection's end.
+/// Sends a request on a new connection and returns the answer up to the end of the connection.
 fn call(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
@@ -214,7 +214,7 @@
     Ok(answer)
 }
 
-/// Whether a condition has come to hold before `timeout` had passed.
+/// Waits until a condition holds; returns false after the timeout.
 fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let started = Instant::now();
     loop {
--- a/fleet-lab/src/sidecar/simulated/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -40,8 +40,8 @@
         Self::start_with_rates(configurations, load, |_| 1.0, threads)
     }
 
-    /// Starts a fleet in which each sidecar's rate of calls is the load's rate times a factor, by the sidecar's index in
-    /// the configurations.
+    /// Starts a fleet in which each sidecar's rate of calls is the load's rate times a factor, by the sidecar's index
+    /// in the configurations.
     ///
     /// # Errors
     /// Fails as [`SimulatedFleet::start`] does.
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Reloads these sidecars with other configurations, as SIGHUP does. A configuration that the decision module rejects
-    /// is logged, and its sidecar keeps the present one.
+    /// Reloads these sidecars with other configurations, as SIGHUP does. A configuration that the decision module
+    /// rejects is logged, and its sidecar keeps the present one.
     pub fn reload(&self, indices: &[usize], configuration: impl Fn(usize) -> SidecarConfiguration) {
         let mut plans = self.plans();
         for index in indices.iter().copied() {
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Makes these endpoints unreachable for all sidecars, as if their machines had failed: attempts in flight time out,
-    /// and new ones cannot connect.
+    /// Makes these endpoints unreachable for all sidecars, as if their machines had failed: attempts in flight time
+    /// out, and new ones cannot connect.
     pub fn make_unreachable(&self, endpoints: &[EndpointName]) {
         for endpoint in endpoints {
             self.endpoint(endpoint).make_unreachable();
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -58,8 +58,8 @@
 pub(super) struct SidecarHandle(Rc<RefCell<SimulatedSidecar>>);
 
 impl SidecarHandle {
-    /// Starts a sidecar on the current set of local tasks. It applies the cached list, and starts a watch when its module
-    /// requests one; immediately if lists are pushed or there is no cached list.
+    /// Starts a sidecar on the current set of local tasks. It applies the cached list, and starts a watch when its
+    /// module requests one; immediately if lists are pushed or there is no cached list.
     ///
     /// # Errors
     /// Fails where the decision module rejects the settings.
@@ -233,8 +233,8 @@
 }
 
 impl SimulatedSidecar {
-    /// Returns the last start of an endpoint; none if it is not listed. Simulated endpoints have no addresses, so unlike in
-    /// the real sidecar an endpoint is not replaced by another one at its address.
+    /// Returns the last start of an endpoint; none if it is not listed. Simulated endpoints have no addresses, so
+    /// unlike in the real sidecar an endpoint is not replaced by another one at its address.
     fn started_at(&self, endpoint: &EndpointId) -> Option<Option<Timestamp>> {
         self.subscription
             .membership()
--- a/fleet-lab/src/stop.rs
+++ b/fleet-lab/src/stop.rs
@@ -1,4 +1,4 @@
-//! An end by SIGINT or SIGTERM, which takes the processes along that the lab started.
+//! Handling of SIGINT and SIGTERM, which also ends the processes that the lab has started.
 
 use procfs::process::Process;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,13 +10,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::{error, info};
 
-/// Exit code of a run that was stopped, as shells have it for SIGINT.
+/// Exit code after a signal, as shells have it for SIGINT.
 const STOPPED: i32 = 130;
 
-/// Whether a signal has come, and the sidecars are being ended.
+/// Whether a signal was received and the sidecars are being killed.
 static IS_STOPPING: AtomicBool = AtomicBool::new(false);
 
-/// Has a thread wait for the signals for as long as the lab runs. Once this returns, they are caught.
+/// Starts a thread that waits for the signals. They are handled from the return of this function on.
 pub fn watch_signals() {
     if let Err(cause) = catch_signals() {
         error!(%cause, "cannot wait for signals");
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// Does not return once a signal has come: an experiment that failed as its sidecars were ended is no result.
+/// Does not return once a signal was received, as the failure of an experiment whose sidecars were killed is no result.
 pub fn wait_if_stopping() {
     while IS_STOPPING.load(Ordering::SeqCst) {
         thread::park();
@@ -63,7 +63,7 @@
     exit(STOPPED)
 }
 
-/// The processes that any thread of this one has started.
+/// Returns the child processes of all threads of this process.
 fn children() -> Vec<Pid> {
     let tasks = Process::myself().and_then(|process| process.tasks());
     let numbers = tasks
--- a/fleet-lab/src/topology.rs
+++ b/fleet-lab/src/topology.rs
@@ -1,4 +1,4 @@
-//! Where everything stands: regions, zones, racks and machines, and the services whose endpoints run on them.
+//! The topology of a fleet: regions, zones, racks and machines, and the services whose endpoints run on them.
 
 use rand::SeedableRng;
 use rand::distr::Distribution;
@@ -8,11 +8,11 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Standard deviation of the logarithm of a service's size: the largest of 62 services then has about ten times the
+/// Standard deviation of the logarithm of a service's size. The largest of 62 services then has about ten times the
 /// endpoints of the median one.
 const SERVICE_SIZE_SIGMA: f64 = 1.0;
 
-/// A shared name; cheap to copy.
+/// Defines a shared name, which is cheap to clone.
 macro_rules! name {
     ($(#[$documentation:meta])* $name:ident) => {
         $(#[$documentation])*
@@ -21,7 +21,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -54,11 +54,11 @@
     RegionName
 );
 name!(
-    /// The name of an availability zone; unique over all regions.
+    /// The name of an availability zone, unique over all regions.
     ZoneName
 );
 name!(
-    /// The name of a rack; unique over all zones.
+    /// The name of a rack, unique over all zones.
     RackName
 );
 name!(
@@ -70,7 +70,7 @@
     EndpointName
 );
 
-/// How large a topology is.
+/// The size of a topology.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TopologySize {
@@ -86,14 +86,14 @@
     pub endpoints: u32,
 }
 
-/// One endpoint's place: a machine in a rack.
+/// The location of one endpoint's machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The endpoint.
     pub endpoint: EndpointName,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// The rack that holds its machine.
+    /// The rack of its machine.
     pub rack: RackName,
     /// The zone of the rack.
     pub zone: ZoneName,
@@ -101,16 +101,16 @@
     pub region: RegionName,
 }
 
-/// Where each endpoint of a fleet stands.
+/// The locations of all endpoints of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Topology {
     /// All zones, region by region.
     pub zones: Vec<ZoneName>,
-    /// One entry for each endpoint.
+    /// The location of each endpoint.
     pub placements: Vec<Placement>,
 }
 
-/// A zone while endpoints are dealt out.
+/// A zone and its racks.
 struct ZoneLayout {
     name: ZoneName,
     region: RegionName,
@@ -118,9 +118,9 @@
 }
 
 impl Topology {
-    /// Deals endpoints over services of uneven sizes (each has one at least, as far as there are enough) and the
-    /// endpoints of each service evenly over zones, regions alternating, and racks. Endpoints are numbered service by
-    /// service. The same size and seed give the same topology; a size with a zero in it gives no placements.
+    /// Assigns endpoints to services of uneven sizes, each with at least one while there are enough, and spreads the
+    /// endpoints of each service evenly over zones, in alternating regions, and racks. Endpoints are numbered service
+    /// by service. The same size and seed give the same topology. A size that contains a zero gives no placements.
     #[must_use]
     pub fn generate(size: &TopologySize, seed: u64) -> Topology {
         let layouts = zone_layouts(size);
@@ -149,12 +149,12 @@
     }
 }
 
-/// A name such as `service-07`, counted from 1.
+/// Returns a name such as `service-07`, counted from 1.
 fn numbered_name(kind: &str, index: usize, digits: usize) -> String {
     format!("{kind}-{:0digits$}", index + 1)
 }
 
-/// All zones with their racks, region by region.
+/// Returns all zones with their racks, region by region.
 fn zone_layouts(size: &TopologySize) -> Vec<ZoneLayout> {
     let mut zones = Vec::new();
     for region in 1..=size.regions {
@@ -172,7 +172,7 @@
     zones
 }
 
-/// The first zone of each region, then the second of each, so that a small service stands in several regions.
+/// Returns the first zone of each region, then the second of each, so that a small service runs in several regions.
 fn alternate_regions<'a>(zones: &'a [ZoneLayout], size: &TopologySize) -> Vec<&'a ZoneLayout> {
     let zones_per_region = size.zones_per_region as usize;
     (0..zones_per_region)
@@ -180,14 +180,14 @@
         .collect()
 }
 
-/// How many endpoints each service has: one, and a part of the rest that is log-normally distributed.
+/// Returns the number of endpoints of each service: one, and a log-normally distributed part of the others.
 fn service_sizes(size: &TopologySize, random: &mut Pcg64) -> Vec<u32> {
     let services = size.services.min(size.endpoints);
     let remaining = size.endpoints - services;
     let distribution = LogNormal::new(0.0, SERVICE_SIZE_SIGMA).expect("the deviation is finite");
     let weights: Vec<f64> = (0..services).map(|_| distribution.sample(random)).collect();
     let total: f64 = weights.iter().sum();
-    // Rounding the running sum and not each part makes the parts add up.
+    // Rounding the running sum instead of each part makes the parts add up.
     let mut running_weight = 0.0;
     let mut assigned = 0;
     let mut sizes = Vec::with_capacity(weights.len());
