--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: sends what is due, takes in answers, gives up what is overdue.
+//! The event loop: sends requests that are due, receives answers, and expires requests past their deadline.
 
 use super::connection::{Connection, ConnectionError};
 use super::connection_table::{ConnectionTable, Exchange, Token};
@@ -13,12 +13,12 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A request is given up so long after its deadline.
+/// How long after its deadline a request expires.
 const GRACE: Duration = Duration::from_millis(500);
 /// Bytes that are read at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a request came to.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outcome {
     Served,
@@ -27,7 +27,7 @@
     Unanswered,
 }
 
-/// When a request is given up, and which connection carries it.
+/// When a request expires, and the connection that carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Duration,
@@ -35,14 +35,14 @@
     number: u64,
 }
 
-/// A load while it runs. Times count from its start.
+/// A running load. Times count from its start.
 pub(super) struct EventLoop<'a> {
     plan: &'a LoadPlan,
     started: Instant,
     schedule: Schedule,
     poller: Poller,
     table: ConnectionTable,
-    /// The earliest first; entries of requests that have ended stay until they come up.
+    /// The earliest expiry first. Entries of requests that have ended are removed lazily.
     expiries: BinaryHeap<Reverse<Expiry>>,
     ids: RequestIds,
     templates: Vec<RequestTemplate>,
@@ -71,18 +71,18 @@
         })
     }
 
-    /// Runs until the last request was due and all that are measured have ended.
+    /// Runs until the last request was due and all measured requests have ended.
     pub fn run(mut self) -> io::Result<Vec<TargetResult>> {
         let mut ready = Vec::new();
         self.started = Instant::now();
         loop {
             self.send_due();
-            self.give_up_overdue();
+            self.expire_requests();
             if self.schedule.next_due().is_none() && self.measured_in_flight == 0 {
                 return Ok(self.results);
             }
-            let longest = self.next_wake().saturating_sub(self.now());
-            self.poller.wait(longest, &mut ready)?;
+            let timeout = self.next_wake().saturating_sub(self.now());
+            self.poller.wait(timeout, &mut ready)?;
             for readiness in &ready {
                 self.advance(*readiness);
                 self.send_due(); // many answers at once delay no request
@@ -94,7 +94,7 @@
         self.started.elapsed()
     }
 
-    /// When the next request is due or overdue.
+    /// Returns when the next request is due or expires.
     fn next_wake(&mut self) -> Duration {
         let table = &self.table;
         while self
@@ -115,16 +115,16 @@
             let Some(arrival) = self.schedule.take_due(now) else {
                 return;
             };
-            self.begin(arrival, now);
+            self.start_request(arrival, now);
         }
     }
 
-    fn begin(&mut self, arrival: Arrival, now: Duration) {
+    fn start_request(&mut self, arrival: Arrival, now: Duration) {
         let is_measured = arrival.due >= self.plan.warm_up;
         if is_measured {
             let result = &mut self.results[arrival.target];
             result.sent += 1;
-            result.longest_delay = result.longest_delay.max(now - arrival.due);
+            result.max_send_delay = result.max_send_delay.max(now - arrival.due);
             self.measured_in_flight += 1;
         }
         self.requests += 1;
@@ -133,7 +133,7 @@
             target: arrival.target,
             due: arrival.due,
             is_measured,
-            is_repeated: false,
+            is_resent: false,
         };
         match self.table.take_idle(arrival.target) {
             Some(token) => self.send(token, exchange),
@@ -198,8 +198,8 @@
 
     fn take_answer(&mut self, token: Token, answer: Answer) {
         let exchange = self.table.get_mut(token).and_then(|open| open.exchange);
-        if exchange.is_some() && answer.keeps_connection {
-            self.table.rest(token);
+        if exchange.is_some() && answer.keep_alive {
+            self.table.mark_idle(token);
         } else {
             self.table.remove(token); // also after an answer to nothing
         }
@@ -212,7 +212,8 @@
         self.end(exchange, outcome);
     }
 
-    /// A request on a kept connection that was closed before the answer's first byte is sent once more.
+    /// Handles the loss of a connection. A request on a reused connection that was closed before the first byte of the
+    /// answer is sent again.
     fn lose_connection(&mut self, token: Token, error: &ConnectionError) {
         let Some(lost) = self.table.remove(token) else {
             return;
@@ -220,11 +221,11 @@
         let Some(exchange) = lost.exchange else {
             return;
         };
-        let crossed =
-            matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_kept();
-        if crossed && !exchange.is_repeated {
+        let was_idle_close =
+            matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_reused();
+        if was_idle_close && !exchange.is_resent {
             self.send_on_new_connection(Exchange {
-                is_repeated: true,
+                is_resent: true,
                 ..exchange
             });
         } else {
@@ -232,7 +233,7 @@
         }
     }
 
-    fn give_up_overdue(&mut self) {
+    fn expire_requests(&mut self) {
         let now = self.now();
         while let Some(Reverse(expiry)) = self
             .expiries
@@ -244,8 +245,8 @@
             if !self.table.carries(expiry.token, expiry.number) {
                 continue;
             }
-            let given_up = self.table.remove(expiry.token);
-            if let Some(exchange) = given_up.and_then(|open| open.exchange) {
+            let expired = self.table.remove(expiry.token);
+            if let Some(exchange) = expired.and_then(|open| open.exchange) {
                 self.end(exchange, Outcome::Unanswered);
             }
         }
--- a/fleet-lab/src/endpoint/work.rs
+++ b/fleet-lab/src/endpoint/work.rs
@@ -1,4 +1,4 @@
-//! An endpoint's cores and the queue before them, the time that work takes, and the load report.
+//! An endpoint's cores and their queue, the service times, and the load report.
 
 use super::options::{EndpointOptions, ServiceTime, SlowStart};
 use rand::RngExt;
@@ -9,19 +9,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Time constant of the average that a load report gives as utilisation.
+/// Time constant of the average utilisation in load reports.
 const UTILISATION_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// The most by which the end of one work that came late shortens later ones; more is a thread that was held up.
-const LONGEST_CARRIED_LATENESS: Duration = Duration::from_millis(2);
+/// The longest lateness that shortens later work. A longer one is a stalled thread.
+const MAX_CARRIED_LATENESS: Duration = Duration::from_millis(2);
 
-/// The cores of a running endpoint, and the requests that wait for one.
+/// The cores of a running endpoint and their queue.
 pub(super) struct CorePool {
     cores: u32,
     queue_limit: u32,
     service_time: ServiceTime,
-    ramp: Option<SlowStart>,
-    error_share: f64,
+    slow_start: Option<SlowStart>,
+    error_rate: f64,
     started: Instant,
     permits: Semaphore,
     queued: Cell<u32>,
@@ -31,12 +31,12 @@
     random: RefCell<Pcg64>,
 }
 
-/// What becomes of a request that asks for a core.
+/// The result of admitting a request.
 pub(super) enum Admission<'pool> {
-    /// It has one.
+    /// It has a core.
     Core(Core<'pool>),
-    /// It waits for one.
-    Queued(QueuePlace<'pool>),
+    /// It is queued for a core.
+    Queued(QueueSlot<'pool>),
     /// The queue is full.
     RejectedEarly,
 }
@@ -48,8 +48,8 @@
             cores: options.cores,
             queue_limit: options.queue,
             service_time: options.service_time,
-            ramp: options.slow_start,
-            error_share: options.error_share,
+            slow_start: options.slow_start,
+            error_rate: options.error_rate,
             started,
             permits: Semaphore::new(options.cores as usize),
             queued: Cell::new(0),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Gives a request a core or a place in the queue, or turns it away.
+    /// Gives a request a core or a slot in the queue, or rejects it.
     pub fn admit(&self) -> Admission<'_> {
         if let Ok(permit) = self.permits.try_acquire() {
             return Admission::Core(Core::occupy(self, permit));
@@ -72,15 +72,15 @@
             return Admission::RejectedEarly;
         }
         self.queued.set(self.queued.get() + 1);
-        Admission::Queued(QueuePlace { pool: self })
+        Admission::Queued(QueueSlot { pool: self })
     }
 
-    /// Whether the next answer is an error.
+    /// Draws whether the next answer is an error.
     pub fn draw_error(&self) -> bool {
-        self.error_share > 0.0 && self.random.borrow_mut().random_bool(self.error_share)
+        self.error_rate > 0.0 && self.random.borrow_mut().random_bool(self.error_rate)
     }
 
-    /// The load now; `calls` are the calls to the next tier that are in flight.
+    /// Returns the current load. `calls` is the number of calls to the next tier in flight.
     pub fn load_report(&self, calls: u32) -> LoadReport {
         self.update_utilisation();
         LoadReport {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The time that work begun now takes.
+    /// Draws the service time of work that starts now.
     fn draw_work_time(&self) -> Duration {
         let milliseconds = match self.service_time {
             ServiceTime::None => return Duration::ZERO,
@@ -100,22 +100,25 @@
                 mean_milliseconds * unit_exponential
             }
         };
-        let capacity = self
-            .ramp
-            .map_or(1.0, |ramp| ramp.capacity(self.started.elapsed()));
+        let capacity = self.slow_start.map_or(1.0, |slow_start| {
+            slow_start.capacity(self.started.elapsed())
+        });
         Duration::from_secs_f64(milliseconds / 1000.0 / capacity)
     }
 
-    /// Accounts for the time since the last change of the number of busy cores.
+    /// Updates the average utilisation for the time since the number of busy cores last changed.
     fn update_utilisation(&self) {
-        let busy_share = f64::from(self.busy.get()) / f64::from(self.cores);
-        self.utilisation
-            .set(self.utilisation.get().advanced(busy_share, Instant::now()));
+        let busy_fraction = f64::from(self.busy.get()) / f64::from(self.cores);
+        self.utilisation.set(
+            self.utilisation
+                .get()
+                .advanced(busy_fraction, Instant::now()),
+        );
     }
 }
 
 impl SlowStart {
-    /// The part of its full capacity that an endpoint has so long after its start.
+    /// Returns the fraction of its full capacity that an endpoint has at this time after its start.
     fn capacity(&self, since_start: Duration) -> f64 {
         if self.milliseconds == 0 {
             return 1.0;
@@ -125,13 +128,13 @@
     }
 }
 
-/// A place in the queue, left when it is dropped.
-pub(super) struct QueuePlace<'pool> {
+/// A slot in the queue, which is freed when it is dropped.
+pub(super) struct QueueSlot<'pool> {
     pool: &'pool CorePool,
 }
 
-impl<'pool> QueuePlace<'pool> {
-    /// Waits for a core; requests get theirs in the order in which they came.
+impl<'pool> QueueSlot<'pool> {
+    /// Waits for a core. Cores are given in order of arrival.
     pub async fn core(self) -> Core<'pool> {
         let permit = self
             .pool
@@ -143,13 +146,13 @@
     }
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueueSlot<'_> {
     fn drop(&mut self) {
         self.pool.queued.set(self.pool.queued.get() - 1);
     }
 }
 
-/// A core that works on a request, free again when it is dropped.
+/// A core that works on a request, which is freed when it is dropped.
 pub(super) struct Core<'pool> {
     pool: &'pool CorePool,
     _permit: SemaphorePermit<'pool>,
@@ -165,23 +168,23 @@
         }
     }
 
-    /// Works on the request. Timers fire at whole milliseconds, always late; the lateness of one work is taken off
-    /// the next ones, so that the mean is right, and with it the endpoint's capacity.
+    /// Works on the request. Timers fire late, at whole milliseconds. The lateness of one work shortens the next ones,
+    /// so that the mean service time, and with it the endpoint's capacity, is correct.
     pub async fn work(&self) {
-        let drawn = self.pool.draw_work_time();
-        let carried = drawn.min(self.pool.lateness.get());
+        let service_time = self.pool.draw_work_time();
+        let carried = service_time.min(self.pool.lateness.get());
         self.pool.lateness.set(self.pool.lateness.get() - carried);
-        let planned = drawn - carried;
-        if planned.is_zero() {
+        let sleep_time = service_time - carried;
+        if sleep_time.is_zero() {
             return;
         }
         let begun = Instant::now();
-        tokio::time::sleep(planned).await;
-        let late = begun
+        tokio::time::sleep(sleep_time).await;
+        let lateness = begun
             .elapsed()
-            .saturating_sub(planned)
-            .min(LONGEST_CARRIED_LATENESS);
-        self.pool.lateness.set(self.pool.lateness.get() + late);
+            .saturating_sub(sleep_time)
+            .min(MAX_CARRIED_LATENESS);
+        self.pool.lateness.set(self.pool.lateness.get() + lateness);
     }
 }
 
@@ -192,7 +195,7 @@
     }
 }
 
-/// An exponentially weighted average over time of the share of cores that are busy.
+/// The exponentially weighted average over time of the fraction of busy cores.
 #[derive(Clone, Copy)]
 struct Utilisation {
     average: f64,
@@ -200,18 +203,18 @@
 }
 
 impl Utilisation {
-    /// The average at a later time, when so many cores were busy since.
-    fn advanced(self, busy_share: f64, now: Instant) -> Self {
+    /// Returns the average at a later time; `busy_fraction` of the cores were busy since.
+    fn advanced(self, busy_fraction: f64, now: Instant) -> Self {
         let elapsed = now.saturating_duration_since(self.at);
-        let kept = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
+        let connection = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
         Self {
-            average: busy_share + (self.average - busy_share) * kept,
+            average: busy_fraction + (self.average - busy_fraction) * connection,
             at: now,
         }
     }
 }
 
-/// An endpoint's load, as its answers and probes tell it.
+/// An endpoint's load, as answers and health checks carry it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadReport {
     in_flight: u32,
