--- a/tests/policy/legal_model.rs
+++ b/tests/policy/legal_model.rs
@@ -1,257 +1,272 @@
-//! The model of `legal.rs`: random steps, a book of requests, attempts and endpoints, and the rules checked on it.
+//! The model of `legal.rs`: a record of requests, attempts and endpoints against which every action is checked.
 
 use crate::host::*;
+use crate::legal_rules::{AttemptRecord, Ending, RequestRecord, RuleCheck, group_of, zone_of};
+use crate::legal_step::{OUTCOMES, Step};
 use balancer_sidecar::policy::*;
-use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-/// One step of a sequence: an event, or time that passes.
-#[derive(Clone, Debug)]
-pub enum Step {
-    RequestArrives {
-        class: usize,
-        left: u64,
-        hint: Option<u64>,
-        key: Option<u8>,
-    },
-    AttemptEnds {
-        pick: usize,
-        outcome: usize,
-        queue_length: u8,
-    },
-    ClientDisconnects {
-        pick: usize,
-    },
-    ReadinessChanges {
-        endpoint: usize,
-        readiness: u8,
-    },
-    FullListArrives {
-        missing: usize,
-    },
-    EndpointRestarts {
-        endpoint: usize,
-    },
-    DiscoveryFails,
-    BalancerRestarts,
-    TimePasses {
-        ms: u64,
-    },
-}
-
-/// Sequences of up to 199 steps.
-pub fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let step = prop_oneof![
-        6 => (0..5usize, 1..2500u64, prop::option::of(0..200u64), prop::option::of(0..3u8))
-            .prop_map(|(class, left, hint, key)| Step::RequestArrives { class, left, hint, key }),
-        8 => (0..64usize, 0..8usize, 0..6u8).prop_map(|(pick, outcome, queue_length)| Step::AttemptEnds { pick, outcome, queue_length }),
-        1 => (0..64usize).prop_map(|pick| Step::ClientDisconnects { pick }),
-        1 => (0..6usize, 0..3u8).prop_map(|(endpoint, readiness)| Step::ReadinessChanges { endpoint, readiness }),
-        1 => (0..6usize).prop_map(|missing| Step::FullListArrives { missing }),
-        1 => (0..6usize).prop_map(|endpoint| Step::EndpointRestarts { endpoint }),
-        1 => Just(Step::DiscoveryFails),
-        1 => Just(Step::BalancerRestarts),
-        5 => (0..300u64).prop_map(|ms| Step::TimePasses { ms }),
-    ];
-    prop::collection::vec(step, 1..200)
-}
-
-/// The outcomes of attempts, as [`Step::AttemptEnds`] numbers them.
-pub const OUTCOMES: [Outcome; 8] = [
-    Outcome::Served,
-    Outcome::Error,
-    Outcome::Rejected,
-    Outcome::TimedOut,
-    Outcome::ConnectFailed,
-    Outcome::Reset,
-    Outcome::Cancelled,
-    Outcome::NotSent,
-];
+/// The number of endpoints.
+const ENDPOINTS: usize = 6;
 
-/// An attempt of a request.
-pub struct AttemptRecord {
-    endpoint: usize,
-    sent_at: Timestamp,
-    until: Timestamp,
-    ended: Option<(Outcome, Timestamp)>,
+/// Returns the number of an endpoint.
+fn number_of(endpoint: &EndpointId) -> usize {
+    endpoint.0[1..]
+        .parse()
+        .expect("an endpoint that was listed")
 }
 
-impl AttemptRecord {
-    /// Whether it may have run, or may run yet.
-    fn may_have_run(&self) -> bool {
-        self.ended.is_none_or(|(o, _)| !o.proves_not_run())
-    }
-}
-
-/// The connections of this instance to one endpoint, as rule 6 sees them.
+/// The connections of the balancer's host to one endpoint, for rule 6.
 #[derive(Clone, Default)]
-pub struct IdleConnections {
-    idle: bool,
-    drain_notified: bool,
-    started_at: Timestamp,
-}
-
-/// A request that has come, and what has become of it.
-pub struct RequestRecord {
-    pub class: usize,
-    pub key: Option<u8>,
-    pub arrival_number: usize,
-    pub deadline: Timestamp,
-    pub attempts: Vec<AttemptRecord>,
-    pub is_answered: bool,
+struct Connections {
+    is_idle: bool,
+    is_draining: bool,
+    /// When both began, or the last send.
+    idle_since: Timestamp,
 }
 
-/// The module under test, and a book of its surroundings against which each action is checked.
+/// The balancer under test, and the state of its environment.
 pub struct Model {
-    pub settings: Settings,
+    settings: Settings,
     pub balancer: Balancer,
     pub now: Timestamp,
-    pub is_serving: Vec<bool>,
-    pub started_at: Vec<Option<Timestamp>>,
+    is_serving: Vec<bool>,
+    started_at: Vec<Option<Timestamp>>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    pub set_timers: BTreeSet<(Timestamp, u64)>,
-    pub idle_connections: Vec<IdleConnections>,
-    pub parallel: bool,
-    pub seed: u64,
+    arrivals: usize,
+    timers: BTreeSet<(Timestamp, u64)>,
+    connections: Vec<Connections>,
+    seed: u64,
 }
 
-/// Rule 5: nothing for a request while an earlier one of its key is unfinished, out or just given up.
-fn check_key_order(
-    settings: &Settings,
-    requests: &BTreeMap<RequestId, RequestRecord>,
-    ours: &RequestRecord,
-    now: Timestamp,
-) {
-    let is_ordered =
-        |k: &RequestRecord| settings.classes[k.class].is_key_ordered && k.key.is_some();
-    if !is_ordered(ours) {
-        return;
+impl Model {
+    /// Creates a model in which all endpoints serve and no request has arrived.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Model {
+            balancer: Balancer::new(settings.clone(), seed).expect("valid settings"),
+            settings,
+            now: at(0),
+            is_serving: vec![true; ENDPOINTS],
+            started_at: vec![None; ENDPOINTS],
+            requests: BTreeMap::new(),
+            arrivals: 0,
+            timers: BTreeSet::new(),
+            connections: vec![Connections::default(); ENDPOINTS],
+            seed,
+        }
     }
-    let earlier = |k: &&RequestRecord| {
-        is_ordered(k) && k.key == ours.key && k.arrival_number < ours.arrival_number
-    };
-    for other in requests.values().filter(earlier) {
-        assert!(
-            other.is_answered,
-            "rule 5: sent before an earlier one was over"
-        );
-        for t in &other.attempts {
-            let (outcome, ended) = t.ended.expect("rule 5: sent while an earlier one was out");
-            let runs_on = matches!(
+
+    /// Carries out one step.
+    pub fn take(&mut self, step: Step) {
+        match step {
+            Step::RequestArrives {
+                class,
+                time_left_ms,
+                hint_ms,
+                key,
+            } => self.request_arrives(class, ms(time_left_ms), hint_ms.map(ms), key),
+            Step::AttemptEnds {
+                pick,
                 outcome,
-                Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
-            );
-            let pause = settings.rules.key_cooldown.unwrap_or_default();
-            assert!(
-                !runs_on || now.since(ended) >= pause || !ours.attempts.is_empty(),
-                "rule 5: no rest"
-            );
+                queue_length,
+            } => {
+                let in_flight = self.in_flight();
+                if let Some(attempt) = in_flight.get(pick % in_flight.len().max(1)) {
+                    let queue_length = f64::from(queue_length);
+                    self.end(
+                        &attempt.request,
+                        attempt.number,
+                        OUTCOMES[outcome],
+                        queue_length,
+                    );
+                }
+            }
+            Step::ClientDisconnects { pick } => self.client_disconnects(pick),
+            Step::ReadinessChanges {
+                endpoint,
+                readiness,
+            } => {
+                let readiness = [Readiness::Serving, Readiness::Draining, Readiness::Removed]
+                    [usize::from(readiness)];
+                self.readiness_changes(endpoint, readiness);
+            }
+            Step::FullListArrives { missing } => self.full_list_arrives(missing),
+            Step::EndpointRestarts { endpoint } => {
+                self.started_at[endpoint] = Some(self.now);
+                self.readiness_changes(endpoint, Readiness::Serving);
+            }
+            Step::DiscoveryFails => self.handle(Event::DiscoveryFailed),
+            Step::BalancerRestarts => self.restart_balancer(),
+            Step::TimePasses { ms: passed } => self.run_to(self.now + ms(passed)),
         }
     }
-}
 
-impl Model {
-    /// The entry of an endpoint in a list.
-    pub fn entry(&self, i: usize, readiness: Readiness) -> EndpointEntry {
-        let zone = if i < 4 { "a" } else { "b" };
-        let entry = endpoint_entry(&format!("e{i}"), zone, (i / 2) as u64);
+    fn request_arrives(
+        &mut self,
+        class: usize,
+        time_left: Duration,
+        cost_hint: Option<Duration>,
+        key: Option<u8>,
+    ) {
+        self.arrivals += 1;
+        let id = RequestId::from(format!("r{}", self.arrivals).as_str());
+        let deadline = self.now + time_left;
+        let record = RequestRecord {
+            class,
+            key,
+            arrival_number: self.arrivals,
+            deadline,
+            attempts: Vec::new(),
+            is_answered: false,
+        };
+        self.requests.insert(id.clone(), record);
+        self.handle(Event::Request(Request {
+            id,
+            class: ClassId(class),
+            tenant: None,
+            key: key.map(|key| Key::from(format!("k{key}").as_str())),
+            deadline,
+            cost_hint,
+            client_retry: false,
+            write: false,
+        }));
+    }
+
+    fn client_disconnects(&mut self, pick: usize) {
+        let unanswered: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, record)| !record.is_answered)
+            .map(|(id, _)| id.clone())
+            .collect();
+        if let Some(id) = unanswered.get(pick % unanswered.len().max(1)).cloned() {
+            self.record_mut(&id).is_answered = true;
+            self.handle(Event::ClientDisconnected { request: id });
+        }
+    }
+
+    fn readiness_changes(&mut self, endpoint: usize, readiness: Readiness) {
+        self.is_serving[endpoint] = readiness == Readiness::Serving;
+        self.record_readiness(endpoint, readiness);
+        let entry = self.entry(endpoint, readiness);
+        self.apply_list(ListKind::Changes, vec![entry]);
+    }
+
+    fn full_list_arrives(&mut self, missing: usize) {
+        for endpoint in 0..ENDPOINTS {
+            let is_listed = endpoint != missing;
+            self.is_serving[endpoint] = is_listed;
+            let readiness = if is_listed {
+                Readiness::Serving
+            } else {
+                Readiness::Removed
+            };
+            self.record_readiness(endpoint, readiness);
+        }
+        let entries = self.serving_entries();
+        self.apply_list(ListKind::Full, entries);
+    }
+
+    /// Restarts the balancer, which forgets everything.
+    fn restart_balancer(&mut self) {
+        self.seed += 1;
+        self.balancer = Balancer::new(self.settings.clone(), self.seed).expect("valid settings");
+        self.requests.retain(|_, record| record.is_answered);
+        for record in self.requests.values_mut() {
+            record.attempts.clear();
+        }
+        self.timers.clear();
+        self.connections = vec![Connections::default(); ENDPOINTS];
+        self.apply_cached_list();
+    }
+
+    /// Has the balancer handle a cached list of the serving endpoints.
+    pub fn apply_cached_list(&mut self) {
+        let entries = self.serving_entries();
+        self.apply_list(ListKind::Cached, entries);
+    }
+
+    fn apply_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
+        self.handle(Event::EndpointList {
+            version: 1,
+            kind,
+            entries: entries.into(),
+        });
+    }
+
+    fn serving_entries(&self) -> Vec<EndpointEntry> {
+        (0..ENDPOINTS)
+            .filter(|endpoint| self.is_serving[*endpoint])
+            .map(|endpoint| self.entry(endpoint, Readiness::Serving))
+            .collect()
+    }
+
+    fn entry(&self, endpoint: usize, readiness: Readiness) -> EndpointEntry {
+        let name = format!("e{endpoint}");
         EndpointEntry {
             readiness,
-            started_at: self.started_at[i],
-            ..entry
+            started_at: self.started_at[endpoint],
+            ..endpoint_entry(&name, zone_of(endpoint), group_of(endpoint))
+        }
+    }
+
+    /// Records the readiness of an endpoint in the next list.
+    fn record_readiness(&mut self, endpoint: usize, readiness: Readiness) {
+        let connections = &mut self.connections[endpoint];
+        if readiness == Readiness::Draining && !connections.is_draining {
+            connections.idle_since = self.now;
         }
+        connections.is_draining = readiness == Readiness::Draining
+            || connections.is_draining && readiness == Readiness::Removed;
     }
 
-    /// Gives an event to the module, and checks its actions and what it says is in flight.
+    /// Has the balancer handle an event, and checks its actions and its count of attempts in flight.
     pub fn handle(&mut self, event: Event) {
-        let mut in_flight = Vec::new();
-        self.balancer.handle(self.now, event, &mut in_flight);
-        for action in in_flight {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in actions {
             self.check(action);
         }
-        // The book of what is out: attempts that have not ended, and those timed out, which run on until their deadline.
-        // What reaches that at this very event may go with the next one.
+        self.check_in_flight_count();
+    }
+
+    /// In flight are attempts that have not ended, and those timed out, until the deadline of their request. An attempt
+    /// that times out at or after its deadline may be counted until the next event.
+    fn check_in_flight_count(&self) {
         let now = self.now;
-        let count = |also: fn(Timestamp, Timestamp, Timestamp) -> bool| {
-            let is_out = |t: &&AttemptRecord, deadline: Timestamp| {
-                t.ended
-                    .is_none_or(|(o, at)| o == Outcome::TimedOut && also(deadline, at, now))
+        let count = |counts_timed_out: fn(Timestamp, Timestamp, Timestamp) -> bool| {
+            let is_in_flight = |attempt: &&AttemptRecord, deadline: Timestamp| {
+                attempt.ending.as_ref().is_none_or(|ending| {
+                    ending.outcome == Outcome::TimedOut
+                        && counts_timed_out(deadline, ending.at, now)
+                })
+            };
+            let of_request = |record: &RequestRecord| {
+                let attempts = record.attempts.iter();
+                attempts
+                    .filter(|attempt| is_in_flight(attempt, record.deadline))
+                    .count()
             };
-            let attempts =
-                |k: &RequestRecord| k.attempts.iter().filter(|t| is_out(t, k.deadline)).count();
-            self.requests.values().map(attempts).sum::<usize>()
+            self.requests.values().map(of_request).sum::<usize>()
         };
-        let due = count(|deadline, _, now| deadline > now);
-        let max_seen = count(|deadline, ended, now| deadline > now || ended == now);
+        let min = count(|deadline, _, now| deadline > now);
+        let max = count(|deadline, ended_at, now| deadline > now || ended_at == now);
         let in_flight = self.balancer.status(now).in_flight;
         assert!(
-            due <= in_flight && in_flight <= max_seen,
-            "{in_flight} are in flight, for {due} to {max_seen}"
+            min <= in_flight && in_flight <= max,
+            "{in_flight} are in flight, for {min} to {max}"
         );
     }
 
-    /// Checks one action, and books it.
+    /// Checks one action, and records it.
     fn check(&mut self, action: Action) {
         match action {
             Action::Send {
                 request,
                 endpoint,
                 timeout,
-            } => {
-                let e: usize = endpoint.0[1..]
-                    .parse()
-                    .expect("an endpoint that was listed");
-                assert!(
-                    self.is_serving[e],
-                    "rule 3: sent to an endpoint that is not up"
-                );
-                let now = self.now;
-                let (zone, cell) = (|i: usize| i < 4, |i: usize| i / 2);
-                check_key_order(
-                    &self.settings,
-                    &self.requests,
-                    &self.requests[&request],
-                    now,
-                );
-                self.idle_connections[e].started_at = now;
-                let record = self
-                    .requests
-                    .get_mut(&request)
-                    .expect("a request that came");
-                assert!(!record.is_answered, "rule 1: sent after the final answer");
-                assert!(record.attempts.len() < self.settings.limits.max_attempts);
-                let mut possible_runs = record.attempts.iter().filter(|t| t.may_have_run());
-                if !self.parallel {
-                    assert!(
-                        record.attempts.iter().all(|t| t.ended.is_some()),
-                        "two attempts out together"
-                    );
-                }
-                match self.settings.classes[record.class].idempotency {
-                    Idempotency::Idempotent => {}
-                    Idempotency::Unsafe => {
-                        assert!(possible_runs.next().is_none(), "rule 2: unsafe sent again");
-                    }
-                    Idempotency::Keyed { scope, window } => {
-                        for s in possible_runs {
-                            assert!(now.since(s.sent_at) < window, "rule 2: past the window");
-                            let same = match scope {
-                                KeyScope::All => true,
-                                KeyScope::Zone => zone(s.endpoint) == zone(e),
-                                KeyScope::Group => cell(s.endpoint) == cell(e),
-                            };
-                            assert!(same, "rule 2: outside the group");
-                        }
-                    }
-                }
-                let until = timeout.map_or(record.deadline, |t| (now + t).min(record.deadline));
-                record.attempts.push(AttemptRecord {
-                    endpoint: e,
-                    sent_at: now,
-                    until,
-                    ended: None,
-                });
-            }
+            } => self.check_send(&request, number_of(&endpoint), timeout),
             Action::Cancel { request, attempt } => {
                 assert!(self.settings.limits.cancel);
                 assert!(
@@ -260,117 +275,133 @@
                 );
             }
             Action::Reject { request, .. } => {
-                let now = self.now;
-                let record = self
-                    .requests
-                    .get_mut(&request)
-                    .expect("a request that came");
-                let mut possible_runs = record.attempts.iter().filter(|t| t.may_have_run());
-                match self.settings.classes[record.class].idempotency {
-                    Idempotency::Idempotent => {}
-                    Idempotency::Keyed {
-                        scope: KeyScope::All,
-                        window,
-                    } => {
-                        assert!(
-                            possible_runs.all(|s| now.since(s.sent_at) < window),
-                            "rule 2: refused past the window"
-                        );
-                    }
-                    _ => assert!(
-                        possible_runs.next().is_none(),
-                        "rule 2: refused what may have run"
-                    ),
-                }
+                self.rule_check().check_reject(&self.requests[&request]);
                 self.answer(&request);
             }
             Action::Fail { request } => self.answer(&request),
             Action::SetTimer { at, token } => {
                 assert!(at > self.now);
-                self.set_timers.insert((at, token));
+                self.timers.insert((at, token));
             }
             Action::HealthCheck { .. } => assert!(self.settings.limits.health_checks),
             Action::SendPeerMessage { .. } => assert!(self.settings.limits.peers),
             Action::CloseIdleConnections { endpoint } => {
-                let e: usize = endpoint.0[1..]
-                    .parse()
-                    .expect("an endpoint that was listed");
-                self.idle_connections[e].idle = false;
+                self.connections[number_of(&endpoint)].is_idle = false;
             }
             Action::Subscribe | Action::Unsubscribe | Action::FetchList | Action::Log(_) => {}
         }
     }
 
-    /// Books the final answer of a request; rule 1: there is one, in time.
-    fn answer(&mut self, request: &RequestId) {
-        let record = self.requests.get_mut(request).expect("a request that came");
-        assert!(!record.is_answered, "rule 1: a second final answer");
+    fn check_send(&mut self, request: &RequestId, endpoint: usize, timeout: Option<Duration>) {
         assert!(
-            self.now <= record.deadline + self.settings.rules.answer_slack,
-            "rule 1: late"
+            self.is_serving[endpoint],
+            "rule 3: sent to an endpoint that does not serve"
         );
+        let now = self.now;
+        let record = &self.requests[request];
+        let rules = self.rule_check();
+        rules.check_key_order(record, &self.requests);
+        assert!(!record.is_answered, "rule 1: sent after the final answer");
+        assert!(record.attempts.len() < self.settings.limits.max_attempts);
+        if !self.settings.limits.parallel_attempts {
+            assert!(
+                record
+                    .attempts
+                    .iter()
+                    .all(|attempt| attempt.ending.is_some()),
+                "two attempts in flight together"
+            );
+        }
+        rules.check_repeat(record, endpoint);
+        self.connections[endpoint].idle_since = now;
+        let record = self.record_mut(request);
+        let deadline = record.deadline;
+        record.attempts.push(AttemptRecord {
+            endpoint,
+            sent_at: now,
+            times_out_at: timeout.map_or(deadline, |timeout| (now + timeout).min(deadline)),
+            ending: None,
+        });
+    }
+
+    fn rule_check(&self) -> RuleCheck<'_> {
+        RuleCheck {
+            settings: &self.settings,
+            now: self.now,
+        }
+    }
+
+    /// Records the final answer of a request. Rule 1: there is exactly one, in time.
+    fn answer(&mut self, request: &RequestId) {
+        let latest = self.requests[request].deadline + self.settings.rules.answer_slack;
+        assert!(self.now <= latest, "rule 1: late");
+        let record = self.record_mut(request);
+        assert!(!record.is_answered, "rule 1: a second final answer");
         record.is_answered = true;
     }
 
-    /// Ends an attempt with this outcome, and tells the module.
-    pub fn end(&mut self, id: &RequestId, attempt: usize, outcome: Outcome, queue_length: f64) {
+    fn record_mut(&mut self, request: &RequestId) -> &mut RequestRecord {
+        self.requests
+            .get_mut(request)
+            .expect("a request that arrived")
+    }
+
+    /// Ends an attempt with an outcome.
+    fn end(&mut self, id: &RequestId, attempt: usize, outcome: Outcome, queue_length: f64) {
         let now = self.now;
-        let record = self.requests.get_mut(id).expect("known");
-        record.attempts[attempt].ended = Some((outcome, now));
-        let idle_connections = &mut self.idle_connections[record.attempts[attempt].endpoint];
-        (idle_connections.idle, idle_connections.started_at) = (true, now);
-        let took = now.since(record.attempts[attempt].sent_at);
+        let record = self.record_mut(id);
+        record.attempts[attempt].ending = Some(Ending { outcome, at: now });
         record.is_answered |= outcome == Outcome::Served;
         let request_ended = record.is_answered;
-        let report = Some(LoadReport {
+        let took = now.since(record.attempts[attempt].sent_at);
+        let endpoint = record.attempts[attempt].endpoint;
+        let connections = &mut self.connections[endpoint];
+        (connections.is_idle, connections.idle_since) = (true, now);
+        let report = LoadReport {
             queue_length: Some(queue_length),
             ..LoadReport::default()
-        });
+        };
         self.handle(Event::AttemptEnded(AttemptEnd {
             request: id.clone(),
             attempt,
             outcome,
             took,
             request_ended,
-            report,
+            report: Some(report),
         }));
     }
 
-    /// The attempts that have not ended, with when each times out, the earliest first.
-    pub fn in_flight(&self) -> Vec<(Timestamp, RequestId, usize)> {
+    /// Returns the attempts that have not ended, in order of their time-outs.
+    fn in_flight(&self) -> Vec<AttemptInFlight> {
         let mut in_flight = Vec::new();
         for (id, record) in &self.requests {
-            let open = record
-                .attempts
-                .iter()
-                .enumerate()
-                .filter(|(_, t)| t.ended.is_none());
-            in_flight.extend(open.map(|(n, t)| (t.until, id.clone(), n)));
+            let attempts = record.attempts.iter().enumerate();
+            let unended = attempts.filter(|(_, attempt)| attempt.ending.is_none());
+            in_flight.extend(unended.map(|(number, attempt)| AttemptInFlight {
+                times_out_at: attempt.times_out_at,
+                request: id.clone(),
+                number,
+            }));
         }
         in_flight.sort();
         in_flight
     }
 
-    /// Time-outs and timers up to a moment, in order.
+    /// Advances the clock, with time-outs and timers in order.
     pub fn run_to(&mut self, end: Timestamp) {
         loop {
-            let timeout = self
-                .in_flight()
-                .into_iter()
-                .next()
-                .filter(|(at, ..)| *at <= end);
-            let timer = self
-                .set_timers
-                .first()
-                .copied()
-                .filter(|(at, _)| *at <= end);
-            match (timeout, timer) {
-                (Some((at, id, n)), t) if t.is_none_or(|(t, _)| at <= t) => {
-                    self.now = self.now.max(at);
-                    self.end(&id, n, Outcome::TimedOut, 0.0);
+            let timed_out = self.in_flight().into_iter().next();
+            let timed_out = timed_out.filter(|attempt| attempt.times_out_at <= end);
+            let timer = self.timers.first().copied().filter(|(at, _)| *at <= end);
+            match (timed_out, timer) {
+                (Some(attempt), timer)
+                    if timer.is_none_or(|(timer_at, _)| attempt.times_out_at <= timer_at) =>
+                {
+                    self.now = self.now.max(attempt.times_out_at);
+                    self.end(&attempt.request, attempt.number, Outcome::TimedOut, 0.0);
                 }
                 (_, Some((at, token))) => {
-                    self.set_timers.remove(&(at, token));
+                    self.timers.remove(&(at, token));
                     self.now = self.now.max(at);
                     self.handle(Event::Timer { token });
                 }
@@ -384,56 +415,21 @@
 
     /// Rule 6: an idle connection to a draining endpoint is closed in time.
     fn check_idle_connections(&self) {
-        let within = self.settings.rules.drain_close.expect("set here");
-        for idle_connections in self
-            .idle_connections
-            .iter()
-            .filter(|l| l.idle && l.drain_notified)
-        {
+        let limit = self.settings.rules.drain_close.expect("a limit");
+        let connections = self.connections.iter();
+        for connections in connections.filter(|c| c.is_idle && c.is_draining) {
             assert!(
-                self.now.since(idle_connections.started_at) <= within,
+                self.now.since(connections.idle_since) <= limit,
                 "rule 6: an idle connection stays open"
             );
         }
     }
+}
 
-    /// Books what the module is about to be told of an endpoint.
-    pub fn drain_notified(&mut self, endpoint: usize, readiness: Readiness) {
-        let idle_connections = &mut self.idle_connections[endpoint];
-        if readiness == Readiness::Draining && !idle_connections.drain_notified {
-            idle_connections.started_at = self.now;
-        }
-        idle_connections.drain_notified = readiness == Readiness::Draining
-            || idle_connections.drain_notified && readiness == Readiness::Removed;
-    }
-
-    /// The instance is killed and starts anew, knowing nothing.
-    pub fn restart_balancer(&mut self) {
-        self.seed += 1;
-        self.balancer =
-            Balancer::new(self.settings.clone(), self.seed).expect("settings that make sense");
-        self.requests.retain(|_, k| k.is_answered);
-        self.requests.values_mut().for_each(|k| k.attempts.clear());
-        self.set_timers.clear();
-        self.idle_connections = vec![IdleConnections::default(); 6];
-        let all = (0..6)
-            .filter(|i| self.is_serving[*i])
-            .map(|i| self.entry(i, Readiness::Serving))
-            .collect();
-        self.apply_list(ListKind::Cached, all);
-    }
-
-    /// Tells the module that discovery is lost.
-    pub fn discovery_failed(&mut self) {
-        self.handle(Event::DiscoveryFailed);
-    }
-
-    /// Tells the module a list of endpoints, or changes to it.
-    pub fn apply_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
-        self.handle(Event::EndpointList {
-            version: 1,
-            kind,
-            entries: entries.into(),
-        });
-    }
+/// An attempt that has not ended; orders by time-out, request and number.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptInFlight {
+    times_out_at: Timestamp,
+    request: RequestId,
+    number: AttemptNumber,
 }
--- /dev/null
+++ b/tests/policy/legal_rules.rs
@@ -0,0 +1,151 @@
+//! The records of requests in the model of `legal.rs`, and the rules on when these are sent and rejected.
+
+use balancer_sidecar::policy::*;
+use std::collections::BTreeMap;
+
+/// Returns the zone of an endpoint.
+pub fn zone_of(endpoint: usize) -> &'static str {
+    if endpoint < 4 { "a" } else { "b" }
+}
+
+/// Returns the group of an endpoint.
+pub fn group_of(endpoint: usize) -> u64 {
+    (endpoint / 2) as u64
+}
+
+/// How and when an attempt ended.
+pub struct Ending {
+    pub outcome: Outcome,
+    pub at: Timestamp,
+}
+
+/// An attempt of a request.
+pub struct AttemptRecord {
+    pub endpoint: usize,
+    pub sent_at: Timestamp,
+    pub times_out_at: Timestamp,
+    pub ending: Option<Ending>,
+}
+
+impl AttemptRecord {
+    /// Returns whether it may have run, or may still run.
+    fn may_have_run(&self) -> bool {
+        self.ending
+            .as_ref()
+            .is_none_or(|ending| !ending.outcome.proves_not_run())
+    }
+}
+
+/// A request that has arrived.
+pub struct RequestRecord {
+    pub class: usize,
+    pub key: Option<u8>,
+    pub arrival_number: usize,
+    pub deadline: Timestamp,
+    pub attempts: Vec<AttemptRecord>,
+    pub is_answered: bool,
+}
+
+impl RequestRecord {
+    fn possible_runs(&self) -> impl Iterator<Item = &AttemptRecord> {
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.may_have_run())
+    }
+}
+
+/// Checks the rules on one request at one time.
+pub struct RuleCheck<'a> {
+    pub settings: &'a Settings,
+    pub now: Timestamp,
+}
+
+impl RuleCheck<'_> {
+    /// Rule 2: a request that may have run is sent again only where that is harmless.
+    pub fn check_repeat(&self, record: &RequestRecord, endpoint: usize) {
+        let mut possible_runs = record.possible_runs();
+        match self.settings.classes[record.class].idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::Unsafe => {
+                assert!(
+                    possible_runs.next().is_none(),
+                    "rule 2: unsafe request sent again"
+                );
+            }
+            Idempotency::Keyed { scope, window } => {
+                for earlier in possible_runs {
+                    assert!(
+                        self.now.since(earlier.sent_at) < window,
+                        "rule 2: past the window"
+                    );
+                    let is_in_scope = match scope {
+                        KeyScope::All => true,
+                        KeyScope::Zone => zone_of(earlier.endpoint) == zone_of(endpoint),
+                        KeyScope::Group => group_of(earlier.endpoint) == group_of(endpoint),
+                    };
+                    assert!(is_in_scope, "rule 2: outside the group");
+                }
+            }
+        }
+    }
+
+    /// Rule 2: a request that may have run is rejected only where a client's retry is harmless.
+    pub fn check_reject(&self, record: &RequestRecord) {
+        let mut possible_runs = record.possible_runs();
+        match self.settings.classes[record.class].idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::Keyed {
+                scope: KeyScope::All,
+                window,
+            } => assert!(
+                possible_runs.all(|attempt| self.now.since(attempt.sent_at) < window),
+                "rule 2: rejected past the window"
+            ),
+            _ => assert!(
+                possible_runs.next().is_none(),
+                "rule 2: rejected what may have run"
+            ),
+        }
+    }
+
+    /// Rule 5: a request is sent only after the earlier ones of its key have been answered and have no attempt in flight,
+    /// and after the key's cool-down.
+    pub fn check_key_order(
+        &self,
+        record: &RequestRecord,
+        requests: &BTreeMap<RequestId, RequestRecord>,
+    ) {
+        let is_ordered = |record: &RequestRecord| {
+            self.settings.classes[record.class].is_key_ordered && record.key.is_some()
+        };
+        if !is_ordered(record) {
+            return;
+        }
+        let is_earlier = |other: &&RequestRecord| {
+            is_ordered(other)
+                && other.key == record.key
+                && other.arrival_number < record.arrival_number
+        };
+        for earlier in requests.values().filter(is_earlier) {
+            assert!(
+                earlier.is_answered,
+                "rule 5: sent before an earlier one was answered"
+            );
+            for attempt in &earlier.attempts {
+                let ending = attempt.ending.as_ref();
+                let ending = ending.expect("rule 5: sent while an earlier one was in flight");
+                let may_still_run = matches!(
+                    ending.outcome,
+                    Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+                );
+                let cooldown = self.settings.rules.key_cooldown.unwrap_or_default();
+                assert!(
+                    !may_still_run
+                        || self.now.since(ending.at) >= cooldown
+                        || !record.attempts.is_empty(),
+                    "rule 5: sent during the cool-down"
+                );
+            }
+        }
+    }
+}
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -8,6 +8,8 @@
 mod key_order;
 mod legal;
 mod legal_model;
+mod legal_rules;
+mod legal_step;
 mod membership;
 mod operators;
 mod outlier;
