--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,28 +1,28 @@
-//! Drives one balancer by hand: list, request, throttling, hold, timer, refusal and drain.
+//! Drives one balancer by hand: list, request, throttling, queueing, timer, rejection and drain.
 //!
 //! `cargo run --example embed`
 
-use balancer_sidecar::policy::Balancer;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
+/// A host that prints events and actions instead of carrying them out.
 struct Host {
     balancer: Balancer,
     now: Timestamp,
 }
 
 impl Host {
-    fn tell(&mut self, what: &str, event: Event) -> Vec<Action> {
+    fn handle(&mut self, description: &str, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        println!("{what}:");
-        for a in &actions {
-            println!("    {a:?}");
+        println!("{description}:");
+        for action in &actions {
+            println!("    {action:?}");
         }
         actions
     }
 
-    fn request(&mut self, id: &str, class: usize) -> Vec<Action> {
+    fn request_arrives(&mut self, id: &str, class: usize) -> Vec<Action> {
         let request = Request {
             id: id.into(),
             class: ClassId(class),
@@ -33,29 +33,30 @@
             client_retry: false,
             write: false,
         };
-        self.tell(&format!("request {id} comes in"), Event::Request(request))
+        self.handle(&format!("request {id} arrives"), Event::Request(request))
     }
 
-    fn served(&mut self, id: &str, queue_length: f64) -> Vec<Action> {
-        self.now = self.now + Duration::from_millis(20);
+    fn request_is_served(&mut self, id: &str, queue_length: f64) -> Vec<Action> {
+        let took = Duration::from_millis(20);
+        self.now = self.now + took;
         let ended = AttemptEnd {
             request: id.into(),
             attempt: 0,
             outcome: Outcome::Served,
-            took: Duration::from_millis(20),
+            took,
             request_ended: true,
             report: Some(LoadReport {
                 queue_length: Some(queue_length),
                 ..LoadReport::default()
             }),
         };
-        self.tell(
-            &format!("request {id} was served, {queue_length} requests wait there"),
+        self.handle(
+            &format!("request {id} is served, the queue length is {queue_length}"),
             Event::AttemptEnded(ended),
         )
     }
 
-    fn list(&mut self, readiness: Readiness) -> Vec<Action> {
+    fn list_arrives(&mut self, readiness: Readiness) -> Vec<Action> {
         let entry = EndpointEntry {
             endpoint: "box-1".into(),
             zone: "here".into(),
@@ -65,12 +66,33 @@
             size: 1.0,
             started_at: None,
         };
-        let news = Event::EndpointList {
+        let list = Event::EndpointList {
             version: 1,
             kind: ListKind::Changes,
             entries: [entry].into(),
         };
-        self.tell(&format!("the list says {readiness:?}"), news)
+        self.handle(&format!("the endpoint is listed as {readiness:?}"), list)
+    }
+
+    /// Lets timers expire until a request is sent or rejected.
+    fn run_timers(&mut self, mut actions: Vec<Action>) {
+        const MAX_TIMERS: usize = 1000;
+        for _ in 0..MAX_TIMERS {
+            let is_decided = actions
+                .iter()
+                .any(|action| matches!(action, Action::Send { .. } | Action::Reject { .. }));
+            if is_decided {
+                return;
+            }
+            // A host has to keep all timers in order; here there is one at a time.
+            let timer = actions.iter().find_map(|action| match action {
+                Action::SetTimer { at, token } => Some((*at, *token)),
+                _ => None,
+            });
+            let Some((at, token)) = timer else { return };
+            self.now = at;
+            actions = self.handle("a timer expires", Event::Timer { token });
+        }
     }
 }
 
@@ -87,33 +109,18 @@
         now: Timestamp::from_nanos(1_000_000_000),
     };
 
-    host.list(Readiness::Serving);
-    host.request("a", 1); // sent
-    host.served("a", 0.9); // past the onset of the lower level only
-    host.request("b", 1); // the worthier class is still sent
-    host.served("b", 0.9);
-    let mut actions = host.request("c", 0); // throttled: held, with a timer
-    let mut timers = 0;
-    while !actions
-        .iter()
-        .any(|a| matches!(a, Action::Send { .. } | Action::Reject { .. }))
-        && timers < 1000
-    {
-        // A host keeps its timers in order; here there is one at a time.
-        let due = actions.iter().find_map(|a| match a {
-            Action::SetTimer { at, token } => Some((*at, *token)),
-            _ => None,
-        });
-        let Some((at, token)) = due else { break };
-        timers += 1;
-        host.now = at;
-        actions = host.tell("a timer has run down", Event::Timer { token });
-    }
-    host.served("c", 0.0);
-    host.list(Readiness::Draining); // idle connections are closed
-    host.request("d", 0); // nowhere to send: held
-    for n in 0..5 {
-        host.request(&format!("e{n}"), 0); // past the queue limit the newest of the least worthy is refused
+    host.list_arrives(Readiness::Serving);
+    host.request_arrives("a", 1); // sent
+    host.request_is_served("a", 0.9); // past the onset threshold of the lower priority level only
+    host.request_arrives("b", 1); // the higher priority is still sent
+    host.request_is_served("b", 0.9);
+    let actions = host.request_arrives("c", 0); // throttled: queued, with a timer
+    host.run_timers(actions);
+    host.request_is_served("c", 0.0);
+    host.list_arrives(Readiness::Draining); // idle connections are closed
+    host.request_arrives("d", 0); // no endpoint takes it: queued
+    for number in 0..5 {
+        host.request_arrives(&format!("e{number}"), 0); // past the queue limit, the newest is rejected
     }
     Ok(())
 }
