--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -1,4 +1,4 @@
-//! Whatever a host says, the module does not panic, and settings that make no sense are refused.
+//! Robustness: no event makes the module panic, and invalid settings are rejected.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
@@ -6,7 +6,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 use std::time::Duration;
 
-fn time() -> impl Strategy<Value = Duration> {
+fn duration() -> impl Strategy<Value = Duration> {
     prop_oneof![
         Just(Duration::ZERO),
         Just(Duration::from_nanos(1)),
@@ -15,7 +15,7 @@
     ]
 }
 
-fn moment() -> impl Strategy<Value = Timestamp> {
+fn timestamp() -> impl Strategy<Value = Timestamp> {
     prop_oneof![
         Just(Timestamp::default()),
         Just(Timestamp::from_nanos(u64::MAX)),
@@ -39,11 +39,11 @@
 }
 
 fn report() -> impl Strategy<Value = Option<LoadReport>> {
-    prop::option::of((number(), number(), number())).prop_map(|r| {
-        r.map(|(queue_length, in_flight, busy)| LoadReport {
+    prop::option::of((number(), number(), number())).prop_map(|values| {
+        values.map(|(queue_length, in_flight, utilisation)| LoadReport {
             queue_length: Some(queue_length),
             in_flight: Some(in_flight),
-            utilisation: Some(busy),
+            utilisation: Some(utilisation),
             ..LoadReport::default()
         })
     })
@@ -55,19 +55,23 @@
         Just(ListKind::Cached),
         Just(ListKind::Changes)
     ];
-    let ready = prop_oneof![
+    let readiness = prop_oneof![
         Just(Readiness::Serving),
         Just(Readiness::Draining),
         Just(Readiness::Removed)
     ];
-    let entry = (name("e"), ready, number(), prop::option::of(moment())).prop_map(
-        |(e, readiness, size, started_at)| EndpointEntry {
+    let entry = (
+        name("e"),
+        readiness,
+        number(),
+        prop::option::of(timestamp()),
+    )
+        .prop_map(|(name, readiness, size, started_at)| EndpointEntry {
             readiness,
             size,
             started_at,
-            ..endpoint_entry(&e, "a", 0)
-        },
-    );
+            ..endpoint_entry(&name, "a", 0)
+        });
     let outcome = (0..8usize).prop_map(|n| {
         use Outcome::*;
         [
@@ -81,18 +85,18 @@
             NotSent,
         ][n]
     });
-    let call = (
+    let request = (
         name("r"),
         0..9usize,
         prop::option::of(0..3usize),
         prop::option::of(name("k")),
-        moment(),
-        time(),
+        timestamp(),
+        duration(),
     );
     prop_oneof![
         2 => (kind, prop::collection::vec(entry, 0..5))
             .prop_map(|(kind, entries)| Event::EndpointList { version: 0, kind, entries: entries.into() }),
-        6 => call.prop_map(|(id, class, tenant, key, deadline, hint)| Event::Request(Request {
+        6 => request.prop_map(|(id, class, tenant, key, deadline, hint)| Event::Request(Request {
             id: id.as_str().into(),
             class: ClassId(class),
             tenant: tenant.map(TenantId),
@@ -102,7 +106,7 @@
             client_retry: false,
             write: false,
         })),
-        6 => (name("r"), 0..4usize, outcome, time(), any::<bool>(), report()).prop_map(
+        6 => (name("r"), 0..4usize, outcome, duration(), any::<bool>(), report()).prop_map(
             |(id, attempt, outcome, took, request_ended, report)| Event::AttemptEnded(AttemptEnd {
                 request: id.as_str().into(), attempt, outcome, took, request_ended, report,
             })
@@ -111,24 +115,24 @@
             .prop_map(|(id, attempt)| Event::StreamStarted { request: id.as_str().into(), attempt }),
         1 => name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
         1 => any::<u64>().prop_map(|token| Event::Timer { token }),
-        1 => (name("e"), time(), report()).prop_map(|(e, took, report)| Event::HealthCheckEnded {
-            endpoint: e.as_str().into(), outcome: Outcome::Served, took, report,
+        1 => (name("e"), duration(), report()).prop_map(|(name, took, report)| Event::HealthCheckEnded {
+            endpoint: name.as_str().into(), outcome: Outcome::Served, took, report,
         }),
         1 => Just(Event::PeerMessage { from: PeerId(99), data: vec![1] }),
         1 => (name("e"), any::<bool>())
-            .prop_map(|(e, out)| {
-                let endpoint = e.as_str().into();
-                if out { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) }
+            .prop_map(|(name, is_disabled)| {
+                let endpoint = name.as_str().into();
+                if is_disabled { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) }
             }),
         1 => Just(Event::DiscoveryFailed),
     ]
 }
 
-/// What an instance is told: an event, or other settings.
+/// An input of the balancer: an event, or new settings.
 #[derive(Clone, Debug)]
-enum Told {
+enum Input {
     Event(Event),
-    /// So many of its classes with the worth of the first, and so many tenants.
+    /// A number of classes, the priority weight of the first, and a number of tenants.
     Settings {
         classes: usize,
         priority_weight: f64,
@@ -136,11 +140,11 @@
     },
 }
 
-fn told() -> impl Strategy<Value = Told> {
+fn input() -> impl Strategy<Value = Input> {
     let settings = (1..6usize, 0.5..20.0f64, 0..3usize);
     prop_oneof![
-        9 => event().prop_map(Told::Event),
-        1 => settings.prop_map(|(classes, priority_weight, tenants)| Told::Settings { classes, priority_weight, tenants }),
+        9 => event().prop_map(Input::Event),
+        1 => settings.prop_map(|(classes, priority_weight, tenants)| Input::Settings { classes, priority_weight, tenants }),
     ]
 }
 
@@ -162,10 +166,10 @@
     config.failure_persistence = None;
     let input = (
         any::<u64>(),
-        prop::collection::vec((moment(), told()), 1..80),
+        prop::collection::vec((timestamp(), input()), 1..80),
     );
     TestRunner::new(config)
-        .run(&input, |(seed, events)| {
+        .run(&input, |(seed, inputs)| {
             let mut settings = default_settings();
             (
                 settings.classes[1].is_key_ordered,
@@ -179,13 +183,12 @@
                 DiscoveryMode::Pushed
             };
             settings.tenants = tenants(1);
-            let mut balancer =
-                Balancer::new(settings.clone(), seed).expect("settings that make sense");
-            let mut out = Vec::new();
-            for (now, told) in events {
-                match told {
-                    Told::Event(event) => balancer.handle(now, event, &mut out),
-                    Told::Settings {
+            let mut balancer = Balancer::new(settings.clone(), seed).expect("valid settings");
+            let mut actions = Vec::new();
+            for (now, input) in inputs {
+                match input {
+                    Input::Event(event) => balancer.handle(now, event, &mut actions),
+                    Input::Settings {
                         classes,
                         priority_weight,
                         tenants: n,
@@ -195,8 +198,8 @@
                         (settings.classes[0].priority_weight, settings.tenants) =
                             (priority_weight, tenants(n));
                         let ids = balancer
-                            .change_settings(now, settings, &mut out)
-                            .expect("settings that make sense");
+                            .change_settings(now, settings, &mut actions)
+                            .expect("valid settings");
                         prop_assert_eq!(ids.len(), classes);
                     }
                 }
@@ -246,22 +249,22 @@
         },
     ];
     for event in events {
-        let told = format!("{event:?}");
-        assert_eq!(host.handle(event), [], "{told}");
+        let description = format!("{event:?}");
+        assert_eq!(host.handle(event), [], "{description}");
     }
     host.end(&id, 9, Outcome::Served, 5, 0.0);
     let actions = host.end(&id, 0, Outcome::ConnectFailed, 5, 0.0);
     assert_eq!(
         send_targets(&actions).len() + final_answers(&actions, &id),
         1,
-        "still ours"
+        "it is still pending"
     );
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_by_name() {
-    type Spoil = fn(&mut Settings);
-    let cases: [(&str, Spoil); 12] = [
+fn invalid_settings_are_rejected_by_name() {
+    type Change = fn(&mut Settings);
+    let cases: [(&str, Change); 12] = [
         ("balancers", |s| s.balancers = 0),
         ("classes", |s| s.classes.clear()),
         ("limits.max_attempts", |s| s.limits.max_attempts = 0),
@@ -290,11 +293,11 @@
         }),
     ];
     assert!(Balancer::new(default_settings(), 1).is_ok());
-    for (field, spoil) in cases {
+    for (field, change) in cases {
         let mut settings = default_settings();
-        spoil(&mut settings);
-        let refused = Balancer::new(settings, 1).expect_err(field);
-        assert_eq!(refused.field, field);
-        assert!(refused.to_string().starts_with(field));
+        change(&mut settings);
+        let error = Balancer::new(settings, 1).expect_err(field);
+        assert_eq!(error.field, field);
+        assert!(error.to_string().starts_with(field));
     }
 }
--- a/tests/policy/slow_start_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Slow start under a whole fleet: thirty instances that share one cold endpoint and do not talk to each other keep
-//! it, in sum, below the count at which it falls.
+//! Slow start in a whole fleet: thirty balancers that share one warming endpoint, without messages between them, keep it
+//! together below the load at which it fails.
 //!
-//! The simulation is deterministic: seeded arrivals and service times on a simulated clock, no sockets. The cold
-//! endpoint answers and reports as if it were warm, so that its load reports cannot stand in for the ramp.
+//! The simulation is deterministic: seeded arrivals and service times on a simulated clock, without sockets. The warming
+//! endpoint answers and reports as if it were warm, so that its load reports can not replace slow start.
 
 mod scenario;
 mod simulation;
@@ -12,78 +12,78 @@
 use simulation::*;
 use std::time::Duration;
 
-/// The fullest window of a run, as a part of what the settings allow in it.
-fn fullest_window(rules: &Rules, reached: &[Timestamp]) -> f64 {
-    let end = ramp_start() + rules.warm_up_time;
+/// Returns the highest load of an overload window of a run, as a fraction of what the settings allow.
+fn max_window_load(rules: &Rules, reached: &[Timestamp]) -> f64 {
+    let end = warm_up_start() + rules.warm_up_time;
     let inside = |first: &usize| reached[*first] + rules.overload_window <= end;
     let windows = (0..reached.len()).filter(inside).map(|first| {
         let until = reached[first] + rules.overload_window;
         let count = reached.partition_point(|at| *at < until) - first;
-        count as f64 / allowed_in_window(rules, reached[first].since(ramp_start()))
+        count as f64 / allowed_in_window(rules, reached[first].since(warm_up_start()))
     });
     windows.fold(0.0, f64::max)
 }
 
-/// The requests that the endpoint could serve over the ramp.
-fn servable(rules: &Rules) -> f64 {
-    let mean_part = part_of_capacity(rules, rules.warm_up_time / 2);
-    mean_part * CAPACITY_PER_S * rules.warm_up_time.as_secs_f64()
+/// Returns the requests that the endpoint could serve while it is warming up.
+fn servable_requests(rules: &Rules) -> f64 {
+    let mean_capacity = capacity_fraction(rules, rules.warm_up_time / 2);
+    mean_capacity * CAPACITY_PER_S * rules.warm_up_time.as_secs_f64()
 }
 
-/// Runs a scenario; the cold endpoint may get neither more than it bears nor next to nothing.
-fn check(scenario: &Scenario) -> Seen {
-    let seen = Fleet::run(scenario);
-    let fullest = fullest_window(&scenario.rules, &seen.reached_cold);
-    let used = seen.reached_cold.len() as f64 / servable(&scenario.rules);
+/// Runs a scenario, and checks that the warming endpoint is neither overloaded nor left idle.
+fn check(scenario: &Scenario) -> Observations {
+    let observations = Fleet::run(scenario);
+    let max_load = max_window_load(&scenario.rules, &observations.arrivals_at_warming);
+    let used = observations.arrivals_at_warming.len() as f64 / servable_requests(&scenario.rules);
     println!(
-        "seed {}: fullest window {fullest:.2}, used {used:.2}",
+        "seed {}: fullest window {max_load:.2}, used {used:.2}",
         scenario.seed
     );
     assert!(
-        fullest <= 1.0,
-        "seed {}: {fullest:.2} times what it bears in a window",
+        max_load <= 1.0,
+        "seed {}: {max_load:.2} times what it can serve in a window",
         scenario.seed
     );
     assert!(
-        used >= LEAST_USE,
+        used >= MIN_USED_FRACTION,
         "seed {}: {used:.3} of what it could serve",
         scenario.seed
     );
-    seen
+    observations
 }
 
-/// Some instances next to each other, from this one on, get much more than the others.
-fn unequal(first: usize, high: usize) -> [f64; INSTANCES] {
-    let mut weights = [1.0; INSTANCES];
+/// Returns weights with a high rate for some adjacent balancers, from `first` on.
+fn unequal_weights(first: usize, high: usize) -> [f64; BALANCERS] {
+    let mut weights = [1.0; BALANCERS];
     for n in 0..high {
-        weights[(first + n) % INSTANCES] = HIGH_RATE;
+        weights[(first + n) % BALANCERS] = HIGH_RATE;
     }
     weights
 }
 
-/// A third of the instances start one after another over the first half of the ramp.
-fn late_starts(rules: &Rules) -> [Option<Duration>; INSTANCES] {
-    let mut starts = [None; INSTANCES];
+/// Returns start times of a third of the balancers, one after another over the first half of the warm-up.
+fn late_starts(rules: &Rules) -> [Option<Duration>; BALANCERS] {
+    let mut starts = [None; BALANCERS];
     for (n, start) in starts.iter_mut().step_by(3).enumerate() {
-        let part_of_ramp = (n + 1) as f64 / INSTANCES as f64;
-        *start = Some(rules.warm_up_time.mul_f64(part_of_ramp * 1.5));
+        let fraction = (n + 1) as f64 / BALANCERS as f64;
+        *start = Some(rules.warm_up_time.mul_f64(fraction * 1.5));
     }
     starts
 }
 
-/// Guards the sum over instances that all get as much.
+/// Guards the sum over balancers with equal arrival rates.
 #[test]
-fn instances_with_equal_rates_spare_a_cold_endpoint() {
+fn balancers_with_equal_rates_spare_a_warming_endpoint() {
     for seed in 1..=4 {
         check(&Scenario::new(seed, slow_rules()));
     }
 }
 
-/// Guards the sum where six neighbours, whose subsets overlap, carry four fifths of the calls.
+/// Guards the sum where six adjacent balancers, whose subsets overlap, have four fifths of the requests.
 #[test]
-fn instances_with_very_unequal_rates_spare_a_cold_endpoint() {
-    for (seed, first) in (1..).zip(PLACES) {
-        let weights = unequal(first, 6);
+fn balancers_with_very_unequal_rates_spare_a_warming_endpoint() {
+    for (seed, first) in (1..).zip(FIRST_HIGH_RATE_BALANCERS) {
+        let weights = unequal_weights(first, 6);
         check(&Scenario {
             weights,
             ..Scenario::new(seed, slow_rules())
@@ -101,21 +101,21 @@
     }
 }
 
-/// Guards the sum where one instance carries two fifths of the calls, and more than its subset takes.
+/// Guards the sum where one balancer has two fifths of the requests, and more than its subset can serve.
 #[test]
-fn one_instance_with_a_high_rate_spares_a_cold_endpoint() {
-    for (seed, first) in (1..).zip(PLACES) {
+fn one_balancer_with_a_high_rate_spares_a_warming_endpoint() {
+    for (seed, first) in (1..).zip(FIRST_HIGH_RATE_BALANCERS) {
         check(&Scenario {
-            weights: unequal(first, 1),
+            weights: unequal_weights(first, 1),
             load: 1.5,
             ..Scenario::new(seed, slow_rules())
         });
     }
 }
 
-/// Guards instances whose first list has the cold endpoint: none of them has a rate or a queue length to go by yet.
+/// Guards balancers whose first list contains the warming endpoint: they know no arrival rate and no queue length yet.
 #[test]
-fn instances_that_start_during_the_ramp_spare_a_cold_endpoint() {
+fn balancers_that_start_during_the_warm_up_spare_a_warming_endpoint() {
     for seed in 1..=3 {
         for rules in [slow_rules(), narrow_rules()] {
             let starts = late_starts(&rules);
@@ -132,64 +132,64 @@
     }
 }
 
-/// Guards an endpoint that every instance knows already, and whose restart the list tells of.
+/// Guards a restarted endpoint that every balancer knows already.
 #[test]
 fn a_restarted_endpoint_is_spared() {
     for seed in 1..=3 {
         check(&Scenario {
-            cold_by: ColdBy::Restart,
+            cause: WarmUpCause::Restart,
             ..Scenario::new(seed, slow_rules())
         });
         let starts = late_starts(&slow_rules());
         check(&Scenario {
-            cold_by: ColdBy::Restart,
+            cause: WarmUpCause::Restart,
             starts,
             ..Scenario::new(seed, slow_rules())
         });
     }
 }
 
-/// Guards an endpoint that operators take back into use: every instance looks for it at once.
+/// Guards an endpoint that the operators enable: every balancer may send to it at once.
 #[test]
-fn an_endpoint_back_from_a_ban_is_spared() {
+fn an_enabled_endpoint_is_spared() {
     for seed in 1..=3 {
         check(&Scenario {
-            cold_by: ColdBy::Ban,
+            cause: WarmUpCause::Enabling,
             ..Scenario::new(seed, slow_rules())
         });
         check(&Scenario {
-            cold_by: ColdBy::Ban,
+            cause: WarmUpCause::Enabling,
             ..Scenario::new(seed, narrow_rules())
         });
     }
 }
 
-/// Guards the one endpoint with no queue while the warm ones are throttled and calls wait for a place.
+/// Guards the one endpoint without a queue while the warm endpoints are throttled and requests are queued.
 #[test]
-fn an_overloaded_fleet_spares_a_cold_endpoint() {
+fn an_overloaded_fleet_spares_a_warming_endpoint() {
     for (seed, load) in [(1, 1.5), (2, 2.0), (3, 3.0)] {
         let equal = Scenario {
             load,
             ..Scenario::new(seed, slow_rules())
         };
         let unequal = Scenario {
-            weights: unequal(10, 3),
+            weights: unequal_weights(10, 3),
             load,
             ..Scenario::new(seed, slow_rules())
         };
         for scenario in [equal, unequal] {
-            let seen = check(&scenario);
+            let observations = check(&scenario);
             assert!(
-                seen.refused > 0,
+                observations.rejected > 0,
                 "seed {seed}: the warm endpoints are throttled"
             );
         }
     }
 }
 
-/// Guards the ramp under other settings than the usual: it starts, ends and is bounded as they say.
+/// Guards slow start with other settings: its start, its end and its limit follow them.
 #[test]
-fn the_ramp_follows_its_settings() {
+fn slow_start_follows_its_settings() {
     for seed in 1..=3 {
         check(&Scenario::new(seed, narrow_rules()));
         check(&Scenario {
@@ -197,13 +197,13 @@
             ..Scenario::new(seed, narrow_rules())
         });
         check(&Scenario {
-            weights: unequal(10, 1),
+            weights: unequal_weights(10, 1),
             load: 1.5,
             ..Scenario::new(seed, narrow_rules())
         });
         let starts = late_starts(&narrow_rules());
         check(&Scenario {
-            cold_by: ColdBy::Restart,
+            cause: WarmUpCause::Restart,
             starts,
             ..Scenario::new(seed, narrow_rules())
         });
--- a/tests/policy/slow_start_fleet/scenario.rs
+++ b/tests/policy/slow_start_fleet/scenario.rs
@@ -1,73 +1,77 @@
-//! What is simulated: the fleet, its endpoints, and how the cold one comes to be cold.
+//! What is simulated: the fleet, its endpoints, and why one of them is warming up.
 
 use crate::host::default_settings;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
-pub const INSTANCES: usize = 30;
+/// The number of balancers.
+pub const BALANCERS: usize = 30;
+/// The number of warm endpoints.
 pub const WARM_ENDPOINTS: usize = 10;
-/// The cold endpoint's place in the list, behind the warm ones.
-pub const COLD: usize = WARM_ENDPOINTS;
-/// Requests that an endpoint works on at once, and how long one takes there in the mean when it is warm.
+/// The number of the warming endpoint, after the warm ones.
+pub const WARMING: usize = WARM_ENDPOINTS;
+/// Requests that an endpoint serves at once.
 pub const WORKERS: usize = 8;
+/// The mean service time of a warm endpoint.
 pub const MEAN_SERVICE_S: f64 = 0.2;
-/// Requests a second that one warm endpoint serves.
+/// Requests a second that one warm endpoint can serve.
 pub const CAPACITY_PER_S: f64 = WORKERS as f64 / MEAN_SERVICE_S;
-/// How old the queue length is that an endpoint reports.
+/// The age of the queue length that an endpoint reports.
 pub const REPORT_DELAY: Duration = Duration::from_secs(1);
-/// Requests that wait at an endpoint before it refuses more.
+/// Requests that wait at an endpoint before it rejects more.
 pub const QUEUE_LIMIT: usize = 40;
-/// Calls arrive for this long before the ramp begins.
-pub const LEAD: Duration = Duration::from_secs(5);
-/// One way on the network.
+/// How long requests arrive before the warm-up begins.
+pub const LEAD_TIME: Duration = Duration::from_secs(5);
+/// The network delay in one direction.
 pub const NETWORK_DELAY: Duration = Duration::from_millis(1);
-/// Discovery tells each instance of a change within this.
+/// The longest time until a balancer receives a change from discovery.
 pub const DISCOVERY_DELAY: Duration = Duration::from_millis(500);
-/// The least part of what it could serve that the cold endpoint has to get over the ramp.
-pub const LEAST_USE: f64 = 0.02;
-/// How much more than the others the instances with a high rate get.
+/// The least fraction of what the warming endpoint could serve that it has to be sent.
+pub const MIN_USED_FRACTION: f64 = 0.02;
+/// The weight of a balancer with a high rate, compared with the others.
 pub const HIGH_RATE: f64 = 20.0;
-/// Places round the fleet at which the instances with a high rate begin.
-pub const PLACES: [usize; 6] = [0, 5, 10, 15, 20, 25];
+/// The numbers of the first balancer with a high rate, in different runs.
+pub const FIRST_HIGH_RATE_BALANCERS: [usize; 6] = [0, 5, 10, 15, 20, 25];
 
-/// How the endpoint comes to be cold at the start of the ramp.
+/// Why the endpoint is warming up.
 #[derive(Clone, Copy, PartialEq)]
-pub enum ColdBy {
+pub enum WarmUpCause {
     /// It joins the tier.
     Joining,
-    /// It restarts, and the list tells of the new start.
+    /// It restarts, and the list has the new start time.
     Restart,
-    /// The operators take it out and back in; the list tells of no restart.
-    Ban,
+    /// The operators disable and enable it; the list has no start time.
+    Enabling,
 }
 
 /// One run of the simulation.
 pub struct Scenario {
     pub seed: u64,
     pub rules: Rules,
-    pub cold_by: ColdBy,
-    /// Calls a second over all instances, as a part of what all endpoints serve when warm.
+    pub cause: WarmUpCause,
+    /// The requests a second of all balancers, as a fraction of what all endpoints can serve when warm.
     pub load: f64,
-    /// Each instance's part of the calls, in any unit.
-    pub weights: [f64; INSTANCES],
-    /// How long after the start of the ramp each instance starts; `None` is before it.
-    pub starts: [Option<Duration>; INSTANCES],
+    /// The weight of each balancer's arrival rate.
+    pub weights: [f64; BALANCERS],
+    /// How long after the start of the warm-up each balancer starts; `None` is before it.
+    pub starts: [Option<Duration>; BALANCERS],
 }
 
 impl Scenario {
+    /// Returns a scenario with equal arrival rates and ordinary load.
     pub fn new(seed: u64, rules: Rules) -> Self {
         Scenario {
             seed,
             rules,
-            cold_by: ColdBy::Joining,
+            cause: WarmUpCause::Joining,
             load: 0.85,
-            weights: [1.0; INSTANCES],
-            starts: [None; INSTANCES],
+            weights: [1.0; BALANCERS],
+            starts: [None; BALANCERS],
         }
     }
 }
 
-/// A long ramp from a low start.
+/// Returns rules with a long warm-up from a low capacity.
 pub fn slow_rules() -> Rules {
     Rules {
         initial_capacity: 0.16,
@@ -78,7 +82,7 @@
     }
 }
 
-/// A shorter ramp with a narrower window and less allowed in it.
+/// Returns rules with a shorter warm-up, a shorter window and a lower limit.
 pub fn narrow_rules() -> Rules {
     Rules {
         initial_capacity: 0.2,
@@ -89,16 +93,18 @@
     }
 }
 
-/// The part of its capacity that the endpoint has so long after its start.
-pub fn part_of_capacity(rules: &Rules, age: Duration) -> f64 {
+/// Returns the fraction of its capacity that the endpoint has at an age.
+pub fn capacity_fraction(rules: &Rules, age: Duration) -> f64 {
     let warmth = age.as_secs_f64() / rules.warm_up_time.as_secs_f64();
     (rules.initial_capacity + (1.0 - rules.initial_capacity) * warmth).min(1.0)
 }
 
-/// What the settings allow in the window that begins at this age: N + 2 x root of N + 2 requests.
+/// Returns the requests that are allowed in a window that begins at an age: N + 2 x root of N + 2, where N is the mean.
 pub fn allowed_in_window(rules: &Rules, age: Duration) -> f64 {
-    let mean_part = part_of_capacity(rules, age + rules.overload_window / 2);
-    let n =
-        rules.overload_multiple * CAPACITY_PER_S * mean_part * rules.overload_window.as_secs_f64();
-    n + 2.0 * n.sqrt() + 2.0
+    let mean_capacity = capacity_fraction(rules, age + rules.overload_window / 2);
+    let mean = rules.overload_multiple
+        * CAPACITY_PER_S
+        * mean_capacity
+        * rules.overload_window.as_secs_f64();
+    mean + 2.0 * mean.sqrt() + 2.0
 }
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -9,76 +9,79 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// An attempt on its way to an endpoint, or in it.
+/// An attempt that was sent to an endpoint.
 #[derive(Clone)]
 pub struct Attempt {
-    pub instance: usize,
+    pub balancer_number: usize,
     pub request: RequestId,
     pub number: AttemptNumber,
     pub endpoint: usize,
     pub sent_at: Timestamp,
 }
 
-/// What happens at a moment.
+/// What happens at one time.
 pub enum Step {
     Arrival {
-        instance: usize,
+        balancer_number: usize,
     },
-    Reaches(Attempt),
-    Finishes(Attempt),
-    Ends {
+    ReachesEndpoint(Attempt),
+    EndpointFinishes(Attempt),
+    AttemptEnds {
         attempt: Attempt,
         outcome: Outcome,
         queue_length: Option<f64>,
     },
     Timer {
-        instance: usize,
+        balancer_number: usize,
         token: u64,
     },
-    Starts {
-        instance: usize,
+    BalancerStarts {
+        balancer_number: usize,
     },
-    Learns {
-        instance: usize,
+    ListArrives {
+        balancer_number: usize,
     },
-    Bans {
-        instance: usize,
-        out: bool,
+    EndpointDisabled {
+        balancer_number: usize,
+    },
+    EndpointEnabled {
+        balancer_number: usize,
     },
 }
 
-/// A request that waits for its answer: attempts so far, and whether the newest has ended.
-pub struct Open {
+/// An unanswered request: its attempts so far, and whether the newest is in flight.
+pub struct UnansweredRequest {
     pub deadline: Timestamp,
     pub attempts: usize,
-    pub is_out: bool,
+    pub is_in_flight: bool,
 }
 
-/// The queue length of an endpoint from a moment on.
+/// The queue length of an endpoint from a time on.
 pub struct QueueLength {
     pub since: Timestamp,
     pub waiting: usize,
 }
 
-/// An endpoint that works on several requests at once and takes them in order.
+/// An endpoint that serves several requests at once, in order of arrival.
 #[derive(Default)]
 pub struct Server {
     pub busy: usize,
     pub queue: VecDeque<Attempt>,
-    /// The queue lengths of the last while, oldest first.
+    /// The recent queue lengths, the oldest first.
     pub history: VecDeque<QueueLength>,
 }
 
 impl Server {
-    pub fn note_queue(&mut self, now: Timestamp) {
+    /// Records the present queue length.
+    pub fn record_queue_length(&mut self, now: Timestamp) {
         self.history.push_back(QueueLength {
             since: now,
             waiting: self.queue.len(),
         });
     }
 
-    /// The queue length a while ago.
-    pub fn reported_queue(&mut self, now: Timestamp) -> usize {
+    /// Returns the queue length that is reported, which is [`REPORT_DELAY`] old.
+    pub fn reported_queue_length(&mut self, now: Timestamp) -> usize {
         while self
             .history
             .get(1)
@@ -94,133 +97,131 @@
     }
 }
 
+/// The state of a simulation.
 pub struct Fleet<'a> {
     pub scenario: &'a Scenario,
     pub random: Pcg64Mcg,
     pub now: Timestamp,
     pub balancers: Vec<Option<Balancer>>,
-    pub open: HashMap<RequestId, Open>,
+    pub unanswered: HashMap<RequestId, UnansweredRequest>,
     pub servers: Vec<Server>,
-    /// Steps to come in the order of their time; the number keeps those of one time in order.
+    /// Future steps in order of their times; steps of one time are in order of their numbers.
     pub agenda: BinaryHeap<Reverse<(Timestamp, usize)>>,
     pub steps: HashMap<usize, Step>,
     pub next_step: usize,
     pub next_request: usize,
-    pub seen: Seen,
+    pub observations: Observations,
 }
 
-/// What a run shows.
+/// What a run has shown.
 #[derive(Default)]
-pub struct Seen {
-    /// When requests reached the cold endpoint, during the ramp.
-    pub reached_cold: Vec<Timestamp>,
-    /// Requests that instances refused or failed.
-    pub refused: usize,
+pub struct Observations {
+    /// When requests reached the warming endpoint during its warm-up.
+    pub arrivals_at_warming: Vec<Timestamp>,
+    /// Requests that balancers rejected or failed.
+    pub rejected: usize,
 }
 
-pub fn ramp_start() -> Timestamp {
-    at(0) + LEAD
+/// Returns when the warm-up begins.
+pub fn warm_up_start() -> Timestamp {
+    at(0) + LEAD_TIME
 }
 
 impl<'a> Fleet<'a> {
-    /// Runs a scenario to the end of the ramp.
-    pub fn run(scenario: &'a Scenario) -> Seen {
+    /// Runs a scenario to the end of the warm-up.
+    pub fn run(scenario: &'a Scenario) -> Observations {
         let mut fleet = Fleet {
             scenario,
             random: Pcg64Mcg::seed_from_u64(scenario.seed),
             now: at(0),
-            balancers: (0..INSTANCES).map(|_| None).collect(),
-            open: HashMap::new(),
+            balancers: (0..BALANCERS).map(|_| None).collect(),
+            unanswered: HashMap::new(),
             servers: (0..=WARM_ENDPOINTS).map(|_| Server::default()).collect(),
             agenda: BinaryHeap::new(),
             steps: HashMap::new(),
             next_step: 0,
             next_request: 0,
-            seen: Seen::default(),
+            observations: Observations::default(),
         };
         fleet.plan();
-        let end = ramp_start() + scenario.rules.warm_up_time;
+        let end = warm_up_start() + scenario.rules.warm_up_time;
         while let Some(Reverse((now, number))) =
             fleet.agenda.pop().filter(|Reverse((now, _))| *now < end)
         {
             fleet.now = now;
-            let step = fleet.steps.remove(&number).expect("it is planned once");
+            let step = fleet.steps.remove(&number).expect("a planned step");
             fleet.take(step);
         }
-        fleet.seen
+        fleet.observations
     }
 
+    /// Plans the starts of the balancers, and when they receive the change.
     pub fn plan(&mut self) {
-        for instance in 0..INSTANCES {
-            let start = self.scenario.starts[instance].map_or(at(0), |delay| ramp_start() + delay);
-            self.at(start, Step::Starts { instance });
-            let told = ramp_start() + self.part_of(DISCOVERY_DELAY);
-            if told <= start {
+        for balancer_number in 0..BALANCERS {
+            let start = self.scenario.starts[balancer_number]
+                .map_or(at(0), |delay| warm_up_start() + delay);
+            self.at(start, Step::BalancerStarts { balancer_number });
+            let received_at = warm_up_start() + self.random_part_of(DISCOVERY_DELAY);
+            if received_at <= start {
                 continue;
             }
-            if self.scenario.cold_by == ColdBy::Ban {
-                self.at(
-                    start,
-                    Step::Bans {
-                        instance,
-                        out: true,
-                    },
-                );
-                self.at(
-                    told,
-                    Step::Bans {
-                        instance,
-                        out: false,
-                    },
-                );
+            if self.scenario.cause == WarmUpCause::Enabling {
+                self.at(start, Step::EndpointDisabled { balancer_number });
+                self.at(received_at, Step::EndpointEnabled { balancer_number });
             } else {
-                self.at(told, Step::Learns { instance });
+                self.at(received_at, Step::ListArrives { balancer_number });
             }
         }
     }
 
+    /// Plans a step.
     pub fn at(&mut self, when: Timestamp, step: Step) {
         self.agenda.push(Reverse((when, self.next_step)));
         self.steps.insert(self.next_step, step);
         self.next_step += 1;
     }
 
+    /// Plans a step after a delay.
     pub fn after(&mut self, wait: Duration, step: Step) {
         self.at(self.now + wait, step);
     }
 
-    /// From 0 up to, not including, 1.
+    /// Returns a random number from 0 up to and excluding 1.
     pub fn unit(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn part_of(&mut self, whole: Duration) -> Duration {
+    /// Returns a random fraction of a duration.
+    pub fn random_part_of(&mut self, whole: Duration) -> Duration {
         whole.mul_f64(self.unit())
     }
 
-    /// A time with this rate's exponential distribution.
+    /// Returns a random duration with the exponential distribution of a rate.
     pub fn exponential(&mut self, per_s: f64) -> Duration {
         Duration::from_secs_f64(-(1.0 - self.unit()).ln() / per_s)
     }
 
+    /// Carries out one step.
     pub fn take(&mut self, step: Step) {
         match step {
-            Step::Starts { instance } => self.start(instance),
-            Step::Learns { instance } => self.learn(instance, ListKind::Changes),
-            Step::Bans { instance, out } => {
-                let endpoint = name(COLD).as_str().into();
-                let event = if out {
-                    Event::EndpointDisabled(endpoint)
-                } else {
-                    Event::EndpointEnabled(endpoint)
-                };
-                self.handle(instance, event);
+            Step::BalancerStarts { balancer_number } => self.start(balancer_number),
+            Step::ListArrives { balancer_number } => {
+                self.receive_list(balancer_number, ListKind::Changes);
+            }
+            Step::EndpointDisabled { balancer_number } => {
+                self.handle(balancer_number, Event::EndpointDisabled(warming_endpoint()));
             }
-            Step::Timer { instance, token } => self.handle(instance, Event::Timer { token }),
-            Step::Arrival { instance } => self.arrive(instance),
-            Step::Reaches(attempt) => self.reach(attempt),
-            Step::Finishes(attempt) => self.finish(attempt),
-            Step::Ends {
+            Step::EndpointEnabled { balancer_number } => {
+                self.handle(balancer_number, Event::EndpointEnabled(warming_endpoint()));
+            }
+            Step::Timer {
+                balancer_number,
+                token,
+            } => self.handle(balancer_number, Event::Timer { token }),
+            Step::Arrival { balancer_number } => self.arrive(balancer_number),
+            Step::ReachesEndpoint(attempt) => self.reach(attempt),
+            Step::EndpointFinishes(attempt) => self.finish(attempt),
+            Step::AttemptEnds {
                 attempt,
                 outcome,
                 queue_length,
@@ -228,27 +229,27 @@
         }
     }
 
-    // ---- Instances ---------------------------------------------------------------------------------------
+    // ---- Balancers
 
-    pub fn start(&mut self, instance: usize) {
+    pub fn start(&mut self, balancer_number: usize) {
         let settings = Settings {
-            balancers: INSTANCES as u32,
-            peer_id: PeerId(instance as u32),
+            balancers: BALANCERS as u32,
+            peer_id: PeerId(balancer_number as u32),
             classes: vec![class("safe", 1.0, Idempotency::Idempotent)],
             rules: self.scenario.rules.clone(),
             ..default_settings()
         };
         let seed = self.random.next_u64();
-        self.balancers[instance] =
-            Some(Balancer::new(settings, seed).expect("settings that make sense"));
-        self.learn(instance, ListKind::Cached);
-        self.plan_arrival(instance);
+        self.balancers[balancer_number] =
+            Some(Balancer::new(settings, seed).expect("valid settings"));
+        self.receive_list(balancer_number, ListKind::Cached);
+        self.plan_arrival(balancer_number);
     }
 
-    pub fn learn(&mut self, instance: usize, kind: ListKind) {
-        let entries = self.endpoint_entries();
+    pub fn receive_list(&mut self, balancer_number: usize, kind: ListKind) {
+        let entries = self.listed_entries();
         self.handle(
-            instance,
+            balancer_number,
             Event::EndpointList {
                 version: 1,
                 kind,
@@ -257,38 +258,40 @@
         );
     }
 
-    /// The list as of now.
-    pub fn endpoint_entries(&self) -> Vec<EndpointEntry> {
-        let ramp_began = self.now >= ramp_start();
-        let cold_by = self.scenario.cold_by;
+    /// Returns the present list.
+    pub fn listed_entries(&self) -> Vec<EndpointEntry> {
+        let has_begun = self.now >= warm_up_start();
+        let cause = self.scenario.cause;
         let mut entries = endpoint_entries(WARM_ENDPOINTS);
-        let mut cold = endpoint_entry(&name(COLD), "a", 0);
-        cold.started_at = (ramp_began && cold_by != ColdBy::Ban).then_some(ramp_start());
-        if ramp_began || cold_by != ColdBy::Joining {
-            entries.push(cold);
+        let mut warming = endpoint_entry(&name(WARMING), "a", 0);
+        warming.started_at =
+            (has_begun && cause != WarmUpCause::Enabling).then_some(warm_up_start());
+        if has_begun || cause != WarmUpCause::Joining {
+            entries.push(warming);
         }
         entries
     }
 
-    pub fn plan_arrival(&mut self, instance: usize) {
-        let all: f64 = self.scenario.weights.iter().sum();
+    pub fn plan_arrival(&mut self, balancer_number: usize) {
+        let total_weight: f64 = self.scenario.weights.iter().sum();
         let capacity = CAPACITY_PER_S * self.servers.len() as f64;
-        let per_s = self.scenario.load * capacity * self.scenario.weights[instance] / all;
+        let per_s =
+            self.scenario.load * capacity * self.scenario.weights[balancer_number] / total_weight;
         let wait = self.exponential(per_s);
-        self.after(wait, Step::Arrival { instance });
+        self.after(wait, Step::Arrival { balancer_number });
     }
 
-    pub fn arrive(&mut self, instance: usize) {
-        self.plan_arrival(instance);
+    pub fn arrive(&mut self, balancer_number: usize) {
+        self.plan_arrival(balancer_number);
         self.next_request += 1;
         let id = RequestId::from(format!("r{}", self.next_request).as_str());
         let deadline = self.now + ms(2000);
-        self.open.insert(
+        self.unanswered.insert(
             id.clone(),
-            Open {
+            UnansweredRequest {
                 deadline,
                 attempts: 0,
-                is_out: false,
+                is_in_flight: false,
             },
         );
         let request = Request {
@@ -301,13 +304,13 @@
             client_retry: false,
             write: false,
         };
-        self.handle(instance, Event::Request(request));
+        self.handle(balancer_number, Event::Request(request));
     }
 
-    /// Tells an instance of an event and carries out what it decides.
-    pub fn handle(&mut self, instance: usize, event: Event) {
+    /// Has a balancer handle an event, and carries out its actions.
+    pub fn handle(&mut self, balancer_number: usize, event: Event) {
         let mut actions = Vec::new();
-        let Some(balancer) = &mut self.balancers[instance] else {
+        let Some(balancer) = &mut self.balancers[balancer_number] else {
             return;
         };
         balancer.handle(self.now, event, &mut actions);
@@ -317,11 +320,17 @@
                     request,
                     endpoint,
                     timeout,
-                } => self.send(instance, request, &endpoint, timeout),
-                Action::SetTimer { at, token } => self.at(at, Step::Timer { instance, token }),
+                } => self.send(balancer_number, request, &endpoint, timeout),
+                Action::SetTimer { at, token } => self.at(
+                    at,
+                    Step::Timer {
+                        balancer_number,
+                        token,
+                    },
+                ),
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    self.open.remove(&request);
-                    self.seen.refused += 1;
+                    self.unanswered.remove(&request);
+                    self.observations.rejected += 1;
                 }
                 _ => {}
             }
@@ -330,24 +339,24 @@
 
     pub fn send(
         &mut self,
-        instance: usize,
+        balancer_number: usize,
         request: RequestId,
         endpoint: &EndpointId,
         timeout: Option<Duration>,
     ) {
-        let open = self
-            .open
+        let request_state = self
+            .unanswered
             .get_mut(&request)
-            .expect("only open requests are sent");
-        let number = open.attempts;
-        open.attempts += 1;
-        open.is_out = true;
-        let left = open.deadline.since(self.now);
+            .expect("only unanswered requests are sent");
+        let number = request_state.attempts;
+        request_state.attempts += 1;
+        request_state.is_in_flight = true;
+        let left = request_state.deadline.since(self.now);
         let endpoint = (0..self.servers.len())
             .find(|e| name(*e) == *endpoint.0)
             .expect("a listed endpoint");
         let attempt = Attempt {
-            instance,
+            balancer_number,
             request,
             number,
             endpoint,
@@ -356,27 +365,27 @@
         let wait = timeout.map_or(left, |timeout| timeout.min(left));
         self.after(
             wait,
-            Step::Ends {
+            Step::AttemptEnds {
                 attempt: attempt.clone(),
                 outcome: Outcome::TimedOut,
                 queue_length: None,
             },
         );
-        self.after(NETWORK_DELAY, Step::Reaches(attempt));
+        self.after(NETWORK_DELAY, Step::ReachesEndpoint(attempt));
     }
 
-    /// Ends an attempt, unless it has ended before.
+    /// Ends an attempt, unless it has ended already.
     pub fn end(&mut self, attempt: Attempt, outcome: Outcome, queue_length: Option<f64>) {
-        let Some(open) = self.open.get_mut(&attempt.request) else {
+        let Some(request_state) = self.unanswered.get_mut(&attempt.request) else {
             return;
         };
-        if !open.is_out || open.attempts != attempt.number + 1 {
+        if !request_state.is_in_flight || request_state.attempts != attempt.number + 1 {
             return;
         }
-        open.is_out = false;
+        request_state.is_in_flight = false;
         let request_ended = outcome == Outcome::Served;
         if request_ended {
-            self.open.remove(&attempt.request);
+            self.unanswered.remove(&attempt.request);
         }
         let report = queue_length.map(|queue_length| LoadReport {
             queue_length: Some(queue_length),
@@ -390,15 +399,15 @@
             request_ended,
             report,
         };
-        self.handle(attempt.instance, Event::AttemptEnded(ended));
+        self.handle(attempt.balancer_number, Event::AttemptEnded(ended));
     }
 
-    // ---- Endpoints ---------------------------------------------------------------------------------------
+    // ---- Endpoints
 
     pub fn reach(&mut self, attempt: Attempt) {
         let endpoint = attempt.endpoint;
-        if endpoint == COLD && self.now >= ramp_start() {
-            self.seen.reached_cold.push(self.now);
+        if endpoint == WARMING && self.now >= warm_up_start() {
+            self.observations.arrivals_at_warming.push(self.now);
         }
         if self.servers[endpoint].queue.len() >= QUEUE_LIMIT {
             self.answer(attempt, Outcome::Rejected);
@@ -415,9 +424,9 @@
         {
             server.busy += 1;
             let service = self.exponential(1.0 / MEAN_SERVICE_S);
-            self.after(service, Step::Finishes(attempt));
+            self.after(service, Step::EndpointFinishes(attempt));
         }
-        self.servers[endpoint].note_queue(self.now);
+        self.servers[endpoint].record_queue_length(self.now);
     }
 
     pub fn finish(&mut self, attempt: Attempt) {
@@ -428,10 +437,10 @@
     }
 
     pub fn answer(&mut self, attempt: Attempt, outcome: Outcome) {
-        let waiting = self.servers[attempt.endpoint].reported_queue(self.now);
+        let waiting = self.servers[attempt.endpoint].reported_queue_length(self.now);
         self.after(
             NETWORK_DELAY,
-            Step::Ends {
+            Step::AttemptEnds {
                 attempt,
                 outcome,
                 queue_length: Some(waiting as f64),
@@ -440,6 +449,11 @@
     }
 }
 
+fn warming_endpoint() -> EndpointId {
+    name(WARMING).as_str().into()
+}
+
+/// Returns the name of an endpoint.
 pub fn name(endpoint: usize) -> String {
     format!("e{endpoint}")
 }
