--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -5,6 +5,7 @@
 mod document;
 mod effective_value;
 mod error;
+mod json_text;
 mod leaf_values;
 mod missing_key;
 mod parse;
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -1,10 +1,12 @@
 //! Reading and validating the text of a configuration: at the start, on SIGHUP and in the commands.
 
 use super::document::ConfigurationDocument;
+use super::json_text::{JsonText, read_json};
 use super::schema::schema_errors;
 use super::settings_document::document_key_path;
 use super::validation::{ValidationError, ValidationErrors};
 use crate::policy::{Settings, SettingsError};
+use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
 
@@ -34,10 +36,8 @@
 /// # Errors
 /// Returns all that is wrong with it.
 pub fn parse(text: &str) -> Result<ParsedConfiguration, ValidationErrors> {
-    let file_content: Value =
-        serde_json::from_str(text).map_err(|error| ValidationErrors(vec![not_json(&error)]))?;
-    let document = read_document_text(text)
-        .map_err(|error| ValidationErrors(all_errors(&file_content, error)))?;
+    let json = read_json(text).map_err(|error| ValidationErrors(vec![not_json(&error)]))?;
+    let document = read_document(text, &json)?;
     let settings = Settings::try_from(document.settings.clone())
         .map_err(|error| ValidationErrors(vec![invalid_settings(error.to_string())]))?;
     let errors: Vec<ValidationError> = settings
@@ -50,7 +50,7 @@
     }
     Ok(ParsedConfiguration {
         document,
-        file_content,
+        file_content: json.value,
         settings,
     })
 }
@@ -67,6 +67,18 @@
     keys
 }
 
+/// Converts the value of a text to the document type.
+///
+/// A value knows neither positions in the text nor keys that were there twice. The text is therefore read again where
+/// the conversion fails or a key is there twice.
+fn read_document(text: &str, json: &JsonText) -> Result<ConfigurationDocument, ValidationErrors> {
+    match ConfigurationDocument::deserialize(&json.value) {
+        Ok(document) if !json.has_duplicate_keys => Ok(document),
+        _ => read_document_text(text)
+            .map_err(|error| ValidationErrors(all_errors(&json.value, error))),
+    }
+}
+
 fn read_document_text(text: &str) -> Result<ConfigurationDocument, ValidationError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -113,6 +113,22 @@
     );
 }
 
+/// Guards what a JSON value does not show: a key that is there twice is an error, with its position in the text.
+#[test]
+fn check_reports_a_duplicate_key_with_its_position() {
+    let folder = Folder::new("check-duplicate");
+    let valid = configuration().to_string();
+    let duplicated = valid.replacen("\"coldFrom\":", "\"coldFrom\":0.2,\"coldFrom\":", 1);
+    let second_key_end = duplicated.rfind("\"coldFrom\"").expect("the key") + "\"coldFrom\"".len();
+    let file = folder.write("config.json", &duplicated);
+    let output = run_program(&["check", "--config", text(&file)]);
+    assert_eq!(output.status.code(), Some(2));
+    assert_eq!(
+        stderr(&output),
+        format!("settings.rules: duplicate field `coldFrom` at line 1 column {second_key_end}\n")
+    );
+}
+
 /// Guards against keys that are misspelt: they are warned of, and are no fault.
 #[test]
 fn unknown_keys_are_warned_of() {
