--- a/src/command_line/check.rs
+++ b/src/command_line/check.rs
@@ -1,19 +1,22 @@
 //! The command `check`.
 
-use super::file;
-use super::output::{Outcome, line};
+use super::configuration_file;
+use super::output::{Outcome, print_line};
 use crate::configuration::unknown_keys;
 use std::path::Path;
 
-/// Tells all that is wrong with a configuration, and warns of keys that are not known.
+/// Reports all that is wrong with a configuration, and warns of keys that the sidecar does not read.
 pub(super) fn check(path: &Path) -> Outcome {
-    let text = match file::read(path) {
+    let text = match configuration_file::read_text(path) {
         Ok(text) => text,
         Err(outcome) => return outcome,
     };
-    let outcome = file::parse(&text).map_or_else(|outcome| outcome, |_| Outcome::Done);
+    let outcome = match configuration_file::parse(&text) {
+        Ok(_) => Outcome::Success,
+        Err(outcome) => outcome,
+    };
     for key in &unknown_keys(&text) {
-        line(&format!("warning: {key}"));
+        print_line(&format!("warning: {key}"));
     }
     outcome
 }
--- /dev/null
+++ b/src/command_line/configuration_file.rs
@@ -0,0 +1,21 @@
+//! Reading the configuration files that are named on the command line.
+
+use super::output::{Outcome, bad_input, print_error};
+use crate::configuration::{self, ParsedConfiguration};
+use std::fs;
+use std::path::Path;
+
+/// Reads the text of a file, or reports why it cannot be read.
+pub(super) fn read_text(path: &Path) -> Result<String, Outcome> {
+    fs::read_to_string(path).map_err(|error| bad_input(&format!("{}: {error}", path.display())))
+}
+
+/// Parses the text of a configuration, or reports all that is wrong with it, one error a line.
+pub(super) fn parse(text: &str) -> Result<ParsedConfiguration, Outcome> {
+    configuration::parse(text).map_err(|errors| {
+        for error in &errors.0 {
+            print_error(error);
+        }
+        Outcome::BadInput
+    })
+}
--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -1,12 +1,16 @@
 //! The command `diff`.
 
-use super::output::{Outcome, bad_input, line, print};
+use super::output::{Outcome, bad_input, print, print_line};
 use crate::configuration::{Config, Effect, differences};
 use std::path::Path;
 
-/// Tells what another configuration would change in a running sidecar; 1 where it would be turned down.
-pub(super) fn diff(old: &Path, new: &Path) -> Outcome {
-    let (running, next) = match (Config::from_file(old), Config::from_file(new)) {
+/// Shows what another configuration would change in a running sidecar. Fails where a reload would reject the other
+/// configuration.
+pub(super) fn diff(running_path: &Path, next_path: &Path) -> Outcome {
+    let (running, next) = match (
+        Config::from_file(running_path),
+        Config::from_file(next_path),
+    ) {
         (Ok(running), Ok(next)) => (running, next),
         (Err(error), _) | (_, Err(error)) => return bad_input(&error),
     };
@@ -15,14 +19,14 @@
         return print(&"nothing changes");
     }
     for difference in &differences {
-        line(difference);
+        print_line(difference);
     }
     let is_rejected = differences
         .iter()
         .any(|difference| difference.effect == Effect::Rejected);
     if is_rejected {
-        Outcome::Failed
+        Outcome::Failure
     } else {
-        Outcome::Done
+        Outcome::Success
     }
 }
--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -1,13 +1,14 @@
 //! The command `explain`.
 
-use super::file;
-use super::output::{Outcome, bad_input, line};
-use crate::configuration::{self, Config};
+use super::configuration_file;
+use super::output::{Outcome, bad_input, print_line};
+use crate::configuration::{Config, effective_values};
 use std::path::Path;
 
 /// Shows the configuration in effect.
 pub(super) fn explain(path: &Path) -> Outcome {
-    let parsed = match file::read(path).and_then(|text| file::parse(&text)) {
+    let text = configuration_file::read_text(path);
+    let parsed = match text.and_then(|text| configuration_file::parse(&text)) {
         Ok(parsed) => parsed,
         Err(outcome) => return outcome,
     };
@@ -15,9 +16,8 @@
         Ok(admin) => admin,
         Err(error) => return bad_input(&error),
     };
-    let values = configuration::effective_values(&parsed, admin);
-    for value in &values {
-        line(value);
+    for value in &effective_values(&parsed, admin) {
+        print_line(value);
     }
-    Outcome::Done
+    Outcome::Success
 }
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -1,26 +1,30 @@
-//! The program's commands. Without one it serves.
+//! The command line of the program. Without a command the program serves.
 
+mod admin_call;
 mod check;
+mod configuration_file;
 mod diff;
 mod explain;
-mod file;
-mod operator;
 mod output;
 
 use crate::configuration::FILE_VARIABLE;
+use admin_call::{AdminCall, AdminOptions};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use operator::{OperatorCall, SecondAddress};
+use clap_mangen::Man;
 use output::Outcome;
 use std::io::{self, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A sidecar that balances a service's calls over endpoints, with overload control.
+/// The name of the program in the help, the completions and the manual page.
+const PROGRAM_NAME: &str = "balancer-sidecar";
+
+/// A sidecar that balances the requests of a service over endpoints, with overload control.
 ///
 /// Without a command it serves, with the configuration that `ROUTER_CONFIG` names.
 #[derive(Parser)]
-#[command(name = "balancer-sidecar", version)]
+#[command(name = PROGRAM_NAME, version)]
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
@@ -28,41 +32,41 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Tells all that is wrong with a configuration, a line each; warns of unknown keys.
-    Check(ConfigurationFile),
-    /// Shows the configuration in effect: each value with its unit and where it came from.
-    Explain(ConfigurationFile),
-    /// Tells what another configuration would change in a running sidecar by SIGHUP, what would need a restart, and what would
-    /// be turned down.
+    /// Reports all that is wrong with a configuration, one error a line, and warns of unknown keys.
+    Check(ConfigurationOptions),
+    /// Shows the configuration in effect: each value with its unit and its origin.
+    Explain(ConfigurationOptions),
+    /// Shows what another configuration would change in a running sidecar with SIGHUP, what needs a restart, and what
+    /// would be rejected.
     Diff {
         /// The configuration that the sidecar runs with.
         old: PathBuf,
-        /// The other one.
+        /// The other configuration.
         new: PathBuf,
     },
-    /// Shows whether the sidecar is ready, and its figures.
-    Status(SecondAddress),
-    /// Empties the sidecar of callers; the process runs on.
-    Drain(SecondAddress),
-    /// Takes a drained sidecar back to work.
-    Undrain(SecondAddress),
-    /// Keeps an endpoint free of new requests, whatever the list says.
+    /// Shows whether the sidecar is ready, and its metrics.
+    Status(AdminOptions),
+    /// Drains the sidecar of callers; the process keeps running.
+    Drain(AdminOptions),
+    /// Ends a drain: the sidecar accepts callers again.
+    Undrain(AdminOptions),
+    /// Stops new requests to an endpoint, whatever the endpoint list says.
     Disable {
-        /// The endpoint's name in discovery.
+        /// The name of the endpoint in discovery.
         endpoint: String,
         #[command(flatten)]
-        address: SecondAddress,
+        options: AdminOptions,
     },
-    /// Uses an endpoint again.
+    /// Allows new requests to an endpoint again.
     Enable {
-        /// The endpoint's name in discovery.
+        /// The name of the endpoint in discovery.
         endpoint: String,
         #[command(flatten)]
-        address: SecondAddress,
+        options: AdminOptions,
     },
     /// Writes completions for a shell to standard output.
     Completions {
-        /// Which shell.
+        /// The shell.
         shell: Shell,
     },
     /// Writes the manual page to standard output.
@@ -71,57 +75,58 @@
     Schema,
 }
 
-/// A configuration.
+/// Options that name a configuration.
 #[derive(Args)]
-struct ConfigurationFile {
-    /// The configuration's file.
+struct ConfigurationOptions {
+    /// The configuration file.
     #[arg(long, value_name = "FILE", env = FILE_VARIABLE)]
     config: PathBuf,
 }
 
-/// Runs the command that the arguments name, or serves where they name none.
+/// Runs the command that the arguments name, or serves if they name none.
 #[must_use]
 pub fn main() -> ExitCode {
-    // Serving reads no arguments, and does not keep the memory that parsing them takes.
+    // Without arguments clap is not called at all, which saves the serving process the memory for parsing.
     if std::env::args_os().len() <= 1 {
         return crate::sidecar::main();
     }
-    let Some(command) = Arguments::parse().command else {
-        return crate::sidecar::main();
-    };
-    let outcome = match command {
-        Command::Check(file) => check::check(&file.config),
-        Command::Explain(file) => explain::explain(&file.config),
+    match Arguments::parse().command {
+        Some(command) => run(command).exit_code(),
+        None => crate::sidecar::main(),
+    }
+}
+
+fn run(command: Command) -> Outcome {
+    match command {
+        Command::Check(options) => check::check(&options.config),
+        Command::Explain(options) => explain::explain(&options.config),
         Command::Diff { old, new } => diff::diff(&old, &new),
-        Command::Status(address) => operator::status(&address),
-        Command::Drain(address) => operator::call(&address, OperatorCall::Drain),
-        Command::Undrain(address) => operator::call(&address, OperatorCall::Undrain),
-        Command::Disable { endpoint, address } => {
-            operator::call(&address, OperatorCall::Disable(&endpoint))
+        Command::Status(options) => admin_call::status(&options),
+        Command::Drain(options) => admin_call::call(&options, AdminCall::Drain),
+        Command::Undrain(options) => admin_call::call(&options, AdminCall::Undrain),
+        Command::Disable { endpoint, options } => {
+            admin_call::call(&options, AdminCall::Disable(&endpoint))
         }
-        Command::Enable { endpoint, address } => {
-            operator::call(&address, OperatorCall::Enable(&endpoint))
+        Command::Enable { endpoint, options } => {
+            admin_call::call(&options, AdminCall::Enable(&endpoint))
         }
-        Command::Completions { shell } => {
-            clap_complete::generate(
-                shell,
-                &mut Arguments::command(),
-                "balancer-sidecar",
-                &mut io::stdout(),
-            );
-            Outcome::Done
-        }
-        Command::Man => manual(),
+        Command::Completions { shell } => write_completions(shell),
+        Command::Man => write_manual_page(),
         Command::Schema => output::print(&format!("{:#}", crate::configuration::schema())),
-    };
-    outcome.exit_code()
+    }
+}
+
+fn write_completions(shell: Shell) -> Outcome {
+    let mut arguments = Arguments::command();
+    clap_complete::generate(shell, &mut arguments, PROGRAM_NAME, &mut io::stdout());
+    Outcome::Success
 }
 
-fn manual() -> Outcome {
+fn write_manual_page() -> Outcome {
     let mut page = Vec::new();
-    let rendered = clap_mangen::Man::new(Arguments::command()).render(&mut page);
+    let rendered = Man::new(Arguments::command()).render(&mut page);
     match rendered.and_then(|()| io::stdout().write_all(&page)) {
-        Ok(()) => Outcome::Done,
-        Err(failure) => output::failed(&failure),
+        Ok(()) => Outcome::Success,
+        Err(error) => output::failure(&error),
     }
 }
--- a/src/command_line/output.rs
+++ b/src/command_line/output.rs
@@ -1,60 +1,60 @@
-//! How commands end, and what they print.
+//! Output and exit codes of the commands.
 
 use std::fmt::Display;
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Exit code of a command that could not do what it was asked.
-const FAILED: u8 = 1;
-/// Exit code of input that cannot be used, as clap has it for arguments.
-const BAD_INPUT: u8 = 2;
+/// The exit code of a command that failed.
+const FAILURE_CODE: u8 = 1;
+/// The exit code for invalid input; the same as clap's for invalid arguments.
+const BAD_INPUT_CODE: u8 = 2;
 
 /// How a command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// As it was asked to.
-    Done,
-    /// Not as it was asked to.
-    Failed,
-    /// Its input cannot be used.
+pub(super) enum Outcome {
+    /// The command did what it was called for.
+    Success,
+    /// The command failed, or the sidecar refused.
+    Failure,
+    /// The input is invalid.
     BadInput,
 }
 
 impl Outcome {
-    /// 0, 1 or 2.
-    pub fn exit_code(self) -> ExitCode {
+    /// Returns the exit code: 0, 1 or 2.
+    pub(super) fn exit_code(self) -> ExitCode {
         match self {
-            Outcome::Done => ExitCode::SUCCESS,
-            Outcome::Failed => FAILED.into(),
-            Outcome::BadInput => BAD_INPUT.into(),
+            Outcome::Success => ExitCode::SUCCESS,
+            Outcome::Failure => FAILURE_CODE.into(),
+            Outcome::BadInput => BAD_INPUT_CODE.into(),
         }
     }
 }
 
-/// Prints a line. One that nobody reads any more is no reason to complain.
-pub fn line(text: &dyn Display) {
+/// Prints a line to standard output. Errors are ignored, as the reader may have closed the pipe on purpose.
+pub(super) fn print_line(text: &dyn Display) {
     let _ = writeln!(io::stdout(), "{text}");
 }
 
-/// Prints a line of complaint.
-pub fn complaint(problem: &dyn Display) {
-    let _ = writeln!(io::stderr(), "{problem}");
+/// Prints a line to standard error.
+pub(super) fn print_error(error: &dyn Display) {
+    let _ = writeln!(io::stderr(), "{error}");
 }
 
-/// Prints what was asked for.
-pub fn print(text: &dyn Display) -> Outcome {
-    line(text);
-    Outcome::Done
+/// Prints the result of a command.
+pub(super) fn print(text: &dyn Display) -> Outcome {
+    print_line(text);
+    Outcome::Success
 }
 
-/// Complains that a command failed.
-pub fn failed(problem: &dyn Display) -> Outcome {
-    complaint(problem);
-    Outcome::Failed
+/// Reports that a command failed.
+pub(super) fn failure(error: &dyn Display) -> Outcome {
+    print_error(error);
+    Outcome::Failure
 }
 
-/// Complains of the input.
-pub fn bad_input(problem: &dyn Display) -> Outcome {
-    complaint(problem);
+/// Reports invalid input.
+pub(super) fn bad_input(error: &dyn Display) -> Outcome {
+    print_error(error);
     Outcome::BadInput
 }
