--- /dev/null
+++ b/tests/command_line/admin_calls.rs
@@ -0,0 +1,104 @@
+//! `status`, `drain`, `undrain`, `disable` and `enable`, against a fake sidecar.
+
+use super::{TestDirectory, path_text, run_program, stderr, stdout, valid_configuration};
+use serde_json::json;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::thread::{self, JoinHandle};
+
+/// Starts a fake sidecar that takes one call for each answer. Returns its admin address and, once joined, the lines of
+/// the calls.
+fn fake_sidecar(answers: &'static [&'static str]) -> (SocketAddr, JoinHandle<Vec<String>>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let calls = thread::spawn(move || {
+        answers
+            .iter()
+            .map(|answer| answer_one_call(&listener, answer))
+            .collect()
+    });
+    (address, calls)
+}
+
+fn answer_one_call(listener: &TcpListener, answer: &str) -> String {
+    let (mut stream, _) = listener.accept().expect("a call");
+    let reader = stream.try_clone().expect("a reader");
+    let mut line = String::new();
+    BufReader::new(reader).read_line(&mut line).expect("a line");
+    stream
+        .write_all(answer.as_bytes())
+        .expect("the answer is written");
+    line
+}
+
+/// Guards the calls: each is one line, and a refusal is printed and makes the exit code 1.
+#[test]
+fn commands_send_their_call_and_fail_where_the_sidecar_refuses() {
+    for (arguments, call) in [
+        (vec!["drain"], "DRAIN\n"),
+        (vec!["undrain"], "UNDRAIN\n"),
+        (vec!["disable", "e0"], "DISABLE e0\n"),
+        (vec!["enable", "e0"], "ENABLE e0\n"),
+    ] {
+        let (address, calls) = fake_sidecar(&["YES\n", "NO no such endpoint is listed\n"]);
+        let address = address.to_string();
+        let arguments: Vec<&str> = arguments.into_iter().chain(["--admin", &address]).collect();
+
+        let accepted = run_program(&arguments);
+        assert_eq!(
+            (accepted.status.code(), stdout(&accepted).as_str()),
+            (Some(0), "YES\n")
+        );
+
+        let refused = run_program(&arguments);
+        assert_eq!(
+            (refused.status.code(), stderr(&refused).as_str()),
+            (Some(1), "NO no such endpoint is listed\n")
+        );
+        assert_eq!(calls.join().expect("two calls"), [call, call]);
+    }
+}
+
+/// Guards `status`, and that it finds the admin address in the configuration.
+#[test]
+fn status_shows_readiness_and_metrics() {
+    let (address, calls) = fake_sidecar(&["YES\n", "app_pending 3\napp_members 2\nEND\n"]);
+    let directory = TestDirectory::new("status");
+    let mut document = valid_configuration();
+    document["admin_addr"] = json!(address.to_string());
+    let file = directory.write_file("config.json", &document.to_string());
+
+    let output = run_program(&["status", "--config", path_text(&file)]);
+
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
+    assert_eq!(
+        stdout(&output),
+        "ready: YES\napp_pending 3\napp_members 2\n"
+    );
+    assert_eq!(calls.join().expect("two calls"), ["READY\n", "STATS\n"]);
+}
+
+/// Guards against silent failures: a missing address is bad input, an unreachable sidecar a failure.
+#[test]
+fn commands_report_a_missing_address_and_an_unreachable_sidecar() {
+    let output = run_program(&["status"]);
+    assert_eq!(output.status.code(), Some(2));
+    assert!(
+        stderr(&output).starts_with("no second address: "),
+        "{}",
+        stderr(&output)
+    );
+
+    let closed_address = TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("an address")
+        .to_string();
+    let output = run_program(&["drain", "--admin", &closed_address]);
+    assert_eq!(output.status.code(), Some(1));
+    assert!(
+        stderr(&output).starts_with(&closed_address),
+        "{}",
+        stderr(&output)
+    );
+}
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -1,11 +1,12 @@
 //! `check`, `explain`, `diff` and `schema`.
 
-use super::{Folder, configuration, run_program, stderr, stdout, text};
+use super::{TestDirectory, path_text, run_program, stderr, stdout, valid_configuration};
 use serde_json::{Value, json};
 
-fn check(folder: &Folder, document: &Value) -> (Option<i32>, Vec<String>, Vec<String>) {
-    let file = folder.write("config.json", &document.to_string());
-    let output = run_program(&["check", "--config", text(&file)]);
+/// Runs `check` on a document. Returns the exit code, the errors and the warnings.
+fn check(directory: &TestDirectory, document: &Value) -> (Option<i32>, Vec<String>, Vec<String>) {
+    let file = directory.write_file("config.json", &document.to_string());
+    let output = run_program(&["check", "--config", path_text(&file)]);
     let lines = |text: String| text.lines().map(String::from).collect();
     (
         output.status.code(),
@@ -14,26 +15,30 @@
     )
 }
 
-/// Guards `check` against faults of its own: what can be used has none.
+/// Guards `check` against false errors.
 #[test]
-fn a_configuration_that_can_be_used_has_no_fault() {
-    let folder = Folder::new("check-good");
-    assert_eq!(check(&folder, &configuration()), (Some(0), vec![], vec![]));
-    let mut other = configuration();
+fn check_accepts_a_valid_configuration() {
+    let directory = TestDirectory::new("check-good");
+    assert_eq!(
+        check(&directory, &valid_configuration()),
+        (Some(0), vec![], vec![])
+    );
+    let mut other = valid_configuration();
     other["settings"]["weightSource"] = Value::Null;
     other["settings"]["worthBy"] = Value::Null;
     assert_eq!(
-        check(&folder, &other),
+        check(&directory, &other),
         (Some(0), vec![], vec![]),
         "null is as absent"
     );
 }
 
-/// Guards against faults that are told one a run: all of them at once, each with its path, what was found and what is allowed.
+/// Guards against errors that are reported one a run: all are reported at once, each with its path, what was found and
+/// what is allowed.
 #[test]
-fn all_faults_are_told_at_once() {
-    let folder = Folder::new("check-faults");
-    let mut document = configuration();
+fn check_reports_all_errors_at_once() {
+    let directory = TestDirectory::new("check-errors");
+    let mut document = valid_configuration();
     document["limits"]["memory_mb"] = json!("much");
     document["settings"]["discovery"] = json!("perhaps");
     document["settings"]["categories"][1]["worth"] = json!(true);
@@ -41,8 +46,8 @@
         .as_object_mut()
         .expect("bounds")
         .remove("sendCap");
-    let (code, faults, _) = check(&folder, &document);
-    assert_eq!((code, faults.len()), (Some(2), 4), "{faults:?}");
+    let (code, errors, _) = check(&directory, &document);
+    assert_eq!((code, errors.len()), (Some(2), 4), "{errors:?}");
     for (path, says) in [
         ("limits.memory_mb: ", "\"much\" is not of type \"integer\""),
         ("settings.discovery: ", "perhaps"),
@@ -53,24 +58,24 @@
         ("settings.bounds: ", "\"sendCap\" is a required property"),
     ] {
         assert!(
-            faults
+            errors
                 .iter()
-                .any(|f| f.starts_with(path) && f.contains(says)),
-            "{path}{says}: {faults:?}"
+                .any(|error| error.starts_with(path) && error.contains(says)),
+            "{path}{says}: {errors:?}"
         );
     }
 }
 
-/// Guards values that are of the right kind and make no sense, by the names that the document has for them.
+/// Guards against values of the right type that make no sense; they are reported by their keys in the document.
 #[test]
-fn settings_that_make_no_sense_are_told_by_their_paths() {
-    let folder = Folder::new("check-sense");
-    let mut document = configuration();
+fn check_reports_invalid_settings_by_their_document_paths() {
+    let directory = TestDirectory::new("check-sense");
+    let mut document = valid_configuration();
     document["settings"]["balancers"] = json!(0);
     document["settings"]["bounds"]["sendCap"] = json!(0);
     document["settings"]["categories"][0]["hardLimitNs"] = json!(0);
     document["settings"]["rules"]["coldFrom"] = json!(1.5);
-    let (code, faults, _) = check(&folder, &document);
+    let (code, errors, _) = check(&directory, &document);
     let expected = [
         "settings.balancers: is zero",
         "settings.bounds.sendCap: is zero",
@@ -78,22 +83,22 @@
         "settings.rules.coldFrom: is not from 0 to 1",
     ];
     assert_eq!(
-        (code, faults),
+        (code, errors),
         (Some(2), expected.map(String::from).to_vec())
     );
 }
 
-/// Guards what the schema does not know: addresses and a file that is no JSON.
+/// Guards what the schema does not cover: addresses and files that are not JSON or not there.
 #[test]
-fn what_is_no_document_or_address_is_one_fault() {
-    let folder = Folder::new("check-text");
-    let mut document = configuration();
+fn check_reports_one_error_for_an_invalid_address_and_for_broken_json() {
+    let directory = TestDirectory::new("check-text");
+    let mut document = valid_configuration();
     document["listen"] = json!("nowhere");
-    let (code, faults, _) = check(&folder, &document);
-    assert_eq!((code, faults.len()), (Some(2), 1), "{faults:?}");
-    assert!(faults[0].starts_with("listen: "), "{faults:?}");
-    let file = folder.write("cut.json", &configuration().to_string()[..90]);
-    let output = run_program(&["check", "--config", text(&file)]);
+    let (code, errors, _) = check(&directory, &document);
+    assert_eq!((code, errors.len()), (Some(2), 1), "{errors:?}");
+    assert!(errors[0].starts_with("listen: "), "{errors:?}");
+    let file = directory.write_file("cut.json", &valid_configuration().to_string()[..90]);
+    let output = run_program(&["check", "--config", path_text(&file)]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
         stderr(&output).starts_with("the document: it is no JSON: "),
@@ -116,12 +121,12 @@
 /// Guards what a JSON value does not show: a key that is there twice is an error, with its position in the text.
 #[test]
 fn check_reports_a_duplicate_key_with_its_position() {
-    let folder = Folder::new("check-duplicate");
-    let valid = configuration().to_string();
+    let directory = TestDirectory::new("check-duplicate");
+    let valid = valid_configuration().to_string();
     let duplicated = valid.replacen("\"coldFrom\":", "\"coldFrom\":0.2,\"coldFrom\":", 1);
     let second_key_end = duplicated.rfind("\"coldFrom\"").expect("the key") + "\"coldFrom\"".len();
-    let file = folder.write("config.json", &duplicated);
-    let output = run_program(&["check", "--config", text(&file)]);
+    let file = directory.write_file("config.json", &duplicated);
+    let output = run_program(&["check", "--config", path_text(&file)]);
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(
         stderr(&output),
@@ -129,26 +134,26 @@
     );
 }
 
-/// Guards against keys that are misspelt: they are warned of, and are no fault.
+/// Guards against misspelt keys: they are warned of, and are no errors.
 #[test]
-fn unknown_keys_are_warned_of() {
-    let folder = Folder::new("check-unknown");
-    let mut document = configuration();
+fn check_warns_of_unknown_keys() {
+    let directory = TestDirectory::new("check-unknown");
+    let mut document = valid_configuration();
     document["settings"]["rules"]["coldFrm"] = json!(0.1);
-    let (code, faults, warnings) = check(&folder, &document);
-    assert_eq!((code, faults), (Some(0), vec![]));
+    let (code, errors, warnings) = check(&directory, &document);
+    assert_eq!((code, errors), (Some(0), vec![]));
     assert_eq!(
         warnings,
         ["warning: settings.rules.coldFrm: this key is not known and is passed over"]
     );
 }
 
-/// Guards `explain`: each value with its unit and where it came from.
+/// Guards `explain`: it shows each value with its unit and its origin.
 #[test]
 fn explain_shows_values_units_and_origins() {
-    let folder = Folder::new("explain");
-    let file = folder.write("config.json", &configuration().to_string());
-    let output = run_program(&["explain", "--config", text(&file)]);
+    let directory = TestDirectory::new("explain");
+    let file = directory.write_file("config.json", &valid_configuration().to_string());
+    let output = run_program(&["explain", "--config", path_text(&file)]);
     assert_eq!(output.status.code(), Some(0));
     let lines = stdout(&output);
     for line in [
@@ -158,27 +163,27 @@
         "settings.categories[1].lateShare = 0.0 (default)",
         "name = \"n0\" (file)",
     ] {
-        assert!(lines.lines().any(|l| l == line), "{line}: {lines}");
+        assert!(lines.lines().any(|shown| shown == line), "{line}: {lines}");
     }
 }
 
-/// Guards `diff` against saying other than SIGHUP does: settings and discovery follow, the rest needs a restart, a key that has
-/// gone turns the file down.
+/// Guards that `diff` agrees with SIGHUP: settings and discovery change with it, the rest needs a restart, and without a key
+/// that was there the whole file is rejected.
 #[test]
-fn diff_tells_what_a_reload_would_do() {
-    let folder = Folder::new("diff");
-    let old = folder.write("old.json", &configuration().to_string());
+fn diff_shows_what_a_reload_would_change() {
+    let directory = TestDirectory::new("diff");
+    let old = directory.write_file("old.json", &valid_configuration().to_string());
     let against = |document: &Value| {
-        let new = folder.write("new.json", &document.to_string());
-        let output = run_program(&["diff", text(&old), text(&new)]);
+        let new = directory.write_file("new.json", &document.to_string());
+        let output = run_program(&["diff", path_text(&old), path_text(&new)]);
         (output.status.code(), stdout(&output))
     };
     assert_eq!(
-        against(&configuration()),
+        against(&valid_configuration()),
         (Some(0), "nothing changes\n".into())
     );
 
-    let mut other = configuration();
+    let mut other = valid_configuration();
     other["settings"]["rules"]["coldFrom"] = json!(0.5);
     other["discovery"] = json!("127.0.0.1:2");
     other["limits"]["memory_mb"] = json!(128);
@@ -188,7 +193,7 @@
                     SIGHUP changes settings.rules.coldFrom: 0.3 to 0.5\n";
     assert_eq!(against(&other), (Some(0), expected.into()));
 
-    let mut shorter = configuration();
+    let mut shorter = valid_configuration();
     shorter["settings"]["rules"]
         .as_object_mut()
         .expect("rules")
@@ -196,7 +201,7 @@
     shorter["settings"]["rules"]["coldFrom2"] = json!(0.5);
     let (code, _) = against(&shorter);
     assert_eq!(code, Some(2), "it cannot be used at all");
-    let mut shorter = configuration();
+    let mut shorter = valid_configuration();
     shorter["settings"]
         .as_object_mut()
         .expect("settings")
@@ -205,9 +210,9 @@
     assert_eq!(against(&shorter), (Some(1), expected.into()));
 }
 
-/// Guards the schema that is published against types that have moved on: `balancer-sidecar schema` writes it anew.
+/// Guards that the published schema is up to date. `balancer-sidecar schema` writes it anew.
 #[test]
-fn the_schema_on_the_page_is_that_of_the_types() {
+fn the_published_schema_is_generated_from_the_types() {
     let output = run_program(&["schema"]);
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
--- a/tests/command_line/texts.rs
+++ b/tests/command_line/help.rs
@@ -1,4 +1,4 @@
-//! Help, version, completions and the manual page, all made from the same definitions.
+//! The help, the version, the completions and the manual page, all generated from the same definitions.
 
 use super::{run_program, stdout};
 
@@ -16,7 +16,7 @@
     "schema",
 ];
 
-/// Guards the texts against commands that they leave out.
+/// Guards against commands that are missing from a text.
 #[test]
 fn every_command_is_in_the_help_the_completions_and_the_manual() {
     let help = stdout(&run_program(&["--help"]));
@@ -35,20 +35,20 @@
         );
         assert!(manual.contains(command), "{command}: {manual}");
     }
-    assert!(manual.starts_with(".ie"), "a page for man: {manual}");
+    assert!(manual.starts_with(".ie"), "a page in roff: {manual}");
 }
 
 #[test]
-fn the_version_is_the_package_s() {
+fn the_version_is_that_of_the_package() {
     assert_eq!(
         stdout(&run_program(&["--version"])),
         concat!("balancer-sidecar ", env!("CARGO_PKG_VERSION"), "\n")
     );
 }
 
-/// Guards scripts: arguments that are none are told, and nothing is served.
+/// Guards scripts: invalid arguments are bad input, and the program does not serve.
 #[test]
-fn unknown_arguments_are_bad_input() {
+fn invalid_arguments_are_bad_input() {
     for arguments in [
         &["serve-perhaps"][..],
         &["--no-such-option"],
--- a/tests/command_line/main.rs
+++ b/tests/command_line/main.rs
@@ -1,45 +1,45 @@
-//! The built program's commands. Each test says what of the code it guards.
+//! The commands of the built program.
 
+mod admin_calls;
 mod configuration;
-mod operators;
-mod texts;
+mod help;
 
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A folder of a test's own, removed at its end.
+/// A directory for the files of one test, removed when dropped.
 #[derive(Debug)]
-pub struct Folder(PathBuf);
+pub struct TestDirectory(PathBuf);
 
-impl Folder {
-    /// Creates the folder for this run of one test.
+impl TestDirectory {
+    /// Creates the directory.
     #[must_use]
     pub fn new(name: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a directory");
+        TestDirectory(path)
     }
 
-    /// Writes a file in the folder and returns its path.
+    /// Writes a file in the directory and returns its path.
     #[must_use]
-    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, text).expect("a file");
         path
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A configuration that can be used.
+/// Returns a valid configuration.
 #[must_use]
-pub fn configuration() -> Value {
+pub fn valid_configuration() -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
@@ -60,7 +60,7 @@
     })
 }
 
-/// Runs the program with these arguments, and nothing of the environment that it reads.
+/// Runs the program with these arguments and without the environment variables that it reads.
 #[must_use]
 pub fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
@@ -70,9 +70,9 @@
     command.args(arguments).output().expect("the program runs")
 }
 
-/// Returns a path as an argument's text.
+/// Returns a path as an argument.
 #[must_use]
-pub fn text(path: &Path) -> &str {
+pub fn path_text(path: &Path) -> &str {
     path.to_str().expect("a path in UTF-8")
 }
 
