--- /dev/null
+++ b/tests/sidecar/client_disconnects.rs
@@ -0,0 +1,406 @@
+//! Clients that disconnect while their request waits: wherever it waits, it is not sent, and other requests are served.
+
+use crate::cancellation_support::{
+    ALL_DISCONNECTS, Disconnect, FullBacklogEndpoint, LIFECYCLE_CHANGES, PipelinedBytes,
+    QueueingSidecar, WaitingClient, apply_change, request_id,
+};
+use crate::stubs::*;
+use serde_json::{Value, json};
+use std::io::Read;
+use std::sync::Mutex;
+use std::sync::mpsc::channel;
+use std::time::Duration;
+
+/// Queues requests of clients that disconnect, each in another way, and of clients that stay, and then lists an endpoint.
+/// Each disconnect is counted once, and only the requests of those that stay are sent.
+fn check_queued_requests_of_disconnecting_clients(change: impl FnOnce(&mut Value)) {
+    let mut queueing = QueueingSidecar::with(change);
+    let (mut staying, mut disconnecting, mut ids) = (Vec::new(), Vec::new(), Vec::new());
+    for how in ALL_DISCONNECTS {
+        let request = get_request("60");
+        disconnecting.push((how, WaitingClient::with(&queueing.sidecar, &request)));
+        if let Disconnect::ByFin(_) = how {
+            let request = post_request("unsafe", "60", "x");
+            ids.push(request_id(&request));
+            staying.push(WaitingClient::with(&queueing.sidecar, &request));
+        }
+    }
+    let all = disconnecting.len() + staying.len();
+    queueing.wait_for_pending(all);
+    for (how, client) in disconnecting {
+        client.disconnect(how);
+    }
+    queueing.wait_for_pending(staying.len());
+    queueing.list_endpoint();
+    assert!(
+        staying.iter_mut().all(WaitingClient::is_served),
+        "the requests of clients that stay are served"
+    );
+    queueing.wait_for_pending(0);
+    let mut received_request_ids = queueing.received_request_ids();
+    received_request_ids.sort();
+    ids.sort();
+    assert_eq!(received_request_ids, ids, "no other request is sent");
+    drop(staying);
+    let mut sidecar = queueing.sidecar;
+    sidecar.terminate();
+    assert!(sidecar.wait().success());
+    let count = |name: &str| sidecar.logged_count(name);
+    wait_until("the counts are logged", || count("requests") == all as u64);
+    assert_eq!(
+        (count("disconnected"), count("served")),
+        (ALL_DISCONNECTS.len() as u64, ids.len() as u64),
+        "{:?}",
+        sidecar.log()
+    );
+    assert!(
+        sidecar
+            .log()
+            .iter()
+            .any(|l| l.contains("now pending=0 queued=0 in_flight=0")),
+        "{:?}",
+        sidecar.log()
+    );
+}
+
+/// Guards queued requests in the first tier.
+#[test]
+fn queued_request_is_not_sent_after_its_client_disconnects() {
+    check_queued_requests_of_disconnecting_clients(|_| {});
+}
+
+/// Guards later tiers, whose client is an endpoint that drops its call, and sites that do not allow attempts to be cancelled.
+#[test]
+fn queued_request_in_a_later_tier_without_cancel_is_not_sent_after_its_client_disconnects() {
+    check_queued_requests_of_disconnecting_clients(|config| {
+        config["settings"]["tier"] = json!(1);
+        config["settings"]["stages"] = json!(["one", "two"]);
+        config["settings"]["bounds"]["cancel"] = json!(false);
+    });
+}
+
+/// Guards requests that wait for a busy endpoint: two attempts in flight there make a queue in which the class of the
+/// lowest priority waits. It is sent when they are answered.
+#[test]
+fn request_queued_for_a_busy_endpoint_is_not_sent_after_its_client_disconnects() {
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
+    let busy = Endpoint::start(move |message| {
+        if message.header("x-class") == Some("unsafe") {
+            let _ = released.lock().expect("the only one").recv();
+        }
+        respond_ok("x")
+    });
+    let mut queueing = QueueingSidecar::with(|config| {
+        config["known"]["endpoints"] = json!(serving_entries(&[&busy]));
+    });
+    let mut in_flight = [0, 1].map(|_| {
+        let client = WaitingClient::with(&queueing.sidecar, &post_request("unsafe", "60", "x"));
+        busy.next_request();
+        client
+    });
+    let requests = ALL_DISCONNECTS.map(|how| (how, get_request("60")));
+    let disconnecting: Vec<_> = requests
+        .iter()
+        .map(|(how, request)| (*how, WaitingClient::with(&queueing.sidecar, request)))
+        .collect();
+    let request = get_request("60");
+    let mut staying_client = WaitingClient::with(&queueing.sidecar, &request);
+    queueing.wait_for_pending(2 + ALL_DISCONNECTS.len() + 1);
+    for (how, client) in disconnecting {
+        client.disconnect(how);
+    }
+    queueing.wait_for_pending(3);
+    assert_eq!(
+        busy.take_request_count(),
+        0,
+        "no queued request has been sent"
+    );
+    (0..2).for_each(|_| release.send(()).expect("it waits"));
+    assert!(in_flight.iter_mut().all(WaitingClient::is_served) && staying_client.is_served());
+    let received_request_ids: Vec<_> = busy
+        .take_requests()
+        .iter()
+        .filter_map(|message| message.header("x-request-id").map(String::from))
+        .collect();
+    assert_eq!(received_request_ids, [request_id(&request)]);
+}
+
+/// Guards requests whose body is unread or incomplete, so that no read notices the disconnect, and chunked ones, which are
+/// read together with the bytes after them.
+#[test]
+fn request_with_unread_or_partial_body_is_not_sent_after_its_client_disconnects() {
+    let mut queueing = QueueingSidecar::with(|_| {});
+    let large = |length: usize, written: usize| {
+        let head = post_request("unsafe", "60", "")
+            .replace("Content-Length: 0", &format!("Content-Length: {length}"));
+        format!("{head}{}", "x".repeat(written))
+    };
+    let chunked = |end: &str| {
+        let head = post_request("unsafe", "60", "")
+            .replace("Content-Length: 0", "Transfer-Encoding: chunked");
+        format!("{head}5\r\nhello\r\n{end}")
+    };
+    let alone = [
+        Disconnect::ByFin(PipelinedBytes::Nothing),
+        Disconnect::ByReset(PipelinedBytes::Nothing),
+    ];
+    let with_second_request = [
+        Disconnect::ByFin(PipelinedBytes::CompleteRequest),
+        Disconnect::ByReset(PipelinedBytes::CompleteRequest),
+    ];
+    let accepted = [
+        large(100_000, 100_000),
+        large(300_000, 90_000),
+        chunked("0\r\n\r\n"),
+    ];
+    let mut disconnecting: Vec<_> = Vec::new();
+    for request in &accepted {
+        for how in alone {
+            let text = request.replace(
+                &request_id(request),
+                &format!("{}-{}", request_id(request), disconnecting.len()),
+            );
+            disconnecting.push((how, WaitingClient::with(&queueing.sidecar, &text)));
+        }
+    }
+    for how in with_second_request {
+        let second = get_request("60");
+        disconnecting.push((
+            how,
+            WaitingClient::with(
+                &queueing.sidecar,
+                &format!("{}{second}", chunked("0\r\n\r\n")),
+            ),
+        ));
+    }
+    // The balancer is given requests that are complete or large; part of a small one is not pending.
+    let mut partial: Vec<_> = alone
+        .map(|how| {
+            (
+                how,
+                WaitingClient::with(&queueing.sidecar, &large(50_000, 10)),
+            )
+        })
+        .into_iter()
+        .collect();
+    partial.extend(alone.map(|how| {
+        (
+            how,
+            WaitingClient::with(&queueing.sidecar, &chunked("5\r\nhel")),
+        )
+    }));
+    let request = post_request("unsafe", "60", &"y".repeat(90_000));
+    let mut staying_client = WaitingClient::with(&queueing.sidecar, &request);
+    // A large body is not read while it is queued, so that it does not count as pending yet.
+    queueing.wait_for_pending(4);
+    queueing.wait_until("all large requests are accepted", |sidecar| {
+        sidecar.logged_count("requests") == 9
+    });
+    disconnecting
+        .into_iter()
+        .chain(partial)
+        .for_each(|(how, client)| client.disconnect(how));
+    queueing.wait_for_pending(0);
+    queueing.wait_until("all clients have disconnected", |sidecar| {
+        sidecar.logged_count("disconnected") == 8
+    });
+    queueing.list_endpoint();
+    assert!(staying_client.is_served());
+    assert_eq!(queueing.received_request_ids(), [request_id(&request)]);
+}
+
+/// Guards attempts whose connection is established late: nothing is written once the client has disconnected, whether or
+/// not attempts may be cancelled.
+#[test]
+fn late_endpoint_connection_carries_nothing_after_the_client_disconnects() {
+    for cancel in [true, false] {
+        let full_backlog_endpoint = FullBacklogEndpoint::start();
+        let discovery = Discovery::start();
+        let mut config =
+            with_admin_address(config(discovery.address, &[full_backlog_endpoint.entry()]));
+        config["settings"]["bounds"]["cancel"] = json!(cancel);
+        config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
+        let sidecar = Sidecar::start(&config);
+        let pending = |n| {
+            wait_until(&format!("{n} pending"), || {
+                sidecar.metric("pending") == Some(n)
+            });
+        };
+        let disconnecting: Vec<_> = ALL_DISCONNECTS
+            .into_iter()
+            .map(|how| (how, WaitingClient::with(&sidecar, &get_request("10"))))
+            .collect();
+        let request = get_request("10");
+        let staying_client = WaitingClient::with(&sidecar, &request);
+        pending(9);
+        for (how, client) in disconnecting {
+            client.disconnect(how);
+        }
+        pending(1);
+        // Without cancellation the connections of the others are established too, with nothing written on them.
+        assert!(
+            full_backlog_endpoint
+                .next_written_text()
+                .contains(&request_id(&request)),
+            "the request is that of the client that stays"
+        );
+        std::thread::sleep(Duration::from_secs(3)); // SYN is retransmitted after 1 s, and again 2 s later
+        while let Some(mut stream) = full_backlog_endpoint.try_accept() {
+            stream.set_nonblocking(true).expect("an option");
+            assert!(
+                !matches!(stream.read(&mut [0; 64]), Ok(1..)),
+                "nothing is written on other connections"
+            );
+        }
+        assert_eq!(sidecar.metric("upstream_requests"), Some(1));
+        drop(staying_client);
+        pending(0);
+    }
+}
+
+/// Guards a queued retry: a request that failed once waits for another endpoint when its client disconnects.
+#[test]
+fn queued_retry_is_not_sent_after_its_client_disconnects() {
+    let failing = Endpoint::start(|message| match message.header("x-class") {
+        Some("safe") => {
+            EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
+        }
+        _ => respond_ok("x"),
+    });
+    let mut queueing = QueueingSidecar::with(|config| {
+        config["known"]["endpoints"] = json!(serving_entries(&[&failing]));
+    });
+    // These requests earn the retry budget.
+    let mut earning = queueing.sidecar.client();
+    for _ in 0..20 {
+        assert_eq!(
+            earning
+                .exchange(&post_request("unsafe", "10", "x"))
+                .status(),
+            200
+        );
+        failing.next_request();
+    }
+    for how in [
+        Disconnect::ByFin(PipelinedBytes::CompleteRequest),
+        Disconnect::ByReset(PipelinedBytes::Nothing),
+    ] {
+        let request = get_request("60");
+        let client = WaitingClient::with(&queueing.sidecar, &request);
+        assert_eq!(
+            failing.next_request().1.header("x-request-id"),
+            Some(&*request_id(&request))
+        );
+        // It stays pending after its failure, and waits for an endpoint that has not failed it.
+        queueing.wait_for_pending(1);
+        client.disconnect(how);
+        queueing.wait_for_pending(0);
+    }
+    let names = [("e0", &failing), ("other", &queueing.endpoint)];
+    let all: Vec<Value> = names
+        .iter()
+        .map(|(name, endpoint)| entry(name, endpoint.address, "SERVING"))
+        .collect();
+    queueing.write_list(&list(42, false, &all));
+    queueing.wait_until("the other endpoint is listed", |sidecar| {
+        sidecar.metric("members") == Some(2)
+    });
+    let mut next_client = WaitingClient::with(&queueing.sidecar, &get_request("60"));
+    assert!(next_client.is_served(), "its retry is sent there");
+    assert_eq!(
+        queueing.received_request_ids().len(),
+        1,
+        "no other request is sent there"
+    );
+}
+
+/// Guards requests that stay queued in the balancer for lack of an endpoint during a drain, a shutdown or a hot restart.
+#[test]
+fn queued_request_is_not_sent_after_a_disconnect_during_a_lifecycle_change() {
+    for change in LIFECYCLE_CHANGES {
+        let directory = temporary_directory();
+        let mut queueing = QueueingSidecar::start(
+            |_| {},
+            |config| Sidecar::start_in_directory(&directory, config),
+        );
+        let disconnecting: Vec<_> = ALL_DISCONNECTS
+            .into_iter()
+            .map(|how| {
+                (
+                    how,
+                    WaitingClient::with(&queueing.sidecar, &get_request("60")),
+                )
+            })
+            .collect();
+        let request = get_request("60");
+        let mut staying_client = WaitingClient::with(&queueing.sidecar, &request); // the last, so that the others would be sent first
+        queueing.wait_for_pending(9);
+        let next = apply_change(change, &queueing.sidecar, &directory, &queueing.endpoint);
+        for (how, client) in disconnecting {
+            client.disconnect(how);
+        }
+        queueing.wait_for_pending(1);
+        queueing.list_endpoint();
+        assert!(staying_client.is_served(), "{change:?}");
+        assert_eq!(
+            queueing.received_request_ids(),
+            [request_id(&request)],
+            "{change:?}"
+        );
+        assert_eq!(
+            next.map_or(0, |next| next
+                .metric("upstream_requests")
+                .expect("a metric")),
+            0
+        );
+        let _ = std::fs::remove_dir_all(directory);
+    }
+}
+
+/// Guards requests whose connection to an endpoint is being established during a drain, a shutdown or a hot restart.
+#[test]
+fn connecting_request_is_not_sent_after_a_disconnect_during_a_lifecycle_change() {
+    for change in LIFECYCLE_CHANGES {
+        let directory = temporary_directory();
+        let discovery = Discovery::start();
+        let endpoint = Endpoint::start(|_| respond_ok("x"));
+        let full_backlog_endpoint = FullBacklogEndpoint::start();
+        let mut config =
+            with_admin_address(config(discovery.address, &[full_backlog_endpoint.entry()]));
+        config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
+        let sidecar = Sidecar::start_in_directory(&directory, &config);
+        let pending = |n| {
+            wait_until(&format!("{change:?}: {n} pending"), || {
+                sidecar.metric("pending") == Some(n)
+            });
+        };
+        let request = get_request("10");
+        let staying_client = WaitingClient::with(&sidecar, &request);
+        let disconnecting: Vec<_> = ALL_DISCONNECTS
+            .into_iter()
+            .map(|how| (how, WaitingClient::with(&sidecar, &get_request("10"))))
+            .collect();
+        pending(9);
+        let next = apply_change(change, &sidecar, &directory, &endpoint);
+        for (how, client) in disconnecting {
+            client.disconnect(how);
+        }
+        pending(1);
+        assert!(
+            full_backlog_endpoint
+                .next_written_text()
+                .contains(&request_id(&request)),
+            "{change:?}: it is that of the one that stays"
+        );
+        assert_eq!(sidecar.metric("upstream_requests"), Some(1), "{change:?}");
+        assert_eq!(
+            next.map_or(0, |next| next
+                .metric("upstream_requests")
+                .expect("a metric")),
+            0
+        );
+        drop(staying_client);
+        let _ = std::fs::remove_dir_all(directory);
+    }
+}
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -296,7 +296,7 @@
         outstanding.open_watch();
         outstanding.write_line(&list(42, false, &fixture.changed_entries()));
         fixture.sidecar.resume();
-        fixture.sidecar.wait_for_log("configuration read again");
+        fixture.sidecar.wait_for_log("configuration reloaded");
         fixture.wait_for_change();
 
         let new = stopped.start();
