--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -101,7 +101,11 @@
 }
 
 /// Adds the report of a fault in the decision code.
-pub(super) fn format_fault(reply: &mut String, InstanceNumber(n): InstanceNumber, text: &str) {
+pub(super) fn format_internal_error(
+    reply: &mut String,
+    InstanceNumber(n): InstanceNumber,
+    text: &str,
+) {
     let written = writeln!(
         reply,
         "internal_error sidecarId=sidecar/{n} noteText={}",
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,10 +1,10 @@
 //! Hosts many instances of the decision module, from the simulator's lines to its replies.
 
-use super::action::{format_action, format_fault};
+use super::action::{format_action, format_internal_error};
+use super::endpoint_lists::EndpointLists;
 use super::error::WireError;
-use super::event::{Names, parse_event};
+use super::event::{IdTable, parse_event};
 use super::instance::InstanceNumber;
-use super::lists::Lists;
 use super::message::{Message, parse_message};
 use crate::policy::{Action, Balancer, Event, Settings, Timestamp};
 use std::any::Any;
@@ -79,13 +79,13 @@
 /// One instance of the decision module.
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    ids: IdTable,
 }
 
 #[derive(Default)]
 struct Adapter {
     instances: HashMap<InstanceNumber, Instance>,
-    lists: Lists,
+    lists: EndpointLists,
     /// The time of the batch that has begun.
     batch_time: Option<Timestamp>,
     last_batch_time: Timestamp,
@@ -103,8 +103,8 @@
             }
             message => message,
         };
-        self.lists.must_be_complete()?;
-        if let Message::BatchBegins { at } = message {
+        self.lists.require_complete()?;
+        if let Message::BatchStart { at } = message {
             self.begin_batch(at)?;
             return Ok(false);
         }
@@ -112,18 +112,18 @@
             .batch_time
             .ok_or_else(|| WireError::OutsideBatch(line.into()))?;
         match message {
-            Message::ListBegins { list, entries } => self.lists.begin(list, entries),
-            Message::InstanceStarts {
+            Message::ListStart { list, entries } => self.lists.begin(list, entries),
+            Message::InstanceStart {
                 instance,
                 seed,
                 settings,
             } => self.start(instance, seed, *settings)?,
-            Message::InstanceEnds(instance) => {
+            Message::InstanceEnd(instance) => {
                 self.instances
                     .remove(&instance)
-                    .ok_or(WireError::DoesNotRun(instance))?;
+                    .ok_or(WireError::InstanceNotRunning(instance))?;
             }
-            Message::ListTold {
+            Message::ListReceived {
                 instance,
                 version,
                 list,
@@ -144,15 +144,15 @@
                 self.handle(now, instance, Event::DiscoveryFailed)?;
             }
             Message::Event(instance, fields) => {
-                let event = parse_event(&fields, &self.instance(instance)?.names)?;
+                let event = parse_event(&fields, &self.instance(instance)?.ids)?;
                 self.handle(now, instance, event)?;
             }
-            Message::BatchEnds => {
+            Message::BatchEnd => {
                 self.batch_time = None;
                 self.reply.push_str(REPLY_END);
                 return Ok(true);
             }
-            Message::Entry(_) | Message::BatchBegins { .. } => {}
+            Message::Entry(_) | Message::BatchStart { .. } => {}
         }
         Ok(false)
     }
@@ -162,7 +162,7 @@
             return Err(WireError::NestedBatch);
         }
         if at < self.last_batch_time {
-            return Err(WireError::TimeRunsBackwards);
+            return Err(WireError::TimeGoesBackwards);
         }
         self.batch_time = Some(at);
         self.last_batch_time = at;
@@ -175,10 +175,10 @@
         seed: u64,
         settings: Settings,
     ) -> Result<(), WireError> {
-        let names = Names::of(&settings);
+        let ids = IdTable::of(&settings);
         let balancer = Balancer::new(settings, seed)?;
-        match self.instances.insert(number, Instance { balancer, names }) {
-            Some(_) => Err(WireError::RunsAlready(number)),
+        match self.instances.insert(number, Instance { balancer, ids }) {
+            Some(_) => Err(WireError::InstanceAlreadyRunning(number)),
             None => Ok(()),
         }
     }
@@ -186,7 +186,7 @@
     fn instance(&mut self, number: InstanceNumber) -> Result<&mut Instance, WireError> {
         self.instances
             .get_mut(&number)
-            .ok_or(WireError::DoesNotRun(number))
+            .ok_or(WireError::InstanceNotRunning(number))
     }
 
     /// Gives an event to an instance. A panic there is a line of the reply, and the others go on.
@@ -204,7 +204,7 @@
             Ok(()) => actions
                 .iter()
                 .for_each(|action| format_action(&mut self.reply, number, action)),
-            Err(cause) => format_fault(&mut self.reply, number, panic_text(&*cause)),
+            Err(cause) => format_internal_error(&mut self.reply, number, panic_message(&*cause)),
         }
         actions.clear();
         self.actions = actions;
@@ -212,7 +212,7 @@
     }
 }
 
-fn panic_text(cause: &(dyn Any + Send)) -> &str {
+fn panic_message(cause: &(dyn Any + Send)) -> &str {
     let text = cause.downcast_ref::<String>().map(String::as_str);
     text.or_else(|| cause.downcast_ref::<&str>().copied())
         .unwrap_or("panic")
--- a/src/simulator/lists.rs
+++ b/src/simulator/endpoint_lists.rs
@@ -7,41 +7,41 @@
 
 /// Complete lists, and the one that is coming.
 #[derive(Debug, Default)]
-pub(super) struct Lists {
+pub(super) struct EndpointLists {
     complete: [Option<Arc<[EndpointEntry]>>; LIST_COUNT],
-    coming: Option<ComingList>,
+    partial: Option<PartialList>,
 }
 
 #[derive(Debug)]
-struct ComingList {
+struct PartialList {
     number: usize,
     announced: usize,
     entries: Vec<EndpointEntry>,
 }
 
-impl Lists {
+impl EndpointLists {
     /// A list begins.
     pub(super) fn begin(&mut self, number: usize, announced: usize) {
-        self.coming = Some(ComingList {
+        self.partial = Some(PartialList {
             number,
             announced,
             entries: Vec::new(),
         });
-        self.close_if_complete();
+        self.complete_if_full();
     }
 
     /// One more entry of the list that has begun.
     pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), WireError> {
-        let coming = self.coming.as_mut().ok_or(WireError::NoOpenList)?;
-        coming.entries.push(entry);
-        self.close_if_complete();
+        let partial = self.partial.as_mut().ok_or(WireError::EntryOutsideList)?;
+        partial.entries.push(entry);
+        self.complete_if_full();
         Ok(())
     }
 
     /// No other message may come before a list is complete.
-    pub(super) fn must_be_complete(&self) -> Result<(), WireError> {
-        match &self.coming {
-            Some(ComingList {
+    pub(super) fn require_complete(&self) -> Result<(), WireError> {
+        match &self.partial {
+            Some(PartialList {
                 number,
                 announced,
                 entries,
@@ -60,13 +60,13 @@
         list.cloned().ok_or(WireError::UnknownList(number))
     }
 
-    fn close_if_complete(&mut self) {
-        let coming = self
-            .coming
-            .take_if(|coming| coming.entries.len() >= coming.announced);
-        if let Some(ComingList {
+    fn complete_if_full(&mut self) {
+        let partial = self
+            .partial
+            .take_if(|partial| partial.entries.len() >= partial.announced);
+        if let Some(PartialList {
             number, entries, ..
-        }) = coming
+        }) = partial
         {
             self.complete[number] = Some(Arc::from(entries));
         }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -9,7 +9,7 @@
 pub enum WireError {
     /// A part of the line is no field.
     #[error("{message}: '{text}' is not name=value")]
-    NotAField {
+    MalformedField {
         /// The message's name.
         message: String,
         /// The part.
@@ -25,7 +25,7 @@
     },
     /// A field's value is not of its kind.
     #[error("{message}: {field}={value} cannot be read")]
-    Unreadable {
+    InvalidValue {
         /// The message's name.
         message: String,
         /// The field's name.
@@ -35,7 +35,7 @@
     },
     /// A field's value is none of those that there are.
     #[error("{message}: {field}={value} {problem}")]
-    OutOfRange {
+    UnknownValue {
         /// The message's name.
         message: String,
         /// The field's name.
@@ -56,7 +56,7 @@
     Settings(#[from] SettingsError),
     /// An entry came with no list to be in.
     #[error("entry: no directory is open")]
-    NoOpenList,
+    EntryOutsideList,
     /// A list is not complete.
     #[error("directory list={list}: {received} of {announced} entries came")]
     IncompleteList {
@@ -75,14 +75,14 @@
     NestedBatch,
     /// Time runs backwards.
     #[error("frame: momentNs is before that of the last batch")]
-    TimeRunsBackwards,
+    TimeGoesBackwards,
     /// A message came between batches.
     #[error("'{0}' is outside a batch")]
     OutsideBatch(String),
     /// An instance is started twice.
     #[error("new_instance: sidecar/{} runs already", .0.0)]
-    RunsAlready(InstanceNumber),
+    InstanceAlreadyRunning(InstanceNumber),
     /// An instance is named that does not run.
     #[error("sidecar/{} does not run", .0.0)]
-    DoesNotRun(InstanceNumber),
+    InstanceNotRunning(InstanceNumber),
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -1,7 +1,7 @@
 //! Events of an instance whose settings are known.
 
 use super::error::WireError;
-use super::fields::Fields;
+use super::message_fields::MessageFields;
 use crate::policy::{
     AttemptEnd, AttemptNumber, ClassId, Event, Key, PeerId, Request, RequestId, Settings, TenantId,
 };
@@ -17,12 +17,12 @@
 
 /// The class and tenant names of an instance.
 #[derive(Debug)]
-pub(super) struct Names {
+pub(super) struct IdTable {
     classes: HashMap<String, ClassId>,
     tenants: HashMap<String, TenantId>,
 }
 
-impl Names {
+impl IdTable {
     /// The names in these settings.
     pub(super) fn of(settings: &Settings) -> Self {
         let classes = settings
@@ -35,7 +35,7 @@
             .iter()
             .enumerate()
             .map(|(i, t)| (t.name.clone(), TenantId(i)));
-        Names {
+        IdTable {
             classes: classes.collect(),
             tenants: tenants.collect(),
         }
@@ -43,9 +43,9 @@
 }
 
 /// Reads an event.
-pub(super) fn parse_event(fields: &Fields<'_>, names: &Names) -> Result<Event, WireError> {
+pub(super) fn parse_event(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Event, WireError> {
     Ok(match fields.message() {
-        "call" => Event::Request(parse_request(fields, names)?),
+        "call" => Event::Request(parse_request(fields, ids)?),
         "started" => Event::StreamStarted {
             request: request_id(fields)?,
             attempt: attempt(fields)?,
@@ -78,19 +78,19 @@
     })
 }
 
-fn request_id(fields: &Fields<'_>) -> Result<RequestId, WireError> {
+fn request_id(fields: &MessageFields<'_>) -> Result<RequestId, WireError> {
     Ok(fields.text("xid")?.into())
 }
 
-fn attempt(fields: &Fields<'_>) -> Result<AttemptNumber, WireError> {
+fn attempt(fields: &MessageFields<'_>) -> Result<AttemptNumber, WireError> {
     fields.number("attempt")
 }
 
-fn took(fields: &Fields<'_>) -> Result<Duration, WireError> {
+fn took(fields: &MessageFields<'_>) -> Result<Duration, WireError> {
     Ok(Duration::from_nanos(fields.number("timeTakenNs")?))
 }
 
-fn parse_request(fields: &Fields<'_>, names: &Names) -> Result<Request, WireError> {
+fn parse_request(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Request, WireError> {
     let class = fields.text("priority")?;
     let attributes = fields.number_or_zero("attrs")?;
     let hint = fields.number_or_zero("expectedNs")?;
@@ -98,9 +98,11 @@
     let tenant = fields.find("org").filter(|tenant| *tenant != NO_TENANT);
     Ok(Request {
         id: request_id(fields)?,
-        class: fields.parsed("priority", class, names.classes.get(class).copied())?,
+        class: fields.require_parsed("priority", class, ids.classes.get(class).copied())?,
         tenant: match tenant {
-            Some(name) => Some(fields.parsed("org", name, names.tenants.get(name).copied())?),
+            Some(name) => {
+                Some(fields.require_parsed("org", name, ids.tenants.get(name).copied())?)
+            }
             None => None,
         },
         key: fields.find("key").map(Key::from),
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,8 +1,8 @@
 //! The messages of the wire.
 
 use super::error::WireError;
-use super::fields::Fields;
 use super::instance::InstanceNumber;
+use super::message_fields::MessageFields;
 use crate::configuration::settings_document::parse_settings;
 use crate::policy::{EndpointEntry, GroupId, ListKind, Readiness, Settings, Timestamp};
 
@@ -13,12 +13,12 @@
 #[derive(Debug)]
 pub enum Message<'a> {
     /// A batch begins.
-    BatchBegins {
+    BatchStart {
         /// The time of its events.
         at: Timestamp,
     },
     /// A list follows.
-    ListBegins {
+    ListStart {
         /// Its number.
         list: usize,
         /// Entry lines to come.
@@ -27,7 +27,7 @@
     /// One line of a list.
     Entry(EndpointEntry),
     /// An instance starts.
-    InstanceStarts {
+    InstanceStart {
         /// Its number.
         instance: InstanceNumber,
         /// For its random numbers.
@@ -36,9 +36,9 @@
         settings: Box<Settings>,
     },
     /// An instance is killed.
-    InstanceEnds(InstanceNumber),
+    InstanceEnd(InstanceNumber),
     /// An instance is told a list.
-    ListTold {
+    ListReceived {
         /// Its number.
         instance: InstanceNumber,
         /// The list's version.
@@ -51,9 +51,9 @@
     /// An instance is told that its call of discovery failed.
     DiscoveryFailed(InstanceNumber),
     /// Any other event for an instance, which its settings are needed to read.
-    Event(InstanceNumber, Fields<'a>),
+    Event(InstanceNumber, MessageFields<'a>),
     /// The batch is complete.
-    BatchEnds,
+    BatchEnd,
 }
 
 /// Reads one line.
@@ -61,23 +61,23 @@
 /// # Errors
 /// What is wrong with it.
 pub fn parse_message(line: &str) -> Result<Message<'_>, WireError> {
-    let fields = Fields::split(line)?;
+    let fields = MessageFields::split(line)?;
     Ok(match fields.message() {
-        "frame" => Message::BatchBegins {
+        "frame" => Message::BatchStart {
             at: fields.timestamp("momentNs")?,
         },
-        "go" => Message::BatchEnds,
-        "directory" => Message::ListBegins {
+        "go" => Message::BatchEnd,
+        "directory" => Message::ListStart {
             list: list_number(&fields)?,
             entries: fields.number("records")?,
         },
         "entry" => Message::Entry(parse_entry(&fields)?),
-        "new_instance" => Message::InstanceStarts {
+        "new_instance" => Message::InstanceStart {
             seed: parse_seed(&fields)?,
             settings: Box::new(parse_settings(fields.text("params")?)?),
             instance: fields.instance()?,
         },
-        "destroy" => Message::InstanceEnds(fields.instance()?),
+        "destroy" => Message::InstanceEnd(fields.instance()?),
         "members" => parse_members(&fields)?,
         "call" | "started" | "report_back" | "client_gone" | "due" | "probe_result" | "peer" => {
             Message::Event(fields.instance()?, fields)
@@ -86,34 +86,34 @@
     })
 }
 
-fn list_number(fields: &Fields<'_>) -> Result<usize, WireError> {
+fn list_number(fields: &MessageFields<'_>) -> Result<usize, WireError> {
     let value = fields.text("list")?;
     let number: usize = fields.number("list")?;
     if number < LIST_COUNT {
         Ok(number)
     } else {
-        Err(fields.out_of_range("list", value, "is not from 0 to 15"))
+        Err(fields.unknown_value("list", value, "is not from 0 to 15"))
     }
 }
 
 /// The seed has 64 bits, which may be written as a signed number.
-fn parse_seed(fields: &Fields<'_>) -> Result<u64, WireError> {
+fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, WireError> {
     let text = fields.text("nonce64")?;
     let signed = || text.parse::<i64>().ok().map(i64::cast_unsigned);
-    fields.parsed("nonce64", text, text.parse::<u64>().ok().or_else(signed))
+    fields.require_parsed("nonce64", text, text.parse::<u64>().ok().or_else(signed))
 }
 
-fn parse_members<'a>(fields: &Fields<'_>) -> Result<Message<'a>, WireError> {
+fn parse_members<'a>(fields: &MessageFields<'_>) -> Result<Message<'a>, WireError> {
     let version = fields.number_or_zero("rev")?;
     let kind = match fields.text("kind")? {
         "F" => ListKind::Full,
         "C" => ListKind::Cached,
         "D" => ListKind::Changes,
         "X" => return Ok(Message::DiscoveryFailed(fields.instance()?)),
-        other => return Err(fields.out_of_range("kind", other, "is not known")),
+        other => return Err(fields.unknown_value("kind", other, "is not known")),
     };
     let list = list_number(fields)?;
-    Ok(Message::ListTold {
+    Ok(Message::ListReceived {
         instance: fields.instance()?,
         version,
         list,
@@ -121,7 +121,7 @@
     })
 }
 
-fn parse_entry(fields: &Fields<'_>) -> Result<EndpointEntry, WireError> {
+fn parse_entry(fields: &MessageFields<'_>) -> Result<EndpointEntry, WireError> {
     let size = fields.find("size").unwrap_or("1");
     let is_size = |size: &f64| size.is_finite() && *size >= 0.0;
     Ok(EndpointEntry {
@@ -133,9 +133,9 @@
             "U" => Readiness::Serving,
             "L" => Readiness::Draining,
             "D" => Readiness::Removed,
-            other => return Err(fields.out_of_range("readiness", other, "is not known")),
+            other => return Err(fields.unknown_value("readiness", other, "is not known")),
         },
-        size: fields.parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
+        size: fields.require_parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
         started_at: match fields.number_or_zero("upSinceNs")? {
             0 => None,
             nanos => Some(Timestamp::from_nanos(nanos)),
--- a/src/simulator/fields.rs
+++ b/src/simulator/message_fields.rs
@@ -11,19 +11,19 @@
 /// Fields whose text runs to the end of the line.
 const TEXT_FIELDS: [&str; 2] = ["params", "noteText"];
 /// The longest mean time that a report is read for, in milliseconds.
-const LONGEST_MEAN_MS: f64 = 1e9;
+const MAX_MEAN_MS: f64 = 1e9;
 
 /// The fields behind a message's name.
 #[derive(Debug)]
-pub struct Fields<'a> {
+pub struct MessageFields<'a> {
     message: &'a str,
     parts: Vec<(&'a str, &'a str)>,
 }
 
-impl<'a> Fields<'a> {
+impl<'a> MessageFields<'a> {
     pub(super) fn split(line: &'a str) -> Result<Self, WireError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
-        let not_a_field = |text: &str| WireError::NotAField {
+        let not_a_field = |text: &str| WireError::MalformedField {
             message: message.into(),
             text: text.into(),
         };
@@ -41,7 +41,7 @@
             parts.push((name, value));
             rest = next;
         }
-        Ok(Fields { message, parts })
+        Ok(MessageFields { message, parts })
     }
 
     /// The message's name.
@@ -61,13 +61,13 @@
     }
 
     /// A parsed value, or the error that it could not be read.
-    pub(super) fn parsed<T>(
+    pub(super) fn require_parsed<T>(
         &self,
         field: &'static str,
         value: &str,
         parsed: Option<T>,
     ) -> Result<T, WireError> {
-        let unreadable = || WireError::Unreadable {
+        let unreadable = || WireError::InvalidValue {
             message: self.message.into(),
             field,
             value: value.into(),
@@ -75,13 +75,13 @@
         parsed.ok_or_else(unreadable)
     }
 
-    pub(super) fn out_of_range(
+    pub(super) fn unknown_value(
         &self,
         field: &'static str,
         value: &str,
         problem: &'static str,
     ) -> WireError {
-        WireError::OutOfRange {
+        WireError::UnknownValue {
             message: self.message.into(),
             field,
             value: value.into(),
@@ -92,7 +92,7 @@
     /// A whole number that fits the type asked for.
     pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, WireError> {
         let value = self.text(field)?;
-        self.parsed(field, value, value.parse().ok())
+        self.require_parsed(field, value, value.parse().ok())
     }
 
     pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, WireError> {
@@ -107,7 +107,7 @@
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => self.parsed(field, other, None),
+            other => self.require_parsed(field, other, None),
         }
     }
 
@@ -118,12 +118,12 @@
     pub(super) fn instance(&self) -> Result<InstanceNumber, WireError> {
         let value = self.text("sidecarId")?;
         let number = value.strip_prefix("sidecar/").and_then(|n| n.parse().ok());
-        self.parsed("sidecarId", value, number.map(InstanceNumber))
+        self.require_parsed("sidecarId", value, number.map(InstanceNumber))
     }
 
     pub(super) fn outcome(&self) -> Result<Outcome, WireError> {
         let value = self.text("ending")?;
-        let code: u64 = self.parsed("ending", value, value.parse().ok())?;
+        let code: u64 = self.require_parsed("ending", value, value.parse().ok())?;
         Ok(match code {
             0 => Outcome::Served,
             255 => Outcome::Error,
@@ -133,7 +133,7 @@
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
             249 => Outcome::NotSent,
-            _ => return Err(self.out_of_range("ending", value, "is no completion code")),
+            _ => return Err(self.unknown_value("ending", value, "is no completion code")),
         })
     }
 
@@ -147,13 +147,13 @@
                 .split_once(':')
                 .and_then(|(name, v)| Some((name, v.parse::<f64>().ok()?)));
             let (name, value) =
-                self.parsed("pressure", text, parsed.filter(|(_, v)| v.is_finite()))?;
+                self.require_parsed("pressure", text, parsed.filter(|(_, v)| v.is_finite()))?;
             match name {
                 "depth" => report.queue_length = Some(value),
                 "concurrent" => report.in_flight = Some(value),
                 "load_share" => report.utilisation = Some(value),
                 "mean_ms" => {
-                    let seconds = value.clamp(0.0, LONGEST_MEAN_MS) / 1e3;
+                    let seconds = value.clamp(0.0, MAX_MEAN_MS) / 1e3;
                     report.mean_time = Some(Duration::from_secs_f64(seconds));
                 }
                 "tps" => report.served_per_s = Some(value),
@@ -167,7 +167,7 @@
     pub(super) fn data(&self) -> Result<Vec<u8>, WireError> {
         match self.text("data")? {
             "-" => Ok(Vec::new()),
-            text => self.parsed("data", text, BASE64.decode(text).ok()),
+            text => self.require_parsed("data", text, BASE64.decode(text).ok()),
         }
     }
 }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -5,12 +5,12 @@
 
 mod action;
 mod adapter;
+mod endpoint_lists;
 mod error;
 mod event;
-mod fields;
 mod instance;
-mod lists;
 mod message;
+mod message_fields;
 
 pub use action::format_action;
 pub use adapter::{AdapterError, serve};
