--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,14 +1,15 @@
-//! The decision module on the simulator's wire: standard input to standard output.
+//! The program that runs the decision module for the simulator: it reads the wire from standard input and writes the
+//! replies to standard output.
 
 use balancer_sidecar::simulator;
 use std::io::{BufReader, stdin, stdout};
 use std::process::ExitCode;
 
-/// Batches are long: read in large pieces.
-const READ_BUFFER: usize = 1 << 20;
+/// The size of the input buffer, in bytes. Batches are long.
+const INPUT_BUFFER_SIZE: usize = 1 << 20;
 
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(READ_BUFFER, stdin().lock());
+    let input = BufReader::with_capacity(INPUT_BUFFER_SIZE, stdin().lock());
     match simulator::serve(input, stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The sidecar, as a program.
+//! The program `balancer-sidecar`.
 
 use std::process::ExitCode;
 
--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -1,4 +1,4 @@
-//! Actions of an instance as lines of a reply.
+//! Formats the actions of an instance as lines of a reply.
 
 use super::instance::InstanceNumber;
 use crate::policy::Action;
@@ -6,11 +6,12 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use std::fmt::{self, Write as _};
 
-/// Stands for no data, and for all peers.
+/// The value of a peer message without data.
 const NO_DATA: &str = "-";
+/// The value of a peer message to all peers.
 const ALL_PEERS: i64 = -1;
 
-/// Adds one action of an instance to a reply.
+/// Appends the line of an action to a reply.
 pub fn format_action(reply: &mut String, instance: InstanceNumber, action: &Action) {
     let written = write_action(reply, instance, action);
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
@@ -19,7 +20,7 @@
 
 fn write_action(
     reply: &mut String,
-    InstanceNumber(n): InstanceNumber,
+    InstanceNumber(instance): InstanceNumber,
     action: &Action,
 ) -> fmt::Result {
     match action {
@@ -30,7 +31,7 @@
         } => {
             write!(
                 reply,
-                "send sidecarId=sidecar/{n} xid={} endpoint={}",
+                "send sidecarId=sidecar/{instance} xid={} endpoint={}",
                 request.0, endpoint.0
             )?;
             match timeout {
@@ -41,7 +42,7 @@
         Action::Cancel { request, attempt } => {
             write!(
                 reply,
-                "abandon sidecarId=sidecar/{n} xid={} attempt={attempt}",
+                "abandon sidecarId=sidecar/{instance} xid={} attempt={attempt}",
                 request.0
             )
         }
@@ -49,34 +50,42 @@
             request,
             retry_after,
         } => {
-            write!(reply, "decline sidecarId=sidecar/{n} xid={}", request.0)?;
+            write!(
+                reply,
+                "decline sidecarId=sidecar/{instance} xid={}",
+                request.0
+            )?;
             match retry_after {
-                Some(pause) => write!(reply, " pauseNs={}", pause.as_nanos()),
+                Some(retry_after) => write!(reply, " pauseNs={}", retry_after.as_nanos()),
                 None => Ok(()),
             }
         }
         Action::Fail { request } => write!(
             reply,
-            "report_failure sidecarId=sidecar/{n} xid={}",
+            "report_failure sidecarId=sidecar/{instance} xid={}",
             request.0
         ),
         Action::SetTimer { at, token } => {
             write!(
                 reply,
-                "notify_me sidecarId=sidecar/{n} instantNs={} name={token}",
+                "notify_me sidecarId=sidecar/{instance} instantNs={} name={token}",
                 at.as_nanos()
             )
         }
-        Action::Subscribe => write!(reply, "track sidecarId=sidecar/{n} active=1"),
-        Action::Unsubscribe => write!(reply, "track sidecarId=sidecar/{n} active=0"),
-        Action::FetchList => write!(reply, "fetch sidecarId=sidecar/{n}"),
+        Action::Subscribe => write!(reply, "track sidecarId=sidecar/{instance} active=1"),
+        Action::Unsubscribe => write!(reply, "track sidecarId=sidecar/{instance} active=0"),
+        Action::FetchList => write!(reply, "fetch sidecarId=sidecar/{instance}"),
         Action::HealthCheck { endpoint } => {
-            write!(reply, "poll sidecarId=sidecar/{n} endpoint={}", endpoint.0)
+            write!(
+                reply,
+                "poll sidecarId=sidecar/{instance} endpoint={}",
+                endpoint.0
+            )
         }
         Action::CloseIdleConnections { endpoint } => {
             write!(
                 reply,
-                "free_links sidecarId=sidecar/{n} endpoint={}",
+                "free_links sidecarId=sidecar/{instance} endpoint={}",
                 endpoint.0
             )
         }
@@ -89,31 +98,32 @@
             };
             write!(
                 reply,
-                "notify sidecarId=sidecar/{n} neighbourId={to} data={data}"
+                "notify sidecarId=sidecar/{instance} neighbourId={to} data={data}"
             )
         }
         Action::Log(text) => write!(
             reply,
-            "trace sidecarId=sidecar/{n} noteText={}",
+            "trace sidecarId=sidecar/{instance} noteText={}",
             one_line(text)
         ),
     }
 }
 
-/// Adds the report of a fault in the decision code.
+/// Appends the report of a panic in the decision module.
 pub(super) fn format_internal_error(
     reply: &mut String,
-    InstanceNumber(n): InstanceNumber,
+    InstanceNumber(instance): InstanceNumber,
     text: &str,
 ) {
     let written = writeln!(
         reply,
-        "internal_error sidecarId=sidecar/{n} noteText={}",
+        "internal_error sidecarId=sidecar/{instance} noteText={}",
         one_line(text)
     );
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
 
+/// Replaces line ends, which would end the message.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts many instances of the decision module, from the simulator's lines to its replies.
+//! Hosts many instances of the decision module: reads the simulator's lines and writes the replies.
 
 use super::action::{format_action, format_internal_error};
 use super::endpoint_lists::EndpointLists;
@@ -12,32 +12,32 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The end of each reply.
+/// The last line of each reply.
 const REPLY_END: &str = "ok\n";
 
-/// Why the adapter ended before its input did.
+/// Why the adapter ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A line could not be read from the input.
-    #[error("line {line}: {failure}")]
+    /// A line could not be read.
+    #[error("line {line}: {source}")]
     Read {
-        /// Its number, from 1.
+        /// The number of the line, from 1.
         line: u64,
-        /// What went wrong.
-        failure: io::Error,
+        /// Why it could not be read.
+        source: io::Error,
     },
     /// A reply could not be written.
     #[error(transparent)]
     Write(io::Error),
-    /// A line is wrong.
-    #[error("line {line}: {error}")]
+    /// A line is invalid.
+    #[error("line {line}: {source}")]
     Wire {
-        /// Its number, from 1.
+        /// The number of the line, from 1.
         line: u64,
         /// What is wrong with it.
-        error: WireError,
+        source: WireError,
     },
-    /// The input ended before its last batch did.
+    /// The input ended within a batch.
     #[error("input ends inside a batch")]
     UnfinishedBatch,
 }
@@ -45,7 +45,8 @@
 /// Answers batches until the input ends.
 ///
 /// # Errors
-/// What was wrong with the input, or why a reply could not be written. No reply is written in part.
+/// Returns an error if a line cannot be read or is invalid, if the input ends within a batch, or if a reply cannot be
+/// written. A batch with an invalid line gets no reply.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut text = String::new();
@@ -53,20 +54,15 @@
         text.clear();
         let read = input
             .read_line(&mut text)
-            .map_err(|failure| AdapterError::Read { line, failure })?;
+            .map_err(|source| AdapterError::Read { line, source })?;
         if read == 0 {
             break;
         }
-        let message = text.strip_suffix('\n').unwrap_or(&text);
-        let message = message.strip_suffix('\r').unwrap_or(message);
-        let is_complete = adapter
-            .take(message)
-            .map_err(|error| AdapterError::Wire { line, error })?;
-        if is_complete {
-            output
-                .write_all(adapter.reply.as_bytes())
-                .map_err(AdapterError::Write)?;
-            output.flush().map_err(AdapterError::Write)?;
+        let progress = adapter
+            .handle_line(without_line_end(&text))
+            .map_err(|source| AdapterError::Wire { line, source })?;
+        if progress == Progress::ReplyComplete {
+            write_reply(&mut output, &adapter.reply).map_err(AdapterError::Write)?;
             adapter.reply.clear();
         }
     }
@@ -76,6 +72,23 @@
     Ok(())
 }
 
+fn without_line_end(text: &str) -> &str {
+    let line = text.strip_suffix('\n').unwrap_or(text);
+    line.strip_suffix('\r').unwrap_or(line)
+}
+
+fn write_reply(output: &mut impl Write, reply: &str) -> io::Result<()> {
+    output.write_all(reply.as_bytes())?;
+    output.flush()
+}
+
+/// Whether a line has completed the reply to its batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    MoreToCome,
+    ReplyComplete,
+}
+
 /// One instance of the decision module.
 struct Instance {
     balancer: Balancer,
@@ -86,38 +99,59 @@
 struct Adapter {
     instances: HashMap<InstanceNumber, Instance>,
     lists: EndpointLists,
-    /// The time of the batch that has begun.
+    /// The time of the current batch; none between batches.
     batch_time: Option<Timestamp>,
     last_batch_time: Timestamp,
+    /// Reused for the actions of each event.
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Adapter {
-    /// Takes one line; true when the reply is complete.
-    fn take(&mut self, line: &str) -> Result<bool, WireError> {
+    fn handle_line(&mut self, line: &str) -> Result<Progress, WireError> {
         let message = match parse_message(line)? {
-            Message::Entry(entry) => {
+            Message::ListEntry(entry) => {
                 self.lists.add(entry)?;
-                return Ok(false);
+                return Ok(Progress::MoreToCome);
             }
             message => message,
         };
         self.lists.require_complete()?;
         if let Message::BatchStart { at } = message {
-            self.begin_batch(at)?;
-            return Ok(false);
+            self.start_batch(at)?;
+            return Ok(Progress::MoreToCome);
         }
         let now = self
             .batch_time
             .ok_or_else(|| WireError::OutsideBatch(line.into()))?;
+        self.handle_message(now, message)
+    }
+
+    fn start_batch(&mut self, at: Timestamp) -> Result<(), WireError> {
+        if self.batch_time.is_some() {
+            return Err(WireError::NestedBatch);
+        }
+        if at < self.last_batch_time {
+            return Err(WireError::TimeGoesBackwards);
+        }
+        self.batch_time = Some(at);
+        self.last_batch_time = at;
+        Ok(())
+    }
+
+    /// Handles a message within a batch.
+    fn handle_message(
+        &mut self,
+        now: Timestamp,
+        message: Message<'_>,
+    ) -> Result<Progress, WireError> {
         match message {
-            Message::ListStart { list, entries } => self.lists.begin(list, entries),
+            Message::ListStart { list, entries } => self.lists.start(list, entries),
             Message::InstanceStart {
                 instance,
                 seed,
                 settings,
-            } => self.start(instance, seed, *settings)?,
+            } => self.start_instance(instance, seed, *settings)?,
             Message::InstanceEnd(instance) => {
                 self.instances
                     .remove(&instance)
@@ -130,46 +164,32 @@
                 kind,
             } => {
                 let entries = self.lists.get(list)?;
-                self.handle(
-                    now,
-                    instance,
-                    Event::EndpointList {
-                        version,
-                        kind,
-                        entries,
-                    },
-                )?;
+                let event = Event::EndpointList {
+                    version,
+                    kind,
+                    entries,
+                };
+                self.handle_event(now, instance, event)?;
             }
             Message::DiscoveryFailed(instance) => {
-                self.handle(now, instance, Event::DiscoveryFailed)?;
+                self.handle_event(now, instance, Event::DiscoveryFailed)?;
             }
             Message::Event(instance, fields) => {
                 let event = parse_event(&fields, &self.instance(instance)?.ids)?;
-                self.handle(now, instance, event)?;
+                self.handle_event(now, instance, event)?;
             }
             Message::BatchEnd => {
                 self.batch_time = None;
                 self.reply.push_str(REPLY_END);
-                return Ok(true);
+                return Ok(Progress::ReplyComplete);
             }
-            Message::Entry(_) | Message::BatchStart { .. } => {}
+            // Handled before, in and outside batches.
+            Message::ListEntry(_) | Message::BatchStart { .. } => {}
         }
-        Ok(false)
+        Ok(Progress::MoreToCome)
     }
 
-    fn begin_batch(&mut self, at: Timestamp) -> Result<(), WireError> {
-        if self.batch_time.is_some() {
-            return Err(WireError::NestedBatch);
-        }
-        if at < self.last_batch_time {
-            return Err(WireError::TimeGoesBackwards);
-        }
-        self.batch_time = Some(at);
-        self.last_batch_time = at;
-        Ok(())
-    }
-
-    fn start(
+    fn start_instance(
         &mut self,
         number: InstanceNumber,
         seed: u64,
@@ -189,8 +209,9 @@
             .ok_or(WireError::InstanceNotRunning(number))
     }
 
-    /// Gives an event to an instance. A panic there is a line of the reply, and the others go on.
-    fn handle(
+    /// Passes an event to an instance and adds its actions to the reply. If the instance panics, the reply reports that
+    /// in place of its actions, and the other instances go on.
+    fn handle_event(
         &mut self,
         now: Timestamp,
         number: InstanceNumber,
@@ -198,13 +219,18 @@
     ) -> Result<(), WireError> {
         let mut actions = std::mem::take(&mut self.actions);
         let balancer = &mut self.instance(number)?.balancer;
-        match catch_unwind(AssertUnwindSafe(|| {
+        let handled = catch_unwind(AssertUnwindSafe(|| {
             balancer.handle(now, event, &mut actions);
-        })) {
-            Ok(()) => actions
-                .iter()
-                .for_each(|action| format_action(&mut self.reply, number, action)),
-            Err(cause) => format_internal_error(&mut self.reply, number, panic_message(&*cause)),
+        }));
+        match handled {
+            Ok(()) => {
+                for action in &actions {
+                    format_action(&mut self.reply, number, action);
+                }
+            }
+            Err(payload) => {
+                format_internal_error(&mut self.reply, number, panic_message(&*payload));
+            }
         }
         actions.clear();
         self.actions = actions;
@@ -212,8 +238,9 @@
     }
 }
 
-fn panic_message(cause: &(dyn Any + Send)) -> &str {
-    let text = cause.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| cause.downcast_ref::<&str>().copied())
+fn panic_message(payload: &(dyn Any + Send)) -> &str {
+    let message = payload.downcast_ref::<String>().map(String::as_str);
+    message
+        .or_else(|| payload.downcast_ref::<&str>().copied())
         .unwrap_or("panic")
 }
--- a/src/simulator/endpoint_lists.rs
+++ b/src/simulator/endpoint_lists.rs
@@ -1,11 +1,11 @@
-//! The endpoint lists that a process holds, by their numbers.
+//! The endpoint lists that the simulator has sent, by their numbers.
 
 use super::error::WireError;
 use super::message::LIST_COUNT;
 use crate::policy::EndpointEntry;
 use std::sync::Arc;
 
-/// Complete lists, and the one that is coming.
+/// The complete lists, and the one of which entries are still to come.
 #[derive(Debug, Default)]
 pub(super) struct EndpointLists {
     complete: [Option<Arc<[EndpointEntry]>>; LIST_COUNT],
@@ -20,8 +20,8 @@
 }
 
 impl EndpointLists {
-    /// A list begins.
-    pub(super) fn begin(&mut self, number: usize, announced: usize) {
+    /// Starts a list of so many entries. It replaces an earlier list with the same number.
+    pub(super) fn start(&mut self, number: usize, announced: usize) {
         self.partial = Some(PartialList {
             number,
             announced,
@@ -30,7 +30,7 @@
         self.complete_if_full();
     }
 
-    /// One more entry of the list that has begun.
+    /// Adds an entry to the list that was started last.
     pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), WireError> {
         let partial = self.partial.as_mut().ok_or(WireError::EntryOutsideList)?;
         partial.entries.push(entry);
@@ -38,37 +38,30 @@
         Ok(())
     }
 
-    /// No other message may come before a list is complete.
+    /// Returns an error if a list lacks entries. No other message may come before a list is complete.
     pub(super) fn require_complete(&self) -> Result<(), WireError> {
         match &self.partial {
-            Some(PartialList {
-                number,
-                announced,
-                entries,
-            }) => Err(WireError::IncompleteList {
-                list: *number,
-                received: entries.len(),
-                announced: *announced,
+            Some(partial) => Err(WireError::IncompleteList {
+                list: partial.number,
+                received: partial.entries.len(),
+                announced: partial.announced,
             }),
             None => Ok(()),
         }
     }
 
-    /// The list with this number as of now.
+    /// Returns the list that was sent last with this number.
     pub(super) fn get(&self, number: usize) -> Result<Arc<[EndpointEntry]>, WireError> {
         let list = self.complete.get(number).and_then(Option::as_ref);
         list.cloned().ok_or(WireError::UnknownList(number))
     }
 
     fn complete_if_full(&mut self) {
-        let partial = self
+        let full = self
             .partial
             .take_if(|partial| partial.entries.len() >= partial.announced);
-        if let Some(PartialList {
-            number, entries, ..
-        }) = partial
-        {
-            self.complete[number] = Some(Arc::from(entries));
+        if let Some(full) = full {
+            self.complete[full.number] = Some(Arc::from(full.entries));
         }
     }
 }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a message of the wire.
+//! Errors in the messages of the wire.
 
 use super::instance::InstanceNumber;
 use crate::configuration::settings_document::SettingsDocumentError;
@@ -7,82 +7,82 @@
 /// What is wrong with a message.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A part of the line is no field.
+    /// A part of the line is not of the form `name=value`.
     #[error("{message}: '{text}' is not name=value")]
     MalformedField {
-        /// The message's name.
+        /// The name of the message.
         message: String,
-        /// The part.
+        /// That part.
         text: String,
     },
     /// A field is missing.
     #[error("{message}: {field} is missing")]
     Missing {
-        /// The message's name.
+        /// The name of the message.
         message: String,
-        /// The field's name.
+        /// The name of the field.
         field: &'static str,
     },
-    /// A field's value is not of its kind.
+    /// The value of a field has the wrong type.
     #[error("{message}: {field}={value} cannot be read")]
     InvalidValue {
-        /// The message's name.
+        /// The name of the message.
         message: String,
-        /// The field's name.
+        /// The name of the field.
         field: &'static str,
         /// The value.
         value: String,
     },
-    /// A field's value is none of those that there are.
+    /// The value of a field is not among the allowed ones.
     #[error("{message}: {field}={value} {problem}")]
     UnknownValue {
-        /// The message's name.
+        /// The name of the message.
         message: String,
-        /// The field's name.
+        /// The name of the field.
         field: &'static str,
         /// The value.
         value: String,
-        /// Why it is none.
+        /// Why it is not allowed.
         problem: &'static str,
     },
-    /// The line is no message.
+    /// The wire has no such message.
     #[error("'{0}' is no message of this wire")]
     UnknownMessage(String),
     /// The settings of a new instance cannot be read.
     #[error("new_instance: params: {0}")]
     SettingsDocument(#[from] SettingsDocumentError),
-    /// No instance can work with the settings.
+    /// The settings of a new instance make no sense.
     #[error("new_instance: params: {0}")]
     Settings(#[from] SettingsError),
-    /// An entry came with no list to be in.
+    /// An entry came outside a list.
     #[error("entry: no directory is open")]
     EntryOutsideList,
-    /// A list is not complete.
+    /// A list is incomplete.
     #[error("directory list={list}: {received} of {announced} entries came")]
     IncompleteList {
-        /// Its number.
+        /// The number of the list.
         list: usize,
-        /// Entries that came.
+        /// The number of entries that came.
         received: usize,
-        /// Entries that were announced.
+        /// The number of entries that were announced.
         announced: usize,
     },
-    /// A list is named that was never sent.
+    /// The message names a list that was never sent.
     #[error("members: list={0} was never sent")]
     UnknownList(usize),
-    /// A batch begins within another.
+    /// A batch starts within another.
     #[error("frame: the batch before has no 'go'")]
     NestedBatch,
-    /// Time runs backwards.
+    /// The time of a batch is before that of the previous one.
     #[error("frame: momentNs is before that of the last batch")]
     TimeGoesBackwards,
     /// A message came between batches.
     #[error("'{0}' is outside a batch")]
     OutsideBatch(String),
-    /// An instance is started twice.
+    /// An instance of this number is already running.
     #[error("new_instance: sidecar/{} runs already", .0.0)]
     InstanceAlreadyRunning(InstanceNumber),
-    /// An instance is named that does not run.
+    /// No instance of this number is running.
     #[error("sidecar/{} does not run", .0.0)]
     InstanceNotRunning(InstanceNumber),
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -1,4 +1,4 @@
-//! Events of an instance whose settings are known.
+//! Parses the events of an instance, with the class and tenant names of its settings.
 
 use super::error::WireError;
 use super::message_fields::MessageFields;
@@ -8,14 +8,16 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Bits of a request's attributes.
+/// The bit of a request's attributes that marks its cost hint as valid.
 const HAS_COST_HINT: u64 = 1;
+/// The bit that marks a retry by the client.
 const IS_CLIENT_RETRY: u64 = 2;
+/// The bit that marks a write.
 const IS_WRITE: u64 = 4;
-/// Stands for a request without a tenant.
+/// The tenant name of a request without a tenant.
 const NO_TENANT: &str = "0";
 
-/// The class and tenant names of an instance.
+/// The IDs of classes and tenants by their names, for one instance.
 #[derive(Debug)]
 pub(super) struct IdTable {
     classes: HashMap<String, ClassId>,
@@ -23,18 +25,18 @@
 }
 
 impl IdTable {
-    /// The names in these settings.
+    /// Returns the table for these settings.
     pub(super) fn of(settings: &Settings) -> Self {
         let classes = settings
             .classes
             .iter()
             .enumerate()
-            .map(|(i, c)| (c.name.clone(), ClassId(i)));
+            .map(|(index, class)| (class.name.clone(), ClassId(index)));
         let tenants = settings
             .tenants
             .iter()
             .enumerate()
-            .map(|(i, t)| (t.name.clone(), TenantId(i)));
+            .map(|(index, tenant)| (tenant.name.clone(), TenantId(index)));
         IdTable {
             classes: classes.collect(),
             tenants: tenants.collect(),
@@ -42,7 +44,7 @@
     }
 }
 
-/// Reads an event.
+/// Parses an event.
 pub(super) fn parse_event(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Event, WireError> {
     Ok(match fields.message() {
         "call" => Event::Request(parse_request(fields, ids)?),
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -6,60 +6,60 @@
 use crate::configuration::settings_document::parse_settings;
 use crate::policy::{EndpointEntry, GroupId, ListKind, Readiness, Settings, Timestamp};
 
-/// Lists that a process can hold, numbered from 0.
+/// The number of endpoint lists that can be sent, numbered from 0.
 pub(super) const LIST_COUNT: usize = 16;
 
-/// One line of the simulator.
+/// One line from the simulator.
 #[derive(Debug)]
 pub enum Message<'a> {
-    /// A batch begins.
+    /// `frame`: a batch starts.
     BatchStart {
-        /// The time of its events.
+        /// The time of all events of the batch.
         at: Timestamp,
     },
-    /// A list follows.
+    /// `directory`: an endpoint list follows.
     ListStart {
-        /// Its number.
+        /// The number of the list.
         list: usize,
-        /// Entry lines to come.
+        /// The number of entries to come.
         entries: usize,
     },
-    /// One line of a list.
-    Entry(EndpointEntry),
-    /// An instance starts.
+    /// `entry`: one endpoint of the list.
+    ListEntry(EndpointEntry),
+    /// `new_instance`: an instance starts.
     InstanceStart {
-        /// Its number.
+        /// The number of the instance.
         instance: InstanceNumber,
-        /// For its random numbers.
+        /// The seed of its random numbers.
         seed: u64,
-        /// Its configuration.
+        /// Its settings.
         settings: Box<Settings>,
     },
-    /// An instance is killed.
+    /// `destroy`: an instance ends.
     InstanceEnd(InstanceNumber),
-    /// An instance is told a list.
+    /// `members`: an instance receives an endpoint list.
     ListReceived {
-        /// Its number.
+        /// The number of the instance.
         instance: InstanceNumber,
-        /// The list's version.
+        /// The version of the list.
         version: u64,
-        /// The list's number.
+        /// The number of the list.
         list: usize,
-        /// What its entries stand for.
+        /// Whether the list is full, cached, or holds changes only.
         kind: ListKind,
     },
-    /// An instance is told that its call of discovery failed.
+    /// `members` with `kind=X`: a discovery call of an instance has failed.
     DiscoveryFailed(InstanceNumber),
-    /// Any other event for an instance, which its settings are needed to read.
+    /// Any other event for an instance. It is parsed with the class and tenant names of the instance.
     Event(InstanceNumber, MessageFields<'a>),
-    /// The batch is complete.
+    /// `go`: the batch is complete.
     BatchEnd,
 }
 
-/// Reads one line.
+/// Parses one line.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Returns an error if the message is unknown, or if a field is missing or invalid.
 pub fn parse_message(line: &str) -> Result<Message<'_>, WireError> {
     let fields = MessageFields::split(line)?;
     Ok(match fields.message() {
@@ -71,7 +71,7 @@
             list: list_number(&fields)?,
             entries: fields.number("records")?,
         },
-        "entry" => Message::Entry(parse_entry(&fields)?),
+        "entry" => Message::ListEntry(parse_entry(&fields)?),
         "new_instance" => Message::InstanceStart {
             seed: parse_seed(&fields)?,
             settings: Box::new(parse_settings(fields.text("params")?)?),
@@ -96,7 +96,7 @@
     }
 }
 
-/// The seed has 64 bits, which may be written as a signed number.
+/// Parses the seed of 64 bits, which may be written as a signed number.
 fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, WireError> {
     let text = fields.text("nonce64")?;
     let signed = || text.parse::<i64>().ok().map(i64::cast_unsigned);
--- a/src/simulator/message_fields.rs
+++ b/src/simulator/message_fields.rs
@@ -1,4 +1,4 @@
-//! The fields of one message, and how each kind of value is read.
+//! The fields of one message, and the parsing of each kind of value.
 
 use super::error::WireError;
 use super::instance::InstanceNumber;
@@ -8,26 +8,31 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Fields whose text runs to the end of the line.
+/// Fields whose value extends to the end of the line.
 const TEXT_FIELDS: [&str; 2] = ["params", "noteText"];
-/// The longest mean time that a report is read for, in milliseconds.
+/// The maximum mean answer time in a load report, in milliseconds. Longer ones are cut to it.
 const MAX_MEAN_MS: f64 = 1e9;
 
-/// The fields behind a message's name.
+/// The capacity for the fields of a message, enough for most.
+const TYPICAL_FIELD_COUNT: usize = 8;
+
+/// The name and the fields of a message.
 #[derive(Debug)]
 pub struct MessageFields<'a> {
     message: &'a str,
-    parts: Vec<(&'a str, &'a str)>,
+    /// Names and values, in order.
+    fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> MessageFields<'a> {
+    /// Splits a line into its name and fields.
     pub(super) fn split(line: &'a str) -> Result<Self, WireError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let not_a_field = |text: &str| WireError::MalformedField {
             message: message.into(),
             text: text.into(),
         };
-        let mut parts = Vec::with_capacity(8);
+        let mut fields = Vec::with_capacity(TYPICAL_FIELD_COUNT);
         while !rest.is_empty() {
             let (name, value) = rest.split_once('=').ok_or_else(|| not_a_field(rest))?;
             if name.is_empty() || name.contains(' ') {
@@ -38,21 +43,25 @@
             } else {
                 value.split_once(' ').unwrap_or((value, ""))
             };
-            parts.push((name, value));
+            fields.push((name, value));
             rest = next;
         }
-        Ok(MessageFields { message, parts })
+        Ok(MessageFields { message, fields })
     }
 
-    /// The message's name.
+    /// Returns the name of the message.
     pub(super) fn message(&self) -> &'a str {
         self.message
     }
 
+    /// Returns the value of a field, if present.
     pub(super) fn find(&self, name: &str) -> Option<&'a str> {
-        self.parts.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
+        let mut fields = self.fields.iter();
+        let field = fields.find(|(field, _)| *field == name);
+        field.map(|(_, value)| *value)
     }
 
+    /// Returns the value of a field, or an error if it is missing.
     pub(super) fn text(&self, field: &'static str) -> Result<&'a str, WireError> {
         self.find(field).ok_or_else(|| WireError::Missing {
             message: self.message.into(),
@@ -60,21 +69,22 @@
         })
     }
 
-    /// A parsed value, or the error that it could not be read.
+    /// Returns a parsed value, or an error if parsing gave none.
     pub(super) fn require_parsed<T>(
         &self,
         field: &'static str,
         value: &str,
         parsed: Option<T>,
     ) -> Result<T, WireError> {
-        let unreadable = || WireError::InvalidValue {
+        let invalid = || WireError::InvalidValue {
             message: self.message.into(),
             field,
             value: value.into(),
         };
-        parsed.ok_or_else(unreadable)
+        parsed.ok_or_else(invalid)
     }
 
+    /// Returns the error that a value is not among the allowed ones.
     pub(super) fn unknown_value(
         &self,
         field: &'static str,
@@ -89,12 +99,13 @@
         }
     }
 
-    /// A whole number that fits the type asked for.
+    /// Parses a whole number that fits the type.
     pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, WireError> {
         let value = self.text(field)?;
         self.require_parsed(field, value, value.parse().ok())
     }
 
+    /// Parses a whole number; 0 if the field is missing.
     pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, WireError> {
         if self.find(field).is_some() {
             self.number(field)
@@ -103,6 +114,7 @@
         }
     }
 
+    /// Parses 0 or 1.
     pub(super) fn flag(&self, field: &'static str) -> Result<bool, WireError> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -111,16 +123,21 @@
         }
     }
 
+    /// Parses a time in nanoseconds.
     pub(super) fn timestamp(&self, field: &'static str) -> Result<Timestamp, WireError> {
         Ok(Timestamp::from_nanos(self.number(field)?))
     }
 
+    /// Parses the instance that the message is for.
     pub(super) fn instance(&self) -> Result<InstanceNumber, WireError> {
         let value = self.text("sidecarId")?;
-        let number = value.strip_prefix("sidecar/").and_then(|n| n.parse().ok());
+        let number = value
+            .strip_prefix("sidecar/")
+            .and_then(|number| number.parse().ok());
         self.require_parsed("sidecarId", value, number.map(InstanceNumber))
     }
 
+    /// Parses the outcome of an attempt or a health check.
     pub(super) fn outcome(&self) -> Result<Outcome, WireError> {
         let value = self.text("ending")?;
         let code: u64 = self.require_parsed("ending", value, value.parse().ok())?;
@@ -137,6 +154,7 @@
         })
     }
 
+    /// Parses the load report, if the message has one. Unknown measures are ignored.
     pub(super) fn load_report(&self) -> Result<Option<LoadReport>, WireError> {
         let Some(text) = self.find("pressure") else {
             return Ok(None);
@@ -145,9 +163,12 @@
         for pair in text.split(',').filter(|pair| !pair.is_empty()) {
             let parsed = pair
                 .split_once(':')
-                .and_then(|(name, v)| Some((name, v.parse::<f64>().ok()?)));
-            let (name, value) =
-                self.require_parsed("pressure", text, parsed.filter(|(_, v)| v.is_finite()))?;
+                .and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
+            let (name, value) = self.require_parsed(
+                "pressure",
+                text,
+                parsed.filter(|(_, value)| value.is_finite()),
+            )?;
             match name {
                 "depth" => report.queue_length = Some(value),
                 "concurrent" => report.in_flight = Some(value),
@@ -164,6 +185,7 @@
         Ok(Some(report))
     }
 
+    /// Parses the data of a peer message.
     pub(super) fn data(&self) -> Result<Vec<u8>, WireError> {
         match self.text("data")? {
             "-" => Ok(Vec::new()),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,7 +1,10 @@
-//! The simulator's wire and the adapter that speaks it: many instances of the decision module in one process.
+//! The simulator's wire and its adapter, which hosts many instances of the decision module in one process.
 //!
-//! The wire is lines of text, `message name=value name=value`. Messages come in batches, from `frame` to
-//! `go`; each batch gets one reply, a line for each action and `ok` at its end.
+//! The wire consists of lines of text, `message name=value name=value`. Messages come in batches, from `frame` to `go`.
+//! Each batch gets one reply: a line for each action, then `ok`.
+//!
+//! The wire keeps the words of the operators' pages, which are turned into the decision module's terms in `message`,
+//! `event` and `message_fields`, and back in `action`.
 
 mod action;
 mod adapter;
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -414,7 +414,7 @@
         [false, true]
     );
     let kind_of = |line: &str| match parse_message(line).expect("an entry") {
-        Message::Entry(entry) => entry.kind,
+        Message::ListEntry(entry) => entry.kind,
         other => panic!("{other:?}"),
     };
     let entry = "entry endpoint=e zone=z pack=0 readiness=U size=1 later=1";
