--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -3,8 +3,6 @@
 use crate::stubs::*;
 use serde_json::json;
 use std::io::{BufRead, BufReader};
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
 /// Guards the descriptor budget: idle connections are evicted, so that every caller is accepted and served.
@@ -31,11 +29,10 @@
 /// exits successfully.
 #[test]
 fn shutdown_answers_every_open_request() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |message| {
         if message.header("x-class") == Some("unsafe") {
-            let _ = released.lock().expect("the only one").recv();
+            gate.wait();
         }
         respond_ok("late")
     });
@@ -56,7 +53,7 @@
         200,
         "a connection accepted after SIGTERM"
     );
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     let answer = pending.read().expect("the open request is answered");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -6,8 +6,6 @@
 use std::io::Write;
 use std::path::Path;
 use std::process::Command;
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 
 fn write_config(path: &Path, config: &Value) {
     std::fs::write(path, config.to_string()).expect("the file is written");
@@ -18,11 +16,10 @@
 /// one nor the cached list of the file ends a drain; requests are served all the time.
 #[test]
 fn previous_discovery_is_followed_until_the_new_one_has_sent_a_list() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let slow = Endpoint::start(move |_| {
-        let _ = released.lock().expect("the only one").recv();
+        gate.wait();
         respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
@@ -78,7 +75,7 @@
     drop(next);
     assert!(new.next_watch().request_line.contains("since=8 "));
 
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     assert_eq!(
         pending.read().expect("the open request is answered").body,
         b"late"
@@ -119,10 +116,9 @@
 /// Guards the graceful shutdown: a reload during it neither ends nor lengthens it, and open requests are answered.
 #[test]
 fn reload_during_shutdown_is_applied_and_open_requests_are_answered() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |_| {
-        let _ = released.lock().expect("the only one").recv();
+        gate.wait();
         respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
@@ -147,7 +143,7 @@
             .request_line
             .starts_with("GET /v1/endpoints ")
     );
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     assert_eq!(
         pending.read().expect("the open request is answered").body,
         b"late"
@@ -172,12 +168,11 @@
 /// effect holds for later requests, and open requests keep the settings that they came under.
 #[test]
 fn changed_settings_apply_to_later_requests_alone() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("x")));
     let slow = Endpoint::start(move |message| {
         if message.header("x-class") == Some("keyed") {
-            let _ = released.lock().expect("the only one").recv();
+            gate.wait();
         }
         respond_ok("late")
     });
@@ -233,7 +228,7 @@
         "it needs no key any more"
     );
     for _ in 0..12 {
-        release.send(()).expect("the endpoint waits");
+        opener.release_one();
     }
     for client in &mut waits {
         assert_eq!(client.read().expect("an answer").status(), 200);
--- a/tests/sidecar/settings_isolation.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -3,8 +3,6 @@
 
 use crate::stubs::*;
 use serde_json::{Value, json};
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 use std::time::Duration;
 
 /// A configuration without tenants and keys.
@@ -153,11 +151,10 @@
 /// the other by SIGHUP. Only an open request keeps its class, and idle connections are kept as the new limits say.
 #[test]
 fn reload_to_unlike_settings_leaves_nothing_of_the_first_behind() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |message| {
         if message.body == b"blocks" {
-            let _ = released.lock().expect("the only one").recv();
+            gate.wait();
         }
         respond_ok("x")
     });
@@ -199,7 +196,7 @@
         "it was idle for too long"
     );
     assert_archive_in_force(&sidecar, &endpoint);
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     assert_eq!(
         pending
             .read()
--- a/tests/sidecar/stubs/mod.rs
+++ b/tests/sidecar/stubs/mod.rs
@@ -8,6 +8,7 @@
 mod message;
 mod program;
 pub mod raw_http;
+mod response_gate;
 mod scripted_endpoint;
 
 pub use caller::*;
@@ -17,4 +18,5 @@
 pub use manual_discovery::*;
 pub use message::*;
 pub use program::*;
+pub use response_gate::*;
 pub use scripted_endpoint::*;
