--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -33,7 +33,7 @@
         endpoints: &endpoints,
         duration: Duration::from_secs_f64(plan.fault_seconds),
     };
-    let pause = Duration::from_secs_f64(plan.rest_seconds);
+    let pause = Duration::from_secs_f64(plan.pause_seconds);
 
     let mut table = MetricTable::over(FAULT_NUMBER);
     let mut descriptions = vec!["0: none".to_owned()];
@@ -111,14 +111,16 @@
     let machines = impact.endpoints.len();
     match fault {
         Fault::Machines { .. } => format!("{machines} machines vanish"),
-        Fault::Restarts { wave, .. } => format!("{machines} machines restart, {wave} at once"),
+        Fault::RollingRestart { wave, .. } => {
+            format!("{machines} machines restart, {wave} at once")
+        }
         Fault::Rack => format!("a rack with {machines} machines vanishes"),
         Fault::Zone => {
             format!(
                 "a zone with {machines} machines vanishes, and it is partitioned from discovery"
             )
         }
-        Fault::RegionCut => format!(
+        Fault::RegionPartition => format!(
             "a region of {} zones is partitioned from discovery, but not from the other region's endpoints",
             impact.partitioned_zones.len()
         ),
