--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,16 +1,19 @@
-//! The simulator's wire and the adapter that speaks it: many instances of the decision module in one process.
+//! The simulator's wire and its adapter, which hosts many instances of the decision module in one process.
 //!
-//! The wire is lines of text, `message name=value name=value`. Messages come in batches, from `frame` to
-//! `go`; each batch gets one reply, a line for each action and `ok` at its end.
+//! The wire consists of lines of text, `message name=value name=value`. Messages come in batches, from `frame` to `go`.
+//! Each batch gets one reply: a line for each action, then `ok`.
+//!
+//! The wire keeps the words of the operators' pages, which are turned into the decision module's terms in `message`,
+//! `event` and `message_fields`, and back in `action`.
 
 mod action;
 mod adapter;
+mod endpoint_lists;
 mod error;
 mod event;
-mod fields;
 mod instance;
-mod lists;
 mod message;
+mod message_fields;
 
 pub use action::format_action;
 pub use adapter::{AdapterError, serve};
