--- a/src/policy/class_settings.rs
+++ b/src/policy/class_settings.rs
@@ -48,7 +48,7 @@
     pub idempotency: Idempotency,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether requests with the same key are sent one at a time, in order of arrival at this balancer.
+    /// Whether requests with the same key are sent one at a time, in order of arrival here.
     pub is_key_ordered: bool,
 }
 
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -164,7 +164,7 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A part of the body was forwarded and not kept: no further attempt is possible.
+    /// Some of the body was forwarded and not retained: no further attempt is possible.
     BodyConsumed {
         /// The request.
         request: RequestId,
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -19,7 +19,7 @@
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Balancer {
-    /// Earns a request's part of the health check budget: none where answers carry load reports, and little where
+    /// Earns a request's share of the health check budget: none where answers carry load reports, and little where
     /// health checks are costly.
     pub(super) fn earn_health_checks(&mut self) {
         let are_needed = self.settings.limits.health_checks
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -17,7 +17,7 @@
     pub(super) queue_deadline: Timestamp,
     pub(super) attempts: Vec<Attempt>,
     pub(super) is_answered: bool,
-    /// A part of its body was forwarded and not kept, so that it can not be sent again.
+    /// Some of its body was forwarded and not retained, so that it can not be sent again.
     pub(super) body_is_consumed: bool,
     /// The slow start clock has counted its next send already.
     pub(super) has_advanced_slow_start: bool,
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -130,7 +130,7 @@
     }
 
     /// Adds random local endpoints, where all of the subset is throttled. Only while this balancer has few attempts in
-    /// flight for its part of the tier: otherwise all balancers together would overload the whole tier.
+    /// flight for its share of the tier: otherwise all balancers together would overload the whole tier.
     fn add_local_samples(
         &mut self,
         search: &Search<'_>,
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -17,7 +17,7 @@
         has_tenant && has_class && !self.requests.contains_key(&request.id)
     }
 
-    /// Records that a part of a request's body was forwarded and not kept.
+    /// Records that some of a request's body was forwarded and not retained.
     pub(super) fn body_consumed(&mut self, request: &RequestId) {
         if let Some(pending) = self.requests.get_mut(request) {
             pending.body_is_consumed = true;
--- a/src/policy/settings_change.rs
+++ b/src/policy/settings_change.rs
@@ -10,7 +10,7 @@
 impl Balancer {
     /// Replaces the settings, and returns the ids of the new classes, in their order. An unchanged class keeps its id;
     /// any other class gets a new one, as pending requests keep the class that they came with. Queued requests and the
-    /// state of endpoints are kept, and judged by the new thresholds.
+    /// state of endpoints are kept; the new thresholds apply to them.
     ///
     /// # Errors
     /// Returns the first invalid setting; nothing is changed then.
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -1,9 +1,9 @@
-//! Probes of endpoints whose queues no answer tells of.
+//! Health checks of endpoints whose answers carry no load report.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Serves so many requests without a report, and answers each probe so.
+/// Serves requests without load reports, ends each health check with an outcome, and returns the checked endpoints.
 fn serve_and_answer(
     host: &mut Host,
     requests: usize,
