--- a/fleet-lab/tests/caller.rs
+++ b/fleet-lab/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The open-loop callers against a stand-in server.
+//! The open-loop callers against a stub server.
 
 use fleet_lab::caller::{LoadPlan, LoadTarget, TargetResult, run};
 use std::collections::BTreeSet;
@@ -9,11 +9,11 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Far longer than anything here takes.
+/// How long a test waits for anything at most.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
-/// A request as the server reads it, with its number on its connection and over all connections.
+/// A received request, with its number on its connection and over all connections.
 #[derive(Clone, Debug)]
 struct Request {
     on_connection: usize,
@@ -32,40 +32,40 @@
     }
 }
 
-/// What a server does with a request.
+/// The reaction of the server to a request.
 enum Reaction {
     Answer(String),
     AnswerAndClose(String),
     Close,
-    Silence,
+    NoAnswer,
 }
 
-/// All requests that a server has read.
+/// All requests that the server has received.
 #[derive(Default)]
 struct Requests {
     list: Mutex<Vec<Request>>,
-    grown: Condvar,
+    changed: Condvar,
 }
 
 impl Requests {
     fn wait_for(&self, count: usize) {
         let list = self.list.lock().expect("the list");
         let (_list, timeout) = self
-            .grown
+            .changed
             .wait_timeout_while(list, TIMEOUT, |list| list.len() < count)
             .expect("the list");
-        assert!(!timeout.timed_out(), "{count} requests did not come");
+        assert!(!timeout.timed_out(), "{count} requests were not received");
     }
 }
 
-struct Server {
+struct StubServer {
     address: SocketAddr,
     requests: Arc<Requests>,
     stop: Arc<AtomicBool>,
     acceptor: Option<JoinHandle<()>>,
 }
 
-impl Server {
+impl StubServer {
     fn start(react: impl Fn(&Request, &Requests) -> Reaction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -73,17 +73,17 @@
             Arc::new(Requests::default()),
             Arc::new(AtomicBool::new(false)),
         );
-        let (react, seen, stops) = (Arc::new(react), requests.clone(), stop.clone());
+        let (react, received, stop_flag) = (Arc::new(react), requests.clone(), stop.clone());
         let acceptor = thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if stops.load(Ordering::Relaxed) {
+                if stop_flag.load(Ordering::Relaxed) {
                     return;
                 }
-                let (react, seen) = (react.clone(), seen.clone());
-                thread::spawn(move || converse(stream, &*react, &seen));
+                let (react, received) = (react.clone(), received.clone());
+                thread::spawn(move || serve_connection(stream, &*react, &received));
             }
         });
-        Server {
+        StubServer {
             address,
             requests,
             stop,
@@ -96,7 +96,7 @@
     }
 }
 
-impl Drop for Server {
+impl Drop for StubServer {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(self.address); // wakes the acceptor
@@ -104,13 +104,17 @@
     }
 }
 
-fn converse(stream: TcpStream, react: &dyn Fn(&Request, &Requests) -> Reaction, seen: &Requests) {
+fn serve_connection(
+    stream: TcpStream,
+    react: &dyn Fn(&Request, &Requests) -> Reaction,
+    received: &Requests,
+) {
     let mut reader = BufReader::new(stream);
     for on_connection in 0.. {
         let Some((head, body)) = read_request(&mut reader) else {
             return;
         };
-        let mut list = seen.list.lock().expect("the list");
+        let mut list = received.list.lock().expect("the list");
         let request = Request {
             on_connection,
             overall: list.len(),
@@ -118,13 +122,13 @@
             body,
         };
         list.push(request.clone());
-        seen.grown.notify_all();
+        received.changed.notify_all();
         drop(list);
-        let (answer, closes) = match react(&request, seen) {
+        let (answer, closes) = match react(&request, received) {
             Reaction::Answer(answer) => (answer, false),
             Reaction::AnswerAndClose(answer) => (answer, true),
             Reaction::Close => return,
-            Reaction::Silence => continue, // the next read waits for the end
+            Reaction::NoAnswer => continue, // the next read returns at the end of the connection
         };
         if reader.get_mut().write_all(answer.as_bytes()).is_err() || closes {
             return;
@@ -177,7 +181,7 @@
     results
 }
 
-/// The result of a load on one target.
+/// Runs a load on one target and returns its result.
 fn run_one(target: LoadTarget) -> TargetResult {
     run_load(vec![target]).remove(0)
 }
@@ -190,11 +194,11 @@
         "429 Too Many Requests",
         "500 Internal Server Error",
     ];
-    let server = Server::start(move |request, _| {
+    let server = StubServer::start(move |request, _| {
         let status = statuses[request.overall % statuses.len()];
         Reaction::Answer(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nok"))
     });
-    let always = Server::start(|_, _| Reaction::Answer(SERVED.into()));
+    let always = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
     let results = run_load(vec![target(server.address), target(always.address)]);
     let received = server.received().len();
     assert_eq!(results[0].sent as usize, received);
@@ -206,8 +210,8 @@
 }
 
 #[test]
-fn requests_have_the_protocols_form() {
-    let server = Server::start(|_, _| Reaction::Answer(SERVED.into()));
+fn requests_have_the_published_form() {
+    let server = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
     let mut order = target(server.address);
     order.class = "order".into();
     order.is_unsafe = true;
@@ -239,8 +243,8 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_arrivals_again() {
-    let server = Server::start(|_, _| Reaction::Answer(SERVED.into()));
+fn loads_with_the_same_seed_have_the_same_arrivals() {
+    let server = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
     let counts = [(); 2].map(|()| {
         let results = run_load(vec![target(server.address), target(server.address)]);
         results.iter().map(|result| result.sent).collect::<Vec<_>>()
@@ -249,14 +253,14 @@
     let ids: BTreeSet<String> = server
         .received()
         .iter()
-        .map(|r| r.header("X-Request-Id").into())
+        .map(|request| request.header("X-Request-Id").into())
         .collect();
     assert_eq!(ids.len(), server.received().len(), "ids are not used again");
 }
 
 #[test]
-fn what_was_due_before_the_measurement_is_not_counted() {
-    let server = Server::start(|_, _| Reaction::Answer(SERVED.into()));
+fn requests_of_the_warm_up_are_not_counted() {
+    let server = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
     let targets = vec![target(server.address)];
     let (warm_up, duration) = (Duration::from_millis(300), Duration::from_millis(100));
     let results = run(&LoadPlan {
@@ -272,11 +276,11 @@
 }
 
 #[test]
-fn a_slow_answer_holds_no_other_request_back() {
+fn a_slow_answer_does_not_delay_other_requests() {
     const OTHERS: usize = 20;
-    let server = Server::start(|request, seen| {
+    let server = StubServer::start(|request, received| {
         if request.overall == 0 {
-            seen.wait_for(1 + OTHERS);
+            received.wait_for(1 + OTHERS);
         }
         Reaction::Answer(SERVED.into())
     });
@@ -293,7 +297,7 @@
 #[test]
 fn an_answer_that_closes_its_connection_is_served() {
     let closing = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone";
-    let server = Server::start(move |_, _| Reaction::AnswerAndClose(closing.into()));
+    let server = StubServer::start(move |_, _| Reaction::AnswerAndClose(closing.into()));
     let result = run_one(target(server.address));
     assert_eq!(
         (result.served, result.connections),
@@ -302,8 +306,8 @@
 }
 
 #[test]
-fn a_request_that_crosses_a_close_is_sent_once_more() {
-    let server = Server::start(|request, _| match request.on_connection {
+fn a_request_on_a_reused_connection_that_is_closed_is_sent_again() {
+    let server = StubServer::start(|request, _| match request.on_connection {
         0 => Reaction::Answer(SERVED.into()),
         _ => Reaction::Close,
     });
@@ -315,24 +319,27 @@
         .map(|request| request.header("X-Request-Id"))
         .collect();
     assert_eq!(ids.len() as u64, result.sent);
-    assert!(received.len() > ids.len(), "no request met a close");
+    assert!(received.len() > ids.len(), "no request was sent again");
     assert_eq!(
         result.connections as usize,
-        received.iter().filter(|r| r.on_connection == 0).count()
+        received
+            .iter()
+            .filter(|request| request.on_connection == 0)
+            .count()
     );
 }
 
 #[test]
-fn a_close_before_any_answer_on_a_new_connection_is_a_failure() {
-    let server = Server::start(|_, _| Reaction::Close);
+fn a_request_on_a_new_connection_that_is_closed_fails() {
+    let server = StubServer::start(|_, _| Reaction::Close);
     let result = run_one(target(server.address));
     assert_eq!(result.failed, result.sent);
     assert_eq!(server.received().len() as u64, result.sent);
 }
 
 #[test]
-fn a_server_that_never_answers_leaves_requests_unanswered() {
-    let server = Server::start(|_, _| Reaction::Silence);
+fn requests_without_an_answer_expire() {
+    let server = StubServer::start(|_, _| Reaction::NoAnswer);
     let mut target = target(server.address);
     target.deadline = Duration::from_millis(50);
     let result = run_one(target);
@@ -345,10 +352,10 @@
 #[test]
 fn refused_connections_and_chunked_answers_are_failures() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let nobody = listener.local_addr().expect("an address");
+    let refusing_address = listener.local_addr().expect("an address");
     drop(listener);
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n";
-    let server = Server::start(move |_, _| Reaction::Answer(chunked.into()));
-    let results = run_load(vec![target(nobody), target(server.address)]);
+    let server = StubServer::start(move |_, _| Reaction::Answer(chunked.into()));
+    let results = run_load(vec![target(refusing_address), target(server.address)]);
     assert!(results.iter().all(|result| result.failed == result.sent));
 }
--- a/fleet-lab/tests/command.rs
+++ b/fleet-lab/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line: its exit codes, and that what is wrong is told.
+//! The command line: its exit codes and its error messages.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs;
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/experiments");
-/// How long a state may take.
+/// How long a test waits for anything at most.
 const TIMEOUT: Duration = Duration::from_secs(15);
-/// Between two looks at a state.
+/// The interval at which an awaited state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn lab(arguments: &[&str]) -> Output {
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn check_accepts_a_file_of_the_project() {
+fn check_accepts_an_experiment_of_the_project() {
     let file = format!("{FOLDER}/30-memory.toml");
     assert_eq!(lab(&["check", &file]).status.code(), Some(0));
 }
 
 #[test]
-fn check_tells_each_fault_on_a_line() {
+fn check_prints_a_line_for_each_invalid_value() {
     let folder = tempfile::tempdir().unwrap();
     let faulty = folder.path().join("faulty.toml");
     let text = fs::read_to_string(Path::new(FOLDER).join("30-memory.toml")).unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn unknown_arguments_and_names_are_bad_input() {
+fn unknown_arguments_and_experiment_names_exit_with_bad_input() {
     assert_eq!(lab(&["scale", "--no-such-option"]).status.code(), Some(2));
     let output = lab(&[
         "scale",
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_missing_program_and_an_empty_folder_are_bad_input() {
+fn a_missing_program_and_an_empty_folder_exit_with_bad_input() {
     let folder = tempfile::tempdir().unwrap();
     let missing = folder.path().join("missing");
     let file = format!("{FOLDER}/30-memory.toml");
@@ -89,9 +89,9 @@
     );
 }
 
-/// A program that ends at once listens nowhere, so the experiment cannot begin.
+/// The program ends immediately without listening, so the experiment cannot start.
 #[test]
-fn an_experiment_that_fails_is_in_the_report_and_in_the_exit_code() {
+fn a_failed_experiment_is_reported_and_sets_the_exit_code() {
     let folder = tempfile::tempdir().unwrap();
     let file = format!("{FOLDER}/30-memory.toml");
     let output = lab(&[
@@ -107,7 +107,7 @@
     assert!(report.contains("- failed: start "), "{report}");
 }
 
-/// The processes that a process started, over all of its threads.
+/// Returns the child processes of all threads of a process.
 fn children(process: u32) -> Vec<i32> {
     let tasks = procfs::process::Process::new(process as i32).and_then(|process| process.tasks());
     let children = tasks
@@ -118,9 +118,9 @@
     children.flatten().map(|number| number as i32).collect()
 }
 
-/// A sidecar that never tells where it listens is waited for, so that the signal finds one running.
+/// The lab waits for a sidecar that never listens, so that one is running when the signal arrives.
 #[test]
-fn sigterm_ends_the_lab_and_the_processes_that_it_started() {
+fn sigterm_ends_the_lab_and_its_child_processes() {
     let folder = tempfile::tempdir().unwrap();
     let program = folder.path().join("sidecar");
     fs::write(&program, "#!/bin/sh\nexec sleep 60\n").unwrap();
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -2,6 +2,8 @@
 
 #[path = "support/discovery_client.rs"]
 mod discovery_client;
+#[path = "support/wait.rs"]
+mod wait;
 
 use discovery_client::{Client, LIST, TIMEOUT, summarize, zones};
 use fleet_lab::discovery::{
@@ -11,8 +13,8 @@
 use serde_json::Value;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
-use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Duration;
+use wait::wait_until;
 
 fn options() -> DiscoveryOptions {
     DiscoveryOptions {
@@ -44,14 +46,6 @@
     DiscoveryServer::start(options, &zones(), vec![serving("a"), serving("b")]).unwrap()
 }
 
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let started = Instant::now();
-    while !condition() {
-        assert!(started.elapsed() < TIMEOUT, "not reached: {what}");
-        thread::sleep(Duration::from_millis(2));
-    }
-}
-
 #[test]
 fn the_full_list_has_the_published_form() {
     let server = start(options());
@@ -113,7 +107,7 @@
     );
 
     drop(behind);
-    wait_until("one watch", || server.usage().watches_open == 1);
+    wait_until("one watch", TIMEOUT, || server.usage().watches_open == 1);
     assert_eq!(server.usage().watches_opened, 2);
 }
 
@@ -208,7 +202,7 @@
     assert!(usage.lists > 0 && usage.rejected > 0, "{usage:?}");
     assert!((1..CALLERS).contains(&usage.max_queue_length), "{usage:?}");
     // A connection can be used again after a rejection.
-    wait_until("a list again", || {
+    wait_until("a list again", TIMEOUT, || {
         clients[0].get(LIST);
         clients[0].answer().0 == 200
     });
@@ -242,11 +236,11 @@
     first.get(LIST);
     assert_eq!(first.answer().0, 200);
     disconnecting.get(LIST);
-    wait_until("one call is queued", || {
+    wait_until("one call is queued", TIMEOUT, || {
         server.usage().max_queue_length == 1
     });
     last.get(LIST);
-    wait_until("two calls are queued", || {
+    wait_until("two calls are queued", TIMEOUT, || {
         server.usage().max_queue_length == 2
     });
     drop(disconnecting);
@@ -295,7 +289,7 @@
     assert_eq!(other_watch.message(), change);
     let mut new = Client::connect(&server, 0);
     new.get(LIST);
-    wait_until("the new connection is accepted", || {
+    wait_until("the new connection is accepted", TIMEOUT, || {
         server.usage().connections == 3
     });
     cut_watch.assert_is_quiet();
@@ -404,5 +398,7 @@
     drop(sender);
     let ended = tokio::time::timeout(TIMEOUT, connection).await;
     assert!(ended.is_ok(), "the client's connection ends with the call");
-    wait_until("the watch's end", || server.usage().watches_open == 0);
+    wait_until("the watch's end", TIMEOUT, || {
+        server.usage().watches_open == 0
+    });
 }
--- a/fleet-lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -1,17 +1,20 @@
-//! Endpoints over real loopback connections: answers, queues, probes, stops, silence and calls to the next tier.
+//! Endpoints over real loopback connections: answers, queues, health checks, stops, hangs and calls to the next tier.
 
 #[path = "support/http_connection.rs"]
 mod http_connection;
+#[path = "support/wait.rs"]
+mod wait;
 
 use fleet_lab::endpoint::{
     EndpointHandle, EndpointHost, EndpointOptions, EndpointUsage, ServiceTime, SlowStart,
 };
-use http_connection::{Connection, Message, PATIENCE, check_health, get};
+use http_connection::{Connection, Message, TIMEOUT, check_health, get};
 use std::collections::HashSet;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread::{self, JoinHandle};
-use std::time::{Duration, Instant};
+use std::time::Instant;
+use wait::wait_until;
 
 const SEED: u64 = 7;
 
@@ -45,14 +48,6 @@
         .unwrap()
 }
 
-fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let started = Instant::now();
-    while !condition() {
-        assert!(started.elapsed() < PATIENCE, "not reached: {what}");
-        thread::sleep(Duration::from_millis(2));
-    }
-}
-
 fn load(endpoint: &EndpointHandle) -> String {
     String::from_utf8(check_health(endpoint.entry().address, "/status/load").body).unwrap()
 }
@@ -89,13 +84,13 @@
     };
     assert_eq!(endpoint.usage(), expected);
     drop(connection);
-    wait_until("connection closed", || {
+    wait_until("connection closed", TIMEOUT, || {
         endpoint.usage().connections_open == 0
     });
 }
 
 #[test]
-fn bodies_are_read_whole_and_chunked_ones_are_turned_down() {
+fn requests_are_served_once_their_body_is_complete_and_chunked_ones_are_rejected() {
     let host = host();
     let endpoint = add(&host, options(), None);
     let mut connection = Connection::open(endpoint.entry().address);
@@ -110,7 +105,7 @@
 }
 
 #[test]
-fn a_full_queue_turns_away_and_a_caller_that_leaves_frees_its_place() {
+fn a_full_queue_rejects_and_a_client_that_disconnects_frees_its_slot() {
     let host = host();
     let endpoint = add(
         &host,
@@ -123,26 +118,26 @@
     let address = endpoint.entry().address;
     let mut working = Connection::open(address);
     working.send(&get("1f"));
-    wait_until("one works", || {
+    wait_until("one request in work", TIMEOUT, || {
         load(&endpoint).starts_with("TEXT inflight=1, queue=0")
     });
-    let mut waiting = Connection::open(address);
-    waiting.send(&get("2f"));
-    wait_until("one waits", || {
+    let mut queued = Connection::open(address);
+    queued.send(&get("2f"));
+    wait_until("one request queued", TIMEOUT, || {
         load(&endpoint).starts_with("TEXT inflight=1, queue=1")
     });
-    let rejected_early = Connection::open(address).call(&get("3f"));
+    let rejected = Connection::open(address).call(&get("3f"));
     assert_eq!(
-        (rejected_early.status(), rejected_early.header("x-not-run")),
+        (rejected.status(), rejected.header("x-not-run")),
         ("503", Some("1"))
     );
-    drop(waiting);
-    wait_until("none waits", || {
+    drop(queued);
+    wait_until("no request queued", TIMEOUT, || {
         load(&endpoint).starts_with("TEXT inflight=1, queue=0")
     });
     let mut next = Connection::open(address);
     next.send(&get("4f"));
-    wait_until("the next waits", || {
+    wait_until("the next request queued", TIMEOUT, || {
         load(&endpoint).starts_with("TEXT inflight=1, queue=1")
     });
     let usage = endpoint.usage();
@@ -152,19 +147,19 @@
     );
 }
 
-/// Sends four requests one after another; the queue lengths that their answers report, if three of them had to wait.
+/// Sends four requests one after another and returns the queue lengths in their answers, if three of them were queued.
 fn queue_lengths_at_answers(endpoint: &EndpointHandle) -> Option<Vec<u32>> {
-    let before = endpoint.usage().requests;
+    let earlier_requests = endpoint.usage().requests;
     let mut connections = Vec::new();
     for number in 1..=4 {
         let mut connection = Connection::open(endpoint.entry().address);
         connection.send(&get(&format!("{number}f")));
-        wait_until("request read", || {
-            endpoint.usage().requests == before + number
+        wait_until("request read", TIMEOUT, || {
+            endpoint.usage().requests == earlier_requests + number
         });
         connections.push(connection);
     }
-    let all_wait = load(endpoint).contains("queue=3,");
+    let all_queued = load(endpoint).contains("queue=3,");
     let queue_length = |connection: &mut Connection| {
         let answer = connection.receive().unwrap();
         assert_eq!(answer.status(), "200");
@@ -176,11 +171,11 @@
         queue.split_once(',').unwrap().0.parse().unwrap()
     };
     let queue_lengths = connections.iter_mut().map(queue_length).collect();
-    all_wait.then_some(queue_lengths)
+    all_queued.then_some(queue_lengths)
 }
 
 #[test]
-fn queued_requests_are_served_in_the_order_in_which_they_came() {
+fn queued_requests_are_served_in_order_of_arrival() {
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 50.0 };
     let endpoint = add(
@@ -198,8 +193,8 @@
             break queue_lengths;
         }
         assert!(
-            started.elapsed() < PATIENCE,
-            "the requests never waited together"
+            started.elapsed() < TIMEOUT,
+            "the requests were never queued together"
         );
     };
     assert!(
@@ -211,7 +206,7 @@
 }
 
 #[test]
-fn probes_are_answered_only_with_load_reports() {
+fn health_checks_are_answered_only_by_endpoints_with_load_reports() {
     let host = host();
     let endpoint = add(&host, options(), None);
     assert_eq!(
@@ -241,14 +236,14 @@
 }
 
 #[test]
-fn a_cold_endpoint_works_longer_than_a_warm_one() {
+fn a_warming_endpoint_works_longer_than_a_warm_one() {
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 20.0 };
     let slow_start = Some(SlowStart {
         from: 1e-6,
         milliseconds: 3_600_000_000,
     });
-    let cold = add(
+    let warming = add(
         &host,
         EndpointOptions {
             service_time,
@@ -265,11 +260,11 @@
         },
         None,
     );
-    assert!(cold.entry().since_ms > 0);
+    assert!(warming.entry().since_ms > 0);
     assert_eq!(warm.entry().since_ms, 0);
-    Connection::open(cold.entry().address).send(&get("1f"));
-    wait_until("the cold one works", || {
-        load(&cold).starts_with("TEXT inflight=1")
+    Connection::open(warming.entry().address).send(&get("1f"));
+    wait_until("the warming endpoint works", TIMEOUT, || {
+        load(&warming).starts_with("TEXT inflight=1")
     });
     assert_eq!(
         Connection::open(warm.entry().address)
@@ -277,11 +272,11 @@
             .status(),
         "200"
     );
-    assert!(load(&cold).starts_with("TEXT inflight=1"));
+    assert!(load(&warming).starts_with("TEXT inflight=1"));
 }
 
 #[test]
-fn a_stopped_endpoint_resets_and_refuses_until_it_starts_again_at_its_address() {
+fn a_stopped_endpoint_resets_and_refuses_connections_until_it_is_restarted_at_its_address() {
     let host = host();
     let endpoint = add(&host, options(), None);
     let address = endpoint.entry().address;
@@ -292,8 +287,8 @@
         connection.receive().err().unwrap().kind(),
         io::ErrorKind::ConnectionReset
     );
-    let refused = TcpStream::connect(address).unwrap_err();
-    assert_eq!(refused.kind(), io::ErrorKind::ConnectionRefused);
+    let error = TcpStream::connect(address).unwrap_err();
+    assert_eq!(error.kind(), io::ErrorKind::ConnectionRefused);
     assert_eq!(endpoint.usage().connections_open, 0);
     assert_eq!(endpoint.entry().since_ms, 0);
 
@@ -307,28 +302,28 @@
 }
 
 #[test]
-fn a_silent_endpoint_reads_and_answers_nothing_until_its_silence_ends() {
+fn a_hanging_endpoint_reads_requests_and_answers_none_until_it_resumes() {
     let host = host();
     let endpoint = add(&host, options(), None);
     let address = endpoint.entry().address;
-    let mut resting = Connection::open(address);
-    assert_eq!(resting.call(&get("1f")).status(), "200");
+    let mut idle = Connection::open(address);
+    assert_eq!(idle.call(&get("1f")).status(), "200");
     endpoint.hang();
-    let mut cut = Connection::open(address);
-    cut.send(&get("2f"));
-    wait_until("request read", || endpoint.usage().requests == 2);
+    let mut pending = Connection::open(address);
+    pending.send(&get("2f"));
+    wait_until("request read", TIMEOUT, || endpoint.usage().requests == 2);
     endpoint.resume();
     assert_eq!(
-        cut.receive().err().unwrap().kind(),
+        pending.receive().err().unwrap().kind(),
         io::ErrorKind::ConnectionReset
     );
-    assert_eq!(resting.call(&get("3f")).status(), "200");
+    assert_eq!(idle.call(&get("3f")).status(), "200");
     assert_eq!(Connection::open(address).call(&get("4f")).status(), "200");
     assert_eq!(endpoint.usage().served, 3);
 }
 
 #[test]
-fn an_error_share_of_one_fails_all_requests() {
+fn an_error_rate_of_one_fails_all_requests() {
     let host = host();
     let endpoint = add(
         &host,
@@ -366,29 +361,29 @@
     }
 }
 
-/// What a stand-in for a sidecar does with its next request.
+/// The reaction of a stub sidecar to its next request.
 enum Step {
-    /// Passes it on to an endpoint, and that one's status back.
-    PassOn(SocketAddr),
+    /// Forwards it to an endpoint, and returns that endpoint's status.
+    Forward(SocketAddr),
     /// Answers with these bytes.
     Answer(&'static str),
     /// Closes the connection without an answer.
     HangUp,
 }
 
-/// Takes requests one after another, on one connection as long as that stays open, and returns them.
-fn stand_in_sidecar(steps: Vec<Step>) -> (SocketAddr, JoinHandle<Vec<Message>>) {
+/// Starts a stub sidecar that serves requests on one connection at a time and returns them at the end.
+fn start_stub_sidecar(steps: Vec<Step>) -> (SocketAddr, JoinHandle<Vec<Message>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let serve = move || {
-        let mut open = None;
+        let mut open_connection = None;
         let mut requests = Vec::new();
         for step in steps {
-            let connection =
-                open.get_or_insert_with(|| Connection::new(listener.accept().unwrap().0));
+            let connection = open_connection
+                .get_or_insert_with(|| Connection::new(listener.accept().unwrap().0));
             let request = connection.receive().unwrap();
             match step {
-                Step::PassOn(endpoint) => {
+                Step::Forward(endpoint) => {
                     let id = request.header("x-request-id").unwrap();
                     let answer = Connection::open(endpoint).call(&get(id));
                     connection.send(&format!(
@@ -397,7 +392,7 @@
                     ));
                 }
                 Step::Answer(bytes) => connection.send(bytes),
-                Step::HangUp => open = None,
+                Step::HangUp => open_connection = None,
             }
             requests.push(request);
         }
@@ -407,28 +402,28 @@
 }
 
 #[test]
-fn a_chain_passes_on_a_new_id_and_the_time_that_is_left() {
+fn a_call_to_the_next_tier_has_a_new_id_and_the_remaining_time() {
     let host = host();
     let last = add(&host, options(), None);
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-    let refused = "HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
+    let rejected = "HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
     let steps = vec![
-        Step::PassOn(last.entry().address),
+        Step::Forward(last.entry().address),
         Step::Answer(chunked),
         Step::HangUp,
-        Step::Answer(refused),
+        Step::Answer(rejected),
     ];
-    let (sidecar, stand_in) = stand_in_sidecar(steps);
+    let (sidecar, stub) = start_stub_sidecar(steps);
     let first = add(&host, options(), Some(sidecar));
     let mut connection = Connection::open(first.entry().address);
     assert_eq!(connection.call(&get("1f")).body.len(), 32);
     let post =
         "POST /api HTTP/1.1\r\nX-Request-Id: 2f\r\nX-Class: buy\r\nContent-Length: 2\r\n\r\nhi";
     assert_eq!(connection.call(post).status(), "200");
-    // The stand-in hangs up on the kept connection; the call comes once more on a new one and is refused there.
+    // The stub closes the reused connection; the call is sent again on a new one and is rejected there.
     assert_eq!(connection.call(&get("3f")).status(), "500");
 
-    let calls = stand_in.join().unwrap();
+    let calls = stub.join().unwrap();
     let ids: Vec<_> = calls
         .iter()
         .map(|call| call.header("x-request-id").unwrap())
@@ -453,7 +448,7 @@
         call.header("x-deadline")
             .map(|text| text.parse::<f64>().unwrap())
     };
-    assert!(deadline(&calls[0]).is_some_and(|left| left > 0.0 && left < 5.0));
+    assert!(deadline(&calls[0]).is_some_and(|seconds| seconds > 0.0 && seconds < 5.0));
     assert_eq!(deadline(&calls[1]), None);
     assert!(deadline(&calls[3]) < deadline(&calls[2]));
     let usage = first.usage();
--- a/fleet-lab/tests/experiment.rs
+++ b/fleet-lab/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiment files: those of the project load, and faulty ones are told clearly.
+//! Experiment files: those of the project load, and invalid ones are reported.
 
 use fleet_lab::experiment::{Experiment, ExperimentError};
 use std::fs;
@@ -17,8 +17,8 @@
 caller_connections = [10, 20]
 "#;
 
-/// What loading this text, with a part replaced, fails with.
-fn error_of(text: &str, part: &str, replacement: &str) -> ExperimentError {
+/// Returns the error of loading a text in which a part was replaced.
+fn load_error(text: &str, part: &str, replacement: &str) -> ExperimentError {
     assert!(text.contains(part), "the text has no {part}");
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("faulty.toml");
@@ -26,15 +26,15 @@
     Experiment::load(&path).unwrap_err()
 }
 
-fn faults_of(text: &str, part: &str, replacement: &str) -> Vec<String> {
-    match error_of(text, part, replacement) {
+fn value_faults(text: &str, part: &str, replacement: &str) -> Vec<String> {
+    match load_error(text, part, replacement) {
         ExperimentError::Values { faults, .. } => faults.iter().map(ToString::to_string).collect(),
         other => panic!("{other}"),
     }
 }
 
 #[test]
-fn all_files_of_the_project_load_and_have_names_of_their_own() {
+fn experiments_of_the_project_load_and_have_distinct_names() {
     let experiments = Experiment::load_folder(Path::new(FOLDER)).unwrap();
     let mut names: Vec<&str> = experiments
         .iter()
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_folder_is_read_in_the_order_of_its_files_names() {
+fn a_folder_is_loaded_in_the_order_of_its_file_names() {
     let folder = tempfile::tempdir().unwrap();
     for name in ["20-b", "10-a", "30-c"] {
         let text = MEMORY.replace("small", name);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_of_a_missing_file_names_it() {
     let error = Experiment::load(&PathBuf::from("nowhere/none.toml")).unwrap_err();
     assert!(matches!(error, ExperimentError::Read { .. }));
     assert!(
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn an_unknown_field_is_named_on_one_line() {
-    let error = error_of(MEMORY, "open_requests", "open_request");
+fn the_error_of_an_unknown_field_is_one_line_that_names_it() {
+    let error = load_error(MEMORY, "open_requests", "open_request");
     assert!(matches!(error, ExperimentError::Parse { .. }));
     let text = error.to_string();
     assert!(
@@ -86,20 +86,20 @@
 }
 
 #[test]
-fn sizes_have_to_be_there_and_to_increase() {
+fn missing_and_decreasing_sizes_are_invalid() {
     assert_eq!(
-        faults_of(MEMORY, "endpoints = [10, 20]", "endpoints = []"),
+        value_faults(MEMORY, "endpoints = [10, 20]", "endpoints = []"),
         ["measure.endpoints is empty"]
     );
     assert_eq!(
-        faults_of(MEMORY, "endpoints = [10, 20]", "endpoints = [20, 20]"),
+        value_faults(MEMORY, "endpoints = [10, 20]", "endpoints = [20, 20]"),
         ["measure.endpoints is not increasing"]
     );
 }
 
 #[test]
-fn all_faults_of_a_file_are_told_at_once() {
-    let faults = faults_of(MEMORY, "[10, 20]", "[0, 100000]");
+fn all_invalid_values_of_a_file_are_reported() {
+    let faults = value_faults(MEMORY, "[10, 20]", "[0, 100000]");
     assert_eq!(faults.len(), 6, "{faults:?}");
     assert_eq!(
         faults[0],
@@ -108,15 +108,15 @@
 }
 
 #[test]
-fn shares_and_numbers_of_processes_are_bounded() {
+fn fractions_and_numbers_of_processes_have_limits() {
     let amplification =
         fs::read_to_string(Path::new(FOLDER).join("21-retry-amplification.toml")).unwrap();
     assert_eq!(
-        faults_of(&amplification, "error_share = 0.1", "error_share = 1.5"),
+        value_faults(&amplification, "error_share = 0.1", "error_share = 1.5"),
         ["measure.error_share is 1.5, not from 0 to 1"]
     );
     assert_eq!(
-        faults_of(
+        value_faults(
             &amplification,
             "endpoints_per_tier = 2",
             "endpoints_per_tier = 30"
@@ -124,7 +124,7 @@
         ["measure.depths needs 361 sidecar processes, more than 300"]
     );
     assert_eq!(
-        faults_of(
+        value_faults(
             &amplification,
             "calls_per_second = 72.0",
             "calls_per_second = nan"
--- a/fleet-lab/tests/loopback_tier.rs
+++ b/fleet-lab/tests/loopback_tier.rs
@@ -1,32 +1,34 @@
-//! The stand-in tier: a sidecar that is started from the configuration that it writes serves a request.
+//! The command `tier`: a sidecar serves requests with the configuration that the command writes.
 
-mod common;
+#[path = "support/sidecar_program.rs"]
+mod sidecar_program;
+#[path = "support/wait.rs"]
+mod wait;
 
 use rustix::process::{Pid, Signal, kill_process};
+use sidecar_program::sidecar_program;
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::process::{Child, ChildStderr, Command, Stdio};
-use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Duration;
+use wait::wait_until;
 
-/// Far longer than anything here takes.
+/// How long a test waits for anything at most.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Between two looks at a state.
-const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A process that is killed when the test ends.
-struct Killed(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn start_tier(configuration: &Path) -> Killed {
+fn start_tier(configuration: &Path) -> KillOnDrop {
     let tier = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .args([
             "tier",
@@ -42,28 +44,21 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn();
-    Killed(tier.expect("the lab starts"))
+    KillOnDrop(tier.expect("the lab starts"))
 }
 
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let give_up_at = Instant::now() + TIMEOUT;
-    while !condition() {
-        assert!(Instant::now() < give_up_at, "{what}");
-        thread::sleep(POLL_INTERVAL);
-    }
-}
-
-/// Where a sidecar says in its log that it listens.
+/// Reads the address for callers from a sidecar's log.
 fn callers_address(log: ChildStderr) -> SocketAddr {
     let lines = BufReader::new(log).lines().map_while(Result::ok);
-    let mut told =
+    let mut addresses =
         lines.filter_map(|line| Some(line.split_once(" listens on ")?.1.trim().to_owned()));
-    told.next()
+    addresses
+        .next()
         .and_then(|address| address.parse().ok())
-        .expect("it tells where it listens")
+        .expect("the sidecar listens")
 }
 
-fn ask(address: SocketAddr, request: &str) -> String {
+fn call(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("the sidecar listens");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     stream.write_all(request.as_bytes()).expect("it reads");
@@ -73,24 +68,26 @@
 }
 
 #[test]
-fn a_sidecar_serves_from_the_tier_s_configuration() {
+fn a_sidecar_with_the_written_configuration_serves_requests_and_sigint_ends_the_tier() {
     let folder = tempfile::tempdir().expect("a folder");
     let configuration = folder.path().join("sidecar.json");
     let mut tier = start_tier(&configuration);
-    wait_until("the configuration is written", || configuration.exists());
+    wait_until("the configuration is written", TIMEOUT, || {
+        configuration.exists()
+    });
     let text = fs::read_to_string(&configuration).expect("it is whole");
     assert_eq!(text.matches("\"endpoint-").count(), 2, "{text}");
 
-    let sidecar = Command::new(common::sidecar_program())
+    let sidecar = Command::new(sidecar_program())
         .env("ROUTER_CONFIG", &configuration)
         .env("TMPDIR", folder.path())
         .stderr(Stdio::piped())
         .spawn();
-    let mut sidecar = Killed(sidecar.expect("the sidecar starts"));
+    let mut sidecar = KillOnDrop(sidecar.expect("the sidecar starts"));
     let address = callers_address(sidecar.0.stderr.take().expect("its log"));
     let request = "GET /api HTTP/1.1\r\nHost: s\r\nConnection: close\r\nX-Request-Id: 1\r\nX-Class: browse\r\n\
                    X-Deadline: 10\r\n\r\n";
-    let answer = ask(address, request);
+    let answer = call(address, request);
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
 
     kill_process(Pid::from_child(&tier.0), Signal::INT).expect("the tier runs");
--- a/fleet-lab/tests/measure.rs
+++ b/fleet-lab/tests/measure.rs
@@ -1,10 +1,10 @@
-//! Slopes and what a process uses.
+//! Slopes, and the resources that a process uses.
 
 use fleet_lab::measure::{Point, ProcessUsage, Slope, thread_processor_time};
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-/// What rounding may add to a figure.
+/// The largest rounding error of a value.
 const ROUNDING: f64 = 1e-9;
 
 fn points(values: &[(f64, f64)]) -> Vec<Point> {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_exact_line_is_found_and_leaves_nothing_unexplained() {
+fn points_on_a_line_are_explained_completely() {
     let line = fit(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (8.0, 19.0)]);
     assert_near(line.intercept, 3.0);
     assert_near(line.per_unit, 2.0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_noise_leaves_unexplained_is_told() {
+fn noise_is_the_unexplained_fraction() {
     // The line is 2.2 + 0.6 x; its residuals are -0.8, 0.6, 1.0, -0.6 and -0.2.
     let line = fit(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 4.0), (5.0, 5.0)]);
     assert_near(line.intercept, 2.2);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn values_that_do_not_vary_are_explained_whole() {
+fn constant_values_are_explained_completely() {
     let line = fit(&[(1.0, 4.0), (2.0, 4.0), (3.0, 4.0)]);
     assert_eq!(
         (line.intercept, line.per_unit, line.unexplained),
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn fewer_than_two_sizes_give_no_line() {
+fn fewer_than_two_sizes_have_no_slope() {
     assert_eq!(Slope::fit(&[]), None);
     assert_eq!(Slope::fit(&points(&[(1.0, 2.0)])), None);
     assert_eq!(Slope::fit(&points(&[(3.0, 2.0), (3.0, 4.0)])), None);
 }
 
 #[test]
-fn this_process_uses_time_memory_and_descriptors() {
+fn the_usage_of_this_process_is_positive() {
     let usage = ProcessUsage::of(std::process::id()).expect("this process runs");
     assert!(usage.processor_time > Duration::ZERO);
     assert!(usage.anonymous_bytes > 0 && usage.anonymous_bytes <= usage.resident_bytes);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_process_that_has_ended_has_no_usage() {
+fn reading_the_usage_of_an_ended_process_fails() {
     let mut child = Command::new("true")
         .stdin(Stdio::null())
         .spawn()
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_threads_processor_time_grows_as_it_works() {
+fn the_processor_time_of_a_working_thread_grows() {
     let before = thread_processor_time();
     while thread_processor_time() == before {
         std::hint::spin_loop();
--- a/fleet-lab/tests/report.rs
+++ b/fleet-lab/tests/report.rs
@@ -90,12 +90,12 @@
 }
 
 #[test]
-fn a_known_report_has_this_markdown() {
+fn a_report_has_the_expected_markdown() {
     assert_eq!(report().markdown(), MARKDOWN);
 }
 
 #[test]
-fn a_report_is_written_whole_and_replaces_the_last_one() {
+fn a_written_report_replaces_the_previous_one() {
     let folder = tempfile::tempdir().unwrap();
     let output = folder.path().join("new").join("folder");
     let mut report = report();
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -1,6 +1,7 @@
 //! Configurations of sidecars, and real sidecars as processes.
 
-mod common;
+#[path = "support/sidecar_program.rs"]
+mod sidecar_program;
 
 use balancer_sidecar::configuration::settings_document::parse_settings;
 use balancer_sidecar::policy::{DiscoveryMode, Idempotency, Reporting};
@@ -9,13 +10,14 @@
     LoadReports, RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
 };
 use fleet_lab::sidecar::process::SidecarProcess;
+use sidecar_program::sidecar_program;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
 use std::thread;
 use std::time::Duration;
 
-/// Far longer than anything here takes.
+/// How long a test waits for anything at most.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn class(name: &str, is_unsafe: bool) -> RequestClass {
@@ -67,8 +69,8 @@
     }
 }
 
-/// Accepts connections and says nothing on them.
-fn silent_listener() -> TcpListener {
+/// Accepts connections in its backlog and never answers on them.
+fn unresponsive_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
@@ -76,9 +78,9 @@
     listener.local_addr().expect("an address")
 }
 
-/// An endpoint that answers each request on one connection after another, until this process ends.
+/// Starts an endpoint that answers each request until this process ends.
 fn start_endpoint() -> SocketAddr {
-    let listener = silent_listener();
+    let listener = unresponsive_listener();
     let address = address_of(&listener);
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -101,8 +103,8 @@
     }
 }
 
-/// The status line of the answer to one request.
-fn ask(sidecar: SocketAddr) -> String {
+/// Sends a request and returns the status line of the answer.
+fn call(sidecar: SocketAddr) -> String {
     let mut stream = TcpStream::connect(sidecar).expect("the sidecar accepts");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     let request = "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: 1\r\nX-Class: browse\r\nX-Deadline: 10\r\n\r\n";
@@ -117,7 +119,7 @@
 }
 
 #[test]
-fn the_decision_module_accepts_the_settings() {
+fn the_settings_are_valid_and_have_the_configured_values() {
     let mut configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
     let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
     settings.validate().expect("settings that make sense");
@@ -131,7 +133,7 @@
     let classes: Vec<(&str, Idempotency)> = settings
         .classes
         .iter()
-        .map(|c| (&*c.name, c.idempotency))
+        .map(|class| (&*class.name, class.idempotency))
         .collect();
     assert_eq!(
         classes,
@@ -151,10 +153,9 @@
 
 #[test]
 fn a_sidecar_starts_serves_and_is_killed() {
-    let discovery = silent_listener();
+    let discovery = unresponsive_listener();
     let configuration = configuration(address_of(&discovery), vec![entry(start_endpoint())]);
-    let sidecar =
-        SidecarProcess::start(common::sidecar_program(), &configuration).expect("it starts");
+    let sidecar = SidecarProcess::start(sidecar_program(), &configuration).expect("it starts");
     assert!(
         sidecar.wait_until_ready(TIMEOUT).is_some(),
         "{:?}",
@@ -162,7 +163,7 @@
     );
     assert_ne!(sidecar.address(), sidecar.admin_address());
 
-    assert_eq!(ask(sidecar.address()), "HTTP/1.1 200 OK");
+    assert_eq!(call(sidecar.address()), "HTTP/1.1 200 OK");
     assert_eq!(sidecar.metric("completed{lane=\"browse\"}"), Some(1));
     assert_eq!(sidecar.metric("members"), Some(1));
     assert_eq!(sidecar.metric("no_such_figure"), None);
@@ -178,10 +179,10 @@
 }
 
 #[test]
-fn a_sidecar_takes_a_new_configuration_or_tells_why_not() {
-    let discovery = silent_listener();
+fn a_valid_configuration_is_reloaded_and_an_invalid_one_is_rejected() {
+    let discovery = unresponsive_listener();
     let first = configuration(address_of(&discovery), vec![entry(start_endpoint())]);
-    let sidecar = SidecarProcess::start(common::sidecar_program(), &first).expect("it starts");
+    let sidecar = SidecarProcess::start(sidecar_program(), &first).expect("it starts");
     let mut second = first.clone();
     second.classes.push(class("search", false));
     sidecar.reload(&second).expect("it is taken");
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn a_program_that_ends_at_once_is_told_with_its_log() {
+fn the_error_of_a_program_that_ends_quotes_its_log() {
     let configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
     let failure = SidecarProcess::start(Path::new("true"), &configuration).expect_err("it ends");
     assert!(
@@ -213,7 +214,7 @@
 
     let mut without_classes = configuration;
     without_classes.classes.clear();
-    let started = SidecarProcess::start(common::sidecar_program(), &without_classes);
+    let started = SidecarProcess::start(sidecar_program(), &without_classes);
     let failure = started.expect_err("settings without a class are rejected");
     assert!(
         failure
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -1,4 +1,7 @@
-//! Hollow fleets over the discovery service: which states they reach, and what they count.
+//! Simulated fleets over the discovery service: the states that they reach, and their counters.
+
+#[path = "support/wait.rs"]
+mod wait;
 
 use balancer_sidecar::policy::DiscoveryMode;
 use fleet_lab::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
@@ -7,15 +10,15 @@
 };
 use fleet_lab::sidecar::simulated::{ConvergenceTimes, FleetUsage, SimulatedFleet, SimulatedLoad};
 use fleet_lab::topology::{EndpointName, ZoneName};
-use std::thread::sleep;
 use std::time::{Duration, Instant};
+use wait::wait_until;
 
 const SIDECARS: u32 = 8;
 const THREADS: usize = 2;
-/// No wait that is to succeed lasts longer.
+/// How long a test waits for anything at most.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a state is watched that is not to come.
-const SHORT: Duration = Duration::from_millis(300);
+/// How long a state must not be reached.
+const QUIET_TIME: Duration = Duration::from_millis(300);
 const LOAD: SimulatedLoad = SimulatedLoad {
     calls_per_second: 20.0,
     mean_service_time: Duration::from_millis(5),
@@ -87,7 +90,7 @@
 
 fn fleet(discovery: &DiscoveryServer, discovery_mode: DiscoveryMode) -> SimulatedFleet {
     let configurations: Vec<_> = (0..SIDECARS)
-        .map(|n| configuration(n, discovery, discovery_mode))
+        .map(|number| configuration(number, discovery, discovery_mode))
         .collect();
     SimulatedFleet::start(&configurations, LOAD, THREADS).expect("a fleet")
 }
@@ -107,24 +110,16 @@
     );
 }
 
-fn wait_until(state: &str, is_reached: impl Fn() -> bool) {
-    let give_up_at = Instant::now() + TIMEOUT;
-    while !is_reached() {
-        assert!(Instant::now() < give_up_at, "not reached: {state}");
-        sleep(Duration::from_millis(1));
-    }
-}
-
 fn wait_until_watching(fleet: &SimulatedFleet, discovery: &DiscoveryServer) {
     assert_all_reached(&fleet.wait_until_watching(Instant::now(), TIMEOUT));
-    wait_until("a watch of each", || {
+    wait_until("a watch of each", TIMEOUT, || {
         discovery.usage().watches_open == u64::from(SIDECARS)
     });
 }
 
-/// Waits for a moment at which no call is open, as counts add up exactly then.
+/// Waits until no call is pending, as the counts add up only then.
 fn wait_until_calls_add_up(fleet: &SimulatedFleet) -> FleetUsage {
-    wait_until("every call is answered", || {
+    wait_until("every call is answered", TIMEOUT, || {
         let usage = fleet.usage();
         usage.calls > 0 && usage.served + usage.unserved == usage.calls
     });
@@ -137,7 +132,7 @@
     let fleet = fleet(&discovery, discovery_mode);
     assert_all_reached(&fleet.wait_until_ready(started, TIMEOUT));
     wait_until_watching(&fleet, &discovery);
-    assert_none_reached(&fleet.wait_for_version(2, started, SHORT));
+    assert_none_reached(&fleet.wait_for_version(2, started, QUIET_TIME));
     for change in 0..3 {
         let published = Instant::now();
         let version = discovery.publish(vec![endpoint(change, EndpointStatus::Draining)]);
@@ -150,18 +145,21 @@
         (u64::from(SIDECARS), u64::from(SIDECARS))
     );
     assert_eq!(fleet.usage().discovery_failures, 0);
-    // Had it been told before, it counts as zero.
-    let late = fleet.wait_for_version(1, Instant::now(), TIMEOUT);
-    assert_eq!(late.reached_after, vec![Duration::ZERO; SIDECARS as usize]);
+    // A version that was received before counts as zero.
+    let earlier = fleet.wait_for_version(1, Instant::now(), TIMEOUT);
+    assert_eq!(
+        earlier.reached_after,
+        vec![Duration::ZERO; SIDECARS as usize]
+    );
 }
 
 #[test]
-fn all_sidecars_get_ready_and_are_told_each_pushed_version() {
+fn pushed_versions_reach_all_sidecars() {
     assert_lists_reach_all_sidecars(DiscoveryMode::Pushed);
 }
 
 #[test]
-fn all_sidecars_get_ready_and_are_told_each_version_that_they_asked_for() {
+fn requested_versions_reach_all_sidecars() {
     assert_lists_reach_all_sidecars(DiscoveryMode::OnRequest);
 }
 
@@ -169,50 +167,52 @@
 fn calls_are_served_and_their_counts_add_up() {
     let discovery = discovery(16);
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
-    wait_until("100 calls are served", || fleet.usage().served >= 100);
+    wait_until("100 calls are served", TIMEOUT, || {
+        fleet.usage().served >= 100
+    });
     let usage = wait_until_calls_add_up(&fleet);
     assert!(usage.attempts >= usage.served, "{usage:?}");
     assert!(usage.max_attempts_at_an_endpoint >= 1, "{usage:?}");
     assert_eq!(usage.health_checks, 0);
-    let (before, seconds, after) = (fleet.usage(), fleet.timeline(), fleet.usage());
+    let (usage_before, seconds, usage_after) = (fleet.usage(), fleet.timeline(), fleet.usage());
     let calls: u64 = seconds.iter().map(|second| second.calls).sum();
     let served: u64 = seconds.iter().map(|second| second.served).sum();
-    assert!((before.calls..=after.calls).contains(&calls));
-    assert!((before.served..=after.served).contains(&served));
+    assert!((usage_before.calls..=usage_after.calls).contains(&calls));
+    assert!((usage_before.served..=usage_after.served).contains(&served));
 }
 
 #[test]
-fn a_sidecar_that_knows_endpoints_is_ready_while_discovery_is_down() {
+fn a_sidecar_with_a_cached_list_is_ready_and_serves_while_discovery_is_down() {
     let discovery = discovery(4);
     discovery.begin_outage();
     let cached_list = Some(discovery.snapshot());
     let configurations: Vec<_> = (0..SIDECARS)
-        .map(|n| SidecarConfiguration {
+        .map(|number| SidecarConfiguration {
             cached_list: cached_list.clone(),
-            ..configuration(n, &discovery, DiscoveryMode::OnRequest)
+            ..configuration(number, &discovery, DiscoveryMode::OnRequest)
         })
         .collect();
     let fleet = SimulatedFleet::start(&configurations, LOAD, THREADS).expect("a fleet");
     assert_all_reached(&fleet.wait_until_ready(Instant::now(), TIMEOUT));
     assert_all_reached(&fleet.wait_for_version(1, Instant::now(), TIMEOUT));
-    assert_none_reached(&fleet.wait_until_watching(Instant::now(), SHORT));
-    wait_until("calls are served", || fleet.usage().served > 0);
+    assert_none_reached(&fleet.wait_until_watching(Instant::now(), QUIET_TIME));
+    wait_until("calls are served", TIMEOUT, || fleet.usage().served > 0);
 }
 
 #[test]
-fn a_sidecar_that_knows_nothing_gets_its_first_call_once_it_is_ready() {
+fn a_sidecar_without_a_cached_list_gets_its_first_call_once_it_is_ready() {
     let discovery = discovery(4);
     discovery.begin_outage();
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
-    assert_none_reached(&fleet.wait_until_ready(Instant::now(), SHORT));
+    assert_none_reached(&fleet.wait_until_ready(Instant::now(), QUIET_TIME));
     assert_eq!(fleet.usage().calls, 0);
     discovery.end_outage();
     assert_all_reached(&fleet.wait_until_ready(Instant::now(), TIMEOUT));
-    wait_until("calls are served", || fleet.usage().served > 0);
+    wait_until("calls are served", TIMEOUT, || fleet.usage().served > 0);
 }
 
 #[test]
-fn restarted_sidecars_watch_again() {
+fn restarted_sidecars_open_new_watches() {
     let discovery = discovery(4);
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &discovery);
@@ -232,41 +232,41 @@
     wait_until_watching(&fleet, &discovery);
     discovery.begin_outage();
     let version = discovery.publish(vec![endpoint(0, EndpointStatus::Draining)]);
-    assert_none_reached(&fleet.wait_for_version(version, Instant::now(), SHORT));
+    assert_none_reached(&fleet.wait_for_version(version, Instant::now(), QUIET_TIME));
     assert_none_reached(&fleet.wait_until_watching(Instant::now(), Duration::ZERO));
-    let returned = Instant::now();
+    let outage_end = Instant::now();
     discovery.end_outage();
-    assert_all_reached(&fleet.wait_for_version(version, returned, TIMEOUT));
+    assert_all_reached(&fleet.wait_for_version(version, outage_end, TIMEOUT));
     wait_until_watching(&fleet, &discovery);
     assert!(fleet.usage().discovery_failures >= u64::from(SIDECARS));
 }
 
 #[test]
-fn a_pushed_change_during_an_outage_comes_after_it() {
+fn a_pushed_change_during_an_outage_arrives_after_it() {
     assert_changes_during_an_outage_arrive_after_it(DiscoveryMode::Pushed);
 }
 
 #[test]
-fn a_change_during_an_outage_comes_when_it_is_asked_for() {
+fn a_requested_change_during_an_outage_arrives_after_it() {
     assert_changes_during_an_outage_arrive_after_it(DiscoveryMode::OnRequest);
 }
 
 #[test]
-fn reloaded_sidecars_follow_the_discovery_that_they_are_pointed_at() {
+fn sidecars_watch_the_discovery_of_their_reloaded_configuration() {
     let (first, second) = (discovery(4), discovery(4));
     let fleet = fleet(&first, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &first);
     let moved = [0, 3, 5];
-    fleet.reload(&moved, |place| {
-        let number = u32::try_from(place).expect("a small number");
+    fleet.reload(&moved, |index| {
+        let number = u32::try_from(index).expect("a small number");
         configuration(number, &second, DiscoveryMode::Pushed)
     });
     assert_all_reached(&fleet.wait_until_watching(Instant::now(), TIMEOUT));
-    wait_until("watches have moved", || {
+    wait_until("the watches have moved", TIMEOUT, || {
         (first.usage().watches_open, second.usage().watches_open) == (5, 3)
     });
     let version = second.publish(vec![endpoint(0, EndpointStatus::Draining)]);
-    wait_until("those that moved are told", || {
+    wait_until("the moved sidecars have the version", TIMEOUT, || {
         fleet
             .wait_for_version(version, Instant::now(), Duration::ZERO)
             .reached_after
@@ -276,48 +276,48 @@
 }
 
 #[test]
-fn calls_are_not_served_at_an_unreachable_endpoint() {
+fn calls_are_unserved_while_the_only_endpoint_is_unreachable() {
     let discovery = discovery(1);
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
-    wait_until("calls are served", || fleet.usage().served >= 20);
+    wait_until("calls are served", TIMEOUT, || fleet.usage().served >= 20);
     let only: [EndpointName; 1] = ["endpoint-0".into()];
     fleet.make_unreachable(&only);
     let unserved = fleet.usage().unserved;
-    wait_until("calls are not served", || {
+    wait_until("calls are not served", TIMEOUT, || {
         fleet.usage().unserved >= unserved + 10
     });
     let served = fleet.usage().served;
-    wait_until("further calls are not served", || {
+    wait_until("further calls are not served", TIMEOUT, || {
         fleet.usage().unserved >= unserved + 60
     });
     assert_eq!(fleet.usage().served, served);
     fleet.make_reachable(&only);
-    wait_until("calls are served again", || {
+    wait_until("calls are served again", TIMEOUT, || {
         fleet.usage().served >= served + 20
     });
     wait_until_calls_add_up(&fleet);
 }
 
 #[test]
-fn attempts_in_flight_as_their_machine_vanishes_are_not_served() {
+fn attempts_in_flight_when_their_endpoint_becomes_unreachable_are_unserved() {
     let discovery = discovery(1);
     let configurations: Vec<_> = (0..SIDECARS)
-        .map(|n| configuration(n, &discovery, DiscoveryMode::Pushed))
+        .map(|number| configuration(number, &discovery, DiscoveryMode::Pushed))
         .collect();
     let slow = SimulatedLoad {
         mean_service_time: Duration::from_millis(60),
         ..LOAD
     };
     let fleet = SimulatedFleet::start(&configurations, slow, THREADS).expect("a fleet");
-    wait_until("calls are served", || fleet.usage().served >= 20);
+    wait_until("calls are served", TIMEOUT, || fleet.usage().served >= 20);
     fleet.make_unreachable(&["endpoint-0".into()]);
     let FleetUsage {
         served, unserved, ..
     } = fleet.usage();
-    wait_until("calls are not served", || {
+    wait_until("calls are not served", TIMEOUT, || {
         fleet.usage().unserved >= unserved + 60
     });
-    // Some ten were in flight; each thread may have been about to count one that had come back before.
+    // About ten attempts were in flight. Each thread may still have counted one that had already been answered.
     let served_since = fleet.usage().served - served;
     assert!(served_since <= THREADS as u64, "{served_since} were served");
 }
--- a/fleet-lab/tests/small_run.rs
+++ b/fleet-lab/tests/small_run.rs
@@ -1,15 +1,17 @@
-//! A small run of the experiments with fleets, and of one with a real sidecar, through files as `fleet-lab` reads
-//! them: 40 hollow sidecars at most. It checks which figures there are, their order and their counts, and no times.
+//! Small runs of the experiments with simulated fleets (40 sidecars at most) and of one with a real sidecar, from
+//! experiment files. They check which metrics there are, their order and their counts, but no times.
 
-mod common;
+#[path = "support/sidecar_program.rs"]
+mod sidecar_program;
 
 use fleet_lab::experiment::Experiment;
 use fleet_lab::report::{ExperimentReport, Metric};
 use fleet_lab::scenario::{self, RunContext};
+use sidecar_program::sidecar_program;
 use std::path::Path;
 
 #[test]
-fn every_change_reaches_every_sidecar() {
+fn all_changes_reach_all_sidecars() {
     let report = run("propagation");
 
     assert_names(
@@ -35,7 +37,7 @@
 }
 
 #[test]
-fn every_sidecar_is_current_after_an_outage() {
+fn all_sidecars_are_current_after_an_outage() {
     let report = run("outage");
 
     assert_names(
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn sidecars_that_do_not_arrive_count_with_the_whole_wait_and_leave_no_line() {
+fn missing_sidecars_count_with_the_timeout_and_omit_the_slope() {
     let report = run("outage-cut-short");
 
     // Discovery answers one call at once and the next after ten seconds.
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn every_sidecar_is_ready_and_watches_after_a_restart() {
+fn all_sidecars_are_ready_and_watch_after_a_restart() {
     let report = run("fleet-restart");
 
     for what in [
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn every_failure_happens_and_ends() {
+fn all_faults_are_injected_and_end() {
     let report = run("failures");
 
     let faults: Vec<f64> = (0..=5).map(f64::from).collect();
@@ -141,7 +143,7 @@
 }
 
 #[test]
-fn calls_go_through_a_real_sidecar() {
+fn added_latency_is_measured_through_a_real_sidecar() {
     let report = run("added-latency");
 
     for metric in &report.metrics {
@@ -158,12 +160,12 @@
     );
 }
 
-/// Runs the experiment of a file and checks what holds for all.
+/// Runs the experiment of a file and checks what holds for all experiments.
 fn run(name: &str) -> ExperimentReport {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/small/{name}.toml"));
     let experiment = Experiment::load(&file).expect("the file is an experiment");
     let context = RunContext {
-        program: common::sidecar_program().to_owned(),
+        program: sidecar_program().to_owned(),
     };
     let report = scenario::run(&experiment, &context).expect("the experiment runs to its end");
     assert_eq!(report.experiment, experiment.name);
@@ -172,7 +174,7 @@
     report
 }
 
-/// The figures about `what` are these, in this order.
+/// Asserts the labels of the metrics about `what`, in this order.
 fn assert_names(report: &ExperimentReport, what: &str, labels: &[&str]) {
     let names = report.metrics.iter().map(|metric| metric.name.as_str());
     let about: Vec<&str> = names
@@ -196,7 +198,7 @@
     }
 }
 
-/// The values of each figure are no smaller than those of the figure before.
+/// Asserts that the values of each metric are not smaller than those of the previous one.
 fn assert_ascending(report: &ExperimentReport, names: &[&str]) {
     for pair in names.windows(2) {
         let ascends = values(report, pair[0])
--- a/fleet-lab/tests/support/http_connection.rs
+++ b/fleet-lab/tests/support/http_connection.rs
@@ -1,28 +1,28 @@
-//! Plain HTTP/1.1 connections and messages, for tests that speak to endpoints or stand in for a sidecar.
+//! Plain HTTP/1.1 connections and messages, for tests that call endpoints or run a stub sidecar.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// After this a test fails that waits.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a test waits for anything at most.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request or an answer: its first line's words, its headers and its body.
+/// A request or an answer.
 pub struct Message {
-    /// The first line, split at its spaces.
+    /// The words of the first line.
     pub first_line: Vec<String>,
     headers: Vec<(String, String)>,
-    /// The body, empty if there is none.
+    /// The body, which may be empty.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// An answer's status.
+    /// Returns an answer's status.
     pub fn status(&self) -> &str {
         &self.first_line[1]
     }
 
-    /// The value of a header; case makes no difference to its name.
+    /// Returns the value of a header. Names are case-insensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -31,7 +31,7 @@
     }
 }
 
-/// One end of a connection, which sends text as it is and reads whole messages.
+/// A connection that sends text as it is and receives complete messages.
 pub struct Connection(TcpStream);
 
 impl Connection {
@@ -40,9 +40,9 @@
         Self::new(TcpStream::connect(address).unwrap())
     }
 
-    /// Takes over a stream, with a limit to how long it is read from.
+    /// Wraps a stream, and sets its read timeout.
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Connection(stream)
     }
 
@@ -54,7 +54,7 @@
     /// Reads the next message.
     ///
     /// # Errors
-    /// The connection ended, or nothing came for [`PATIENCE`].
+    /// Fails where the connection ends, or nothing is received for [`TIMEOUT`].
     pub fn receive(&mut self) -> io::Result<Message> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -94,14 +94,14 @@
     }
 }
 
-/// A request with an id.
+/// Returns a request with an id.
 pub fn get(id: &str) -> String {
     format!(
         "GET /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: browse\r\nX-Deadline: 5.000\r\n\r\n"
     )
 }
 
-/// Asks for a path on a connection of its own.
+/// Sends a `GET` request for a path on a new connection.
 pub fn check_health(address: SocketAddr, path: &str) -> Message {
     Connection::open(address).call(&format!("GET {path} HTTP/1.1\r\n\r\n"))
 }
--- a/fleet-lab/tests/common/mod.rs
+++ b/fleet-lab/tests/support/sidecar_program.rs
@@ -1,11 +1,10 @@
-//! What several tests of the lab share.
-#![allow(dead_code)] // each test uses a part of it
+//! The sidecar program under test.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The sidecar program, built if it is missing.
+/// Returns the path of the sidecar program, which is built if it is missing.
 pub fn sidecar_program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
--- a/fleet-lab/tests/topology.rs
+++ b/fleet-lab/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Topologies: counts, shares and names; and what faults hit in them.
+//! Topologies: counts, fractions and names, and the parts that faults affect.
 
 use fleet_lab::fault::{Fault, Impact};
 use fleet_lab::topology::{Placement, Topology, TopologySize};
@@ -6,7 +6,7 @@
 
 const SEED: u64 = 7;
 
-fn plan_size() -> TopologySize {
+fn topology_size() -> TopologySize {
     TopologySize {
         regions: 2,
         zones_per_region: 4,
@@ -16,8 +16,8 @@
     }
 }
 
-fn plan() -> Topology {
-    Topology::generate(&plan_size(), SEED)
+fn topology() -> Topology {
+    Topology::generate(&topology_size(), SEED)
 }
 
 fn count_by<'a>(
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_seed_decides_all_of_a_topology() {
-    assert_eq!(plan(), plan());
-    assert_ne!(plan(), Topology::generate(&plan_size(), SEED + 1));
+fn the_same_seed_gives_the_same_topology_and_another_one_does_not() {
+    assert_eq!(topology(), topology());
+    assert_ne!(topology(), Topology::generate(&topology_size(), SEED + 1));
 }
 
 #[test]
-fn endpoints_are_dealt_evenly_over_zones_and_racks_and_unevenly_over_services() {
-    let topology = plan();
+fn endpoints_are_spread_evenly_over_zones_and_racks_and_unevenly_over_services() {
+    let topology = topology();
     assert_eq!(topology.zones.len(), 8);
     assert_eq!(topology.zones[5].as_str(), "r2-z2");
     assert_eq!(
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn the_names_of_a_placement_agree() {
-    for placement in &plan().placements {
+fn the_names_of_a_placement_are_consistent() {
+    for placement in &topology().placements {
         assert!(
             placement
                 .zone
@@ -95,24 +95,27 @@
             "{placement:?}"
         );
     }
-    assert_eq!(plan().placements[122].endpoint.as_str(), "endpoint-0123");
+    assert_eq!(
+        topology().placements[122].endpoint.as_str(),
+        "endpoint-0123"
+    );
 }
 
 #[test]
-fn sizes_with_little_or_nothing_in_them_are_no_trouble() {
+fn small_and_empty_sizes_give_small_and_empty_topologies() {
     let few = TopologySize {
         endpoints: 3,
-        ..plan_size()
+        ..topology_size()
     };
     assert_eq!(Topology::generate(&few, SEED).placements.len(), 3);
     let no_racks = TopologySize {
         racks_per_zone: 0,
-        ..plan_size()
+        ..topology_size()
     };
     assert!(Topology::generate(&no_racks, SEED).placements.is_empty());
     let no_zones = TopologySize {
         zones_per_region: 0,
-        ..plan_size()
+        ..topology_size()
     };
     let empty = Topology::generate(&no_zones, SEED);
     assert!(empty.placements.is_empty() && empty.zones.is_empty());
@@ -127,8 +130,8 @@
 }
 
 #[test]
-fn machine_faults_hit_as_many_distinct_endpoints_as_they_say() {
-    let topology = plan();
+fn machine_faults_affect_their_number_of_distinct_endpoints() {
+    let topology = topology();
     for fault in [
         Fault::Machines { count: 32 },
         Fault::RollingRestart { count: 32, wave: 4 },
@@ -145,8 +148,8 @@
 }
 
 #[test]
-fn a_rack_or_a_zone_takes_its_endpoints_and_no_others_and_a_zone_falls_silent() {
-    let topology = plan();
+fn a_rack_or_zone_fault_affects_exactly_its_endpoints_and_a_zone_fault_partitions_the_zone() {
+    let topology = topology();
     let rack = Fault::Rack.impact(&topology, SEED);
     let in_rack = |placement: &&Placement| Some(&placement.rack) == rack.rack.as_ref();
     assert_eq!(
@@ -173,8 +176,8 @@
 }
 
 #[test]
-fn a_region_that_is_cut_keeps_its_endpoints_and_all_its_zones_fall_silent() {
-    let topology = plan();
+fn a_region_partition_affects_no_endpoints_and_partitions_all_zones_of_the_region() {
+    let topology = topology();
     let impact = Fault::RegionPartition.impact(&topology, SEED);
     let region = impact.region.clone().unwrap();
     assert!(impact.endpoints.is_empty());
