--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -47,6 +47,8 @@
 mod membership;
 mod source;
 mod subscription;
+#[cfg(test)]
+mod subscription_tests;
 
 pub use backoff::Backoff;
 pub use client::fetch;
--- /dev/null
+++ b/src/discovery/subscription_tests.rs
@@ -0,0 +1,81 @@
+//! Tests of a subscription that moves to another discovery.
+
+use super::error::StaleListError;
+use super::list::EndpointList;
+use super::subscription::{ListOrigin, SourceChange, Subscription};
+use std::net::SocketAddr;
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn full_list(version: u64) -> EndpointList {
+    EndpointList {
+        index: version,
+        snapshot: true,
+        endpoints: Vec::new(),
+    }
+}
+
+/// Guards the endpoints during a move: lists of the previous discovery apply until the current one has sent a list, and
+/// not after.
+#[test]
+fn previous_source_counts_until_the_current_one_has_sent_a_list() {
+    let mut subscription = Subscription::new(address(1));
+    let previous = subscription.source();
+    assert_eq!(
+        subscription.accept(previous, &mut full_list(5)),
+        Ok(ListOrigin::Current)
+    );
+
+    assert_eq!(subscription.move_to(address(2)), SourceChange::Moved);
+    let current = subscription.source();
+    assert_eq!(
+        subscription.accept(previous, &mut full_list(6)),
+        Ok(ListOrigin::Previous)
+    );
+    assert_eq!(
+        subscription.accept(current, &mut full_list(1)),
+        Ok(ListOrigin::Current)
+    );
+    assert_eq!(
+        subscription.accept(previous, &mut full_list(7)),
+        Ok(ListOrigin::Superseded)
+    );
+    assert_eq!(subscription.known_version(current), Some(1));
+    assert_eq!(subscription.known_version(previous), None);
+}
+
+/// Guards the first list after a move: versions of the previous discovery mean nothing at the current one.
+#[test]
+fn version_is_unknown_after_a_move() {
+    let mut subscription = Subscription::new(address(1));
+    let previous = subscription.source();
+    assert!(subscription.accept(previous, &mut full_list(5)).is_ok());
+    subscription.move_to(address(2));
+    assert_eq!(subscription.known_version(subscription.source()), None);
+}
+
+/// Guards a reload that names the same discovery: its version and its source stay.
+#[test]
+fn move_to_the_same_address_changes_nothing() {
+    let mut subscription = Subscription::new(address(1));
+    let source = subscription.source();
+    assert!(subscription.accept(source, &mut full_list(5)).is_ok());
+    assert_eq!(subscription.move_to(address(1)), SourceChange::Unchanged);
+    assert_eq!(subscription.source(), source);
+    assert_eq!(subscription.known_version(source), Some(5));
+}
+
+/// Guards against a discovery that answers with an old list: it is rejected, and the version stays.
+#[test]
+fn stale_list_of_the_current_source_is_rejected() {
+    let mut subscription = Subscription::new(address(1));
+    let source = subscription.source();
+    assert!(subscription.accept(source, &mut full_list(5)).is_ok());
+    assert_eq!(
+        subscription.accept(source, &mut full_list(4)),
+        Err(StaleListError)
+    );
+    assert_eq!(subscription.known_version(source), Some(5));
+}
