--- a/src/sidecar/body/upload_deadline.rs
+++ b/src/sidecar/body/upload_deadline.rs
@@ -49,3 +49,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "upload_deadline_tests.rs"]
+mod tests;
