--- a/tests/sidecar/discovery_watch.rs
+++ b/tests/sidecar/discovery_watch.rs
@@ -90,8 +90,7 @@
     truncated.write("40\r\n{\"index\":");
     drop(truncated);
     let mut ended = discovery.next_call();
-    ended.open_watch();
-    ended.write("0\r\n\r\n");
+    ended.open_and_end_watch();
     let mut silent = discovery.next_call();
     silent.open_watch();
     let unanswered = discovery.next_call();
--- a/tests/sidecar/stubs/manual_discovery.rs
+++ b/tests/sidecar/stubs/manual_discovery.rs
@@ -123,6 +123,11 @@
         self.write(WATCH_RESPONSE_HEAD);
     }
 
+    /// Opens and ends the watch in one write.
+    pub fn open_and_end_watch(&mut self) {
+        self.write(&format!("{WATCH_RESPONSE_HEAD}0\r\n\r\n"));
+    }
+
     /// Writes a piece of the watch.
     pub fn write_chunk(&mut self, text: &str) {
         self.write(&format!("{:x}\r\n{text}\r\n", text.len()));
