--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -1,17 +1,17 @@
 //! The command line of the program. Without a command the program serves.
 
-mod admin_call;
 mod check;
 mod configuration_file;
 mod diff;
 mod explain;
+mod operator_commands;
 mod output;
 
 use crate::configuration::FILE_VARIABLE;
-use admin_call::{AdminCall, AdminOptions};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use clap_mangen::Man;
+use operator_commands::{OperatorCommand, OperatorOptions};
 use output::Outcome;
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -45,24 +45,24 @@
         new: PathBuf,
     },
     /// Shows whether the sidecar is ready, and its metrics.
-    Status(AdminOptions),
+    Status(OperatorOptions),
     /// Drains the sidecar of callers; the process keeps running.
-    Drain(AdminOptions),
+    Drain(OperatorOptions),
     /// Ends a drain: the sidecar accepts callers again.
-    Undrain(AdminOptions),
+    Undrain(OperatorOptions),
     /// Stops new requests to an endpoint, whatever the endpoint list says.
     Disable {
         /// The name of the endpoint in discovery.
         endpoint: String,
         #[command(flatten)]
-        options: AdminOptions,
+        options: OperatorOptions,
     },
     /// Allows new requests to an endpoint again.
     Enable {
         /// The name of the endpoint in discovery.
         endpoint: String,
         #[command(flatten)]
-        options: AdminOptions,
+        options: OperatorOptions,
     },
     /// Writes completions for a shell to standard output.
     Completions {
@@ -101,14 +101,14 @@
         Command::Check(options) => check::check(&options.config),
         Command::Explain(options) => explain::explain(&options.config),
         Command::Diff { old, new } => diff::diff(&old, &new),
-        Command::Status(options) => admin_call::status(&options),
-        Command::Drain(options) => admin_call::call(&options, AdminCall::Drain),
-        Command::Undrain(options) => admin_call::call(&options, AdminCall::Undrain),
+        Command::Status(options) => operator_commands::status(&options),
+        Command::Drain(options) => operator_commands::call(&options, OperatorCommand::Drain),
+        Command::Undrain(options) => operator_commands::call(&options, OperatorCommand::Undrain),
         Command::Disable { endpoint, options } => {
-            admin_call::call(&options, AdminCall::Disable(&endpoint))
+            operator_commands::call(&options, OperatorCommand::Disable(&endpoint))
         }
         Command::Enable { endpoint, options } => {
-            admin_call::call(&options, AdminCall::Enable(&endpoint))
+            operator_commands::call(&options, OperatorCommand::Enable(&endpoint))
         }
         Command::Completions { shell } => write_completions(shell),
         Command::Man => write_manual_page(),
--- a/src/command_line/admin_call.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that call a running sidecar at its admin address.
+//! The commands that call a running sidecar at its operators' address.
 
 use super::output::{Outcome, bad_input, failure, print, print_line};
 use crate::configuration::{Config, ConfigError, FILE_VARIABLE};
@@ -18,10 +18,10 @@
 /// The last line of the metrics.
 const METRICS_END: &str = "END";
 
-/// Options that name the admin address of a running sidecar.
+/// Options that name the operators' address of a running sidecar.
 #[derive(Args)]
-pub(super) struct AdminOptions {
-    /// The admin address of the sidecar. Default: `ROUTER_ADMIN_ADDR`, then `admin_addr` of the configuration.
+pub(super) struct OperatorOptions {
+    /// The operators' address of the sidecar. Default: `ROUTER_ADMIN_ADDR`, then `admin_addr` of the configuration.
     #[arg(long, value_name = "ADDRESS")]
     admin: Option<SocketAddr>,
     /// The configuration file.
@@ -29,9 +29,9 @@
     config: Option<PathBuf>,
 }
 
-/// One call of the admin address.
+/// A command to a running sidecar.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum AdminCall<'a> {
+pub(super) enum OperatorCommand<'a> {
     /// Asks whether the sidecar is ready.
     Ready,
     /// Asks for the metrics.
@@ -46,16 +46,16 @@
     Enable(&'a str),
 }
 
-/// Writes the line of the call.
-impl fmt::Display for AdminCall<'_> {
+/// Writes the line of the command.
+impl fmt::Display for OperatorCommand<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AdminCall::Ready => f.write_str("READY"),
-            AdminCall::Stats => f.write_str("STATS"),
-            AdminCall::Drain => f.write_str("DRAIN"),
-            AdminCall::Undrain => f.write_str("UNDRAIN"),
-            AdminCall::Disable(endpoint) => write!(f, "DISABLE {endpoint}"),
-            AdminCall::Enable(endpoint) => write!(f, "ENABLE {endpoint}"),
+            OperatorCommand::Ready => f.write_str("READY"),
+            OperatorCommand::Stats => f.write_str("STATS"),
+            OperatorCommand::Drain => f.write_str("DRAIN"),
+            OperatorCommand::Undrain => f.write_str("UNDRAIN"),
+            OperatorCommand::Disable(endpoint) => write!(f, "DISABLE {endpoint}"),
+            OperatorCommand::Enable(endpoint) => write!(f, "ENABLE {endpoint}"),
         }
     }
 }
@@ -86,8 +86,8 @@
 }
 
 /// Makes one call and prints its answer. Fails where the sidecar refuses.
-pub(super) fn call(options: &AdminOptions, call: AdminCall<'_>) -> Outcome {
-    match admin_address(options).and_then(|address| exchange(address, call)) {
+pub(super) fn call(options: &OperatorOptions, call: OperatorCommand<'_>) -> Outcome {
+    match operators_address(options).and_then(|address| exchange(address, call)) {
         Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print(&answer.trim_end()),
         Ok(answer) => failure(&answer.trim_end()),
         Err(error) => error.report(),
@@ -95,10 +95,10 @@
 }
 
 /// Prints whether the sidecar is ready, and its metrics.
-pub(super) fn status(options: &AdminOptions) -> Outcome {
-    let answers = admin_address(options).and_then(|address| {
-        let readiness = exchange(address, AdminCall::Ready)?;
-        let metrics = exchange(address, AdminCall::Stats)?;
+pub(super) fn status(options: &OperatorOptions) -> Outcome {
+    let answers = operators_address(options).and_then(|address| {
+        let readiness = exchange(address, OperatorCommand::Ready)?;
+        let metrics = exchange(address, OperatorCommand::Stats)?;
         Ok((readiness, metrics))
     });
     let (readiness, metrics) = match answers {
@@ -112,7 +112,7 @@
     Outcome::Success
 }
 
-fn admin_address(options: &AdminOptions) -> Result<SocketAddr, CallError> {
+fn operators_address(options: &OperatorOptions) -> Result<SocketAddr, CallError> {
     if let Some(address) = options.admin {
         return Ok(address);
     }
@@ -123,11 +123,11 @@
     Config::from_file(file)?.admin.ok_or(CallError::NoAddress)
 }
 
-fn exchange(address: SocketAddr, call: AdminCall<'_>) -> Result<String, CallError> {
+fn exchange(address: SocketAddr, call: OperatorCommand<'_>) -> Result<String, CallError> {
     send_and_receive(address, call).map_err(|source| CallError::Connection { address, source })
 }
 
-fn send_and_receive(address: SocketAddr, call: AdminCall<'_>) -> io::Result<String> {
+fn send_and_receive(address: SocketAddr, call: OperatorCommand<'_>) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     stream.set_write_timeout(Some(CALL_TIMEOUT))?;
--- a/tests/command_line/main.rs
+++ b/tests/command_line/main.rs
@@ -1,8 +1,8 @@
 //! The commands of the built program.
 
-mod admin_calls;
 mod configuration;
 mod help;
+mod operator_commands;
 
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
--- a/tests/command_line/admin_calls.rs
+++ b/tests/command_line/operator_commands.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::thread::{self, JoinHandle};
 
-/// Starts a fake sidecar that takes one call for each answer. Returns its admin address and, once joined, the lines of
+/// Starts a fake sidecar that takes one call for each answer. Returns its operators' address and, once joined, the lines of
 /// the calls.
 fn fake_sidecar(answers: &'static [&'static str]) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -59,7 +59,7 @@
     }
 }
 
-/// Guards `status`, and that it finds the admin address in the configuration.
+/// Guards `status`, and that it finds the operators' address in the configuration.
 #[test]
 fn status_shows_readiness_and_metrics() {
     let (address, calls) = fake_sidecar(&["YES\n", "app_pending 3\napp_members 2\nEND\n"]);
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,22 +1,24 @@
-//! Hand-written transcripts through the built adapter, and what it says of malformed input.
+//! The built adapter: transcripts of the wire, and its errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn params(tier: usize) -> String {
+/// Returns the settings of an instance that sends into a tier.
+fn settings_document(tier: usize) -> String {
     format!(
         r#"{{"balancers": 4, "bounds": {{"cancel": true, "connIdleNs": 5000000000, "connectTimeoutNs": 250000000, "cpuUsPerRequest": 0.0, "cpuUsPerS": 1076120, "maxOpen": 43044, "maxRetryAfterNs": 2000000000, "maxStreams": 1, "mayTell": true, "parallelTries": false, "probes": true, "retryAfter": true, "sendCap": 3}}, "categories": [{{"effect": "free", "hardLimitNs": 900000000, "keyScope": "all", "lateShare": 0.0, "memorySpanNs": 5000000000, "name": "look", "objectiveNs": 300000000, "stream": false, "worth": 1.0}}, {{"effect": "guarded", "hardLimitNs": 900000000, "keyScope": "cell", "lateShare": 0.5, "memorySpanNs": 5000000000, "name": "book", "objectiveNs": 300000000, "stream": true, "worth": 3.0}}], "clientHabits": {{"marksRetry": false}}, "customers": [{{"name": "north", "portion": 0.5, "quotaPerS": 50.0}}], "dcs": ["z1", "z2"], "discovery": "subscribe", "family": "chain", "familyInfo": {{"passesDeadline": true, "newKey": 3}}, "fees": {{"crossZone": 0.015, "waste": 0.05, "fleet": 1}}, "granularityNs": 5000000, "models": ["fast"], "myNumber": 0, "overShareWorth": 0.05, "report": {{"fields": ["err_ps", "depth"], "how": "inline"}}, "rules": {{"answerSlackNs": 20000000, "askWithinNs": 10000000000, "coldFrom": 0.38, "drainGraceNs": 2000000000, "fallMultiple": 3.0, "fallNs": 1000000000, "warmWithinNs": 8900000000}}, "scoringMix": {{"whole": 1.0}}, "stages": ["front", "back"], "tier": {tier}, "weightSource": "rough", "worthBy": "request", "zone": "z1", "unheardOf": [1, 2]}}"#
     )
 }
 
-fn adapter(input: &str) -> Output {
+/// Runs the adapter on an input.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may have gone already, on a malformed line.
+    // It may have exited already, because of a malformed line.
     let _ = child
         .stdin
         .take()
@@ -25,8 +27,9 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
+/// Runs the adapter on a valid input and returns its replies, one a batch.
 fn replies(input: &str) -> Vec<String> {
-    let output = adapter(input);
+    let output = run_adapter(input);
     assert!(
         output.status.success(),
         "{}",
@@ -36,38 +39,40 @@
     text.split("ok\n").map(str::to_string).collect()
 }
 
-fn start(n: usize) -> String {
+/// Returns the lines that start an instance and send it a cached list of two endpoints.
+fn instance_start(instance: usize) -> String {
     format!(
-        "new_instance nonce64={} sidecarId=sidecar/{n} params={}\n\
+        "new_instance nonce64={} sidecarId=sidecar/{instance} params={}\n\
          directory list=0 records=2\n\
          entry endpoint=endpoint.aa zone=z1 familyType=fast pack=0 readiness=U size=1\n\
          entry endpoint=endpoint.bb zone=z2 familyType=fast pack=1 readiness=U size=1.5 upSinceNs=1\n\
-         members sidecarId=sidecar/{n} rev=41 list=0 kind=C\n",
-        n + 5,
-        params(n % 2)
+         members sidecarId=sidecar/{instance} rev=41 list=0 kind=C\n",
+        instance + 5,
+        settings_document(instance % 2)
     )
 }
 
-fn call(n: usize, xid: &str, class: &str, until: u64) -> String {
+/// Returns the line of a request.
+fn request(instance: usize, id: &str, class: &str, deadline_ns: u64) -> String {
     format!(
-        "call sidecarId=sidecar/{n} xid={xid} priority={class} org=north key=k:a validUntilNs={until} \
+        "call sidecarId=sidecar/{instance} xid={id} priority={class} org=north key=k:a validUntilNs={deadline_ns} \
          expectedNs=12000000 attrs=1 later=thing\n"
     )
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_it() {
+fn empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_the_adapter() {
     assert_eq!(replies("frame momentNs=5\ngo\n"), ["", ""]);
     assert_eq!(replies(""), [""]);
 }
 
 #[test]
-fn a_call_is_sent_and_its_outcomes_are_read() {
+fn request_is_sent_and_avoids_the_endpoint_that_rejected_it() {
     let mut input = format!(
         "frame momentNs=1000000000\n{}go\nframe momentNs=1005000000\n",
-        start(0)
+        instance_start(0)
     );
-    input += &call(
+    input += &request(
         0,
         "5d3a91c4-f723-4cdb-ab99-2b0a2499a382",
         "look",
@@ -93,12 +98,12 @@
 }
 
 #[test]
-fn every_event_is_taken() {
+fn every_event_is_parsed() {
     let mut input = format!(
         "frame momentNs=1000000000\n{}go\nframe momentNs=1005000000\n",
-        start(0)
+        instance_start(0)
     );
-    input += &call(0, "r1", "book", 1_900_000_000);
+    input += &request(0, "r1", "book", 1_900_000_000);
     input += "go\nframe momentNs=1010000000\n\
         started sidecarId=sidecar/0 xid=r1 attempt=0 endpoint=endpoint.aa timeTakenNs=5000000\n\
         probe_result sidecarId=sidecar/0 endpoint=endpoint.aa ending=0 timeTakenNs=1 pressure=depth:1,mean_ms:3\n\
@@ -121,18 +126,23 @@
 }
 
 #[test]
-fn a_list_number_is_used_anew_within_one_batch() {
-    let list = |e: &str| {
+fn list_number_is_reused_within_one_batch() {
+    let list = |endpoint: &str| {
         format!(
-            "directory list=0 records=1\nentry endpoint={e} zone=z1 pack=0 readiness=U size=1\n"
+            "directory list=0 records=1\nentry endpoint={endpoint} zone=z1 pack=0 readiness=U size=1\n"
         )
     };
-    let mut input = format!("frame momentNs=1000000000\n{}{}", start(0), start(2));
+    let mut input = format!(
+        "frame momentNs=1000000000\n{}{}",
+        instance_start(0),
+        instance_start(2)
+    );
     input += &(list("endpoint.cc") + "members sidecarId=sidecar/0 rev=42 list=0 kind=F\n");
     input += &(list("endpoint.dd") + "members sidecarId=sidecar/2 rev=42 list=0 kind=F\ngo\n");
     input += "frame momentNs=1005000000\n";
-    input +=
-        &(call(0, "r1", "look", 1_900_000_000) + &call(2, "r2", "look", 1_900_000_000) + "go\n");
+    input += &(request(0, "r1", "look", 1_900_000_000)
+        + &request(2, "r2", "look", 1_900_000_000)
+        + "go\n");
     let all = replies(&input);
     assert!(
         all[1].contains("xid=r1 endpoint=endpoint.cc")
@@ -141,15 +151,15 @@
 }
 
 #[test]
-fn destroy_and_start_in_one_batch_forgets_what_was_held() {
+fn instance_restarted_within_one_batch_forgets_its_requests() {
     let mut input = format!(
         "frame momentNs=1000000000\n{}go\nframe momentNs=1005000000\n",
-        start(0)
+        instance_start(0)
     );
-    input += &call(0, "r1", "look", 1_900_000_000);
+    input += &request(0, "r1", "look", 1_900_000_000);
     input += &format!(
         "go\nframe momentNs=1010000000\ndestroy sidecarId=sidecar/0\n{}",
-        start(0)
+        instance_start(0)
     );
     input += "report_back sidecarId=sidecar/0 xid=r1 attempt=0 endpoint=endpoint.aa ending=255 timeTakenNs=9 terminal=0\n";
     input += "go\n";
@@ -157,41 +167,50 @@
 }
 
 #[test]
-fn several_processes_act_as_one_does() {
+fn instances_act_the_same_in_one_process_and_in_several() {
     let body = |instances: &[usize]| {
         let mut input = String::from("frame momentNs=1000000000\n");
-        for n in instances {
-            input += &start(*n);
+        for instance in instances {
+            input += &instance_start(*instance);
         }
         input += "go\n";
         for step in 1..60u64 {
             let now = 1_000_000_000 + step * 5_000_000;
             input += &format!("frame momentNs={now}\n");
-            for n in instances {
-                input += &call(*n, &format!("r{n}-{step}"), "look", now + 900_000_000);
+            for instance in instances {
+                input += &request(
+                    *instance,
+                    &format!("r{instance}-{step}"),
+                    "look",
+                    now + 900_000_000,
+                );
             }
             input += "go\n";
         }
         replies(&input).concat()
     };
-    let of = |text: &str, n: usize| {
-        let tag = format!("sidecarId=sidecar/{n} ");
+    let lines_of = |text: &str, instance: usize| {
+        let tag = format!("sidecarId=sidecar/{instance} ");
         text.lines()
-            .filter(|l| l.contains(&tag))
+            .filter(|line| line.contains(&tag))
             .map(str::to_string)
             .collect::<Vec<_>>()
     };
     let together = body(&[0, 1, 2, 3]);
     let apart = body(&[0, 2]) + &body(&[1, 3]);
-    for n in 0..4 {
-        assert!(of(&together, n).len() > 40);
-        assert_eq!(of(&together, n), of(&apart, n), "instance {n}");
+    for instance in 0..4 {
+        assert!(lines_of(&together, instance).len() > 40);
+        assert_eq!(
+            lines_of(&together, instance),
+            lines_of(&apart, instance),
+            "instance {instance}"
+        );
     }
 }
 
 #[test]
-fn malformed_input_gets_a_message_and_a_failure_but_no_action() {
-    let started = format!("frame momentNs=1000000000\n{}", start(0));
+fn malformed_input_fails_with_a_message_and_without_actions() {
+    let started = format!("frame momentNs=1000000000\n{}", instance_start(0));
     let cases = [
         ("go\n".to_string(), "outside a batch"),
         ("frame momentNs=x\n".into(), "momentNs=x cannot be read"),
@@ -233,21 +252,21 @@
         (
             format!(
                 "frame momentNs=1\nnew_instance sidecarId=sidecar/1 nonce64=9e9 params={}\n",
-                params(0)
+                settings_document(0)
             ),
             "nonce64=9e9 cannot be read",
         ),
         (
             format!(
                 "frame momentNs=1\nnew_instance sidecarId=sidecar/1 nonce64=1 params={}\n",
-                params(0).replace("\"balancers\": 4", "\"balancers\": 0")
+                settings_document(0).replace("\"balancers\": 4", "\"balancers\": 0")
             ),
             "new_instance: params: balancers is zero",
         ),
         (
             format!(
                 "frame momentNs=1\nnew_instance sidecarId=sidecar/1 nonce64=1 params={}\n",
-                &params(0)[1..]
+                &settings_document(0)[1..]
             ),
             "new_instance: params: ",
         ),
@@ -260,7 +279,7 @@
             "sidecar/7 does not run",
         ),
         (
-            started.clone() + &call(0, "r1", "unknown", 5),
+            started.clone() + &request(0, "r1", "unknown", 5),
             "priority=unknown cannot be read",
         ),
         (
@@ -290,7 +309,7 @@
         ),
     ];
     for (input, says) in cases {
-        let output = adapter(&input);
+        let output = run_adapter(&input);
         let error = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(
             !output.status.success() && error.contains(says),
@@ -306,7 +325,7 @@
 }
 
 #[test]
-fn optional_parts_of_actions_are_written_only_where_given() {
+fn optional_fields_of_actions_are_written_only_if_set() {
     use balancer_sidecar::policy::*;
     use balancer_sidecar::simulator::{InstanceNumber, format_action};
     let ms = std::time::Duration::from_millis;
@@ -383,17 +402,17 @@
 }
 
 #[test]
-fn the_further_rules_and_kinds_come_through_and_are_absent_where_not_given() {
+fn optional_rules_and_endpoint_types_are_parsed_and_may_be_absent() {
     use balancer_sidecar::configuration::settings_document::parse_settings;
     use balancer_sidecar::simulator::{Message, parse_message};
     use std::time::Duration;
-    let plain = parse_settings(&params(0)).expect("settings");
+    let plain = parse_settings(&settings_document(0)).expect("settings");
     assert_eq!(
         (plain.rules.drain_close, plain.rules.key_cooldown),
         (None, None)
     );
-    assert!(plain.classes.iter().all(|c| !c.is_key_ordered));
-    let further = params(0)
+    assert!(plain.classes.iter().all(|class| !class.is_key_ordered));
+    let further = settings_document(0)
         .replace(
             "\"rules\": {",
             "\"rules\": {\"drainCloseNs\": 500000000, \"orderPauseNs\": 0, ",
@@ -409,7 +428,7 @@
         further
             .classes
             .iter()
-            .map(|c| c.is_key_ordered)
+            .map(|class| class.is_key_ordered)
             .collect::<Vec<_>>(),
         [false, true]
     );
@@ -423,13 +442,14 @@
 }
 
 #[test]
-fn a_drain_closes_connections_on_the_wire() {
-    let set = params(0).replace("\"rules\": {", "\"rules\": {\"drainCloseNs\": 500000000, ");
+fn draining_endpoint_has_its_idle_connections_closed() {
+    let set =
+        settings_document(0).replace("\"rules\": {", "\"rules\": {\"drainCloseNs\": 500000000, ");
     let input = format!(
         "frame momentNs=1000000000\n{}directory list=1 records=1\n\
          entry endpoint=endpoint.aa zone=z1 familyType=fast pack=0 readiness=L size=1\n\
          members sidecarId=sidecar/0 rev=42 list=1 kind=D\ngo extra=1\n",
-        start(0).replace(&params(0), &set)
+        instance_start(0).replace(&settings_document(0), &set)
     );
     assert!(replies(&input)[0].contains("free_links sidecarId=sidecar/0 endpoint=endpoint.aa\n"));
 }
