--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! A sidecar that balances a service's calls over endpoints, with overload control.
+//! A sidecar that balances the requests of a service over endpoints, with overload control.
 //!
-//! | module | what it is |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`policy`] | every decision, sans I/O: one [`policy::Balancer`] per caller takes events and returns actions |
-//! | [`discovery`] | the client of discovery, for hosts with real sockets |
-//! | [`configuration`] | the configuration's document, its checks and its schema |
-//! | [`command_line`] | the program's commands |
-//! | [`simulator`] | the simulator's wire, and the adapter that speaks it |
+//! | [`policy`] | every decision, sans I/O: a [`policy::Balancer`] takes events and returns actions |
+//! | [`discovery`] | the client of discovery |
+//! | [`configuration`] | the configuration's document, validation and schema |
+//! | [`command_line`] | the commands of the program |
+//! | [`simulator`] | the simulator's wire and its adapter |
 //! | [`sidecar`] | the sidecar: sockets, HTTP, connection pools, time |
 //! | [`clock`] | the clock that a host runs its balancer by |
 //! | [`task`] | local tasks that stop with their owner |
@@ -22,7 +22,7 @@
 //! let mut actions = Vec::new();
 //! let now = Timestamp::from_nanos(1_000_000_000);
 //!
-//! // First the endpoints, then a request.
+//! // The endpoint list comes first, then a request.
 //! let entries = vec![EndpointEntry {
 //!     endpoint: "box-1".into(),
 //!     zone: "here".into(),
