--- a/fleet-lab/src/discovery/server.rs
+++ b/fleet-lab/src/discovery/server.rs
@@ -5,8 +5,8 @@
 use super::service::Service;
 use super::usage::DiscoveryUsage;
 use super::zone::Zone;
+use crate::measure::thread_processor_time;
 use crate::topology::ZoneName;
-use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
@@ -174,8 +174,3 @@
 fn reply_to<T>(reply: &SyncSender<T>, value: T) {
     let _ = reply.send(value);
 }
-
-fn thread_processor_time() -> Duration {
-    let time = clock_gettime(ClockId::ThreadCPUTime);
-    Duration::try_from(time).unwrap_or_default()
-}
--- a/fleet-lab/src/discovery/zone.rs
+++ b/fleet-lab/src/discovery/zone.rs
@@ -3,11 +3,10 @@
 use super::connection;
 use super::service::Service;
 use super::zone_state::ZoneState;
+use crate::reserved_address::ReservedAddress;
 use crate::topology::ZoneName;
-use socket2::{Domain, Protocol, Socket, Type};
 use std::cell::RefCell;
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -20,50 +19,6 @@
 /// Pause after a failed accept, for example when descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// A loopback address that stays reserved while nothing listens there.
-///
-/// Its socket is bound and never listens, so connections are refused and the system does not assign the port again.
-pub(super) struct ReservedAddress {
-    address: SocketAddr,
-    _socket: Socket,
-}
-
-impl ReservedAddress {
-    /// Reserves an address that the system chooses.
-    pub(super) fn reserve() -> io::Result<Self> {
-        let socket = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-        let address = socket
-            .local_addr()?
-            .as_socket()
-            .ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(ReservedAddress {
-            address,
-            _socket: socket,
-        })
-    }
-
-    /// Returns the address.
-    pub(super) fn address(&self) -> SocketAddr {
-        self.address
-    }
-
-    /// Starts to listen at the address.
-    fn listen(&self) -> io::Result<TcpListener> {
-        let socket = bind(self.address)?;
-        socket.listen(LISTEN_BACKLOG)?;
-        socket.set_nonblocking(true)?;
-        TcpListener::from_std(socket.into())
-    }
-}
-
-/// Binds a socket. Several sockets may be bound to one address in this way, and one of them may listen.
-fn bind(address: SocketAddr) -> io::Result<Socket> {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
-    socket.set_reuse_address(true)?;
-    socket.bind(&address.into())?;
-    Ok(socket)
-}
-
 type Connections = Rc<RefCell<JoinSet<()>>>;
 
 /// A zone: its address, its listener (none while discovery is down) and its connections.
@@ -102,7 +57,7 @@
     /// Starts to accept connections, unless the zone already does.
     pub(super) fn listen(&mut self, service: &Rc<Service>) -> io::Result<()> {
         if self.listener.is_none() {
-            let listener = self.address.listen()?;
+            let listener = TcpListener::from_std(self.address.listen(LISTEN_BACKLOG)?)?;
             let accepting = accept(
                 listener,
                 self.connections.clone(),
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -82,7 +82,7 @@
     pub fn entry(&self) -> EndpointEntry {
         EndpointEntry {
             name: self.state.name.as_str().to_owned(),
-            address: self.state.address,
+            address: self.state.address.address(),
             zone: self.state.zone.clone(),
             kind: MACHINE_KIND.to_owned(),
             group: 0,
--- a/fleet-lab/src/endpoint/state.rs
+++ b/fleet-lab/src/endpoint/state.rs
@@ -2,11 +2,11 @@
 
 use super::options::EndpointOptions;
 use super::usage::EndpointUsage;
+use crate::reserved_address::ReservedAddress;
 use crate::topology::{EndpointName, ZoneName};
 use rand_pcg::Pcg64;
-use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
@@ -24,10 +24,8 @@
     pub options: EndpointOptions,
     pub next_sidecar: Option<SocketAddr>,
     /// Its address, which stays the same over restarts.
-    pub address: SocketAddr,
+    pub address: ReservedAddress,
     pub counters: Counters,
-    /// A socket that is bound but never listens, so that the port stays reserved while the endpoint is stopped.
-    _reservation: Socket,
     since_ms: AtomicU64,
     restarts: AtomicU64,
     is_hanging: watch::Sender<bool>,
@@ -41,7 +39,7 @@
         options: EndpointOptions,
         next_sidecar: Option<SocketAddr>,
     ) -> io::Result<Self> {
-        let (reservation, address) = reserve_address()?;
+        let address = ReservedAddress::reserve()?;
         let since_ms = if options.slow_start.is_some() {
             unix_milliseconds()
         } else {
@@ -55,7 +53,6 @@
             next_sidecar,
             address,
             counters: Counters::default(),
-            _reservation: reservation,
             since_ms: AtomicU64::new(since_ms),
             restarts: AtomicU64::new(0),
             is_hanging: watch::Sender::new(false),
@@ -64,12 +61,7 @@
 
     /// Starts to listen at the address.
     pub fn listen(&self) -> io::Result<TcpListener> {
-        let socket = new_socket()?;
-        socket.set_reuse_address(true)?;
-        socket.bind(&self.address.into())?;
-        socket.listen(ACCEPT_BACKLOG)?;
-        socket.set_nonblocking(true)?;
-        Ok(socket.into())
+        self.address.listen(ACCEPT_BACKLOG)
     }
 
     /// Returns its last start in Unix time, in milliseconds, or 0 for long ago.
@@ -113,21 +105,6 @@
     }
 }
 
-/// Reserves a port that the system chooses, without listening on it.
-fn reserve_address() -> io::Result<(Socket, SocketAddr)> {
-    let socket = new_socket()?;
-    socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
-    // Set after the bind, so that the system does not choose a port that another endpoint has reserved.
-    socket.set_reuse_address(true)?;
-    let address = socket.local_addr()?.as_socket();
-    let address = address.ok_or_else(|| io::Error::other("a TCP socket without an IP address"))?;
-    Ok((socket, address))
-}
-
-fn new_socket() -> io::Result<Socket> {
-    Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))
-}
-
 fn unix_milliseconds() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/fleet-lab/src/lib.rs
+++ b/fleet-lab/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod loopback_tier;
 pub mod measure;
 pub mod report;
+mod reserved_address;
 pub mod scenario;
 pub mod sidecar;
 pub mod topology;
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -1,11 +1,11 @@
 //! Processor time and bytes that list changes, health checks and reloads cost a real sidecar.
 
 use super::context::RunContext;
-use super::latency::toggle_weight;
 use super::load::{CALLER_DEADLINE, SAFE_CLASS, describe_unserved, load_target, run_load};
 use super::metric_table::MetricTable;
 use super::outcome::{ScenarioError, ScenarioOutcome};
 use super::single_sidecar::{SingleSidecar, SingleSidecarOptions};
+use super::weight_change::toggle_weight;
 use crate::caller::LoadPlan;
 use crate::endpoint::{EndpointOptions, ServiceTime};
 use crate::experiment::ControlCost;
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -6,6 +6,7 @@
 pub(super) use metrics::{add_convergence_times, add_discovery_calls};
 
 use super::outcome::ScenarioError;
+use super::weight_change::{INITIAL_WEIGHT, toggle_weight};
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus};
 use crate::experiment::{DiscoveryCapacity, Fleet};
 use crate::sidecar::configuration::{
@@ -45,9 +46,6 @@
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// The port of all endpoints. Nothing listens there, as attempts are simulated in memory.
 const ENDPOINT_PORT: u16 = 7070;
-/// The weight of an endpoint, and the weight after a change.
-const WEIGHT: f64 = 1.0;
-const CHANGED_WEIGHT: f64 = 0.9;
 
 /// Whether the sidecars' configurations contain a cached list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -195,14 +193,10 @@
 impl RunningFleet {
     /// Publishes a changed weight of one endpoint, by its number; returns the new version.
     pub fn publish_change(&self, number: u32) -> u64 {
-        let endpoints = self.discovery.snapshot().endpoints;
-        let mut entry = endpoints[number as usize % endpoints.len()].clone();
-        entry.weight = if entry.weight == WEIGHT {
-            CHANGED_WEIGHT
-        } else {
-            WEIGHT
-        };
-        self.discovery.publish(vec![entry])
+        let mut endpoints = self.discovery.snapshot().endpoints;
+        let index = number as usize % endpoints.len();
+        let change = toggle_weight(&mut endpoints[index]);
+        self.discovery.publish(vec![change])
     }
 
     /// Returns the index of the current second in the sidecars' timeline.
@@ -228,7 +222,7 @@
         kind: "m1".to_owned(),
         group: 0,
         status: EndpointStatus::Serving,
-        weight: WEIGHT,
+        weight: INITIAL_WEIGHT,
         since_ms: 0,
     }
 }
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -7,8 +7,8 @@
 use super::metric_table::MetricTable;
 use super::outcome::{ScenarioError, ScenarioOutcome};
 use super::single_sidecar::{SingleSidecar, SingleSidecarOptions};
+use super::weight_change::toggle_weight;
 use crate::caller::{self, LoadPlan, TargetResult};
-use crate::discovery::EndpointEntry;
 use crate::experiment::AddedLatency;
 use crate::loopback_tier::LoopbackTier;
 use crate::measure::ProcessUsage;
@@ -18,9 +18,6 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The weight that every second change of an endpoint gives it.
-const CHANGED_WEIGHT: f64 = 0.9;
-
 pub(super) fn run(
     plan: &AddedLatency,
     seed: u64,
@@ -173,16 +170,6 @@
     }
 }
 
-/// Changes an endpoint's weight, or restores it.
-pub(super) fn toggle_weight(entry: &mut EndpointEntry) -> EndpointEntry {
-    entry.weight = if entry.weight == CHANGED_WEIGHT {
-        1.0
-    } else {
-        CHANGED_WEIGHT
-    };
-    entry.clone()
-}
-
 fn add_metrics(table: &mut MetricTable, rate: f64, measured: &Measured) {
     let Measured {
         direct,
--- a/fleet-lab/src/scenario/mod.rs
+++ b/fleet-lab/src/scenario/mod.rs
@@ -16,6 +16,7 @@
 mod outcome;
 mod propagation;
 mod single_sidecar;
+mod weight_change;
 
 pub use context::RunContext;
 pub use outcome::{ScenarioError, ScenarioOutcome};
