--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -30,7 +30,7 @@
     /// Runs all experiments of a folder, ordered by the names of their files.
     Scale {
         /// The folder of experiments.
-        #[arg(long, value_name = "DIR", default_value = "lab/experiments")]
+        #[arg(long, value_name = "DIR", default_value = "fleet-lab/experiments")]
         experiments: PathBuf,
         /// The name of an experiment to run; may be given several times. All are run by default.
         #[arg(long, value_name = "NAME")]
--- a/fleet-lab/tests/command.rs
+++ b/fleet-lab/tests/command.rs
@@ -73,6 +73,21 @@
     assert!(errors(&output).contains("no experiment is named no-such-experiment"));
 }
 
+#[test]
+fn scale_reads_the_experiments_of_the_project_by_default() {
+    let workspace = Path::new(FOLDER).ancestors().nth(2).unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
+        .args(["scale", "--only", "no-such-experiment"])
+        .current_dir(workspace)
+        .output()
+        .unwrap();
+    assert_eq!(output.status.code(), Some(2));
+    assert_eq!(
+        errors(&output),
+        "no experiment is named no-such-experiment\n"
+    );
+}
+
 #[test]
 fn a_missing_program_and_an_empty_folder_exit_with_bad_input() {
     let folder = tempfile::tempdir().unwrap();
