--- a/fleet-lab/src/caller/connection.rs
+++ b/fleet-lab/src/caller/connection.rs
@@ -117,7 +117,7 @@
         let mut answer = None;
         loop {
             match self.stream.read(buffer) {
-                Ok(0) => return ended(answer).ok_or_else(|| self.closed()),
+                Ok(0) => return self.end(answer),
                 Ok(length) => {
                     if answer.is_some() {
                         return Err(ResponseError::ExcessBytes.into());
@@ -129,11 +129,20 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(answer),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return ended(answer).ok_or_else(|| self.closed()),
+                Err(_) => return self.end(answer),
             }
         }
     }
 
+    /// Handles the end of the connection: an answer that was complete before is the last one, and none is an error.
+    fn end(&self, answer: Option<Answer>) -> Result<Option<Answer>, ConnectionError> {
+        let answer = answer.ok_or_else(|| self.closed())?;
+        Ok(Some(Answer {
+            keep_alive: false,
+            ..answer
+        }))
+    }
+
     fn closed(&self) -> ConnectionError {
         if self.parser.has_started() {
             ConnectionError::ClosedWithinAnswer
@@ -149,16 +158,6 @@
     }
 }
 
-/// Returns an answer after which the connection cannot be reused.
-fn ended(answer: Option<Answer>) -> Option<Option<Answer>> {
-    answer.map(|answer| {
-        Some(Answer {
-            keep_alive: false,
-            ..answer
-        })
-    })
-}
-
 fn is_in_progress(error: &io::Error) -> bool {
     error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error())
 }
--- a/fleet-lab/src/caller/connection_table.rs
+++ b/fleet-lab/src/caller/connection_table.rs
@@ -102,7 +102,7 @@
         let slot = self.slots.get(token.slot as usize);
         let open = slot
             .filter(|slot| slot.generation == token.generation)
-            .and_then(|p| p.open.as_ref());
+            .and_then(|slot| slot.open.as_ref());
         let exchange = open.and_then(|open| open.exchange);
         exchange.is_some_and(|exchange| exchange.number == number)
     }
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -62,7 +62,7 @@
         next_sidecar: Option<SocketAddr>,
     ) -> io::Result<EndpointHandle> {
         options
-            .check()
+            .validate()
             .map_err(|problem| io::Error::new(io::ErrorKind::InvalidInput, problem))?;
         let number = self.endpoints.fetch_add(1, Ordering::Relaxed);
         let thread = &self.threads[number as usize % self.threads.len()];
--- a/fleet-lab/src/endpoint/options.rs
+++ b/fleet-lab/src/endpoint/options.rs
@@ -55,20 +55,32 @@
     pub error_rate: f64,
 }
 
+/// An option that is invalid. The messages name options by their keys in experiment files.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum InvalidOption {
+    #[error("an endpoint needs a core")]
+    Cores,
+    #[error("error_share must be from 0 to 1")]
+    ErrorRate,
+    #[error("cold_ramp.from must be above 0 and at most 1")]
+    SlowStart,
+    #[error("a service time must be above 0 and at most a day")]
+    ServiceTime,
+}
+
 impl EndpointOptions {
-    /// Returns what is invalid in the options, if anything is.
-    pub(super) fn check(&self) -> Result<(), &'static str> {
+    /// Checks the options; fails with the first invalid one.
+    pub(super) fn validate(&self) -> Result<(), InvalidOption> {
         if self.cores == 0 {
-            return Err("an endpoint needs a core");
+            return Err(InvalidOption::Cores);
         }
         if !(0.0..=1.0).contains(&self.error_rate) {
-            return Err("error_share must be from 0 to 1");
+            return Err(InvalidOption::ErrorRate);
         }
-        if self
-            .slow_start
-            .is_some_and(|slow_start| !(slow_start.from > 0.0 && slow_start.from <= 1.0))
+        if let Some(SlowStart { from, .. }) = self.slow_start
+            && !(from > 0.0 && from <= 1.0)
         {
-            return Err("cold_ramp.from must be above 0 and at most 1");
+            return Err(InvalidOption::SlowStart);
         }
         let milliseconds = match self.service_time {
             ServiceTime::None => return Ok(()),
@@ -76,7 +88,7 @@
             ServiceTime::Exponential { mean_milliseconds } => mean_milliseconds,
         };
         if !(milliseconds > 0.0 && milliseconds <= MAX_SERVICE_MILLISECONDS) {
-            return Err("a service time must be above 0 and at most a day");
+            return Err(InvalidOption::ServiceTime);
         }
         Ok(())
     }
--- a/fleet-lab/src/measure/slope.rs
+++ b/fleet-lab/src/measure/slope.rs
@@ -42,16 +42,19 @@
             .map(|point| (point.size - mean_size) * (point.value - mean_value))
             .sum();
         let per_unit = products / size_squares;
-        let line = Slope {
+        let fitted_line = Slope {
             intercept: mean_value - per_unit * mean_size,
             per_unit,
             unexplained: 0.0,
             largest_residual: 0.0,
         };
         Some(Slope {
-            unexplained: line.unexplained_part(points, mean_value),
-            largest_residual: line.residuals(points).map(f64::abs).fold(0.0, f64::max),
-            ..line
+            unexplained: fitted_line.unexplained_fraction(points, mean_value),
+            largest_residual: fitted_line
+                .residuals(points)
+                .map(f64::abs)
+                .fold(0.0, f64::max),
+            ..fitted_line
         })
     }
 
@@ -66,7 +69,7 @@
     }
 
     /// Returns 1 - R².
-    fn unexplained_part(&self, points: &[Point], mean_value: f64) -> f64 {
+    fn unexplained_fraction(&self, points: &[Point], mean_value: f64) -> f64 {
         let value_squares: f64 = points
             .iter()
             .map(|point| (point.value - mean_value).powi(2))
--- a/fleet-lab/src/scenario/mod.rs
+++ b/fleet-lab/src/scenario/mod.rs
@@ -19,7 +19,7 @@
 mod weight_change;
 
 pub use context::RunContext;
-pub use outcome::{ScenarioError, ScenarioOutcome};
+pub use outcome::{ScenarioError, ScenarioOutcome, StepError};
 
 use crate::experiment::{Experiment, Measurement};
 use crate::report::ExperimentReport;
--- a/fleet-lab/src/scenario/outcome.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -2,6 +2,7 @@
 
 use crate::loopback_tier::TierError;
 use crate::report::Metric;
+use crate::sidecar::SidecarError;
 use crate::sidecar::simulated::FleetError;
 use std::io;
 
@@ -23,7 +24,7 @@
         /// The step, such as `start discovery`.
         step: String,
         /// The cause.
-        source: io::Error,
+        source: StepError,
     },
     /// A tier could not be started.
     #[error(transparent)]
@@ -38,8 +39,22 @@
 
 impl ScenarioError {
     /// Returns a function that wraps the cause of a failed step, for `map_err`.
-    pub fn step(step: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
+    pub fn step<E: Into<StepError>>(step: impl Into<String>) -> impl FnOnce(E) -> Self {
         let step = step.into();
-        move |source| ScenarioError::Step { step, source }
+        move |source| ScenarioError::Step {
+            step,
+            source: source.into(),
+        }
     }
 }
+
+/// Why a step failed.
+#[derive(Debug, thiserror::Error)]
+pub enum StepError {
+    /// A file, a thread or a socket could not be handled.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A real sidecar did not do what was expected of it.
+    #[error(transparent)]
+    Sidecar(#[from] SidecarError),
+}
--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -1,5 +1,6 @@
 //! A child process of the sidecar program, and its log.
 
+use super::error::{SidecarError, SidecarProblem};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::VecDeque;
 use std::io::{self, BufRead, BufReader};
@@ -58,13 +59,13 @@
         &self,
         addresses: &Receiver<Addresses>,
         timeout: Duration,
-    ) -> io::Result<Addresses> {
-        let problem = match addresses.recv_timeout(timeout) {
-            Ok(addresses) => return Ok(addresses),
-            Err(RecvTimeoutError::Timeout) => "the sidecar did not listen in time",
-            Err(RecvTimeoutError::Disconnected) => "the sidecar ended before it listened",
-        };
-        Err(self.failure(io::ErrorKind::NotConnected, problem))
+    ) -> Result<Addresses, SidecarError> {
+        addresses.recv_timeout(timeout).map_err(|error| {
+            self.error(match error {
+                RecvTimeoutError::Timeout => SidecarProblem::NotListening,
+                RecvTimeoutError::Disconnected => SidecarProblem::Ended,
+            })
+        })
     }
 
     /// Returns the process id.
@@ -89,9 +90,11 @@
     }
 
     /// Returns an error that quotes the end of the log.
-    pub fn failure(&self, kind: io::ErrorKind, problem: &str) -> io::Error {
-        let quoted = self.log.last(QUOTED_LOG_LINES).join("; ");
-        io::Error::new(kind, format!("{problem}: {quoted}"))
+    pub fn error(&self, problem: SidecarProblem) -> SidecarError {
+        SidecarError::Process {
+            problem,
+            log: self.log.last(QUOTED_LOG_LINES),
+        }
     }
 }
 
--- a/fleet-lab/src/sidecar/mod.rs
+++ b/fleet-lab/src/sidecar/mod.rs
@@ -2,5 +2,8 @@
 
 mod child;
 pub mod configuration;
+mod error;
 pub mod process;
 pub mod simulated;
+
+pub use error::{SidecarError, SidecarProblem};
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -3,6 +3,7 @@
 use crate::measure::ProcessUsage;
 use crate::sidecar::child::{Addresses, LoggedChild};
 use crate::sidecar::configuration::SidecarConfiguration;
+use crate::sidecar::error::{SidecarError, SidecarProblem};
 use rustix::process::Signal;
 use std::ffi::OsStr;
 use std::fs;
@@ -47,7 +48,10 @@
     ///
     /// # Errors
     /// Fails where the process cannot be started, or ends or times out before it listens.
-    pub fn start(program: &Path, configuration: &SidecarConfiguration) -> io::Result<Self> {
+    pub fn start(
+        program: &Path,
+        configuration: &SidecarConfiguration,
+    ) -> Result<Self, SidecarError> {
         let folder = tempfile::Builder::new().prefix(FOLDER_PREFIX).tempdir()?;
         let configuration_file = folder.path().join(CONFIGURATION_FILE);
         write_configuration(&configuration_file, configuration)?;
@@ -113,7 +117,7 @@
     ///
     /// # Errors
     /// Fails where the file cannot be written or the signal not be sent, and where the reload is rejected or times out.
-    pub fn reload(&self, configuration: &SidecarConfiguration) -> io::Result<()> {
+    pub fn reload(&self, configuration: &SidecarConfiguration) -> Result<(), SidecarError> {
         let previous = self.reloads()?;
         write_configuration(&self.configuration_file, configuration)?;
         self.child.signal(Signal::HUP)?;
@@ -126,11 +130,11 @@
             return Ok(());
         }
         let problem = if current == previous {
-            "the reload was not counted in time"
+            SidecarProblem::ReloadNotCounted
         } else {
-            "the reload was rejected"
+            SidecarProblem::ReloadRejected
         };
-        Err(self.child.failure(io::ErrorKind::InvalidData, problem))
+        Err(self.child.error(problem))
     }
 
     /// Returns the resources that the process uses.
@@ -153,14 +157,9 @@
         drop(self);
     }
 
-    fn reloads(&self) -> io::Result<Reloads> {
-        let metric = |name: &str| {
-            let missing = || {
-                self.child
-                    .failure(io::ErrorKind::NotConnected, "the metrics could not be read")
-            };
-            self.metric(name).ok_or_else(missing)
-        };
+    fn reloads(&self) -> Result<Reloads, SidecarError> {
+        let unreadable = || self.child.error(SidecarProblem::MetricsUnreadable);
+        let metric = |name: &str| self.metric(name).ok_or_else(unreadable);
         Ok(Reloads {
             applied: metric("config_reloads")?,
             rejected: metric("config_reload_errors")?,
