--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -4,8 +4,6 @@
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
 /// Writes a text on a new connection and reads until its end; an error where it was reset.
@@ -185,10 +183,9 @@
 /// Guards a request against a second one with its id, which is rejected.
 #[test]
 fn repeated_id_is_rejected_and_the_first_request_is_served() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |_| {
-        let _ = released.lock().expect("the only one").recv();
+        gate.wait();
         respond_ok("first")
     });
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
@@ -200,7 +197,7 @@
         let mut second = sidecar.client();
         assert_eq!(second.exchange(&request).status(), 409);
     }
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     assert_eq!(first.read().expect("an answer").body, b"first");
     assert_eq!(endpoint.take_request_count(), 0);
 }
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -7,8 +7,6 @@
 use crate::stubs::*;
 use serde_json::{Value, json};
 use std::io::Read;
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 use std::time::Duration;
 
 /// Queues requests of clients that disconnect, each in another way, and of clients that stay, and then lists an endpoint.
@@ -83,11 +81,10 @@
 /// lowest priority waits. It is sent when they are answered.
 #[test]
 fn request_queued_for_a_busy_endpoint_is_not_sent_after_its_client_disconnects() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let busy = Endpoint::start(move |message| {
         if message.header("x-class") == Some("unsafe") {
-            let _ = released.lock().expect("the only one").recv();
+            gate.wait();
         }
         respond_ok("x")
     });
@@ -116,7 +113,9 @@
         0,
         "no queued request has been sent"
     );
-    (0..2).for_each(|_| release.send(()).expect("it waits"));
+    for _ in 0..2 {
+        opener.release_one();
+    }
     assert!(in_flight.iter_mut().all(WaitingClient::is_served) && staying_client.is_served());
     let received_request_ids: Vec<_> = busy
         .take_requests()
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -1,8 +1,6 @@
 //! `DRAIN` and `UNDRAIN`: the operators drain a sidecar of its callers, and take it back into service.
 
 use crate::stubs::*;
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
 /// When a drain must have closed idle connections, after the command.
@@ -12,11 +10,10 @@
 /// responses, and idle ones close; a request in flight is answered; and `UNDRAIN` undoes it all.
 #[test]
 fn drained_sidecar_closes_connections_and_answers_every_request() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |message| {
         if message.header("x-class") == Some("unsafe") {
-            let _ = released.lock().expect("the only one").recv();
+            gate.wait();
         }
         respond_ok("x")
     });
@@ -61,7 +58,7 @@
     );
     assert!(late.is_closed());
     assert_eq!(sidecar.metric("pending"), Some(1));
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     assert_eq!(waiting.read().expect("its answer").status(), 200);
     assert!(waiting.is_closed());
 
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -4,8 +4,6 @@
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 use std::time::Duration;
 
 /// `READY` is yes while the sidecar serves, and no once it shuts down with a request still pending.
@@ -39,12 +37,11 @@
 /// pending request for as long as it is.
 #[test]
 fn metrics_count_each_request_under_one_outcome() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |message| match message.header("x-class") {
         Some("safe") => respond_ok("x"),
         Some("keyed") => {
-            let _ = released.lock().expect("the only one").recv();
+            gate.wait();
             respond_ok("late")
         }
         _ => EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into()),
@@ -78,7 +75,7 @@
     while endpoint.next_request().1.header("x-class") != Some("keyed") {}
     assert_eq!(sidecar.metric("pending"), Some(1));
     assert_eq!(sidecar.metric("upstream_requests"), Some(6));
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     assert_eq!(waiting.read().expect("an answer").status(), 200);
     let ended = |outcome| {
         ["safe", "unsafe", "keyed"]
