--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -1,7 +1,7 @@
 //! The state of a caller's connection, shared by its reader, its writer, the service and the table of connections.
 //!
-//! [`Phase`] says what the connection does; all deadlines follow from it. These facts stay separate, as they hold across
-//! phases and each combines with most of them:
+//! [`Phase`] says what the connection does; all deadlines follow from it. These facts stay separate, as they outlast a
+//! phase and combine with several:
 //!
 //! - `write_blocked_since`: the client reads nothing. It concerns the writing direction alone, and takes precedence in
 //!   [`ConnectionState::deadline`].
@@ -35,12 +35,12 @@
 /// which no more can be written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How a response leaves the service.
+/// Whether the service returns a response with all of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// With all of its body.
+    /// Its body is complete.
     Complete,
-    /// With a body that follows as the endpoint sends it; [`ConnectionState::stream_ended`] tells its end.
+    /// Its body follows as the endpoint sends it, until [`ConnectionState::stream_ended`].
     Streamed,
 }
 
@@ -252,7 +252,7 @@
         self.is_closing_idle.get()
     }
 
-    /// Returns whether the client leaves unread what was written, so that no more can be.
+    /// Returns whether writes wait for the client to read what was written before.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked_since.get().is_some()
     }
--- a/src/sidecar/caller/phase.rs
+++ b/src/sidecar/caller/phase.rs
@@ -2,7 +2,7 @@
 //!
 //! HTTP/1.1 lets a client send its next request before it has read the last response, so a phase covers both directions
 //! of the connection: what is being received and what is being answered. Every transition is a method of [`Phase`]; an
-//! event that has no entry for a phase leaves it unchanged.
+//! event without an entry for a phase does not change it.
 //!
 //! | phase | receiving | answering | event → next phase |
 //! | --- | --- | --- | --- |
@@ -10,7 +10,7 @@
 //! | `Idle` | nothing yet | nothing | head begins → `ReceivingRequest` (receiving) |
 //! | `ReceivingRequest` (receiving) | a head | nothing | head forwarded → `ReceivingRequest` (forwarded); request begins, which is the replacement of a rejected head → `Answering` |
 //! | `ReceivingRequest` (forwarded) | a body | nothing, hyper has the head | request begins → `Answering` |
-//! | `Answering` | a body, or bytes kept for later | a request | response ready, complete → `Idle`, or `AwaitingFirstHead` where no head was ever complete; response ready, streamed → `Streaming` (no head) |
+//! | `Answering` | a body, or buffered bytes of the next request | a request | response ready, complete → `Idle`, or `AwaitingFirstHead` where no head was ever complete; response ready, streamed → `Streaming` (no head) |
 //! | `Streaming` (no head) | nothing yet | the rest of a response body | head begins → `Streaming` (receiving); stream ends → `Idle` |
 //! | `Streaming` (receiving) | the next head | the rest of a response body | head forwarded → `Streaming` (forwarded); stream ends → `ReceivingRequest` (receiving) |
 //! | `Streaming` (forwarded) | the next body | the rest of a response body | stream ends → `ReceivingRequest` (forwarded) |
--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -19,7 +19,7 @@
 use tokio::io::{AsyncRead, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The most bytes of a head that are read at once.
+/// The maximum number of bytes that are read at once while a head is collected.
 const READ_CHUNK: usize = 4 << 10;
 /// What hyper reads in place of a rejected head.
 const REPLACEMENT_HEAD: &[u8] = b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n";
@@ -36,7 +36,7 @@
     ForwardingAll,
     /// The request has been forwarded, and has no response yet.
     AwaitingResponse,
-    /// Forwards the replacement of a rejected head, of which `forwarded` bytes have gone, and nothing after it.
+    /// Forwards the replacement of a rejected head, of which `forwarded` bytes are done, and nothing after it.
     ReplacementHead { forwarded: usize },
 }
 
@@ -61,7 +61,7 @@
 /// Waits until the client has disconnected, by FIN or reset, while it has a request without a response. hyper notices that
 /// only while it reads; this does also while it does not, as for a body that no endpoint takes yet.
 pub async fn client_disconnected(stream: &TcpStream, connection: &ConnectionState) {
-    // Readiness for these interests tells nothing but that the client will send no more.
+    // The socket becomes ready for these interests only once the client sends no more.
     let is_ready = stream.ready(Interest::PRIORITY | Interest::ERROR).await;
     if is_ready.is_err() {
         return;
@@ -123,7 +123,7 @@
         ReadMode::ReplacementHead { forwarded: 0 }
     }
 
-    /// Leaves [`ReadMode::Head`] if the head is complete, invalid or too late; otherwise reads more of it.
+    /// Changes the mode if the head is complete, invalid or too late; otherwise reads more of it.
     fn poll_head(
         &mut self,
         searched: usize,
@@ -191,7 +191,7 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Turns to the next request, part of which may have arrived already.
+    /// Begins to collect the next head, of which bytes may have arrived already.
     fn begin_next_head(&mut self) {
         if !self.unread.is_empty() {
             self.connection.next_head_begun();
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Begins a graceful shutdown: from now on connections close when they are idle. A further call reaches those that were
+    /// Begins a graceful shutdown: from now on connections close when they are idle. Another call reaches those that were
     /// added since.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -21,9 +21,9 @@
 /// Limit for the lingering close of a connection that ended with an early response. Closed with bytes unread it would be
 /// reset, and the response lost with it.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most bytes that are discarded at once during a lingering close.
+/// The size of the buffer into which bytes are discarded during a lingering close.
 const LINGER_BUFFER_SIZE: usize = 16 << 10;
-/// The most unread bytes that hyper buffers: a head, and a piece of a body.
+/// The maximum number of unread bytes that hyper buffers: a head and a piece of a body.
 const READ_BUFFER_SIZE: usize = 32 << 10;
 
 /// What a connection does after an event.
@@ -37,7 +37,7 @@
     Terminate,
 }
 
-/// Serves a connection until it ends; `close` asks it to.
+/// Serves a connection until it ends. `close` is notified when it is to close.
 pub async fn serve(
     caller: CallerConnection,
     stream: TcpStream,
@@ -77,7 +77,7 @@
         let next = tokio::select! {
             // The connection is polled first: once a request has been read, the connection is no longer idle.
             biased;
-            // An error tells nothing that the request did not learn: the client broke the connection off.
+            // An error means that the client broke the connection off, of which its request was notified.
             _ = connection.as_mut() => NextStep::Terminate,
             () = client_disconnected.as_mut() => {
                 state.peer_ended();
--- a/src/sidecar/server/pending_request.rs
+++ b/src/sidecar/server/pending_request.rs
@@ -16,8 +16,8 @@
 use tokio::sync::oneshot::error::TryRecvError;
 use tokio::time::{Instant, timeout_at};
 
-/// A request that waits for its final answer. Dropped without one, as when its connection ends, it tells the node that the
-/// client has disconnected. Once answered its id may be in use by another request.
+/// A request that waits for its final answer. Dropped without one, as when its connection ends, it reports to the node that
+/// the client has disconnected. Once answered its id may be in use by another request.
 pub struct PendingRequest<'a> {
     node: &'a NodeHandle,
     id: RequestId,
--- a/src/sidecar/server/service.rs
+++ b/src/sidecar/server/service.rs
@@ -65,7 +65,7 @@
         text_reply(status, "")
     }
 
-    /// Rejects a request that is not read any further, and counts it for its class.
+    /// Rejects a request without reading its body, and counts it for its class.
     fn reject_early_and_count(&self, request: &Request<Incoming>) -> Reply {
         let reply = self.reject_early();
         let name = request
--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -1,13 +1,23 @@
 //! Callers that send invalid, incomplete or oversized requests, or nothing, or that are too many.
 
 use crate::stubs::*;
-use serde_json::json;
+use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
+/// A configuration with one endpoint and a limit on descriptors.
+fn config_with_descriptors(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
+    let mut config = config(
+        discovery.address,
+        &[entry("e0", endpoint.address, "SERVING")],
+    );
+    config["limits"]["sockets"] = json!(limit);
+    config
+}
+
 /// Writes a text on a new connection and reads until its end; an error where it was reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
@@ -213,11 +223,7 @@
         EndpointAction::RespondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
     });
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
-    config["limits"]["sockets"] = json!(256);
+    let config = config_with_descriptors(&discovery, &endpoint, 256);
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
     let mut flood = Vec::new();
@@ -251,11 +257,7 @@
 fn slow_head_is_served_while_idle_connections_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
-    config["limits"]["sockets"] = json!(96);
+    let config = config_with_descriptors(&discovery, &endpoint, 96);
     let sidecar = Sidecar::start(&config);
     let mut slow = TcpStream::connect(sidecar.address).expect("it accepts");
     slow.set_read_timeout(Some(TEST_TIMEOUT))
@@ -287,11 +289,7 @@
 fn new_connections_are_served_while_older_idle_ones_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
-    config["limits"]["sockets"] = json!(96);
+    let config = config_with_descriptors(&discovery, &endpoint, 96);
     let served = |_| {
         let sidecar = Sidecar::start(&config);
         let mut idle: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -40,7 +40,7 @@
     Disconnect::ByReset(PipelinedBytes::MoreThanIsRead),
 ];
 
-/// A client that has written its request, or a part of one.
+/// A client that has written a complete or partial request.
 pub struct WaitingClient(pub TcpStream);
 
 impl WaitingClient {
