--- a/fleet-lab/src/caller/request.rs
+++ b/fleet-lab/src/caller/request.rs
@@ -1,4 +1,4 @@
-//! Requests in the form of the protocol page.
+//! Serialization of requests.
 
 use super::plan::LoadTarget;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,10 +6,10 @@
 /// Bytes of the body of a request that is unsafe to repeat.
 const BODY_BYTES: usize = 32;
 
-/// Loads that this process has run.
+/// The number of loads that this process has run.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// Where request ids come from: each is there once, also over the runs of a process with one seed.
+/// A source of request ids that are unique also among the runs of a process with one seed.
 pub(super) struct RequestIds {
     seed: u64,
     run: u32,
@@ -23,16 +23,16 @@
         }
     }
 
-    /// The id of a request by its number within the run.
+    /// Returns the id of a request by its number within the run.
     pub fn id(&self, number: u64) -> String {
         format!("{:016x}{:08x}{number:016x}", self.seed, self.run)
     }
 }
 
-/// A target's requests, which differ in their ids alone.
+/// The requests to a target, which differ only in their ids.
 pub(super) struct RequestTemplate {
-    before_id: String,
-    after_id: String,
+    prefix: String,
+    suffix: String,
 }
 
 impl RequestTemplate {
@@ -42,21 +42,21 @@
         let class = &target.class;
         let deadline = target.deadline.as_secs_f64();
         RequestTemplate {
-            before_id: format!("{method} /api HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: "),
-            after_id: format!(
+            prefix: format!("{method} /api HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: "),
+            suffix: format!(
                 "\r\nX-Class: {class}\r\nX-Deadline: {deadline:.6}\r\n{}",
-                rest(target)
+                mark_idle(target)
             ),
         }
     }
 
     pub fn render(&self, id: &str) -> Vec<u8> {
-        [&self.before_id, id, &self.after_id].concat().into_bytes()
+        [&self.prefix, id, &self.suffix].concat().into_bytes()
     }
 }
 
-/// The end of the head, and the body.
-fn rest(target: &LoadTarget) -> String {
+/// Returns the end of the head, and the body.
+fn mark_idle(target: &LoadTarget) -> String {
     if target.is_unsafe {
         format!(
             "Content-Length: {BODY_BYTES}\r\n\r\n{}",
