--- /dev/null
+++ b/src/simulator/endpoint_lists.rs
@@ -0,0 +1,67 @@
+//! The endpoint lists that the simulator has sent, by their numbers.
+
+use super::error::WireError;
+use super::message::LIST_COUNT;
+use crate::policy::EndpointEntry;
+use std::sync::Arc;
+
+/// The complete lists, and the one of which entries are still to come.
+#[derive(Debug, Default)]
+pub(super) struct EndpointLists {
+    complete: [Option<Arc<[EndpointEntry]>>; LIST_COUNT],
+    partial: Option<PartialList>,
+}
+
+#[derive(Debug)]
+struct PartialList {
+    number: usize,
+    announced: usize,
+    entries: Vec<EndpointEntry>,
+}
+
+impl EndpointLists {
+    /// Starts a list of so many entries. It replaces an earlier list with the same number.
+    pub(super) fn start(&mut self, number: usize, announced: usize) {
+        self.partial = Some(PartialList {
+            number,
+            announced,
+            entries: Vec::new(),
+        });
+        self.complete_if_full();
+    }
+
+    /// Adds an entry to the list that was started last.
+    pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), WireError> {
+        let partial = self.partial.as_mut().ok_or(WireError::EntryOutsideList)?;
+        partial.entries.push(entry);
+        self.complete_if_full();
+        Ok(())
+    }
+
+    /// Returns an error if a list lacks entries. No other message may come before a list is complete.
+    pub(super) fn require_complete(&self) -> Result<(), WireError> {
+        match &self.partial {
+            Some(partial) => Err(WireError::IncompleteList {
+                list: partial.number,
+                received: partial.entries.len(),
+                announced: partial.announced,
+            }),
+            None => Ok(()),
+        }
+    }
+
+    /// Returns the list that was sent last with this number.
+    pub(super) fn get(&self, number: usize) -> Result<Arc<[EndpointEntry]>, WireError> {
+        let list = self.complete.get(number).and_then(Option::as_ref);
+        list.cloned().ok_or(WireError::UnknownList(number))
+    }
+
+    fn complete_if_full(&mut self) {
+        let full = self
+            .partial
+            .take_if(|partial| partial.entries.len() >= partial.announced);
+        if let Some(full) = full {
+            self.complete[full.number] = Some(Arc::from(full.entries));
+        }
+    }
+}
