--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -1,13 +1,21 @@
 //! Callers that send invalid, incomplete or oversized requests, or nothing, or that are too many.
 
 use crate::stubs::*;
-use serde_json::json;
+use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
-use std::sync::Mutex;
-use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
+/// A configuration with one endpoint and a limit on descriptors.
+fn config_with_descriptors(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
+    let mut config = config(
+        discovery.address,
+        &[entry("e0", endpoint.address, "SERVING")],
+    );
+    config["limits"]["sockets"] = json!(limit);
+    config
+}
+
 /// Writes a text on a new connection and reads until its end; an error where it was reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
@@ -185,10 +193,9 @@
 /// Guards a request against a second one with its id, which is rejected.
 #[test]
 fn repeated_id_is_rejected_and_the_first_request_is_served() {
-    let (release, released) = channel::<()>();
-    let released = Mutex::new(released);
+    let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |_| {
-        let _ = released.lock().expect("the only one").recv();
+        gate.wait();
         respond_ok("first")
     });
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
@@ -200,7 +207,7 @@
         let mut second = sidecar.client();
         assert_eq!(second.exchange(&request).status(), 409);
     }
-    release.send(()).expect("the endpoint waits");
+    opener.release_one();
     assert_eq!(first.read().expect("an answer").body, b"first");
     assert_eq!(endpoint.take_request_count(), 0);
 }
@@ -213,11 +220,7 @@
         EndpointAction::RespondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
     });
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
-    config["limits"]["sockets"] = json!(256);
+    let config = config_with_descriptors(&discovery, &endpoint, 256);
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
     let mut flood = Vec::new();
@@ -251,11 +254,7 @@
 fn slow_head_is_served_while_idle_connections_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
-    config["limits"]["sockets"] = json!(96);
+    let config = config_with_descriptors(&discovery, &endpoint, 96);
     let sidecar = Sidecar::start(&config);
     let mut slow = TcpStream::connect(sidecar.address).expect("it accepts");
     slow.set_read_timeout(Some(TEST_TIMEOUT))
@@ -287,11 +286,7 @@
 fn new_connections_are_served_while_older_idle_ones_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(
-        discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
-    );
-    config["limits"]["sockets"] = json!(96);
+    let config = config_with_descriptors(&discovery, &endpoint, 96);
     let served = |_| {
         let sidecar = Sidecar::start(&config);
         let mut idle: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
