--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -62,7 +62,7 @@
         next_sidecar: Option<SocketAddr>,
     ) -> io::Result<EndpointHandle> {
         options
-            .check()
+            .validate()
             .map_err(|problem| io::Error::new(io::ErrorKind::InvalidInput, problem))?;
         let number = self.endpoints.fetch_add(1, Ordering::Relaxed);
         let thread = &self.threads[number as usize % self.threads.len()];
@@ -82,7 +82,7 @@
     pub fn entry(&self) -> EndpointEntry {
         EndpointEntry {
             name: self.state.name.as_str().to_owned(),
-            address: self.state.address,
+            address: self.state.address.address(),
             zone: self.state.zone.clone(),
             kind: MACHINE_KIND.to_owned(),
             group: 0,
--- a/fleet-lab/src/scenario/mod.rs
+++ b/fleet-lab/src/scenario/mod.rs
@@ -16,9 +16,10 @@
 mod outcome;
 mod propagation;
 mod single_sidecar;
+mod weight_change;
 
 pub use context::RunContext;
-pub use outcome::{ScenarioError, ScenarioOutcome};
+pub use outcome::{ScenarioError, ScenarioOutcome, StepError};
 
 use crate::experiment::{Experiment, Measurement};
 use crate::report::ExperimentReport;
