--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -1,14 +1,14 @@
 //! The configuration that the process runs with, loaded at the start and again on SIGHUP.
 
 use super::error::ConfigError;
-use super::missing_key::missing_key;
 use super::parse::{ParsedConfiguration, parse};
+use super::reload_baseline::ReloadBaseline;
 use super::restart_values::RestartValues;
 use super::validation::ValidationErrors;
 use super::variables::{ADMIN_VARIABLE, FILE_VARIABLE};
 use crate::discovery::EndpointList;
 use crate::policy::Settings;
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -35,8 +35,8 @@
     pub settings: Settings,
     /// The values that only a restart changes.
     pub restart_values: RestartValues,
-    /// The settings and limits as the file has them, by which a reload is checked.
-    pub settings_and_limits: Value,
+    /// The settings and limits with which the next file is compared at a reload.
+    pub reload_baseline: ReloadBaseline,
     /// All that the file has.
     pub file_content: Value,
 }
@@ -98,10 +98,7 @@
             settings,
         } = parse(text)?;
         let restart_values = RestartValues::of(&document);
-        let settings_and_limits = json!({
-            "settings": file_content["settings"],
-            "limits": document.limits,
-        });
+        let reload_baseline = ReloadBaseline::of(&file_content, &document.limits);
         Ok(Config {
             name: document.name,
             listen: document.listen,
@@ -113,31 +110,8 @@
             cached_list: document.cached_list,
             settings,
             restart_values,
-            settings_and_limits,
+            reload_baseline,
             file_content,
         })
     }
-
-    /// Returns the first setting or limit that an earlier configuration has and this one lacks.
-    #[must_use]
-    pub fn missing_key(&self, earlier_settings_and_limits: &Value) -> Option<String> {
-        missing_key(earlier_settings_and_limits, &self.settings_and_limits)
-    }
-
-    /// Returns the outermost keys of the settings that differ from those of an earlier configuration.
-    #[must_use]
-    pub fn changed_settings(&self, earlier_settings_and_limits: &Value) -> Vec<String> {
-        let earlier = earlier_settings_and_limits["settings"].as_object();
-        let current = self.settings_and_limits["settings"].as_object();
-        let (Some(earlier), Some(current)) = (earlier, current) else {
-            return Vec::new();
-        };
-        let added = current.keys().filter(|key| !earlier.contains_key(*key));
-        earlier
-            .keys()
-            .chain(added)
-            .filter(|key| earlier.get(*key) != current.get(*key))
-            .cloned()
-            .collect()
-    }
 }
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -35,7 +35,7 @@
 /// If the next one lacks a key for which a reload rejects the whole file, that is the only difference.
 #[must_use]
 pub fn differences(running: &Config, next: &Config) -> Vec<Difference> {
-    if let Some(path) = next.missing_key(&running.settings_and_limits) {
+    if let Some(path) = running.reload_baseline.missing_key(&next.reload_baseline) {
         return vec![Difference {
             path,
             running: None,
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -9,6 +9,7 @@
 mod leaf_values;
 mod missing_key;
 mod parse;
+mod reload_baseline;
 mod restart_values;
 mod schema;
 pub mod settings_document;
@@ -21,6 +22,7 @@
 pub use effective_value::{EffectiveValue, Origin, effective_values};
 pub use error::ConfigError;
 pub use parse::{ParsedConfiguration, UnknownKey, parse, unknown_keys};
+pub use reload_baseline::ReloadBaseline;
 pub use restart_values::RestartValues;
 pub use schema::schema;
 pub use validation::{ValidationError, ValidationErrors};
--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -1,8 +1,7 @@
 //! The configuration in force, and the settings that it replaced a moment ago.
 
-use crate::configuration::{Config, RestartValues};
+use crate::configuration::{Config, ReloadBaseline, RestartValues};
 use crate::policy::{ClassId, Settings};
-use serde_json::Value;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -23,10 +22,10 @@
 pub struct ActiveConfiguration {
     settings: Rc<ActiveSettings>,
     replaced: Option<ReplacedSettings>,
-    /// Settings and limits as the file has them.
-    document: Value,
+    /// The settings and limits with which the next file is compared.
+    reload_baseline: ReloadBaseline,
     /// Values that only a restart changes.
-    fixed: RestartValues,
+    restart_values: RestartValues,
 }
 
 struct ReplacedSettings {
@@ -45,13 +44,17 @@
 
 impl ActiveConfiguration {
     /// Creates it from the configuration of the start.
-    pub fn new(settings: Settings, document: Value, fixed: RestartValues) -> Self {
+    pub fn new(
+        settings: Settings,
+        reload_baseline: ReloadBaseline,
+        restart_values: RestartValues,
+    ) -> Self {
         let classes = (0..settings.classes.len()).map(ClassId).collect();
         ActiveConfiguration {
             settings: Rc::new(ActiveSettings { settings, classes }),
             replaced: None,
-            document,
-            fixed,
+            reload_baseline,
+            restart_values,
         }
     }
 
@@ -74,17 +77,17 @@
 
     /// Returns the first key that the file had and the next configuration lacks.
     pub fn missing_key(&self, next: &Config) -> Option<String> {
-        next.missing_key(&self.document)
+        self.reload_baseline.missing_key(&next.reload_baseline)
     }
 
     /// Returns the names of the settings that the next configuration changes.
     pub fn changed_settings(&self, next: &Config) -> Vec<String> {
-        next.changed_settings(&self.document)
+        self.reload_baseline.changed_settings(&next.reload_baseline)
     }
 
     /// Returns the names of the values that differ in the next configuration and that only a restart changes.
     pub fn restart_only_changes(&self, next: &Config) -> Vec<&'static str> {
-        self.fixed.differences(&next.restart_values)
+        self.restart_values.differences(&next.restart_values)
     }
 
     /// Replaces the settings by those of the next configuration, with the balancer's ids of its classes.
@@ -97,6 +100,6 @@
             settings: std::mem::replace(&mut self.settings, settings),
             replaced_at: Instant::now(),
         });
-        self.document = next.settings_and_limits.clone();
+        self.reload_baseline = next.reload_baseline.clone();
     }
 }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -161,7 +161,7 @@
             metrics,
             configuration: ActiveConfiguration::new(
                 config.settings,
-                config.settings_and_limits,
+                config.reload_baseline,
                 config.restart_values,
             ),
             seed: config.seed,
