--- a/src/configuration/missing_key.rs
+++ b/src/configuration/missing_key.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// Keys of settings that a later document may leave out. The absence of any other key marks a damaged file, even where
+/// Keys of settings that a later document may lack. The absence of any other key marks a damaged file, even where
 /// the key has a default at the start.
 const OPTIONAL_KEYS: [&str; 5] = [
     "aimStretch",
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -13,7 +13,7 @@
 /// A valid configuration.
 #[derive(Debug)]
 pub struct ParsedConfiguration {
-    /// The document, with defaults for what the file leaves out.
+    /// The document, with defaults for what the file lacks.
     pub document: ConfigurationDocument,
     /// The content of the file.
     pub file_content: Value,
@@ -90,7 +90,7 @@
     })
 }
 
-/// Returns all errors of a document. Reading ends at the first error, so the schema is asked for all; the first one is
+/// Returns all errors of a document. Reading ends at the first error, so the schema is checked for all; the first one is
 /// returned where the schema does not cover it.
 fn all_errors(value: &Value, first: ValidationError) -> Vec<ValidationError> {
     let errors = schema_errors(value);
--- a/src/simulator/message_fields.rs
+++ b/src/simulator/message_fields.rs
@@ -12,7 +12,6 @@
 const TEXT_FIELDS: [&str; 2] = ["params", "noteText"];
 /// The maximum mean answer time in a load report, in milliseconds. Longer ones are cut to it.
 const MAX_MEAN_MS: f64 = 1e9;
-
 /// The capacity for the fields of a message, enough for most.
 const TYPICAL_FIELD_COUNT: usize = 8;
 
@@ -20,30 +19,35 @@
 #[derive(Debug)]
 pub struct MessageFields<'a> {
     message: &'a str,
-    /// Names and values, in order.
-    fields: Vec<(&'a str, &'a str)>,
+    fields: Vec<Field<'a>>,
+}
+
+#[derive(Debug)]
+struct Field<'a> {
+    name: &'a str,
+    value: &'a str,
 }
 
 impl<'a> MessageFields<'a> {
     /// Splits a line into its name and fields.
     pub(super) fn split(line: &'a str) -> Result<Self, WireError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
-        let not_a_field = |text: &str| WireError::MalformedField {
+        let malformed = |text: &str| WireError::MalformedField {
             message: message.into(),
             text: text.into(),
         };
         let mut fields = Vec::with_capacity(TYPICAL_FIELD_COUNT);
         while !rest.is_empty() {
-            let (name, value) = rest.split_once('=').ok_or_else(|| not_a_field(rest))?;
+            let (name, value) = rest.split_once('=').ok_or_else(|| malformed(rest))?;
             if name.is_empty() || name.contains(' ') {
-                return Err(not_a_field(name));
+                return Err(malformed(name));
             }
             let (value, next) = if TEXT_FIELDS.contains(&name) {
                 (value, "")
             } else {
                 value.split_once(' ').unwrap_or((value, ""))
             };
-            fields.push((name, value));
+            fields.push(Field { name, value });
             rest = next;
         }
         Ok(MessageFields { message, fields })
@@ -56,9 +60,8 @@
 
     /// Returns the value of a field, if present.
     pub(super) fn find(&self, name: &str) -> Option<&'a str> {
-        let mut fields = self.fields.iter();
-        let field = fields.find(|(field, _)| *field == name);
-        field.map(|(_, value)| *value)
+        let field = self.fields.iter().find(|field| field.name == name);
+        field.map(|field| field.value)
     }
 
     /// Returns the value of a field, or an error if it is missing.
