--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -8,10 +8,11 @@
 mod output;
 
 use crate::configuration::FILE_VARIABLE;
+use crate::sidecar::OperatorCommand;
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use clap_mangen::Man;
-use operator_commands::{OperatorCommand, OperatorOptions};
+use operator_commands::OperatorOptions;
 use output::Outcome;
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -102,13 +103,13 @@
         Command::Explain(options) => explain::explain(&options.config),
         Command::Diff { old, new } => diff::diff(&old, &new),
         Command::Status(options) => operator_commands::status(&options),
-        Command::Drain(options) => operator_commands::call(&options, OperatorCommand::Drain),
-        Command::Undrain(options) => operator_commands::call(&options, OperatorCommand::Undrain),
+        Command::Drain(options) => operator_commands::send(&options, OperatorCommand::Drain),
+        Command::Undrain(options) => operator_commands::send(&options, OperatorCommand::Undrain),
         Command::Disable { endpoint, options } => {
-            operator_commands::call(&options, OperatorCommand::Disable(&endpoint))
+            operator_commands::send(&options, OperatorCommand::Disable(&endpoint))
         }
         Command::Enable { endpoint, options } => {
-            operator_commands::call(&options, OperatorCommand::Enable(&endpoint))
+            operator_commands::send(&options, OperatorCommand::Enable(&endpoint))
         }
         Command::Completions { shell } => write_completions(shell),
         Command::Man => write_manual_page(),
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,16 +1,16 @@
-//! The commands that call a running sidecar at its operators' address.
+//! The commands that are sent to a running sidecar at its operators' address.
 
 use super::output::{Outcome, bad_input, failure, print, print_line};
 use crate::configuration::{Config, ConfigError, FILE_VARIABLE};
+use crate::sidecar::OperatorCommand;
 use clap::Args;
-use std::fmt;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The time limit of each step of a call. The sidecar answers within 1 s.
-const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The time limit of each step of an exchange. The sidecar answers within 1 s.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The maximum length of an answer, in bytes: enough for the metrics of some hundred classes.
 const MAX_ANSWER_LENGTH: u64 = 1 << 20;
 /// The beginning of an answer of success.
@@ -29,40 +29,9 @@
     config: Option<PathBuf>,
 }
 
-/// A command to a running sidecar.
-#[derive(Clone, Copy, Debug)]
-pub(super) enum OperatorCommand<'a> {
-    /// Asks whether the sidecar is ready.
-    Ready,
-    /// Asks for the metrics.
-    Stats,
-    /// Drains the sidecar of callers.
-    Drain,
-    /// Ends a drain.
-    Undrain,
-    /// Stops new requests to an endpoint.
-    Disable(&'a str),
-    /// Allows new requests to an endpoint again.
-    Enable(&'a str),
-}
-
-/// Writes the line of the command.
-impl fmt::Display for OperatorCommand<'_> {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            OperatorCommand::Ready => f.write_str("READY"),
-            OperatorCommand::Stats => f.write_str("STATS"),
-            OperatorCommand::Drain => f.write_str("DRAIN"),
-            OperatorCommand::Undrain => f.write_str("UNDRAIN"),
-            OperatorCommand::Disable(endpoint) => write!(f, "DISABLE {endpoint}"),
-            OperatorCommand::Enable(endpoint) => write!(f, "ENABLE {endpoint}"),
-        }
-    }
-}
-
-/// Why a call could not be made.
+/// Why a command could not be sent.
 #[derive(Debug, thiserror::Error)]
-enum CallError {
+enum CommandError {
     #[error(
         "no second address: give --admin, ROUTER_ADMIN_ADDR, or a configuration with admin_addr"
     )]
@@ -76,18 +45,18 @@
     },
 }
 
-impl CallError {
+impl CommandError {
     fn report(&self) -> Outcome {
         match self {
-            CallError::NoAddress | CallError::Config(_) => bad_input(self),
-            CallError::Connection { .. } => failure(self),
+            CommandError::NoAddress | CommandError::Config(_) => bad_input(self),
+            CommandError::Connection { .. } => failure(self),
         }
     }
 }
 
-/// Makes one call and prints its answer. Fails where the sidecar refuses.
-pub(super) fn call(options: &OperatorOptions, call: OperatorCommand<'_>) -> Outcome {
-    match operators_address(options).and_then(|address| exchange(address, call)) {
+/// Sends one command and prints the answer. Fails if the answer is negative.
+pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> Outcome {
+    match operators_address(options).and_then(|address| exchange(address, command)) {
         Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print(&answer.trim_end()),
         Ok(answer) => failure(&answer.trim_end()),
         Err(error) => error.report(),
@@ -112,26 +81,29 @@
     Outcome::Success
 }
 
-fn operators_address(options: &OperatorOptions) -> Result<SocketAddr, CallError> {
+fn operators_address(options: &OperatorOptions) -> Result<SocketAddr, CommandError> {
     if let Some(address) = options.admin {
         return Ok(address);
     }
     if let Some(address) = Config::admin_from_environment()? {
         return Ok(address);
     }
-    let file = options.config.as_ref().ok_or(CallError::NoAddress)?;
-    Config::from_file(file)?.admin.ok_or(CallError::NoAddress)
+    let file = options.config.as_ref().ok_or(CommandError::NoAddress)?;
+    Config::from_file(file)?
+        .admin
+        .ok_or(CommandError::NoAddress)
 }
 
-fn exchange(address: SocketAddr, call: OperatorCommand<'_>) -> Result<String, CallError> {
-    send_and_receive(address, call).map_err(|source| CallError::Connection { address, source })
+fn exchange(address: SocketAddr, command: OperatorCommand<'_>) -> Result<String, CommandError> {
+    send_and_receive(address, command)
+        .map_err(|source| CommandError::Connection { address, source })
 }
 
-fn send_and_receive(address: SocketAddr, call: OperatorCommand<'_>) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
-    stream.set_read_timeout(Some(CALL_TIMEOUT))?;
-    stream.set_write_timeout(Some(CALL_TIMEOUT))?;
-    stream.write_all(format!("{call}\n").as_bytes())?;
+fn send_and_receive(address: SocketAddr, command: OperatorCommand<'_>) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, EXCHANGE_TIMEOUT)?;
+    stream.set_read_timeout(Some(EXCHANGE_TIMEOUT))?;
+    stream.set_write_timeout(Some(EXCHANGE_TIMEOUT))?;
+    stream.write_all(format!("{command}\n").as_bytes())?;
     let mut answer = String::new();
     stream.take(MAX_ANSWER_LENGTH).read_to_string(&mut answer)?;
     if answer.is_empty() {
--- a/src/command_line/output.rs
+++ b/src/command_line/output.rs
@@ -12,9 +12,9 @@
 /// How a command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// The command did what it was called for.
+    /// The command succeeded.
     Success,
-    /// The command failed, or the sidecar refused.
+    /// The command failed, or the sidecar's answer is negative.
     Failure,
     /// The input is invalid.
     BadInput,
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -32,4 +32,5 @@
 mod shutdown;
 mod sockets;
 
+pub(crate) use operators::Command as OperatorCommand;
 pub use process::main;
--- a/src/sidecar/operators/command.rs
+++ b/src/sidecar/operators/command.rs
@@ -1,6 +1,8 @@
-//! The commands that operators may send.
+//! The commands that operators may send, parsed here and written by the command line.
 
-/// A command, as parsed from its line.
+use std::fmt;
+
+/// A command, which is sent as one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
     /// Asks whether the sidecar is ready to serve.
@@ -17,6 +19,20 @@
     Enable(&'a str),
 }
 
+/// Writes the line, without its end.
+impl fmt::Display for Command<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Command::Ready => f.write_str("READY"),
+            Command::Stats => f.write_str("STATS"),
+            Command::Drain => f.write_str("DRAIN"),
+            Command::Undrain => f.write_str("UNDRAIN"),
+            Command::Disable(endpoint) => write!(f, "DISABLE {endpoint}"),
+            Command::Enable(endpoint) => write!(f, "ENABLE {endpoint}"),
+        }
+    }
+}
+
 /// Why a line is not a command. The texts are part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
--- a/src/sidecar/operators/mod.rs
+++ b/src/sidecar/operators/mod.rs
@@ -11,5 +11,6 @@
 mod response;
 mod waiting_connections;
 
+pub use command::Command;
 pub use listener::{listen, serve};
 pub use permits::MAX_CONNECTIONS;
--- a/tests/command_line/operator_commands.rs
+++ b/tests/command_line/operator_commands.rs
@@ -31,9 +31,9 @@
     line
 }
 
-/// Guards the calls: each is one line, and a refusal is printed and makes the exit code 1.
+/// Guards the calls: each is one line, and a negative answer is printed and makes the exit code 1.
 #[test]
-fn commands_send_their_call_and_fail_where_the_sidecar_refuses() {
+fn commands_send_their_line_and_fail_after_a_negative_answer() {
     for (arguments, call) in [
         (vec!["drain"], "DRAIN\n"),
         (vec!["undrain"], "UNDRAIN\n"),
@@ -44,15 +44,15 @@
         let address = address.to_string();
         let arguments: Vec<&str> = arguments.into_iter().chain(["--admin", &address]).collect();
 
-        let accepted = run_program(&arguments);
+        let positive = run_program(&arguments);
         assert_eq!(
-            (accepted.status.code(), stdout(&accepted).as_str()),
+            (positive.status.code(), stdout(&positive).as_str()),
             (Some(0), "YES\n")
         );
 
-        let refused = run_program(&arguments);
+        let negative = run_program(&arguments);
         assert_eq!(
-            (refused.status.code(), stderr(&refused).as_str()),
+            (negative.status.code(), stderr(&negative).as_str()),
             (Some(1), "NO no such endpoint is listed\n")
         );
         assert_eq!(calls.join().expect("two calls"), [call, call]);
