--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -222,3 +222,7 @@
         self.all_closed.clone()
     }
 }
+
+#[cfg(test)]
+#[path = "table_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/sidecar/caller/table_tests.rs
@@ -0,0 +1,115 @@
+//! Tests of the order of eviction, on a paused clock.
+
+use super::super::connection_state::ResponseKind;
+use super::*;
+use tokio::time::advance;
+
+/// Adds a connection that is served.
+fn add(table: &mut CallerTable) -> AcceptedCaller {
+    table.add(Admission::Accepted)
+}
+
+/// Has a request arrive, and the service be called with it.
+fn begin_request(caller: &AcceptedCaller) {
+    caller.state.received(10);
+    caller.state.head_completed();
+    caller.state.head_forwarded();
+    caller.state.request_begun();
+}
+
+/// Has a request arrive and be answered.
+fn complete_request(caller: &AcceptedCaller) {
+    begin_request(caller);
+    caller.state.response_ready(ResponseKind::Complete);
+}
+
+/// Evicts as many connections as there can be, and returns their positions in the order of eviction.
+fn eviction_order(table: &mut CallerTable, callers: &[AcceptedCaller]) -> Vec<usize> {
+    let mut order = Vec::new();
+    while table.evict_one() {
+        let is_new = |position: &usize| {
+            callers[*position].state.is_closing_idle() && !order.contains(position)
+        };
+        let evicted = (0..callers.len()).find(is_new);
+        order.push(evicted.expect("an eviction closes another connection"));
+    }
+    order
+}
+
+#[tokio::test(start_paused = true)]
+async fn connections_are_evicted_from_the_least_useful_to_the_possibly_active() {
+    let mut table = CallerTable::default();
+    let possibly_active = 0;
+    let (never_used, long_idle, recently_idle, stalled_head) = (1, 2, 3, 4);
+    let callers: Vec<AcceptedCaller> = (0..5).map(|_| add(&mut table)).collect();
+    complete_request(&callers[long_idle]);
+    callers[stalled_head].state.received(1);
+    advance(IDLE_GRACE).await;
+    complete_request(&callers[recently_idle]);
+    callers[possibly_active].state.received(1);
+    let order = eviction_order(&mut table, &callers);
+    assert_eq!(
+        order,
+        [
+            never_used,
+            long_idle,
+            stalled_head,
+            recently_idle,
+            possibly_active
+        ]
+    );
+}
+
+#[tokio::test(start_paused = true)]
+async fn longest_inactive_connection_of_a_rank_is_evicted_first() {
+    let mut table = CallerTable::default();
+    let callers: Vec<AcceptedCaller> = (0..3).map(|_| add(&mut table)).collect();
+    for position in [1, 2, 0] {
+        complete_request(&callers[position]);
+        advance(Duration::from_millis(1)).await;
+    }
+    assert_eq!(eviction_order(&mut table, &callers), [1, 2, 0]);
+}
+
+#[tokio::test(start_paused = true)]
+async fn connections_whose_request_is_answered_are_not_evicted() {
+    let mut table = CallerTable::default();
+    let (answering, streaming) = (add(&mut table), add(&mut table));
+    begin_request(&answering);
+    begin_request(&streaming);
+    streaming.state.response_ready(ResponseKind::Streamed);
+    advance(IDLE_GRACE).await;
+    assert!(!table.evict_one());
+    assert!(!answering.state.is_closing_idle());
+    assert!(!streaming.state.is_closing_idle());
+}
+
+#[tokio::test(start_paused = true)]
+async fn connections_close_with_their_first_response_when_rejected_early_or_shutting_down() {
+    let mut table = CallerTable::default();
+    let persistence = |table: &mut CallerTable, admission| table.add(admission).persistence;
+    assert_eq!(
+        persistence(&mut table, Admission::Accepted),
+        Persistence::KeepAlive
+    );
+    assert_eq!(
+        persistence(&mut table, Admission::RejectedEarly),
+        Persistence::Close
+    );
+    table.set_drain_state(Some(DrainState::ClosingAfterResponses));
+    assert_eq!(
+        persistence(&mut table, Admission::Accepted),
+        Persistence::KeepAlive
+    );
+    table.set_drain_state(Some(DrainState::ClosingIdle));
+    assert_eq!(
+        persistence(&mut table, Admission::Accepted),
+        Persistence::Close
+    );
+    table.set_drain_state(None);
+    table.begin_shutdown();
+    assert_eq!(
+        persistence(&mut table, Admission::Accepted),
+        Persistence::Close
+    );
+}
