--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -69,7 +69,7 @@
             .expect("an answer")
             .starts_with("HTTP/1.1 200 ")
     );
-    assert_eq!(endpoint.next_request().1.body, b"hello");
+    assert_eq!(endpoint.next_request().message.body, b"hello");
     let mut client = sidecar.client();
     client.write(&format!(
         "{}{}",
@@ -78,7 +78,7 @@
     ));
     for body in ["first", "second"] {
         assert_eq!(client.read().expect("an answer").status(), 200);
-        assert_eq!(endpoint.next_request().1.body, body.as_bytes());
+        assert_eq!(endpoint.next_request().message.body, body.as_bytes());
     }
 }
 
@@ -184,7 +184,7 @@
     assert_eq!(client.exchange(&with("id-", "")).status(), 200);
     let left = endpoint
         .next_request()
-        .1
+        .message
         .header("x-deadline")
         .and_then(|d| d.parse::<f64>().ok());
     assert!(left.expect("a deadline") <= 10.0, "{left:?}");
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -288,7 +288,7 @@
         let request = get_request("60");
         let client = WaitingClient::with(&queueing.sidecar, &request);
         assert_eq!(
-            failing.next_request().1.header("x-request-id"),
+            failing.next_request().message.header("x-request-id"),
             Some(&*request_id(&request))
         );
         // It stays pending after its failure, and waits for an endpoint that has not failed it.
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -23,7 +23,7 @@
     let mut front = sidecar.client();
     assert_eq!(front.exchange(READY_REQUEST).status(), 200);
     waiting.write(&post_request("unsafe", "15", "x"));
-    while endpoint.next_request().1.header("x-class") != Some("unsafe") {}
+    while endpoint.next_request().message.header("x-class") != Some("unsafe") {}
     assert!(sidecar.call_is_yes("DRAIN"));
     let started_at = Instant::now();
     assert!(
--- a/tests/sidecar/endpoint_churn.rs
+++ b/tests/sidecar/endpoint_churn.rs
@@ -69,7 +69,7 @@
     let sidecar = Sidecar::start(&config(discovery.address, &[old]));
     let mut client = sidecar.client();
     assert_eq!(client.exchange(&get_request("2")).status(), 200);
-    assert_eq!(endpoint.next_request().0, 0);
+    assert_eq!(endpoint.next_request().connection, 0);
     let mut new = entry("new", endpoint.address, "SERVING");
     new["since_ms"] = json!(2_000_000);
     discovery.next_watch().write_line(&list(42, false, &[new]));
@@ -80,7 +80,7 @@
     );
     for _ in 0..5 {
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
-        assert_eq!(endpoint.next_request().0, 1);
+        assert_eq!(endpoint.next_request().connection, 1);
         std::thread::sleep(Duration::from_millis(100)); // the connection settles
     }
 }
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -71,7 +71,7 @@
         let shown = &response[..response.len().min(90)];
         assert_eq!(reply.status(), 502, "{shown}");
         assert_eq!(
-            endpoint.next_request().0,
+            endpoint.next_request().connection,
             endpoint.next_connection_close(),
             "{shown}"
         );
@@ -105,7 +105,7 @@
             let reply = client.exchange(&get_request("5"));
             let id = endpoint
                 .next_request()
-                .1
+                .message
                 .header("x-request-id")
                 .map(str::to_string);
             assert_eq!(
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -72,7 +72,7 @@
     waiting.write(
         &post_request("keyed", "15", "x").replace("Host: s", "Host: s\r\nIdempotency-Key: k"),
     );
-    while endpoint.next_request().1.header("x-class") != Some("keyed") {}
+    while endpoint.next_request().message.header("x-class") != Some("keyed") {}
     assert_eq!(sidecar.metric("pending"), Some(1));
     assert_eq!(sidecar.metric("upstream_requests"), Some(6));
     opener.release_one();
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -22,7 +22,7 @@
         (answer.status(), answer.body.as_slice()),
         (200, "from the endpoint".as_bytes())
     );
-    let (_, request) = endpoint.next_request();
+    let request = endpoint.next_request().message;
     assert_eq!(request.start_line, "POST /api?copy=7&x=%20 HTTP/1.1");
     assert_eq!(request.header("x-request-id"), Some("r-1"));
     assert_eq!(request.header("idempotency-key"), Some("k-1"));
@@ -47,7 +47,11 @@
     let mut client = sidecar.client();
     for _ in 0..5 {
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
-        assert_eq!(endpoint.next_request().0, 0, "its first connection");
+        assert_eq!(
+            endpoint.next_request().connection,
+            0,
+            "its first connection"
+        );
         std::thread::sleep(Duration::from_millis(100)); // the connection settles
     }
 }
@@ -76,7 +80,9 @@
         for client in &mut clients {
             assert_eq!(client.read().expect("an answer").status(), 200);
         }
-        (0..BURST).map(|_| endpoint.next_request().0).collect()
+        (0..BURST)
+            .map(|_| endpoint.next_request().connection)
+            .collect()
     };
     let first_burst = burst();
     assert_eq!(
@@ -101,12 +107,12 @@
     let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenClose(answer.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
-    for number in 0..5 {
+    for connection in 0..5 {
         assert_eq!(
             client.exchange(&post_request("unsafe", "2", "")).status(),
             200
         );
-        assert_eq!(endpoint.next_connection_close(), number);
+        assert_eq!(endpoint.next_connection_close(), connection);
     }
 }
 
@@ -137,12 +143,12 @@
     config["settings"]["bounds"]["connIdleNs"] = json!(500_000_000);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
-    for number in 0..2 {
+    for connection in 0..2 {
         assert_eq!(
             client.exchange(&post_request("unsafe", "2", "x")).status(),
             200
         );
-        assert_eq!(endpoint.next_connection_close(), number);
+        assert_eq!(endpoint.next_connection_close(), connection);
     }
 }
 
@@ -251,7 +257,10 @@
             .status(),
         504
     );
-    assert_eq!(endpoint.next_request().0, endpoint.next_connection_close());
+    assert_eq!(
+        endpoint.next_request().connection,
+        endpoint.next_connection_close()
+    );
     assert_eq!(endpoint.take_request_count(), 0, "no second attempt");
     let log = sidecar.log();
     assert!(
@@ -269,10 +278,10 @@
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
         let mut client = sidecar.client();
         client.write(&request);
-        let (number, _) = endpoint.next_request();
+        let connection = endpoint.next_request().connection;
         let disconnected_at = Instant::now();
         drop(client);
-        assert_eq!(endpoint.next_connection_close(), number);
+        assert_eq!(endpoint.next_connection_close(), connection);
         assert!(
             disconnected_at.elapsed() < Duration::from_secs(8),
             "before the attempt's timeout"
--- a/tests/sidecar/settings_isolation.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -45,7 +45,7 @@
 
 /// The time left that the next request at an endpoint carries.
 fn next_time_left(endpoint: &Endpoint) -> f64 {
-    let (_, request) = endpoint.next_request();
+    let request = endpoint.next_request().message;
     request
         .header("x-deadline")
         .and_then(|seconds| seconds.parse().ok())
@@ -184,14 +184,14 @@
             .status(),
         200
     );
-    let (idle_connection, _) = endpoint.next_request();
+    let idle_connection = endpoint.next_request().connection;
     reload(&archive, 1);
     std::thread::sleep(Duration::from_millis(800)); // past 0.7 s, for which the second limits keep it
     let archive_request = post_request("pay", "9", "x")
         .replace("pay", "pay\r\nX-Tenant: north\r\nIdempotency-Key: k");
     assert_eq!(sidecar.client().exchange(&archive_request).status(), 200);
     assert_ne!(
-        endpoint.next_request().0,
+        endpoint.next_request().connection,
         idle_connection,
         "it was idle for too long"
     );
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -23,11 +23,18 @@
 #[derive(Debug)]
 pub enum EndpointEvent {
     /// A request arrived.
-    Request { connection: usize, message: Message },
+    Request(ReceivedRequest),
     /// A connection was closed, by either side.
     ConnectionClosed { connection: usize },
 }
 
+/// A request, and the number of the connection that it arrived on.
+#[derive(Debug)]
+pub struct ReceivedRequest {
+    pub connection: usize,
+    pub message: Message,
+}
+
 /// A response with status 200 and this body.
 pub fn respond_ok(body: &str) -> EndpointAction {
     EndpointAction::Respond(format!(
@@ -71,15 +78,11 @@
             .expect("an event at the endpoint")
     }
 
-    /// Waits for the next request; returns the number of its connection too.
-    pub fn next_request(&self) -> (usize, Message) {
+    /// Waits for the next request.
+    pub fn next_request(&self) -> ReceivedRequest {
         loop {
-            if let EndpointEvent::Request {
-                connection,
-                message,
-            } = self.next_event()
-            {
-                return (connection, message);
+            if let EndpointEvent::Request(request) = self.next_event() {
+                return request;
             }
         }
     }
@@ -101,7 +104,7 @@
     /// Takes the requests that have arrived since they were last taken.
     pub fn take_requests(&self) -> Vec<Message> {
         let requests = |event| match event {
-            EndpointEvent::Request { message, .. } => Some(message),
+            EndpointEvent::Request(request) => Some(request.message),
             EndpointEvent::ConnectionClosed { .. } => None,
         };
         self.events.try_iter().filter_map(requests).collect()
@@ -117,10 +120,10 @@
     let mut reader = BufReader::new(stream);
     let mut resets_at_next_request = false;
     while let Some(message) = read_message(&mut reader).filter(|_| !resets_at_next_request) {
-        let _ = events.send(EndpointEvent::Request {
+        let _ = events.send(EndpointEvent::Request(ReceivedRequest {
             connection,
             message: message.clone(),
-        });
+        }));
         let (response, closes) = match respond(&message) {
             EndpointAction::Respond(response) => (response, false),
             EndpointAction::RespondThenClose(response) => (response, true),
