--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -8,6 +8,8 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+
 /// A request is forwarded without the headers of the caller's connection and with the time that is left, and the
 /// response comes back unchanged.
 #[test]
@@ -103,8 +105,7 @@
 /// A closed connection does not stay in the pool: an unsafe request that is written to one would be lost.
 #[test]
 fn a_connection_closed_by_the_endpoint_is_not_reused() {
-    let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenClose(answer.into()));
+    let endpoint = Endpoint::start(|_| EndpointAction::RespondThenClose(OK_RESPONSE.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     for connection in 0..5 {
@@ -120,8 +121,7 @@
 /// run twice is therefore never written to one.
 #[test]
 fn an_unsafe_request_gets_a_new_connection() {
-    let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    let endpoint = Endpoint::start(move |_| EndpointAction::RespondThenReset(answer.into()));
+    let endpoint = Endpoint::start(|_| EndpointAction::RespondThenReset(OK_RESPONSE.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     for _ in 0..8 {
