--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -1,7 +1,7 @@
 //! Counters of what has happened since the last counters line of the log.
 
 use super::metrics::AnsweredRequests;
-use crate::policy::Outcome;
+use crate::policy::{LoadReport, Outcome};
 use std::fmt;
 
 /// The outcomes of attempts, and their names in the log.
@@ -61,14 +61,14 @@
     }
 
     /// Counts a health check that has ended.
-    pub fn health_check_ended(&mut self, has_report: bool) {
+    pub fn health_check_ended(&mut self, report: Option<&LoadReport>) {
         self.health_checks += 1;
-        self.reports += u64::from(has_report);
+        self.reports += u64::from(report.is_some());
     }
 
     /// Counts an attempt that has ended.
-    pub fn attempt_ended(&mut self, outcome: Outcome, has_report: bool) {
-        self.reports += u64::from(has_report);
+    pub fn attempt_ended(&mut self, outcome: Outcome, report: Option<&LoadReport>) {
+        self.reports += u64::from(report.is_some());
         let position = OUTCOME_NAMES
             .iter()
             .position(|(named, _)| *named == outcome);
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -67,7 +67,7 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     ) -> Event {
-        self.counters.attempt_ended(outcome, report.is_some());
+        self.counters.attempt_ended(outcome, report.as_ref());
         Event::AttemptEnded(AttemptEnd {
             request: request.clone(),
             attempt,
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -89,7 +89,7 @@
             outcome, report, ..
         } = result;
         let mut node = self.borrow();
-        node.counters.health_check_ended(report.is_some());
+        node.counters.health_check_ended(report.as_ref());
         if !node.endpoints.is_same_process(target) {
             return;
         }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -86,23 +86,27 @@
 }
 
 impl NodeHandle {
-    /// Starts a node with the cached list of its configuration. It follows discovery when its balancer subscribes, and
-    /// at once in a hot restart, where lists are pushed, and where there is no cached list: the balancer fetches a new
-    /// list when the last one is old, which no list never is.
+    /// Starts a node with the cached list of its configuration. It follows discovery once its balancer subscribes; at once
+    /// in a hot restart, where lists are pushed, and where there is no cached list, as the balancer subscribes only when
+    /// it has a list that is old.
     ///
     /// # Errors
     /// The balancer cannot work with the settings.
     pub fn start(options: StartOptions) -> Result<Self, SettingsError> {
         let mode = options.mode;
         let cached_list = options.config.cached_list.clone();
-        let has_cached_list = cached_list.is_some();
         let node = NodeHandle(Rc::new(RefCell::new(Node::new(options)?)));
         node.restore_disabled_endpoints();
-        if let Some(list) = cached_list {
+        if let Some(list) = &cached_list {
             node.borrow().endpoints.set_cached_version(list.index);
-            node.apply_list(&list, ListKind::Cached);
+            node.apply_list(list, ListKind::Cached);
+        }
+        if cached_list.is_none() || node.borrow().follows_at_once(mode) {
+            node.borrow().follow_discovery(&node);
+        }
+        if mode == StartMode::HotRestart {
+            node.borrow().await_first_list();
         }
-        node.borrow().begin_discovery(&node, mode, has_cached_list);
         Ok(node)
     }
 
@@ -170,16 +174,14 @@
         })
     }
 
-    fn begin_discovery(&mut self, handle: &NodeHandle, mode: StartMode, has_cached_list: bool) {
-        let is_hot_restart = mode == StartMode::HotRestart;
-        let is_pushed = self.configuration.settings().discovery == DiscoveryMode::Pushed;
-        if is_hot_restart || is_pushed || !has_cached_list {
-            self.follow_discovery(handle);
-        }
-        if is_hot_restart {
-            let now = self.clock.now();
-            self.endpoints.await_first_list(now);
-        }
+    /// Returns whether a node follows discovery without waiting for its balancer to subscribe.
+    fn follows_at_once(&self, mode: StartMode) -> bool {
+        mode == StartMode::HotRestart || self.discovery_mode() == DiscoveryMode::Pushed
+    }
+
+    fn await_first_list(&mut self) {
+        let now = self.clock.now();
+        self.endpoints.await_first_list(now);
     }
 
     /// Queues an event behind the one that the balancer is handling.
