--- a/tests/policy/answer_time.rs
+++ b/tests/policy/answer_time.rs
@@ -5,8 +5,12 @@
 use std::time::Duration;
 
 /// Handles a request of the unsafe class with a cost hint.
-fn request_with_hint(host: &mut Host, n: usize, hint: Duration) -> (RequestId, Vec<Action>) {
-    let id = RequestId::from(format!("h{n}").as_str());
+fn request_with_hint(
+    host: &mut Host,
+    request_number: usize,
+    hint: Duration,
+) -> (RequestId, Vec<Action>) {
+    let id = RequestId::from(format!("h{request_number}").as_str());
     let deadline = host.now + ms(2000);
     let request = Request {
         id: id.clone(),
@@ -25,18 +29,18 @@
 #[test]
 fn a_request_with_a_tiny_hint_does_not_inflate_the_answer_time_estimate() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
-    for n in 0..40 {
+    for request_number in 0..40 {
         host.now = host.now + ms(50);
-        let hint = if n % 10 == 9 {
+        let hint = if request_number % 10 == 9 {
             Duration::from_nanos(1000)
         } else {
             ms(30)
         };
-        let (id, actions) = request_with_hint(&mut host, n, hint);
+        let (id, actions) = request_with_hint(&mut host, request_number, hint);
         assert_eq!(
             send_targets(&actions).len(),
             1,
-            "request {n} is sent, not rejected for lack of time"
+            "request {request_number} is sent, not rejected for lack of time"
         );
         host.end(&id, 0, Outcome::Served, 40, 0.0);
     }
@@ -46,16 +50,16 @@
 fn a_large_hint_counts_as_far_as_answer_times_correlate_with_hints() {
     for (hints_are_rough, expected_sends) in [(true, 1), (false, 0)] {
         let mut host = Host::new(default_settings(), endpoint_entries(4));
-        for n in 0..200 {
+        for request_number in 0..200 {
             host.now = host.now + ms(50);
-            let hint = [5, 20, 40, 100, 300][n * 7 % 5];
-            let (id, _) = request_with_hint(&mut host, n, ms(hint));
+            let hint = [5, 20, 40, 100, 300][request_number * 7 % 5];
+            let (id, _) = request_with_hint(&mut host, request_number, ms(hint));
             host.end(
                 &id,
                 0,
                 Outcome::Served,
                 if hints_are_rough {
-                    90 + (n as u64 * 13) % 20
+                    90 + (request_number as u64 * 13) % 20
                 } else {
                     hint
                 },
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 /// Returns a duration of so many milliseconds.
-pub fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 /// Returns the time so many milliseconds after the start of a test.
-pub fn at(n: u64) -> Timestamp {
-    Timestamp::from_nanos(1_000_000_000_000 + n * 1_000_000)
+pub fn at(millis: u64) -> Timestamp {
+    Timestamp::from_nanos(1_000_000_000_000 + millis * 1_000_000)
 }
 
 /// Returns a class with an objective of 1 s and a deadline of 3 s.
@@ -101,8 +101,8 @@
 }
 
 /// Returns the entries of the endpoints `e0`, `e1` and so on, in zone `a`.
-pub fn endpoint_entries(n: usize) -> Vec<EndpointEntry> {
-    (0..n)
+pub fn endpoint_entries(count: usize) -> Vec<EndpointEntry> {
+    (0..count)
         .map(|number| endpoint_entry(&format!("e{number}"), "a", 0))
         .collect()
 }
--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -7,10 +7,10 @@
 fn a_timed_out_attempt_stays_in_flight_until_the_deadline() {
     // Most servers continue with it: if it were removed at once, the next request would be sent in addition, and so on.
     let fill = |host: &mut Host| {
-        let calls = (0..40)
+        let requests = (0..40)
             .map(|_| host.request(1))
             .filter(|(_, actions)| !send_targets(actions).is_empty());
-        calls.map(|(id, _)| id).collect::<Vec<_>>()
+        requests.map(|(id, _)| id).collect::<Vec<_>>()
     };
     let sent_before_and_after = |after: u64| {
         let mut host = Host::new(
@@ -55,10 +55,16 @@
         },
         endpoint_entries(tier),
     );
-    for n in 0..60 {
+    for request_number in 0..60 {
         host.now = host.now + ms(200);
         let (id, _) = host.request(1);
-        host.end(&id, 0, Outcome::Served, if n < 20 { 10 } else { took }, 0.0);
+        host.end(
+            &id,
+            0,
+            Outcome::Served,
+            if request_number < 20 { 10 } else { took },
+            0.0,
+        );
     }
     let sent_requests = |host: &mut Host| {
         host.now = host.now + ms(1);
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -22,9 +22,9 @@
 fn sent_to_e0(outcome: Outcome, e0: f64, others: f64) -> [usize; 2] {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     let (mut counts, mut due_failures) = ([0, 0], [0.0; 4]);
-    for n in 0..800 {
+    for request_number in 0..800 {
         host.now = host.now + ms(10);
-        let class = 1 - n % 2;
+        let class = 1 - request_number % 2;
         let (id, actions) = host.request(class);
         let Some(to) = send_targets(&actions)
             .first()
@@ -32,7 +32,7 @@
         else {
             continue;
         };
-        counts[1 - class] += usize::from(n >= 400 && to == 0);
+        counts[1 - class] += usize::from(request_number >= 400 && to == 0);
         due_failures[to] += if class == 0 {
             0.0
         } else {
@@ -80,15 +80,15 @@
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     let faulty = EndpointId::from("e0");
     let mut risked = 0;
-    for n in 0..400 {
+    for request_number in 0..400 {
         host.now = host.now + ms(10);
         // Nineteen of twenty requests are idempotent; the faulty endpoint fails all of these.
-        let class = usize::from(n % 20 == 19);
+        let class = usize::from(request_number % 20 == 19);
         let (id, actions) = host.request(class);
         let Some(to) = send_targets(&actions).first().cloned() else {
             continue;
         };
-        risked += usize::from(n >= 100 && class == 1 && to == faulty);
+        risked += usize::from(request_number >= 100 && class == 1 && to == faulty);
         let outcome = if to == faulty && class == 0 {
             Outcome::Error
         } else {
@@ -115,20 +115,20 @@
             .any(|faulty| *id == (*faulty).into())
     };
     let (mut lost, mut others) = (0, std::collections::BTreeSet::new());
-    for n in 0..600 {
+    for request_number in 0..600 {
         host.now = host.now + ms(40);
-        let class = usize::from(n % 10 == 9);
+        let class = usize::from(request_number % 10 == 9);
         let (id, actions) = host.request(class);
         let Some(to) = send_targets(&actions).first().cloned() else {
             continue;
         };
-        if n >= 200 && class == 1 && is_faulty(&to) {
+        if request_number >= 200 && class == 1 && is_faulty(&to) {
             lost += 1;
             host.now = host.now + ms(1000);
             host.end(&id, 0, Outcome::TimedOut, 1000, 0.0);
             continue;
         }
-        if n >= 300 && class == 0 {
+        if request_number >= 300 && class == 0 {
             others.insert(to);
         }
         host.end(&id, 0, Outcome::Served, 10, 0.0);
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -63,14 +63,14 @@
 fn a_balancer_with_few_requests_picks_the_shortest_reported_queue() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
     let mut last = None;
-    for n in 0..30 {
+    for request_number in 0..30 {
         host.now = host.now + ms(20);
-        if n == 5 {
+        if request_number == 5 {
             host.apply_list(ListKind::Full, endpoint_entries(3)); // the subset has all three once the arrival rate is known
         }
         let (id, actions) = host.request(1);
         let to = send_targets(&actions)[0].clone();
-        if n >= 10 {
+        if request_number >= 10 {
             assert_eq!(to, EndpointId::from("e2"), "the one that reported no queue");
         }
         let queue_length = if to == EndpointId::from("e2") {
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -111,11 +111,11 @@
         host.end(&id, 0, Outcome::Served, 20, 0.0);
     }
     let mut counts = [0, 0];
-    for n in 0..200 {
+    for request_number in 0..200 {
         host.now = host.now + ms(40);
-        let (id, actions) = host.request_of_tenant(1, Some(TenantId(n % 2)));
+        let (id, actions) = host.request_of_tenant(1, Some(TenantId(request_number % 2)));
         if send_targets(&actions).len() == 1 {
-            counts[n % 2] += 1;
+            counts[request_number % 2] += 1;
             host.end(&id, 0, Outcome::Served, 20, 0.6); // past the lowest onset only
         } else {
             host.handle(Event::ClientDisconnected { request: id });
--- a/tests/policy/robust.rs
+++ b/tests/policy/robust.rs
@@ -35,7 +35,7 @@
 }
 
 fn name(prefix: &'static str) -> impl Strategy<Value = String> {
-    (0..6u8).prop_map(move |n| format!("{prefix}{n}"))
+    (0..6u8).prop_map(move |number| format!("{prefix}{number}"))
 }
 
 fn report() -> impl Strategy<Value = Option<LoadReport>> {
@@ -72,7 +72,7 @@
             started_at,
             ..endpoint_entry(&name, "a", 0)
         });
-    let outcome = (0..8usize).prop_map(|n| {
+    let outcome = (0..8usize).prop_map(|index| {
         use Outcome::*;
         [
             Served,
@@ -83,7 +83,7 @@
             Reset,
             Cancelled,
             NotSent,
-        ][n]
+        ][index]
     });
     let request = (
         name("r"),
@@ -148,10 +148,10 @@
     ]
 }
 
-fn tenants(n: usize) -> Vec<Tenant> {
-    (0..n)
-        .map(|n| Tenant {
-            name: format!("t{n}"),
+fn tenants(tenant_count: usize) -> Vec<Tenant> {
+    (0..tenant_count)
+        .map(|number| Tenant {
+            name: format!("t{number}"),
             quota_share: 0.0,
             quota_per_s: 0.0,
         })
@@ -191,12 +191,12 @@
                     Input::Settings {
                         classes,
                         priority_weight,
-                        tenants: n,
+                        tenants: tenant_count,
                     } => {
                         let mut settings = settings.clone();
                         settings.classes.truncate(classes);
                         (settings.classes[0].priority_weight, settings.tenants) =
-                            (priority_weight, tenants(n));
+                            (priority_weight, tenants(tenant_count));
                         let ids = balancer
                             .change_settings(now, settings, &mut actions)
                             .expect("valid settings");
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -24,9 +24,9 @@
             entries: entries.into(),
         };
         balancer.handle(at(0), list, &mut actions);
-        for n in 0..requests {
-            let now = at(50 * n);
-            let id = RequestId::from(format!("r{n}").as_str());
+        for request_number in 0..requests {
+            let now = at(50 * request_number);
+            let id = RequestId::from(format!("r{request_number}").as_str());
             let request = Request {
                 id: id.clone(),
                 class: ClassId(1),
@@ -122,12 +122,12 @@
 fn a_warming_zone_beside_faulty_endpoints_is_used() {
     let mut settings = default_settings();
     settings.prices.cross_zone = 0.1;
-    let remote = |n: usize| endpoint_entry(&format!("e{n}"), "b", 0);
+    let remote = |number: usize| endpoint_entry(&format!("e{number}"), "b", 0);
     let mut host = Host::new(settings, vec![remote(1), remote(2)]);
-    for n in 0..12 {
+    for request_number in 0..12 {
         let (id, actions) = host.request(0);
         host.now = host.now + ms(50);
-        let fails = n % 2 == 0;
+        let fails = request_number % 2 == 0;
         if !send_targets(&actions).is_empty() {
             let actions = host.end(
                 &id,
--- a/tests/policy/slow_start_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -55,8 +55,8 @@
 /// Returns weights with a high rate for some adjacent balancers, from `first` on.
 fn unequal_weights(first: usize, high: usize) -> [f64; BALANCERS] {
     let mut weights = [1.0; BALANCERS];
-    for n in 0..high {
-        weights[(first + n) % BALANCERS] = HIGH_RATE;
+    for number in 0..high {
+        weights[(first + number) % BALANCERS] = HIGH_RATE;
     }
     weights
 }
@@ -64,8 +64,8 @@
 /// Returns start times of a third of the balancers, one after another over the first half of the warm-up.
 fn late_starts(rules: &Rules) -> [Option<Duration>; BALANCERS] {
     let mut starts = [None; BALANCERS];
-    for (n, start) in starts.iter_mut().step_by(3).enumerate() {
-        let fraction = (n + 1) as f64 / BALANCERS as f64;
+    for (number, start) in starts.iter_mut().step_by(3).enumerate() {
+        let fraction = (number + 1) as f64 / BALANCERS as f64;
         *start = Some(rules.warm_up_time.mul_f64(fraction * 1.5));
     }
     starts
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -11,13 +11,13 @@
     };
     let mut host = Host::new(settings, endpoint_entries(20));
     let mut used = std::collections::BTreeSet::new();
-    for n in 0..400 {
+    for request_number in 0..400 {
         host.now = host.now + ms(25);
         let (id, actions) = host.request(1);
         let to = send_targets(&actions);
         assert_eq!(to.len(), 1);
         host.end(&id, 0, Outcome::Served, 10, 0.0);
-        if n >= 300 {
+        if request_number >= 300 {
             used.insert(to[0].clone());
         }
     }
@@ -99,8 +99,8 @@
         host.end(&id, 0, Outcome::Served, 10, 0.0);
     }
     [
-        used.iter().filter(|n| *n % 2 == 0).count(),
-        used.iter().filter(|n| *n % 2 == 1).count(),
+        used.iter().filter(|number| *number % 2 == 0).count(),
+        used.iter().filter(|number| *number % 2 == 1).count(),
     ]
 }
 
@@ -131,13 +131,13 @@
         zones.collect(),
     );
     let mut split = [0; 3];
-    for n in 0..600 {
+    for request_number in 0..600 {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
         let is_remote = send_targets(&actions)
             .first()
             .map(|e| e.0[1..].parse::<usize>().expect("a number") >= 4);
-        if n >= 200 {
+        if request_number >= 200 {
             split[is_remote.map_or(2, usize::from)] += 1;
         }
         if let Some(is_remote) = is_remote {
