--- a/src/sidecar/hot_restart/disabled_endpoints_file.rs
+++ b/src/sidecar/hot_restart/disabled_endpoints_file.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Read};
 use std::path::PathBuf;
 
-/// The largest file that is read, in bytes: room for thousands of endpoints.
+/// The largest file that is read, in bytes: enough for thousands of endpoints.
 const MAX_FILE_LENGTH: u64 = 1 << 20;
 
 /// The file of disabled endpoints, which each process of the sidecar reads and writes.
--- a/src/sidecar/hot_restart/other_processes.rs
+++ b/src/sidecar/hot_restart/other_processes.rs
@@ -31,7 +31,7 @@
 struct OtherProcess {
     messages: mpsc::Sender<ProcessMessage>,
     role: ProcessRole,
-    /// The number in its last report, once it has sent one.
+    /// The number that it reported last, if any.
     open_connections: Option<usize>,
 }
 
--- a/src/sidecar/hot_restart/shared_directory.rs
+++ b/src/sidecar/hot_restart/shared_directory.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct SharedDirectory {
     path: PathBuf,
-    /// Kept open: a path that is too long for a socket's address is named through this descriptor.
+    /// An open descriptor, through which a path that is too long for a socket's address is named.
     directory: File,
     disabled_endpoints: DisabledEndpointsFile,
 }
--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Binds this process's socket under a name of its own and renames it over the old process's, which leaves no moment
-/// without a socket.
+/// Binds this process's socket under a name of its own and renames it over the old process's, so that a
+/// new process finds a socket at any time.
 fn bind(directory: &SharedDirectory) -> io::Result<UnixListener> {
     let own_path = directory.own_socket();
     let _ = std::fs::remove_file(&own_path);
--- a/src/sidecar/operators/command.rs
+++ b/src/sidecar/operators/command.rs
@@ -3,9 +3,9 @@
 /// A command, as parsed from its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// Asks whether the sidecar is ready to serve.
+    /// Queries whether the sidecar is ready to serve.
     Ready,
-    /// Asks for the metrics.
+    /// Queries the metrics.
     Stats,
     /// Drains the sidecar of callers.
     Drain,
--- a/src/sidecar/operators/permits.rs
+++ b/src/sidecar/operators/permits.rs
@@ -9,34 +9,34 @@
 /// Permits for operators' connections.
 #[derive(Debug, Default)]
 pub struct ConnectionPermits {
-    held: Rc<Cell<usize>>,
+    in_use: Rc<Cell<usize>>,
 }
 
-/// A permit, held for as long as its connection is open.
+/// A permit, in use until it is dropped together with its connection.
 #[derive(Debug)]
 pub struct ConnectionPermit {
-    held: Rc<Cell<usize>>,
+    in_use: Rc<Cell<usize>>,
 }
 
 impl ConnectionPermits {
-    /// Returns whether as many permits are held as connections are allowed.
+    /// Returns whether as many permits are in use as connections are allowed.
     #[must_use]
     pub fn are_exhausted(&self) -> bool {
-        self.held.get() >= MAX_CONNECTIONS
+        self.in_use.get() >= MAX_CONNECTIONS
     }
 
     /// Returns a permit for one more connection, whether or not they are exhausted.
     #[must_use]
     pub fn acquire(&self) -> ConnectionPermit {
-        self.held.set(self.held.get() + 1);
+        self.in_use.set(self.in_use.get() + 1);
         ConnectionPermit {
-            held: Rc::clone(&self.held),
+            in_use: Rc::clone(&self.in_use),
         }
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.held.set(self.held.get() - 1);
+        self.in_use.set(self.in_use.get() - 1);
     }
 }
--- a/src/sidecar/operators/waiting_connections.rs
+++ b/src/sidecar/operators/waiting_connections.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 struct QueuedConnection {
     number: u64,
-    /// Dropped, it tells the connection to close.
+    /// Dropped to close the connection.
     _keep_open: oneshot::Sender<()>,
 }
 
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Tells the oldest connection to close; returns whether there was one.
+    /// Closes the oldest connection; returns whether there was one.
     pub fn close_oldest(&self) -> bool {
         self.0.borrow_mut().connections.pop_front().is_some()
     }
 }
 
 impl WaitingConnection {
-    /// Waits until the connection is told to close.
+    /// Waits until the connection is to close for a newer one.
     pub async fn closed(&mut self) {
         let _ = (&mut self.keep_open).await; // only ever dropped
     }
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -160,6 +160,7 @@
     }
 }
 
+/// The test plays the new process.
 #[test]
 fn old_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -172,6 +173,7 @@
     new_process.expect_messages_of(&sidecar);
 }
 
+/// The test plays the old process.
 #[test]
 fn new_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -193,6 +195,7 @@
     old_process.expect_messages_of(&sidecar);
 }
 
+/// The test plays the new process, and observes the effect of each message but the number of connections.
 #[test]
 fn golden_messages_are_understood() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -210,7 +213,7 @@
     wait_until("the endpoint is enabled", || {
         sidecar.metric("members_unavailable") == Some(0)
     });
-    // The new process accepts callers; here the backlog is the test's, so a connection of before is used.
+    // A new process would accept callers from now on: the old one closes each connection with its next response.
     let mut caller = sidecar.client();
     assert_eq!(
         caller.exchange(&get_request("5")).header("connection"),
@@ -284,6 +287,7 @@
     }
 }
 
+/// The effect of the number of connections: another process and its reserve take from the limit that both share.
 #[test]
 fn golden_connection_count_reduces_the_budget() {
     let alone = LoadedSidecar::start(&[]);
