--- a/src/sidecar/operators/command.rs
+++ b/src/sidecar/operators/command.rs
@@ -5,9 +5,9 @@
 /// A command, which is sent as one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// Asks whether the sidecar is ready to serve.
+    /// Queries whether the sidecar is ready to serve.
     Ready,
-    /// Asks for the metrics.
+    /// Queries the metrics.
     Stats,
     /// Drains the sidecar of callers.
     Drain,
