--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -30,8 +30,8 @@
         )
     }
 
-    /// Returns a request's cost relative to the mean of its class, by a regression of answer times on hints. Rough hints
-    /// that were used unscaled had expensive requests rejected without any overload.
+    /// Returns a request's cost relative to the mean of its class, by a regression of answer times on hints. Rough
+    /// hints that were used unscaled had expensive requests rejected without any overload.
     fn relative_cost(&self, request: &Request) -> f64 {
         let class = &self.classes[request.class.0];
         let is_measured = class.answers >= MIN_ANSWERS && class.hints.mean_time > 0.0;
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Returns the queue length that an outcome implies: rejections and time-outs show a queue, while a failed or broken
-    /// connection or a malformed answer does not.
+    /// Returns the queue length that an outcome implies: rejections and time-outs show a queue, while a failed or
+    /// broken connection or a malformed answer does not.
     pub(super) fn implied_queue_length(&self, outcome: Outcome) -> Option<f64> {
         let implies_queue = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
         implies_queue.then_some(self.thresholds.highest_onset())
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -45,7 +45,7 @@
     /// When a request that must not run twice was last lost.
     pub(super) last_unsafe_loss: Option<Timestamp>,
     pub(super) discovery_schedule: DiscoverySchedule,
-    /// When the timer that the host was last asked for expires.
+    /// When the timer that was last set at the host expires.
     pub(super) timer_expires_at: Option<Timestamp>,
 }
 
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -11,12 +11,13 @@
 /// just after the failed call began, and the next call needs a part of the time that remains.
 pub const MAX_CALL_INTERVAL: Duration =
     CHANGE_PROPAGATION_DEADLINE.saturating_sub(Duration::from_secs(1));
-/// A call of discovery fails after this time without an answer, and a watch is lost after this time without data: two of
-/// its heartbeats, which come every 2 s, and a margin.
+/// A call of discovery fails after this time without an answer, and a watch is lost after this time without data: two
+/// of its heartbeats, which come every 2 s, and a margin.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(4_200);
 
 /// The longest poll interval that the backoff is derived from. A lost watch is opened again soon however long the poll
-/// interval is: a change counts as received 6 s after the watch fell silent, most of which have passed when that is noticed.
+/// interval is: a change counts as received 6 s after the watch fell silent, most of which have passed when that is
+/// noticed.
 const MAX_BACKOFF_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// The mean delay after the first failed call, as a fraction of the poll interval.
 const INITIAL_BACKOFF_FRACTION: f64 = 0.05;
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -9,8 +9,9 @@
 use super::time::Timestamp;
 use std::collections::HashSet;
 
-/// The price of a crossing between zones from which on a balancer prefers its own zone. The number of balancers for each
-/// endpoint differs between zones; an even distribution over the whole tier is worth about two crossings of this price.
+/// The price of a crossing between zones from which on a balancer prefers its own zone. The number of balancers for
+/// each endpoint differs between zones; an even distribution over the whole tier is worth about two crossings of this
+/// price.
 const COSTLY_CROSSING_PRICE: f64 = 0.01;
 
 impl Balancer {
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -7,7 +7,8 @@
 use super::time::{Timestamp, duration_from_seconds};
 use std::time::Duration;
 
-/// The utilisation from which on an endpoint counts as queueing, up to the highest discard threshold at full utilisation.
+/// The utilisation from which on an endpoint counts as queueing, up to the highest discard threshold at full
+/// utilisation.
 const BUSY_UTILISATION: f64 = 0.9;
 /// The mean lifetime of an overload state, as a multiple of the unloaded answer time: an older state says little of the
 /// present queue.
@@ -18,8 +19,8 @@
 const LIFETIME_FACTOR_SPREAD: f64 = 0.5;
 /// The weight of one update in the mean queue length of a locality.
 const MEAN_QUEUE_LENGTH_WEIGHT: f64 = 0.1;
-/// The queue length that an attempt in flight stands for at an endpoint that calls further tiers: for most of the answer
-/// time the request waits in those, and not in this endpoint's queue.
+/// The queue length that an attempt in flight stands for at an endpoint that calls further tiers: for most of the
+/// answer time the request waits in those, and not in this endpoint's queue.
 const INNER_TIER_QUEUE_PER_ATTEMPT: f64 = 0.2;
 /// The queue length that an attempt in flight stands for in the last of several tiers, where a balancer's own attempts
 /// are few among those of all balancers that share the endpoint.
@@ -55,8 +56,8 @@
             .clamp(0.0, MAX_QUEUE_LENGTH)
     }
 
-    /// Moves an endpoint between clear, gapping and discarding. Gapping starts at the onset threshold and ends below the
-    /// abatement threshold; discarding starts at the discard threshold and ends below the onset threshold.
+    /// Moves an endpoint between clear, gapping and discarding. Gapping starts at the onset threshold and ends below
+    /// the abatement threshold; discarding starts at the discard threshold and ends below the onset threshold.
     pub(super) fn update_overload_state(
         &mut self,
         now: Timestamp,
@@ -101,10 +102,10 @@
         duration_from_seconds(severity * usual_gap * (MIN_GAP_FACTOR + self.random.unit()))
     }
 
-    /// Returns how many levels an endpoint throttles, by its state and by the estimated queue length. Attempts in flight
-    /// count, as load reports come late: without them all queued requests would go to the endpoint that was last clear.
-    /// For an expired state the tier's mean is used, which a balancer with few requests can follow where it can not
-    /// follow each endpoint.
+    /// Returns how many levels an endpoint throttles, by its state and by the estimated queue length. Attempts in
+    /// flight count, as load reports come late: without them all queued requests would go to the endpoint that was last
+    /// clear. For an expired state the tier's mean is used, which a balancer with few requests can follow where it can
+    /// not follow each endpoint.
     pub(super) fn throttled_levels(&self, now: Timestamp, index: EndpointIndex) -> ThrottledLevels {
         let estimated = self.estimated_queue_length(now, index);
         let reached = self.thresholds.reached(estimated);
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -214,8 +214,8 @@
         members.filter(is_due).min_by_key(gap_ends_at)
     }
 
-    /// Returns the less loaded of two random candidates. Where neither has attempts in flight, which happens at balancers
-    /// with few requests, all candidates are compared by their queues.
+    /// Returns the less loaded of two random candidates. Where neither has attempts in flight, which happens at
+    /// balancers with few requests, all candidates are compared by their queues.
     fn best_of_two_choices(
         &mut self,
         now: Timestamp,
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -42,8 +42,8 @@
         priority_weights
     }
 
-    /// Sets the levels of pending requests after the settings have changed. Requests in flight are included, as they may
-    /// be queued for a retry.
+    /// Sets the levels of pending requests after the settings have changed. Requests in flight are included, as they
+    /// may be queued for a retry.
     pub(super) fn set_priority_levels_of_requests(&mut self, had_tenants: bool) {
         let keeps_tenants = had_tenants && !self.settings.tenants.is_empty();
         for pending in self.requests.values_mut() {
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -65,8 +65,8 @@
         self.queued.next_deadline = deadlines.min().unwrap_or(NO_QUEUE_DEADLINE);
     }
 
-    /// Sends the requests of one level in order. Breaks at the first that was not sent before and that no endpoint takes:
-    /// then no endpoint takes those behind it and below it either.
+    /// Sends the requests of one level in order. Breaks at the first that was not sent before and that no endpoint
+    /// takes: then no endpoint takes those behind it and below it either.
     fn send_queued_level(
         &mut self,
         now: Timestamp,
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -44,8 +44,8 @@
         true
     }
 
-    /// Returns the timeout of an attempt. Some servers drop queued work that is cancelled, so an attempt whose answer has
-    /// no value any more is not left to delay the others.
+    /// Returns the timeout of an attempt. Some servers drop queued work that is cancelled, so an attempt whose answer
+    /// has no value any more is not left to delay the others.
     fn attempt_timeout(&self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
         let class = &self.settings.classes[pending.request.class.0];
         (class.late_value == 0.0).then_some(pending.useful_until.since(now))
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -96,8 +96,8 @@
 }
 
 impl Settings {
-    /// Creates the settings of a single balancer with pushed lists, load reports in answers and no prices; set the other
-    /// fields as needed.
+    /// Creates the settings of a single balancer with pushed lists, load reports in answers and no prices; set the
+    /// other fields as needed.
     #[must_use]
     pub fn new(zone: ZoneId, classes: Vec<Class>) -> Self {
         Settings {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -14,8 +14,9 @@
 const WARMING_FRACTION: f64 = 0.6;
 
 impl Balancer {
-    /// Returns the fraction of a fair share that a warming endpoint may be sent; `None` once it is warm. The limit stays
-    /// for the whole warm-up: when it ended earlier, all balancers of an overloaded tier sent to the one clear endpoint.
+    /// Returns the fraction of a fair share that a warming endpoint may be sent; `None` once it is warm. The limit
+    /// stays for the whole warm-up: when it ended earlier, all balancers of an overloaded tier sent to the one clear
+    /// endpoint.
     pub(super) fn slow_start_share(&self, now: Timestamp, index: EndpointIndex) -> Option<f64> {
         let endpoint = &self.endpoints[index];
         let rules = &self.settings.rules;
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -15,8 +15,8 @@
 
 impl Balancer {
     /// Selects the subset by deterministic subsetting: all balancers shuffle the tier in the same way, and each takes a
-    /// section that starts in proportion to its own number. Independent random subsets contained some endpoints twice as
-    /// often as others. A change of one endpoint changes at most one member. Warming members get a random slow start
+    /// section that starts in proportion to its own number. Independent random subsets contained some endpoints twice
+    /// as often as others. A change of one endpoint changes at most one member. Warming members get a random slow start
     /// slot, so that not all balancers send to them at once.
     pub(super) fn select_subset(&mut self, now: Timestamp) {
         let size = self.subset_size(now);
--- a/src/policy/time.rs
+++ b/src/policy/time.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-/// The longest duration that is computed from seconds, some thirty years: sums and small multiples of it do not overflow.
+/// The longest duration that is computed from seconds, some thirty years: sums and small multiples of it do not
+/// overflow.
 const MAX_SECONDS: f64 = 1e9;
 
 /// A point in time on the host's clock, which starts anywhere and never goes backwards.
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -40,8 +40,8 @@
             .max(now + self.settings.tick)
     }
 
-    /// Records that a timer has expired. It is identified by its token instead of the time, as a host's timer may expire
-    /// slightly early.
+    /// Records that a timer has expired. It is identified by its token instead of the time, as a host's timer may
+    /// expire slightly early.
     pub(super) fn timer_expired(&mut self, token: u64) {
         self.timer_expires_at = self.timer_expires_at.filter(|at| at.as_nanos() != token);
     }
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -101,8 +101,8 @@
     }
 }
 
-/// Guards the same deadline where the host makes the failing call by itself, as on a reload, while the balancer's own call
-/// is still due: that call is not made, and does not count as the beginning of the other.
+/// Guards the same deadline where the host makes the failing call by itself, as on a reload, while the balancer's own
+/// call is still due: that call is not made, and does not count as the beginning of the other.
 #[test]
 fn a_failed_call_of_the_host_does_not_delay_the_next_call_past_the_change_deadline() {
     for seed in 0..50 {
--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -45,8 +45,8 @@
     );
 }
 
-/// Returns how many requests one of several balancers sends at once to a tier that stops answering, before one is queued.
-/// The last answers took `took` ms, and the unloaded time is 10 ms.
+/// Returns how many requests one of several balancers sends at once to a tier that stops answering, before one is
+/// queued. The last answers took `took` ms, and the unloaded time is 10 ms.
 fn sent_unanswered(balancers: u32, tier: usize, took: u64) -> usize {
     let mut host = Host::new(
         Settings {
@@ -95,7 +95,8 @@
 
 #[test]
 fn fewer_requests_are_in_flight_where_answers_take_longer() {
-    // Each of 100 endpoints has at most one of this balancer's requests, so that only the tier's mean shows the slowdown.
+    // Each of 100 endpoints has at most one of this balancer's requests, so that only the tier's mean shows the
+    // slowdown.
     let (short, long) = (sent_unanswered(100, 100, 10), sent_unanswered(100, 100, 18));
     assert!(
         long * 4 <= short * 3,
--- a/tests/policy/legal_rules.rs
+++ b/tests/policy/legal_rules.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Rule 5: a request is sent only after the earlier ones of its key have been answered and have no attempt in flight,
-    /// and after the key's cool-down.
+    /// Rule 5: a request is sent only after the earlier ones of its key have been answered and have no attempt in
+    /// flight, and after the key's cool-down.
     pub fn check_key_order(
         &self,
         record: &RequestRecord,
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -112,8 +112,8 @@
     );
 }
 
-/// Guards an enabled endpoint: it counts as warming up although the list has an old start time, and its first request is
-/// sent soon, as the operators look for it.
+/// Guards an enabled endpoint: it counts as warming up although the list has an old start time, and its first request
+/// is sent soon, as the operators look for it.
 #[test]
 fn an_enabled_endpoint_warms_up_and_is_used_soon() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
@@ -154,7 +154,8 @@
     assert!(count_sent_to(&mut host, "e1", 60) > 0);
 }
 
-/// Guards the first request after enabling, at a balancer with so few requests that it always picks the fastest endpoint.
+/// Guards the first request after enabling, at a balancer with so few requests that it always picks the fastest
+/// endpoint.
 #[test]
 fn an_enabled_endpoint_is_used_beside_a_faster_one() {
     let mut host = Host::new(default_settings(), endpoint_entries(2));
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// Returns how many of the last 200 requests of each of two classes are sent to e0, where e0 and the other endpoints fail
-/// these fractions of the first class with an outcome, and serve the second class.
+/// Returns how many of the last 200 requests of each of two classes are sent to e0, where e0 and the other endpoints
+/// fail these fractions of the first class with an outcome, and serve the second class.
 fn sent_to_e0(outcome: Outcome, e0: f64, others: f64) -> [usize; 2] {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     let (mut counts, mut due_failures) = ([0, 0], [0.0; 4]);
@@ -104,8 +104,8 @@
     );
 }
 
-/// Guards unsafe requests where some endpoints lose these alone: not one request is lost at each such endpoint. They are
-/// sent where one was served last; the other classes are still sent everywhere.
+/// Guards unsafe requests where some endpoints lose these alone: not one request is lost at each such endpoint. They
+/// are sent where one was served last; the other classes are still sent everywhere.
 #[test]
 fn unsafe_requests_stay_where_one_was_served_last() {
     let mut host = Host::new(default_settings(), endpoint_entries(8));
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -18,8 +18,8 @@
     (ids, actions)
 }
 
-/// Guards pending requests: they keep the class that they came with, while new requests get the changed class. An unchanged
-/// class keeps its id.
+/// Guards pending requests: they keep the class that they came with, while new requests get the changed class. An
+/// unchanged class keeps its id.
 #[test]
 fn pending_requests_keep_their_class() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -5,7 +5,8 @@
 
 #[test]
 fn all_balancers_together_spare_a_warming_endpoint() {
-    // 200 balancers with few requests, 10 endpoints, one of which has just started: it serves 0.3 of its share at first.
+    // 200 balancers with few requests, 10 endpoints, one of which has just started: it serves 0.3 of its share at
+    // first.
     let (balancer_count, requests) = (200, 40);
     let (mut warming, mut total) = (0, 0);
     for seed in 0..balancer_count {
@@ -115,9 +116,9 @@
     );
 }
 
-/// Guards a balancer whose own zone has one endpoint, which is warming up: its first slot comes after a number of sends, and
-/// the only other endpoints have failed some requests, as with network faults. Requests are sent all the same, so that
-/// slow start advances.
+/// Guards a balancer whose own zone has one endpoint, which is warming up: its first slot comes after a number of
+/// sends, and the only other endpoints have failed some requests, as with network faults. Requests are sent all the
+/// same, so that slow start advances.
 #[test]
 fn a_warming_zone_beside_faulty_endpoints_is_used() {
     let mut settings = default_settings();
--- a/tests/policy/slow_start_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Slow start in a whole fleet: thirty balancers that share one warming endpoint, without messages between them, keep it
-//! together below the load at which it fails.
+//! Slow start in a whole fleet: thirty balancers that share one warming endpoint, without messages between them, keep
+//! it together below the load at which it fails.
 //!
-//! The simulation is deterministic: seeded arrivals and service times on a simulated clock, without sockets. The warming
-//! endpoint answers and reports as if it were warm, so that its load reports can not replace slow start.
+//! The simulation is deterministic: seeded arrivals and service times on a simulated clock, without sockets. The
+//! warming endpoint answers and reports as if it were warm, so that its load reports can not replace slow start.
 
 mod scenario;
 mod simulation;
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -114,8 +114,8 @@
     );
 }
 
-/// Returns how many of 400 requests are sent to the own zone, to the other zone, and nowhere, where the endpoints of each
-/// zone report a queue length.
+/// Returns how many of 400 requests are sent to the own zone, to the other zone, and nowhere, where the endpoints of
+/// each zone report a queue length.
 fn split_by_zone(own: f64, other: f64) -> [usize; 3] {
     let prices = Prices {
         cross_zone: 0.03,
--- a/tests/policy/warming_tier.rs
+++ b/tests/policy/warming_tier.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Guards warming endpoints beside a warm one that no longer answers: hardly any request is sent to that one, and the slow
-/// start of the others advances all the same.
+/// Guards warming endpoints beside a warm one that no longer answers: hardly any request is sent to that one, and the
+/// slow start of the others advances all the same.
 #[test]
 fn warming_endpoints_beside_a_silent_one_are_used() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
