--- a/fleet-lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -1,7 +1,7 @@
 //! The commands `scale` and `run`, which run experiments one after another and write the report after each.
 
 use super::{CommandError, RunOptions};
-use crate::stop;
+use crate::signals;
 use fleet_lab::experiment::Experiment;
 use fleet_lab::report::{ExperimentReport, Report};
 use fleet_lab::scenario::{self, RunContext, ScenarioError};
@@ -90,17 +90,17 @@
 
 /// Runs one experiment; returns its report and whether it failed.
 fn run_one(experiment: &Experiment, context: &RunContext) -> (ExperimentReport, bool) {
-    info!(experiment = %experiment.name, "begins");
+    info!(experiment = %experiment.name, "experiment started");
     let started = Instant::now();
     let result = scenario::run(experiment, context);
-    stop::wait_if_stopping();
+    signals::wait_if_stopping();
     match result {
         Ok(report) => {
-            info!(experiment = %experiment.name, seconds = report.seconds, "is done");
+            info!(experiment = %experiment.name, seconds = report.seconds, "experiment finished");
             (report, false)
         }
         Err(cause) => {
-            error!(experiment = %experiment.name, %cause, "failed");
+            error!(experiment = %experiment.name, %cause, "experiment failed");
             (failure_report(experiment, started, &cause), true)
         }
     }
--- a/fleet-lab/src/limits.rs
+++ b/fleet-lab/src/limits.rs
@@ -4,7 +4,7 @@
 use tracing::{debug, warn};
 
 /// Raises the soft limit of descriptors to the hard limit, as fleets and callers use thousands of sockets.
-pub fn raise_descriptors() {
+pub fn raise_descriptor_limit() {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     match setrlimit(
         Resource::Nofile,
--- a/fleet-lab/src/main.rs
+++ b/fleet-lab/src/main.rs
@@ -4,7 +4,7 @@
 
 mod command;
 mod limits;
-mod stop;
+mod signals;
 
 use clap::Parser;
 use command::Arguments;
@@ -18,8 +18,8 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     start_log();
-    limits::raise_descriptors();
-    stop::watch_signals();
+    limits::raise_descriptor_limit();
+    signals::watch();
     match arguments.run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -36,28 +36,33 @@
     context: &RunContext,
 ) -> Result<ScenarioOutcome, ScenarioError> {
     let period = Duration::from_secs_f64(plan.seconds);
-    let mut outcome = ScenarioOutcome::default();
-    {
-        let single_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
-        thread::sleep(SETTLE);
-        let idle = Cost::over(&single_sidecar, || {
-            thread::sleep(period);
-            Ok(())
-        })?;
-        outcome
-            .metrics
-            .extend(idle_metrics(plan.endpoints, &idle, period));
-        outcome
-            .metrics
-            .extend(changes(plan, &single_sidecar, &idle, period)?);
-        outcome
-            .metrics
-            .extend(reloads(plan, &single_sidecar, &idle, period)?);
-    }
+    let mut outcome = ScenarioOutcome {
+        metrics: changes_and_reloads(plan, seed, context, period)?,
+        problems: Vec::new(),
+    };
     health_checks(plan, seed, context, period, &mut outcome)?;
     Ok(outcome)
 }
 
+/// Measures an idle sidecar, and the costs of list changes and reloads beyond that.
+fn changes_and_reloads(
+    plan: &ControlCost,
+    seed: u64,
+    context: &RunContext,
+    period: Duration,
+) -> Result<Vec<Metric>, ScenarioError> {
+    let single_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
+    thread::sleep(SETTLE);
+    let idle = Cost::over(&single_sidecar, || {
+        thread::sleep(period);
+        Ok(())
+    })?;
+    let mut metrics = idle_metrics(plan.endpoints, &idle, period);
+    metrics.extend(changes(plan, &single_sidecar, &idle, period)?);
+    metrics.extend(reloads(plan, &single_sidecar, &idle, period)?);
+    Ok(metrics)
+}
+
 /// The cost of an action for the sidecar and for discovery.
 struct Cost {
     processor_time: Duration,
--- a/fleet-lab/src/stop.rs
+++ b/fleet-lab/src/signals.rs
@@ -11,15 +11,15 @@
 use tracing::{error, info};
 
 /// Exit code after a signal, as shells have it for SIGINT.
-const STOPPED: i32 = 130;
+const SIGNAL_EXIT_CODE: i32 = 130;
 
 /// Whether a signal was received and the sidecars are being killed.
 static IS_STOPPING: AtomicBool = AtomicBool::new(false);
 
 /// Starts a thread that waits for the signals. They are handled from the return of this function on.
-pub fn watch_signals() {
+pub fn watch() {
     if let Err(cause) = catch_signals() {
-        error!(%cause, "cannot wait for signals");
+        error!(%cause, "cannot handle signals");
     }
 }
 
@@ -36,7 +36,7 @@
                 _ = terminate.recv() => {}
             }
         });
-        stop()
+        kill_children_and_exit()
     });
     Ok(())
 }
@@ -48,31 +48,31 @@
     }
 }
 
-fn stop() -> ! {
+fn kill_children_and_exit() -> ! {
     IS_STOPPING.store(true, Ordering::SeqCst);
     let children = children();
     info!(
         sidecars = children.len(),
-        "stopped by a signal; ends its sidecars"
+        "received a signal, killing the sidecars"
     );
     for child in children {
         if let Err(cause) = kill_process(child, Signal::KILL) {
-            error!(%cause, child = child.as_raw_nonzero(), "could not end a sidecar");
+            error!(%cause, child = child.as_raw_nonzero(), "could not kill a sidecar");
         }
     }
-    exit(STOPPED)
+    exit(SIGNAL_EXIT_CODE)
 }
 
 /// Returns the child processes of all threads of this process.
 fn children() -> Vec<Pid> {
     let tasks = Process::myself().and_then(|process| process.tasks());
-    let numbers = tasks
+    let process_ids = tasks
         .into_iter()
         .flatten()
         .flatten()
         .filter_map(|task| task.children().ok());
-    numbers
+    process_ids
         .flatten()
-        .filter_map(|number| Pid::from_raw(i32::try_from(number).ok()?))
+        .filter_map(|process_id| Pid::from_raw(i32::try_from(process_id).ok()?))
         .collect()
 }
