--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -1,4 +1,4 @@
-//! Races between two events, each in its less usual order. `docs/crossings.md` lists them.
+//! Races between two events, each in its less usual order. `docs/event-races.md` lists them.
 //!
 //! The order is forced: a stub waits at a step for the test, or the sidecar is suspended while the events arrive.
 
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -1,4 +1,4 @@
-//! A shutdown or a listener hand-over that races other events. `docs/crossings.md` lists the pairs.
+//! A shutdown or a listener hand-over that races other events. `docs/event-races.md` lists the pairs.
 
 use crate::stubs::*;
 use serde_json::json;
