--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -100,7 +100,7 @@
         while self
             .expiries
             .peek()
-            .is_some_and(|Reverse(e)| !table.carries(e.token, e.number))
+            .is_some_and(|Reverse(expiry)| !table.carries(expiry.token, expiry.number))
         {
             self.expiries.pop();
         }
@@ -239,7 +239,7 @@
             .expiries
             .peek()
             .copied()
-            .filter(|Reverse(e)| e.at <= now)
+            .filter(|Reverse(expiry)| expiry.at <= now)
         {
             self.expiries.pop();
             if !self.table.carries(expiry.token, expiry.number) {
--- a/fleet-lab/src/caller/poller.rs
+++ b/fleet-lab/src/caller/poller.rs
@@ -90,11 +90,11 @@
         Ok(())
     }
 
-    fn set_timer(&self, after: Duration) -> io::Result<()> {
-        let after = after.clamp(MIN_WAIT, MAX_WAIT);
+    fn set_timer(&self, delay: Duration) -> io::Result<()> {
+        let delay = delay.clamp(MIN_WAIT, MAX_WAIT);
         let it_value = Timespec {
-            tv_sec: after.as_secs() as _,
-            tv_nsec: after.subsec_nanos().into(),
+            tv_sec: delay.as_secs() as _,
+            tv_nsec: delay.subsec_nanos().into(),
         };
         let once = Itimerspec {
             it_interval: ZERO,
--- a/fleet-lab/src/endpoint/options.rs
+++ b/fleet-lab/src/endpoint/options.rs
@@ -28,9 +28,11 @@
 #[serde(deny_unknown_fields)]
 pub struct SlowStart {
     /// The fraction of its full capacity that it starts with.
-    pub from: f64,
+    #[serde(rename = "from")]
+    pub initial_capacity: f64,
     /// How long it warms up, in milliseconds.
-    pub milliseconds: u64,
+    #[serde(rename = "milliseconds")]
+    pub warm_up_milliseconds: u64,
 }
 
 /// How an endpoint behaves.
@@ -77,8 +79,10 @@
         if !(0.0..=1.0).contains(&self.error_rate) {
             return Err(InvalidOption::ErrorRate);
         }
-        if let Some(SlowStart { from, .. }) = self.slow_start
-            && !(from > 0.0 && from <= 1.0)
+        if let Some(SlowStart {
+            initial_capacity, ..
+        }) = self.slow_start
+            && !(initial_capacity > 0.0 && initial_capacity <= 1.0)
         {
             return Err(InvalidOption::SlowStart);
         }
--- a/fleet-lab/src/endpoint/work.rs
+++ b/fleet-lab/src/endpoint/work.rs
@@ -120,11 +120,11 @@
 impl SlowStart {
     /// Returns the fraction of its full capacity that an endpoint has at this time after its start.
     fn capacity(&self, since_start: Duration) -> f64 {
-        if self.milliseconds == 0 {
+        if self.warm_up_milliseconds == 0 {
             return 1.0;
         }
-        let warmth = since_start.as_secs_f64() * 1000.0 / self.milliseconds as f64;
-        self.from + (1.0 - self.from) * warmth.min(1.0)
+        let warmth = since_start.as_secs_f64() * 1000.0 / self.warm_up_milliseconds as f64;
+        self.initial_capacity + (1.0 - self.initial_capacity) * warmth.min(1.0)
     }
 }
 
--- a/fleet-lab/src/experiment/check.rs
+++ b/fleet-lab/src/experiment/check.rs
@@ -265,8 +265,11 @@
     faults.count("measure.endpoint.cores", options.cores, 100_000);
     faults.within("measure.endpoint.queue", options.queue, 0.0..=100_000.0);
     service_time(options.service_time, faults);
-    if let Some(ramp) = &options.slow_start {
-        faults.fraction("measure.endpoint.cold_ramp.from", ramp.from);
+    if let Some(slow_start) = &options.slow_start {
+        faults.fraction(
+            "measure.endpoint.cold_ramp.from",
+            slow_start.initial_capacity,
+        );
     }
     let body_fits = options.answer_bytes <= MAX_BODY_BYTES as usize;
     faults.require(
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -64,8 +64,8 @@
     ratio(attempts.saturating_sub(calls), calls)
 }
 
-fn ratio(part: u64, whole: u64) -> f64 {
-    part as f64 / whole.max(1) as f64
+fn ratio(numerator: u64, denominator: u64) -> f64 {
+    numerator as f64 / denominator.max(1) as f64
 }
 
 /// Adds a fault's cost to the metrics.
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -14,14 +14,14 @@
 /// missing, a quantile may be the timeout.
 pub(in crate::scenario) fn add_convergence_times(
     table: &mut MetricTable,
-    what: &str,
+    state: &str,
     quantiles: &[(&str, f64)],
     size: f64,
     times: &ConvergenceTimes,
     timeout: Duration,
 ) {
     for (label, fraction) in quantiles {
-        let name = format!("{what}: {label}");
+        let name = format!("{state}: {label}");
         let time = quantile(times, *fraction).unwrap_or(timeout);
         table.add(&name, "ms", size, milliseconds(time));
         if times.missing > 0 {
@@ -30,7 +30,7 @@
         }
     }
     table.add(
-        &format!("{what}: missing"),
+        &format!("{state}: missing"),
         "sidecars",
         size,
         times.missing as f64,
@@ -52,8 +52,8 @@
         ("calls rejected", start.rejected, end.rejected),
         ("calls abandoned", start.disconnected, end.disconnected),
     ];
-    for (what, start, end) in counts {
-        let name = format!("{what} {when}");
+    for (count_name, start, end) in counts {
+        let name = format!("{count_name} {when}");
         table.add(&name, "a sidecar", size, (end - start) as f64 / size);
     }
 }
--- a/fleet-lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -240,8 +240,8 @@
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 20.0 };
     let slow_start = Some(SlowStart {
-        from: 1e-6,
-        milliseconds: 3_600_000_000,
+        initial_capacity: 1e-6,
+        warm_up_milliseconds: 3_600_000_000,
     });
     let warming = add(
         &host,
--- a/fleet-lab/tests/experiment.rs
+++ b/fleet-lab/tests/experiment.rs
@@ -1,6 +1,7 @@
 //! Experiment files: those of the project load, and invalid ones are reported.
 
-use fleet_lab::experiment::{Experiment, ExperimentError};
+use fleet_lab::endpoint::SlowStart;
+use fleet_lab::experiment::{Experiment, ExperimentError, Measurement};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -132,3 +133,18 @@
         ["measure.calls_per_second is NaN, not above 0 and at most 100000"]
     );
 }
+
+#[test]
+fn an_endpoints_slow_start_is_read_from_its_keys() {
+    let text = fs::read_to_string(Path::new(FOLDER).join("10-added-latency-500.toml")).unwrap();
+    let slow_start = "cold_ramp = { from = 0.3, milliseconds = 100 }\nload_reports";
+    let experiment: Experiment = toml::from_str(&text.replace("load_reports", slow_start)).unwrap();
+    let Measurement::AddedLatency(plan) = experiment.measure else {
+        panic!("the experiment measures added latency");
+    };
+    let expected = SlowStart {
+        initial_capacity: 0.3,
+        warm_up_milliseconds: 100,
+    };
+    assert_eq!(plan.endpoint.slow_start, Some(expected));
+}
