--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -16,7 +16,7 @@
                 request,
                 endpoint,
                 timeout,
-            } => self.send(handle, request, endpoint, timeout),
+            } => self.send(handle, request, &endpoint, timeout),
             Action::Cancel { request, attempt } => self.cancel(&request, attempt),
             Action::Reject {
                 request,
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -19,11 +19,11 @@
         &mut self,
         handle: &NodeHandle,
         request: RequestId,
-        endpoint: EndpointId,
+        endpoint: &EndpointId,
         timeout: Option<Duration>,
     ) {
         let now = self.clock.now();
-        let target = self.endpoints.target(&endpoint);
+        let target = self.endpoints.target(endpoint);
         let Some(open_request) = self.requests.get_mut(&request) else {
             return;
         };
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -27,15 +27,15 @@
     /// No endpoint with this id is listed or disabled.
     pub fn set_admin_state(
         &self,
-        endpoint: EndpointId,
+        endpoint: &EndpointId,
         state: AdminState,
     ) -> Result<(), UnknownEndpoint> {
         let node = self.borrow();
-        if !node.balancer.is_listed_or_disabled(&endpoint) {
+        if !node.balancer.is_listed_or_disabled(endpoint) {
             return Err(UnknownEndpoint);
         }
         node.hot_restart
-            .broadcast_admin_state(&endpoint, state, None);
+            .broadcast_admin_state(endpoint, state, None);
         drop(node);
         self.apply_admin_state(endpoint, state);
         Ok(())
@@ -43,7 +43,7 @@
 
     /// Applies an endpoint's administrative state, as the operators or another process have set it, and stores it for the
     /// next process.
-    pub(super) fn apply_admin_state(&self, endpoint: EndpointId, state: AdminState) {
+    pub(super) fn apply_admin_state(&self, endpoint: &EndpointId, state: AdminState) {
         log!("endpoint {} is {state} by the operators", endpoint.0);
         self.handle(match state {
             AdminState::Disabled => Event::EndpointDisabled(endpoint.clone()),
@@ -51,7 +51,7 @@
         });
         let node = self.borrow();
         node.hot_restart
-            .store_admin_state(&endpoint, state, node.disabled_endpoints());
+            .store_admin_state(endpoint, state, node.disabled_endpoints());
     }
 
     /// Begins to drain the sidecar of callers. Does nothing during a drain.
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -75,7 +75,7 @@
         for endpoint in disabled.symmetric_difference(&stored) {
             let state = AdminState::from_disabled(stored.contains(endpoint));
             if state.is_disabled() || !self.borrow().hot_restart.is_store_behind() {
-                self.apply_admin_state(endpoint.as_str().into(), state);
+                self.apply_admin_state(&endpoint.as_str().into(), state);
             }
         }
     }
@@ -99,7 +99,7 @@
         match message {
             ProcessMessage::AdminState { endpoint, disabled } => {
                 let state = AdminState::from_disabled(disabled);
-                self.receive_admin_state(origin, endpoint.as_str().into(), state);
+                self.receive_admin_state(origin, &endpoint.as_str().into(), state);
             }
             ProcessMessage::OpenConnections(connections) => {
                 let mut guard = self.borrow();
@@ -124,13 +124,18 @@
         }
     }
 
-    fn receive_admin_state(&self, origin: OtherProcessId, endpoint: EndpointId, state: AdminState) {
-        if self.borrow().admin_state(&endpoint) == state {
+    fn receive_admin_state(
+        &self,
+        origin: OtherProcessId,
+        endpoint: &EndpointId,
+        state: AdminState,
+    ) {
+        if self.borrow().admin_state(endpoint) == state {
             return;
         }
         self.borrow()
             .hot_restart
-            .broadcast_admin_state(&endpoint, state, Some(origin));
+            .broadcast_admin_state(endpoint, state, Some(origin));
         self.apply_admin_state(endpoint, state);
     }
 }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -113,7 +113,7 @@
     fn restore_disabled_endpoints(&self) {
         let stored = self.borrow().hot_restart.stored_disabled_endpoints();
         for endpoint in stored.iter().flatten() {
-            self.apply_admin_state(endpoint.as_str().into(), AdminState::Disabled);
+            self.apply_admin_state(&endpoint.as_str().into(), AdminState::Disabled);
         }
     }
 
--- a/src/sidecar/operators/execute.rs
+++ b/src/sidecar/operators/execute.rs
@@ -30,10 +30,10 @@
             Response::Yes
         }
         Command::Disable(endpoint) => node
-            .set_admin_state(endpoint.into(), AdminState::Disabled)
+            .set_admin_state(&endpoint.into(), AdminState::Disabled)
             .into(),
         Command::Enable(endpoint) => node
-            .set_admin_state(endpoint.into(), AdminState::Enabled)
+            .set_admin_state(&endpoint.into(), AdminState::Enabled)
             .into(),
     }
 }
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -47,6 +47,7 @@
             start_serving(node, stream);
         }
     }
+    drop(listener);
 }
 
 /// Serves a connection, or rejects its requests where there are no descriptors for it.
--- a/tests/policy/legal_step.rs
+++ b/tests/policy/legal_step.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 /// One step of a sequence: an event, or time that passes.
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 pub enum Step {
     RequestArrives {
         class: usize,
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -30,6 +30,7 @@
     SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
         .expect("an option");
+    drop(stream);
 }
 
 /// Guards a response that a reset follows: a complete one is served, an incomplete one fails, and a request that must not
