--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -8,19 +8,26 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// Starts a sidecar whose requests have a deadline, and a client that is idle after its first response.
+fn start_with_idle_client(
+    discovery: &Discovery,
+    endpoint: &Endpoint,
+    deadline: Duration,
+) -> (Sidecar, Client) {
+    let sidecar = Sidecar::start(&config_with_deadline(discovery, &[endpoint], deadline));
+    let mut idle_client = sidecar.client();
+    assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+    (sidecar, idle_client)
+}
+
 /// SIGTERM while requests are partly read: each is answered once it is complete. A second SIGTERM, a `DRAIN` and an
 /// `UNDRAIN` in between change nothing.
 #[test]
 fn shutdown_waits_for_partly_read_requests() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut sidecar = Sidecar::start(&config_with_deadline(
-        &discovery,
-        &[&endpoint],
-        Duration::from_secs(1),
-    ));
-    let mut idle_client = sidecar.client();
-    assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+    let (mut sidecar, mut idle_client) =
+        start_with_idle_client(&discovery, &endpoint, Duration::from_secs(1));
     let requests = [get_request("1"), post_request("unsafe", "1", "hello")];
     let mut partial_requests: Vec<(Client, &str)> = Vec::new();
     sidecar.terminate();
@@ -52,13 +59,8 @@
 fn shutdown_answers_connections_in_the_backlog_of_the_closing_listener() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let mut sidecar = Sidecar::start(&config_with_deadline(
-        &discovery,
-        &[&endpoint],
-        Duration::from_secs(3),
-    ));
-    let mut idle_client = sidecar.client();
-    assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+    let (mut sidecar, mut idle_client) =
+        start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
     sidecar.terminate();
     assert!(idle_client.is_closed(), "idle connections are being closed");
     sidecar.suspend();
@@ -91,13 +93,8 @@
     // Soon is within 0.3 s, for which a busy machine may take longer; then all is repeated.
     wait_until("they send requests in time", || {
         let discovery = Discovery::start();
-        let mut sidecar = Sidecar::start(&config_with_deadline(
-            &discovery,
-            &[&endpoint],
-            Duration::from_secs(3),
-        ));
-        let mut idle_client = sidecar.client();
-        assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+        let (mut sidecar, mut idle_client) =
+            start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
         sidecar.terminate();
         assert!(idle_client.is_closed(), "idle connections are being closed");
         sidecar.suspend();
