--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -3,11 +3,10 @@
 use crate::policy::EndpointId;
 use crate::sidecar::admin_state::AdminState;
 use crate::sidecar::hot_restart::{
-    OtherProcessId, OtherProcesses, ProcessMessage, ProcessRole, SharedDirectory,
+    OtherProcessId, OtherProcesses, ProcessMessage, SharedDirectory,
 };
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use tokio::sync::mpsc;
 
 /// The other processes that are one sidecar with this one for a while, and the directory that they share.
 pub struct HotRestart {
@@ -24,39 +23,14 @@
         }
     }
 
-    /// Returns whether this process has handed its listening socket to another one that still runs.
-    pub fn has_new_process(&self) -> bool {
-        self.processes.has_new_process()
+    /// Returns the other processes.
+    pub fn processes(&self) -> &OtherProcesses {
+        &self.processes
     }
 
-    /// Adds another process; returns what is to be written to it.
-    pub fn add(&mut self, role: ProcessRole) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
-        self.processes.add(role)
-    }
-
-    /// Removes a process that has ended.
-    pub fn remove(&mut self, process: OtherProcessId) {
-        self.processes.remove(process);
-    }
-
-    /// Returns whether a process still runs.
-    pub fn contains(&self, process: OtherProcessId) -> bool {
-        self.processes.contains(process)
-    }
-
-    /// Returns whether a process was given the listening socket by this one.
-    pub fn is_new_process(&self, process: OtherProcessId) -> bool {
-        self.processes.is_new_process(process)
-    }
-
-    /// Sets how many connections a process has open.
-    pub fn set_connections(&mut self, process: OtherProcessId, connections: usize) {
-        self.processes.set_open_connections(process, connections);
-    }
-
-    /// Returns how many connections each process has open, as far as it has reported.
-    pub fn connections(&self) -> impl Iterator<Item = usize> {
-        self.processes.open_connections()
+    /// Returns the other processes, for a change.
+    pub fn processes_mut(&mut self) -> &mut OtherProcesses {
+        &mut self.processes
     }
 
     /// Sends a message to all other processes.
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -24,12 +24,12 @@
         &self,
         role: ProcessRole,
     ) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
-        self.borrow().hot_restart.add(role)
+        self.borrow().hot_restart.processes_mut().add(role)
     }
 
     /// Returns whether another process still runs.
     pub fn has_process(&self, process: OtherProcessId) -> bool {
-        self.borrow().hot_restart.contains(process)
+        self.borrow().hot_restart.processes().contains(process)
     }
 
     /// Announces to the old process that this one accepts callers from now on.
@@ -61,9 +61,9 @@
     pub fn process_ended(&self, process: OtherProcessId) {
         let mut guard = self.borrow();
         let node = &mut *guard;
-        node.hot_restart.remove(process);
+        node.hot_restart.processes_mut().remove(process);
         node.connections
-            .set_other_process_connections(node.hot_restart.connections());
+            .set_other_process_connections(node.hot_restart.processes().open_connections());
         let Some(stored) = node.hot_restart.stored_disabled_endpoints() else {
             return;
         };
@@ -104,9 +104,11 @@
             ProcessMessage::OpenConnections(connections) => {
                 let mut guard = self.borrow();
                 let node = &mut *guard;
-                node.hot_restart.set_connections(origin, connections);
+                node.hot_restart
+                    .processes_mut()
+                    .set_open_connections(origin, connections);
                 node.connections
-                    .set_other_process_connections(node.hot_restart.connections());
+                    .set_other_process_connections(node.hot_restart.processes().open_connections());
             }
             ProcessMessage::Serving => {
                 self.borrow().connections.suspend_accepting();
@@ -119,7 +121,9 @@
     /// Accepts callers again where the new process shuts down. The old process's shutdown changes nothing here.
     fn receive_shutting_down(&self, origin: OtherProcessId) {
         let mut node = self.borrow();
-        if node.hot_restart.is_new_process(origin) && node.connections.resume_accepting() {
+        if node.hot_restart.processes().is_new_process(origin)
+            && node.connections.resume_accepting()
+        {
             log!("hot restart: the new process shuts down; accepting callers again");
         }
     }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -216,7 +216,7 @@
 
     /// Returns whether this process has handed its listening socket to another one that still runs.
     pub fn has_new_process(&self) -> bool {
-        self.hot_restart.has_new_process()
+        self.hot_restart.processes().has_new_process()
     }
 
     /// Returns how many connections are open.
