--- a/tests/policy/answer_time.rs
+++ b/tests/policy/answer_time.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 /// Handles a request of the unsafe class with a cost hint.
-fn request_with_hint(
+fn request_with_cost_hint(
     host: &mut Host,
     request_number: usize,
-    hint: Duration,
+    cost_hint: Duration,
 ) -> (RequestId, Vec<Action>) {
     let id = RequestId::from(format!("h{request_number}").as_str());
     let deadline = host.now + ms(2000);
@@ -18,7 +18,7 @@
         tenant: None,
         key: None,
         deadline,
-        cost_hint: Some(hint),
+        cost_hint: Some(cost_hint),
         client_retry: false,
         write: false,
     };
@@ -27,51 +27,54 @@
 }
 
 #[test]
-fn a_request_with_a_tiny_hint_does_not_inflate_the_answer_time_estimate() {
+fn tiny_cost_hints_do_not_inflate_the_estimate() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     for request_number in 0..40 {
         host.now = host.now + ms(50);
-        let hint = if request_number % 10 == 9 {
+        let cost_hint = if request_number % 10 == 9 {
             Duration::from_nanos(1000)
         } else {
             ms(30)
         };
-        let (id, actions) = request_with_hint(&mut host, request_number, hint);
+        let (id, actions) = request_with_cost_hint(&mut host, request_number, cost_hint);
         assert_eq!(
             send_targets(&actions).len(),
             1,
             "request {request_number} is sent, not rejected for lack of time"
         );
-        host.end(&id, 0, Outcome::Served, 40, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, 40, 0.0);
     }
 }
 
 #[test]
-fn a_large_hint_counts_as_far_as_answer_times_correlate_with_hints() {
-    for (hints_are_rough, expected_sends) in [(true, 1), (false, 0)] {
+fn cost_hints_count_if_answer_times_correlate() {
+    for (answer_times_ignore_hints, expected_sends) in [(true, 1), (false, 0)] {
         let mut host = Host::new(default_settings(), endpoint_entries(4));
         for request_number in 0..200 {
             host.now = host.now + ms(50);
-            let hint = [5, 20, 40, 100, 300][request_number * 7 % 5];
-            let (id, _) = request_with_hint(&mut host, request_number, ms(hint));
-            host.end(
+            let cost_hint = [5, 20, 40, 100, 300][request_number * 7 % 5];
+            let (id, _) = request_with_cost_hint(&mut host, request_number, ms(cost_hint));
+            host.end_attempt(
                 &id,
                 0,
                 Outcome::Served,
-                if hints_are_rough {
+                if answer_times_ignore_hints {
                     90 + (request_number as u64 * 13) % 20
                 } else {
-                    hint
+                    cost_hint
                 },
                 0.0,
             );
         }
         // Forty times the mean hint: by the hint alone the answer would come after the deadline.
-        let (id, actions) = request_with_hint(&mut host, 200, ms(3700));
+        let (id, actions) = request_with_cost_hint(&mut host, 200, ms(3700));
         assert_eq!(
-            (send_targets(&actions).len(), final_answers(&actions, &id)),
+            (
+                send_targets(&actions).len(),
+                count_final_answers(&actions, &id)
+            ),
             (expected_sends, 1 - expected_sends),
-            "hints are rough: {hints_are_rough}"
+            "hints are rough: {answer_times_ignore_hints}"
         );
     }
 }
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -20,20 +20,23 @@
             entries: Vec::new().into(),
         };
         balancer.handle(at(0), empty_list(ListKind::Cached), &mut actions);
-        let (first, token) = set_timers(&actions)[0];
+        let (call_begins, token) = requested_timers(&actions)[0];
         assert!(
-            first.since(at(0)) < ms(10_000),
+            call_begins.since(at(0)) < ms(10_000),
             "called within the poll interval"
         );
         actions.clear();
-        balancer.handle(first, Event::Timer { token }, &mut actions);
+        balancer.handle(call_begins, Event::Timer { token }, &mut actions);
         assert!(actions.contains(&Action::Subscribe));
         actions.clear();
-        balancer.handle(first, Event::DiscoveryFailed, &mut actions);
+        balancer.handle(call_begins, Event::DiscoveryFailed, &mut actions);
         assert!(!actions.contains(&Action::Subscribe), "not at once");
-        delays.push((set_timers(&actions)[0].0.since(first), first));
+        delays.push((
+            requested_timers(&actions)[0].0.since(call_begins),
+            call_begins,
+        ));
     }
-    assert!(delays.iter().all(|(again, _)| *again < ms(10_000)));
+    assert!(delays.iter().all(|(delay, _)| *delay < ms(10_000)));
     delays.sort();
     delays.dedup();
     assert!(delays.len() > 15, "balancers call at different times");
@@ -42,7 +45,7 @@
 /// Guards the deadline for changes, which does not depend on the poll interval: 6 s after a watch fell silent, of which
 /// 4.2 s have passed when that is noticed. Formerly the delay grew with the poll interval.
 #[test]
-fn a_lost_watch_is_reopened_in_time_with_any_poll_interval() {
+fn lost_watch_is_reopened_in_time_at_any_poll_interval() {
     for poll_interval_ms in [1_000, 10_000, 120_000] {
         for _ in 0..20 {
             let mut settings = default_settings();
@@ -51,13 +54,13 @@
             let mut host = Host::new(settings, endpoint_entries(1));
             host.apply_list(ListKind::Full, endpoint_entries(1));
             let actions = host.discovery_failed();
-            let again = set_timers(&actions)
+            let retry_delay = requested_timers(&actions)
                 .iter()
                 .map(|(at, _)| at.since(host.now))
                 .min();
             assert!(
-                again.is_some_and(|again| again < ms(1_000)),
-                "{poll_interval_ms} ms: {again:?}"
+                retry_delay.is_some_and(|delay| delay < ms(1_000)),
+                "{poll_interval_ms} ms: {retry_delay:?}"
             );
         }
     }
@@ -67,17 +70,17 @@
 /// call begins early enough for its answer to be in force 6 s after the previous call began, as discovery may have
 /// recovered just then. Formerly the delay doubled up to 12 s with a long poll interval.
 #[test]
-fn repeated_failures_do_not_delay_the_next_call_past_the_change_deadline() {
-    let answer_time = ms(1_000);
+fn repeated_failures_do_not_delay_retries_too_long() {
+    let discovery_answer_time = ms(1_000);
     for poll_interval_ms in [1_000, 4_500, 10_000, 120_000] {
-        for took in [Duration::ZERO, ms(1_000), DISCOVERY_TIMEOUT] {
+        for call_duration in [Duration::ZERO, ms(1_000), DISCOVERY_TIMEOUT] {
             let mut settings = default_settings();
             (settings.discovery, settings.rules.poll_interval) =
                 (DiscoveryMode::OnRequest, ms(poll_interval_ms));
             let mut host = Host::new(settings, endpoint_entries(1));
             let mut actions = host.discovery_failed();
-            for failed in 1..50 {
-                let (call_begins, token) = *set_timers(&actions)
+            for failure_count in 1..50 {
+                let (call_begins, token) = *requested_timers(&actions)
                     .last()
                     .expect("a timer for the next call");
                 host.now = call_begins;
@@ -85,16 +88,16 @@
                     host.handle(Event::Timer { token })
                         .contains(&Action::Subscribe)
                 );
-                host.now = call_begins + took;
+                host.now = call_begins + call_duration;
                 actions = host.discovery_failed();
-                let (again, _) = *set_timers(&actions)
+                let (retry_begins, _) = *requested_timers(&actions)
                     .last()
                     .expect("a timer for the next call");
-                let since = again.since(call_begins);
-                let in_time = since + answer_time <= CHANGE_PROPAGATION_DEADLINE;
+                let call_interval = retry_begins.since(call_begins);
+                let in_time = call_interval + discovery_answer_time <= CHANGE_PROPAGATION_DEADLINE;
                 assert!(
                     in_time,
-                    "{poll_interval_ms} ms, {took:?} a call, {failed} failed: {since:?}"
+                    "{poll_interval_ms} ms, {call_duration:?} a call, {failure_count} failed: {call_interval:?}"
                 );
             }
         }
@@ -104,22 +107,22 @@
 /// Guards the same deadline where the host makes the failing call by itself, as on a reload, while the balancer's own
 /// call is still due: that call is not made, and does not count as the beginning of the other.
 #[test]
-fn a_failed_call_of_the_host_does_not_delay_the_next_call_past_the_change_deadline() {
+fn failed_host_call_does_not_postpone_the_retry() {
     for seed in 0..50 {
         let settings = Settings {
             discovery: DiscoveryMode::OnRequest,
             ..default_settings()
         };
         let mut balancer = Balancer::new(settings, seed).expect("valid settings");
-        let failed = || Event::DiscoveryFailed;
+        let failure = || Event::DiscoveryFailed;
         let mut actions = Vec::new();
-        (0..6).for_each(|_| balancer.handle(at(0), failed(), &mut actions));
+        (0..6).for_each(|_| balancer.handle(at(0), failure(), &mut actions));
         let call_begins = at(0);
         let call_fails = call_begins + DISCOVERY_TIMEOUT;
         let (mut now, mut has_failed) = (call_begins, false);
         // The timers in order, and between them the failure of the host's call.
         while !(has_failed && actions.contains(&Action::Subscribe)) {
-            let next = set_timers(&actions)
+            let next = requested_timers(&actions)
                 .into_iter()
                 .filter(|(at, _)| *at > now)
                 .min();
@@ -131,23 +134,23 @@
                 }
                 None => {
                     (now, has_failed) = (call_fails, true);
-                    balancer.handle(now, failed(), &mut actions);
+                    balancer.handle(now, failure(), &mut actions);
                 }
             }
         }
-        let since = now.since(call_begins);
+        let call_interval = now.since(call_begins);
         assert!(
-            since + ms(1_000) <= CHANGE_PROPAGATION_DEADLINE,
-            "seed {seed}: {since:?}"
+            call_interval + ms(1_000) <= CHANGE_PROPAGATION_DEADLINE,
+            "seed {seed}: {call_interval:?}"
         );
     }
 }
 
 /// How long a rejected call waits at a crowded discovery.
-const WAIT_OF_REJECTED_CALL: Duration = Duration::from_secs(1);
+const REJECTION_DELAY: Duration = Duration::from_secs(1);
 
 /// A host whose list was confirmed and whose watch is lost, with the actions that followed.
-fn host_that_lost_its_watch(seed: u64) -> (Host, Vec<Action>) {
+fn host_with_lost_watch(seed: u64) -> (Host, Vec<Action>) {
     let settings = Settings {
         discovery: DiscoveryMode::OnRequest,
         ..default_settings()
@@ -161,11 +164,11 @@
 
 /// Waits for the next call and returns the time until it begins.
 fn wait_for_call(host: &mut Host, actions: &[Action]) -> Duration {
-    let (begins_at, token) = *set_timers(actions)
+    let (call_begins, token) = *requested_timers(actions)
         .last()
         .expect("a timer for the next call");
-    let delay = begins_at.since(host.now);
-    host.now = begins_at;
+    let delay = call_begins.since(host.now);
+    host.now = call_begins;
     let actions = host.handle(Event::Timer { token });
     assert!(actions.contains(&Action::Subscribe));
     delay
@@ -173,16 +176,16 @@
 
 /// Has the outstanding call rejected, and returns the actions.
 fn reject_call(host: &mut Host) -> Vec<Action> {
-    host.now = host.now + WAIT_OF_REJECTED_CALL;
+    host.now = host.now + REJECTION_DELAY;
     host.handle(Event::DiscoveryRejected)
 }
 
 /// Guards the balancers that a crowded discovery has not served yet: one that took long to become current leaves it to them
 /// for a while when its watch is lost again, but keeps more than half of the time in which it has to be current.
 #[test]
-fn lost_watch_is_reopened_later_after_a_slow_catch_up() {
+fn lost_watch_is_reopened_later_after_slow_catch_up() {
     for seed in 0..50 {
-        let (mut host, mut actions) = host_that_lost_its_watch(seed);
+        let (mut host, mut actions) = host_with_lost_watch(seed);
         let after_quick_catch_up = wait_for_call(&mut host, &actions);
         for _ in 0..5 {
             actions = reject_call(&mut host);
@@ -210,28 +213,28 @@
 /// Guards a crowded discovery: a rejection costs it as much as an answer, so the delays after
 /// rejected calls grow, however old the list is. When the delays shrank with the age of the list, 300 sidecars kept it from serving any of them.
 #[test]
-fn delays_after_rejected_calls_do_not_shrink_with_the_age_of_the_list() {
+fn retry_delays_do_not_shrink_with_list_age() {
     const SEEDS: u64 = 50;
-    let mut total_of_delays = [Duration::ZERO; 10];
+    let mut total_delays = [Duration::ZERO; 10];
     for seed in 0..SEEDS {
-        let (mut host, mut actions) = host_that_lost_its_watch(seed);
+        let (mut host, mut actions) = host_with_lost_watch(seed);
         wait_for_call(&mut host, &actions);
-        for total in &mut total_of_delays {
+        for total in &mut total_delays {
             actions = reject_call(&mut host);
             *total += wait_for_call(&mut host, &actions);
         }
     }
-    let [first, later @ ..] = total_of_delays;
-    let do_not_shrink = later.iter().all(|total| *total > first);
-    assert!(do_not_shrink, "{total_of_delays:?}");
+    let [first, later @ ..] = total_delays;
+    let all_exceed_first = later.iter().all(|total| *total > first);
+    assert!(all_exceed_first, "{total_delays:?}");
 }
 
 /// Guards a watch that was silent before it was lost: most of the time in which a change has to be in force has passed, and it
 /// is reopened without yielding to others.
 #[test]
-fn silent_watch_is_reopened_soon_after_a_slow_catch_up() {
+fn silent_watch_is_reopened_soon_after_slow_catch_up() {
     for seed in 0..50 {
-        let (mut host, mut actions) = host_that_lost_its_watch(seed);
+        let (mut host, mut actions) = host_with_lost_watch(seed);
         wait_for_call(&mut host, &actions);
         for _ in 0..5 {
             actions = reject_call(&mut host);
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -4,13 +4,13 @@
 use balancer_sidecar::policy::*;
 
 /// Serves requests without load reports, ends each health check with an outcome, and returns the checked endpoints.
-fn serve_and_answer(
+fn serve_without_load_reports(
     host: &mut Host,
     requests: usize,
     outcome: Outcome,
     queue_length: Option<f64>,
 ) -> Vec<EndpointId> {
-    let mut all = Vec::new();
+    let mut checked = Vec::new();
     for _ in 0..requests {
         host.now = host.now + ms(25);
         let (id, actions) = host.request(1);
@@ -27,7 +27,7 @@
         }
         host.handle(Event::ClientDisconnected { request: id });
         for endpoint in checked_endpoints(&actions) {
-            all.push(endpoint.clone());
+            checked.push(endpoint.clone());
             let report = queue_length.map(|d| LoadReport {
                 queue_length: Some(d),
                 ..LoadReport::default()
@@ -40,17 +40,17 @@
             });
         }
     }
-    all
+    checked
 }
 
 #[test]
-fn health_checks_are_sent_where_answers_carry_no_load_report() {
+fn health_checks_replace_missing_load_reports() {
     let mut host = host_with_health_checks(0.01);
-    let checked = serve_and_answer(&mut host, 400, Outcome::Served, Some(0.0));
-    let each: std::collections::BTreeSet<_> = checked.iter().collect();
+    let checked = serve_without_load_reports(&mut host, 400, Outcome::Served, Some(0.0));
+    let distinct: std::collections::BTreeSet<_> = checked.iter().collect();
     assert!(
-        each.len() == 4,
-        "all of a small tier are checked, not {each:?}"
+        distinct.len() == 4,
+        "all of a small tier are checked, not {distinct:?}"
     );
     assert!(
         checked.len() <= 400,
@@ -68,14 +68,14 @@
         (Outcome::TimedOut, None),
     ] {
         let mut host = host_with_health_checks(0.01);
-        serve_and_answer(&mut host, 400, outcome, queue_length);
+        serve_without_load_reports(&mut host, 400, outcome, queue_length);
         assert!(
             !is_sent_at_once(&mut host, 0),
             "{outcome:?} {queue_length:?}"
         );
     }
     let mut host = host_with_health_checks(0.01);
-    serve_and_answer(&mut host, 400, Outcome::Reset, None);
+    serve_without_load_reports(&mut host, 400, Outcome::Reset, None);
     assert!(
         is_sent_at_once(&mut host, 0),
         "a broken health check shows no queue"
@@ -83,8 +83,9 @@
 }
 
 #[test]
-fn health_checks_are_few_where_costly_and_none_where_needless_or_forbidden() {
-    let count = |host: &mut Host| serve_and_answer(host, 400, Outcome::Served, Some(0.0)).len();
+fn health_check_rate_depends_on_price_and_settings() {
+    let count =
+        |host: &mut Host| serve_without_load_reports(host, 400, Outcome::Served, Some(0.0)).len();
     let (cheap, costly) = (
         count(&mut host_with_health_checks(0.001)),
         count(&mut host_with_health_checks(1.0)),
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -31,7 +31,7 @@
 
 /// Returns settings with one class of each idempotency.
 pub fn default_settings() -> Settings {
-    let keyed_request = |scope| Idempotency::Keyed {
+    let keyed = |scope| Idempotency::Keyed {
         scope,
         window: ms(300),
     };
@@ -47,9 +47,9 @@
         classes: vec![
             class("safe", 1.0, Idempotency::Idempotent),
             class("unsafe", 3.0, Idempotency::Unsafe),
-            class("keyed-all", 2.0, keyed_request(KeyScope::All)),
-            class("keyed-zone", 2.0, keyed_request(KeyScope::Zone)),
-            class("keyed-cell", 2.0, keyed_request(KeyScope::Group)),
+            class("keyed-all", 2.0, keyed(KeyScope::All)),
+            class("keyed-zone", 2.0, keyed(KeyScope::Zone)),
+            class("keyed-cell", 2.0, keyed(KeyScope::Group)),
         ],
         tenants: Vec::new(),
         over_share_value: 0.0,
@@ -188,12 +188,12 @@
     }
 
     /// Ends an attempt after `took` milliseconds, with a load report of a queue length.
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: &RequestId,
         attempt: usize,
         outcome: Outcome,
-        took: u64,
+        took_ms: u64,
         queue_length: f64,
     ) -> Vec<Action> {
         let report = Some(LoadReport {
@@ -204,21 +204,21 @@
             request: id.clone(),
             attempt,
             outcome,
-            took: ms(took),
+            took: ms(took_ms),
             request_ended: outcome == Outcome::Served,
             report,
         }))
     }
 
     /// Sends requests of the unsafe class, 10 ms apart, each served with a load report of this queue length.
-    pub fn serve_requests(&mut self, rounds: usize, queue_length: f64) {
-        for _ in 0..rounds {
+    pub fn serve_requests(&mut self, requests: usize, queue_length: f64) {
+        for _ in 0..requests {
             let (id, actions) = self.request(1);
             self.now = self.now + ms(10);
             if send_targets(&actions).is_empty() {
                 continue;
             }
-            self.end(&id, 0, Outcome::Served, 10, queue_length);
+            self.end_attempt(&id, 0, Outcome::Served, 10, queue_length);
         }
     }
 }
@@ -251,7 +251,7 @@
 }
 
 /// Returns the timers that are set, with their tokens.
-pub fn set_timers(actions: &[Action]) -> Vec<(Timestamp, u64)> {
+pub fn requested_timers(actions: &[Action]) -> Vec<(Timestamp, u64)> {
     let timer = |action: &Action| match action {
         Action::SetTimer { at, token } => Some((*at, *token)),
         _ => None,
@@ -260,7 +260,7 @@
 }
 
 /// Returns how many final answers a request is given.
-pub fn final_answers(actions: &[Action], id: &RequestId) -> usize {
+pub fn count_final_answers(actions: &[Action], id: &RequestId) -> usize {
     let is_final_answer = |a: &&Action| matches!(a, Action::Reject { request, .. } | Action::Fail { request } if request == id);
     actions.iter().filter(is_final_answer).count()
 }
@@ -275,13 +275,13 @@
 /// Returns whether a request of a class is sent at once; ends it without an effect.
 pub fn is_sent_at_once(host: &mut Host, class: usize) -> bool {
     let (id, actions) = host.request(class);
-    let sent_requests = send_targets(&actions).len() == 1;
-    if sent_requests {
+    let is_sent = send_targets(&actions).len() == 1;
+    if is_sent {
         // This outcome shows nothing of the endpoint.
-        host.end(&id, 0, Outcome::NotSent, 0, 0.0);
+        host.end_attempt(&id, 0, Outcome::NotSent, 0, 0.0);
     }
     host.handle(Event::ClientDisconnected { request: id });
-    sent_requests
+    is_sent
 }
 
 /// Returns a host whose endpoints report their load in answers to health checks alone, which have this price.
@@ -311,7 +311,7 @@
         let to = send_targets(&actions);
         count += to.iter().filter(|e| **e == endpoint.into()).count();
         if !to.is_empty() {
-            host.end(&id, 0, Outcome::Served, 10, 0.0);
+            host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         }
     }
     count
--- a/tests/policy/robust.rs
+++ b/tests/policy/invalid_input.rs
@@ -6,7 +6,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 use std::time::Duration;
 
-fn duration() -> impl Strategy<Value = Duration> {
+fn any_duration() -> impl Strategy<Value = Duration> {
     prop_oneof![
         Just(Duration::ZERO),
         Just(Duration::from_nanos(1)),
@@ -15,7 +15,7 @@
     ]
 }
 
-fn timestamp() -> impl Strategy<Value = Timestamp> {
+fn any_timestamp() -> impl Strategy<Value = Timestamp> {
     prop_oneof![
         Just(Timestamp::default()),
         Just(Timestamp::from_nanos(u64::MAX)),
@@ -23,7 +23,7 @@
     ]
 }
 
-fn number() -> impl Strategy<Value = f64> {
+fn any_number() -> impl Strategy<Value = f64> {
     prop_oneof![
         Just(f64::NAN),
         Just(f64::INFINITY),
@@ -34,12 +34,12 @@
     ]
 }
 
-fn name(prefix: &'static str) -> impl Strategy<Value = String> {
+fn numbered_name(prefix: &'static str) -> impl Strategy<Value = String> {
     (0..6u8).prop_map(move |number| format!("{prefix}{number}"))
 }
 
-fn report() -> impl Strategy<Value = Option<LoadReport>> {
-    prop::option::of((number(), number(), number())).prop_map(|values| {
+fn any_report() -> impl Strategy<Value = Option<LoadReport>> {
+    prop::option::of((any_number(), any_number(), any_number())).prop_map(|values| {
         values.map(|(queue_length, in_flight, utilisation)| LoadReport {
             queue_length: Some(queue_length),
             in_flight: Some(in_flight),
@@ -49,7 +49,7 @@
     })
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn any_event() -> impl Strategy<Value = Event> {
     let kind = prop_oneof![
         Just(ListKind::Full),
         Just(ListKind::Cached),
@@ -61,10 +61,10 @@
         Just(Readiness::Removed)
     ];
     let entry = (
-        name("e"),
+        numbered_name("e"),
         readiness,
-        number(),
-        prop::option::of(timestamp()),
+        any_number(),
+        prop::option::of(any_timestamp()),
     )
         .prop_map(|(name, readiness, size, started_at)| EndpointEntry {
             readiness,
@@ -86,12 +86,12 @@
         ][index]
     });
     let request = (
-        name("r"),
+        numbered_name("r"),
         0..9usize,
         prop::option::of(0..3usize),
-        prop::option::of(name("k")),
-        timestamp(),
-        duration(),
+        prop::option::of(numbered_name("k")),
+        any_timestamp(),
+        any_duration(),
     );
     prop_oneof![
         2 => (kind, prop::collection::vec(entry, 0..5))
@@ -106,20 +106,20 @@
             client_retry: false,
             write: false,
         })),
-        6 => (name("r"), 0..4usize, outcome, duration(), any::<bool>(), report()).prop_map(
+        6 => (numbered_name("r"), 0..4usize, outcome, any_duration(), any::<bool>(), any_report()).prop_map(
             |(id, attempt, outcome, took, request_ended, report)| Event::AttemptEnded(AttemptEnd {
                 request: id.as_str().into(), attempt, outcome, took, request_ended, report,
             })
         ),
-        1 => (name("r"), 0..4usize)
+        1 => (numbered_name("r"), 0..4usize)
             .prop_map(|(id, attempt)| Event::StreamStarted { request: id.as_str().into(), attempt }),
-        1 => name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
+        1 => numbered_name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
         1 => any::<u64>().prop_map(|token| Event::Timer { token }),
-        1 => (name("e"), duration(), report()).prop_map(|(name, took, report)| Event::HealthCheckEnded {
+        1 => (numbered_name("e"), any_duration(), any_report()).prop_map(|(name, took, report)| Event::HealthCheckEnded {
             endpoint: name.as_str().into(), outcome: Outcome::Served, took, report,
         }),
         1 => Just(Event::PeerMessage { from: PeerId(99), data: vec![1] }),
-        1 => (name("e"), any::<bool>())
+        1 => (numbered_name("e"), any::<bool>())
             .prop_map(|(name, is_disabled)| {
                 let endpoint = name.as_str().into();
                 if is_disabled { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) }
@@ -129,7 +129,7 @@
         1 => Just(Event::DiscoveryLate),
         1 => Just(Event::ListConfirmed),
         1 => any::<u64>().prop_map(|nanos| Event::ListUnconfirmed { since: Timestamp::from_nanos(nanos) }),
-        1 => name("e").prop_map(|name| Event::ProcessEnded { endpoint: name.as_str().into() }),
+        1 => numbered_name("e").prop_map(|name| Event::ProcessEnded { endpoint: name.as_str().into() }),
     ]
 }
 
@@ -145,10 +145,10 @@
     },
 }
 
-fn input() -> impl Strategy<Value = Input> {
+fn any_input() -> impl Strategy<Value = Input> {
     let settings = (1..6usize, 0.5..20.0f64, 0..3usize);
     prop_oneof![
-        9 => event().prop_map(Input::Event),
+        9 => any_event().prop_map(Input::Event),
         1 => settings.prop_map(|(classes, priority_weight, tenants)| Input::Settings { classes, priority_weight, tenants }),
     ]
 }
@@ -164,14 +164,14 @@
 }
 
 #[test]
-fn no_event_makes_the_module_panic() {
+fn random_events_do_not_panic() {
     let mut config = Config::with_cases(600);
     config.rng_algorithm = RngAlgorithm::ChaCha;
     config.rng_seed = RngSeed::Fixed(20_261_128);
     config.failure_persistence = None;
     let input = (
         any::<u64>(),
-        prop::collection::vec((timestamp(), input()), 1..80),
+        prop::collection::vec((any_timestamp(), any_input()), 1..80),
     );
     TestRunner::new(config)
         .run(&input, |(seed, inputs)| {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn unknown_ids_change_nothing() {
+fn unknown_ids_are_ignored() {
     let mut host = Host::new(default_settings(), endpoint_entries(2));
     let (id, _) = host.request(0);
     let unknown = |class, tenant| Request {
@@ -257,17 +257,17 @@
         let description = format!("{event:?}");
         assert_eq!(host.handle(event), [], "{description}");
     }
-    host.end(&id, 9, Outcome::Served, 5, 0.0);
-    let actions = host.end(&id, 0, Outcome::ConnectFailed, 5, 0.0);
+    host.end_attempt(&id, 9, Outcome::Served, 5, 0.0);
+    let actions = host.end_attempt(&id, 0, Outcome::ConnectFailed, 5, 0.0);
     assert_eq!(
-        send_targets(&actions).len() + final_answers(&actions, &id),
+        send_targets(&actions).len() + count_final_answers(&actions, &id),
         1,
         "it is still pending"
     );
 }
 
 #[test]
-fn invalid_settings_are_rejected_by_name() {
+fn invalid_settings_error_names_the_field() {
     type Change = fn(&mut Settings);
     let cases: [(&str, Change); 12] = [
         ("balancers", |s| s.balancers = 0),
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn requests_of_one_key_are_sent_in_order_over_classes_and_delay_no_others() {
+fn key_order_spans_classes_and_delays_no_other_keys() {
     let mut host = host_with_key_order();
     let (first, actions) = host.keyed_request(1, "k");
     assert_eq!(sent_requests(&actions).len(), 1);
@@ -41,17 +41,17 @@
     );
     host.now = host.now + ms(20);
     assert_eq!(
-        sent_requests(&host.end(&first, 0, Outcome::Served, 20, 0.0)),
+        sent_requests(&host.end_attempt(&first, 0, Outcome::Served, 20, 0.0)),
         std::slice::from_ref(&second)
     );
     assert_eq!(
-        sent_requests(&host.end(&second, 0, Outcome::Served, 20, 0.0)),
+        sent_requests(&host.end_attempt(&second, 0, Outcome::Served, 20, 0.0)),
         [third]
     );
 }
 
 #[test]
-fn a_key_cools_down_after_an_attempt_that_may_still_run() {
+fn key_cools_down_after_attempt_that_may_still_run() {
     for (outcome, cools_down) in [
         (Outcome::TimedOut, true),
         (Outcome::Reset, true),
@@ -62,9 +62,9 @@
         let (first, _) = host.keyed_request(1, "k");
         let (second, _) = host.keyed_request(1, "k");
         host.now = host.now + ms(20);
-        let actions = host.end(&first, 0, outcome, 20, 0.0);
+        let actions = host.end_attempt(&first, 0, outcome, 20, 0.0);
         assert_eq!(
-            final_answers(&actions, &first),
+            count_final_answers(&actions, &first),
             1,
             "unsafe: {outcome:?} ends it"
         );
@@ -73,7 +73,7 @@
             cools_down,
             "{outcome:?}"
         );
-        let (expires_at, token) = set_timers(&actions)
+        let (expires_at, token) = requested_timers(&actions)
             .last()
             .copied()
             .unwrap_or((host.now, 0));
@@ -98,26 +98,26 @@
 }
 
 #[test]
-fn a_retry_of_the_first_request_of_a_key_needs_no_cool_down() {
+fn retries_skip_the_key_cooldown() {
     let mut host = host_with_key_order();
     host.serve_requests(60, 0.0); // earns the retry
     let (first, _) = host.keyed_request(3, "k");
     let (second, _) = host.keyed_request(3, "k");
     host.now = host.now + ms(20);
     assert_eq!(
-        sent_requests(&host.end(&first, 0, Outcome::Reset, 20, 0.0)),
+        sent_requests(&host.end_attempt(&first, 0, Outcome::Reset, 20, 0.0)),
         std::slice::from_ref(&first)
     );
     host.now = host.now + ms(60);
     assert_eq!(
-        sent_requests(&host.end(&first, 1, Outcome::Served, 20, 0.0)),
+        sent_requests(&host.end_attempt(&first, 1, Outcome::Served, 20, 0.0)),
         [second],
         "the cool-down has ended by now"
     );
 }
 
 #[test]
-fn an_answered_request_with_an_attempt_in_flight_still_delays_its_key() {
+fn attempt_in_flight_delays_its_key_after_disconnect() {
     let mut host = host_with_key_order();
     let (first, _) = host.keyed_request(1, "k");
     let (second, _) = host.keyed_request(1, "k");
@@ -134,24 +134,31 @@
     host.handle(Event::ClientDisconnected { request: second });
     host.now = host.now + ms(20);
     assert_eq!(
-        sent_requests(&host.end(&first, 0, Outcome::Served, 20, 0.0)),
+        sent_requests(&host.end_attempt(&first, 0, Outcome::Served, 20, 0.0)),
         [third]
     );
 }
 
 #[test]
-fn a_request_that_waits_for_its_key_is_rejected_in_time() {
+fn request_waiting_for_its_key_is_rejected_in_time() {
     let mut host = host_with_key_order();
     let (first, actions) = host.keyed_request(1, "k");
-    let (second, more) = host.keyed_request(1, "k");
-    let (mut due, mut answers) = ([set_timers(&actions), set_timers(&more)].concat(), 0);
-    while let Some((at, token)) = due.pop() {
+    let (second, second_actions) = host.keyed_request(1, "k");
+    let (mut timers, mut answer_count) = (
+        [
+            requested_timers(&actions),
+            requested_timers(&second_actions),
+        ]
+        .concat(),
+        0,
+    );
+    while let Some((at, token)) = timers.pop() {
         host.now = host.now.max(at);
         let actions = host.handle(Event::Timer { token });
-        answers += final_answers(&actions, &second);
-        assert_eq!(final_answers(&actions, &first), 0);
-        due.extend(set_timers(&actions));
+        answer_count += count_final_answers(&actions, &second);
+        assert_eq!(count_final_answers(&actions, &first), 0);
+        timers.extend(requested_timers(&actions));
     }
-    assert_eq!(answers, 1);
+    assert_eq!(answer_count, 1);
     assert!(host.now <= at(1001), "before its objective has passed");
 }
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -4,7 +4,7 @@
 use balancer_sidecar::policy::*;
 
 #[test]
-fn a_draining_removed_or_missing_endpoint_is_sent_nothing_new() {
+fn draining_and_unlisted_endpoints_get_no_requests() {
     let with_readiness = |readiness| EndpointEntry {
         readiness,
         ..endpoint_entry("e0", "a", 0)
@@ -19,22 +19,28 @@
         assert_eq!(send_targets(&actions).len(), 1);
         host.apply_list(kind, entries);
         // The retry of the attempt in flight, and all later requests.
-        let mut to = send_targets(&host.end(&id, 0, Outcome::NotSent, 5, 0.0));
+        let mut targets = send_targets(&host.end_attempt(&id, 0, Outcome::NotSent, 5, 0.0));
         for _ in 0..20 {
             host.now = host.now + ms(100);
             let (id, actions) = host.request(0);
-            to.extend(send_targets(&actions));
-            to.extend(send_targets(&host.end(&id, 0, Outcome::Served, 20, 0.0)));
+            targets.extend(send_targets(&actions));
+            targets.extend(send_targets(&host.end_attempt(
+                &id,
+                0,
+                Outcome::Served,
+                20,
+                0.0,
+            )));
         }
         assert!(
-            to.len() > 5 && to.iter().all(|e| *e == EndpointId::from("e1")),
-            "{kind:?} {to:?}"
+            targets.len() > 5 && targets.iter().all(|e| *e == EndpointId::from("e1")),
+            "{kind:?} {targets:?}"
         );
     }
 }
 
 #[test]
-fn idle_connections_to_a_draining_endpoint_are_closed() {
+fn idle_connections_to_draining_endpoints_are_closed() {
     let mut settings = default_settings();
     settings.rules.drain_close = Some(ms(500));
     let mut host = Host::new(settings, endpoint_entries(1));
@@ -58,7 +64,7 @@
     );
     host.now = host.now + ms(700);
     assert_eq!(
-        closed_endpoints(&host.end(&id, 0, Outcome::Served, 700, 0.0)),
+        closed_endpoints(&host.end_attempt(&id, 0, Outcome::Served, 700, 0.0)),
         std::slice::from_ref(&e0),
         "after the end of its attempt"
     );
@@ -69,7 +75,7 @@
     host.apply_list(ListKind::Changes, with_readiness(Readiness::Draining));
     host.apply_list(ListKind::Full, Vec::new());
     assert_eq!(
-        closed_endpoints(&host.end(&id, 0, Outcome::Reset, 1, 0.0)),
+        closed_endpoints(&host.end_attempt(&id, 0, Outcome::Reset, 1, 0.0)),
         [e0]
     );
     // Once it is serving again, nothing is closed.
@@ -78,7 +84,7 @@
     let (id, actions) = host.request(1);
     assert_eq!(send_targets(&actions).len(), 1);
     assert_eq!(
-        closed_endpoints(&host.end(&id, 0, Outcome::Served, 5, 0.0)),
+        closed_endpoints(&host.end_attempt(&id, 0, Outcome::Served, 5, 0.0)),
         []
     );
     // Without a limit on idle connections, the host decides.
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -13,7 +13,7 @@
 
 /// Guards disabling against later lists: it lasts until the endpoint is enabled, once, and affects no other endpoint.
 #[test]
-fn a_disabled_endpoint_is_sent_nothing_whatever_lists_say() {
+fn disabled_endpoint_gets_no_requests() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
     assert!(count_sent_to(&mut host, "e1", 60) > 0);
     assert_eq!(
@@ -57,30 +57,30 @@
 
 /// Guards queued requests and retries: neither is sent to an endpoint that was disabled in the meantime.
 #[test]
-fn queued_requests_and_retries_are_not_sent_to_a_disabled_endpoint() {
+fn disabled_endpoint_gets_no_queued_requests_or_retries() {
     let mut host = Host::new(default_settings(), endpoint_entries(2));
     assert!(count_sent_to(&mut host, "e0", 20) > 0);
     disable(&mut host, "e1");
     let (id, actions) = host.request(0);
     assert_eq!(send_targets(&actions), ["e0".into()]);
     assert!(
-        send_targets(&host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0)).is_empty(),
+        send_targets(&host.end_attempt(&id, 0, Outcome::ConnectFailed, 1, 0.0)).is_empty(),
         "no retry at e1"
     );
     disable(&mut host, "e0");
     let (_, actions) = host.request(0);
     assert!(send_targets(&actions).is_empty(), "queued");
-    let mut actions_after = enable(&mut host, "e0");
+    let mut actions_after_enabling = enable(&mut host, "e0");
     for _ in 0..20 {
         host.now = host.now + ms(10);
-        actions_after.extend(host.handle(Event::Timer { token: 0 }));
+        actions_after_enabling.extend(host.handle(Event::Timer { token: 0 }));
     }
     assert!(
-        !send_targets(&actions_after).is_empty(),
+        !send_targets(&actions_after_enabling).is_empty(),
         "it is sent once an endpoint is enabled"
     );
     assert!(
-        send_targets(&actions_after)
+        send_targets(&actions_after_enabling)
             .iter()
             .all(|e| *e == "e0".into())
     );
@@ -88,7 +88,7 @@
 
 /// Guards health checks: none is sent to a disabled endpoint.
 #[test]
-fn a_disabled_endpoint_is_sent_no_health_checks() {
+fn disabled_endpoint_gets_no_health_checks() {
     let mut host = host_with_health_checks(0.0);
     disable(&mut host, "e1");
     let mut checked = Vec::new();
@@ -97,7 +97,7 @@
         let (id, actions) = host.request(0);
         checked.extend(checked_endpoints(&actions));
         if !send_targets(&actions).is_empty() {
-            checked.extend(checked_endpoints(&host.end(
+            checked.extend(checked_endpoints(&host.end_attempt(
                 &id,
                 0,
                 Outcome::Served,
@@ -115,23 +115,23 @@
 /// Guards an enabled endpoint: it counts as warming up although the list has an old start time, and its first request
 /// is sent soon, as the operators look for it.
 #[test]
-fn an_enabled_endpoint_warms_up_and_is_used_soon() {
+fn enabled_endpoint_warms_up_and_is_used_soon() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
-    let while_warm = count_sent_to(&mut host, "e1", 200);
+    let count_while_warm = count_sent_to(&mut host, "e1", 200);
     disable(&mut host, "e1");
     count_sent_to(&mut host, "e1", 20);
     enable(&mut host, "e1");
     assert!(count_sent_to(&mut host, "e1", 20) > 0, "soon");
-    let after = count_sent_to(&mut host, "e1", 200);
+    let count_after_enabling = count_sent_to(&mut host, "e1", 200);
     assert!(
-        after > 0 && after * 3 < while_warm * 2,
-        "{after} of 200, {while_warm} when it was warm"
+        count_after_enabling > 0 && count_after_enabling * 3 < count_while_warm * 2,
+        "{count_after_enabling} of 200, {count_while_warm} when it was warm"
     );
     host.apply_list(ListKind::Full, endpoint_entries(4));
-    let later = count_sent_to(&mut host, "e1", 200);
+    let count_after_list = count_sent_to(&mut host, "e1", 200);
     assert!(
-        later * 5 < while_warm * 6,
-        "an old list does not make it warm: {later}, {while_warm}"
+        count_after_list * 5 < count_while_warm * 6,
+        "an old list does not make it warm: {count_after_list}, {count_while_warm}"
     );
     // An endpoint that is not listed when it is enabled is used once it is listed.
     let mut host = Host::new(default_settings(), endpoint_entries(4));
@@ -157,7 +157,7 @@
 /// Guards the first request after enabling, at a balancer with so few requests that it always picks the fastest
 /// endpoint.
 #[test]
-fn an_enabled_endpoint_is_used_beside_a_faster_one() {
+fn enabled_endpoint_is_used_beside_a_faster_one() {
     let mut host = Host::new(default_settings(), endpoint_entries(2));
     for _ in 0..100 {
         host.now = host.now + ms(20);
@@ -168,7 +168,7 @@
         } else {
             10
         };
-        host.end(&id, 0, Outcome::Served, took, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, took, 0.0);
     }
     disable(&mut host, "e1");
     enable(&mut host, "e1");
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -9,7 +9,7 @@
         host.now = host.now + ms(50);
         let (id, actions) = host.request(1);
         if send_targets(&actions).len() == 1 {
-            host.end(&id, 0, Outcome::Served, 50, queue_length);
+            host.end_attempt(&id, 0, Outcome::Served, 50, queue_length);
             return;
         }
         host.handle(Event::ClientDisconnected { request: id });
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_expired_state_is_replaced_by_the_mean_of_the_tier() {
+fn expired_state_falls_back_to_the_tier_mean() {
     let mut host = Host::new(two_level_settings(), endpoint_entries(1));
     host.serve_requests(40, 0.0);
     report_queue_length(&mut host, 0.9);
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn a_balancer_with_few_requests_picks_the_shortest_reported_queue() {
+fn low_arrival_rate_picks_the_shortest_reported_queue() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
-    let mut last = None;
+    let mut last_target = None;
     for request_number in 0..30 {
         host.now = host.now + ms(20);
         if request_number == 5 {
@@ -78,45 +78,49 @@
         } else {
             0.25
         };
-        host.end(&id, 0, Outcome::Served, 20, queue_length);
-        last = Some(to);
+        host.end_attempt(&id, 0, Outcome::Served, 20, queue_length);
+        last_target = Some(to);
     }
-    assert!(last.is_some());
+    assert!(last_target.is_some());
 }
 
 /// Returns how many of ten requests of the lowest priority are sent at once after an attempt at each of four idle
 /// endpoints ended with an outcome.
-fn lowest_priority_sent_after(outcome: Outcome) -> usize {
+fn count_lowest_priority_sent_after(outcome: Outcome) -> usize {
     let mut host = Host::new(two_level_settings(), endpoint_entries(4));
     host.serve_requests(40, 0.0);
     let in_flight: Vec<RequestId> = (0..4).map(|_| host.request(1).0).collect();
     host.now = host.now + ms(900);
     for id in in_flight {
-        host.end(&id, 0, outcome, 900, 0.0);
+        host.end_attempt(&id, 0, outcome, 900, 0.0);
         host.handle(Event::ClientDisconnected { request: id });
     }
     (0..10).filter(|_| is_sent_at_once(&mut host, 0)).count()
 }
 
 #[test]
-fn a_broken_connection_shows_nothing_of_the_queue() {
+fn broken_connections_do_not_throttle() {
     for broken in [Outcome::Reset, Outcome::ConnectFailed] {
-        assert_eq!(lowest_priority_sent_after(broken), 10, "{broken:?}");
+        assert_eq!(count_lowest_priority_sent_after(broken), 10, "{broken:?}");
     }
     for overloaded in [Outcome::Rejected, Outcome::TimedOut] {
-        assert_eq!(lowest_priority_sent_after(overloaded), 0, "{overloaded:?}");
+        assert_eq!(
+            count_lowest_priority_sent_after(overloaded),
+            0,
+            "{overloaded:?}"
+        );
     }
 }
 
 #[test]
-fn a_fully_utilised_endpoint_without_a_queue_is_throttled() {
+fn fully_utilised_endpoint_without_queue_is_throttled() {
     let mut host = Host::new(default_settings(), endpoint_entries(1));
-    let mut sent_requests = [0, 0];
-    for (utilisation, sent_requests) in [0.5, 1.0].into_iter().zip(&mut sent_requests) {
+    let mut sent_count = [0, 0];
+    for (utilisation, sent_count) in [0.5, 1.0].into_iter().zip(&mut sent_count) {
         for _ in 0..200 {
             host.now = host.now + ms(5);
             let (id, actions) = host.request(0);
-            *sent_requests += send_targets(&actions).len();
+            *sent_count += send_targets(&actions).len();
             let report = LoadReport {
                 queue_length: Some(0.0),
                 utilisation: Some(utilisation),
@@ -134,7 +138,7 @@
         }
     }
     assert!(
-        sent_requests[0] == 200 && sent_requests[1] < 100,
-        "{sent_requests:?} of 200 at half and at full utilisation"
+        sent_count[0] == 200 && sent_count[1] < 100,
+        "{sent_count:?} of 200 at half and at full utilisation"
     );
 }
--- a/tests/policy/legal.rs
+++ b/tests/policy/random_sequences.rs
@@ -3,8 +3,8 @@
 //! Rule 4 concerns all balancers together; `slow_start.rs` and `slow_start_fleet` test it.
 
 use crate::host::*;
-use crate::legal_model::Model;
-use crate::legal_step::{Step, steps};
+use crate::sequence_model::Model;
+use crate::sequence_step::{Step, steps};
 use balancer_sidecar::policy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -12,9 +12,9 @@
 /// Classes that are sent in key order.
 const KEY_ORDERED_CLASSES: [usize; 3] = [1, 3, 4];
 
-fn sequence_settings(seed: u64, parallel: bool) -> Settings {
+fn sequence_settings(seed: u64, parallel_attempts: bool) -> Settings {
     let mut settings = default_settings();
-    settings.limits.parallel_attempts = parallel;
+    settings.limits.parallel_attempts = parallel_attempts;
     (settings.rules.drain_close, settings.rules.key_cooldown) = (Some(ms(200)), Some(ms(50)));
     for class in KEY_ORDERED_CLASSES {
         settings.classes[class].is_key_ordered = true;
@@ -28,14 +28,14 @@
     settings
 }
 
-fn run_sequence(seed: u64, parallel: bool, steps: Vec<Step>) {
-    let mut model = Model::new(sequence_settings(seed, parallel), seed);
+fn run_sequence(seed: u64, parallel_attempts: bool, steps: Vec<Step>) {
+    let mut model = Model::new(sequence_settings(seed, parallel_attempts), seed);
     model.apply_cached_list();
     for step in steps {
-        model.take(step);
+        model.execute(step);
     }
-    let end = model.now + ms(4000);
-    model.run_to(end);
+    let end_time = model.now + ms(4000);
+    model.run_to(end_time);
     for (id, record) in &model.requests {
         assert!(record.is_answered, "rule 1: {id:?} was never answered");
     }
@@ -55,16 +55,16 @@
 }
 
 #[test]
-fn rules_hold_on_random_legal_sequences() {
+fn rules_hold_on_random_sequences() {
     let mut config = Config::with_cases(600);
     config.rng_algorithm = RngAlgorithm::ChaCha;
     config.rng_seed = RngSeed::Fixed(20_240_611);
     config.failure_persistence = None;
     let mut runner = TestRunner::new(config);
-    let input = (0..1000u64, any::<bool>(), steps());
+    let case_strategy = (0..1000u64, any::<bool>(), steps());
     runner
-        .run(&input, |(seed, parallel, steps)| {
-            run_sequence(seed, parallel, steps);
+        .run(&case_strategy, |(seed, parallel_attempts, steps)| {
+            run_sequence(seed, parallel_attempts, steps);
             Ok(())
         })
         .expect("the rules hold");
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -4,30 +4,30 @@
 use balancer_sidecar::policy::*;
 
 #[test]
-fn a_timer_that_expires_early_leaves_no_queued_request_unanswered() {
+fn early_timers_leave_no_queued_request_unanswered() {
     let mut host = Host::new(default_settings(), Vec::new());
     let (first, actions) = host.request(0);
     assert_eq!(
-        final_answers(&actions, &first),
+        count_final_answers(&actions, &first),
         0,
         "no endpoint takes it: queued"
     );
-    let mut timers = set_timers(&actions);
+    let mut timers = requested_timers(&actions);
     assert!(!timers.is_empty());
-    let mut answers = 0;
-    while let Some((when, token)) = timers.pop() {
+    let mut answer_count = 0;
+    while let Some((expires_at, token)) = timers.pop() {
         // Slightly early, as with a host whose clock has a coarser resolution.
-        host.now = Timestamp::from_nanos(when.as_nanos() - 405);
+        host.now = Timestamp::from_nanos(expires_at.as_nanos() - 405);
         let actions = host.handle(Event::Timer { token });
-        answers += final_answers(&actions, &first);
-        timers.extend(set_timers(&actions));
+        answer_count += count_final_answers(&actions, &first);
+        timers.extend(requested_timers(&actions));
     }
-    assert_eq!(answers, 1);
+    assert_eq!(answer_count, 1);
     assert!(host.now < at(2000), "answered in time");
 }
 
 #[test]
-fn queued_requests_are_sent_by_priority_and_the_lowest_is_shed() {
+fn highest_priority_is_sent_first_and_lowest_is_shed() {
     let mut host = Host::new(two_level_settings(), Vec::new());
     let mut low = Vec::new();
     for _ in 0..3 {
@@ -40,10 +40,10 @@
         let (_, actions) = host.request(1);
         shed.extend(
             low.iter()
-                .filter(|id| final_answers(&actions, id) == 1)
+                .filter(|id| count_final_answers(&actions, id) == 1)
                 .cloned(),
         );
-        assert_eq!(final_answers(&actions, &high), 0);
+        assert_eq!(count_final_answers(&actions, &high), 0);
     }
     assert!(
         !shed.is_empty(),
@@ -59,11 +59,11 @@
 
 /// Guards the queue limit: requests of disconnected clients no longer count towards it, also behind one that stays.
 #[test]
-fn a_queued_request_is_removed_when_its_client_disconnects() {
+fn queued_request_is_removed_when_its_client_disconnects() {
     let mut host = Host::new(default_settings(), Vec::new());
-    let (stays, actions) = host.request(0);
+    let (remaining, actions) = host.request(0);
     assert_eq!(
-        final_answers(&actions, &stays),
+        count_final_answers(&actions, &remaining),
         0,
         "no endpoint takes it: queued"
     );
@@ -71,7 +71,7 @@
         host.now = host.now + ms(100);
         let (id, actions) = host.request(0);
         assert_eq!(
-            final_answers(&actions, &id),
+            count_final_answers(&actions, &id),
             0,
             "only one other is queued: queued"
         );
@@ -87,11 +87,11 @@
         host.handle(Event::ClientDisconnected { request: id });
     }
     let actions = host.apply_list(ListKind::Changes, endpoint_entries(1));
-    assert_eq!(sent_requests(&actions), [stays]);
+    assert_eq!(sent_requests(&actions), [remaining]);
 }
 
 #[test]
-fn a_tenant_over_its_share_has_the_lowest_priority_only_under_throttling() {
+fn tenant_over_its_share_loses_priority_under_throttling() {
     let mut settings = two_level_settings();
     let tenant = |name: &str, quota_share| Tenant {
         name: name.into(),
@@ -108,7 +108,7 @@
             1,
             "over its share, but nothing is throttled"
         );
-        host.end(&id, 0, Outcome::Served, 20, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, 20, 0.0);
     }
     let mut counts = [0, 0];
     for request_number in 0..200 {
@@ -116,7 +116,7 @@
         let (id, actions) = host.request_of_tenant(1, Some(TenantId(request_number % 2)));
         if send_targets(&actions).len() == 1 {
             counts[request_number % 2] += 1;
-            host.end(&id, 0, Outcome::Served, 20, 0.6); // past the lowest onset only
+            host.end_attempt(&id, 0, Outcome::Served, 20, 0.6); // past the lowest onset only
         } else {
             host.handle(Event::ClientDisconnected { request: id });
         }
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -7,7 +7,7 @@
 fn attempts_and_answer(
     class: usize,
     outcome: Outcome,
-    elapsed: u64,
+    elapsed_ms: u64,
 ) -> (Vec<EndpointId>, Option<Action>) {
     // e0 and e1 share a group, e2 shares only their zone, e3 and e4 neither.
     let entries = vec![
@@ -21,23 +21,23 @@
     for _ in 0..60 {
         // Requests earn the retry budget.
         let (id, _) = host.request(1);
-        host.end(&id, 0, Outcome::Served, 20, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, 20, 0.0);
         host.now = host.now + ms(20);
     }
     let (id, actions) = host.request(class);
     let first = send_targets(&actions)[0].clone();
-    host.now = host.now + ms(elapsed);
-    let actions = host.end(&id, 0, outcome, elapsed, 0.0);
-    let mut to = vec![first];
-    to.extend(send_targets(&actions));
-    let last = actions
+    host.now = host.now + ms(elapsed_ms);
+    let actions = host.end_attempt(&id, 0, outcome, elapsed_ms, 0.0);
+    let mut targets = vec![first];
+    targets.extend(send_targets(&actions));
+    let final_answer = actions
         .into_iter()
         .find(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }));
-    (to, last)
+    (targets, final_answer)
 }
 
 #[test]
-fn idempotency_decides_what_may_follow_an_attempt() {
+fn idempotency_limits_retries_and_rejections() {
     let outcomes = [
         Outcome::Error,
         Outcome::Rejected,
@@ -47,7 +47,7 @@
         Outcome::Cancelled,
         Outcome::NotSent,
     ];
-    let group = |e: &EndpointId| match &*e.0 {
+    let location_of = |e: &EndpointId| match &*e.0 {
         "e0" | "e1" => ("a", 1),
         "e2" => ("a", 2),
         _ => ("b", 3),
@@ -58,67 +58,76 @@
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         assert_eq!(outcome.proves_not_run(), proves_not_run);
-        let (to, last) = attempts_and_answer(0, outcome, 100);
+        let (targets, final_answer) = attempts_and_answer(0, outcome, 100);
         assert!(
-            to.len() == 2 && last.is_none() && to[0] != to[1],
-            "safe {outcome:?} {to:?} {last:?}"
+            targets.len() == 2 && final_answer.is_none() && targets[0] != targets[1],
+            "safe {outcome:?} {targets:?} {final_answer:?}"
         );
-        let (to, last) = attempts_and_answer(1, outcome, 100);
+        let (targets, final_answer) = attempts_and_answer(1, outcome, 100);
         if proves_not_run {
-            assert!(to.len() == 2 && last.is_none(), "unsafe {outcome:?}");
+            assert!(
+                targets.len() == 2 && final_answer.is_none(),
+                "unsafe {outcome:?}"
+            );
         } else {
             assert!(
-                to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
+                targets.len() == 1 && matches!(final_answer, Some(Action::Fail { .. })),
                 "unsafe {outcome:?}"
             );
         }
-        for (class, same) in [(3, 0), (4, 1)] {
-            let (to, last) = attempts_and_answer(class, outcome, 100);
-            if let (Some(next), false) = (to.get(1), proves_not_run) {
-                let (a, b) = (group(&to[0]), group(next));
+        for (class, same_group) in [(3, 0), (4, 1)] {
+            let (targets, final_answer) = attempts_and_answer(class, outcome, 100);
+            if let (Some(next), false) = (targets.get(1), proves_not_run) {
+                let (first_location, next_location) = (location_of(&targets[0]), location_of(next));
                 assert!(
-                    a.0 == b.0 && (same == 0 || a.1 == b.1),
-                    "class {class} {outcome:?} {to:?}"
+                    first_location.0 == next_location.0
+                        && (same_group == 0 || first_location.1 == next_location.1),
+                    "class {class} {outcome:?} {targets:?}"
                 );
             }
             assert!(
-                proves_not_run || !matches!(last, Some(Action::Reject { .. })),
+                proves_not_run || !matches!(final_answer, Some(Action::Reject { .. })),
                 "class {class} {outcome:?}"
             );
             // After the window only requests that provably did not run are retried.
-            let (to, last) = attempts_and_answer(class, outcome, 400);
+            let (targets, final_answer) = attempts_and_answer(class, outcome, 400);
             assert!(
-                proves_not_run || to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
+                proves_not_run
+                    || targets.len() == 1 && matches!(final_answer, Some(Action::Fail { .. })),
                 "{class} {outcome:?}"
             );
         }
-        let (to, last) = attempts_and_answer(2, outcome, 400);
+        let (targets, final_answer) = attempts_and_answer(2, outcome, 400);
         assert!(
-            proves_not_run || to.len() == 1 && matches!(last, Some(Action::Fail { .. })),
-            "keyed-all {outcome:?} {last:?}"
+            proves_not_run
+                || targets.len() == 1 && matches!(final_answer, Some(Action::Fail { .. })),
+            "keyed-all {outcome:?} {final_answer:?}"
         );
     }
 }
 
 #[test]
-fn a_request_has_no_more_attempts_than_the_limit() {
+fn attempts_stay_within_the_limit() {
     let mut host = Host::new(default_settings(), endpoint_entries(8));
     host.serve_requests(60, 0.0);
     let (id, actions) = host.request(0);
-    let mut sent_requests = send_targets(&actions).len();
-    let mut answers = 0;
+    let mut sent_count = send_targets(&actions).len();
+    let mut answer_count = 0;
     for attempt in 0..5 {
         host.now = host.now + ms(5);
-        let actions = host.end(&id, attempt, Outcome::ConnectFailed, 5, 0.0);
-        sent_requests += send_targets(&actions).len();
-        answers += final_answers(&actions, &id);
+        let actions = host.end_attempt(&id, attempt, Outcome::ConnectFailed, 5, 0.0);
+        sent_count += send_targets(&actions).len();
+        answer_count += count_final_answers(&actions, &id);
     }
-    assert_eq!((sent_requests, answers), (3, 1));
+    assert_eq!((sent_count, answer_count), (3, 1));
 }
 
 #[test]
-fn an_attempt_times_out_when_its_answer_has_no_value() {
-    let timeout = |settings: Settings, class| match host_with(settings).request(class).1.as_slice()
+fn attempt_times_out_when_its_answer_has_no_value() {
+    let timeout = |settings: Settings, class| match host_with_settings(settings)
+        .request(class)
+        .1
+        .as_slice()
     {
         [Action::Send { timeout, .. }, ..] => *timeout,
         other => panic!("{other:?}"),
@@ -137,12 +146,12 @@
     );
 }
 
-fn host_with(settings: Settings) -> Host {
+fn host_with_settings(settings: Settings) -> Host {
     Host::new(settings, endpoint_entries(4))
 }
 
 #[test]
-fn a_rejected_client_is_given_retry_after_where_that_is_permitted() {
+fn rejections_carry_retry_after_only_if_permitted() {
     for permitted in [true, false] {
         let mut settings = default_settings();
         settings.limits.retry_after = permitted;
--- a/tests/policy/legal_model.rs
+++ b/tests/policy/sequence_model.rs
@@ -1,17 +1,19 @@
-//! The model of `legal.rs`: a record of requests, attempts and endpoints against which every action is checked.
+//! The model of `random_sequences.rs`: a record of requests, attempts and endpoints against which every action is checked.
 
 use crate::host::*;
-use crate::legal_rules::{AttemptRecord, Ending, RequestRecord, RuleCheck, group_of, zone_of};
-use crate::legal_step::{OUTCOMES, Step};
+use crate::sequence_rules::{
+    AttemptEnding, AttemptRecord, RequestRecord, RuleCheck, group_of_endpoint, zone_of_endpoint,
+};
+use crate::sequence_step::{OUTCOMES, Step};
 use balancer_sidecar::policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// The number of endpoints.
-const ENDPOINTS: usize = 6;
+const ENDPOINT_COUNT: usize = 6;
 
 /// Returns the number of an endpoint.
-fn number_of(endpoint: &EndpointId) -> usize {
+fn endpoint_index(endpoint: &EndpointId) -> usize {
     endpoint.0[1..]
         .parse()
         .expect("an endpoint that was listed")
@@ -34,7 +36,7 @@
     is_serving: Vec<bool>,
     started_at: Vec<Option<Timestamp>>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    arrivals: usize,
+    arrival_count: usize,
     timers: BTreeSet<(Timestamp, u64)>,
     connections: Vec<Connections>,
     seed: u64,
@@ -47,34 +49,34 @@
             balancer: Balancer::new(settings.clone(), seed).expect("valid settings"),
             settings,
             now: at(0),
-            is_serving: vec![true; ENDPOINTS],
-            started_at: vec![None; ENDPOINTS],
+            is_serving: vec![true; ENDPOINT_COUNT],
+            started_at: vec![None; ENDPOINT_COUNT],
             requests: BTreeMap::new(),
-            arrivals: 0,
+            arrival_count: 0,
             timers: BTreeSet::new(),
-            connections: vec![Connections::default(); ENDPOINTS],
+            connections: vec![Connections::default(); ENDPOINT_COUNT],
             seed,
         }
     }
 
     /// Carries out one step.
-    pub fn take(&mut self, step: Step) {
+    pub fn execute(&mut self, step: Step) {
         match step {
             Step::RequestArrives {
                 class,
-                time_left_ms,
-                hint_ms,
+                time_to_deadline_ms,
+                cost_hint_ms,
                 key,
-            } => self.request_arrives(class, ms(time_left_ms), hint_ms.map(ms), key),
+            } => self.request_arrives(class, ms(time_to_deadline_ms), cost_hint_ms.map(ms), key),
             Step::AttemptEnds {
-                pick,
+                choice,
                 outcome,
                 queue_length,
             } => {
-                let in_flight = self.in_flight();
-                if let Some(attempt) = in_flight.get(pick % in_flight.len().max(1)) {
+                let in_flight = self.attempts_in_flight();
+                if let Some(attempt) = in_flight.get(choice % in_flight.len().max(1)) {
                     let queue_length = f64::from(queue_length);
-                    self.end(
+                    self.end_attempt(
                         &attempt.request,
                         attempt.number,
                         OUTCOMES[outcome],
@@ -82,7 +84,7 @@
                     );
                 }
             }
-            Step::ClientDisconnects { pick } => self.client_disconnects(pick),
+            Step::ClientDisconnects { choice } => self.client_disconnects(choice),
             Step::ReadinessChanges {
                 endpoint,
                 readiness,
@@ -110,17 +112,17 @@
     fn request_arrives(
         &mut self,
         class: usize,
-        time_left: Duration,
+        time_to_deadline: Duration,
         cost_hint: Option<Duration>,
         key: Option<u8>,
     ) {
-        self.arrivals += 1;
-        let id = RequestId::from(format!("r{}", self.arrivals).as_str());
-        let deadline = self.now + time_left;
+        self.arrival_count += 1;
+        let id = RequestId::from(format!("r{}", self.arrival_count).as_str());
+        let deadline = self.now + time_to_deadline;
         let record = RequestRecord {
             class,
             key,
-            arrival_number: self.arrivals,
+            arrival_number: self.arrival_count,
             deadline,
             attempts: Vec::new(),
             is_answered: false,
@@ -138,14 +140,14 @@
         }));
     }
 
-    fn client_disconnects(&mut self, pick: usize) {
+    fn client_disconnects(&mut self, choice: usize) {
         let unanswered: Vec<RequestId> = self
             .requests
             .iter()
             .filter(|(_, record)| !record.is_answered)
             .map(|(id, _)| id.clone())
             .collect();
-        if let Some(id) = unanswered.get(pick % unanswered.len().max(1)).cloned() {
+        if let Some(id) = unanswered.get(choice % unanswered.len().max(1)).cloned() {
             self.record_mut(&id).is_answered = true;
             self.handle(Event::ClientDisconnected { request: id });
         }
@@ -159,7 +161,7 @@
     }
 
     fn full_list_arrives(&mut self, missing: usize) {
-        for endpoint in 0..ENDPOINTS {
+        for endpoint in 0..ENDPOINT_COUNT {
             let is_listed = endpoint != missing;
             self.is_serving[endpoint] = is_listed;
             let readiness = if is_listed {
@@ -182,7 +184,7 @@
             record.attempts.clear();
         }
         self.timers.clear();
-        self.connections = vec![Connections::default(); ENDPOINTS];
+        self.connections = vec![Connections::default(); ENDPOINT_COUNT];
         self.apply_cached_list();
     }
 
@@ -201,7 +203,7 @@
     }
 
     fn serving_entries(&self) -> Vec<EndpointEntry> {
-        (0..ENDPOINTS)
+        (0..ENDPOINT_COUNT)
             .filter(|endpoint| self.is_serving[*endpoint])
             .map(|endpoint| self.entry(endpoint, Readiness::Serving))
             .collect()
@@ -212,7 +214,11 @@
         EndpointEntry {
             readiness,
             started_at: self.started_at[endpoint],
-            ..endpoint_entry(&name, zone_of(endpoint), group_of(endpoint))
+            ..endpoint_entry(
+                &name,
+                zone_of_endpoint(endpoint),
+                group_of_endpoint(endpoint),
+            )
         }
     }
 
@@ -231,7 +237,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.check(action);
+            self.check_action(action);
         }
         self.check_in_flight_count();
     }
@@ -240,20 +246,20 @@
     /// that times out at or after its deadline may be counted until the next event.
     fn check_in_flight_count(&self) {
         let now = self.now;
-        let count = |counts_timed_out: fn(Timestamp, Timestamp, Timestamp) -> bool| {
+        let count = |is_timed_out_counted: fn(Timestamp, Timestamp, Timestamp) -> bool| {
             let is_in_flight = |attempt: &&AttemptRecord, deadline: Timestamp| {
                 attempt.ending.as_ref().is_none_or(|ending| {
                     ending.outcome == Outcome::TimedOut
-                        && counts_timed_out(deadline, ending.at, now)
+                        && is_timed_out_counted(deadline, ending.at, now)
                 })
             };
-            let of_request = |record: &RequestRecord| {
+            let count_of_request = |record: &RequestRecord| {
                 let attempts = record.attempts.iter();
                 attempts
                     .filter(|attempt| is_in_flight(attempt, record.deadline))
                     .count()
             };
-            self.requests.values().map(of_request).sum::<usize>()
+            self.requests.values().map(count_of_request).sum::<usize>()
         };
         let min = count(|deadline, _, now| deadline > now);
         let max = count(|deadline, ended_at, now| deadline > now || ended_at == now);
@@ -265,13 +271,13 @@
     }
 
     /// Checks one action, and records it.
-    fn check(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         match action {
             Action::Send {
                 request,
                 endpoint,
                 timeout,
-            } => self.check_send(&request, number_of(&endpoint), timeout),
+            } => self.check_send(&request, endpoint_index(&endpoint), timeout),
             Action::Cancel { request, attempt } => {
                 assert!(self.settings.limits.cancel);
                 assert!(
@@ -281,9 +287,9 @@
             }
             Action::Reject { request, .. } => {
                 self.rule_check().check_reject(&self.requests[&request]);
-                self.answer(&request);
+                self.record_final_answer(&request);
             }
-            Action::Fail { request } => self.answer(&request),
+            Action::Fail { request } => self.record_final_answer(&request),
             Action::SetTimer { at, token } => {
                 assert!(at > self.now);
                 self.timers.insert((at, token));
@@ -291,7 +297,7 @@
             Action::HealthCheck { .. } => assert!(self.settings.limits.health_checks),
             Action::SendPeerMessage { .. } => assert!(self.settings.limits.peers),
             Action::CloseIdleConnections { endpoint } => {
-                self.connections[number_of(&endpoint)].is_idle = false;
+                self.connections[endpoint_index(&endpoint)].is_idle = false;
             }
             Action::Subscribe | Action::Unsubscribe | Action::FetchList | Action::Log(_) => {}
         }
@@ -317,7 +323,7 @@
                 "two attempts in flight together"
             );
         }
-        rules.check_repeat(record, endpoint);
+        rules.check_resend(record, endpoint);
         self.connections[endpoint].idle_since = now;
         let record = self.record_mut(request);
         let deadline = record.deadline;
@@ -337,7 +343,7 @@
     }
 
     /// Records the final answer of a request. Rule 1: there is exactly one, in time.
-    fn answer(&mut self, request: &RequestId) {
+    fn record_final_answer(&mut self, request: &RequestId) {
         let latest = self.requests[request].deadline + self.settings.rules.answer_slack;
         assert!(self.now <= latest, "rule 1: late");
         let record = self.record_mut(request);
@@ -352,10 +358,10 @@
     }
 
     /// Ends an attempt with an outcome.
-    fn end(&mut self, id: &RequestId, attempt: usize, outcome: Outcome, queue_length: f64) {
+    fn end_attempt(&mut self, id: &RequestId, attempt: usize, outcome: Outcome, queue_length: f64) {
         let now = self.now;
         let record = self.record_mut(id);
-        record.attempts[attempt].ending = Some(Ending { outcome, at: now });
+        record.attempts[attempt].ending = Some(AttemptEnding { outcome, at: now });
         record.is_answered |= outcome == Outcome::Served;
         let request_ended = record.is_answered;
         let took = now.since(record.attempts[attempt].sent_at);
@@ -377,12 +383,12 @@
     }
 
     /// Returns the attempts that have not ended, in order of their time-outs.
-    fn in_flight(&self) -> Vec<AttemptInFlight> {
+    fn attempts_in_flight(&self) -> Vec<AttemptInFlight> {
         let mut in_flight = Vec::new();
         for (id, record) in &self.requests {
             let attempts = record.attempts.iter().enumerate();
-            let unended = attempts.filter(|(_, attempt)| attempt.ending.is_none());
-            in_flight.extend(unended.map(|(number, attempt)| AttemptInFlight {
+            let not_ended = attempts.filter(|(_, attempt)| attempt.ending.is_none());
+            in_flight.extend(not_ended.map(|(number, attempt)| AttemptInFlight {
                 times_out_at: attempt.times_out_at,
                 request: id.clone(),
                 number,
@@ -395,7 +401,7 @@
     /// Advances the clock, with time-outs and timers in order.
     pub fn run_to(&mut self, end: Timestamp) {
         loop {
-            let timed_out = self.in_flight().into_iter().next();
+            let timed_out = self.attempts_in_flight().into_iter().next();
             let timed_out = timed_out.filter(|attempt| attempt.times_out_at <= end);
             let timer = self.timers.first().copied().filter(|(at, _)| *at <= end);
             match (timed_out, timer) {
@@ -403,7 +409,7 @@
                     if timer.is_none_or(|(timer_at, _)| attempt.times_out_at <= timer_at) =>
                 {
                     self.now = self.now.max(attempt.times_out_at);
-                    self.end(&attempt.request, attempt.number, Outcome::TimedOut, 0.0);
+                    self.end_attempt(&attempt.request, attempt.number, Outcome::TimedOut, 0.0);
                 }
                 (_, Some((at, token))) => {
                     self.timers.remove(&(at, token));
@@ -422,9 +428,9 @@
     fn check_idle_connections(&self) {
         let limit = self.settings.rules.drain_close.expect("a limit");
         let connections = self.connections.iter();
-        for connections in connections.filter(|c| c.is_idle && c.is_draining) {
+        for endpoint_connections in connections.filter(|c| c.is_idle && c.is_draining) {
             assert!(
-                self.now.since(connections.idle_since) <= limit,
+                self.now.since(endpoint_connections.idle_since) <= limit,
                 "rule 6: an idle connection stays open"
             );
         }
--- a/tests/policy/legal_rules.rs
+++ b/tests/policy/sequence_rules.rs
@@ -1,20 +1,20 @@
-//! The records of requests in the model of `legal.rs`, and the rules on when these are sent and rejected.
+//! The records of requests in the model of `random_sequences.rs`, and the rules on when these are sent and rejected.
 
 use balancer_sidecar::policy::*;
 use std::collections::BTreeMap;
 
 /// Returns the zone of an endpoint.
-pub fn zone_of(endpoint: usize) -> &'static str {
+pub fn zone_of_endpoint(endpoint: usize) -> &'static str {
     if endpoint < 4 { "a" } else { "b" }
 }
 
 /// Returns the group of an endpoint.
-pub fn group_of(endpoint: usize) -> u64 {
+pub fn group_of_endpoint(endpoint: usize) -> u64 {
     (endpoint / 2) as u64
 }
 
 /// How and when an attempt ended.
-pub struct Ending {
+pub struct AttemptEnding {
     pub outcome: Outcome,
     pub at: Timestamp,
 }
@@ -24,7 +24,7 @@
     pub endpoint: usize,
     pub sent_at: Timestamp,
     pub times_out_at: Timestamp,
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptEnding>,
 }
 
 impl AttemptRecord {
@@ -62,7 +62,7 @@
 
 impl RuleCheck<'_> {
     /// Rule 2: a request that may have run is sent again only where that is harmless.
-    pub fn check_repeat(&self, record: &RequestRecord, endpoint: usize) {
+    pub fn check_resend(&self, record: &RequestRecord, endpoint: usize) {
         let mut possible_runs = record.possible_runs();
         match self.settings.classes[record.class].idempotency {
             Idempotency::Idempotent => {}
@@ -80,8 +80,12 @@
                     );
                     let is_in_scope = match scope {
                         KeyScope::All => true,
-                        KeyScope::Zone => zone_of(earlier.endpoint) == zone_of(endpoint),
-                        KeyScope::Group => group_of(earlier.endpoint) == group_of(endpoint),
+                        KeyScope::Zone => {
+                            zone_of_endpoint(earlier.endpoint) == zone_of_endpoint(endpoint)
+                        }
+                        KeyScope::Group => {
+                            group_of_endpoint(earlier.endpoint) == group_of_endpoint(endpoint)
+                        }
                     };
                     assert!(is_in_scope, "rule 2: outside the group");
                 }
--- a/tests/policy/legal_step.rs
+++ b/tests/policy/sequence_step.rs
@@ -1,4 +1,4 @@
-//! The random steps of the sequences in `legal.rs`.
+//! The random steps of the sequences in `random_sequences.rs`.
 
 use balancer_sidecar::policy::Outcome;
 use proptest::prelude::*;
@@ -8,17 +8,17 @@
 pub enum Step {
     RequestArrives {
         class: usize,
-        time_left_ms: u64,
-        hint_ms: Option<u64>,
+        time_to_deadline_ms: u64,
+        cost_hint_ms: Option<u64>,
         key: Option<u8>,
     },
     AttemptEnds {
-        pick: usize,
+        choice: usize,
         outcome: usize,
         queue_length: u8,
     },
     ClientDisconnects {
-        pick: usize,
+        choice: usize,
     },
     ReadinessChanges {
         endpoint: usize,
@@ -46,10 +46,10 @@
 pub fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..5usize, 1..2500u64, prop::option::of(0..200u64), prop::option::of(0..3u8))
-            .prop_map(|(class, time_left_ms, hint_ms, key)| Step::RequestArrives { class, time_left_ms, hint_ms, key }),
+            .prop_map(|(class, time_to_deadline_ms, cost_hint_ms, key)| Step::RequestArrives { class, time_to_deadline_ms, cost_hint_ms, key }),
         8 => (0..64usize, 0..8usize, 0..6u8)
-            .prop_map(|(pick, outcome, queue_length)| Step::AttemptEnds { pick, outcome, queue_length }),
-        1 => (0..64usize).prop_map(|pick| Step::ClientDisconnects { pick }),
+            .prop_map(|(choice, outcome, queue_length)| Step::AttemptEnds { choice, outcome, queue_length }),
+        1 => (0..64usize).prop_map(|choice| Step::ClientDisconnects { choice }),
         1 => (0..6usize, 0..3u8).prop_map(|(endpoint, readiness)| Step::ReadinessChanges { endpoint, readiness }),
         1 => (0..6usize).prop_map(|missing| Step::FullListArrives { missing }),
         1 => (0..6usize).prop_map(|endpoint| Step::EndpointRestarts { endpoint }),
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -30,7 +30,7 @@
         settings.classes[0].idempotency = Idempotency::Unsafe;
     });
     assert_eq!(ids[1..], [1, 2, 3, 4].map(ClassId), "these are unchanged");
-    let actions = host.end(&earlier, 0, Outcome::Reset, 5, 0.0);
+    let actions = host.end_attempt(&earlier, 0, Outcome::Reset, 5, 0.0);
     assert_eq!(
         send_targets(&actions).len(),
         1,
@@ -38,7 +38,7 @@
     );
     let (later, actions) = host.request(ids[0].0);
     assert_eq!(send_targets(&actions).len(), 1);
-    let failed = host.end(&later, 0, Outcome::Reset, 5, 0.0);
+    let failed = host.end_attempt(&later, 0, Outcome::Reset, 5, 0.0);
     assert!(send_targets(&failed).is_empty());
     assert!(
         failed.contains(&Action::Fail { request: later }),
@@ -68,17 +68,17 @@
             .push(class("least", 0.5, Idempotency::Idempotent));
     });
     assert_eq!(
-        final_answers(&actions, &low) + final_answers(&actions, &high),
+        count_final_answers(&actions, &low) + count_final_answers(&actions, &high),
         0
     );
     let (newest, _) = host.request(ids[1].0);
-    let mut sent_to = host.apply_list(ListKind::Full, endpoint_entries(4));
+    let mut actions_after = host.apply_list(ListKind::Full, endpoint_entries(4));
     for _ in 0..40 {
         host.now = host.now + ms(5);
-        sent_to.extend(host.handle(Event::Timer { token: 0 }));
+        actions_after.extend(host.handle(Event::Timer { token: 0 }));
     }
     assert_eq!(
-        sent_requests(&sent_to),
+        sent_requests(&actions_after),
         [newest, high, low],
         "all of them, the highest priority first"
     );
@@ -86,14 +86,17 @@
 
 /// Guards a lower attempt limit: it applies to pending requests too.
 #[test]
-fn a_lower_attempt_limit_applies_at_once() {
+fn lower_attempt_limit_applies_at_once() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     count_sent_to(&mut host, "e0", 40);
     let (id, _) = host.request(0);
     change_settings(&mut host, |settings| settings.limits.max_attempts = 1);
-    let actions = host.end(&id, 0, Outcome::ConnectFailed, 1, 0.0);
+    let actions = host.end_attempt(&id, 0, Outcome::ConnectFailed, 1, 0.0);
     assert_eq!(
-        (send_targets(&actions).len(), final_answers(&actions, &id)),
+        (
+            send_targets(&actions).len(),
+            count_final_answers(&actions, &id)
+        ),
         (0, 1)
     );
 }
@@ -126,10 +129,10 @@
 fn ids_of_retired_classes_are_reused() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
     let mut max_id = 0;
-    for n in 0..200 {
+    for round in 0..200 {
         host.now = host.now + ms(20_000);
         let (ids, _) = change_settings(&mut host, |settings| {
-            settings.classes[0].name = format!("c{n}");
+            settings.classes[0].name = format!("c{round}");
         });
         max_id = max_id.max(ids[0].0);
         assert!(count_sent_to(&mut host, "e0", 1) < 2);
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -4,11 +4,11 @@
 use balancer_sidecar::policy::*;
 
 #[test]
-fn all_balancers_together_spare_a_warming_endpoint() {
+fn many_balancers_together_respect_slow_start() {
     // 200 balancers with few requests, 10 endpoints, one of which has just started: it serves 0.3 of its share at
     // first.
     let (balancer_count, requests) = (200, 40);
-    let (mut warming, mut total) = (0, 0);
+    let (mut sent_to_warming, mut sent_total) = (0, 0);
     for seed in 0..balancer_count {
         let settings = Settings {
             balancers: balancer_count as u32,
@@ -41,8 +41,8 @@
             actions.clear();
             balancer.handle(now, Event::Request(request), &mut actions);
             let to = send_targets(&actions);
-            total += to.len();
-            warming += to.iter().filter(|e| **e == EndpointId::from("e3")).count();
+            sent_total += to.len();
+            sent_to_warming += to.iter().filter(|e| **e == EndpointId::from("e3")).count();
             let report = Some(LoadReport {
                 queue_length: Some(0.0),
                 ..LoadReport::default()
@@ -59,7 +59,7 @@
             balancer.handle(now + took, Event::AttemptEnded(ended), &mut actions);
         }
     }
-    let share = warming as f64 / (total as f64 / 10.0);
+    let share = sent_to_warming as f64 / (sent_total as f64 / 10.0);
     assert!(
         share > 0.05 && share < 0.5,
         "{share} of a fair share, with 0.3 to 0.44 of its capacity"
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_subset_whose_first_members_are_warming_has_warm_members_too() {
+fn subset_includes_warm_endpoints() {
     // Half of the tier has just started; these endpoints may be sent few requests, and must not be most of the subset.
     let mut entries = endpoint_entries(12);
     entries
@@ -80,7 +80,7 @@
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
         let to = send_targets(&actions)[0].clone();
-        host.end(&id, 0, Outcome::Served, 10, 0.2);
+        host.end_attempt(&id, 0, Outcome::Served, 10, 0.2);
         if to.0[1..].parse::<usize>().expect("a number") >= 6 {
             warm.insert(to);
         }
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn a_half_warm_endpoint_is_spared_while_the_others_are_throttled() {
+fn slow_start_holds_while_warm_endpoints_are_throttled() {
     // Five seconds after its start it may be sent more than a fair share, but not all that the others do not take.
     let mut entries = endpoint_entries(4);
     entries[3].started_at = Some(at(0));
     let mut host = Host::new(default_settings(), entries);
     host.now = at(5000);
-    let (mut warming, requests) = (0, 400);
+    let (mut sent_to_warming, requests) = (0, 400);
     for _ in 0..requests {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
@@ -105,14 +105,14 @@
             } else {
                 5.0
             };
-            warming += usize::from(queue_length == 0.0);
-            host.end(&id, 0, Outcome::Served, 5, queue_length);
+            sent_to_warming += usize::from(queue_length == 0.0);
+            host.end_attempt(&id, 0, Outcome::Served, 5, queue_length);
         }
         host.handle(Event::ClientDisconnected { request: id });
     }
     assert!(
-        warming < requests / 2,
-        "{warming} of {requests} requests were sent to the one of four endpoints that is warming up"
+        sent_to_warming < requests / 2,
+        "{sent_to_warming} of {requests} requests were sent to the one of four endpoints that is warming up"
     );
 }
 
@@ -120,7 +120,7 @@
 /// sends, and the only other endpoints have failed some requests, as with network faults. Requests are sent all the
 /// same, so that slow start advances.
 #[test]
-fn a_warming_zone_beside_faulty_endpoints_is_used() {
+fn warming_endpoint_is_used_beside_faulty_ones() {
     let mut settings = default_settings();
     settings.prices.cross_zone = 0.1;
     let remote = |number: usize| endpoint_entry(&format!("e{number}"), "b", 0);
@@ -130,7 +130,7 @@
         host.now = host.now + ms(50);
         let fails = request_number % 2 == 0;
         if !send_targets(&actions).is_empty() {
-            let actions = host.end(
+            let actions = host.end_attempt(
                 &id,
                 0,
                 if fails {
@@ -142,7 +142,7 @@
                 0.0,
             );
             if !send_targets(&actions).is_empty() {
-                host.end(&id, 1, Outcome::ConnectFailed, 10, 0.0);
+                host.end_attempt(&id, 1, Outcome::ConnectFailed, 10, 0.0);
             }
         }
     }
@@ -151,25 +151,25 @@
         ..endpoint_entry("e0", "a", 0)
     };
     host.apply_list(ListKind::Changes, vec![warming]);
-    let mut sent_requests: Vec<EndpointId> = Vec::new();
+    let mut targets: Vec<EndpointId> = Vec::new();
     for _ in 0..60 {
         let (id, actions) = host.request(0);
         host.now = host.now + ms(20);
         let to = send_targets(&actions);
         if !to.is_empty() {
-            host.end(&id, 0, Outcome::Served, 10, 0.0);
+            host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         }
-        sent_requests.extend(to);
+        targets.extend(to);
     }
-    assert!(sent_requests.len() > 50, "{} of 60", sent_requests.len());
+    assert!(targets.len() > 50, "{} of 60", targets.len());
     assert!(
-        sent_requests.contains(&"e0".into()),
+        targets.contains(&"e0".into()),
         "the warming endpoint was sent a request"
     );
-    let warming = sent_requests.iter().filter(|e| **e == "e0".into()).count();
+    let sent_to_warming = targets.iter().filter(|e| **e == "e0".into()).count();
     assert!(
-        warming < 40,
-        "and no more than it can serve: {warming} of {}",
-        sent_requests.len()
+        sent_to_warming < 40,
+        "and no more than it can serve: {sent_to_warming} of {}",
+        targets.len()
     );
 }
--- a/tests/policy/slow_start_fleet/scenario.rs
+++ b/tests/policy/slow_start_fleet/scenario.rs
@@ -9,13 +9,13 @@
 /// The number of warm endpoints.
 pub const WARM_ENDPOINTS: usize = 10;
 /// The number of the warming endpoint, after the warm ones.
-pub const WARMING: usize = WARM_ENDPOINTS;
+pub const WARMING_ENDPOINT: usize = WARM_ENDPOINTS;
 /// Requests that an endpoint serves at once.
 pub const WORKERS: usize = 8;
 /// The mean service time of a warm endpoint.
-pub const MEAN_SERVICE_S: f64 = 0.2;
+pub const MEAN_SERVICE_TIME_S: f64 = 0.2;
 /// Requests a second that one warm endpoint can serve.
-pub const CAPACITY_PER_S: f64 = WORKERS as f64 / MEAN_SERVICE_S;
+pub const CAPACITY_PER_S: f64 = WORKERS as f64 / MEAN_SERVICE_TIME_S;
 /// The age of the queue length that an endpoint reports.
 pub const REPORT_DELAY: Duration = Duration::from_secs(1);
 /// Requests that wait at an endpoint before it rejects more.
@@ -29,7 +29,7 @@
 /// The least fraction of what the warming endpoint could serve that it has to be sent.
 pub const MIN_USED_FRACTION: f64 = 0.02;
 /// The weight of a balancer with a high rate, compared with the others.
-pub const HIGH_RATE: f64 = 20.0;
+pub const HIGH_RATE_WEIGHT: f64 = 20.0;
 /// The numbers of the first balancer with a high rate, in different runs.
 pub const FIRST_HIGH_RATE_BALANCERS: [usize; 6] = [0, 5, 10, 15, 20, 25];
 
@@ -72,7 +72,7 @@
 }
 
 /// Returns rules with a long warm-up from a low capacity.
-pub fn slow_rules() -> Rules {
+pub fn long_warm_up_rules() -> Rules {
     Rules {
         initial_capacity: 0.16,
         warm_up_time: Duration::from_secs(24),
@@ -83,7 +83,7 @@
 }
 
 /// Returns rules with a shorter warm-up, a shorter window and a lower limit.
-pub fn narrow_rules() -> Rules {
+pub fn short_warm_up_rules() -> Rules {
     Rules {
         initial_capacity: 0.2,
         warm_up_time: Duration::from_secs(12),
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -68,13 +68,13 @@
     pub busy: usize,
     pub queue: VecDeque<Attempt>,
     /// The recent queue lengths, the oldest first.
-    pub history: VecDeque<QueueLength>,
+    pub queue_length_history: VecDeque<QueueLength>,
 }
 
 impl Server {
     /// Records the present queue length.
     pub fn record_queue_length(&mut self, now: Timestamp) {
-        self.history.push_back(QueueLength {
+        self.queue_length_history.push_back(QueueLength {
             since: now,
             waiting: self.queue.len(),
         });
@@ -83,14 +83,14 @@
     /// Returns the queue length that is reported, which is [`REPORT_DELAY`] old.
     pub fn reported_queue_length(&mut self, now: Timestamp) -> usize {
         while self
-            .history
+            .queue_length_history
             .get(1)
             .is_some_and(|next| next.since + REPORT_DELAY <= now)
         {
-            self.history.pop_front();
+            self.queue_length_history.pop_front();
         }
         let oldest = self
-            .history
+            .queue_length_history
             .front()
             .filter(|first| first.since + REPORT_DELAY <= now);
         oldest.map_or(0, |first| first.waiting)
@@ -106,10 +106,10 @@
     pub unanswered: HashMap<RequestId, UnansweredRequest>,
     pub servers: Vec<Server>,
     /// Future steps in order of their times; steps of one time are in order of their numbers.
-    pub agenda: BinaryHeap<Reverse<(Timestamp, usize)>>,
+    pub schedule: BinaryHeap<Reverse<(Timestamp, usize)>>,
     pub steps: HashMap<usize, Step>,
-    pub next_step: usize,
-    pub next_request: usize,
+    pub next_step_number: usize,
+    pub next_request_number: usize,
     pub observations: Observations,
 }
 
@@ -137,74 +137,74 @@
             balancers: (0..BALANCERS).map(|_| None).collect(),
             unanswered: HashMap::new(),
             servers: (0..=WARM_ENDPOINTS).map(|_| Server::default()).collect(),
-            agenda: BinaryHeap::new(),
+            schedule: BinaryHeap::new(),
             steps: HashMap::new(),
-            next_step: 0,
-            next_request: 0,
+            next_step_number: 0,
+            next_request_number: 0,
             observations: Observations::default(),
         };
-        fleet.plan();
+        fleet.schedule_starts();
         let end = warm_up_start() + scenario.rules.warm_up_time;
         while let Some(Reverse((now, number))) =
-            fleet.agenda.pop().filter(|Reverse((now, _))| *now < end)
+            fleet.schedule.pop().filter(|Reverse((now, _))| *now < end)
         {
             fleet.now = now;
             let step = fleet.steps.remove(&number).expect("a planned step");
-            fleet.take(step);
+            fleet.execute(step);
         }
         fleet.observations
     }
 
     /// Plans the starts of the balancers, and when they receive the change.
-    pub fn plan(&mut self) {
+    pub fn schedule_starts(&mut self) {
         for balancer_number in 0..BALANCERS {
             let start = self.scenario.starts[balancer_number]
                 .map_or(at(0), |delay| warm_up_start() + delay);
-            self.at(start, Step::BalancerStarts { balancer_number });
-            let received_at = warm_up_start() + self.random_part_of(DISCOVERY_DELAY);
+            self.schedule_at(start, Step::BalancerStarts { balancer_number });
+            let received_at = warm_up_start() + self.random_fraction_of(DISCOVERY_DELAY);
             if received_at <= start {
                 continue;
             }
             if self.scenario.cause == WarmUpCause::Enabling {
-                self.at(start, Step::EndpointDisabled { balancer_number });
-                self.at(received_at, Step::EndpointEnabled { balancer_number });
+                self.schedule_at(start, Step::EndpointDisabled { balancer_number });
+                self.schedule_at(received_at, Step::EndpointEnabled { balancer_number });
             } else {
-                self.at(received_at, Step::ListArrives { balancer_number });
+                self.schedule_at(received_at, Step::ListArrives { balancer_number });
             }
         }
     }
 
     /// Plans a step.
-    pub fn at(&mut self, when: Timestamp, step: Step) {
-        self.agenda.push(Reverse((when, self.next_step)));
-        self.steps.insert(self.next_step, step);
-        self.next_step += 1;
+    pub fn schedule_at(&mut self, when: Timestamp, step: Step) {
+        self.schedule.push(Reverse((when, self.next_step_number)));
+        self.steps.insert(self.next_step_number, step);
+        self.next_step_number += 1;
     }
 
     /// Plans a step after a delay.
-    pub fn after(&mut self, wait: Duration, step: Step) {
-        self.at(self.now + wait, step);
+    pub fn schedule_after(&mut self, delay: Duration, step: Step) {
+        self.schedule_at(self.now + delay, step);
     }
 
     /// Returns a random number from 0 up to and excluding 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn random_unit(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Returns a random fraction of a duration.
-    pub fn random_part_of(&mut self, whole: Duration) -> Duration {
-        whole.mul_f64(self.unit())
+    pub fn random_fraction_of(&mut self, whole: Duration) -> Duration {
+        whole.mul_f64(self.random_unit())
     }
 
     /// Returns a random duration with the exponential distribution of a rate.
-    pub fn exponential(&mut self, per_s: f64) -> Duration {
-        Duration::from_secs_f64(-(1.0 - self.unit()).ln() / per_s)
+    pub fn random_exponential(&mut self, rate_per_s: f64) -> Duration {
+        Duration::from_secs_f64(-(1.0 - self.random_unit()).ln() / rate_per_s)
     }
 
     /// Carries out one step.
-    pub fn take(&mut self, step: Step) {
+    pub fn execute(&mut self, step: Step) {
         match step {
-            Step::BalancerStarts { balancer_number } => self.start(balancer_number),
+            Step::BalancerStarts { balancer_number } => self.start_balancer(balancer_number),
             Step::ListArrives { balancer_number } => {
                 self.receive_list(balancer_number, ListKind::Changes);
             }
@@ -218,20 +218,20 @@
                 balancer_number,
                 token,
             } => self.handle(balancer_number, Event::Timer { token }),
-            Step::Arrival { balancer_number } => self.arrive(balancer_number),
-            Step::ReachesEndpoint(attempt) => self.reach(attempt),
-            Step::EndpointFinishes(attempt) => self.finish(attempt),
+            Step::Arrival { balancer_number } => self.receive_request(balancer_number),
+            Step::ReachesEndpoint(attempt) => self.reach_endpoint(attempt),
+            Step::EndpointFinishes(attempt) => self.finish_service(attempt),
             Step::AttemptEnds {
                 attempt,
                 outcome,
                 queue_length,
-            } => self.end(attempt, outcome, queue_length),
+            } => self.end_attempt(attempt, outcome, queue_length),
         }
     }
 
     // ---- Balancers
 
-    pub fn start(&mut self, balancer_number: usize) {
+    pub fn start_balancer(&mut self, balancer_number: usize) {
         let settings = Settings {
             balancers: BALANCERS as u32,
             peer_id: PeerId(balancer_number as u32),
@@ -243,7 +243,7 @@
         self.balancers[balancer_number] =
             Some(Balancer::new(settings, seed).expect("valid settings"));
         self.receive_list(balancer_number, ListKind::Cached);
-        self.plan_arrival(balancer_number);
+        self.schedule_arrival(balancer_number);
     }
 
     pub fn receive_list(&mut self, balancer_number: usize, kind: ListKind) {
@@ -260,31 +260,31 @@
 
     /// Returns the present list.
     pub fn listed_entries(&self) -> Vec<EndpointEntry> {
-        let has_begun = self.now >= warm_up_start();
+        let has_warm_up_begun = self.now >= warm_up_start();
         let cause = self.scenario.cause;
         let mut entries = endpoint_entries(WARM_ENDPOINTS);
-        let mut warming = endpoint_entry(&name(WARMING), "a", 0);
+        let mut warming = endpoint_entry(&endpoint_name(WARMING_ENDPOINT), "a", 0);
         warming.started_at =
-            (has_begun && cause != WarmUpCause::Enabling).then_some(warm_up_start());
-        if has_begun || cause != WarmUpCause::Joining {
+            (has_warm_up_begun && cause != WarmUpCause::Enabling).then_some(warm_up_start());
+        if has_warm_up_begun || cause != WarmUpCause::Joining {
             entries.push(warming);
         }
         entries
     }
 
-    pub fn plan_arrival(&mut self, balancer_number: usize) {
+    pub fn schedule_arrival(&mut self, balancer_number: usize) {
         let total_weight: f64 = self.scenario.weights.iter().sum();
         let capacity = CAPACITY_PER_S * self.servers.len() as f64;
-        let per_s =
+        let rate_per_s =
             self.scenario.load * capacity * self.scenario.weights[balancer_number] / total_weight;
-        let wait = self.exponential(per_s);
-        self.after(wait, Step::Arrival { balancer_number });
+        let delay = self.random_exponential(rate_per_s);
+        self.schedule_after(delay, Step::Arrival { balancer_number });
     }
 
-    pub fn arrive(&mut self, balancer_number: usize) {
-        self.plan_arrival(balancer_number);
-        self.next_request += 1;
-        let id = RequestId::from(format!("r{}", self.next_request).as_str());
+    pub fn receive_request(&mut self, balancer_number: usize) {
+        self.schedule_arrival(balancer_number);
+        self.next_request_number += 1;
+        let id = RequestId::from(format!("r{}", self.next_request_number).as_str());
         let deadline = self.now + ms(2000);
         self.unanswered.insert(
             id.clone(),
@@ -320,8 +320,8 @@
                     request,
                     endpoint,
                     timeout,
-                } => self.send(balancer_number, request, &endpoint, timeout),
-                Action::SetTimer { at, token } => self.at(
+                } => self.send_attempt(balancer_number, request, &endpoint, timeout),
+                Action::SetTimer { at, token } => self.schedule_at(
                     at,
                     Step::Timer {
                         balancer_number,
@@ -337,7 +337,7 @@
         }
     }
 
-    pub fn send(
+    pub fn send_attempt(
         &mut self,
         balancer_number: usize,
         request: RequestId,
@@ -351,9 +351,9 @@
         let number = request_state.attempts;
         request_state.attempts += 1;
         request_state.is_in_flight = true;
-        let left = request_state.deadline.since(self.now);
+        let time_to_deadline = request_state.deadline.since(self.now);
         let endpoint = (0..self.servers.len())
-            .find(|e| name(*e) == *endpoint.0)
+            .find(|e| endpoint_name(*e) == *endpoint.0)
             .expect("a listed endpoint");
         let attempt = Attempt {
             balancer_number,
@@ -362,20 +362,20 @@
             endpoint,
             sent_at: self.now,
         };
-        let wait = timeout.map_or(left, |timeout| timeout.min(left));
-        self.after(
-            wait,
+        let delay = timeout.map_or(time_to_deadline, |timeout| timeout.min(time_to_deadline));
+        self.schedule_after(
+            delay,
             Step::AttemptEnds {
                 attempt: attempt.clone(),
                 outcome: Outcome::TimedOut,
                 queue_length: None,
             },
         );
-        self.after(NETWORK_DELAY, Step::ReachesEndpoint(attempt));
+        self.schedule_after(NETWORK_DELAY, Step::ReachesEndpoint(attempt));
     }
 
     /// Ends an attempt, unless it has ended already.
-    pub fn end(&mut self, attempt: Attempt, outcome: Outcome, queue_length: Option<f64>) {
+    pub fn end_attempt(&mut self, attempt: Attempt, outcome: Outcome, queue_length: Option<f64>) {
         let Some(request_state) = self.unanswered.get_mut(&attempt.request) else {
             return;
         };
@@ -404,13 +404,13 @@
 
     // ---- Endpoints
 
-    pub fn reach(&mut self, attempt: Attempt) {
+    pub fn reach_endpoint(&mut self, attempt: Attempt) {
         let endpoint = attempt.endpoint;
-        if endpoint == WARMING && self.now >= warm_up_start() {
+        if endpoint == WARMING_ENDPOINT && self.now >= warm_up_start() {
             self.observations.arrivals_at_warming.push(self.now);
         }
         if self.servers[endpoint].queue.len() >= QUEUE_LIMIT {
-            self.answer(attempt, Outcome::Rejected);
+            self.send_answer(attempt, Outcome::Rejected);
             return;
         }
         self.servers[endpoint].queue.push_back(attempt);
@@ -423,22 +423,22 @@
             && let Some(attempt) = server.queue.pop_front()
         {
             server.busy += 1;
-            let service = self.exponential(1.0 / MEAN_SERVICE_S);
-            self.after(service, Step::EndpointFinishes(attempt));
+            let service_time = self.random_exponential(1.0 / MEAN_SERVICE_TIME_S);
+            self.schedule_after(service_time, Step::EndpointFinishes(attempt));
         }
         self.servers[endpoint].record_queue_length(self.now);
     }
 
-    pub fn finish(&mut self, attempt: Attempt) {
+    pub fn finish_service(&mut self, attempt: Attempt) {
         let endpoint = attempt.endpoint;
         self.servers[endpoint].busy -= 1;
-        self.answer(attempt, Outcome::Served);
+        self.send_answer(attempt, Outcome::Served);
         self.serve_next(endpoint);
     }
 
-    pub fn answer(&mut self, attempt: Attempt, outcome: Outcome) {
+    pub fn send_answer(&mut self, attempt: Attempt, outcome: Outcome) {
         let waiting = self.servers[attempt.endpoint].reported_queue_length(self.now);
-        self.after(
+        self.schedule_after(
             NETWORK_DELAY,
             Step::AttemptEnds {
                 attempt,
@@ -450,10 +450,10 @@
 }
 
 fn warming_endpoint() -> EndpointId {
-    name(WARMING).as_str().into()
+    endpoint_name(WARMING_ENDPOINT).as_str().into()
 }
 
 /// Returns the name of an endpoint.
-pub fn name(endpoint: usize) -> String {
+pub fn endpoint_name(endpoint: usize) -> String {
     format!("e{endpoint}")
 }
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -16,7 +16,7 @@
         let (id, actions) = host.request(1);
         let to = send_targets(&actions);
         assert_eq!(to.len(), 1);
-        host.end(&id, 0, Outcome::Served, 10, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         if request_number >= 300 {
             used.insert(to[0].clone());
         }
@@ -42,7 +42,7 @@
             host.now = host.now + ms(1000);
             let (id, actions) = host.request(1);
             used.extend(send_targets(&actions));
-            host.end(&id, 0, Outcome::Served, 10, 0.0);
+            host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         }
         used
     };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn every_endpoint_is_in_about_as_many_subsets() {
+fn endpoints_are_in_equally_many_stable_subsets() {
     let entries = endpoint_entries(12);
     let used = used_by_balancers(&entries);
     for entry in &entries {
@@ -72,12 +72,12 @@
 }
 
 /// Returns how many endpoints of each zone a balancer in zone `a` uses with a price of crossings.
-fn used_by_zone(cross_zone: f64) -> [usize; 2] {
+fn count_used_by_zone(cross_zone: f64) -> [usize; 2] {
     let prices = Prices {
         cross_zone,
         ..Prices::default()
     };
-    let zones =
+    let entries =
         (0..12).map(|i| endpoint_entry(&format!("e{i}"), if i % 2 == 0 { "a" } else { "b" }, 0));
     let mut host = Host::new(
         Settings {
@@ -85,7 +85,7 @@
             zones: 2,
             ..default_settings()
         },
-        zones.collect(),
+        entries.collect(),
     );
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..300 {
@@ -96,7 +96,7 @@
                 .iter()
                 .map(|e| e.0[1..].parse::<usize>().expect("a number")),
         );
-        host.end(&id, 0, Outcome::Served, 10, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
     }
     [
         used.iter().filter(|number| *number % 2 == 0).count(),
@@ -105,9 +105,9 @@
 }
 
 #[test]
-fn a_balancer_stays_in_its_zone_only_where_crossings_are_costly() {
-    assert_eq!(used_by_zone(0.015)[1], 0);
-    let [own, other] = used_by_zone(0.005);
+fn high_cross_zone_price_keeps_the_subset_in_its_zone() {
+    assert_eq!(count_used_by_zone(0.015)[1], 0);
+    let [own, other] = count_used_by_zone(0.005);
     assert!(
         other >= 3 && own >= 3,
         "{own} in its own zone, {other} in the other"
@@ -116,21 +116,22 @@
 
 /// Returns how many of 400 requests are sent to the own zone, to the other zone, and nowhere, where the endpoints of
 /// each zone report a queue length.
-fn split_by_zone(own: f64, other: f64) -> [usize; 3] {
+fn count_sent_by_zone(own_queue_length: f64, other_queue_length: f64) -> [usize; 3] {
     let prices = Prices {
         cross_zone: 0.03,
         ..Prices::default()
     };
-    let zones = (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
+    let entries =
+        (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
     let mut host = Host::new(
         Settings {
             prices,
             zones: 2,
             ..default_settings()
         },
-        zones.collect(),
+        entries.collect(),
     );
-    let mut split = [0; 3];
+    let mut counts = [0; 3];
     for request_number in 0..600 {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
@@ -138,36 +139,40 @@
             .first()
             .map(|e| e.0[1..].parse::<usize>().expect("a number") >= 4);
         if request_number >= 200 {
-            split[is_remote.map_or(2, usize::from)] += 1;
+            counts[is_remote.map_or(2, usize::from)] += 1;
         }
         if let Some(is_remote) = is_remote {
-            host.end(
+            host.end_attempt(
                 &id,
                 0,
                 Outcome::Served,
                 9,
-                if is_remote { other } else { own },
+                if is_remote {
+                    other_queue_length
+                } else {
+                    own_queue_length
+                },
             );
         }
         host.handle(Event::ClientDisconnected { request: id });
     }
-    split
+    counts
 }
 
 #[test]
-fn requests_leave_an_overloaded_zone_only_for_a_clear_one() {
-    let [own, other, none] = split_by_zone(5.0, 0.0);
+fn requests_leave_overloaded_zone_only_for_clear_one() {
+    let [own, other, none] = count_sent_by_zone(5.0, 0.0);
     assert!(
         other > own && none < 100,
         "an overloaded zone beside a clear one: {own} own, {other} other, {none} none"
     );
-    let [own, other, none] = split_by_zone(5.0, 5.0);
+    let [own, other, none] = count_sent_by_zone(5.0, 5.0);
     assert!(
         other < 40 && none > 200,
         "both overloaded: {own} own, {other} other, {none} none"
     );
     assert_eq!(
-        split_by_zone(0.0, 0.0)[1],
+        count_sent_by_zone(0.0, 0.0)[1],
         0,
         "no crossing without overload"
     );
@@ -180,14 +185,15 @@
         handshake,
         ..Prices::default()
     };
-    let zones = (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
+    let entries =
+        (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
     let mut host = Host::new(
         Settings {
             prices,
             zones: 2,
             ..default_settings()
         },
-        zones.collect(),
+        entries.collect(),
     );
     let (mut in_flight, mut max_in_flight) = (0, 0);
     for _ in 0..200 {
@@ -195,7 +201,7 @@
         let (id, actions) = host.request(1);
         for to in send_targets(&actions) {
             if to.0[1..].parse::<usize>().expect("a number") < 4 {
-                host.end(&id, 0, Outcome::Served, 1, 5.0);
+                host.end_attempt(&id, 0, Outcome::Served, 1, 5.0);
             } else {
                 in_flight += 1; // never ends
             }
@@ -206,7 +212,7 @@
 }
 
 #[test]
-fn one_request_at_a_time_leaves_the_zone_where_connections_have_a_price() {
+fn handshake_price_limits_requests_to_other_zones() {
     assert_eq!(max_remote_in_flight(0.08), 1);
     assert!(max_remote_in_flight(0.0) > 1);
 }
--- a/tests/policy/suspension.rs
+++ b/tests/policy/suspension.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Longer than an end counts that the list does not show.
-const LONG_AGO: Duration = Duration::from_secs(60);
+const PAST_END_LIFETIME: Duration = Duration::from_secs(60);
 
 fn process_ended(endpoint: &str) -> Event {
     Event::ProcessEnded {
@@ -31,7 +31,7 @@
 
 /// Guards against sends to a process of which the list says nothing: the endpoint is not used until a list is current.
 #[test]
-fn endpoint_that_ended_is_suspended_until_the_list_is_confirmed() {
+fn ended_process_is_suspended_until_the_list_is_confirmed() {
     let mut host = confirmed_host();
     lose_watch(&mut host);
     assert!(is_used(&mut host, "e1"));
@@ -40,7 +40,7 @@
     assert!(!is_used(&mut host, "e1"));
     assert!(is_used(&mut host, "e0"));
     assert_eq!(host.balancer.status(host.now).suspended, 1);
-    host.now = host.now + LONG_AGO;
+    host.now = host.now + PAST_END_LIFETIME;
     assert!(!is_used(&mut host, "e1"), "for as long as it takes");
 
     host.handle(Event::ListConfirmed);
@@ -50,7 +50,7 @@
 
 /// Guards the same after a start with a cached list, which nothing has confirmed.
 #[test]
-fn endpoint_that_ended_is_suspended_under_a_cached_list() {
+fn ended_process_is_suspended_under_a_cached_list() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
     host.handle(process_ended("e1"));
     assert!(!is_used(&mut host, "e1"));
@@ -58,7 +58,7 @@
 
 /// Guards against an end just before the watch was lost, which discovery had not listed yet.
 #[test]
-fn end_that_the_list_did_not_show_yet_counts_once_the_watch_is_lost() {
+fn recent_end_counts_once_the_watch_is_lost() {
     let mut host = confirmed_host();
     host.handle(process_ended("e1"));
     assert!(is_used(&mut host, "e1"), "a current list decides");
@@ -68,10 +68,10 @@
 
 /// Guards endpoints that only reset a connection long ago: a list that was current since then has shown any end.
 #[test]
-fn old_end_does_not_count_once_the_watch_is_lost() {
+fn old_end_is_ignored_once_the_watch_is_lost() {
     let mut host = confirmed_host();
     host.handle(process_ended("e1"));
-    host.now = host.now + LONG_AGO;
+    host.now = host.now + PAST_END_LIFETIME;
     lose_watch(&mut host);
     assert!(is_used(&mut host, "e1"));
 }
@@ -84,14 +84,14 @@
     host.handle(process_ended("e1"));
     let mut restarted = endpoint_entry("e1", "a", 0);
     restarted.started_at = Some(at(0));
-    host.now = host.now + LONG_AGO;
+    host.now = host.now + PAST_END_LIFETIME;
     host.apply_list(ListKind::Changes, vec![restarted]);
     assert!(is_used(&mut host, "e1"));
 }
 
 /// Guards the final answer where every endpoint is suspended: a request waits in the queue, and is rejected in time.
 #[test]
-fn request_is_rejected_in_time_while_all_endpoints_are_suspended() {
+fn request_is_rejected_in_time_if_all_are_suspended() {
     let mut host = confirmed_host();
     lose_watch(&mut host);
     for endpoint in ["e0", "e1", "e2"] {
@@ -99,14 +99,14 @@
     }
     let deadline = host.now + ms(2_000);
     let (id, mut actions) = host.request(0);
-    while final_answers(&actions, &id) == 0 {
-        let (expires_at, token) = *set_timers(&actions).first().expect("a timer");
+    while count_final_answers(&actions, &id) == 0 {
+        let (expires_at, token) = *requested_timers(&actions).first().expect("a timer");
         assert!(expires_at < deadline);
         host.now = expires_at;
         actions = host.handle(Event::Timer { token });
         assert!(send_targets(&actions).is_empty());
     }
-    assert_eq!(final_answers(&actions, &id), 1);
+    assert_eq!(count_final_answers(&actions, &id), 1);
 }
 
 /// Guards operators: what they have disabled stays so when a suspension ends.
@@ -139,12 +139,12 @@
 }
 
 /// The time from the loss of a watch until a change would have to be in force.
-fn change_in_force_after() -> Duration {
+fn change_deadline() -> Duration {
     CHANGE_PROPAGATION_DEADLINE + default_settings().rules.drain_grace
 }
 
 /// A host that has lost its watch, and an event that shows how discovery is since.
-fn host_after(event: Event) -> Host {
+fn host_with_discovery_event(event: Event) -> Host {
     let mut host = confirmed_host();
     lose_watch(&mut host);
     host.discovery_failed();
@@ -155,13 +155,13 @@
 /// Guards the drain of endpoints whose listed processes are replaced unseen: a list is overdue before a change since the loss
 /// of the watch has to be in force, if discovery was reached, and not much earlier.
 #[test]
-fn list_is_overdue_once_a_change_has_to_be_in_force() {
+fn list_is_overdue_at_the_change_deadline() {
     for event in [Event::DiscoveryRejected, Event::DiscoveryLate] {
-        let mut host = host_after(event);
-        let in_force_after = change_in_force_after();
-        host.now = host.now + in_force_after / 2;
+        let mut host = host_with_discovery_event(event);
+        let time_to_deadline = change_deadline();
+        host.now = host.now + time_to_deadline / 2;
         assert!(!host.balancer.is_list_overdue(host.now));
-        host.now = host.now + in_force_after / 2;
+        host.now = host.now + time_to_deadline / 2;
         assert!(host.balancer.is_list_overdue(host.now));
 
         host.handle(Event::ListConfirmed);
@@ -171,14 +171,14 @@
 
 /// Guards outages: as long as discovery cannot be reached, no change has to be in force, and the list stays in use.
 #[test]
-fn list_is_not_overdue_while_discovery_cannot_be_reached() {
-    let mut host = host_after(Event::DiscoveryRejected);
+fn list_is_not_overdue_while_discovery_is_unreachable() {
+    let mut host = host_with_discovery_event(Event::DiscoveryRejected);
     for _ in 0..10 {
         host.now = host.now + ms(3_000);
         host.discovery_failed();
         assert!(!host.balancer.is_list_overdue(host.now));
     }
-    host.now = host.now + LONG_AGO;
+    host.now = host.now + PAST_END_LIFETIME;
     assert!(!host.balancer.is_list_overdue(host.now), "not reached yet");
     host.handle(Event::DiscoveryRejected);
     assert!(!host.balancer.is_list_overdue(host.now), "just reached");
@@ -186,20 +186,20 @@
 
 /// Guards a watch that was silent before it was lost: the time until the list is overdue counts from what was last received.
 #[test]
-fn list_is_overdue_by_the_time_since_something_was_received() {
+fn overdue_time_counts_from_the_last_received_data() {
     let mut host = confirmed_host();
     let since = host.now;
     host.now = host.now + DISCOVERY_TIMEOUT;
     host.handle(Event::ListUnconfirmed { since });
     host.discovery_failed();
     host.handle(Event::DiscoveryRejected);
-    host.now = since + change_in_force_after();
+    host.now = since + change_deadline();
     assert!(host.balancer.is_list_overdue(host.now));
 }
 
 /// Guards against a report of known processes that comes when the list is current again: it suspends nothing, also later.
 #[test]
-fn late_report_of_known_processes_has_no_effect() {
+fn late_report_of_known_processes_is_ignored() {
     let mut host = confirmed_host();
     host.handle(Event::OnlyKnownProcesses {
         endpoints: ["e0".into()].into(),
