--- a/tests/policy/answer_time.rs
+++ b/tests/policy/answer_time.rs
@@ -1,10 +1,10 @@
-//! Answer time estimates.
+//! Tests of answer time estimates and cost hints.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
-/// Handles a request of the unsafe class with a cost hint.
+/// Has the balancer handle a request of the unsafe class with a cost hint.
 fn request_with_cost_hint(
     host: &mut Host,
     request_number: usize,
@@ -26,6 +26,8 @@
     (id, actions)
 }
 
+/// Guards requests against estimates inflated by a few hints close to zero, which would have them rejected for lack of
+/// time.
 #[test]
 fn tiny_cost_hints_do_not_inflate_the_estimate() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
@@ -40,12 +42,14 @@
         assert_eq!(
             send_targets(&actions).len(),
             1,
-            "request {request_number} is sent, not rejected for lack of time"
+            "request {request_number} was not sent"
         );
         host.end_attempt(&id, 0, Outcome::Served, 40, 0.0);
     }
 }
 
+/// Guards the weight of cost hints: a large hint leads to a rejection only if earlier answer times followed their
+/// hints.
 #[test]
 fn cost_hints_count_if_answer_times_correlate() {
     for (answer_times_ignore_hints, expected_sends) in [(true, 1), (false, 0)] {
@@ -66,7 +70,7 @@
                 0.0,
             );
         }
-        // Forty times the mean hint: by the hint alone the answer would come after the deadline.
+        // The hint is 40 times the mean hint. An estimate from the hint alone would be past the deadline.
         let (id, actions) = request_with_cost_hint(&mut host, 200, ms(3700));
         assert_eq!(
             (
@@ -74,7 +78,7 @@
                 count_final_answers(&actions, &id)
             ),
             (expected_sends, 1 - expected_sends),
-            "hints are rough: {answer_times_ignore_hints}"
+            "answer times ignore hints: {answer_times_ignore_hints}"
         );
     }
 }
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -1,9 +1,10 @@
-//! When discovery is called again.
+//! Tests of the times at which discovery is called again after a failure, a rejection or a lost watch.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
+/// Guards discovery against simultaneous calls from all balancers after all watches were lost.
 #[test]
 fn lost_watches_are_reopened_at_different_times() {
     let mut delays = Vec::new();
@@ -23,14 +24,17 @@
         let (call_begins, token) = requested_timers(&actions)[0];
         assert!(
             call_begins.since(at(0)) < ms(10_000),
-            "called within the poll interval"
+            "the first call is not within the poll interval"
         );
         actions.clear();
         balancer.handle(call_begins, Event::Timer { token }, &mut actions);
         assert!(actions.contains(&Action::Subscribe));
         actions.clear();
         balancer.handle(call_begins, Event::DiscoveryFailed, &mut actions);
-        assert!(!actions.contains(&Action::Subscribe), "not at once");
+        assert!(
+            !actions.contains(&Action::Subscribe),
+            "the watch was reopened at once"
+        );
         delays.push((
             requested_timers(&actions)[0].0.since(call_begins),
             call_begins,
@@ -39,11 +43,12 @@
     assert!(delays.iter().all(|(delay, _)| *delay < ms(10_000)));
     delays.sort();
     delays.dedup();
-    assert!(delays.len() > 15, "balancers call at different times");
+    assert!(delays.len() > 15, "balancers call at the same times");
 }
 
-/// Guards the deadline for changes, which does not depend on the poll interval: 6 s after a watch fell silent, of which
-/// 4.2 s have passed when that is noticed. Formerly the delay grew with the poll interval.
+/// Guards the change propagation deadline against delays that grow with the poll interval. The deadline is 6 s after a
+/// watch fell silent, for every poll interval. The balancer notices the silence after 4.2 s, and has the rest for the
+/// call.
 #[test]
 fn lost_watch_is_reopened_in_time_at_any_poll_interval() {
     for poll_interval_ms in [1_000, 10_000, 120_000] {
@@ -60,15 +65,15 @@
                 .min();
             assert!(
                 retry_delay.is_some_and(|delay| delay < ms(1_000)),
-                "{poll_interval_ms} ms: {retry_delay:?}"
+                "poll interval {poll_interval_ms} ms: {retry_delay:?}"
             );
         }
     }
 }
 
-/// Guards the deadline for changes after any number of failed calls, which were rejected at once or timed out: the next
-/// call begins early enough for its answer to be in force 6 s after the previous call began, as discovery may have
-/// recovered just then. Formerly the delay doubled up to 12 s with a long poll interval.
+/// Guards the change propagation deadline against the backoff, which once doubled up to 12 s with a long poll interval.
+/// Discovery may recover just after a call began. The answer to the next call must then be in force within 6 s of that
+/// beginning, after any number of calls that failed at once or timed out.
 #[test]
 fn repeated_failures_do_not_delay_retries_too_long() {
     let discovery_answer_time = ms(1_000);
@@ -97,15 +102,16 @@
                 let in_time = call_interval + discovery_answer_time <= CHANGE_PROPAGATION_DEADLINE;
                 assert!(
                     in_time,
-                    "{poll_interval_ms} ms, {call_duration:?} a call, {failure_count} failed: {call_interval:?}"
+                    "{poll_interval_ms} ms, {call_duration:?} a call, failure {failure_count}: {call_interval:?}"
                 );
             }
         }
     }
 }
 
-/// Guards the same deadline where the host makes the failing call by itself, as on a reload, while the balancer's own
-/// call is still due: that call is not made, and does not count as the beginning of the other.
+/// Guards the change propagation deadline when the host itself makes a call, for example on a reload, while a call of
+/// the balancer is due. The host skips the balancer's call. The skipped call must not count as the beginning of the
+/// failed one.
 #[test]
 fn failed_host_call_does_not_postpone_the_retry() {
     for seed in 0..50 {
@@ -120,7 +126,7 @@
         let call_begins = at(0);
         let call_fails = call_begins + DISCOVERY_TIMEOUT;
         let (mut now, mut has_failed) = (call_begins, false);
-        // The timers in order, and between them the failure of the host's call.
+        // Runs the timers in order, with the failure of the host's call between them.
         while !(has_failed && actions.contains(&Action::Subscribe)) {
             let next = requested_timers(&actions)
                 .into_iter()
@@ -146,10 +152,10 @@
     }
 }
 
-/// How long a rejected call waits at a crowded discovery.
+/// The time from a call to its rejection by an overloaded discovery service.
 const REJECTION_DELAY: Duration = Duration::from_secs(1);
 
-/// A host whose list was confirmed and whose watch is lost, with the actions that followed.
+/// Returns a host that received a full list and then lost its watch, and the actions on that loss.
 fn host_with_lost_watch(seed: u64) -> (Host, Vec<Action>) {
     let settings = Settings {
         discovery: DiscoveryMode::OnRequest,
@@ -162,7 +168,7 @@
     (host, actions)
 }
 
-/// Waits for the next call and returns the time until it begins.
+/// Advances the clock to the next call, and returns the time until then.
 fn wait_for_call(host: &mut Host, actions: &[Action]) -> Duration {
     let (call_begins, token) = *requested_timers(actions)
         .last()
@@ -174,14 +180,15 @@
     delay
 }
 
-/// Has the outstanding call rejected, and returns the actions.
+/// Rejects the call in progress, and returns the actions.
 fn reject_call(host: &mut Host) -> Vec<Action> {
     host.now = host.now + REJECTION_DELAY;
     host.handle(Event::DiscoveryRejected)
 }
 
-/// Guards the balancers that a crowded discovery has not served yet: one that took long to become current leaves it to them
-/// for a while when its watch is lost again, but keeps more than half of the time in which it has to be current.
+/// Guards balancers that an overloaded discovery service has not served yet. A balancer whose list took long to become
+/// current waits longer when it loses its watch again, which leaves capacity for the others. It keeps at least half of
+/// the change propagation deadline for its own calls.
 #[test]
 fn lost_watch_is_reopened_later_after_slow_catch_up() {
     for seed in 0..50 {
@@ -210,8 +217,9 @@
     }
 }
 
-/// Guards a crowded discovery: a rejection costs it as much as an answer, so the delays after
-/// rejected calls grow, however old the list is. When the delays shrank with the age of the list, 300 sidecars kept it from serving any of them.
+/// Guards an overloaded discovery service against frequent retries, since a rejection costs it as much as an answer.
+/// The delays grow after rejections regardless of the list's age. When they shrank with that age, 300 sidecars kept
+/// discovery from serving any of them.
 #[test]
 fn retry_delays_do_not_shrink_with_list_age() {
     const SEEDS: u64 = 50;
@@ -229,8 +237,8 @@
     assert!(all_exceed_first, "{total_delays:?}");
 }
 
-/// Guards a watch that was silent before it was lost: most of the time in which a change has to be in force has passed, and it
-/// is reopened without yielding to others.
+/// Guards the change propagation deadline of a watch that was silent before it was lost. Most of that time has passed
+/// by then, so the watch is reopened without the additional delay after a slow catch-up.
 #[test]
 fn silent_watch_is_reopened_soon_after_slow_catch_up() {
     for seed in 0..50 {
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -1,9 +1,10 @@
-//! Health checks of endpoints whose answers carry no load report.
+//! Tests of health checks of endpoints whose answers carry no load report.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Serves requests without load reports, ends each health check with an outcome, and returns the checked endpoints.
+/// Serves requests without load reports and ends each health check with the given outcome and queue length. Returns the
+/// endpoint of each health check.
 fn serve_without_load_reports(
     host: &mut Host,
     requests: usize,
@@ -43,6 +44,7 @@
     checked
 }
 
+/// Guards throttling by health checks alone: all endpoints are checked, and their queues or failures throttle requests.
 #[test]
 fn health_checks_replace_missing_load_reports() {
     let mut host = host_with_health_checks(0.01);
@@ -50,7 +52,7 @@
     let distinct: std::collections::BTreeSet<_> = checked.iter().collect();
     assert!(
         distinct.len() == 4,
-        "all of a small tier are checked, not {distinct:?}"
+        "only {distinct:?} of four endpoints were checked"
     );
     assert!(
         checked.len() <= 400,
@@ -59,9 +61,9 @@
     );
     assert!(
         is_sent_at_once(&mut host, 0),
-        "all have reported empty queues"
+        "throttled although all queues are empty"
     );
-    // A long queue, and a health check that implies one, throttle the lowest priority.
+    // A reported queue throttles the lowest priority, and so does a rejected or timed out health check.
     for (outcome, queue_length) in [
         (Outcome::Served, Some(2.0)),
         (Outcome::Rejected, None),
@@ -71,17 +73,19 @@
         serve_without_load_reports(&mut host, 400, outcome, queue_length);
         assert!(
             !is_sent_at_once(&mut host, 0),
-            "{outcome:?} {queue_length:?}"
+            "not throttled after {outcome:?}, queue length {queue_length:?}"
         );
     }
     let mut host = host_with_health_checks(0.01);
     serve_without_load_reports(&mut host, 400, Outcome::Reset, None);
     assert!(
         is_sent_at_once(&mut host, 0),
-        "a broken health check shows no queue"
+        "a reset health check throttled the lowest priority"
     );
 }
 
+/// Guards the cost of health checks: they are rarer at a high price, and none is sent if answers carry load reports or
+/// the limits forbid health checks.
 #[test]
 fn health_check_rate_depends_on_price_and_settings() {
     let count =
@@ -92,19 +96,19 @@
     );
     assert!(
         costly * 2 < cheap,
-        "{costly} where costly, {cheap} where cheap"
+        "{costly} health checks at a high price, {cheap} at a low price"
     );
     let mut settings = two_level_settings();
     settings.limits.health_checks = true;
     assert_eq!(
         count(&mut Host::new(settings.clone(), endpoint_entries(4))),
         0,
-        "reports come with answers"
+        "health checks although answers carry load reports"
     );
     (settings.limits.health_checks, settings.reporting) = (false, Reporting::WithHealthChecks);
     assert_eq!(
         count(&mut Host::new(settings, endpoint_entries(4))),
         0,
-        "forbidden"
+        "health checks although the limits forbid them"
     );
 }
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -1,15 +1,16 @@
-//! Settings, a small host, and queries on actions, for tests of the decision module.
+//! Fixtures of the decision module's tests: default settings, a host that drives one balancer, and functions that read
+//! its actions.
 
 use balancer_sidecar::policy::*;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Returns a duration of so many milliseconds.
+/// Returns a duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Returns the time so many milliseconds after the start of a test.
+/// Returns the time that is a number of milliseconds after the start of the test.
 pub fn at(millis: u64) -> Timestamp {
     Timestamp::from_nanos(1_000_000_000_000 + millis * 1_000_000)
 }
@@ -29,7 +30,7 @@
     }
 }
 
-/// Returns settings with one class of each idempotency.
+/// Returns settings with an idempotent class, an unsafe class, and a keyed class for each key scope.
 pub fn default_settings() -> Settings {
     let keyed = |scope| Idempotency::Keyed {
         scope,
@@ -107,7 +108,7 @@
         .collect()
 }
 
-/// One balancer with its clock.
+/// A host that drives one balancer on a simulated clock.
 pub struct Host {
     pub balancer: Balancer,
     pub now: Timestamp,
@@ -115,7 +116,7 @@
 }
 
 impl Host {
-    /// Creates a balancer that has a cached list of these endpoints.
+    /// Creates a host whose balancer has a cached list of the given endpoints.
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let mut host = Host {
             balancer: Balancer::new(settings, 7).expect("valid settings"),
@@ -126,14 +127,14 @@
         host
     }
 
-    /// Handles an event and returns the actions.
+    /// Has the balancer handle an event, and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Handles an endpoint list.
+    /// Has the balancer handle an endpoint list.
     pub fn apply_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
         self.handle(Event::EndpointList {
             version: 1,
@@ -142,17 +143,17 @@
         })
     }
 
-    /// Handles a failed call of discovery.
+    /// Has the balancer handle a failed call of discovery.
     pub fn discovery_failed(&mut self) -> Vec<Action> {
         self.handle(Event::DiscoveryFailed)
     }
 
-    /// Handles a new request of a class.
+    /// Has the balancer handle a new request of a class.
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.request_of_tenant(class, None)
     }
 
-    /// Handles a new request of a class and a tenant.
+    /// Has the balancer handle a new request of a class and a tenant.
     pub fn request_of_tenant(
         &mut self,
         class: usize,
@@ -161,7 +162,7 @@
         self.request_with(class, tenant, None)
     }
 
-    /// Handles a new request of a class with a key.
+    /// Has the balancer handle a new request of a class with a key.
     pub fn keyed_request(&mut self, class: usize, key: &str) -> (RequestId, Vec<Action>) {
         self.request_with(class, None, Some(key.into()))
     }
@@ -187,7 +188,7 @@
         (id, self.handle(Event::Request(request)))
     }
 
-    /// Ends an attempt after `took` milliseconds, with a load report of a queue length.
+    /// Ends an attempt that took `took_ms` milliseconds, with a load report that contains the queue length.
     pub fn end_attempt(
         &mut self,
         id: &RequestId,
@@ -210,7 +211,7 @@
         }))
     }
 
-    /// Sends requests of the unsafe class, 10 ms apart, each served with a load report of this queue length.
+    /// Serves requests of the unsafe class, 10 ms apart, with load reports that contain the queue length.
     pub fn serve_requests(&mut self, requests: usize, queue_length: f64) {
         for _ in 0..requests {
             let (id, actions) = self.request(1);
@@ -223,7 +224,7 @@
     }
 }
 
-/// Returns the endpoints that attempts are sent to, in order.
+/// Returns the endpoints of the send actions, in order.
 pub fn send_targets(actions: &[Action]) -> Vec<EndpointId> {
     let endpoint_of = |action: &Action| match action {
         Action::Send { endpoint, .. } => Some(endpoint.clone()),
@@ -232,7 +233,7 @@
     actions.iter().filter_map(endpoint_of).collect()
 }
 
-/// Returns the requests that are sent, in order.
+/// Returns the requests of the send actions, in order.
 pub fn sent_requests(actions: &[Action]) -> Vec<RequestId> {
     let request_of = |action: &Action| match action {
         Action::Send { request, .. } => Some(request.clone()),
@@ -241,7 +242,7 @@
     actions.iter().filter_map(request_of).collect()
 }
 
-/// Returns the endpoints whose idle connections are closed.
+/// Returns the endpoints whose idle connections the actions close.
 pub fn closed_endpoints(actions: &[Action]) -> Vec<EndpointId> {
     let endpoint_of = |action: &Action| match action {
         Action::CloseIdleConnections { endpoint } => Some(endpoint.clone()),
@@ -250,7 +251,7 @@
     actions.iter().filter_map(endpoint_of).collect()
 }
 
-/// Returns the timers that are set, with their tokens.
+/// Returns the times and tokens of the timers that the actions set.
 pub fn requested_timers(actions: &[Action]) -> Vec<(Timestamp, u64)> {
     let timer = |action: &Action| match action {
         Action::SetTimer { at, token } => Some((*at, *token)),
@@ -259,7 +260,7 @@
     actions.iter().filter_map(timer).collect()
 }
 
-/// Returns how many final answers a request is given.
+/// Counts the actions that reject or fail a request.
 pub fn count_final_answers(actions: &[Action], id: &RequestId) -> usize {
     let is_final_answer = |a: &&Action| matches!(a, Action::Reject { request, .. } | Action::Fail { request } if request == id);
     actions.iter().filter(is_final_answer).count()
@@ -268,23 +269,24 @@
 /// Returns settings with two priority levels.
 pub fn two_level_settings() -> Settings {
     let mut settings = default_settings();
-    settings.classes.truncate(2); // priority weights 1 and 3: two levels, with thresholds at equal distances from 0.3 to 2.6
+    // The priority weights 1 and 3 make two levels, with thresholds at equal distances from 0.3 to 2.6.
+    settings.classes.truncate(2);
     settings
 }
 
-/// Returns whether a request of a class is sent at once; ends it without an effect.
+/// Returns whether a request of a class is sent at once. Ends the request without an effect on the endpoint's state.
 pub fn is_sent_at_once(host: &mut Host, class: usize) -> bool {
     let (id, actions) = host.request(class);
     let is_sent = send_targets(&actions).len() == 1;
     if is_sent {
-        // This outcome shows nothing of the endpoint.
+        // An attempt that was not sent gives no information about the endpoint.
         host.end_attempt(&id, 0, Outcome::NotSent, 0, 0.0);
     }
     host.handle(Event::ClientDisconnected { request: id });
     is_sent
 }
 
-/// Returns a host whose endpoints report their load in answers to health checks alone, which have this price.
+/// Returns a host whose endpoints report their load only in answers to health checks, which have the given price.
 pub fn host_with_health_checks(price: f64) -> Host {
     let mut settings = two_level_settings();
     settings.limits.health_checks = true;
@@ -293,7 +295,7 @@
     Host::new(settings, endpoint_entries(4))
 }
 
-/// Returns the endpoints that are sent health checks.
+/// Returns the endpoints to which the actions send health checks.
 pub fn checked_endpoints(actions: &[Action]) -> Vec<EndpointId> {
     let endpoint_of = |action: &Action| match action {
         Action::HealthCheck { endpoint } => Some(endpoint.clone()),
@@ -302,7 +304,7 @@
     actions.iter().filter_map(endpoint_of).collect()
 }
 
-/// Serves a number of requests, 20 ms apart, and returns how many were sent to an endpoint.
+/// Serves requests, 20 ms apart, and returns how many were sent to the given endpoint.
 pub fn count_sent_to(host: &mut Host, endpoint: &str, requests: usize) -> usize {
     let mut count = 0;
     for _ in 0..requests {
--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -1,11 +1,12 @@
-//! How many requests a balancer has in flight.
+//! Tests of the limits on the requests that a balancer has in flight.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
+/// Guards endpoints against a growing load from timeouts. Most servers continue with a timed out request. If its
+/// attempt stopped counting at once, further requests would be sent in addition.
 #[test]
 fn timed_out_attempts_count_until_the_deadline() {
-    // Most servers continue with it: if it were removed at once, the next request would be sent in addition, and so on.
     let send_requests = |host: &mut Host| {
         let requests = (0..40)
             .map(|_| host.request(1))
@@ -28,7 +29,7 @@
         );
         host.now = host.now + ms(1000);
         for id in &first {
-            host.end_attempt(id, 0, Outcome::TimedOut, 150, 0.0); // too short to count against the endpoint
+            host.end_attempt(id, 0, Outcome::TimedOut, 150, 0.0); // too short to count as a failure of the endpoint
         }
         host.now = host.now + ms(wait_ms);
         (first.len(), send_requests(&mut host).len())
@@ -36,7 +37,7 @@
     assert_eq!(
         sent_before_and_after(500).1,
         0,
-        "the deadline is 2 s after the start"
+        "sent again before the deadline, which is 2 s after the start"
     );
     let (first, later) = sent_before_and_after(1100);
     assert!(
@@ -45,8 +46,8 @@
     );
 }
 
-/// Returns how many requests one of several balancers sends at once to a tier that stops answering, before one is
-/// queued. The last answers took `took` ms, and the unloaded time is 10 ms.
+/// Returns how many requests one of several balancers sends to a tier that stops answering, before it queues one. The
+/// last answers took `last_took_ms`, and the unloaded time is 10 ms.
 fn count_sent_to_unresponsive_tier(balancers: u32, endpoints: usize, last_took_ms: u64) -> usize {
     let mut host = Host::new(
         Settings {
@@ -77,9 +78,10 @@
     (0..300).take_while(|_| count_sent(&mut host) == 1).count()
 }
 
+/// Guards endpoints against the sum over balancers. A limit of two per endpoint that ignores the other balancers would
+/// add up to twice their number at each endpoint.
 #[test]
 fn many_balancers_do_not_overload_the_endpoints() {
-    // By its own requests alone a balancer would send two to each endpoint, and so would every other balancer.
     for balancers in [10, 20] {
         let together = count_sent_to_unresponsive_tier(balancers, 20, 10) * balancers as usize;
         assert!(
@@ -91,25 +93,27 @@
             "{together} on 20 endpoints from {balancers} balancers"
         );
     }
-    // Of 60 balancers none may send beyond its subset: two on each of three members exceed its share already.
+    // With 60 balancers none may send beyond its subset, since two requests at each of three members already exceed its
+    // share.
     assert_eq!(count_sent_to_unresponsive_tier(60, 20, 10), 6);
 }
 
+/// Guards the limit with few requests at each endpoint. Each of 100 endpoints has at most one request of this balancer,
+/// so only the mean over the tier shows the slowdown.
 #[test]
 fn slower_answers_reduce_requests_in_flight() {
-    // Each of 100 endpoints has at most one of this balancer's requests, so that only the tier's mean shows the
-    // slowdown.
     let (short, long) = (
         count_sent_to_unresponsive_tier(100, 100, 10),
         count_sent_to_unresponsive_tier(100, 100, 18),
     );
     assert!(
         long * 4 <= short * 3,
-        "{long} in flight after long answers, {short} after short ones"
+        "{long} in flight after slow answers, {short} after fast answers"
     );
 }
 
-/// Returns how many requests of a class a balancer sends to a tier before one is queued.
+/// Returns how many requests of a class a balancer sends before it queues one. The balancer is in front of the tier
+/// with number `tier` of `tiers`.
 fn count_sent_before_queueing(class: usize, tier: usize, tiers: usize) -> usize {
     let mut host = Host::new(
         Settings {
@@ -128,6 +132,7 @@
     (0..300).take_while(|_| count_sent(&mut host) == 1).count()
 }
 
+/// Guards inner tiers, which have a lower limit than a single tier, and still use idle endpoints.
 #[test]
 fn inner_tier_has_fewer_requests_in_flight() {
     let (single_tier, last_of_two) = (
@@ -136,7 +141,7 @@
     );
     assert!(
         last_of_two < single_tier,
-        "{last_of_two} in flight in the last tier of two, {single_tier} where there is one"
+        "{last_of_two} in flight in the last tier of two, {single_tier} in a single tier"
     );
     assert!(
         last_of_two >= 4,
@@ -144,6 +149,8 @@
     );
 }
 
+/// Guards the first of two tiers, whose requests are in flight longer because they wait in the second tier. That time
+/// must not throttle the first tier like a queue of its own, but the limit still applies.
 #[test]
 fn requests_waiting_in_the_next_tier_are_no_queue() {
     let (first_of_two, last_of_two) = (
@@ -152,14 +159,14 @@
     );
     assert!(
         first_of_two >= 2 * last_of_two,
-        "{first_of_two} in flight above the last tier, {last_of_two} in it"
+        "{first_of_two} in flight in the first tier of two, {last_of_two} in the last"
     );
     assert!(
         first_of_two >= 2 * 4,
-        "two requests in flight at each server are no overload, but only {first_of_two} were sent"
+        "only {first_of_two} in flight at four endpoints, which is no overload"
     );
     assert!(
         first_of_two <= 4 * 10,
-        "{first_of_two} unanswered requests at four servers throttle nothing"
+        "{first_of_two} in flight at four endpoints without throttling"
     );
 }
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Robustness: no event makes the module panic, and invalid settings are rejected.
+//! Tests of arbitrary events, unknown ids and invalid settings.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
@@ -6,6 +6,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 use std::time::Duration;
 
+/// Generates durations, with zero and the maximum.
 fn any_duration() -> impl Strategy<Value = Duration> {
     prop_oneof![
         Just(Duration::ZERO),
@@ -15,6 +16,7 @@
     ]
 }
 
+/// Generates timestamps, with zero and the maximum.
 fn any_timestamp() -> impl Strategy<Value = Timestamp> {
     prop_oneof![
         Just(Timestamp::default()),
@@ -23,6 +25,7 @@
     ]
 }
 
+/// Generates numbers, with negative, infinite and undefined ones.
 fn any_number() -> impl Strategy<Value = f64> {
     prop_oneof![
         Just(f64::NAN),
@@ -34,6 +37,7 @@
     ]
 }
 
+/// Generates one of six names, so that events often refer to the same request, endpoint or key.
 fn numbered_name(prefix: &'static str) -> impl Strategy<Value = String> {
     (0..6u8).prop_map(move |number| format!("{prefix}{number}"))
 }
@@ -133,11 +137,11 @@
     ]
 }
 
-/// An input of the balancer: an event, or new settings.
+/// An input to the balancer: an event, or new settings.
 #[derive(Clone, Debug)]
 enum Input {
     Event(Event),
-    /// A number of classes, the priority weight of the first, and a number of tenants.
+    /// The number of classes, the priority weight of the first class, and the number of tenants.
     Settings {
         classes: usize,
         priority_weight: f64,
@@ -163,6 +167,7 @@
         .collect()
 }
 
+/// Guards the host's process: no sequence of events and settings, in any order and at any time, makes the module panic.
 #[test]
 fn random_events_do_not_panic() {
     let mut config = Config::with_cases(600);
@@ -211,9 +216,10 @@
             }
             Ok(())
         })
-        .expect("no panic");
+        .expect("no input fails");
 }
 
+/// Guards pending requests against events with unknown or duplicate ids.
 #[test]
 fn unknown_ids_are_ignored() {
     let mut host = Host::new(default_settings(), endpoint_entries(2));
@@ -262,7 +268,7 @@
     assert_eq!(
         send_targets(&actions).len() + count_final_answers(&actions, &id),
         1,
-        "it is still pending"
+        "the request is no longer pending"
     );
 }
 
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -1,9 +1,10 @@
-//! Key order: requests with one key are sent one at a time, in order of arrival.
+//! Tests of key order: requests with the same key are sent one at a time, in order of arrival.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Returns a host with two classes in key order (unsafe, and keyed to a zone) and a key cool-down of 50 ms.
+/// Returns a host with two classes in key order (the unsafe class, and the class keyed to a zone) and a key cooldown of
+/// 50 ms.
 fn host_with_key_order() -> Host {
     let mut settings = default_settings();
     settings.rules.key_cooldown = Some(ms(50));
@@ -14,6 +15,8 @@
     Host::new(settings, endpoint_entries(6))
 }
 
+/// Guards the order of requests with the same key in different classes. Other keys, requests without a key and classes
+/// without key order are not delayed.
 #[test]
 fn key_order_spans_classes_and_delays_no_other_keys() {
     let mut host = host_with_key_order();
@@ -23,7 +26,7 @@
     assert_eq!(
         sent_requests(&actions),
         [],
-        "the other class shares the key"
+        "sent before the earlier request of another class"
     );
     let (third, actions) = host.keyed_request(1, "k");
     assert_eq!(sent_requests(&actions), []);
@@ -31,13 +34,13 @@
         assert_eq!(
             sent_requests(&host.keyed_request(class, key).1).len(),
             1,
-            "another key, or a class without key order"
+            "delayed despite another key, or a class without key order"
         );
     }
     assert_eq!(
         sent_requests(&host.request(1).1).len(),
         1,
-        "without a key there is no order"
+        "a request without a key was delayed"
     );
     host.now = host.now + ms(20);
     assert_eq!(
@@ -50,6 +53,8 @@
     );
 }
 
+/// Guards the key order after an attempt whose end does not prove that the endpoint has stopped processing it. The next
+/// request of the key waits for the cooldown, since both could otherwise run at the same time.
 #[test]
 fn key_cools_down_after_attempt_that_may_still_run() {
     for (outcome, cools_down) in [
@@ -66,7 +71,7 @@
         assert_eq!(
             count_final_answers(&actions, &first),
             1,
-            "unsafe: {outcome:?} ends it"
+            "{outcome:?} did not end the unsafe request"
         );
         assert_eq!(
             sent_requests(&actions).is_empty(),
@@ -81,12 +86,12 @@
         if cools_down {
             assert!(
                 expires_at <= host.now + ms(1),
-                "a timer is set for the end of the cool-down"
+                "no timer is set for the end of the cooldown"
             );
             assert_eq!(
                 sent_requests(&host.handle(Event::Timer { token: token + 1 })),
                 [],
-                "still cooling down"
+                "sent during the cooldown"
             );
             host.now = host.now + ms(1);
             assert_eq!(
@@ -97,10 +102,11 @@
     }
 }
 
+/// Guards the first request of a key: the cooldown delays the requests behind it, but not its own retry.
 #[test]
 fn retries_skip_the_key_cooldown() {
     let mut host = host_with_key_order();
-    host.serve_requests(60, 0.0); // earns the retry
+    host.serve_requests(60, 0.0); // fills the retry budget
     let (first, _) = host.keyed_request(3, "k");
     let (second, _) = host.keyed_request(3, "k");
     host.now = host.now + ms(20);
@@ -112,10 +118,11 @@
     assert_eq!(
         sent_requests(&host.end_attempt(&first, 1, Outcome::Served, 20, 0.0)),
         [second],
-        "the cool-down has ended by now"
+        "not sent although the cooldown has ended"
     );
 }
 
+/// Guards the key order when a client disconnects: its attempt may still run, so it delays the key until it ends.
 #[test]
 fn attempt_in_flight_delays_its_key_after_disconnect() {
     let mut host = host_with_key_order();
@@ -128,9 +135,9 @@
     assert_eq!(
         sent_requests(&actions),
         [],
-        "its attempt is still in flight"
+        "sent while the attempt of the first request is in flight"
     );
-    // A queued request whose client disconnects is skipped.
+    // The second request is skipped, since its client disconnects while it is queued.
     host.handle(Event::ClientDisconnected { request: second });
     host.now = host.now + ms(20);
     assert_eq!(
@@ -139,6 +146,7 @@
     );
 }
 
+/// Guards the final answer of a request that waits while the first request of its key stays in flight.
 #[test]
 fn request_waiting_for_its_key_is_rejected_in_time() {
     let mut host = host_with_key_order();
@@ -160,5 +168,5 @@
         timers.extend(requested_timers(&actions));
     }
     assert_eq!(answer_count, 1);
-    assert!(host.now <= at(1001), "before its objective has passed");
+    assert!(host.now <= at(1001), "rejected after its latency objective");
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module, which is driven event by event. Each test names the behaviour that it guards.
+//! Tests of the decision module. They pass events to it one at a time and check its actions.
 
 mod answer_time;
 mod discovery_calls;
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -1,8 +1,9 @@
-//! Which endpoints take work, by the lists.
+//! Tests of endpoint lists: the endpoints that are sent requests, and the closing of idle connections.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
+/// Guards the retry of an attempt in flight and later requests after a change of the list.
 #[test]
 fn draining_and_unlisted_endpoints_get_no_requests() {
     let with_readiness = |readiness| EndpointEntry {
@@ -18,7 +19,7 @@
         let (id, actions) = host.request(0);
         assert_eq!(send_targets(&actions).len(), 1);
         host.apply_list(kind, entries);
-        // The retry of the attempt in flight, and all later requests.
+        // Neither the retry of the attempt in flight nor any later request is sent to e0.
         let mut targets = send_targets(&host.end_attempt(&id, 0, Outcome::NotSent, 5, 0.0));
         for _ in 0..20 {
             host.now = host.now + ms(100);
@@ -39,6 +40,8 @@
     }
 }
 
+/// Guards the limit on idle connections to a draining endpoint, `drain_close`: they are closed on each list that names
+/// it as draining, and after each attempt that ends there.
 #[test]
 fn idle_connections_to_draining_endpoints_are_closed() {
     let mut settings = default_settings();
@@ -55,20 +58,20 @@
     assert_eq!(
         closed_endpoints(&host.apply_list(ListKind::Changes, with_readiness(Readiness::Draining))),
         std::slice::from_ref(&e0),
-        "when it starts to drain"
+        "not closed when the endpoint starts to drain"
     );
     assert_eq!(
         closed_endpoints(&host.apply_list(ListKind::Changes, with_readiness(Readiness::Draining))),
         std::slice::from_ref(&e0),
-        "when it is listed as draining again"
+        "not closed when the endpoint is listed as draining again"
     );
     host.now = host.now + ms(700);
     assert_eq!(
         closed_endpoints(&host.end_attempt(&id, 0, Outcome::Served, 700, 0.0)),
         std::slice::from_ref(&e0),
-        "after the end of its attempt"
+        "not closed when an attempt at the draining endpoint ends"
     );
-    // Removed in the meantime, it is still draining.
+    // An endpoint that is removed while it drains still counts as draining.
     host.apply_list(ListKind::Changes, with_readiness(Readiness::Serving));
     let (id, actions) = host.request(0);
     assert_eq!(send_targets(&actions), std::slice::from_ref(&e0));
@@ -78,7 +81,7 @@
         closed_endpoints(&host.end_attempt(&id, 0, Outcome::Reset, 1, 0.0)),
         [e0]
     );
-    // Once it is serving again, nothing is closed.
+    // No connections are closed once the endpoint is serving again.
     host.apply_list(ListKind::Changes, with_readiness(Readiness::Serving));
     host.now = host.now + ms(20_000);
     let (id, actions) = host.request(1);
@@ -87,7 +90,7 @@
         closed_endpoints(&host.end_attempt(&id, 0, Outcome::Served, 5, 0.0)),
         []
     );
-    // Without a limit on idle connections, the host decides.
+    // Without a limit on idle connections the balancer closes none, and leaves them to the host.
     let mut host = Host::new(default_settings(), endpoint_entries(1));
     assert_eq!(
         closed_endpoints(&host.apply_list(ListKind::Changes, with_readiness(Readiness::Draining))),
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -1,4 +1,4 @@
-//! Endpoints that the operators disable and enable.
+//! Tests of endpoints that operators disable and enable.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
@@ -11,7 +11,8 @@
     host.handle(Event::EndpointEnabled(endpoint.into()))
 }
 
-/// Guards disabling against later lists: it lasts until the endpoint is enabled, once, and affects no other endpoint.
+/// Guards a disabled endpoint against later lists. It stays disabled until it is enabled once, even if it was disabled
+/// twice. No other endpoint is affected.
 #[test]
 fn disabled_endpoint_gets_no_requests() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
@@ -19,7 +20,7 @@
     assert_eq!(
         closed_endpoints(&disable(&mut host, "e1")),
         ["e1".into()],
-        "its idle connections are closed"
+        "idle connections of the disabled endpoint are not closed"
     );
     assert_eq!(count_sent_to(&mut host, "e1", 60), 0);
     host.apply_list(ListKind::Full, endpoint_entries(3));
@@ -40,13 +41,13 @@
     assert_eq!(
         count_sent_to(&mut host, "e1", 60),
         0,
-        "also after it was missing from a list"
+        "used after it was missing from a list"
     );
     disable(&mut host, "e1");
     enable(&mut host, "e1");
     assert!(
         count_sent_to(&mut host, "e1", 200) > 0,
-        "enabling once undoes both"
+        "enabling once does not undo disabling twice"
     );
     enable(&mut host, "never-listed");
     assert!(
@@ -65,11 +66,11 @@
     assert_eq!(send_targets(&actions), ["e0".into()]);
     assert!(
         send_targets(&host.end_attempt(&id, 0, Outcome::ConnectFailed, 1, 0.0)).is_empty(),
-        "no retry at e1"
+        "retried at the disabled endpoint"
     );
     disable(&mut host, "e0");
     let (_, actions) = host.request(0);
-    assert!(send_targets(&actions).is_empty(), "queued");
+    assert!(send_targets(&actions).is_empty(), "not queued");
     let mut actions_after_enabling = enable(&mut host, "e0");
     for _ in 0..20 {
         host.now = host.now + ms(10);
@@ -77,7 +78,7 @@
     }
     assert!(
         !send_targets(&actions_after_enabling).is_empty(),
-        "it is sent once an endpoint is enabled"
+        "not sent after an endpoint was enabled"
     );
     assert!(
         send_targets(&actions_after_enabling)
@@ -112,8 +113,8 @@
     );
 }
 
-/// Guards an enabled endpoint: it counts as warming up although the list has an old start time, and its first request
-/// is sent soon, as the operators look for it.
+/// Guards the slow start of an enabled endpoint: it is warming up even if its start time in the list is old. Its first
+/// request is sent soon, since operators check that the endpoint is in use.
 #[test]
 fn enabled_endpoint_warms_up_and_is_used_soon() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
@@ -121,19 +122,22 @@
     disable(&mut host, "e1");
     count_sent_to(&mut host, "e1", 20);
     enable(&mut host, "e1");
-    assert!(count_sent_to(&mut host, "e1", 20) > 0, "soon");
+    assert!(
+        count_sent_to(&mut host, "e1", 20) > 0,
+        "not used within 20 requests"
+    );
     let count_after_enabling = count_sent_to(&mut host, "e1", 200);
     assert!(
         count_after_enabling > 0 && count_after_enabling * 3 < count_while_warm * 2,
-        "{count_after_enabling} of 200, {count_while_warm} when it was warm"
+        "{count_after_enabling} of 200 requests after enabling, {count_while_warm} when warm"
     );
     host.apply_list(ListKind::Full, endpoint_entries(4));
     let count_after_list = count_sent_to(&mut host, "e1", 200);
     assert!(
         count_after_list * 5 < count_while_warm * 6,
-        "an old list does not make it warm: {count_after_list}, {count_while_warm}"
+        "{count_after_list} of 200 requests after an old list, {count_while_warm} when warm"
     );
-    // An endpoint that is not listed when it is enabled is used once it is listed.
+    // An endpoint that is enabled while it is not listed is used once it is listed.
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     count_sent_to(&mut host, "e1", 40);
     disable(&mut host, "e1");
@@ -154,7 +158,7 @@
     assert!(count_sent_to(&mut host, "e1", 60) > 0);
 }
 
-/// Guards the first request after enabling, at a balancer with so few requests that it always picks the fastest
+/// Guards the first request after enabling at a balancer with few requests, which otherwise always picks the fastest
 /// endpoint.
 #[test]
 fn enabled_endpoint_is_used_beside_a_faster_one() {
@@ -162,7 +166,7 @@
     for _ in 0..100 {
         host.now = host.now + ms(20);
         let (id, actions) = host.request(0);
-        // e1 is so much slower that it is no longer picked in the end.
+        // e1 is so slow that the balancer stops picking it.
         let took = if send_targets(&actions) == ["e1".into()] {
             100
         } else {
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: endpoints that fail more than others.
+//! Tests of outlier detection: endpoints that fail more often than others are avoided.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
@@ -17,8 +17,9 @@
     }
 }
 
-/// Returns how many of the last 200 requests of each of two classes are sent to e0, where e0 and the other endpoints
-/// fail these fractions of the first class with an outcome, and serve the second class.
+/// Returns how many of the last 200 requests of each class are sent to e0. The endpoints fail requests of the unsafe
+/// class with the given outcome and rates, and serve all requests of the idempotent class. The unsafe class is counted
+/// first.
 fn count_sent_to_e0(outcome: Outcome, e0_failure_rate: f64, other_failure_rate: f64) -> [usize; 2] {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     let (mut counts, mut accumulated_failures) = ([0, 0], [0.0; 4]);
@@ -52,30 +53,34 @@
     counts
 }
 
+/// Guards outlier detection per class: an endpoint that returns errors for one class keeps its requests of the other.
 #[test]
 fn endpoint_failing_one_class_keeps_the_others() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::ConnectFailed] {
         let [sent_of_failed_class, sent_of_served_class] = count_sent_to_e0(outcome, 1.0, 0.0);
         assert!(
             sent_of_failed_class <= 4,
-            "{outcome:?}: {sent_of_failed_class} of 200 requests to the endpoint that fails them"
+            "{outcome:?}: {sent_of_failed_class} of 200 requests of the failed class sent to the faulty endpoint"
         );
         assert!(
             outcome != Outcome::Error || sent_of_served_class > 30,
-            "{sent_of_served_class} of 200 requests of the class that it serves"
+            "only {sent_of_served_class} of 200 requests of the served class"
         );
     }
 }
 
+/// Guards a tier in which all endpoints fail equally often: an endpoint is still sent its share.
 #[test]
 fn equal_error_rates_make_no_outlier() {
     let [sent_to_first, _] = count_sent_to_e0(Outcome::Error, 0.5, 0.5);
     assert!(
         sent_to_first > 15,
-        "{sent_to_first} of 200: failing like the others, it is sent its share"
+        "only {sent_to_first} of 200 requests sent to an endpoint with the common error rate"
     );
 }
 
+/// Guards unsafe requests, which are not retried if they may have run: they avoid an endpoint with failures in any
+/// class.
 #[test]
 fn unsafe_requests_avoid_endpoint_failing_other_classes() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
@@ -83,7 +88,7 @@
     let mut unsafe_sent_to_faulty = 0;
     for request_number in 0..400 {
         host.now = host.now + ms(10);
-        // Nineteen of twenty requests are idempotent; the faulty endpoint fails all of these.
+        // Nineteen of twenty requests are idempotent. The faulty endpoint fails all of them.
         let class = usize::from(request_number % 20 == 19);
         let (id, actions) = host.request(class);
         let Some(to) = send_targets(&actions).first().cloned() else {
@@ -102,12 +107,13 @@
     }
     assert_eq!(
         unsafe_sent_to_faulty, 0,
-        "unsafe requests were sent to the faulty endpoint"
+        "unsafe requests sent to the faulty endpoint"
     );
 }
 
-/// Guards unsafe requests where some endpoints lose these alone: not one request is lost at each such endpoint. They
-/// are sent where one was served last; the other classes are still sent everywhere.
+/// Guards unsafe requests when some endpoints lose only requests of this class. After a loss, unsafe requests are sent
+/// to an endpoint that served one recently, so fewer are lost than one at each faulty endpoint. Other classes are still
+/// sent to all endpoints.
 #[test]
 fn unsafe_requests_stay_at_endpoint_that_served_one() {
     let mut host = Host::new(default_settings(), endpoint_entries(8));
@@ -137,7 +143,7 @@
     }
     assert!(
         (1..=2).contains(&lost),
-        "{lost} of 40 requests were lost at four of eight endpoints"
+        "{lost} of 40 unsafe requests lost, with four faulty endpoints of eight"
     );
     assert_eq!(idempotent_targets.len(), 8, "{idempotent_targets:?}");
 }
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -1,9 +1,10 @@
-//! When endpoints are throttled, for which priority levels, and for how long.
+//! Tests of overload states: the load at which endpoints are throttled, the priority levels concerned, and the
+//! duration.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Serves one request of the higher priority, with a load report of this queue length.
+/// Serves one request of the higher priority, with a load report that contains the queue length.
 fn report_queue_length(host: &mut Host, queue_length: f64) {
     for _ in 0..40 {
         host.now = host.now + ms(50);
@@ -21,24 +22,28 @@
 fn throttling_starts_at_onset_and_ends_below_abatement() {
     let mut host = Host::new(two_level_settings(), endpoint_entries(1));
     report_queue_length(&mut host, 0.0);
-    assert!(is_sent_at_once(&mut host, 0), "clear");
-    report_queue_length(&mut host, 0.5); // between abatement (0.3) and onset (0.76) of the low level, from below
-    assert!(is_sent_at_once(&mut host, 0), "still clear below onset");
-    report_queue_length(&mut host, 0.9); // past the low onset
+    assert!(is_sent_at_once(&mut host, 0), "throttled without a queue");
+    report_queue_length(&mut host, 0.5); // between abatement (0.3) and onset (0.76) of the low level, while clear
+    assert!(is_sent_at_once(&mut host, 0), "throttled below the onset");
+    report_queue_length(&mut host, 0.9); // above the onset of the low level
     assert!(
         !is_sent_at_once(&mut host, 0),
-        "the low level is throttled right after a send"
+        "the low level is not throttled right after a send"
     );
-    assert!(is_sent_at_once(&mut host, 1), "the high level is not");
-    report_queue_length(&mut host, 0.5); // below onset again, but not below abatement
+    assert!(
+        is_sent_at_once(&mut host, 1),
+        "the high level is throttled below its onset"
+    );
+    report_queue_length(&mut host, 0.5); // below the onset, but not below abatement
     assert!(
         !is_sent_at_once(&mut host, 0),
-        "gapping lasts until below abatement"
+        "gapping ended above abatement"
     );
     report_queue_length(&mut host, 0.0);
-    assert!(is_sent_at_once(&mut host, 0), "clear again");
+    assert!(is_sent_at_once(&mut host, 0), "throttled below abatement");
 }
 
+/// Guards the lowest priority after a load report expired: the mean queue length of the tier applies instead.
 #[test]
 fn expired_state_falls_back_to_the_tier_mean() {
     let mut host = Host::new(two_level_settings(), endpoint_entries(1));
@@ -48,15 +53,15 @@
     host.now = host.now + ms(20_000);
     assert!(
         is_sent_at_once(&mut host, 0),
-        "one old report does not throttle forever"
+        "throttled by an expired report"
     );
-    // A tier with long queues throughout stays throttled for the lowest priority, although single states expire.
+    // If all reports show long queues, the lowest priority stays throttled after the endpoint's state expires.
     for _ in 0..60 {
         report_queue_length(&mut host, 0.9);
     }
     host.now = host.now + ms(20_000);
     let queued = (0..5).filter(|_| !is_sent_at_once(&mut host, 0)).count();
-    assert!(queued >= 3, "{queued} of 5 queued");
+    assert!(queued >= 3, "only {queued} of 5 requests queued");
 }
 
 #[test]
@@ -66,12 +71,17 @@
     for request_number in 0..30 {
         host.now = host.now + ms(20);
         if request_number == 5 {
-            host.apply_list(ListKind::Full, endpoint_entries(3)); // the subset has all three once the arrival rate is known
+            // The balancer knows its arrival rate by now, and the new subset has all three endpoints.
+            host.apply_list(ListKind::Full, endpoint_entries(3));
         }
         let (id, actions) = host.request(1);
         let to = send_targets(&actions)[0].clone();
         if request_number >= 10 {
-            assert_eq!(to, EndpointId::from("e2"), "the one that reported no queue");
+            assert_eq!(
+                to,
+                EndpointId::from("e2"),
+                "not sent to the endpoint without a queue"
+            );
         }
         let queue_length = if to == EndpointId::from("e2") {
             0.0
@@ -84,8 +94,8 @@
     assert!(last_target.is_some());
 }
 
-/// Returns how many of ten requests of the lowest priority are sent at once after an attempt at each of four idle
-/// endpoints ended with an outcome.
+/// Returns how many of ten requests of the lowest priority are sent at once, after an attempt at each of four idle
+/// endpoints ended with the given outcome.
 fn count_lowest_priority_sent_after(outcome: Outcome) -> usize {
     let mut host = Host::new(two_level_settings(), endpoint_entries(4));
     host.serve_requests(40, 0.0);
@@ -98,6 +108,8 @@
     (0..10).filter(|_| is_sent_at_once(&mut host, 0)).count()
 }
 
+/// Guards idle endpoints against throttling by resets and connection failures, which give no information about the
+/// queue. Rejections and timeouts do throttle.
 #[test]
 fn broken_connections_do_not_throttle() {
     for broken in [Outcome::Reset, Outcome::ConnectFailed] {
--- a/tests/policy/random_sequences.rs
+++ b/tests/policy/random_sequences.rs
@@ -1,6 +1,13 @@
-//! Random legal sequences of events: rules 1 to 3, 5 and 6 hold, and every action is legal.
+//! Property test with random sequences of events that a host may send: rules 1 to 3, 5 and 6 hold, and every action is
+//! valid.
 //!
-//! Rule 4 concerns all balancers together; `slow_start.rs` and `slow_start_fleet` test it.
+//! 1. Each request has exactly one final answer, in time.
+//! 2. A request that may have run is sent again, or rejected, only if its idempotency permits another run.
+//! 3. No request is sent to an endpoint that is not serving.
+//! 4. All balancers together do not overload a warming endpoint. This concerns several balancers, and is tested in
+//!    `slow_start.rs` and `slow_start_fleet`.
+//! 5. Requests with the same key are sent in key order.
+//! 6. Idle connections to a draining endpoint are closed in time.
 
 use crate::host::*;
 use crate::sequence_model::Model;
@@ -9,9 +16,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 
-/// Classes that are sent in key order.
+/// The classes that have key order.
 const KEY_ORDERED_CLASSES: [usize; 3] = [1, 3, 4];
 
+/// Returns settings with key order, a key cooldown and a limit on idle connections. The seed varies the price of
+/// crossings between zones, and the discovery mode.
 fn sequence_settings(seed: u64, parallel_attempts: bool) -> Settings {
     let mut settings = default_settings();
     settings.limits.parallel_attempts = parallel_attempts;
@@ -28,6 +37,7 @@
     settings
 }
 
+/// Runs a sequence and the 4 s after it, by which all requests must have ended.
 fn run_sequence(seed: u64, parallel_attempts: bool, steps: Vec<Step>) {
     let mut model = Model::new(sequence_settings(seed, parallel_attempts), seed);
     model.apply_cached_list();
@@ -39,7 +49,7 @@
     for (id, record) in &model.requests {
         assert!(record.is_answered, "rule 1: {id:?} was never answered");
     }
-    // All tables are empty again, however requests and attempts ended: nothing was removed twice, or not at all.
+    // All tables are empty, so every entry was removed exactly once, however its request or attempt ended.
     model.handle(Event::Timer { token: 0 });
     let BalancerStatus {
         pending,
@@ -67,5 +77,5 @@
             run_sequence(seed, parallel_attempts, steps);
             Ok(())
         })
-        .expect("the rules hold");
+        .expect("a rule is violated");
 }
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -1,8 +1,9 @@
-//! Requests that wait to be sent, and those that are shed.
+//! Tests of the request queue: priorities, shedding and removal.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
+/// Guards queued requests at a host whose clock has a coarser resolution, so that its timers expire slightly early.
 #[test]
 fn early_timers_leave_no_queued_request_unanswered() {
     let mut host = Host::new(default_settings(), Vec::new());
@@ -10,20 +11,20 @@
     assert_eq!(
         count_final_answers(&actions, &first),
         0,
-        "no endpoint takes it: queued"
+        "not queued without endpoints"
     );
     let mut timers = requested_timers(&actions);
     assert!(!timers.is_empty());
     let mut answer_count = 0;
     while let Some((expires_at, token)) = timers.pop() {
-        // Slightly early, as with a host whose clock has a coarser resolution.
+        // Expires slightly early.
         host.now = Timestamp::from_nanos(expires_at.as_nanos() - 405);
         let actions = host.handle(Event::Timer { token });
         answer_count += count_final_answers(&actions, &first);
         timers.extend(requested_timers(&actions));
     }
     assert_eq!(answer_count, 1);
-    assert!(host.now < at(2000), "answered in time");
+    assert!(host.now < at(2000), "answered after the deadline");
 }
 
 #[test]
@@ -47,7 +48,7 @@
     }
     assert!(
         !shed.is_empty(),
-        "past the queue limit requests of the low priority are shed"
+        "no request of the low priority was shed above the queue limit"
     );
     let actions = host.apply_list(ListKind::Full, endpoint_entries(4));
     let first = actions.iter().find_map(|a| match a {
@@ -57,7 +58,7 @@
     assert_eq!(first, Some(high));
 }
 
-/// Guards the queue limit: requests of disconnected clients no longer count towards it, also behind one that stays.
+/// Guards the queue limit: requests of disconnected clients do not count towards it, even behind one that stays queued.
 #[test]
 fn queued_request_is_removed_when_its_client_disconnects() {
     let mut host = Host::new(default_settings(), Vec::new());
@@ -65,7 +66,7 @@
     assert_eq!(
         count_final_answers(&actions, &remaining),
         0,
-        "no endpoint takes it: queued"
+        "not queued without endpoints"
     );
     for _ in 0..8 {
         host.now = host.now + ms(100);
@@ -73,14 +74,14 @@
         assert_eq!(
             count_final_answers(&actions, &id),
             0,
-            "only one other is queued: queued"
+            "not queued behind a single request"
         );
         let actions = host.handle(Event::ClientDisconnected {
             request: id.clone(),
         });
         assert!(
             actions.iter().all(|a| matches!(a, Action::SetTimer { .. })),
-            "nothing to answer or to cancel"
+            "an action for a request that was only queued"
         );
         let status = host.balancer.status(host.now);
         assert_eq!((status.queued, status.pending), (1, 1));
@@ -90,6 +91,8 @@
     assert_eq!(sent_requests(&actions), [remaining]);
 }
 
+/// Guards tenants above their quota share: their requests get the lowest priority, but only while endpoints are
+/// throttled.
 #[test]
 fn tenant_over_its_share_loses_priority_under_throttling() {
     let mut settings = two_level_settings();
@@ -106,7 +109,7 @@
         assert_eq!(
             send_targets(&actions).len(),
             1,
-            "over its share, but nothing is throttled"
+            "a tenant above its quota share was limited without throttling"
         );
         host.end_attempt(&id, 0, Outcome::Served, 20, 0.0);
     }
@@ -116,7 +119,7 @@
         let (id, actions) = host.request_of_tenant(1, Some(TenantId(request_number % 2)));
         if send_targets(&actions).len() == 1 {
             counts[request_number % 2] += 1;
-            host.end_attempt(&id, 0, Outcome::Served, 20, 0.6); // past the lowest onset only
+            host.end_attempt(&id, 0, Outcome::Served, 20, 0.6); // above the lowest onset only
         } else {
             host.handle(Event::ClientDisconnected { request: id });
         }
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -1,15 +1,15 @@
-//! What may follow an attempt, and what the client is answered.
+//! Tests of retries after attempts, their limits, and the final answers.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Returns the endpoints that a request is sent to where its first attempt ends with an outcome, and its final answer.
+/// Ends the first attempt of a request with an outcome. Returns the endpoints of its attempts, and its final answer.
 fn attempts_and_answer(
     class: usize,
     outcome: Outcome,
     elapsed_ms: u64,
 ) -> (Vec<EndpointId>, Option<Action>) {
-    // e0 and e1 share a group, e2 shares only their zone, e3 and e4 neither.
+    // e0 and e1 are in one group, e2 is in another group of their zone, and e3 and e4 are in another zone.
     let entries = vec![
         endpoint_entry("e0", "a", 1),
         endpoint_entry("e1", "a", 1),
@@ -19,7 +19,7 @@
     ];
     let mut host = Host::new(default_settings(), entries);
     for _ in 0..60 {
-        // Requests earn the retry budget.
+        // Served requests fill the retry budget.
         let (id, _) = host.request(1);
         host.end_attempt(&id, 0, Outcome::Served, 20, 0.0);
         host.now = host.now + ms(20);
@@ -36,6 +36,7 @@
     (targets, final_answer)
 }
 
+/// Guards requests that may have run: each idempotency permits only certain retries and rejections after an outcome.
 #[test]
 fn idempotency_limits_retries_and_rejections() {
     let outcomes = [
@@ -89,19 +90,19 @@
                 proves_not_run || !matches!(final_answer, Some(Action::Reject { .. })),
                 "class {class} {outcome:?}"
             );
-            // After the window only requests that provably did not run are retried.
+            // After the idempotency window, only requests that provably did not run are retried.
             let (targets, final_answer) = attempts_and_answer(class, outcome, 400);
             assert!(
                 proves_not_run
                     || targets.len() == 1 && matches!(final_answer, Some(Action::Fail { .. })),
-                "{class} {outcome:?}"
+                "class {class} {outcome:?} after the window"
             );
         }
         let (targets, final_answer) = attempts_and_answer(2, outcome, 400);
         assert!(
             proves_not_run
                 || targets.len() == 1 && matches!(final_answer, Some(Action::Fail { .. })),
-            "keyed-all {outcome:?} {final_answer:?}"
+            "keyed-all {outcome:?} {final_answer:?} after the window"
         );
     }
 }
@@ -135,14 +136,14 @@
     assert_eq!(
         timeout(default_settings(), 0),
         Some(ms(1000)),
-        "the objective, as late answers have no value"
+        "not the latency objective, although late answers have no value"
     );
     let mut late = default_settings();
     late.classes[1].late_value = 0.5;
     assert_eq!(
         timeout(late, 1),
         None,
-        "a late answer keeps half of its value, up to the deadline"
+        "a timeout before the deadline, although late answers have value"
     );
 }
 
--- a/tests/policy/sequence_model.rs
+++ b/tests/policy/sequence_model.rs
@@ -1,4 +1,5 @@
-//! The model of `random_sequences.rs`: a record of requests, attempts and endpoints against which every action is checked.
+//! The model of `random_sequences.rs`: it records requests, attempts and endpoints, and checks every action against
+//! them.
 
 use crate::host::*;
 use crate::sequence_rules::{
@@ -12,19 +13,19 @@
 /// The number of endpoints.
 const ENDPOINT_COUNT: usize = 6;
 
-/// Returns the number of an endpoint.
+/// Returns the index of an endpoint.
 fn endpoint_index(endpoint: &EndpointId) -> usize {
     endpoint.0[1..]
         .parse()
         .expect("an endpoint that was listed")
 }
 
-/// The connections of the balancer's host to one endpoint, for rule 6.
+/// The host's connections to one endpoint, for rule 6.
 #[derive(Clone, Default)]
 struct Connections {
     is_idle: bool,
     is_draining: bool,
-    /// When both began, or the last send.
+    /// The latest time at which an attempt was sent or ended, or draining began.
     idle_since: Timestamp,
 }
 
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Carries out one step.
+    /// Executes one step.
     pub fn execute(&mut self, step: Step) {
         match step {
             Step::RequestArrives {
@@ -175,7 +176,7 @@
         self.apply_list(ListKind::Full, entries);
     }
 
-    /// Restarts the balancer, which forgets everything.
+    /// Replaces the balancer with a new one. Removes the unanswered requests and all records of attempts.
     fn restart_balancer(&mut self) {
         self.seed += 1;
         self.balancer = Balancer::new(self.settings.clone(), self.seed).expect("valid settings");
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Records the readiness of an endpoint in the next list.
+    /// Records the readiness that the next list has for an endpoint.
     fn record_readiness(&mut self, endpoint: usize, readiness: Readiness) {
         let connections = &mut self.connections[endpoint];
         if readiness == Readiness::Draining && !connections.is_draining {
@@ -242,8 +243,9 @@
         self.check_in_flight_count();
     }
 
-    /// In flight are attempts that have not ended, and those timed out, until the deadline of their request. An attempt
-    /// that times out at or after its deadline may be counted until the next event.
+    /// Checks the balancer's count of attempts in flight. It includes attempts that have not ended, and timed out
+    /// attempts until the deadline of their request. An attempt that times out at or after that deadline may be counted
+    /// until the next event.
     fn check_in_flight_count(&self) {
         let now = self.now;
         let count = |is_timed_out_counted: fn(Timestamp, Timestamp, Timestamp) -> bool| {
@@ -266,11 +268,11 @@
         let in_flight = self.balancer.status(now).in_flight;
         assert!(
             min <= in_flight && in_flight <= max,
-            "{in_flight} are in flight, for {min} to {max}"
+            "{in_flight} in flight, expected {min} to {max}"
         );
     }
 
-    /// Checks one action, and records it.
+    /// Checks and records one action.
     fn check_action(&mut self, action: Action) {
         match action {
             Action::Send {
@@ -282,7 +284,7 @@
                 assert!(self.settings.limits.cancel);
                 assert!(
                     attempt < self.requests[&request].attempts.len(),
-                    "an attempt that was made"
+                    "cancelled an attempt that was never sent"
                 );
             }
             Action::Reject { request, .. } => {
@@ -306,7 +308,7 @@
     fn check_send(&mut self, request: &RequestId, endpoint: usize, timeout: Option<Duration>) {
         assert!(
             self.is_serving[endpoint],
-            "rule 3: sent to an endpoint that does not serve"
+            "rule 3: sent to an endpoint that is not serving"
         );
         let now = self.now;
         let record = &self.requests[request];
@@ -320,7 +322,7 @@
                     .attempts
                     .iter()
                     .all(|attempt| attempt.ending.is_some()),
-                "two attempts in flight together"
+                "parallel attempts although the limits forbid them"
             );
         }
         rules.check_resend(record, endpoint);
@@ -342,10 +344,10 @@
         }
     }
 
-    /// Records the final answer of a request. Rule 1: there is exactly one, in time.
+    /// Records the final answer of a request, and checks rule 1: there is exactly one, in time.
     fn record_final_answer(&mut self, request: &RequestId) {
         let latest = self.requests[request].deadline + self.settings.rules.answer_slack;
-        assert!(self.now <= latest, "rule 1: late");
+        assert!(self.now <= latest, "rule 1: the final answer is late");
         let record = self.record_mut(request);
         assert!(!record.is_answered, "rule 1: a second final answer");
         record.is_answered = true;
@@ -382,7 +384,7 @@
         }));
     }
 
-    /// Returns the attempts that have not ended, in order of their time-outs.
+    /// Returns the attempts that have not ended, in order of their timeouts.
     fn attempts_in_flight(&self) -> Vec<AttemptInFlight> {
         let mut in_flight = Vec::new();
         for (id, record) in &self.requests {
@@ -398,7 +400,7 @@
         in_flight
     }
 
-    /// Advances the clock, with time-outs and timers in order.
+    /// Advances the clock, and processes timeouts and timers in order.
     pub fn run_to(&mut self, end: Timestamp) {
         loop {
             let timed_out = self.attempts_in_flight().into_iter().next();
@@ -424,20 +426,24 @@
         self.check_idle_connections();
     }
 
-    /// Rule 6: an idle connection to a draining endpoint is closed in time.
+    /// Checks rule 6: an idle connection to a draining endpoint is closed in time.
     fn check_idle_connections(&self) {
-        let limit = self.settings.rules.drain_close.expect("a limit");
+        let limit = self
+            .settings
+            .rules
+            .drain_close
+            .expect("a limit on idle connections");
         let connections = self.connections.iter();
         for endpoint_connections in connections.filter(|c| c.is_idle && c.is_draining) {
             assert!(
                 self.now.since(endpoint_connections.idle_since) <= limit,
-                "rule 6: an idle connection stays open"
+                "rule 6: an idle connection to a draining endpoint stays open"
             );
         }
     }
 }
 
-/// An attempt that has not ended; orders by time-out, request and number.
+/// An attempt that has not ended. Attempts are ordered by timeout, request and number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptInFlight {
     times_out_at: Timestamp,
--- a/tests/policy/sequence_rules.rs
+++ b/tests/policy/sequence_rules.rs
@@ -1,4 +1,4 @@
-//! The records of requests in the model of `random_sequences.rs`, and the rules on when these are sent and rejected.
+//! Records of requests in the model of `random_sequences.rs`, and the rules on sends and rejections.
 
 use balancer_sidecar::policy::*;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 }
 
 impl AttemptRecord {
-    /// Returns whether it may have run, or may still run.
+    /// Returns whether the attempt may have run, or may still run.
     fn may_have_run(&self) -> bool {
         self.ending
             .as_ref()
@@ -47,6 +47,7 @@
 }
 
 impl RequestRecord {
+    /// Returns the attempts that may have run, or may still run.
     fn possible_runs(&self) -> impl Iterator<Item = &AttemptRecord> {
         self.attempts
             .iter()
@@ -54,14 +55,14 @@
     }
 }
 
-/// Checks the rules on one request at one time.
+/// Checks the rules on requests at one time.
 pub struct RuleCheck<'a> {
     pub settings: &'a Settings,
     pub now: Timestamp,
 }
 
 impl RuleCheck<'_> {
-    /// Rule 2: a request that may have run is sent again only where that is harmless.
+    /// Rule 2: a request that may have run is sent again only if its idempotency permits it.
     pub fn check_resend(&self, record: &RequestRecord, endpoint: usize) {
         let mut possible_runs = record.possible_runs();
         match self.settings.classes[record.class].idempotency {
@@ -69,14 +70,14 @@
             Idempotency::Unsafe => {
                 assert!(
                     possible_runs.next().is_none(),
-                    "rule 2: unsafe request sent again"
+                    "rule 2: an unsafe request was sent again"
                 );
             }
             Idempotency::Keyed { scope, window } => {
                 for earlier in possible_runs {
                     assert!(
                         self.now.since(earlier.sent_at) < window,
-                        "rule 2: past the window"
+                        "rule 2: sent again after the idempotency window"
                     );
                     let is_in_scope = match scope {
                         KeyScope::All => true,
@@ -87,13 +88,13 @@
                             group_of_endpoint(earlier.endpoint) == group_of_endpoint(endpoint)
                         }
                     };
-                    assert!(is_in_scope, "rule 2: outside the group");
+                    assert!(is_in_scope, "rule 2: sent again outside the key scope");
                 }
             }
         }
     }
 
-    /// Rule 2: a request that may have run is rejected only where a client's retry is harmless.
+    /// Rule 2: a request that may have run is rejected only if its idempotency permits a retry by the client.
     pub fn check_reject(&self, record: &RequestRecord) {
         let mut possible_runs = record.possible_runs();
         match self.settings.classes[record.class].idempotency {
@@ -103,17 +104,17 @@
                 window,
             } => assert!(
                 possible_runs.all(|attempt| self.now.since(attempt.sent_at) < window),
-                "rule 2: rejected past the window"
+                "rule 2: rejected after the idempotency window"
             ),
             _ => assert!(
                 possible_runs.next().is_none(),
-                "rule 2: rejected what may have run"
+                "rule 2: a request that may have run was rejected"
             ),
         }
     }
 
-    /// Rule 5: a request is sent only after the earlier ones of its key have been answered and have no attempt in
-    /// flight, and after the key's cool-down.
+    /// Rule 5: a request is sent only after all earlier requests of its key were answered, none of their attempts is in
+    /// flight, and the key cooldown has passed.
     pub fn check_key_order(
         &self,
         record: &RequestRecord,
@@ -133,11 +134,11 @@
         for earlier in requests.values().filter(is_earlier) {
             assert!(
                 earlier.is_answered,
-                "rule 5: sent before an earlier one was answered"
+                "rule 5: sent before an earlier request of the key was answered"
             );
             for attempt in &earlier.attempts {
                 let ending = attempt.ending.as_ref();
-                let ending = ending.expect("rule 5: sent while an earlier one was in flight");
+                let ending = ending.expect("rule 5: sent with an earlier attempt in flight");
                 let may_still_run = matches!(
                     ending.outcome,
                     Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
@@ -147,7 +148,7 @@
                     !may_still_run
                         || self.now.since(ending.at) >= cooldown
                         || !record.attempts.is_empty(),
-                    "rule 5: sent during the cool-down"
+                    "rule 5: sent during the key cooldown"
                 );
             }
         }
--- a/tests/policy/sequence_step.rs
+++ b/tests/policy/sequence_step.rs
@@ -1,9 +1,10 @@
-//! The random steps of the sequences in `random_sequences.rs`.
+//! Random steps of the sequences in `random_sequences.rs`.
 
 use balancer_sidecar::policy::Outcome;
 use proptest::prelude::*;
 
-/// One step of a sequence: an event, or time that passes.
+/// One step of a sequence: an event, or the passing of time. A `choice` selects one of the present attempts or requests
+/// by its remainder.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     RequestArrives {
@@ -63,7 +64,7 @@
     prop::collection::vec(step, 1..200)
 }
 
-/// The outcomes of attempts, as [`Step::AttemptEnds`] numbers them.
+/// The outcomes of attempts, indexed by `outcome` of [`Step::AttemptEnds`].
 pub const OUTCOMES: [Outcome; 8] = [
     Outcome::Served,
     Outcome::Error,
--- a/tests/policy/settings_change.rs
+++ b/tests/policy/settings_change.rs
@@ -1,10 +1,10 @@
-//! Settings that change while a balancer runs.
+//! Tests of settings that change while a balancer runs.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
-/// Changes the default settings and gives them to the running balancer.
+/// Applies changed default settings to the running balancer. Returns the ids of the classes, and the actions.
 fn change_settings(
     host: &mut Host,
     change: impl FnOnce(&mut Settings),
@@ -18,7 +18,7 @@
     (ids, actions)
 }
 
-/// Guards pending requests: they keep the class that they came with, while new requests get the changed class. An
+/// Guards pending requests: they keep the class that they arrived with, and new requests get the changed class. An
 /// unchanged class keeps its id.
 #[test]
 fn pending_requests_keep_their_class() {
@@ -29,12 +29,16 @@
     let (ids, _) = change_settings(&mut host, |settings| {
         settings.classes[0].idempotency = Idempotency::Unsafe;
     });
-    assert_eq!(ids[1..], [1, 2, 3, 4].map(ClassId), "these are unchanged");
+    assert_eq!(
+        ids[1..],
+        [1, 2, 3, 4].map(ClassId),
+        "an unchanged class has a new id"
+    );
     let actions = host.end_attempt(&earlier, 0, Outcome::Reset, 5, 0.0);
     assert_eq!(
         send_targets(&actions).len(),
         1,
-        "it was idempotent when it came"
+        "not retried although its class was idempotent on arrival"
     );
     let (later, actions) = host.request(ids[0].0);
     assert_eq!(send_targets(&actions).len(), 1);
@@ -42,17 +46,14 @@
     assert!(send_targets(&failed).is_empty());
     assert!(
         failed.contains(&Action::Fail { request: later }),
-        "it may have run: not rejected"
+        "not failed although it may have run"
     );
     let (restored, _) = change_settings(&mut host, |_| {});
-    assert_eq!(
-        restored[0],
-        ClassId(0),
-        "its old id, which no other class has"
-    );
+    assert_eq!(restored[0], ClassId(0), "the restored class has a new id");
 }
 
-/// Guards queued requests while classes and priority weights change: none is lost, and their order is right.
+/// Guards queued requests while classes and priority weights change: none is lost, and all are sent in order of
+/// priority.
 #[test]
 fn queued_requests_survive_a_change_of_classes() {
     let mut host = Host::new(two_level_settings(), Vec::new());
@@ -80,11 +81,11 @@
     assert_eq!(
         sent_requests(&actions_after),
         [newest, high, low],
-        "all of them, the highest priority first"
+        "not in order of priority, or not all sent"
     );
 }
 
-/// Guards a lower attempt limit: it applies to pending requests too.
+/// Guards pending requests: a lower attempt limit applies to them too.
 #[test]
 fn lower_attempt_limit_applies_at_once() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
@@ -124,7 +125,7 @@
     }
 }
 
-/// Guards memory where settings change all day: ids of unused classes are reused.
+/// Guards against growing memory when settings change often: ids of unused classes are reused.
 #[test]
 fn ids_of_retired_classes_are_reused() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,12 +1,12 @@
-//! How many requests warming endpoints are sent.
+//! Tests of slow start: the number of requests that warming endpoints are sent.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
+/// Guards a warming endpoint against the sum over balancers. 200 balancers with few requests share 10 endpoints. One of
+/// these has just started, and serves 0.3 of its share at first.
 #[test]
 fn many_balancers_together_respect_slow_start() {
-    // 200 balancers with few requests, 10 endpoints, one of which has just started: it serves 0.3 of its share at
-    // first.
     let (balancer_count, requests) = (200, 40);
     let (mut sent_to_warming, mut sent_total) = (0, 0);
     for seed in 0..balancer_count {
@@ -62,13 +62,14 @@
     let share = sent_to_warming as f64 / (sent_total as f64 / 10.0);
     assert!(
         share > 0.05 && share < 0.5,
-        "{share} of a fair share, with 0.3 to 0.44 of its capacity"
+        "{share} of an equal share, with 0.3 to 0.44 of the capacity"
     );
 }
 
+/// Guards a balancer whose preferred endpoints are warming up. Half of the tier has just started and may be sent only
+/// few requests, so the subset must include warm endpoints.
 #[test]
 fn subset_includes_warm_endpoints() {
-    // Half of the tier has just started; these endpoints may be sent few requests, and must not be most of the subset.
     let mut entries = endpoint_entries(12);
     entries
         .iter_mut()
@@ -88,9 +89,10 @@
     assert!(warm.len() >= 2, "{warm:?}");
 }
 
+/// Guards a half warm endpoint while all others are throttled. Five seconds after its start it may be sent more than an
+/// equal share, but not all requests that the others cannot take.
 #[test]
 fn slow_start_holds_while_warm_endpoints_are_throttled() {
-    // Five seconds after its start it may be sent more than a fair share, but not all that the others do not take.
     let mut entries = endpoint_entries(4);
     entries[3].started_at = Some(at(0));
     let mut host = Host::new(default_settings(), entries);
@@ -112,13 +114,13 @@
     }
     assert!(
         sent_to_warming < requests / 2,
-        "{sent_to_warming} of {requests} requests were sent to the one of four endpoints that is warming up"
+        "{sent_to_warming} of {requests} requests were sent to the warming endpoint"
     );
 }
 
-/// Guards a balancer whose own zone has one endpoint, which is warming up: its first slot comes after a number of
-/// sends, and the only other endpoints have failed some requests, as with network faults. Requests are sent all the
-/// same, so that slow start advances.
+/// Guards against a slow start that never advances. The only endpoint of the balancer's zone is warming up and may be
+/// sent its first request only after some sends to others. The other endpoints have failed some requests, for example
+/// because of network faults, but must still be used.
 #[test]
 fn warming_endpoint_is_used_beside_faulty_ones() {
     let mut settings = default_settings();
@@ -161,15 +163,19 @@
         }
         targets.extend(to);
     }
-    assert!(targets.len() > 50, "{} of 60", targets.len());
+    assert!(
+        targets.len() > 50,
+        "only {} of 60 requests were sent",
+        targets.len()
+    );
     assert!(
         targets.contains(&"e0".into()),
-        "the warming endpoint was sent a request"
+        "the warming endpoint was sent no request"
     );
     let sent_to_warming = targets.iter().filter(|e| **e == "e0".into()).count();
     assert!(
         sent_to_warming < 40,
-        "and no more than it can serve: {sent_to_warming} of {}",
+        "the warming endpoint was sent more than it can serve: {sent_to_warming} of {}",
         targets.len()
     );
 }
--- a/tests/policy/slow_start_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -1,8 +1,9 @@
-//! Slow start in a whole fleet: thirty balancers that share one warming endpoint, without messages between them, keep
-//! it together below the load at which it fails.
+//! Tests of slow start in a fleet: 30 balancers share a warming endpoint and exchange no messages. Together they keep
+//! its load below the level at which it would be overloaded.
 //!
-//! The simulation is deterministic: seeded arrivals and service times on a simulated clock, without sockets. The
-//! warming endpoint answers and reports as if it were warm, so that its load reports can not replace slow start.
+//! The simulation is deterministic: arrivals and service times are seeded, the clock is simulated, and there are no
+//! sockets. The warming endpoint answers and reports as if it were warm. Its load reports therefore cannot limit the
+//! load in place of slow start.
 
 mod scenario;
 mod simulation;
@@ -12,7 +13,8 @@
 use simulation::*;
 use std::time::Duration;
 
-/// Returns the highest load of an overload window of a run, as a fraction of what the settings allow.
+/// Returns the highest load of any overload window during the warm-up, as a fraction of the load that the settings
+/// allow.
 fn max_window_load(rules: &Rules, arrivals: &[Timestamp]) -> f64 {
     let end = warm_up_start() + rules.warm_up_time;
     let inside = |first: &usize| arrivals[*first] + rules.overload_window <= end;
@@ -24,36 +26,36 @@
     windows.fold(0.0, f64::max)
 }
 
-/// Returns the requests that the endpoint could serve while it is warming up.
+/// Returns the number of requests that the endpoint could serve while it is warming up.
 fn servable_requests(rules: &Rules) -> f64 {
     let mean_capacity = capacity_fraction(rules, rules.warm_up_time / 2);
     mean_capacity * CAPACITY_PER_S * rules.warm_up_time.as_secs_f64()
 }
 
-/// Runs a scenario, and checks that the warming endpoint is neither overloaded nor left idle.
+/// Runs a scenario, and checks that the warming endpoint is neither overloaded nor unused.
 fn run_and_check(scenario: &Scenario) -> Observations {
     let observations = Fleet::run(scenario);
     let max_load = max_window_load(&scenario.rules, &observations.arrivals_at_warming);
     let used_fraction =
         observations.arrivals_at_warming.len() as f64 / servable_requests(&scenario.rules);
     println!(
-        "seed {}: fullest window {max_load:.2}, used {used_fraction:.2}",
+        "seed {}: highest window load {max_load:.2}, used fraction {used_fraction:.2}",
         scenario.seed
     );
     assert!(
         max_load <= 1.0,
-        "seed {}: {max_load:.2} times what it can serve in a window",
+        "seed {}: {max_load:.2} times the allowed load of a window",
         scenario.seed
     );
     assert!(
         used_fraction >= MIN_USED_FRACTION,
-        "seed {}: {used_fraction:.3} of what it could serve",
+        "seed {}: only {used_fraction:.3} of the servable requests",
         scenario.seed
     );
     observations
 }
 
-/// Returns weights with a high rate for some adjacent balancers, from `first` on.
+/// Returns weights with a high arrival rate for `high` adjacent balancers, from `first` on.
 fn unequal_weights(first: usize, high: usize) -> [f64; BALANCERS] {
     let mut weights = [1.0; BALANCERS];
     for number in 0..high {
@@ -62,7 +64,7 @@
     weights
 }
 
-/// Returns start times of a third of the balancers, one after another over the first half of the warm-up.
+/// Returns start times for a third of the balancers, spread over the first half of the warm-up.
 fn staggered_starts(rules: &Rules) -> [Option<Duration>; BALANCERS] {
     let mut starts = [None; BALANCERS];
     for (number, start) in starts.iter_mut().step_by(3).enumerate() {
@@ -72,7 +74,7 @@
     starts
 }
 
-/// Guards the sum over balancers with equal arrival rates.
+/// Guards the warming endpoint when all balancers have equal arrival rates.
 #[test]
 fn load_is_bounded_with_equal_rates() {
     for seed in 1..=4 {
@@ -80,7 +82,7 @@
     }
 }
 
-/// Guards the sum where six adjacent balancers, whose subsets overlap, have four fifths of the requests.
+/// Guards the warming endpoint when six adjacent balancers, whose subsets overlap, have four fifths of the requests.
 #[test]
 fn load_is_bounded_with_unequal_rates() {
     for (seed, first) in (1..).zip(FIRST_HIGH_RATE_BALANCERS) {
@@ -102,7 +104,8 @@
     }
 }
 
-/// Guards the sum where one balancer has two fifths of the requests, and more than its subset can serve.
+/// Guards the warming endpoint when one balancer has two fifths of the requests, which is more than its subset can
+/// serve.
 #[test]
 fn load_is_bounded_with_one_high_rate_balancer() {
     for (seed, first) in (1..).zip(FIRST_HIGH_RATE_BALANCERS) {
@@ -114,7 +117,8 @@
     }
 }
 
-/// Guards balancers whose first list contains the warming endpoint: they know no arrival rate and no queue length yet.
+/// Guards the warming endpoint against balancers that start during its warm-up, and know no arrival rate or queue
+/// length yet.
 #[test]
 fn load_is_bounded_with_balancers_starting_late() {
     for seed in 1..=3 {
@@ -133,7 +137,7 @@
     }
 }
 
-/// Guards a restarted endpoint that every balancer knows already.
+/// Guards a restarted endpoint, which every balancer already had in its list.
 #[test]
 fn load_is_bounded_after_a_restart() {
     for seed in 1..=3 {
@@ -150,7 +154,7 @@
     }
 }
 
-/// Guards an endpoint that the operators enable: every balancer may send to it at once.
+/// Guards an endpoint that operators enable, since every balancer may then send to it at once.
 #[test]
 fn load_is_bounded_after_enabling() {
     for seed in 1..=3 {
@@ -165,7 +169,8 @@
     }
 }
 
-/// Guards the one endpoint without a queue while the warm endpoints are throttled and requests are queued.
+/// Guards the warming endpoint as the only one without a queue, while the warm endpoints are throttled and requests
+/// wait.
 #[test]
 fn load_is_bounded_in_an_overloaded_fleet() {
     for (seed, load) in [(1, 1.5), (2, 2.0), (3, 3.0)] {
@@ -182,13 +187,13 @@
             let observations = run_and_check(&scenario);
             assert!(
                 observations.rejected > 0,
-                "seed {seed}: the warm endpoints are throttled"
+                "seed {seed}: no request was rejected, so the fleet is not overloaded"
             );
         }
     }
 }
 
-/// Guards slow start with other settings: its start, its end and its limit follow them.
+/// Guards slow start with other settings of its initial capacity, duration and limit.
 #[test]
 fn load_is_bounded_with_other_settings() {
     for seed in 1..=3 {
--- a/tests/policy/slow_start_fleet/scenario.rs
+++ b/tests/policy/slow_start_fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! What is simulated: the fleet, its endpoints, and why one of them is warming up.
+//! Scenarios of the simulation: the fleet, its endpoints, and the cause of the warm-up.
 
 use crate::host::default_settings;
 use balancer_sidecar::policy::*;
@@ -8,39 +8,39 @@
 pub const BALANCERS: usize = 30;
 /// The number of warm endpoints.
 pub const WARM_ENDPOINTS: usize = 10;
-/// The number of the warming endpoint, after the warm ones.
+/// The number of the warming endpoint, which follows the warm endpoints.
 pub const WARMING_ENDPOINT: usize = WARM_ENDPOINTS;
-/// Requests that an endpoint serves at once.
+/// The number of requests that an endpoint serves concurrently.
 pub const WORKERS: usize = 8;
 /// The mean service time of a warm endpoint.
 pub const MEAN_SERVICE_TIME_S: f64 = 0.2;
-/// Requests a second that one warm endpoint can serve.
+/// The requests per second that one warm endpoint can serve.
 pub const CAPACITY_PER_S: f64 = WORKERS as f64 / MEAN_SERVICE_TIME_S;
 /// The age of the queue length that an endpoint reports.
 pub const REPORT_DELAY: Duration = Duration::from_secs(1);
-/// Requests that wait at an endpoint before it rejects more.
+/// The number of waiting requests at which an endpoint rejects new ones.
 pub const QUEUE_LIMIT: usize = 40;
-/// How long requests arrive before the warm-up begins.
+/// The time from the first requests to the start of the warm-up.
 pub const LEAD_TIME: Duration = Duration::from_secs(5);
 /// The network delay in one direction.
 pub const NETWORK_DELAY: Duration = Duration::from_millis(1);
-/// The longest time until a balancer receives a change from discovery.
+/// The longest time from a change of the list to its arrival at a balancer.
 pub const DISCOVERY_DELAY: Duration = Duration::from_millis(500);
-/// The least fraction of what the warming endpoint could serve that it has to be sent.
+/// The minimum of the requests sent to the warming endpoint, as a fraction of the requests that it could serve.
 pub const MIN_USED_FRACTION: f64 = 0.02;
-/// The weight of a balancer with a high rate, compared with the others.
+/// The weight of a balancer with a high arrival rate; the others have a weight of 1.
 pub const HIGH_RATE_WEIGHT: f64 = 20.0;
-/// The numbers of the first balancer with a high rate, in different runs.
+/// The number of the first balancer with a high arrival rate, for each run.
 pub const FIRST_HIGH_RATE_BALANCERS: [usize; 6] = [0, 5, 10, 15, 20, 25];
 
-/// Why the endpoint is warming up.
+/// The cause of the warm-up.
 #[derive(Clone, Copy, PartialEq)]
 pub enum WarmUpCause {
-    /// It joins the tier.
+    /// The endpoint joins the tier.
     Joining,
-    /// It restarts, and the list has the new start time.
+    /// The endpoint restarts, and the list has the new start time.
     Restart,
-    /// The operators disable and enable it; the list has no start time.
+    /// Operators disable and enable the endpoint; the list has no start time.
     Enabling,
 }
 
@@ -49,11 +49,12 @@
     pub seed: u64,
     pub rules: Rules,
     pub cause: WarmUpCause,
-    /// The requests a second of all balancers, as a fraction of what all endpoints can serve when warm.
+    /// The requests per second of all balancers, as a fraction of the capacity of all endpoints when warm.
     pub load: f64,
     /// The weight of each balancer's arrival rate.
     pub weights: [f64; BALANCERS],
-    /// How long after the start of the warm-up each balancer starts; `None` is before it.
+    /// The time from the start of the warm-up to the start of each balancer; `None` if the balancer starts with the
+    /// run.
     pub starts: [Option<Duration>; BALANCERS],
 }
 
@@ -93,13 +94,14 @@
     }
 }
 
-/// Returns the fraction of its capacity that the endpoint has at an age.
+/// Returns the fraction of its full capacity that the warming endpoint has at an age.
 pub fn capacity_fraction(rules: &Rules, age: Duration) -> f64 {
     let warmth = age.as_secs_f64() / rules.warm_up_time.as_secs_f64();
     (rules.initial_capacity + (1.0 - rules.initial_capacity) * warmth).min(1.0)
 }
 
-/// Returns the requests that are allowed in a window that begins at an age: N + 2 x root of N + 2, where N is the mean.
+/// Returns the number of requests that are allowed in a window that begins at an age. This is `N + 2 * sqrt(N) + 2` for
+/// a mean of N requests.
 pub fn allowed_in_window(rules: &Rules, age: Duration) -> f64 {
     let mean_capacity = capacity_fraction(rules, age + rules.overload_window / 2);
     let mean = rules.overload_multiple
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: a deterministic run of events on a simulated clock.
+//! A deterministic simulation of balancers and endpoints on a simulated clock.
 
 use super::scenario::*;
 use crate::host::{at, class, default_settings, endpoint_entries, endpoint_entry, ms};
@@ -19,7 +19,7 @@
     pub sent_at: Timestamp,
 }
 
-/// What happens at one time.
+/// A scheduled step of the simulation.
 pub enum Step {
     Arrival {
         balancer_number: usize,
@@ -49,30 +49,30 @@
     },
 }
 
-/// An unanswered request: its attempts so far, and whether the newest is in flight.
+/// A request without a final answer. Only its latest attempt can be in flight.
 pub struct UnansweredRequest {
     pub deadline: Timestamp,
     pub attempts: usize,
     pub is_in_flight: bool,
 }
 
-/// The queue length of an endpoint from a time on.
+/// The queue length of an endpoint since a point in time.
 pub struct QueueLength {
     pub since: Timestamp,
     pub waiting: usize,
 }
 
-/// An endpoint that serves several requests at once, in order of arrival.
+/// The server of an endpoint. It serves several requests concurrently, in order of arrival.
 #[derive(Default)]
 pub struct Server {
     pub busy: usize,
     pub queue: VecDeque<Attempt>,
-    /// The recent queue lengths, the oldest first.
+    /// The recent queue lengths, oldest first.
     pub queue_length_history: VecDeque<QueueLength>,
 }
 
 impl Server {
-    /// Records the present queue length.
+    /// Records the current queue length.
     pub fn record_queue_length(&mut self, now: Timestamp) {
         self.queue_length_history.push_back(QueueLength {
             since: now,
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Returns the queue length that is reported, which is [`REPORT_DELAY`] old.
+    /// Returns the reported queue length, which is [`REPORT_DELAY`] old.
     pub fn reported_queue_length(&mut self, now: Timestamp) -> usize {
         while self
             .queue_length_history
@@ -105,7 +105,7 @@
     pub balancers: Vec<Option<Balancer>>,
     pub unanswered: HashMap<RequestId, UnansweredRequest>,
     pub servers: Vec<Server>,
-    /// Future steps in order of their times; steps of one time are in order of their numbers.
+    /// The times and numbers of future steps. Steps with the same time are in order of their numbers.
     pub schedule: BinaryHeap<Reverse<(Timestamp, usize)>>,
     pub steps: HashMap<usize, Step>,
     pub next_step_number: usize,
@@ -113,12 +113,12 @@
     pub observations: Observations,
 }
 
-/// What a run has shown.
+/// The observations of a run.
 #[derive(Default)]
 pub struct Observations {
-    /// When requests reached the warming endpoint during its warm-up.
+    /// The times at which requests reached the warming endpoint during its warm-up.
     pub arrivals_at_warming: Vec<Timestamp>,
-    /// Requests that balancers rejected or failed.
+    /// The number of requests that balancers rejected or failed.
     pub rejected: usize,
 }
 
@@ -149,13 +149,13 @@
             fleet.schedule.pop().filter(|Reverse((now, _))| *now < end)
         {
             fleet.now = now;
-            let step = fleet.steps.remove(&number).expect("a planned step");
+            let step = fleet.steps.remove(&number).expect("a scheduled step");
             fleet.execute(step);
         }
         fleet.observations
     }
 
-    /// Plans the starts of the balancers, and when they receive the change.
+    /// Schedules the starts of the balancers, and the times at which they receive the change of the list.
     pub fn schedule_starts(&mut self) {
         for balancer_number in 0..BALANCERS {
             let start = self.scenario.starts[balancer_number]
@@ -174,19 +174,19 @@
         }
     }
 
-    /// Plans a step.
+    /// Schedules a step.
     pub fn schedule_at(&mut self, when: Timestamp, step: Step) {
         self.schedule.push(Reverse((when, self.next_step_number)));
         self.steps.insert(self.next_step_number, step);
         self.next_step_number += 1;
     }
 
-    /// Plans a step after a delay.
+    /// Schedules a step after a delay.
     pub fn schedule_after(&mut self, delay: Duration, step: Step) {
         self.schedule_at(self.now + delay, step);
     }
 
-    /// Returns a random number from 0 up to and excluding 1.
+    /// Returns a random number in the range from 0 to 1, excluding 1.
     pub fn random_unit(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -196,12 +196,12 @@
         whole.mul_f64(self.random_unit())
     }
 
-    /// Returns a random duration with the exponential distribution of a rate.
+    /// Returns a random duration with an exponential distribution of the given rate.
     pub fn random_exponential(&mut self, rate_per_s: f64) -> Duration {
         Duration::from_secs_f64(-(1.0 - self.random_unit()).ln() / rate_per_s)
     }
 
-    /// Carries out one step.
+    /// Executes one step.
     pub fn execute(&mut self, step: Step) {
         match step {
             Step::BalancerStarts { balancer_number } => self.start_balancer(balancer_number),
@@ -258,7 +258,7 @@
         );
     }
 
-    /// Returns the present list.
+    /// Returns the current list.
     pub fn listed_entries(&self) -> Vec<EndpointEntry> {
         let has_warm_up_begun = self.now >= warm_up_start();
         let cause = self.scenario.cause;
@@ -307,7 +307,7 @@
         self.handle(balancer_number, Event::Request(request));
     }
 
-    /// Has a balancer handle an event, and carries out its actions.
+    /// Has a balancer handle an event, and executes its actions.
     pub fn handle(&mut self, balancer_number: usize, event: Event) {
         let mut actions = Vec::new();
         let Some(balancer) = &mut self.balancers[balancer_number] else {
@@ -374,7 +374,7 @@
         self.schedule_after(NETWORK_DELAY, Step::ReachesEndpoint(attempt));
     }
 
-    /// Ends an attempt, unless it has ended already.
+    /// Ends an attempt, unless it has already ended.
     pub fn end_attempt(&mut self, attempt: Attempt, outcome: Outcome, queue_length: Option<f64>) {
         let Some(request_state) = self.unanswered.get_mut(&attempt.request) else {
             return;
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a balancer uses, and where requests go beyond the subset.
+//! Tests of subsets: the endpoints that a balancer uses, and the requests that it sends to other zones.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
@@ -23,12 +23,12 @@
     }
     assert!(
         used.len() >= 12,
-        "a balancer with 40 requests a second uses {} endpoints",
+        "a balancer with 40 requests per second uses only {} endpoints",
         used.len()
     );
 }
 
-/// Returns the endpoints that each of 40 balancers with few requests uses.
+/// Returns the endpoints used by each of 40 balancers with few requests.
 fn used_by_balancers(entries: &[EndpointEntry]) -> Vec<std::collections::BTreeSet<EndpointId>> {
     let used_by = |number| {
         let settings = Settings {
@@ -49,6 +49,7 @@
     (0..40).map(used_by).collect()
 }
 
+/// Guards the balance of subsets over the endpoints, and their stability when an endpoint is removed.
 #[test]
 fn endpoints_are_in_equally_many_stable_subsets() {
     let entries = endpoint_entries(12);
@@ -57,21 +58,22 @@
         let balancer_count = used.iter().filter(|u| u.contains(&entry.endpoint)).count();
         assert!(
             (6..=7).contains(&balancer_count),
-            "{:?} in {balancer_count} subsets",
+            "{:?} is in {balancer_count} subsets",
             entry.endpoint
         );
     }
-    // When one endpoint is removed, most balancers keep most of their subsets.
+    // Most members stay in their subsets after one endpoint is removed.
     let used_without_first = used_by_balancers(&entries[1..]);
     let kept = used
         .iter()
         .zip(&used_without_first)
         .map(|(a, b)| a.intersection(b).count())
         .sum::<usize>();
-    assert!(kept >= 40, "{kept} members kept of 80");
+    assert!(kept >= 40, "only {kept} of 80 members kept");
 }
 
-/// Returns how many endpoints of each zone a balancer in zone `a` uses with a price of crossings.
+/// Returns how many endpoints of its own zone and of the other zone a balancer uses, with a price for requests to
+/// another zone.
 fn count_used_by_zone(cross_zone: f64) -> [usize; 2] {
     let prices = Prices {
         cross_zone,
@@ -104,18 +106,19 @@
     ]
 }
 
+/// Guards the price of requests to another zone: the subset has both zones only if the price is low.
 #[test]
 fn high_cross_zone_price_keeps_the_subset_in_its_zone() {
     assert_eq!(count_used_by_zone(0.015)[1], 0);
     let [own, other] = count_used_by_zone(0.005);
     assert!(
         other >= 3 && own >= 3,
-        "{own} in its own zone, {other} in the other"
+        "{own} endpoints used in its own zone, {other} in the other"
     );
 }
 
-/// Returns how many of 400 requests are sent to the own zone, to the other zone, and nowhere, where the endpoints of
-/// each zone report a queue length.
+/// Returns how many of 400 requests are sent to the own zone, to the other zone, and not at all, if the endpoints of
+/// each zone report the given queue length.
 fn count_sent_by_zone(own_queue_length: f64, other_queue_length: f64) -> [usize; 3] {
     let prices = Prices {
         cross_zone: 0.03,
@@ -164,21 +167,21 @@
     let [own, other, none] = count_sent_by_zone(5.0, 0.0);
     assert!(
         other > own && none < 100,
-        "an overloaded zone beside a clear one: {own} own, {other} other, {none} none"
+        "own zone overloaded: {own} sent to the own zone, {other} to the other, {none} not sent"
     );
     let [own, other, none] = count_sent_by_zone(5.0, 5.0);
     assert!(
         other < 40 && none > 200,
-        "both overloaded: {own} own, {other} other, {none} none"
+        "both zones overloaded: {own} sent to the own zone, {other} to the other, {none} not sent"
     );
     assert_eq!(
         count_sent_by_zone(0.0, 0.0)[1],
         0,
-        "no crossing without overload"
+        "requests sent to the other zone without overload"
     );
 }
 
-/// Returns the highest number of attempts in flight outside an overloaded zone, with a price of new connections.
+/// Returns the highest number of attempts in flight outside an overloaded zone, with a price for new connections.
 fn max_remote_in_flight(handshake: f64) -> usize {
     let prices = Prices {
         cross_zone: 0.03,
@@ -203,7 +206,7 @@
             if to.0[1..].parse::<usize>().expect("a number") < 4 {
                 host.end_attempt(&id, 0, Outcome::Served, 1, 5.0);
             } else {
-                in_flight += 1; // never ends
+                in_flight += 1; // the attempt never ends
             }
         }
         max_in_flight = max_in_flight.max(in_flight);
@@ -211,6 +214,8 @@
     max_in_flight
 }
 
+/// Guards against new connections for each request to another zone: with a price for connections, only one such request
+/// is in flight at a time.
 #[test]
 fn handshake_price_limits_requests_to_other_zones() {
     assert_eq!(max_remote_in_flight(0.08), 1);
--- a/tests/policy/suspension.rs
+++ b/tests/policy/suspension.rs
@@ -1,10 +1,10 @@
-//! Endpoints whose processes have ended while the list may be old.
+//! Tests of the suspension of endpoints whose processes have ended while the list may be outdated.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
-/// Longer than an end counts that the list does not show.
+/// Longer than the time for which an ended process counts although the list does not show it.
 const PAST_END_LIFETIME: Duration = Duration::from_secs(60);
 
 fn process_ended(endpoint: &str) -> Event {
@@ -13,7 +13,7 @@
     }
 }
 
-/// A host with three endpoints whose list is confirmed.
+/// Returns a host with three endpoints and a confirmed list.
 fn confirmed_host() -> Host {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
     host.handle(Event::ListConfirmed);
@@ -29,7 +29,8 @@
     count_sent_to(host, endpoint, 60) > 0
 }
 
-/// Guards against sends to a process of which the list says nothing: the endpoint is not used until a list is current.
+/// Guards against requests to a new process that is not in the list. The endpoint is not used until the list is
+/// current.
 #[test]
 fn ended_process_is_suspended_until_the_list_is_confirmed() {
     let mut host = confirmed_host();
@@ -41,14 +42,17 @@
     assert!(is_used(&mut host, "e0"));
     assert_eq!(host.balancer.status(host.now).suspended, 1);
     host.now = host.now + PAST_END_LIFETIME;
-    assert!(!is_used(&mut host, "e1"), "for as long as it takes");
+    assert!(
+        !is_used(&mut host, "e1"),
+        "used before the list was confirmed"
+    );
 
     host.handle(Event::ListConfirmed);
     assert!(is_used(&mut host, "e1"));
     assert_eq!(host.balancer.status(host.now).suspended, 0);
 }
 
-/// Guards the same after a start with a cached list, which nothing has confirmed.
+/// Guards against requests to an unlisted process after a start with a cached list, which is not confirmed.
 #[test]
 fn ended_process_is_suspended_under_a_cached_list() {
     let mut host = Host::new(default_settings(), endpoint_entries(3));
@@ -56,17 +60,21 @@
     assert!(!is_used(&mut host, "e1"));
 }
 
-/// Guards against an end just before the watch was lost, which discovery had not listed yet.
+/// Guards against an end just before the watch was lost, when discovery had not listed it yet.
 #[test]
 fn recent_end_counts_once_the_watch_is_lost() {
     let mut host = confirmed_host();
     host.handle(process_ended("e1"));
-    assert!(is_used(&mut host, "e1"), "a current list decides");
+    assert!(
+        is_used(&mut host, "e1"),
+        "suspended although the list is current"
+    );
     lose_watch(&mut host);
     assert!(!is_used(&mut host, "e1"));
 }
 
-/// Guards endpoints that only reset a connection long ago: a list that was current since then has shown any end.
+/// Guards endpoints that reset a connection long before the watch was lost. The list was current since then, and would
+/// have shown an end.
 #[test]
 fn old_end_is_ignored_once_the_watch_is_lost() {
     let mut host = confirmed_host();
@@ -76,7 +84,7 @@
     assert!(is_used(&mut host, "e1"));
 }
 
-/// Guards a new process that a list names: the end of the one before does not count against it.
+/// Guards a listed new process: the end of the previous process does not suspend it.
 #[test]
 fn listed_restart_ends_the_suspension() {
     let mut host = confirmed_host();
@@ -89,7 +97,7 @@
     assert!(is_used(&mut host, "e1"));
 }
 
-/// Guards the final answer where every endpoint is suspended: a request waits in the queue, and is rejected in time.
+/// Guards the final answer while every endpoint is suspended: a request waits in the queue and is rejected in time.
 #[test]
 fn request_is_rejected_in_time_if_all_are_suspended() {
     let mut host = confirmed_host();
@@ -109,7 +117,7 @@
     assert_eq!(count_final_answers(&actions, &id), 1);
 }
 
-/// Guards operators: what they have disabled stays so when a suspension ends.
+/// Guards the operators' choice: an endpoint that they disabled stays disabled when its suspension ends.
 #[test]
 fn disabled_endpoint_stays_disabled_after_its_suspension() {
     let mut host = confirmed_host();
@@ -122,8 +130,8 @@
     assert!(is_used(&mut host, "e1"));
 }
 
-/// Guards an endpoint of which only was not known whether its process still runs: once the list has been current, that does
-/// not count any more.
+/// Guards an endpoint that was suspended only because it was unknown whether its process still runs. The suspension
+/// ends when the list is confirmed, and does not return when the watch is lost again.
 #[test]
 fn unknown_process_is_suspended_until_the_list_is_confirmed() {
     let mut host = confirmed_host();
@@ -138,12 +146,12 @@
     assert!(is_used(&mut host, "e1"));
 }
 
-/// The time from the loss of a watch until a change would have to be in force.
+/// Returns the time from the loss of a watch until a change has to be in force.
 fn change_deadline() -> Duration {
     CHANGE_PROPAGATION_DEADLINE + default_settings().rules.drain_grace
 }
 
-/// A host that has lost its watch, and an event that shows how discovery is since.
+/// Returns a host that lost its watch, failed to call discovery, and then handled an event of discovery.
 fn host_with_discovery_event(event: Event) -> Host {
     let mut host = confirmed_host();
     lose_watch(&mut host);
@@ -152,8 +160,8 @@
     host
 }
 
-/// Guards the drain of endpoints whose listed processes are replaced unseen: a list is overdue before a change since the loss
-/// of the watch has to be in force, if discovery was reached, and not much earlier.
+/// Guards the drain of endpoints whose processes are replaced while the watch is lost. If discovery was reached, the
+/// list becomes overdue shortly before a change since the loss of the watch has to be in force.
 #[test]
 fn list_is_overdue_at_the_change_deadline() {
     for event in [Event::DiscoveryRejected, Event::DiscoveryLate] {
@@ -169,7 +177,8 @@
     }
 }
 
-/// Guards outages: as long as discovery cannot be reached, no change has to be in force, and the list stays in use.
+/// Guards against suspensions in an outage: while discovery is unreachable, no change has to be in force, and the list
+/// stays in use.
 #[test]
 fn list_is_not_overdue_while_discovery_is_unreachable() {
     let mut host = host_with_discovery_event(Event::DiscoveryRejected);
@@ -179,12 +188,19 @@
         assert!(!host.balancer.is_list_overdue(host.now));
     }
     host.now = host.now + PAST_END_LIFETIME;
-    assert!(!host.balancer.is_list_overdue(host.now), "not reached yet");
+    assert!(
+        !host.balancer.is_list_overdue(host.now),
+        "overdue although discovery is unreachable"
+    );
     host.handle(Event::DiscoveryRejected);
-    assert!(!host.balancer.is_list_overdue(host.now), "just reached");
+    assert!(
+        !host.balancer.is_list_overdue(host.now),
+        "overdue as soon as discovery is reached"
+    );
 }
 
-/// Guards a watch that was silent before it was lost: the time until the list is overdue counts from what was last received.
+/// Guards a watch that was silent before it was lost: the time until the list is overdue counts from the last received
+/// data.
 #[test]
 fn overdue_time_counts_from_the_last_received_data() {
     let mut host = confirmed_host();
@@ -197,7 +213,8 @@
     assert!(host.balancer.is_list_overdue(host.now));
 }
 
-/// Guards against a report of known processes that comes when the list is current again: it suspends nothing, also later.
+/// Guards against a report of known processes that arrives after the list is current again. It suspends no endpoint,
+/// even after the watch is lost again.
 #[test]
 fn late_report_of_known_processes_is_ignored() {
     let mut host = confirmed_host();
--- a/tests/policy/warming_tier.rs
+++ b/tests/policy/warming_tier.rs
@@ -1,4 +1,4 @@
-//! Warming endpoints in a tier whose warm endpoints are removed or fail: they are sent their share all the same.
+//! Tests of warming endpoints in a tier whose warm endpoints are removed or fail: they are still sent their share.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
@@ -14,8 +14,8 @@
     }
 }
 
-/// Sends requests one after another. Attempts at the endpoints in `silent` time out, the others are served. Returns the
-/// endpoint of each attempt, in order.
+/// Sends requests one after another. Attempts at the endpoints in `silent` time out, and all others are served. Returns
+/// the endpoint of each attempt, in order.
 fn attempt_targets(host: &mut Host, requests: usize, silent: &[&str]) -> Vec<EndpointId> {
     let mut targets = Vec::new();
     for _ in 0..requests {
@@ -34,7 +34,7 @@
             attempt += 1;
             targets.push(endpoint);
         }
-        // Queued requests are removed, so that the queue has no effect.
+        // Removes the request if it is queued, since queued requests would affect the next ones.
         host.handle(Event::ClientDisconnected { request: id });
     }
     targets
@@ -60,17 +60,20 @@
     let targets = attempt_targets(&mut host, 200, &[]);
     assert!(
         targets.len() > 100,
-        "{} of 200 requests were sent",
+        "only {} of 200 requests were sent",
         targets.len()
     );
     for name in ["e0", "e1", "e2", "e3"] {
         let share = count_attempts_at(&targets, name);
-        assert!((1..100).contains(&share), "{name} was sent {share} of 200");
+        assert!(
+            (1..100).contains(&share),
+            "{name} was sent {share} of 200 requests"
+        );
     }
 }
 
-/// Guards warming endpoints beside a warm one that no longer answers: hardly any request is sent to that one, and the
-/// slow start of the others advances all the same.
+/// Guards warming endpoints next to a warm endpoint that no longer answers. Few requests are sent to that endpoint, but
+/// the slow start of the others must still advance.
 #[test]
 fn warming_endpoints_beside_silent_one_are_used() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
@@ -81,10 +84,11 @@
     host.apply_list(ListKind::Changes, warming);
     let targets = attempt_targets(&mut host, 200, &["e0"]);
     let served = targets.len() - count_attempts_at(&targets, "e0");
-    assert!(served > 80, "{served} of 200 requests were served");
+    assert!(served > 80, "only {served} of 200 requests were served");
 }
 
-/// Guards slow start: beside warm endpoints that serve, rejected requests do not advance its clock.
+/// Guards slow start under overload: while a warm endpoint serves requests, rejected requests do not advance slow
+/// start.
 #[test]
 fn rejections_under_overload_do_not_advance_slow_start() {
     let mut settings = default_settings();
@@ -100,16 +104,19 @@
         let to = send_targets(&actions);
         rejected += count_final_answers(&actions, &id);
         if !to.is_empty() {
-            // The only warm endpoint is overloaded, and reports that.
+            // The only warm endpoint reports an overload.
             host.end_attempt(&id, 0, Outcome::Served, 10, 9.0);
         }
         targets.extend(to);
     }
-    assert!(rejected > 100, "{rejected} were rejected");
+    assert!(
+        rejected > 100,
+        "only {rejected} of 400 requests were rejected"
+    );
     let sent_to_warming = count_attempts_at(&targets, "e1");
     assert!(
         sent_to_warming <= 1 + targets.len() / 2,
-        "{sent_to_warming} of {} were sent to the warming endpoint",
+        "{sent_to_warming} of {} requests were sent to the warming endpoint",
         targets.len()
     );
 }
