--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -15,8 +15,8 @@
     for _ in 0..requests {
         host.now = host.now + ms(25);
         let (id, actions) = host.request(1);
-        if let Some(to) = send_targets(&actions).first() {
-            assert!(!to.0.is_empty());
+        if let Some(target) = send_targets(&actions).first() {
+            assert!(!target.0.is_empty());
             host.handle(Event::AttemptEnded(AttemptEnd {
                 request: id.clone(),
                 attempt: 0,
@@ -29,8 +29,8 @@
         host.handle(Event::ClientDisconnected { request: id });
         for endpoint in checked_endpoints(&actions) {
             checked.push(endpoint.clone());
-            let report = queue_length.map(|d| LoadReport {
-                queue_length: Some(d),
+            let report = queue_length.map(|queue_length| LoadReport {
+                queue_length: Some(queue_length),
                 ..LoadReport::default()
             });
             host.handle(Event::HealthCheckEnded {
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -262,7 +262,7 @@
 
 /// Counts the actions that reject or fail a request.
 pub fn count_final_answers(actions: &[Action], id: &RequestId) -> usize {
-    let is_final_answer = |a: &&Action| matches!(a, Action::Reject { request, .. } | Action::Fail { request } if request == id);
+    let is_final_answer = |action: &&Action| matches!(action, Action::Reject { request, .. } | Action::Fail { request } if request == id);
     actions.iter().filter(is_final_answer).count()
 }
 
@@ -310,9 +310,12 @@
     for _ in 0..requests {
         host.now = host.now + ms(20);
         let (id, actions) = host.request(0);
-        let to = send_targets(&actions);
-        count += to.iter().filter(|e| **e == endpoint.into()).count();
-        if !to.is_empty() {
+        let request_targets = send_targets(&actions);
+        count += request_targets
+            .iter()
+            .filter(|e| **e == endpoint.into())
+            .count();
+        if !request_targets.is_empty() {
             host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         }
     }
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -38,7 +38,7 @@
 }
 
 /// Generates one of six names, so that events often refer to the same request, endpoint or key.
-fn numbered_name(prefix: &'static str) -> impl Strategy<Value = String> {
+fn any_name(prefix: &'static str) -> impl Strategy<Value = String> {
     (0..6u8).prop_map(move |number| format!("{prefix}{number}"))
 }
 
@@ -65,7 +65,7 @@
         Just(Readiness::Removed)
     ];
     let entry = (
-        numbered_name("e"),
+        any_name("e"),
         readiness,
         any_number(),
         prop::option::of(any_timestamp()),
@@ -90,10 +90,10 @@
         ][index]
     });
     let request = (
-        numbered_name("r"),
+        any_name("r"),
         0..9usize,
         prop::option::of(0..3usize),
-        prop::option::of(numbered_name("k")),
+        prop::option::of(any_name("k")),
         any_timestamp(),
         any_duration(),
     );
@@ -110,20 +110,20 @@
             client_retry: false,
             write: false,
         })),
-        6 => (numbered_name("r"), 0..4usize, outcome, any_duration(), any::<bool>(), any_report()).prop_map(
+        6 => (any_name("r"), 0..4usize, outcome, any_duration(), any::<bool>(), any_report()).prop_map(
             |(id, attempt, outcome, took, request_ended, report)| Event::AttemptEnded(AttemptEnd {
                 request: id.as_str().into(), attempt, outcome, took, request_ended, report,
             })
         ),
-        1 => (numbered_name("r"), 0..4usize)
+        1 => (any_name("r"), 0..4usize)
             .prop_map(|(id, attempt)| Event::StreamStarted { request: id.as_str().into(), attempt }),
-        1 => numbered_name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
+        1 => any_name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
         1 => any::<u64>().prop_map(|token| Event::Timer { token }),
-        1 => (numbered_name("e"), any_duration(), any_report()).prop_map(|(name, took, report)| Event::HealthCheckEnded {
+        1 => (any_name("e"), any_duration(), any_report()).prop_map(|(name, took, report)| Event::HealthCheckEnded {
             endpoint: name.as_str().into(), outcome: Outcome::Served, took, report,
         }),
         1 => Just(Event::PeerMessage { from: PeerId(99), data: vec![1] }),
-        1 => (numbered_name("e"), any::<bool>())
+        1 => (any_name("e"), any::<bool>())
             .prop_map(|(name, is_disabled)| {
                 let endpoint = name.as_str().into();
                 if is_disabled { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) }
@@ -133,7 +133,7 @@
         1 => Just(Event::DiscoveryLate),
         1 => Just(Event::ListConfirmed),
         1 => any::<u64>().prop_map(|nanos| Event::ListUnconfirmed { since: Timestamp::from_nanos(nanos) }),
-        1 => numbered_name("e").prop_map(|name| Event::ProcessEnded { endpoint: name.as_str().into() }),
+        1 => any_name("e").prop_map(|name| Event::ProcessEnded { endpoint: name.as_str().into() }),
     ]
 }
 
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -34,7 +34,7 @@
         ListKind::Full,
         endpoint_entries(3)
             .into_iter()
-            .filter(|l| l.endpoint != "e1".into())
+            .filter(|entry| entry.endpoint != "e1".into())
             .collect(),
     );
     host.apply_list(ListKind::Full, endpoint_entries(3));
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -27,24 +27,24 @@
         host.now = host.now + ms(10);
         let class = 1 - request_number % 2;
         let (id, actions) = host.request(class);
-        let Some(to) = send_targets(&actions)
+        let Some(target) = send_targets(&actions)
             .first()
             .map(|e| e.0[1..].parse::<usize>().expect("a number"))
         else {
             continue;
         };
-        counts[1 - class] += usize::from(request_number >= 400 && to == 0);
-        accumulated_failures[to] += if class == 0 {
+        counts[1 - class] += usize::from(request_number >= 400 && target == 0);
+        accumulated_failures[target] += if class == 0 {
             0.0
         } else {
-            [e0_failure_rate, other_failure_rate][to.min(1)]
+            [e0_failure_rate, other_failure_rate][target.min(1)]
         };
-        let (first_outcome, took) = if accumulated_failures[to] >= 1.0 {
+        let (first_outcome, took) = if accumulated_failures[target] >= 1.0 {
             (outcome, 1)
         } else {
             (Outcome::Served, 9)
         };
-        accumulated_failures[to] = f64::fract(accumulated_failures[to]);
+        accumulated_failures[target] = f64::fract(accumulated_failures[target]);
         let retried = send_targets(&host.end_attempt(&id, 0, first_outcome, took, 0.0)).len();
         (1..=retried)
             .for_each(|attempt| drop(host.end_attempt(&id, attempt, Outcome::Served, 9, 0.0)));
@@ -72,10 +72,10 @@
 /// Guards a tier in which all endpoints fail equally often: an endpoint is still sent its share.
 #[test]
 fn equal_error_rates_make_no_outlier() {
-    let [sent_to_first, _] = count_sent_to_e0(Outcome::Error, 0.5, 0.5);
+    let [sent_to_e0, _] = count_sent_to_e0(Outcome::Error, 0.5, 0.5);
     assert!(
-        sent_to_first > 15,
-        "only {sent_to_first} of 200 requests sent to an endpoint with the common error rate"
+        sent_to_e0 > 15,
+        "only {sent_to_e0} of 200 requests sent to an endpoint with the common error rate"
     );
 }
 
@@ -91,11 +91,12 @@
         // Nineteen of twenty requests are idempotent. The faulty endpoint fails all of them.
         let class = usize::from(request_number % 20 == 19);
         let (id, actions) = host.request(class);
-        let Some(to) = send_targets(&actions).first().cloned() else {
+        let Some(target) = send_targets(&actions).first().cloned() else {
             continue;
         };
-        unsafe_sent_to_faulty += usize::from(request_number >= 100 && class == 1 && to == faulty);
-        let outcome = if to == faulty && class == 0 {
+        unsafe_sent_to_faulty +=
+            usize::from(request_number >= 100 && class == 1 && target == faulty);
+        let outcome = if target == faulty && class == 0 {
             Outcome::Error
         } else {
             Outcome::Served
@@ -127,17 +128,17 @@
         host.now = host.now + ms(40);
         let class = usize::from(request_number % 10 == 9);
         let (id, actions) = host.request(class);
-        let Some(to) = send_targets(&actions).first().cloned() else {
+        let Some(target) = send_targets(&actions).first().cloned() else {
             continue;
         };
-        if request_number >= 200 && class == 1 && is_faulty(&to) {
+        if request_number >= 200 && class == 1 && is_faulty(&target) {
             lost += 1;
             host.now = host.now + ms(1000);
             host.end_attempt(&id, 0, Outcome::TimedOut, 1000, 0.0);
             continue;
         }
         if request_number >= 300 && class == 0 {
-            idempotent_targets.insert(to);
+            idempotent_targets.insert(target);
         }
         host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
     }
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -75,21 +75,21 @@
             host.apply_list(ListKind::Full, endpoint_entries(3));
         }
         let (id, actions) = host.request(1);
-        let to = send_targets(&actions)[0].clone();
+        let target = send_targets(&actions)[0].clone();
         if request_number >= 10 {
             assert_eq!(
-                to,
+                target,
                 EndpointId::from("e2"),
                 "not sent to the endpoint without a queue"
             );
         }
-        let queue_length = if to == EndpointId::from("e2") {
+        let queue_length = if target == EndpointId::from("e2") {
             0.0
         } else {
             0.25
         };
         host.end_attempt(&id, 0, Outcome::Served, 20, queue_length);
-        last_target = Some(to);
+        last_target = Some(target);
     }
     assert!(last_target.is_some());
 }
--- a/tests/policy/sequence_model.rs
+++ b/tests/policy/sequence_model.rs
@@ -3,7 +3,7 @@
 
 use crate::host::*;
 use crate::sequence_rules::{
-    AttemptEnding, AttemptRecord, RequestRecord, RuleCheck, group_of_endpoint, zone_of_endpoint,
+    AttemptEnding, AttemptRecord, RequestRecord, RuleCheck, group_of, zone_of,
 };
 use crate::sequence_step::{OUTCOMES, Step};
 use balancer_sidecar::policy::*;
@@ -65,10 +65,10 @@
         match step {
             Step::RequestArrives {
                 class,
-                time_to_deadline_ms,
-                cost_hint_ms,
+                time_left_ms,
+                hint_ms,
                 key,
-            } => self.request_arrives(class, ms(time_to_deadline_ms), cost_hint_ms.map(ms), key),
+            } => self.request_arrives(class, ms(time_left_ms), hint_ms.map(ms), key),
             Step::AttemptEnds {
                 choice,
                 outcome,
@@ -215,11 +215,7 @@
         EndpointEntry {
             readiness,
             started_at: self.started_at[endpoint],
-            ..endpoint_entry(
-                &name,
-                zone_of_endpoint(endpoint),
-                group_of_endpoint(endpoint),
-            )
+            ..endpoint_entry(&name, zone_of(endpoint), group_of(endpoint))
         }
     }
 
--- a/tests/policy/sequence_rules.rs
+++ b/tests/policy/sequence_rules.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 /// Returns the zone of an endpoint.
-pub fn zone_of_endpoint(endpoint: usize) -> &'static str {
+pub fn zone_of(endpoint: usize) -> &'static str {
     if endpoint < 4 { "a" } else { "b" }
 }
 
 /// Returns the group of an endpoint.
-pub fn group_of_endpoint(endpoint: usize) -> u64 {
+pub fn group_of(endpoint: usize) -> u64 {
     (endpoint / 2) as u64
 }
 
@@ -81,12 +81,8 @@
                     );
                     let is_in_scope = match scope {
                         KeyScope::All => true,
-                        KeyScope::Zone => {
-                            zone_of_endpoint(earlier.endpoint) == zone_of_endpoint(endpoint)
-                        }
-                        KeyScope::Group => {
-                            group_of_endpoint(earlier.endpoint) == group_of_endpoint(endpoint)
-                        }
+                        KeyScope::Zone => zone_of(earlier.endpoint) == zone_of(endpoint),
+                        KeyScope::Group => group_of(earlier.endpoint) == group_of(endpoint),
                     };
                     assert!(is_in_scope, "rule 2: sent again outside the key scope");
                 }
--- a/tests/policy/sequence_step.rs
+++ b/tests/policy/sequence_step.rs
@@ -9,8 +9,8 @@
 pub enum Step {
     RequestArrives {
         class: usize,
-        time_to_deadline_ms: u64,
-        cost_hint_ms: Option<u64>,
+        time_left_ms: u64,
+        hint_ms: Option<u64>,
         key: Option<u8>,
     },
     AttemptEnds {
@@ -47,7 +47,7 @@
 pub fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..5usize, 1..2500u64, prop::option::of(0..200u64), prop::option::of(0..3u8))
-            .prop_map(|(class, time_to_deadline_ms, cost_hint_ms, key)| Step::RequestArrives { class, time_to_deadline_ms, cost_hint_ms, key }),
+            .prop_map(|(class, time_left_ms, hint_ms, key)| Step::RequestArrives { class, time_left_ms, hint_ms, key }),
         8 => (0..64usize, 0..8usize, 0..6u8)
             .prop_map(|(choice, outcome, queue_length)| Step::AttemptEnds { choice, outcome, queue_length }),
         1 => (0..64usize).prop_map(|choice| Step::ClientDisconnects { choice }),
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -40,9 +40,12 @@
             };
             actions.clear();
             balancer.handle(now, Event::Request(request), &mut actions);
-            let to = send_targets(&actions);
-            sent_total += to.len();
-            sent_to_warming += to.iter().filter(|e| **e == EndpointId::from("e3")).count();
+            let request_targets = send_targets(&actions);
+            sent_total += request_targets.len();
+            sent_to_warming += request_targets
+                .iter()
+                .filter(|e| **e == EndpointId::from("e3"))
+                .count();
             let report = Some(LoadReport {
                 queue_length: Some(0.0),
                 ..LoadReport::default()
@@ -80,10 +83,10 @@
     for _ in 0..60 {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
-        let to = send_targets(&actions)[0].clone();
+        let target = send_targets(&actions)[0].clone();
         host.end_attempt(&id, 0, Outcome::Served, 10, 0.2);
-        if to.0[1..].parse::<usize>().expect("a number") >= 6 {
-            warm.insert(to);
+        if target.0[1..].parse::<usize>().expect("a number") >= 6 {
+            warm.insert(target);
         }
     }
     assert!(warm.len() >= 2, "{warm:?}");
@@ -101,8 +104,8 @@
     for _ in 0..requests {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
-        for to in send_targets(&actions) {
-            let queue_length = if to == EndpointId::from("e3") {
+        for target in send_targets(&actions) {
+            let queue_length = if target == EndpointId::from("e3") {
                 0.0
             } else {
                 5.0
@@ -157,11 +160,11 @@
     for _ in 0..60 {
         let (id, actions) = host.request(0);
         host.now = host.now + ms(20);
-        let to = send_targets(&actions);
-        if !to.is_empty() {
+        let request_targets = send_targets(&actions);
+        if !request_targets.is_empty() {
             host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         }
-        targets.extend(to);
+        targets.extend(request_targets);
     }
     assert!(
         targets.len() > 50,
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -14,11 +14,11 @@
     for request_number in 0..400 {
         host.now = host.now + ms(25);
         let (id, actions) = host.request(1);
-        let to = send_targets(&actions);
-        assert_eq!(to.len(), 1);
+        let request_targets = send_targets(&actions);
+        assert_eq!(request_targets.len(), 1);
         host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         if request_number >= 300 {
-            used.insert(to[0].clone());
+            used.insert(request_targets[0].clone());
         }
     }
     assert!(
@@ -55,7 +55,10 @@
     let entries = endpoint_entries(12);
     let used = used_by_balancers(&entries);
     for entry in &entries {
-        let balancer_count = used.iter().filter(|u| u.contains(&entry.endpoint)).count();
+        let balancer_count = used
+            .iter()
+            .filter(|endpoints| endpoints.contains(&entry.endpoint))
+            .count();
         assert!(
             (6..=7).contains(&balancer_count),
             "{:?} is in {balancer_count} subsets",
@@ -67,7 +70,7 @@
     let kept = used
         .iter()
         .zip(&used_without_first)
-        .map(|(a, b)| a.intersection(b).count())
+        .map(|(before, after)| before.intersection(after).count())
         .sum::<usize>();
     assert!(kept >= 40, "only {kept} of 80 members kept");
 }
@@ -202,8 +205,8 @@
     for _ in 0..200 {
         host.now = host.now + ms(2);
         let (id, actions) = host.request(1);
-        for to in send_targets(&actions) {
-            if to.0[1..].parse::<usize>().expect("a number") < 4 {
+        for target in send_targets(&actions) {
+            if target.0[1..].parse::<usize>().expect("a number") < 4 {
                 host.end_attempt(&id, 0, Outcome::Served, 1, 5.0);
             } else {
                 in_flight += 1; // the attempt never ends
--- a/tests/policy/warming_tier.rs
+++ b/tests/policy/warming_tier.rs
@@ -101,13 +101,13 @@
     for _ in 0..400 {
         host.now = host.now + ms(1);
         let (id, actions) = host.request(0);
-        let to = send_targets(&actions);
+        let request_targets = send_targets(&actions);
         rejected += count_final_answers(&actions, &id);
-        if !to.is_empty() {
+        if !request_targets.is_empty() {
             // The only warm endpoint reports an overload.
             host.end_attempt(&id, 0, Outcome::Served, 10, 9.0);
         }
-        targets.extend(to);
+        targets.extend(request_targets);
     }
     assert!(
         rejected > 100,
