--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -72,8 +72,8 @@
 }
 
 /// Guards the change propagation deadline against the backoff, which once doubled up to 12 s with a long poll interval.
-/// Discovery may recover just after a call began. The answer to the next call must then be in force within 6 s of that
-/// beginning, after any number of calls that failed at once or timed out.
+/// Discovery may recover just after a call began. The answer to the next call must then be in force within 6 s of the
+/// start of the previous call, after any number of calls that failed at once or timed out.
 #[test]
 fn repeated_failures_do_not_delay_retries_too_long() {
     let discovery_answer_time = ms(1_000);
@@ -110,7 +110,7 @@
 }
 
 /// Guards the change propagation deadline when the host itself makes a call, for example on a reload, while a call of
-/// the balancer is due. The host skips the balancer's call. The skipped call must not count as the beginning of the
+/// the balancer is due. The host skips the balancer's call. The skipped call must not count as the start of the
 /// failed one.
 #[test]
 fn failed_host_call_does_not_postpone_the_retry() {
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns settings with an idempotent class, an unsafe class, and a keyed class for each key scope.
+/// Returns settings with the classes 0 (idempotent), 1 (unsafe), and 2 to 4 (keyed, one for each key scope).
 pub fn default_settings() -> Settings {
     let keyed = |scope| Idempotency::Keyed {
         scope,
--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -78,8 +78,8 @@
     (0..300).take_while(|_| count_sent(&mut host) == 1).count()
 }
 
-/// Guards endpoints against the sum over balancers. A limit of two per endpoint that ignores the other balancers would
-/// add up to twice their number at each endpoint.
+/// Guards endpoints against the combined load of many balancers. If each balancer sent two requests to every endpoint
+/// regardless of the others, an endpoint would have twice as many requests as there are balancers.
 #[test]
 fn many_balancers_do_not_overload_the_endpoints() {
     for balancers in [10, 20] {
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -76,6 +76,7 @@
                 "unsafe {outcome:?}"
             );
         }
+        // Class 3 is keyed to the zone, and class 4 to the group.
         for (class, same_group) in [(3, 0), (4, 1)] {
             let (targets, final_answer) = attempts_and_answer(class, outcome, 100);
             if let (Some(next), false) = (targets.get(1), proves_not_run) {
@@ -123,6 +124,8 @@
     assert_eq!((sent_count, answer_count), (3, 1));
 }
 
+/// Guards the timeout of attempts: it is the latency objective if late answers have no value, and otherwise the
+/// deadline.
 #[test]
 fn attempt_times_out_when_its_answer_has_no_value() {
     let timeout = |settings: Settings, class| match host_with_settings(settings)
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -3,8 +3,8 @@
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Guards a warming endpoint against the sum over balancers. 200 balancers with few requests share 10 endpoints. One of
-/// these has just started, and serves 0.3 of its share at first.
+/// Guards a warming endpoint against the combined load of many balancers. 200 balancers with few requests share 10
+/// endpoints. One of these has just started, and serves 0.3 of its share at first.
 #[test]
 fn many_balancers_together_respect_slow_start() {
     let (balancer_count, requests) = (200, 40);
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -165,6 +165,7 @@
     counts
 }
 
+/// Guards requests to another zone: they are sent there only while the own zone is overloaded and the other is clear.
 #[test]
 fn requests_leave_overloaded_zone_only_for_clear_one() {
     let [own, other, none] = count_sent_by_zone(5.0, 0.0);
