--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -102,13 +102,13 @@
 /// so only the mean over the tier shows the slowdown.
 #[test]
 fn slower_answers_reduce_requests_in_flight() {
-    let (short, long) = (
+    let (after_fast_answers, after_slow_answers) = (
         count_sent_to_unresponsive_tier(100, 100, 10),
         count_sent_to_unresponsive_tier(100, 100, 18),
     );
     assert!(
-        long * 4 <= short * 3,
-        "{long} in flight after slow answers, {short} after fast answers"
+        after_slow_answers * 4 <= after_fast_answers * 3,
+        "{after_slow_answers} in flight after slow answers, {after_fast_answers} after fast answers"
     );
 }
 
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -141,10 +141,10 @@
         Some(ms(1000)),
         "not the latency objective, although late answers have no value"
     );
-    let mut late = default_settings();
-    late.classes[1].late_value = 0.5;
+    let mut late_value_settings = default_settings();
+    late_value_settings.classes[1].late_value = 0.5;
     assert_eq!(
-        timeout(late, 1),
+        timeout(late_value_settings, 1),
         None,
         "a timeout before the deadline, although late answers have value"
     );
--- a/tests/policy/slow_start_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -17,8 +17,8 @@
 /// allow.
 fn max_window_load(rules: &Rules, arrivals: &[Timestamp]) -> f64 {
     let end = warm_up_start() + rules.warm_up_time;
-    let inside = |first: &usize| arrivals[*first] + rules.overload_window <= end;
-    let windows = (0..arrivals.len()).filter(inside).map(|first| {
+    let is_in_warm_up = |first: &usize| arrivals[*first] + rules.overload_window <= end;
+    let windows = (0..arrivals.len()).filter(is_in_warm_up).map(|first| {
         let window_end = arrivals[first] + rules.overload_window;
         let count = arrivals.partition_point(|at| *at < window_end) - first;
         count as f64 / allowed_in_window(rules, arrivals[first].since(warm_up_start()))
--- a/tests/policy/slow_start_fleet/scenario.rs
+++ b/tests/policy/slow_start_fleet/scenario.rs
@@ -96,8 +96,8 @@
 
 /// Returns the fraction of its full capacity that the warming endpoint has at an age.
 pub fn capacity_fraction(rules: &Rules, age: Duration) -> f64 {
-    let warmth = age.as_secs_f64() / rules.warm_up_time.as_secs_f64();
-    (rules.initial_capacity + (1.0 - rules.initial_capacity) * warmth).min(1.0)
+    let warm_up_progress = age.as_secs_f64() / rules.warm_up_time.as_secs_f64();
+    (rules.initial_capacity + (1.0 - rules.initial_capacity) * warm_up_progress).min(1.0)
 }
 
 /// Returns the number of requests that are allowed in a window that begins at an age. This is `N + 2 * sqrt(N) + 2` for
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -52,7 +52,7 @@
 /// A request without a final answer. Only its latest attempt can be in flight.
 pub struct UnansweredRequest {
     pub deadline: Timestamp,
-    pub attempts: usize,
+    pub attempt_count: usize,
     pub is_in_flight: bool,
 }
 
@@ -65,7 +65,7 @@
 /// The server of an endpoint. It serves several requests concurrently, in order of arrival.
 #[derive(Default)]
 pub struct Server {
-    pub busy: usize,
+    pub busy_workers: usize,
     pub queue: VecDeque<Attempt>,
     /// The recent queue lengths, oldest first.
     pub queue_length_history: VecDeque<QueueLength>,
@@ -290,7 +290,7 @@
             id.clone(),
             UnansweredRequest {
                 deadline,
-                attempts: 0,
+                attempt_count: 0,
                 is_in_flight: false,
             },
         );
@@ -348,8 +348,8 @@
             .unanswered
             .get_mut(&request)
             .expect("only unanswered requests are sent");
-        let number = request_state.attempts;
-        request_state.attempts += 1;
+        let number = request_state.attempt_count;
+        request_state.attempt_count += 1;
         request_state.is_in_flight = true;
         let time_to_deadline = request_state.deadline.since(self.now);
         let endpoint = (0..self.servers.len())
@@ -379,7 +379,7 @@
         let Some(request_state) = self.unanswered.get_mut(&attempt.request) else {
             return;
         };
-        if !request_state.is_in_flight || request_state.attempts != attempt.number + 1 {
+        if !request_state.is_in_flight || request_state.attempt_count != attempt.number + 1 {
             return;
         }
         request_state.is_in_flight = false;
@@ -419,10 +419,10 @@
 
     pub fn serve_next(&mut self, endpoint: usize) {
         let server = &mut self.servers[endpoint];
-        if server.busy < WORKERS
+        if server.busy_workers < WORKERS
             && let Some(attempt) = server.queue.pop_front()
         {
-            server.busy += 1;
+            server.busy_workers += 1;
             let service_time = self.random_exponential(1.0 / MEAN_SERVICE_TIME_S);
             self.schedule_after(service_time, Step::EndpointFinishes(attempt));
         }
@@ -431,7 +431,7 @@
 
     pub fn finish_service(&mut self, attempt: Attempt) {
         let endpoint = attempt.endpoint;
-        self.servers[endpoint].busy -= 1;
+        self.servers[endpoint].busy_workers -= 1;
         self.send_answer(attempt, Outcome::Served);
         self.serve_next(endpoint);
     }
