--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,22 +1,22 @@
-//! Tests of the decision module, which is driven event by event. Each test names the behaviour that it guards.
+//! Tests of the decision module. They pass events to it one at a time and check its actions.
 
 mod answer_time;
 mod discovery_calls;
 mod health_check;
 mod host;
 mod in_flight;
+mod invalid_input;
 mod key_order;
-mod legal;
-mod legal_model;
-mod legal_rules;
-mod legal_step;
 mod membership;
 mod operators;
 mod outlier;
 mod overload_state;
+mod random_sequences;
 mod request_queue;
 mod retry;
-mod robust;
+mod sequence_model;
+mod sequence_rules;
+mod sequence_step;
 mod settings_change;
 mod slow_start;
 mod slow_start_fleet;
--- a/tests/policy/legal_step.rs
+++ b/tests/policy/sequence_step.rs
@@ -1,9 +1,10 @@
-//! The random steps of the sequences in `legal.rs`.
+//! Random steps of the sequences in `random_sequences.rs`.
 
 use balancer_sidecar::policy::Outcome;
 use proptest::prelude::*;
 
-/// One step of a sequence: an event, or time that passes.
+/// One step of a sequence: an event, or the passing of time. A `choice` selects one of the present attempts or requests
+/// by its remainder.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     RequestArrives {
@@ -13,12 +14,12 @@
         key: Option<u8>,
     },
     AttemptEnds {
-        pick: usize,
+        choice: usize,
         outcome: usize,
         queue_length: u8,
     },
     ClientDisconnects {
-        pick: usize,
+        choice: usize,
     },
     ReadinessChanges {
         endpoint: usize,
@@ -48,8 +49,8 @@
         6 => (0..5usize, 1..2500u64, prop::option::of(0..200u64), prop::option::of(0..3u8))
             .prop_map(|(class, time_left_ms, hint_ms, key)| Step::RequestArrives { class, time_left_ms, hint_ms, key }),
         8 => (0..64usize, 0..8usize, 0..6u8)
-            .prop_map(|(pick, outcome, queue_length)| Step::AttemptEnds { pick, outcome, queue_length }),
-        1 => (0..64usize).prop_map(|pick| Step::ClientDisconnects { pick }),
+            .prop_map(|(choice, outcome, queue_length)| Step::AttemptEnds { choice, outcome, queue_length }),
+        1 => (0..64usize).prop_map(|choice| Step::ClientDisconnects { choice }),
         1 => (0..6usize, 0..3u8).prop_map(|(endpoint, readiness)| Step::ReadinessChanges { endpoint, readiness }),
         1 => (0..6usize).prop_map(|missing| Step::FullListArrives { missing }),
         1 => (0..6usize).prop_map(|endpoint| Step::EndpointRestarts { endpoint }),
@@ -63,7 +64,7 @@
     prop::collection::vec(step, 1..200)
 }
 
-/// The outcomes of attempts, as [`Step::AttemptEnds`] numbers them.
+/// The outcomes of attempts, indexed by `outcome` of [`Step::AttemptEnds`].
 pub const OUTCOMES: [Outcome; 8] = [
     Outcome::Served,
     Outcome::Error,
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,14 +1,14 @@
-//! How many requests warming endpoints are sent.
+//! Tests of slow start: the number of requests that warming endpoints are sent.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
+/// Guards a warming endpoint against the combined load of many balancers. 200 balancers with few requests share 10
+/// endpoints. One of these has just started, and serves 0.3 of its share at first.
 #[test]
-fn all_balancers_together_spare_a_warming_endpoint() {
-    // 200 balancers with few requests, 10 endpoints, one of which has just started: it serves 0.3 of its share at
-    // first.
+fn many_balancers_together_respect_slow_start() {
     let (balancer_count, requests) = (200, 40);
-    let (mut warming, mut total) = (0, 0);
+    let (mut sent_to_warming, mut sent_total) = (0, 0);
     for seed in 0..balancer_count {
         let settings = Settings {
             balancers: balancer_count as u32,
@@ -40,9 +40,12 @@
             };
             actions.clear();
             balancer.handle(now, Event::Request(request), &mut actions);
-            let to = send_targets(&actions);
-            total += to.len();
-            warming += to.iter().filter(|e| **e == EndpointId::from("e3")).count();
+            let request_targets = send_targets(&actions);
+            sent_total += request_targets.len();
+            sent_to_warming += request_targets
+                .iter()
+                .filter(|e| **e == EndpointId::from("e3"))
+                .count();
             let report = Some(LoadReport {
                 queue_length: Some(0.0),
                 ..LoadReport::default()
@@ -59,16 +62,17 @@
             balancer.handle(now + took, Event::AttemptEnded(ended), &mut actions);
         }
     }
-    let share = warming as f64 / (total as f64 / 10.0);
+    let share = sent_to_warming as f64 / (sent_total as f64 / 10.0);
     assert!(
         share > 0.05 && share < 0.5,
-        "{share} of a fair share, with 0.3 to 0.44 of its capacity"
+        "{share} of an equal share, with 0.3 to 0.44 of the capacity"
     );
 }
 
+/// Guards a balancer whose preferred endpoints are warming up. Half of the tier has just started and may be sent only
+/// few requests, so the subset must include warm endpoints.
 #[test]
-fn a_subset_whose_first_members_are_warming_has_warm_members_too() {
-    // Half of the tier has just started; these endpoints may be sent few requests, and must not be most of the subset.
+fn subset_includes_warm_endpoints() {
     let mut entries = endpoint_entries(12);
     entries
         .iter_mut()
@@ -79,48 +83,49 @@
     for _ in 0..60 {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
-        let to = send_targets(&actions)[0].clone();
-        host.end(&id, 0, Outcome::Served, 10, 0.2);
-        if to.0[1..].parse::<usize>().expect("a number") >= 6 {
-            warm.insert(to);
+        let target = send_targets(&actions)[0].clone();
+        host.end_attempt(&id, 0, Outcome::Served, 10, 0.2);
+        if target.0[1..].parse::<usize>().expect("a number") >= 6 {
+            warm.insert(target);
         }
     }
     assert!(warm.len() >= 2, "{warm:?}");
 }
 
+/// Guards a half warm endpoint while all others are throttled. Five seconds after its start it may be sent more than an
+/// equal share, but not all requests that the others cannot take.
 #[test]
-fn a_half_warm_endpoint_is_spared_while_the_others_are_throttled() {
-    // Five seconds after its start it may be sent more than a fair share, but not all that the others do not take.
+fn slow_start_holds_while_warm_endpoints_are_throttled() {
     let mut entries = endpoint_entries(4);
     entries[3].started_at = Some(at(0));
     let mut host = Host::new(default_settings(), entries);
     host.now = at(5000);
-    let (mut warming, requests) = (0, 400);
+    let (mut sent_to_warming, requests) = (0, 400);
     for _ in 0..requests {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
-        for to in send_targets(&actions) {
-            let queue_length = if to == EndpointId::from("e3") {
+        for target in send_targets(&actions) {
+            let queue_length = if target == EndpointId::from("e3") {
                 0.0
             } else {
                 5.0
             };
-            warming += usize::from(queue_length == 0.0);
-            host.end(&id, 0, Outcome::Served, 5, queue_length);
+            sent_to_warming += usize::from(queue_length == 0.0);
+            host.end_attempt(&id, 0, Outcome::Served, 5, queue_length);
         }
         host.handle(Event::ClientDisconnected { request: id });
     }
     assert!(
-        warming < requests / 2,
-        "{warming} of {requests} requests were sent to the one of four endpoints that is warming up"
+        sent_to_warming < requests / 2,
+        "{sent_to_warming} of {requests} requests were sent to the warming endpoint"
     );
 }
 
-/// Guards a balancer whose own zone has one endpoint, which is warming up: its first slot comes after a number of
-/// sends, and the only other endpoints have failed some requests, as with network faults. Requests are sent all the
-/// same, so that slow start advances.
+/// Guards against a slow start that never advances. The only endpoint of the balancer's zone is warming up and may be
+/// sent its first request only after some sends to others. The other endpoints have failed some requests, for example
+/// because of network faults, but must still be used.
 #[test]
-fn a_warming_zone_beside_faulty_endpoints_is_used() {
+fn warming_endpoint_is_used_beside_faulty_ones() {
     let mut settings = default_settings();
     settings.prices.cross_zone = 0.1;
     let remote = |number: usize| endpoint_entry(&format!("e{number}"), "b", 0);
@@ -130,7 +135,7 @@
         host.now = host.now + ms(50);
         let fails = request_number % 2 == 0;
         if !send_targets(&actions).is_empty() {
-            let actions = host.end(
+            let actions = host.end_attempt(
                 &id,
                 0,
                 if fails {
@@ -142,7 +147,7 @@
                 0.0,
             );
             if !send_targets(&actions).is_empty() {
-                host.end(&id, 1, Outcome::ConnectFailed, 10, 0.0);
+                host.end_attempt(&id, 1, Outcome::ConnectFailed, 10, 0.0);
             }
         }
     }
@@ -151,25 +156,29 @@
         ..endpoint_entry("e0", "a", 0)
     };
     host.apply_list(ListKind::Changes, vec![warming]);
-    let mut sent_requests: Vec<EndpointId> = Vec::new();
+    let mut targets: Vec<EndpointId> = Vec::new();
     for _ in 0..60 {
         let (id, actions) = host.request(0);
         host.now = host.now + ms(20);
-        let to = send_targets(&actions);
-        if !to.is_empty() {
-            host.end(&id, 0, Outcome::Served, 10, 0.0);
+        let request_targets = send_targets(&actions);
+        if !request_targets.is_empty() {
+            host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         }
-        sent_requests.extend(to);
+        targets.extend(request_targets);
     }
-    assert!(sent_requests.len() > 50, "{} of 60", sent_requests.len());
     assert!(
-        sent_requests.contains(&"e0".into()),
-        "the warming endpoint was sent a request"
+        targets.len() > 50,
+        "only {} of 60 requests were sent",
+        targets.len()
     );
-    let warming = sent_requests.iter().filter(|e| **e == "e0".into()).count();
     assert!(
-        warming < 40,
-        "and no more than it can serve: {warming} of {}",
-        sent_requests.len()
+        targets.contains(&"e0".into()),
+        "the warming endpoint was sent no request"
+    );
+    let sent_to_warming = targets.iter().filter(|e| **e == "e0".into()).count();
+    assert!(
+        sent_to_warming < 40,
+        "the warming endpoint was sent more than it can serve: {sent_to_warming} of {}",
+        targets.len()
     );
 }
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a balancer uses, and where requests go beyond the subset.
+//! Tests of subsets: the endpoints that a balancer uses, and the requests that it sends to other zones.
 
 use crate::host::*;
 use balancer_sidecar::policy::*;
@@ -14,21 +14,21 @@
     for request_number in 0..400 {
         host.now = host.now + ms(25);
         let (id, actions) = host.request(1);
-        let to = send_targets(&actions);
-        assert_eq!(to.len(), 1);
-        host.end(&id, 0, Outcome::Served, 10, 0.0);
+        let request_targets = send_targets(&actions);
+        assert_eq!(request_targets.len(), 1);
+        host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         if request_number >= 300 {
-            used.insert(to[0].clone());
+            used.insert(request_targets[0].clone());
         }
     }
     assert!(
         used.len() >= 12,
-        "a balancer with 40 requests a second uses {} endpoints",
+        "a balancer with 40 requests per second uses only {} endpoints",
         used.len()
     );
 }
 
-/// Returns the endpoints that each of 40 balancers with few requests uses.
+/// Returns the endpoints used by each of 40 balancers with few requests.
 fn used_by_balancers(entries: &[EndpointEntry]) -> Vec<std::collections::BTreeSet<EndpointId>> {
     let used_by = |number| {
         let settings = Settings {
@@ -42,42 +42,47 @@
             host.now = host.now + ms(1000);
             let (id, actions) = host.request(1);
             used.extend(send_targets(&actions));
-            host.end(&id, 0, Outcome::Served, 10, 0.0);
+            host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
         }
         used
     };
     (0..40).map(used_by).collect()
 }
 
+/// Guards the balance of subsets over the endpoints, and their stability when an endpoint is removed.
 #[test]
-fn every_endpoint_is_in_about_as_many_subsets() {
+fn endpoints_are_in_equally_many_stable_subsets() {
     let entries = endpoint_entries(12);
     let used = used_by_balancers(&entries);
     for entry in &entries {
-        let balancer_count = used.iter().filter(|u| u.contains(&entry.endpoint)).count();
+        let balancer_count = used
+            .iter()
+            .filter(|endpoints| endpoints.contains(&entry.endpoint))
+            .count();
         assert!(
             (6..=7).contains(&balancer_count),
-            "{:?} in {balancer_count} subsets",
+            "{:?} is in {balancer_count} subsets",
             entry.endpoint
         );
     }
-    // When one endpoint is removed, most balancers keep most of their subsets.
+    // Most members stay in their subsets after one endpoint is removed.
     let used_without_first = used_by_balancers(&entries[1..]);
     let kept = used
         .iter()
         .zip(&used_without_first)
-        .map(|(a, b)| a.intersection(b).count())
+        .map(|(before, after)| before.intersection(after).count())
         .sum::<usize>();
-    assert!(kept >= 40, "{kept} members kept of 80");
+    assert!(kept >= 40, "only {kept} of 80 members kept");
 }
 
-/// Returns how many endpoints of each zone a balancer in zone `a` uses with a price of crossings.
-fn used_by_zone(cross_zone: f64) -> [usize; 2] {
+/// Returns how many endpoints of its own zone and of the other zone a balancer uses, with a price for requests to
+/// another zone.
+fn count_used_by_zone(cross_zone: f64) -> [usize; 2] {
     let prices = Prices {
         cross_zone,
         ..Prices::default()
     };
-    let zones =
+    let entries =
         (0..12).map(|i| endpoint_entry(&format!("e{i}"), if i % 2 == 0 { "a" } else { "b" }, 0));
     let mut host = Host::new(
         Settings {
@@ -85,7 +90,7 @@
             zones: 2,
             ..default_settings()
         },
-        zones.collect(),
+        entries.collect(),
     );
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..300 {
@@ -96,7 +101,7 @@
                 .iter()
                 .map(|e| e.0[1..].parse::<usize>().expect("a number")),
         );
-        host.end(&id, 0, Outcome::Served, 10, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, 10, 0.0);
     }
     [
         used.iter().filter(|number| *number % 2 == 0).count(),
@@ -104,33 +109,35 @@
     ]
 }
 
+/// Guards the price of requests to another zone: the subset has both zones only if the price is low.
 #[test]
-fn a_balancer_stays_in_its_zone_only_where_crossings_are_costly() {
-    assert_eq!(used_by_zone(0.015)[1], 0);
-    let [own, other] = used_by_zone(0.005);
+fn high_cross_zone_price_keeps_the_subset_in_its_zone() {
+    assert_eq!(count_used_by_zone(0.015)[1], 0);
+    let [own, other] = count_used_by_zone(0.005);
     assert!(
         other >= 3 && own >= 3,
-        "{own} in its own zone, {other} in the other"
+        "{own} endpoints used in its own zone, {other} in the other"
     );
 }
 
-/// Returns how many of 400 requests are sent to the own zone, to the other zone, and nowhere, where the endpoints of
-/// each zone report a queue length.
-fn split_by_zone(own: f64, other: f64) -> [usize; 3] {
+/// Returns how many of 400 requests are sent to the own zone, to the other zone, and not at all, if the endpoints of
+/// each zone report the given queue length.
+fn count_sent_by_zone(own_queue_length: f64, other_queue_length: f64) -> [usize; 3] {
     let prices = Prices {
         cross_zone: 0.03,
         ..Prices::default()
     };
-    let zones = (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
+    let entries =
+        (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
     let mut host = Host::new(
         Settings {
             prices,
             zones: 2,
             ..default_settings()
         },
-        zones.collect(),
+        entries.collect(),
     );
-    let mut split = [0; 3];
+    let mut counts = [0; 3];
     for request_number in 0..600 {
         host.now = host.now + ms(10);
         let (id, actions) = host.request(1);
@@ -138,66 +145,72 @@
             .first()
             .map(|e| e.0[1..].parse::<usize>().expect("a number") >= 4);
         if request_number >= 200 {
-            split[is_remote.map_or(2, usize::from)] += 1;
+            counts[is_remote.map_or(2, usize::from)] += 1;
         }
         if let Some(is_remote) = is_remote {
-            host.end(
+            host.end_attempt(
                 &id,
                 0,
                 Outcome::Served,
                 9,
-                if is_remote { other } else { own },
+                if is_remote {
+                    other_queue_length
+                } else {
+                    own_queue_length
+                },
             );
         }
         host.handle(Event::ClientDisconnected { request: id });
     }
-    split
+    counts
 }
 
+/// Guards requests to another zone: they are sent there only while the own zone is overloaded and the other is clear.
 #[test]
-fn requests_leave_an_overloaded_zone_only_for_a_clear_one() {
-    let [own, other, none] = split_by_zone(5.0, 0.0);
+fn requests_leave_overloaded_zone_only_for_clear_one() {
+    let [own, other, none] = count_sent_by_zone(5.0, 0.0);
     assert!(
         other > own && none < 100,
-        "an overloaded zone beside a clear one: {own} own, {other} other, {none} none"
+        "own zone overloaded: {own} sent to the own zone, {other} to the other, {none} not sent"
     );
-    let [own, other, none] = split_by_zone(5.0, 5.0);
+    let [own, other, none] = count_sent_by_zone(5.0, 5.0);
     assert!(
         other < 40 && none > 200,
-        "both overloaded: {own} own, {other} other, {none} none"
+        "both zones overloaded: {own} sent to the own zone, {other} to the other, {none} not sent"
     );
     assert_eq!(
-        split_by_zone(0.0, 0.0)[1],
+        count_sent_by_zone(0.0, 0.0)[1],
         0,
-        "no crossing without overload"
+        "requests sent to the other zone without overload"
     );
 }
 
-/// Returns the highest number of attempts in flight outside an overloaded zone, with a price of new connections.
+/// Returns the highest number of attempts in flight outside an overloaded zone, with a price for new connections.
 fn max_remote_in_flight(handshake: f64) -> usize {
     let prices = Prices {
         cross_zone: 0.03,
         handshake,
         ..Prices::default()
     };
-    let zones = (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
+    let entries =
+        (0..8).map(|i| endpoint_entry(&format!("e{i}"), if i < 4 { "a" } else { "b" }, 0));
     let mut host = Host::new(
         Settings {
             prices,
             zones: 2,
             ..default_settings()
         },
-        zones.collect(),
+        entries.collect(),
     );
     let (mut in_flight, mut max_in_flight) = (0, 0);
     for _ in 0..200 {
         host.now = host.now + ms(2);
         let (id, actions) = host.request(1);
-        for to in send_targets(&actions) {
-            if to.0[1..].parse::<usize>().expect("a number") < 4 {
-                host.end(&id, 0, Outcome::Served, 1, 5.0);
+        for target in send_targets(&actions) {
+            if target.0[1..].parse::<usize>().expect("a number") < 4 {
+                host.end_attempt(&id, 0, Outcome::Served, 1, 5.0);
             } else {
-                in_flight += 1; // never ends
+                in_flight += 1; // the attempt never ends
             }
         }
         max_in_flight = max_in_flight.max(in_flight);
@@ -205,8 +218,10 @@
     max_in_flight
 }
 
+/// Guards against new connections for each request to another zone: with a price for connections, only one such request
+/// is in flight at a time.
 #[test]
-fn one_request_at_a_time_leaves_the_zone_where_connections_have_a_price() {
+fn handshake_price_limits_requests_to_other_zones() {
     assert_eq!(max_remote_in_flight(0.08), 1);
     assert!(max_remote_in_flight(0.0) > 1);
 }
