--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -50,7 +50,7 @@
         let delay = FAILURE_BACKOFF.delay(
             self.consecutive_failures,
             max_delay.as_secs_f64(),
-            self.random.unit(),
+            self.random.unit_interval(),
         );
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         Duration::from_secs_f64(delay)
@@ -61,6 +61,6 @@
     /// network while discovery is reachable again.
     pub fn hedge_delay(&mut self) -> Duration {
         let jitter = MAX_CALL_INTERVAL - DISCOVERY_TIMEOUT;
-        DISCOVERY_TIMEOUT + jitter.mul_f64(self.random.unit())
+        DISCOVERY_TIMEOUT + jitter.mul_f64(self.random.unit_interval())
     }
 }
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -64,7 +64,11 @@
         let max_delay = MAX_CALL_INTERVAL
             .saturating_sub(since_last_failure)
             .as_secs_f64();
-        backoff.delay(schedule.failures_in_row, max_delay, self.random.unit())
+        backoff.delay(
+            schedule.failures_in_row,
+            max_delay,
+            self.random.unit_interval(),
+        )
     }
 
     /// Returns how long a balancer that was current until now leaves discovery to those that are not: the longer it took
@@ -73,7 +77,7 @@
     fn yield_to_others(&mut self, silence: Duration) -> f64 {
         let longest = self.discovery_schedule.catch_up_time.min(MAX_YIELD);
         let longest = longest.saturating_sub(silence);
-        longest.as_secs_f64() * (1.0 - YIELD_JITTER * self.random.unit())
+        longest.as_secs_f64() * (1.0 - YIELD_JITTER * self.random.unit_interval())
     }
 
     /// Delays the next call after a rejection, with the same backoff: a rejected call costs a crowded discovery as much as
@@ -104,7 +108,7 @@
 
     /// Schedules a check of a cached list at a random time, so that balancers that start together do not call together.
     pub(super) fn check_cached_list(&mut self, now: Timestamp) {
-        let fraction = CACHED_LIST_CHECK_FRACTION * self.random.unit();
+        let fraction = CACHED_LIST_CHECK_FRACTION * self.random.unit_interval();
         let delay = self.settings.rules.poll_interval.mul_f64(fraction);
         self.discovery_schedule.next_call = Some(now + delay);
         self.discovery_schedule.behind_since = Some(now);
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -67,7 +67,7 @@
         let reached = self.thresholds.reached(queue_length);
         let lifetime = self.unloaded_time()
             * STATE_LIFETIME_MULTIPLE
-            * (MIN_LIFETIME_FACTOR + LIFETIME_FACTOR_SPREAD * self.random.unit());
+            * (MIN_LIFETIME_FACTOR + LIFETIME_FACTOR_SPREAD * self.random.unit_interval());
         let locality = self.endpoints[index].locality;
         self.mean_queue_lengths
             .add(locality, queue_length, MEAN_QUEUE_LENGTH_WEIGHT);
@@ -99,7 +99,7 @@
         let severity = (queue_length / self.thresholds.lowest_onset()).max(1.0);
         let arrival_rate = self.arrival_rate.per_second(now).max(MIN_ARRIVAL_RATE);
         let usual_gap = self.sets.subset.len() as f64 / arrival_rate;
-        duration_from_seconds(severity * usual_gap * (MIN_GAP_FACTOR + self.random.unit()))
+        duration_from_seconds(severity * usual_gap * (MIN_GAP_FACTOR + self.random.unit_interval()))
     }
 
     /// Returns how many levels an endpoint throttles, by its state and by the estimated queue length. Attempts in
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -68,7 +68,8 @@
         let total_rate: f64 = self.tenant_rates.iter().sum();
         let quota_rate = self.settings.tenants[tenant].quota_share * total_rate;
         let over_share = 1.0 - quota_rate / self.tenant_rates[tenant];
-        let is_over_share = total_rate > f64::from(MIN_ANSWERS) && self.random.unit() < over_share;
+        let is_over_share =
+            total_rate > f64::from(MIN_ANSWERS) && self.random.unit_interval() < over_share;
         if is_over_share {
             OVER_SHARE_LEVEL
         } else {
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -18,7 +18,7 @@
     }
 
     /// Returns a number from 0 up to and excluding 1.
-    pub(crate) fn unit(&mut self) -> f64 {
+    pub(crate) fn unit_interval(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1u64 << 53) as f64
     }
 
