--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The number of answers from which on a mean is used.
-pub(super) const MIN_ANSWERS: u32 = 12;
+pub(super) const MIN_SAMPLES: u32 = 12;
 /// The slowdown of ordinary load.
 pub(super) const ORDINARY_SLOWDOWN: f64 = 1.3;
 /// The weight of one answer in a class's answer time estimate.
@@ -34,7 +34,7 @@
     /// hints that were used unscaled had expensive requests rejected without any overload.
     fn relative_cost(&self, request: &Request) -> f64 {
         let class = &self.classes[request.class.0];
-        let is_measured = class.answers >= MIN_ANSWERS && class.hints.mean_time > 0.0;
+        let is_measured = class.answers >= MIN_SAMPLES && class.hints.mean_time > 0.0;
         let Some(hint) = request.cost_hint.filter(|_| is_measured) else {
             return 1.0;
         };
@@ -79,7 +79,7 @@
         class.estimated_time += (time_at_mean_cost - class.estimated_time) * estimate_weight;
         class.long_term_mean_time +=
             (time_at_mean_cost - class.long_term_mean_time) * unloaded_weight;
-        if class.answers < MIN_ANSWERS {
+        if class.answers < MIN_SAMPLES {
             return;
         }
         class.unloaded_time = if class.unloaded_time == 0.0 {
--- a/src/policy/class_table.rs
+++ b/src/policy/class_table.rs
@@ -21,8 +21,8 @@
             self.classes[position].retired_at = None;
             return ClassId(position);
         }
-        let namesake = table.iter().rposition(|other| other.name == class.name);
-        let state = namesake.map_or_else(
+        let earlier_position = table.iter().rposition(|other| other.name == class.name);
+        let state = earlier_position.map_or_else(
             || ClassState::new(&class),
             |position| ClassState {
                 retired_at: None,
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -24,9 +24,9 @@
 const MAX_DOUBLINGS: u32 = 4;
 /// The longest additional delay before a lost watch is reopened at a crowded discovery. Most of
 /// [`CHANGE_PROPAGATION_DEADLINE`] is left then for calls that may be rejected.
-const MAX_YIELD: Duration = Duration::from_secs(3);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(3);
 /// The fraction of that delay that is random.
-const YIELD_JITTER: f64 = 0.5;
+const RECONNECT_JITTER: f64 = 0.5;
 /// A cached list is checked within this fraction of the poll interval.
 const CACHED_LIST_CHECK_FRACTION: f64 = 0.25;
 
@@ -35,17 +35,17 @@
     /// step would fail again.
     pub(super) fn discovery_failed(&mut self, now: Timestamp) {
         let backoff_delay = self.backoff_delay(now);
-        let was_current = self.discovery_schedule.behind_since.is_none();
+        let was_current = self.discovery_schedule.stale_since.is_none();
         let last_received_at = self.discovery_schedule.last_received_at.take();
-        let behind_since = last_received_at.filter(|_| was_current).unwrap_or(now);
+        let stale_since = last_received_at.filter(|_| was_current).unwrap_or(now);
         let delay = if was_current {
-            backoff_delay.max(self.yield_to_others(now.since(behind_since)))
+            backoff_delay.max(self.reconnect_delay(now.since(stale_since)))
         } else {
             backoff_delay
         };
         self.schedule_call(now, delay);
-        self.discovery_schedule.behind_since = Some(behind_since);
-        self.discovery_schedule.is_reached = false;
+        self.discovery_schedule.stale_since = Some(stale_since);
+        self.discovery_schedule.is_discovery_reached = false;
     }
 
     /// Returns a delay whose mean doubles with each failure in a row, as far as [`MAX_CALL_INTERVAL`] allows.
@@ -74,10 +74,13 @@
     /// Returns how long a balancer that was current until now leaves discovery to those that are not: the longer it took
     /// to become current the last time, the more of them there are. A watch that was silent before it was lost has used up
     /// some of that time.
-    fn yield_to_others(&mut self, silence: Duration) -> f64 {
-        let longest = self.discovery_schedule.catch_up_time.min(MAX_YIELD);
+    fn reconnect_delay(&mut self, silence: Duration) -> f64 {
+        let longest = self
+            .discovery_schedule
+            .catch_up_time
+            .min(MAX_RECONNECT_DELAY);
         let longest = longest.saturating_sub(silence);
-        longest.as_secs_f64() * (1.0 - YIELD_JITTER * self.random.unit_interval())
+        longest.as_secs_f64() * (1.0 - RECONNECT_JITTER * self.random.unit_interval())
     }
 
     /// Delays the next call after a rejection, with the same backoff: a rejected call costs a crowded discovery as much as
@@ -91,11 +94,11 @@
     /// Records that discovery has been reached. Before the first call that reached it, it may not have been reachable.
     pub(super) fn discovery_reached(&mut self, now: Timestamp) {
         let schedule = &mut self.discovery_schedule;
-        let behind_since = schedule.behind_since.get_or_insert(now);
-        if !std::mem::replace(&mut schedule.is_reached, true)
-            && now.since(*behind_since) > MAX_CALL_INTERVAL
+        let stale_since = schedule.stale_since.get_or_insert(now);
+        if !std::mem::replace(&mut schedule.is_discovery_reached, true)
+            && now.since(*stale_since) > MAX_CALL_INTERVAL
         {
-            *behind_since = now.minus(MAX_CALL_INTERVAL);
+            *stale_since = now.minus(MAX_CALL_INTERVAL);
         }
     }
 
@@ -111,6 +114,6 @@
         let fraction = CACHED_LIST_CHECK_FRACTION * self.random.unit_interval();
         let delay = self.settings.rules.poll_interval.mul_f64(fraction);
         self.discovery_schedule.next_call = Some(now + delay);
-        self.discovery_schedule.behind_since = Some(now);
+        self.discovery_schedule.stale_since = Some(now);
     }
 }
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -14,9 +14,9 @@
     /// When something was last received on the watch that was lost, until that failure is handled.
     pub(super) last_received_at: Option<Timestamp>,
     /// Since when the list has not been current although discovery could be reached; `None` while it is current.
-    pub(super) behind_since: Option<Timestamp>,
+    pub(super) stale_since: Option<Timestamp>,
     /// Discovery has been reached since then.
-    pub(super) is_reached: bool,
+    pub(super) is_discovery_reached: bool,
     /// How long it took to be current again, the last time.
     pub(super) catch_up_time: Duration,
 }
@@ -25,9 +25,9 @@
     /// Resets the failures after a successful call.
     pub(super) fn succeeded(&mut self, now: Timestamp) {
         self.failures_in_row = 0;
-        self.is_reached = false;
-        if let Some(behind_since) = self.behind_since.take() {
-            self.catch_up_time = now.since(behind_since);
+        self.is_discovery_reached = false;
+        if let Some(stale_since) = self.stale_since.take() {
+            self.catch_up_time = now.since(stale_since);
         }
     }
 
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -33,7 +33,7 @@
     pub(super) is_listed: bool,
     pub(super) started_at: Option<Timestamp>,
     /// When its process was last seen to have ended, while the list still names that process.
-    pub(super) ended_at: Option<Timestamp>,
+    pub(super) process_ended_at: Option<Timestamp>,
     /// No connection showed that its process still runs, when the list was overdue.
     pub(super) is_process_unknown: bool,
     /// It is sent nothing because its process has ended or is not known, and the list may be old.
@@ -82,7 +82,7 @@
             is_draining: false,
             is_listed: false,
             started_at: entry.started_at,
-            ended_at: None,
+            process_ended_at: None,
             is_process_unknown: false,
             is_suspended: false,
             enabled_at: None,
@@ -105,7 +105,7 @@
     }
 
     /// Applies an entry of an endpoint list. Whether the endpoint is available then has to be updated.
-    pub(super) fn update(&mut self, entry: &EndpointEntry) {
+    pub(super) fn apply_entry(&mut self, entry: &EndpointEntry) {
         self.is_listed = entry.readiness != Readiness::Removed;
         self.size = if entry.size > 0.0 { entry.size } else { 1.0 };
         self.is_serving = entry.readiness == Readiness::Serving;
@@ -113,21 +113,21 @@
         let was_draining = self.is_draining || entry.readiness == Readiness::Draining;
         self.is_draining = !self.is_serving && was_draining;
         if self.started_at != entry.started_at {
-            self.restart(entry.started_at);
+            self.reset_process_state(entry.started_at);
         }
     }
 
     /// Marks it as absent from a full list.
-    pub(super) fn unlist(&mut self) {
+    pub(super) fn mark_unlisted(&mut self) {
         self.is_available = false;
         self.is_serving = false;
         self.is_listed = false;
     }
 
     /// Resets what was learned of the previous process: its queue, slowdown and failures.
-    pub(super) fn restart(&mut self, started_at: Option<Timestamp>) {
+    pub(super) fn reset_process_state(&mut self, started_at: Option<Timestamp>) {
         self.started_at = started_at;
-        self.ended_at = None;
+        self.process_ended_at = None;
         self.is_process_unknown = false;
         self.is_suspended = false;
         self.gapping_levels = 0;
@@ -139,8 +139,8 @@
     }
 
     /// Returns whether its process has ended or is not known.
-    pub(super) fn has_lost_process(&self) -> bool {
-        self.ended_at.is_some() || self.is_process_unknown
+    pub(super) fn has_ended_or_unknown_process(&self) -> bool {
+        self.process_ended_at.is_some() || self.is_process_unknown
     }
 
     /// Returns the recent failure rate of a class, or the highest of all classes.
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -61,7 +61,7 @@
 /// Guards against growth where endpoints are replaced all day: the indices of removed endpoints are reused, but not
 /// while an attempt refers to them.
 #[test]
-fn removed_endpoints_stay_in_the_table_only_while_an_attempt_refers_to_them() {
+fn removed_endpoints_without_attempts_leave_the_table() {
     let mut balancer = new_balancer();
     let first_listed = changes(vec![entry("first", Readiness::Serving)]);
     handle(&mut balancer, 1, first_listed);
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -12,7 +12,7 @@
 /// The price of a crossing between zones from which on a balancer prefers its own zone. The number of balancers for
 /// each endpoint differs between zones; an even distribution over the whole tier is worth about two crossings of this
 /// price.
-const COSTLY_CROSSING_PRICE: f64 = 0.01;
+const COSTLY_CROSS_ZONE_PRICE: f64 = 0.01;
 
 impl Balancer {
     /// Applies an endpoint list, or the changes in it.
@@ -32,7 +32,7 @@
         }
         if kind != ListKind::Changes {
             for endpoint in self.endpoints.iter_mut() {
-                endpoint.unlist();
+                endpoint.mark_unlisted();
             }
         }
         for entry in entries {
@@ -49,7 +49,7 @@
         let locality = self.locality(index);
         let endpoint = &mut self.endpoints[index];
         endpoint.locality = locality;
-        endpoint.update(entry);
+        endpoint.apply_entry(entry);
         self.update_availability(index);
         self.close_idle_if_draining(index, actions);
     }
@@ -101,7 +101,7 @@
         }
         if let Some(index) = self.endpoints.index_of(id) {
             let endpoint = &mut self.endpoints[index];
-            endpoint.restart(endpoint.started_at);
+            endpoint.reset_process_state(endpoint.started_at);
             endpoint.enabled_at = Some(now);
             endpoint.awaits_first_send = true;
             self.update_availability(index);
@@ -138,7 +138,7 @@
     }
 
     fn locality(&self, index: EndpointIndex) -> Locality {
-        let is_costly = self.settings.prices.cross_zone >= COSTLY_CROSSING_PRICE;
+        let is_costly = self.settings.prices.cross_zone >= COSTLY_CROSS_ZONE_PRICE;
         if is_costly && self.endpoints[index].zone != self.settings.zone {
             Locality::Remote
         } else {
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -78,7 +78,7 @@
     /// Restricts the candidates to the few that last served a request that must not run twice, if such requests were
     /// lost recently. Otherwise each balancer would lose one at each faulty endpoint, where nothing else may show the
     /// fault.
-    pub(super) fn prefer_recent_unsafe_servers(
+    pub(super) fn prefer_recent_unsafe_successes(
         &self,
         now: Timestamp,
         class: usize,
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -3,7 +3,7 @@
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
 use super::event::LoadReport;
-use super::thresholds::{LevelsReached, MAX_DISCARD};
+use super::thresholds::{LevelsReached, MAX_DISCARD_THRESHOLD};
 use super::time::{Timestamp, duration_from_seconds};
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
         });
         let queue_length = report.queue_length.or(from_in_flight).unwrap_or(0.0);
         queue_length
-            .max(busy_fraction * MAX_DISCARD)
+            .max(busy_fraction * MAX_DISCARD_THRESHOLD)
             .clamp(0.0, MAX_QUEUE_LENGTH)
     }
 
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -13,10 +13,10 @@
 /// The number of samples that become candidates.
 const MAX_LOCAL_CANDIDATES: usize = 2;
 /// The number of random choices that are compared.
-const CHOICES: usize = 2;
+const RANDOM_CHOICES: usize = 2;
 
 /// What one pick looks for.
-struct Search<'a> {
+struct PickCriteria<'a> {
     now: Timestamp,
     scope: &'a RetryScope,
     /// The request's priority level.
@@ -33,14 +33,14 @@
         scope: &RetryScope,
     ) -> Option<EndpointIndex> {
         let class = pending.request.class.0;
-        let search = Search {
+        let criteria = PickCriteria {
             now,
             scope,
             level: pending.level,
             failure_limit: self.failure_limit(now, class),
         };
-        let mut candidates = self.candidates(&search, pending);
-        self.prefer_recent_unsafe_servers(now, class, &mut candidates);
+        let mut candidates = self.candidates(&criteria, pending);
+        self.prefer_recent_unsafe_successes(now, class, &mut candidates);
         let first_send = candidates
             .iter()
             .find(|index| self.endpoints[**index].awaits_first_send);
@@ -48,7 +48,7 @@
             return Some(*index); // a balancer with few requests would stay with the fastest endpoint that it knows
         }
         match candidates.len() {
-            0 => self.earliest_ended_gap(&search, pending),
+            0 => self.endpoint_with_earliest_ended_gap(&criteria, pending),
             1 => Some(candidates[0]),
             _ => self.best_of_two_choices(now, candidates),
         }
@@ -58,18 +58,18 @@
     /// else the one that fails least.
     fn candidates(
         &mut self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &mut PendingRequest,
     ) -> Vec<EndpointIndex> {
-        let mut candidates = self.eligible_subset_members(search, pending);
+        let mut candidates = self.eligible_subset_members(criteria, pending);
         if candidates.is_empty() {
-            self.add_local_samples(search, pending, &mut candidates);
+            self.add_local_samples(criteria, pending, &mut candidates);
         }
         if candidates.is_empty() {
-            candidates = self.clear_remote_members(search, pending);
+            candidates = self.clear_remote_members(criteria, pending);
         }
-        if candidates.is_empty() && !self.is_any_healthy(search, pending) {
-            candidates.extend(self.least_failing_unthrottled(search, pending));
+        if candidates.is_empty() && !self.is_any_healthy(criteria, pending) {
+            candidates.extend(self.least_failing_unthrottled(criteria, pending));
             if candidates.is_empty() {
                 self.advance_slow_start_early(pending);
             }
@@ -81,12 +81,12 @@
     /// tried before.
     fn is_usable(
         &self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
         index: EndpointIndex,
     ) -> bool {
-        self.slow_start_allows(search.now, index)
-            && search.scope.contains(&self.endpoints[index])
+        self.slow_start_allows(criteria.now, index)
+            && criteria.scope.contains(&self.endpoints[index])
             && pending
                 .attempts
                 .iter()
@@ -96,36 +96,36 @@
     /// Returns whether an endpoint is usable and no outlier.
     fn is_healthy(
         &self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
         index: EndpointIndex,
     ) -> bool {
-        !self.is_outlier(search.now, index, &search.failure_limit)
-            && self.is_usable(search, pending, index)
+        !self.is_outlier(criteria.now, index, &criteria.failure_limit)
+            && self.is_usable(criteria, pending, index)
     }
 
     /// Returns whether an endpoint does not throttle the request's level.
-    fn is_unthrottled(&self, search: &Search<'_>, index: EndpointIndex) -> bool {
-        search.level >= self.throttled_levels(search.now, index).gapping
+    fn is_unthrottled(&self, criteria: &PickCriteria<'_>, index: EndpointIndex) -> bool {
+        criteria.level >= self.throttled_levels(criteria.now, index).gapping
     }
 
     fn is_eligible(
         &self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
         index: EndpointIndex,
     ) -> bool {
-        self.is_healthy(search, pending, index) && self.is_unthrottled(search, index)
+        self.is_healthy(criteria, pending, index) && self.is_unthrottled(criteria, index)
     }
 
     fn eligible_subset_members(
         &self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
         let members = self.sets.subset.iter().copied();
         members
-            .filter(|index| self.is_eligible(search, pending, *index))
+            .filter(|index| self.is_eligible(criteria, pending, *index))
             .collect()
     }
 
@@ -133,7 +133,7 @@
     /// flight for its share of the tier: otherwise all balancers together would overload the whole tier.
     fn add_local_samples(
         &mut self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
         candidates: &mut Vec<EndpointIndex>,
     ) {
@@ -149,7 +149,8 @@
             let Some(index) = self.sets.local.get(sample).copied() else {
                 continue;
             };
-            if candidates.len() < MAX_LOCAL_CANDIDATES && self.is_eligible(search, pending, index) {
+            if candidates.len() < MAX_LOCAL_CANDIDATES && self.is_eligible(criteria, pending, index)
+            {
                 candidates.push(index);
             }
         }
@@ -159,7 +160,7 @@
     /// connection, so only one at a time is sent where connections have a price.
     fn clear_remote_members(
         &self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
         let members = || self.sets.remote_subset.iter().copied();
@@ -168,47 +169,47 @@
             return Vec::new();
         }
         let is_clear = |index: &EndpointIndex| {
-            self.is_healthy(search, pending, *index)
-                && self.throttled_levels(search.now, *index).gapping == 0
+            self.is_healthy(criteria, pending, *index)
+                && self.throttled_levels(criteria.now, *index).gapping == 0
         };
         members().filter(is_clear).collect()
     }
 
-    fn is_any_healthy(&self, search: &Search<'_>, pending: &PendingRequest) -> bool {
-        self.reachable()
-            .any(|index| self.is_healthy(search, pending, index))
+    fn is_any_healthy(&self, criteria: &PickCriteria<'_>, pending: &PendingRequest) -> bool {
+        self.selectable_endpoints()
+            .any(|index| self.is_healthy(criteria, pending, index))
     }
 
     /// Returns the usable, unthrottled endpoint that fails least, for use where none is healthy. Otherwise a balancer
     /// whose subset is warming up or fails throughout would send nothing, and slow start would never advance.
     fn least_failing_unthrottled(
         &self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
     ) -> Option<EndpointIndex> {
-        let unthrottled = self.reachable().filter(|index| {
-            self.is_usable(search, pending, *index) && self.is_unthrottled(search, *index)
+        let unthrottled = self.selectable_endpoints().filter(|index| {
+            self.is_usable(criteria, pending, *index) && self.is_unthrottled(criteria, *index)
         });
-        self.least_failing(search.now, unthrottled, &search.failure_limit)
+        self.least_failing(criteria.now, unthrottled, &criteria.failure_limit)
     }
 
     /// Returns all local endpoints and the remote subset.
-    fn reachable(&self) -> impl Iterator<Item = EndpointIndex> {
+    fn selectable_endpoints(&self) -> impl Iterator<Item = EndpointIndex> {
         let local = self.sets.local.iter();
         local.chain(&self.sets.remote_subset).copied()
     }
 
     /// Returns the gapping subset member whose gap ended first, for use where all are throttled.
-    fn earliest_ended_gap(
+    fn endpoint_with_earliest_ended_gap(
         &self,
-        search: &Search<'_>,
+        criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
     ) -> Option<EndpointIndex> {
         let gap_ends_at = |index: &EndpointIndex| self.endpoints[*index].gap_ends_at;
         let is_due = |index: &EndpointIndex| {
-            self.is_usable(search, pending, *index)
-                && gap_ends_at(index) <= search.now
-                && search.level >= self.throttled_levels(search.now, *index).discarding
+            self.is_usable(criteria, pending, *index)
+                && gap_ends_at(index) <= criteria.now
+                && criteria.level >= self.throttled_levels(criteria.now, *index).discarding
         };
         let members = self.sets.subset.iter().copied();
         members.filter(is_due).min_by_key(gap_ends_at)
@@ -224,10 +225,10 @@
         let count = candidates.len();
         candidates.rotate_left(self.random.below(count));
         candidates.swap(1, 1 + self.random.below(count - 1));
-        let are_idle = candidates[..CHOICES]
+        let are_idle = candidates[..RANDOM_CHOICES]
             .iter()
             .all(|index| self.endpoints[*index].in_flight == 0);
-        let compared = if are_idle { count } else { CHOICES };
+        let compared = if are_idle { count } else { RANDOM_CHOICES };
         candidates
             .into_iter()
             .take(compared)
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -1,6 +1,6 @@
 //! The priority level of a request: by its class, and below all others beyond its tenant's quota share.
 
-use super::answer_time::MIN_ANSWERS;
+use super::answer_time::MIN_SAMPLES;
 use super::balancer::Balancer;
 use super::event::Request;
 use super::id::TenantId;
@@ -67,9 +67,9 @@
         self.tenant_rates[tenant] += 1.0;
         let total_rate: f64 = self.tenant_rates.iter().sum();
         let quota_rate = self.settings.tenants[tenant].quota_share * total_rate;
-        let over_share = 1.0 - quota_rate / self.tenant_rates[tenant];
+        let excess_fraction = 1.0 - quota_rate / self.tenant_rates[tenant];
         let is_over_share =
-            total_rate > f64::from(MIN_ANSWERS) && self.random.unit_interval() < over_share;
+            total_rate > f64::from(MIN_SAMPLES) && self.random.unit_interval() < excess_fraction;
         if is_over_share {
             OVER_SHARE_LEVEL
         } else {
--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -58,7 +58,7 @@
         if self.classes.is_empty() {
             violations.push(violation("classes", "is empty"));
         }
-        if let Some(position) = repeated_name(&self.classes) {
+        if let Some(position) = repeated_class_position(&self.classes) {
             violations.push(violation(
                 &format!("classes[{position}].name"),
                 "is there twice",
@@ -85,7 +85,7 @@
 }
 
 /// Returns the position of the first class whose name an earlier one has.
-fn repeated_name(classes: &[Class]) -> Option<usize> {
+fn repeated_class_position(classes: &[Class]) -> Option<usize> {
     (1..classes.len()).find(|position| {
         classes[..*position]
             .iter()
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -40,8 +40,8 @@
     /// Draws an endpoint's next slot: exponentially distributed after the clock's present reading.
     pub(super) fn draw_slow_start_slot(&mut self, now: Timestamp, index: EndpointIndex) -> f64 {
         let share = self.slow_start_share(now, index).unwrap_or(f64::INFINITY);
-        let mean_exponential = -(1.0 - self.random.unit_interval()).ln();
-        self.slow_start_clock + mean_exponential * self.sets.subset.len() as f64 / share
+        let unit_exponential = -(1.0 - self.random.unit_interval()).ln();
+        self.slow_start_clock + unit_exponential * self.sets.subset.len() as f64 / share
     }
 
     /// Advances the clock for a send, unless the request was counted early.
--- a/src/policy/suspension.rs
+++ b/src/policy/suspension.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How long before the list was last current an end still counts: discovery lists an end some seconds after it.
-const UNLISTED_END_LIFETIME: Duration = Duration::from_secs(15);
+const MAX_PROCESS_END_AGE: Duration = Duration::from_secs(15);
 
 /// How long after the list was last current its processes still count as running.
 const RECENT_LIST_AGE: Duration = Duration::from_secs(2);
@@ -34,8 +34,8 @@
         let schedule = &self.discovery_schedule;
         let is_recent = |since| now.since(since) < RECENT_LIST_AGE;
         self.list_unconfirmed_since.is_none()
-            || !schedule.is_reached
-            || schedule.behind_since.is_none_or(is_recent)
+            || !schedule.is_discovery_reached
+            || schedule.stale_since.is_none_or(is_recent)
     }
 
     /// Returns whether the list is overdue.
@@ -44,10 +44,10 @@
         let in_force_after = CHANGE_PROPAGATION_DEADLINE + self.settings.rules.drain_grace;
         let overdue_after = in_force_after.saturating_sub(OVERDUE_MARGIN);
         let schedule = &self.discovery_schedule;
-        let is_behind = |since| now.since(since) >= overdue_after;
+        let is_overdue = |since| now.since(since) >= overdue_after;
         self.list_unconfirmed_since.is_some()
-            && schedule.is_reached
-            && schedule.behind_since.is_some_and(is_behind)
+            && schedule.is_discovery_reached
+            && schedule.stale_since.is_some_and(is_overdue)
     }
 
     /// Records that the process of an endpoint has ended, and suspends the endpoint if the list may be old.
@@ -58,7 +58,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(index) = self.endpoints.index_of(id) {
-            self.endpoints[index].ended_at = Some(now);
+            self.endpoints[index].process_ended_at = Some(now);
             self.update_suspensions(now, actions);
         }
     }
@@ -106,7 +106,7 @@
             .indices()
             .filter(|index| {
                 let endpoint = &self.endpoints[*index];
-                endpoint.has_lost_process() || endpoint.is_suspended
+                endpoint.has_ended_or_unknown_process() || endpoint.is_suspended
             })
             .collect();
         let changed: Vec<EndpointIndex> = indices
@@ -123,7 +123,7 @@
                 });
             }
         }
-        actions.push(Action::Log(self.suspension_line(&changed)));
+        actions.push(Action::Log(self.suspension_log_line(&changed)));
         self.repartition_endpoints(now);
     }
 
@@ -131,8 +131,9 @@
     fn update_suspension(&mut self, index: EndpointIndex) -> bool {
         let endpoint = &mut self.endpoints[index];
         let is_suspended = self.list_unconfirmed_since.is_some_and(|since| {
-            let is_unlisted_end = |ended_at| since.since(ended_at) < UNLISTED_END_LIFETIME;
-            endpoint.is_process_unknown || endpoint.ended_at.is_some_and(is_unlisted_end)
+            let is_recent_end =
+                |process_ended_at| since.since(process_ended_at) < MAX_PROCESS_END_AGE;
+            endpoint.is_process_unknown || endpoint.process_ended_at.is_some_and(is_recent_end)
         });
         let has_changed =
             std::mem::replace(&mut endpoint.is_suspended, is_suspended) != is_suspended;
@@ -141,7 +142,7 @@
     }
 
     /// Returns the line of the log for endpoints whose suspension has changed.
-    fn suspension_line(&self, changed: &[EndpointIndex]) -> String {
+    fn suspension_log_line(&self, changed: &[EndpointIndex]) -> String {
         let (suspended, resumed): (Vec<EndpointIndex>, Vec<EndpointIndex>) = changed
             .iter()
             .partition(|index| self.endpoints[**index].is_suspended);
--- a/src/policy/thresholds.rs
+++ b/src/policy/thresholds.rs
@@ -1,9 +1,9 @@
 //! The abatement, onset and discard thresholds on queue lengths, for each priority level.
 
 /// The lowest abatement threshold, in requests: a shorter queue is empty again before its load report arrives.
-const MIN_ABATEMENT: f64 = 0.3;
+const MIN_ABATEMENT_THRESHOLD: f64 = 0.3;
 /// The highest discard threshold, in requests: with a longer queue every level is discarded.
-pub(super) const MAX_DISCARD: f64 = 2.6;
+pub(super) const MAX_DISCARD_THRESHOLD: f64 = 2.6;
 
 #[derive(Debug)]
 struct LevelThresholds {
@@ -27,9 +27,10 @@
 impl Thresholds {
     /// Creates thresholds at equal distances between the lowest abatement and the highest discard threshold.
     pub(super) fn for_levels(count: usize) -> Self {
-        let step = (MAX_DISCARD - MIN_ABATEMENT) / (3 * count.max(1) - 1) as f64;
+        let step =
+            (MAX_DISCARD_THRESHOLD - MIN_ABATEMENT_THRESHOLD) / (3 * count.max(1) - 1) as f64;
         let of_level = |level: usize| {
-            let abatement = MIN_ABATEMENT + 3.0 * step * level as f64;
+            let abatement = MIN_ABATEMENT_THRESHOLD + 3.0 * step * level as f64;
             LevelThresholds {
                 abatement,
                 onset: abatement + step,
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn deploy_file_names_existing_files_once() {
+fn deployed_files_exist_and_are_unique() {
     let files = deployed_policy_files();
     assert!(!files.is_empty());
     for file in &files {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn files_that_act_on_balancer_state_are_deployed() {
+fn files_with_balancer_state_are_deployed() {
     let deployed = deployed_policy_files();
     for (file, text) in policy_sources() {
         let is_deployed = deployed.contains(&file);
