--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,10 +1,10 @@
-//! What a balancer has its host do.
+//! The actions that a balancer requests from its host.
 
 use super::id::{AttemptNumber, EndpointId, PeerId, RequestId};
 use super::time::Timestamp;
 use std::time::Duration;
 
-/// What a balancer has its host do.
+/// An action that a balancer requests from its host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -13,7 +13,7 @@
         request: RequestId,
         /// The endpoint that it is sent to.
         endpoint: EndpointId,
-        /// How long to wait for the answer; `None` is until the request's deadline.
+        /// How long to wait for the answer; `None` means until the request's deadline.
         timeout: Option<Duration>,
     },
     /// Cancel an attempt.
@@ -23,11 +23,11 @@
         /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Give the final answer to a request that was not served, where trying again is harmless.
+    /// Give the final answer to a request that was not served and can safely be retried by the client.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client is to come back at the earliest.
+        /// The least time after which the client may retry; `None` if the client is not told one.
         retry_after: Option<Duration>,
     },
     /// Give the final answer to a request that was not served and may have run.
@@ -35,11 +35,11 @@
         /// The request.
         request: RequestId,
     },
-    /// Return an [`Event::Timer`](super::Event::Timer) at or after a point in time.
+    /// Report an [`Event::Timer`](super::Event::Timer) at or after a point in time.
     SetTimer {
         /// When the timer expires.
         at: Timestamp,
-        /// The token that the event is to carry.
+        /// The token that the event carries.
         token: u64,
     },
     /// Open a watch on the endpoint list, unless one is open.
@@ -60,7 +60,7 @@
     },
     /// Send at most 256 bytes to other balancers of the tier.
     SendPeerMessage {
-        /// The receiver; `None` is all balancers.
+        /// The receiver; `None` means all other balancers of the tier.
         to: Option<PeerId>,
         /// The message.
         data: Vec<u8>,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a new request is sent, queued or rejected at once, and how long it may be queued.
+//! Admission: a new request is sent, queued for a limited time, or rejected at once.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -17,7 +17,7 @@
     useful: Duration,
     /// The request may be queued for this long.
     max_queue_time: Duration,
-    /// Hardly any answer would come in time.
+    /// An answer in time is unlikely.
     is_too_late: bool,
 }
 
@@ -66,7 +66,8 @@
         } else {
             until_deadline.min(objective)
         };
-        // A late answer has less value, and requests that are queued longer would make new ones late in turn.
+        // A late answer has less value. Requests that were queued past their objective would also delay newer requests
+        // past theirs.
         let max_queue_time = useful.min(objective).saturating_sub(expected);
         TimeLeft {
             useful,
--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -1,4 +1,4 @@
-//! How long answers take: estimates by class and cost hint, and the unloaded time of the tier.
+//! Estimates of answer times by class and cost hint, and the unloaded time of the tier.
 
 use super::balancer::Balancer;
 use super::class::INITIAL_ESTIMATE_FRACTION;
@@ -7,19 +7,20 @@
 use super::time::duration_from_seconds;
 use std::time::Duration;
 
-/// The number of answers from which on a mean is used.
+/// The least number of samples from which a mean or a rate is used.
 pub(super) const MIN_SAMPLES: u32 = 12;
-/// The slowdown of ordinary load.
+/// The slowdown at ordinary load.
 pub(super) const ORDINARY_SLOWDOWN: f64 = 1.3;
 /// The weight of one answer in a class's answer time estimate.
 const ESTIMATE_WEIGHT: f64 = 0.05;
-/// The weight of one answer in the mean whose minimum is the unloaded time: a minimum over few answers is too low.
+/// The weight of one answer in the mean whose minimum is the unloaded time. With a higher weight, the mean would cover
+/// few answers and its minimum would be too low.
 const UNLOADED_WEIGHT: f64 = 0.02;
 /// The weight of one answer in an endpoint's mean slowdown.
 const ENDPOINT_WEIGHT: f64 = 0.3;
 /// The weight of one answer in the tier's mean slowdown.
 const TIER_WEIGHT: f64 = 0.1;
-/// The lowest cost of a request relative to the mean of its class, whatever its hint.
+/// The lowest cost of a request relative to the mean of its class, regardless of its hint.
 const MIN_RELATIVE_COST: f64 = 0.5;
 
 impl Balancer {
@@ -30,8 +31,8 @@
         )
     }
 
-    /// Returns a request's cost relative to the mean of its class, by a regression of answer times on hints. Rough
-    /// hints that were used unscaled had expensive requests rejected without any overload.
+    /// Returns a request's cost relative to the mean of its class, by a regression of answer times on hints. When rough
+    /// hints were used without this scaling, expensive requests were rejected without any overload.
     fn relative_cost(&self, request: &Request) -> f64 {
         let class = &self.classes[request.class.0];
         let is_measured = class.answers >= MIN_SAMPLES && class.hints.mean_time > 0.0;
--- a/src/policy/arrival_rate.rs
+++ b/src/policy/arrival_rate.rs
@@ -4,7 +4,7 @@
 
 /// The time constant of the average.
 const TIME_CONSTANT_SECONDS: f64 = 3.0;
-/// The shortest observation time that the first arrivals are averaged over.
+/// The shortest time that the first arrivals are averaged over.
 const MIN_OBSERVATION_SECONDS: f64 = 0.5;
 
 /// An exponentially decaying count of arrivals.
@@ -29,7 +29,7 @@
         decay
     }
 
-    /// Returns the arrivals a second.
+    /// Returns the arrivals per second.
     pub(super) fn per_second(&self, now: Timestamp) -> f64 {
         let observed = self
             .observed_since
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt: a retry or the final answer, and what it shows of the endpoint.
+//! The end of an attempt: a retry or the final answer of its request, and an update of the endpoint's state.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -7,8 +7,8 @@
 use super::pending::{AttemptState, PendingRequest};
 use super::time::Timestamp;
 
-/// A time-out counts against its endpoint if the attempt lasted at least this multiple of the expected time: a shorter
-/// one only shows that the request had little time left.
+/// The least duration of a timed-out attempt that counts against its endpoint, as a multiple of the expected time. A
+/// shorter timeout only shows that the request had little time left.
 const MIN_COUNTED_TIMEOUT_MULTIPLE: f64 = 2.0;
 
 impl Balancer {
@@ -44,7 +44,7 @@
         self.retain_while_pending(pending);
     }
 
-    /// Starts the cool-down of the request's key after an attempt that may still run.
+    /// Starts the cooldown of the request's key after an attempt that may still run.
     fn start_key_cooldown(&mut self, now: Timestamp, pending: &PendingRequest, outcome: Outcome) {
         let may_still_run = matches!(
             outcome,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Updates the endpoint's failures, answer times and overload state.
+    /// Updates the endpoint's failure rate, answer times and overload state.
     fn record_outcome(
         &mut self,
         now: Timestamp,
@@ -90,7 +90,7 @@
             _ => self.count_failure(now, index, request, ended),
         }
         if ended.outcome == Outcome::Error {
-            return; // errors come quickly and may come from the next tier, so they show nothing of the queue
+            return; // errors come quickly and may come from the next tier; they say nothing about the queue
         }
         if ended.outcome == Outcome::Served {
             self.record_answer_time(index, request, ended);
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Returns the queue length that an outcome implies: rejections and time-outs show a queue, while a failed or
-    /// broken connection or a malformed answer does not.
+    /// Returns the queue length that an outcome implies. Rejections and timeouts imply a queue; a failed or broken
+    /// connection or a malformed answer does not.
     pub(super) fn implied_queue_length(&self, outcome: Outcome) -> Option<f64> {
         let implies_queue = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
         implies_queue.then_some(self.thresholds.highest_onset())
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -19,7 +19,7 @@
 use super::token_budget::Budgets;
 use std::collections::HashMap;
 
-/// One balancer: the decisions of one caller about its requests.
+/// The load balancer of one caller.
 #[derive(Debug)]
 pub struct Balancer {
     pub(super) settings: Settings,
@@ -32,7 +32,7 @@
     pub(super) mean_slowdown: f64,
     /// The state of each class by its [`ClassId`](super::ClassId), including classes that the settings no longer have.
     pub(super) classes: Vec<ClassState>,
-    /// The request count of each tenant, decaying with the arrival rate.
+    /// The request count of each tenant, with the same exponential decay as the arrival rate.
     pub(super) tenant_rates: Vec<f64>,
     pub(super) arrival_rate: ArrivalRate,
     pub(super) requests: HashMap<RequestId, PendingRequest>,
@@ -40,12 +40,13 @@
     pub(super) key_order: KeyOrder,
     pub(super) in_flight: AttemptsInFlight,
     pub(super) budgets: Budgets,
-    /// The clock of slow start: the number of sends, counted early for requests that no healthy endpoint can take.
+    /// The slow start clock, which counts sends. A request that no healthy endpoint can take is counted before it is
+    /// sent.
     pub(super) slow_start_clock: f64,
-    /// When a request that must not run twice was last lost.
+    /// When an unsafe request was last lost: its attempt failed and may have run.
     pub(super) last_unsafe_loss: Option<Timestamp>,
     pub(super) discovery_schedule: DiscoverySchedule,
-    /// Since when no watch shows the list to be current; `None` while one does.
+    /// The time since which no watch confirms that the list is current; `None` while one does.
     pub(super) list_unconfirmed_since: Option<Timestamp>,
     /// When the timer that was last set at the host expires.
     pub(super) timer_expires_at: Option<Timestamp>,
--- a/src/policy/class.rs
+++ b/src/policy/class.rs
@@ -1,15 +1,15 @@
-//! The state that a balancer keeps of each request class.
+//! The state that a balancer keeps for each request class.
 
 use super::class_settings::Class;
 use super::time::Timestamp;
 
-/// The answer time assumed of a class before any answer, as a fraction of its latency objective.
+/// The answer time assumed for a class before its first answer, as a fraction of its latency objective.
 pub(super) const INITIAL_ESTIMATE_FRACTION: f64 = 0.1;
 
-/// A class's priority level and answer times.
+/// The priority level and the answer times of a class.
 #[derive(Clone, Debug)]
 pub(super) struct ClassState {
-    /// When it was removed from the settings; pending requests keep a removed class.
+    /// When the class was removed from the settings. Pending requests may still refer to a removed class.
     pub(super) retired_at: Option<Timestamp>,
     pub(super) level: usize,
     /// The answer time estimate in seconds, for a request of mean cost.
@@ -52,7 +52,7 @@
         (self.covariance / self.hint_variance.max(f64::MIN_POSITIVE)).max(0.0)
     }
 
-    /// Adds one answer, with its weights in the means and in the variances.
+    /// Adds one answer, with its weight in the means and its weight in the variance and the covariance.
     pub(super) fn add(&mut self, hint: f64, time: f64, mean_weight: f64, variance_weight: f64) {
         let hint_deviation = hint - self.mean_hint;
         let time_deviation = time - self.mean_time;
--- a/src/policy/class_settings.rs
+++ b/src/policy/class_settings.rs
@@ -7,18 +7,18 @@
 pub enum Idempotency {
     /// May run any number of times.
     Idempotent,
-    /// Repeats with the same key are dropped for a time, by some of the endpoints.
+    /// Some of the endpoints drop repeats with the same key for a time.
     Keyed {
-        /// The endpoints that drop each other's repeats.
+        /// The endpoints that deduplicate requests among themselves.
         scope: KeyScope,
-        /// For how long repeats are dropped, from the send of the first attempt that may have run.
+        /// The time for which repeats are dropped, counted from the send of the first attempt that may have run.
         window: Duration,
     },
     /// Must never run twice.
     Unsafe,
 }
 
-/// The endpoints that drop each other's repeats of a keyed request.
+/// The endpoints that deduplicate a keyed request among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints of the tier.
@@ -32,7 +32,7 @@
 /// A request class: requests with one deadline, objective, priority weight and idempotency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name at the host.
+    /// The name that the host uses.
     pub name: String,
     /// The latency objective: an answer within it has full value.
     pub objective: Duration,
@@ -40,7 +40,7 @@
     pub objective_per_work: f64,
     /// How long a client waits for an answer.
     pub deadline: Duration,
-    /// The value of one request; orders the classes by priority.
+    /// The value of one request, which orders the classes by priority.
     pub priority_weight: f64,
     /// The fraction of its value that an answer after the objective keeps.
     pub late_value: f64,
@@ -48,7 +48,7 @@
     pub idempotency: Idempotency,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether requests with the same key are sent one at a time, in order of arrival here.
+    /// Whether requests with the same key are sent one at a time, in order of arrival at this balancer.
     pub is_key_ordered: bool,
 }
 
@@ -79,10 +79,10 @@
 /// A tenant with an agreed quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name at the host.
+    /// The name that the host uses.
     pub name: String,
-    /// The fraction of the service that it has agreed.
+    /// The fraction of the service that is agreed for the tenant.
     pub quota_share: f64,
-    /// The requests a second within that fraction, over all balancers.
+    /// The requests per second within that fraction, over all balancers.
     pub quota_per_s: f64,
 }
--- a/src/policy/class_table.rs
+++ b/src/policy/class_table.rs
@@ -8,13 +8,13 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// The id of a class that was removed from the settings is not reused for this long, as the host may still hand in
-/// requests of that class.
+/// The time for which the id of a removed class is not reused. Until then, the host may still pass in requests of that
+/// class.
 const RETIRED_CLASS_RETENTION: Duration = Duration::from_secs(60);
 
 impl Balancer {
-    /// Returns the id of a class of new settings: its present id if the class is unchanged, else an unused id. A
-    /// changed class starts with the answer times of the earlier class of its name.
+    /// Returns the id for a class of new settings. An unchanged class keeps its id, and any other class gets an unused
+    /// id. A changed class starts with the answer times of the earlier class with the same name.
     pub(super) fn assign_class_id(&mut self, now: Timestamp, class: Class) -> ClassId {
         let table = &self.settings.classes;
         if let Some(position) = table.iter().position(|other| *other == class) {
@@ -43,7 +43,8 @@
         ClassId(position)
     }
 
-    /// Returns the position of a class that was retired long ago and that no request has, or the table's end.
+    /// Returns the position of a class that was retired long enough ago and has no pending requests, or else the end of
+    /// the table.
     fn unused_class_position(&self, now: Timestamp) -> usize {
         let in_use: HashSet<usize> = self.requests.values().map(|p| p.request.class.0).collect();
         let is_reusable = |position: &usize| {
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -1,38 +1,40 @@
-//! When discovery is called: after a failure, and after a start with a cached list.
+//! The times of calls of discovery after a failure and after a start with a cached list.
 
 use super::balancer::Balancer;
 use super::time::{Timestamp, duration_from_seconds};
 use crate::backoff::ExponentialBackoff;
 use std::time::Duration;
 
-/// The longest time from a change of the list at a reachable discovery until the change is in force.
+/// The longest time from a change of the list until the change is in force at a balancer that can reach discovery.
 pub const CHANGE_PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
 /// The longest time from the start of a failed call of discovery to the start of the next. Discovery may have recovered
-/// just after the failed call began, and the next call needs a part of the time that remains.
+/// just after the failed call began, and the remaining second of [`CHANGE_PROPAGATION_DEADLINE`] is left for the next
+/// call.
 pub const MAX_CALL_INTERVAL: Duration =
     CHANGE_PROPAGATION_DEADLINE.saturating_sub(Duration::from_secs(1));
-/// A call of discovery fails after this time without an answer, and a watch is lost after this time without data: two
-/// of its heartbeats, which come every 2 s, and a margin.
+/// The timeout of a call of discovery without an answer, and of a watch without data. It covers two heartbeats of a
+/// watch, which come every 2 s, and a margin.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(4_200);
 
-/// The longest poll interval that the backoff is derived from. A lost watch is opened again soon however long the poll
-/// interval is: a change counts as received 6 s after the watch fell silent, most of which have passed when that is
-/// noticed.
+/// The longest poll interval that the backoff is derived from. A lost watch has to be reopened soon even if the poll
+/// interval is longer. A change counts as received 6 s after the last data on the watch, and most of that time has
+/// passed when the loss is noticed.
 const MAX_BACKOFF_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// The mean delay after the first failed call, as a fraction of the poll interval.
 const INITIAL_BACKOFF_FRACTION: f64 = 0.05;
+/// The highest number of times that the mean delay doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// The longest additional delay before a lost watch is reopened at a crowded discovery. Most of
-/// [`CHANGE_PROPAGATION_DEADLINE`] is left then for calls that may be rejected.
+/// The longest delay before a lost watch is reopened while discovery is overloaded. The remaining part of
+/// [`CHANGE_PROPAGATION_DEADLINE`] is left for calls that may be rejected.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(3);
-/// The fraction of that delay that is random.
+/// The random fraction of the reconnect delay.
 const RECONNECT_JITTER: f64 = 0.5;
-/// A cached list is checked within this fraction of the poll interval.
+/// The longest time before a cached list is checked, as a fraction of the poll interval.
 const CACHED_LIST_CHECK_FRACTION: f64 = 0.25;
 
 impl Balancer {
-    /// Delays the next call with backoff: all balancers lose their watches at the same time, and calls at once and in
-    /// step would fail again.
+    /// Delays the next call with backoff and jitter. All balancers lose their watches at the same time, and immediate
+    /// or simultaneous calls would fail again.
     pub(super) fn discovery_failed(&mut self, now: Timestamp) {
         let backoff_delay = self.backoff_delay(now);
         let was_current = self.discovery_schedule.stale_since.is_none();
@@ -71,9 +73,10 @@
         )
     }
 
-    /// Returns how long a balancer that was current until now leaves discovery to those that are not: the longer it took
-    /// to become current the last time, the more of them there are. A watch that was silent before it was lost has used up
-    /// some of that time.
+    /// Returns the delay before a balancer whose list was current until now calls discovery again. Meanwhile, discovery
+    /// can serve balancers whose lists are stale. Their number is estimated by the time that this balancer's list took
+    /// to become current the last time: the longer it took, the longer the delay. The time that has passed since the
+    /// last data on the watch is subtracted.
     fn reconnect_delay(&mut self, silence: Duration) -> f64 {
         let longest = self
             .discovery_schedule
@@ -83,15 +86,16 @@
         longest.as_secs_f64() * (1.0 - RECONNECT_JITTER * self.random.unit_interval())
     }
 
-    /// Delays the next call after a rejection, with the same backoff: a rejected call costs a crowded discovery as much as
-    /// an answered one, so that calls at short intervals keep it from serving any.
+    /// Delays the next call after a rejection, with the same backoff. A rejected call costs an overloaded discovery as
+    /// much as an answered one, and calls at short intervals would keep it from answering any.
     pub(super) fn discovery_rejected(&mut self, now: Timestamp) {
         self.discovery_reached(now);
         let delay = self.backoff_delay(now);
         self.schedule_call(now, delay);
     }
 
-    /// Records that discovery has been reached. Before the first call that reached it, it may not have been reachable.
+    /// Records that a call has reached discovery. Discovery may have been unreachable before the first such call, and
+    /// therefore the list counts as stale for at most [`MAX_CALL_INTERVAL`] before it.
     pub(super) fn discovery_reached(&mut self, now: Timestamp) {
         let schedule = &mut self.discovery_schedule;
         let stale_since = schedule.stale_since.get_or_insert(now);
@@ -109,7 +113,8 @@
         schedule.failures_in_row = schedule.failures_in_row.saturating_add(1);
     }
 
-    /// Schedules a check of a cached list at a random time, so that balancers that start together do not call together.
+    /// Schedules a check of a cached list. The time is random to keep balancers that start together from calling
+    /// together.
     pub(super) fn check_cached_list(&mut self, now: Timestamp) {
         let fraction = CACHED_LIST_CHECK_FRACTION * self.random.unit_interval();
         let delay = self.settings.rules.poll_interval.mul_f64(fraction);
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,23 +1,23 @@
-//! The failed calls of discovery, and the next call. No decision is made here.
+//! The failed calls of discovery, and the time of the next call. No decision is made here.
 
 use super::time::Timestamp;
 use std::time::Duration;
 
-/// When discovery was last called without success, and when it is called next.
+/// The state of calls of discovery: failures, the age of the list, and the time of the next call.
 #[derive(Debug, Default)]
 pub(super) struct DiscoverySchedule {
     /// When the balancer opens a watch again.
     pub(super) next_call: Option<Timestamp>,
-    /// When the last call failed; the next one, which the host may make by itself, begins after it.
+    /// When the last call failed. The next call begins later, and the host may make it on its own.
     pub(super) last_failure: Timestamp,
     pub(super) failures_in_row: u32,
-    /// When something was last received on the watch that was lost, until that failure is handled.
+    /// When data was last received on the lost watch. Cleared when the failure is handled.
     pub(super) last_received_at: Option<Timestamp>,
-    /// Since when the list has not been current although discovery could be reached; `None` while it is current.
+    /// The time since which the list has been stale although discovery could be reached; `None` while it is current.
     pub(super) stale_since: Option<Timestamp>,
-    /// Discovery has been reached since then.
+    /// A call has reached discovery since the list became stale, or since the last failed call.
     pub(super) is_discovery_reached: bool,
-    /// How long it took to be current again, the last time.
+    /// How long it took the list to become current again, the last time that it was stale.
     pub(super) catch_up_time: Duration,
 }
 
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -1,4 +1,4 @@
-//! The state that a balancer keeps of each endpoint. No decision is made here.
+//! The state that a balancer keeps for each endpoint. No decision is made here.
 
 use super::event::{EndpointEntry, Readiness};
 use super::id::{EndpointId, GroupId, ZoneId};
@@ -8,12 +8,12 @@
 /// An endpoint's index in the balancer's [table](super::endpoint_table::EndpointTable).
 pub(super) type EndpointIndex = usize;
 
-/// Whether requests to an endpoint cross between zones at a considerable price.
+/// Whether requests to an endpoint cross zones at a considerable price.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Locality {
-    /// It is in the balancer's zone, or crossings cost little.
+    /// It is in the balancer's zone, or requests across zones cost little.
     Local,
-    /// It is in another zone, and crossings are costly.
+    /// It is in another zone, and requests across zones are costly.
     Remote,
 }
 
@@ -24,23 +24,24 @@
     pub(super) zone: ZoneId,
     pub(super) group: GroupId,
     pub(super) size: f64,
-    /// It takes work, by the list and by the operators.
+    /// It takes work: the list shows it as serving, and it is neither disabled nor suspended.
     pub(super) is_available: bool,
-    /// It takes work, by the list alone.
+    /// The list shows it as serving.
     pub(super) is_serving: bool,
     pub(super) is_draining: bool,
     /// The list names it.
     pub(super) is_listed: bool,
     pub(super) started_at: Option<Timestamp>,
-    /// When its process was last seen to have ended, while the list still names that process.
+    /// When the end of its process was last noticed, while the list still names that process.
     pub(super) process_ended_at: Option<Timestamp>,
-    /// No connection showed that its process still runs, when the list was overdue.
+    /// The list was overdue, and no connection proved that the listed process still runs.
     pub(super) is_process_unknown: bool,
-    /// It is sent nothing because its process has ended or is not known, and the list may be old.
+    /// It is sent nothing, because its process has ended or is unknown and the list may be outdated.
     pub(super) is_suspended: bool,
-    /// When the operators last enabled it. It may have restarted while it was disabled, which the list shows late.
+    /// When the operators last enabled it. It may have restarted while it was disabled, which the list shows only
+    /// later.
     pub(super) enabled_at: Option<Timestamp>,
-    /// Its first request is sent as soon as it can take one.
+    /// It was enabled and has been sent nothing since. A request is sent as soon as it can take one.
     pub(super) awaits_first_send: bool,
     pub(super) in_subset: bool,
     pub(super) locality: Locality,
@@ -59,13 +60,13 @@
     pub(super) last_send: Timestamp,
     /// When the gap after the last send ends.
     pub(super) gap_ends_at: Timestamp,
-    /// The reading of the slow start clock from which on it may be sent a request while it is warming up.
+    /// The value of the slow start clock from which on it may be sent its next request while it is warming up.
     pub(super) slow_start_slot: f64,
-    /// The time of the next health check at the earliest.
+    /// The earliest time of the next health check.
     pub(super) next_health_check: Timestamp,
-    /// The recent failures of each class.
+    /// The recent failure rate of each class.
     pub(super) failures: Vec<FailureRate>,
-    /// When it last served a request that must not run twice, if it has failed none since.
+    /// When it last served an unsafe request; `None` if an unsafe request has failed there since.
     pub(super) unsafe_served_at: Option<Timestamp>,
 }
 
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Applies an entry of an endpoint list. Whether the endpoint is available then has to be updated.
+    /// Applies an entry of an endpoint list. The availability of the endpoint has to be updated afterwards.
     pub(super) fn apply_entry(&mut self, entry: &EndpointEntry) {
         self.is_listed = entry.readiness != Readiness::Removed;
         self.size = if entry.size > 0.0 { entry.size } else { 1.0 };
@@ -124,7 +125,7 @@
         self.is_listed = false;
     }
 
-    /// Resets what was learned of the previous process: its queue, slowdown and failures.
+    /// Resets the state that belongs to the previous process, such as its throttled levels, slowdown and failures.
     pub(super) fn reset_process_state(&mut self, started_at: Option<Timestamp>) {
         self.started_at = started_at;
         self.process_ended_at = None;
@@ -138,12 +139,12 @@
         self.slow_start_slot = f64::INFINITY;
     }
 
-    /// Returns whether its process has ended or is not known.
+    /// Returns whether its process has ended or is unknown.
     pub(super) fn has_ended_or_unknown_process(&self) -> bool {
         self.process_ended_at.is_some() || self.is_process_unknown
     }
 
-    /// Returns the recent failure rate of a class, or the highest of all classes.
+    /// Returns the recent failure rate of a class, or the highest rate of all classes if none is given.
     pub(super) fn failure_rate(
         &self,
         class: Option<usize>,
@@ -166,7 +167,7 @@
     }
 }
 
-/// The fraction of a class's attempts that an endpoint failed recently; it decays.
+/// The recent fraction of a class's attempts that failed at an endpoint. It decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FailureRate {
     rate: f64,
@@ -183,7 +184,7 @@
         self.rate * (-elapsed / time_constant.as_secs_f64()).exp()
     }
 
-    /// Adds one attempt, with its weight in the mean.
+    /// Adds the result of one attempt, with its weight in the mean.
     pub(super) fn add(
         &mut self,
         now: Timestamp,
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -8,7 +8,7 @@
 
 /// Endpoints that are listed or have attempts in flight, and the endpoints that operators have disabled.
 ///
-/// An index stays valid while its endpoint is in the table; it is reused after the endpoint was removed.
+/// An index stays valid while its endpoint is in the table, and is reused after the endpoint's removal.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     endpoints: Vec<Endpoint>,
@@ -30,7 +30,8 @@
         self.indices_by_id.len()
     }
 
-    /// Returns the index of a list entry's endpoint, which is added if it is new and not removed.
+    /// Returns the index of a list entry's endpoint. Adds the endpoint if it is new, unless the entry marks it as
+    /// removed.
     pub(super) fn find_or_insert(
         &mut self,
         entry: &EndpointEntry,
@@ -104,7 +105,7 @@
         self.endpoints.iter()
     }
 
-    /// Returns all endpoints for a change, including removed ones whose index is free.
+    /// Returns mutable references to all endpoints, including removed ones whose index is free.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
         self.endpoints.iter_mut()
     }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether an endpoint takes work, by the list.
+/// Whether an endpoint takes work, according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// It takes work.
@@ -34,25 +34,25 @@
     pub readiness: Readiness,
     /// See [`SizeMeaning`](super::SizeMeaning).
     pub size: f64,
-    /// Its last start; `None` if that is long ago.
+    /// When its process last started; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
 }
 
-/// What the entries of a list stand for.
+/// The kind of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The full list: endpoints that it does not name are removed.
+    /// The full list. Endpoints that it does not name are removed.
     Full,
-    /// The full list from before the start, which may be outdated.
+    /// A full list from before the start of the balancer, which may be outdated.
     Cached,
-    /// The entries that have changed.
+    /// Only the entries that have changed.
     Changes,
 }
 
 /// A load report; values that the endpoint does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The number of requests waiting.
+    /// The number of requests in its queue.
     pub queue_length: Option<f64>,
     /// The number of requests in progress.
     pub in_flight: Option<f64>,
@@ -60,9 +60,9 @@
     pub utilisation: Option<f64>,
     /// The recent mean service time.
     pub mean_time: Option<Duration>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
 
@@ -73,11 +73,11 @@
     Served,
     /// The endpoint answered with an error; the request may have run.
     Error,
-    /// The endpoint rejected it without running it, as it is full or drains.
+    /// The endpoint rejected it without running it, because it is full or drains.
     Rejected,
     /// No answer came in time; the request may have run, or may still run.
     TimedOut,
-    /// There was no connection: the endpoint is down or unreachable, or all connections are in use.
+    /// No connection was available: the endpoint is down or unreachable, or all connections are in use.
     ConnectFailed,
     /// The connection broke; the request may have run.
     Reset,
@@ -105,11 +105,11 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// Its tenant, if it has one.
     pub tenant: Option<TenantId>,
-    /// Its key, which identifies what it is about.
+    /// Its key, which identifies the object that it concerns.
     pub key: Option<Key>,
-    /// When the client gives up.
+    /// When the client stops waiting for an answer.
     pub deadline: Timestamp,
     /// The work that it is expected to need.
     pub cost_hint: Option<Duration>,
@@ -136,49 +136,49 @@
     pub report: Option<LoadReport>,
 }
 
-/// What a host reports to a balancer.
+/// An event that a host reports to a balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An endpoint list, or the changes in it.
     EndpointList {
         /// The version of the list.
         version: u64,
-        /// What the entries stand for.
+        /// The kind of the list.
         kind: ListKind,
         /// The entries; balancers of one host may share them.
         entries: Arc<[EndpointEntry]>,
     },
     /// A call of discovery failed, or the watch was lost.
     DiscoveryFailed,
-    /// Discovery was reached and rejected a call, as it has too many.
+    /// Discovery was reached and rejected a call, because it has too many calls.
     DiscoveryRejected,
-    /// Discovery was reached and has not answered for long.
+    /// Discovery was reached but has not answered for a long time.
     DiscoveryLate,
-    /// The list is current: something was received on an open watch after a time without one.
+    /// The list is current. Data was received on a watch after a time without an open watch.
     ListConfirmed,
-    /// No watch shows the list to be current any more.
+    /// No watch confirms any longer that the list is current.
     ListUnconfirmed {
-        /// When something was last received on a watch.
+        /// When data was last received on a watch.
         since: Timestamp,
     },
-    /// The list is overdue, and open connections show that the processes that it names still run at these endpoints alone.
+    /// The list is overdue. Only at these endpoints do open connections prove that the listed process still runs.
     OnlyKnownProcesses {
         /// The endpoints.
         endpoints: HashSet<EndpointId>,
     },
-    /// An endpoint refused a connection, or reset one that was idle: its process has ended, and what listens at its
-    /// address from now on is another one.
+    /// An endpoint refused a connection, or reset an idle one. Its process has ended, and any process that listens at
+    /// its address from now on is a different one.
     ProcessEnded {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// The operators disabled an endpoint: it is sent nothing, whatever lists say.
+    /// The operators disabled an endpoint. It is sent nothing, whatever lists say.
     EndpointDisabled(EndpointId),
     /// The operators enabled an endpoint.
     EndpointEnabled(EndpointId),
     /// A request arrived.
     Request(Request),
-    /// A streamed answer has begun; the client's answer now comes from this attempt.
+    /// A streamed answer has begun. The client's answer comes from this attempt from now on.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -187,12 +187,12 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// Some of the body was forwarded and not retained: no further attempt is possible.
+    /// A part of the body was forwarded and not retained, and no further attempt is possible.
     BodyConsumed {
         /// The request.
         request: RequestId,
     },
-    /// The client closed its connection, so that no answer is needed.
+    /// The client closed its connection, and no answer is needed.
     ClientDisconnected {
         /// The request.
         request: RequestId,
--- a/src/policy/event_handler.rs
+++ b/src/policy/event_handler.rs
@@ -1,4 +1,4 @@
-//! What the balancer does with each event.
+//! The handling of each event.
 
 use super::action::Action;
 use super::balancer::Balancer;
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -1,4 +1,4 @@
-//! When endpoints are sent health checks: where answers carry no load report, as far as the budget allows.
+//! Health checks of endpoints, sent within a budget if answers to requests carry no load reports.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -9,18 +9,19 @@
 use super::time::Timestamp;
 use std::time::Duration;
 
-/// Health checks that a request earns. With one for each request, health checks displaced requests in short queues.
+/// The number of health checks that a request adds to the budget. With one for each request, health checks displaced
+/// requests in short queues.
 const HEALTH_CHECKS_PER_REQUEST: f64 = 0.15;
 /// The fraction of the result that health checks may cost.
 const MAX_SPENDING_FRACTION: f64 = 0.03;
-/// The lowest price that the spending is divided by.
+/// The lowest price used as a divisor.
 const MIN_PRICE: f64 = 1e-6;
-/// The least time between two health checks of an endpoint, which refreshes its load report about as often.
+/// The least time between two health checks of an endpoint. Endpoints refresh their load reports about as often.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Balancer {
-    /// Earns a request's share of the health check budget: none where answers carry load reports, and little where
-    /// health checks are costly.
+    /// Adds the share of one request to the health check budget. The share is zero if answers carry load reports, and
+    /// small if health checks are costly.
     pub(super) fn earn_health_checks(&mut self) {
         let are_needed = self.settings.limits.health_checks
             && self.settings.reporting == Reporting::WithHealthChecks;
@@ -32,7 +33,8 @@
         });
     }
 
-    /// Sends health checks to subset members, the longest unchecked first, as far as the budget allows.
+    /// Sends health checks to subset members as far as the budget allows. The member that has been due for the longest
+    /// time comes first.
     pub(super) fn send_health_checks(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         while self.budgets.health_checks.has_token() {
             let next_health_check =
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Updates an endpoint's overload state from a health check. One that was rejected or timed out implies a queue:
-    /// otherwise only endpoints with short queues would be heard.
+    /// Updates an endpoint's overload state from a health check. A rejected or timed-out health check implies a queue.
+    /// Otherwise only endpoints with short queues would update their states.
     pub(super) fn health_check_ended(
         &mut self,
         now: Timestamp,
--- a/src/policy/id.rs
+++ b/src/policy/id.rs
@@ -17,11 +17,11 @@
 }
 
 text_id!(
-    /// Identifies a request; a client's retry has an id of its own.
+    /// Identifies a request. A client's retry has an id of its own.
     RequestId
 );
 text_id!(
-    /// Identifies an endpoint; stays the same when its process restarts.
+    /// Identifies an endpoint. The id stays the same when the endpoint's process restarts.
     EndpointId
 );
 text_id!(
@@ -33,7 +33,7 @@
     KindId
 );
 text_id!(
-    /// The key of a request, which identifies what it is about.
+    /// The key of a request, which identifies the object that the request concerns.
     Key
 );
 
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u32);
 
-/// Identifies a small group of endpoints that drop each other's repeats of keyed requests.
+/// Identifies a small group of endpoints that deduplicate keyed requests among themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
 
-/// The number of an attempt of a request, from 0 in order of the sends.
+/// The number of an attempt of a request, counted from 0 in the order of the sends.
 pub type AttemptNumber = usize;
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -1,4 +1,4 @@
-//! Which attempts count as in flight at their endpoints.
+//! The counts of attempts in flight.
 
 use super::endpoint::EndpointIndex;
 use super::endpoint_table::EndpointTable;
@@ -6,7 +6,7 @@
 use super::time::Timestamp;
 use std::collections::VecDeque;
 
-/// Attempts in flight, in all and at each endpoint, including timed-out attempts that may still run.
+/// Counts attempts in flight, in total and at each endpoint. They include timed-out attempts that may still run.
 #[derive(Debug, Default)]
 pub(super) struct AttemptsInFlight {
     count: u32,
@@ -32,8 +32,8 @@
         endpoints[endpoint].in_flight += 1;
     }
 
-    /// Ends an attempt. Most servers continue with a timed-out request, so such an attempt stays in flight until the
-    /// deadline of its request.
+    /// Ends an attempt. A timed-out attempt stays in flight until the deadline of its request, because most servers
+    /// continue to process it.
     pub(super) fn end(
         &mut self,
         endpoints: &mut EndpointTable,
--- a/src/policy/key_order.rs
+++ b/src/policy/key_order.rs
@@ -1,15 +1,15 @@
-//! The order of requests with the same key, for classes in key order: sent one at a time, in order of arrival.
+//! Key order: requests with the same key are sent one at a time, in order of arrival.
 
 use super::id::{Key, RequestId};
 use super::pending::PendingRequest;
 use super::time::Timestamp;
 use std::collections::{HashMap, VecDeque};
 
-/// Requests by key, and the keys that are cooling down.
+/// Requests by key, and the cooldowns of keys.
 #[derive(Debug, Default)]
 pub(super) struct KeyOrder {
     queues: HashMap<Key, KeyQueue>,
-    /// Cool-downs in order of their ends.
+    /// Cooldowns in order of their ends.
     cooldowns: VecDeque<Cooldown>,
 }
 
@@ -19,11 +19,11 @@
     key: Key,
 }
 
-/// Requests with one key in order of arrival; the first one may be sent.
+/// Requests with the same key in order of arrival. Only the first one may be sent.
 #[derive(Debug, Default)]
 struct KeyQueue {
     requests: VecDeque<RequestId>,
-    /// No request that was not sent yet is sent before this.
+    /// Until then, no request is sent for the first time.
     cooldown_until: Timestamp,
 }
 
@@ -37,8 +37,9 @@
             .push_back(request.clone());
     }
 
-    /// Returns whether the key of a request lets it be sent now, also over several classes. A request that was sent
-    /// remains the first until its attempts have ended; retries need not wait for the cool-down.
+    /// Returns whether key order allows a request to be sent now. Requests with the same key share one order across
+    /// classes. A request that was sent remains the first until its attempts have ended, and its retries need not wait
+    /// for the cooldown.
     pub(super) fn allows(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let key = pending.request.key.as_ref();
         let queue = key.and_then(|key| self.queues.get(key));
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Starts the cool-down of a key whose first request may still run.
+    /// Starts the cooldown of a key whose first request may still run.
     pub(super) fn start_cooldown(&mut self, key: &Key, ends_at: Timestamp) {
         self.queues.entry(key.clone()).or_default().cooldown_until = ends_at;
         self.cooldowns.push_back(Cooldown {
@@ -71,7 +72,7 @@
         });
     }
 
-    /// Removes ended cool-downs, and the keys that no request waits for.
+    /// Removes ended cooldowns, and keys without requests.
     pub(super) fn remove_expired_cooldowns(&mut self, now: Timestamp) {
         while let Some(ended) = self
             .cooldowns
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Returns when the next cool-down ends.
+    /// Returns when the next cooldown ends.
     pub(super) fn first_cooldown_end(&self) -> Option<Timestamp> {
         self.cooldowns.front().map(|cooldown| cooldown.ends_at)
     }
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -1,8 +1,8 @@
-//! The limits of the environment: what a balancer and its host may do.
+//! The limits that the environment sets for a balancer and its host.
 
 use std::time::Duration;
 
-/// What a balancer and its host may do.
+/// The limits that the environment sets for a balancer and its host.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Whether [`Action::Cancel`](super::Action::Cancel) is permitted.
@@ -13,15 +13,15 @@
     pub peers: bool,
     /// Whether a request may have two attempts in flight.
     pub parallel_attempts: bool,
-    /// Whether clients are given the Retry-After of [`Action::Reject`](super::Action::Reject).
+    /// Whether clients are sent the Retry-After value of [`Action::Reject`](super::Action::Reject).
     pub retry_after: bool,
-    /// The longest Retry-After that clients follow.
+    /// The longest Retry-After value that clients honour.
     pub max_retry_after: Duration,
-    /// The number of attempts that a request may have.
+    /// The highest number of attempts of a request.
     pub max_attempts: usize,
-    /// The number of requests that a host may have open.
+    /// The highest number of requests that a host may have open.
     pub max_open: u64,
-    /// The number of concurrent attempts on one connection.
+    /// The highest number of concurrent attempts on one connection.
     pub streams_per_connection: u64,
     /// The time after which idle connections close.
     pub idle_timeout: Duration,
@@ -30,7 +30,8 @@
 }
 
 impl Default for Limits {
-    /// Three attempts, one at a time. Cancellation and Retry-After are permitted, health checks and peers are not.
+    /// Returns limits of three attempts, one at a time. Cancellation and Retry-After are permitted; health checks and
+    /// peer messages are not.
     fn default() -> Self {
         Limits {
             cancel: true,
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,4 +1,4 @@
-//! Which endpoints take work: by the lists of discovery and by the operators.
+//! Membership: the endpoints that take work, according to endpoint lists and operators.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -9,9 +9,9 @@
 use super::time::Timestamp;
 use std::collections::HashSet;
 
-/// The price of a crossing between zones from which on a balancer prefers its own zone. The number of balancers for
-/// each endpoint differs between zones; an even distribution over the whole tier is worth about two crossings of this
-/// price.
+/// The price of attempts across zones from which on a balancer prefers its own zone. The number of balancers per
+/// endpoint differs between zones, and an even load over the whole tier is worth about two attempts across zones at
+/// this price.
 const COSTLY_CROSS_ZONE_PRICE: f64 = 0.01;
 
 impl Balancer {
@@ -54,7 +54,7 @@
         self.close_idle_if_draining(index, actions);
     }
 
-    /// Removes endpoints that are no longer listed: where endpoints are replaced all day, they would accumulate. An
+    /// Removes endpoints that are no longer listed. They would accumulate if endpoints were replaced continually. An
     /// endpoint stays in the table while an attempt refers to it.
     fn remove_unlisted(&mut self) {
         if !self.endpoints.has_unlisted() {
@@ -68,8 +68,8 @@
         self.endpoints.remove_unlisted(&in_use);
     }
 
-    /// Closes idle connections to an endpoint that drains, which waits for them. Called on the notice, and after each
-    /// attempt there.
+    /// Closes idle connections to a draining endpoint, which waits until they are closed. Called for each list entry of
+    /// the endpoint and after each attempt there.
     pub(super) fn close_idle_if_draining(&self, index: EndpointIndex, actions: &mut Vec<Action>) {
         let endpoint = &self.endpoints[index];
         if endpoint.is_draining && self.settings.rules.drain_close.is_some() {
@@ -93,8 +93,8 @@
         self.repartition_endpoints(now);
     }
 
-    /// Enables an endpoint. It counts as warming up, as it may have restarted, which the list shows only later. Its
-    /// first request is due at once: with few requests, its slow start slot would come late.
+    /// Enables an endpoint. It counts as warming up, because it may have restarted and the list shows that only later.
+    /// Its first request does not wait for a slow start slot, which would come late at a balancer with few requests.
     pub(super) fn enable(&mut self, now: Timestamp, id: &EndpointId) {
         if !self.endpoints.enable(id) {
             return;
@@ -109,14 +109,15 @@
         self.repartition_endpoints(now);
     }
 
-    /// Updates whether an endpoint takes work: by the list, by the operators, and by what was seen of its process.
+    /// Updates whether an endpoint takes work. It does if the list shows it as serving and it is neither disabled nor
+    /// suspended.
     pub(super) fn update_availability(&mut self, index: EndpointIndex) {
         let is_disabled = self.endpoints.is_disabled(&self.endpoints[index].id);
         let endpoint = &mut self.endpoints[index];
         endpoint.is_available = endpoint.is_serving && !is_disabled && !endpoint.is_suspended;
     }
 
-    /// Partitions the available endpoints into local and remote ones, and selects the subset again.
+    /// Partitions the available endpoints into local and remote ones, and selects the subsets again.
     pub(super) fn repartition_endpoints(&mut self, now: Timestamp) {
         let endpoints = &self.endpoints;
         let available = endpoints
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,10 @@
-//! The decisions of a load balancer with overload control, sans I/O: one [`Balancer`] per caller.
+//! The decisions of a load balancer with overload control, without I/O. Each caller has one [`Balancer`].
 //!
-//! Each endpoint is clear, gapping or discarding for each priority level, by its queue length against abatement, onset
-//! and discard thresholds. A request goes to the less loaded of two random members of a subset, throttled members
-//! excluded. While all are throttled it waits for the next end of a gap, and past the queue limit the requests of the
-//! lowest priority are rejected.
+//! Each endpoint has an overload state for each priority level: clear, gapping or discarding. The state follows from
+//! the endpoint's queue length and the abatement, onset and discard thresholds of the level. A request is sent to the
+//! less loaded of two random members of a subset of the endpoints, excluding those that throttle its level. While all
+//! members throttle the level, the request is queued until a gap ends. Beyond the queue limit, requests of the lowest
+//! priority level are rejected.
 //!
 //! A host builds [`Event`]s, passes them to [`Balancer::handle`], and carries out the returned [`Action`]s in order.
 //!
@@ -11,34 +12,34 @@
 //! | --- | --- |
 //! | thresholds for each priority level | `thresholds.rs` |
 //! | the priority level of a request | `priority_level.rs` |
-//! | clear, gapping or discarding; state expiry; gap | `overload_state.rs` |
+//! | the overload state (clear, gapping or discarding), its expiry, and the gap between sends | `overload_state.rs` |
 //! | which endpoints take work | `membership.rs` |
-//! | which endpoints are suspended while the list may be old | `suspension.rs` |
-//! | the subset | `subset.rs` |
+//! | which endpoints are suspended while the endpoint list may be outdated | `suspension.rs` |
+//! | which endpoints form the subset that this balancer sends to | `subset.rs` |
 //! | the endpoint of an attempt | `pick.rs` |
 //! | which endpoints are outliers | `outlier.rs` |
-//! | how many requests a warming endpoint is sent | `slow_start.rs` |
+//! | how many requests are sent to an endpoint that is warming up | `slow_start.rs` |
 //! | send, queue or reject a new request | `admission.rs` |
 //! | how many requests are queued, and in which order they are sent | `request_queue.rs` |
-//! | what follows from the end of an attempt | `attempt_end.rs` |
-//! | whether and where a request may be retried | `retry.rs` |
-//! | how many retries and health checks are saved up | `token_budget.rs` |
-//! | the send of an attempt, and the answer to a request that is not served | `send.rs` |
-//! | how long answers take | `answer_time.rs` |
-//! | the answer time assumed before any answer | `class.rs` |
-//! | how many requests arrive | `arrival_rate.rs` |
+//! | retry or final answer after the end of an attempt | `attempt_end.rs` |
+//! | whether a request may be retried, and at which endpoints | `retry.rs` |
+//! | the budgets of retries and health checks | `token_budget.rs` |
+//! | how an attempt is sent, and the final answer to a request that is not served | `send.rs` |
+//! | the estimates of answer times | `answer_time.rs` |
+//! | the answer time assumed for a class before its first answer | `class.rs` |
+//! | the arrival rate of requests | `arrival_rate.rs` |
 //! | health checks | `health_check.rs` |
-//! | calls of discovery | `discovery_calls.rs` |
+//! | when discovery is called | `discovery_calls.rs` |
 //! | when the host's timer expires next | `timer.rs` |
-//! | what each event leads to | `event_handler.rs` |
-//! | what new settings change | `settings_change.rs` |
+//! | how each event is handled | `event_handler.rs` |
+//! | how new settings take effect | `settings_change.rs` |
 //! | which settings are valid | `settings_check.rs` |
-//! | the longest duration that is computed with | `time.rs` |
-//! | the state of a balancer at its start | `balancer.rs` |
+//! | the longest duration used in calculations | `time.rs` |
+//! | the initial state of a balancer | `balancer.rs` |
 //! | the ids of classes while settings change | `class_table.rs` |
 //! | which attempts count as in flight | `in_flight.rs` |
 //! | the table of pending requests | `request_table.rs` |
-//! | the counts for the operators | `status.rs` |
+//! | the counts reported to operators | `status.rs` |
 
 mod action;
 mod admission;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: which endpoints fail more than the others, and which serve what the others lose.
+//! Outlier detection: endpoints that fail more than others are excluded, and endpoints that serve unsafe requests while
+//! others lose them are preferred.
 
 use super::balancer::Balancer;
 use super::class_settings::Idempotency;
@@ -8,30 +9,32 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// How much higher than the others' mean an endpoint's failure rate may be.
+/// The margin by which an endpoint's failure rate may exceed the mean of the subset.
 const FAILURE_MARGIN: f64 = 0.2;
-/// The time constant with which failures decay; after it the endpoint is tried again.
+/// The time constant with which failure rates decay. After about this time, an outlier is tried again.
 const FAILURE_TIME_CONSTANT: Duration = Duration::from_secs(20);
-/// Endpoints without failures that are added to the mean.
+/// The number of assumed endpoints without failures that are included in the mean.
 const ASSUMED_HEALTHY_ENDPOINTS: usize = 2;
 /// The weight of one attempt in an endpoint's failure rate.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// The number of endpoints that are preferred for requests that must not run twice.
+/// The highest number of endpoints that are preferred for unsafe requests.
 const MAX_PREFERRED: usize = 2;
-/// How long an endpoint is preferred after it served such a request.
+/// The time for which an endpoint is preferred after it served an unsafe request.
 const UNSAFE_SUCCESS_LIFETIME: Duration = Duration::from_secs(5);
 
-/// The failure rate that an endpoint may have to be sent a request.
+/// The highest failure rate of endpoints that may be sent a request.
 pub(super) struct FailureLimit {
-    /// The class whose failures count; the worst class where the request must not run twice.
+    /// The class whose failures count; `None` for unsafe requests, for which the class with the highest failure rate
+    /// counts.
     class: Option<usize>,
     max_rate: f64,
 }
 
 impl Balancer {
-    /// Returns the limit for requests of a class. It excludes endpoints that fail quickly, refuse connections or do not
-    /// answer, possibly for one class alone: these have few requests and no queue. It is relative to the mean of the
-    /// subset, as errors and time-outs may also come from the next tier.
+    /// Returns the failure limit for requests of a class. It excludes endpoints that fail quickly, refuse connections
+    /// or do not answer, possibly for one class alone. Such endpoints have few requests and no queue, and would
+    /// otherwise appear unloaded. The limit is relative to the mean of the subset because errors and timeouts may also
+    /// come from the next tier.
     pub(super) fn failure_limit(&self, now: Timestamp, class: usize) -> FailureLimit {
         let class = (!self.is_unsafe(class)).then_some(class);
         let members = self.sets.subset.iter();
@@ -54,7 +57,7 @@
         self.endpoints[index].failure_rate(class, now, FAILURE_TIME_CONSTANT)
     }
 
-    /// Returns whether an endpoint fails too much for requests with this limit.
+    /// Returns whether an endpoint's failure rate exceeds the limit.
     pub(super) fn is_outlier(
         &self,
         now: Timestamp,
@@ -64,7 +67,7 @@
         self.failure_rate(now, index, limit.class) > limit.max_rate
     }
 
-    /// Returns the candidate that fails least.
+    /// Returns the candidate with the lowest failure rate.
     pub(super) fn least_failing(
         &self,
         now: Timestamp,
@@ -75,9 +78,10 @@
         candidates.min_by(|a, b| rate(a).total_cmp(&rate(b)))
     }
 
-    /// Restricts the candidates to the few that last served a request that must not run twice, if such requests were
-    /// lost recently. Otherwise each balancer would lose one at each faulty endpoint, where nothing else may show the
-    /// fault.
+    /// Restricts the candidates for an unsafe request to the few endpoints that served one most recently, if an unsafe
+    /// request was lost recently. Applies only in the last tier and while most of the subset is clear. Without this
+    /// rule, each balancer would lose one request at each faulty endpoint, because the fault may not show in any other
+    /// way.
     pub(super) fn prefer_recent_unsafe_successes(
         &self,
         now: Timestamp,
@@ -122,7 +126,7 @@
         2 * clear > self.sets.subset.len()
     }
 
-    /// Updates an endpoint's failure rate with the end of an attempt.
+    /// Updates an endpoint's failure rate after the end of an attempt. Rejections do not count.
     pub(super) fn count_failure(
         &mut self,
         now: Timestamp,
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -7,32 +7,32 @@
 use super::time::{Timestamp, duration_from_seconds};
 use std::time::Duration;
 
-/// The utilisation from which on an endpoint counts as queueing, up to the highest discard threshold at full
-/// utilisation.
+/// The utilisation above which an endpoint counts as queueing. From there to full utilisation, the implied queue length
+/// rises linearly from zero to the highest discard threshold.
 const BUSY_UTILISATION: f64 = 0.9;
-/// The mean lifetime of an overload state, as a multiple of the unloaded answer time: an older state says little of the
-/// present queue.
+/// The mean lifetime of an overload state, as a multiple of the unloaded answer time. An older state says little about
+/// the present queue.
 const STATE_LIFETIME_MULTIPLE: f64 = 10.0;
-/// The lowest factor of the mean lifetime. Lifetimes are random, so that balancers do not act in step.
+/// The lowest random factor of the mean lifetime. Lifetimes are random to keep balancers from acting at the same time.
 const MIN_LIFETIME_FACTOR: f64 = 0.75;
-/// The difference between the highest and the lowest factor of the mean lifetime.
+/// The difference between the highest and the lowest random factor of the mean lifetime.
 const LIFETIME_FACTOR_SPREAD: f64 = 0.5;
 /// The weight of one update in the mean queue length of a locality.
 const MEAN_QUEUE_LENGTH_WEIGHT: f64 = 0.1;
-/// The queue length that an attempt in flight stands for at an endpoint that calls further tiers: for most of the
-/// answer time the request waits in those, and not in this endpoint's queue.
+/// The estimated queue length for each attempt in flight at an endpoint that calls further tiers. For most of the
+/// answer time the request waits in those tiers, and not in the endpoint's queue.
 const INNER_TIER_QUEUE_PER_ATTEMPT: f64 = 0.2;
-/// The queue length that an attempt in flight stands for in the last of several tiers, where a balancer's own attempts
-/// are few among those of all balancers that share the endpoint.
+/// The estimated queue length for each attempt in flight in the last of several tiers. Of all attempts at an endpoint
+/// there, only few are this balancer's own, because many balancers share the endpoint.
 const LAST_TIER_QUEUE_PER_ATTEMPT: f64 = 2.0;
 /// The longest queue length that is accepted from a load report.
 const MAX_QUEUE_LENGTH: f64 = 1e6;
-/// The lowest arrival rate that a gap is computed for.
+/// The lowest arrival rate used to compute a gap, in requests per second.
 const MIN_ARRIVAL_RATE: f64 = 0.1;
-/// The lowest factor of the mean gap. Gaps are random, so that balancers do not act in step.
+/// The lowest random factor of the mean gap. Gaps are random to keep balancers from acting at the same time.
 const MIN_GAP_FACTOR: f64 = 0.5;
 
-/// How many priority levels an endpoint throttles, counted from the lowest.
+/// The numbers of priority levels that an endpoint throttles, counted from the lowest level.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ThrottledLevels {
     pub(super) gapping: usize,
@@ -41,7 +41,7 @@
 
 impl Balancer {
     /// Returns the queue length of a load report, or an estimate from its other values. Servers that process all
-    /// requests at once hardly queue; for them, full utilisation counts as a queue.
+    /// requests concurrently hardly queue; for them, a high utilisation counts as a queue.
     pub(super) fn reported_queue_length(report: &LoadReport) -> f64 {
         let utilisation = report.utilisation.unwrap_or(1.0);
         let from_in_flight = report
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Determines the state of every endpoint from its last queue length, after the thresholds have changed.
+    /// Determines the state of every endpoint again from its last queue length, after the thresholds have changed.
     pub(super) fn reapply_thresholds(&mut self) {
         for endpoint in self.endpoints.iter_mut() {
             let LevelsReached { onset, discard, .. } =
@@ -93,8 +93,9 @@
         }
     }
 
-    /// Returns the least time between sends to a gapping endpoint: the usual time between sends, times the severity. As
-    /// it follows from this balancer's own arrival rate, all balancers reduce their load by the same factor.
+    /// Returns the least time between sends to a gapping endpoint: the usual time between sends times the severity of
+    /// the overload. The gap is derived from this balancer's own arrival rate, and thus all balancers reduce their load
+    /// by the same factor.
     pub(super) fn gap(&mut self, now: Timestamp, queue_length: f64) -> Duration {
         let severity = (queue_length / self.thresholds.lowest_onset()).max(1.0);
         let arrival_rate = self.arrival_rate.per_second(now).max(MIN_ARRIVAL_RATE);
@@ -102,10 +103,11 @@
         duration_from_seconds(severity * usual_gap * (MIN_GAP_FACTOR + self.random.unit_interval()))
     }
 
-    /// Returns how many levels an endpoint throttles, by its state and by the estimated queue length. Attempts in
-    /// flight count, as load reports come late: without them all queued requests would go to the endpoint that was last
-    /// clear. For an expired state the tier's mean is used, which a balancer with few requests can follow where it can
-    /// not follow each endpoint.
+    /// Returns how many levels an endpoint throttles, by its overload state and its estimated queue length. The
+    /// estimate includes attempts in flight because load reports come late; without them, all queued requests would be
+    /// sent to the endpoint that was last clear. For an expired state, the estimate uses the mean queue length of the
+    /// endpoint's locality. A balancer with few requests can keep that mean up to date, but not the state of each
+    /// endpoint.
     pub(super) fn throttled_levels(&self, now: Timestamp, index: EndpointIndex) -> ThrottledLevels {
         let estimated = self.estimated_queue_length(now, index);
         let reached = self.thresholds.reached(estimated);
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Returns the queue length at an endpoint, including this balancer's attempts in flight.
+    /// Returns the estimated queue length at an endpoint, including this balancer's attempts in flight.
     pub(super) fn estimated_queue_length(&self, now: Timestamp, index: EndpointIndex) -> f64 {
         let endpoint = &self.endpoints[index];
         let queue_length = if now < endpoint.state_expires {
@@ -127,7 +129,7 @@
         queue_length + self.queue_per_attempt() * f64::from(endpoint.in_flight)
     }
 
-    /// Returns the throttled levels of the present overload state; none once it has expired.
+    /// Returns the levels that the present overload state throttles; none once it has expired.
     fn current_levels(&self, now: Timestamp, index: EndpointIndex) -> ThrottledLevels {
         let endpoint = &self.endpoints[index];
         if now >= endpoint.state_expires {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Returns the queue length that an attempt in flight stands for.
+    /// Returns the estimated queue length for each attempt in flight.
     fn queue_per_attempt(&self) -> f64 {
         match (self.settings.tier, self.settings.tiers) {
             (tier, tiers) if tier + 1 < tiers => INNER_TIER_QUEUE_PER_ATTEMPT,
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -1,4 +1,4 @@
-//! The state that a balancer keeps of each request and its attempts. No decision is made here.
+//! The state that a balancer keeps for each request and its attempts. No decision is made here.
 
 use super::endpoint::{Endpoint, EndpointIndex};
 use super::event::{Outcome, Request};
@@ -13,13 +13,13 @@
     pub(super) level: usize,
     /// An answer after this has no value.
     pub(super) useful_until: Timestamp,
-    /// It is rejected if it was not sent by then.
+    /// It gets its final answer if it is still queued by then.
     pub(super) queue_deadline: Timestamp,
     pub(super) attempts: Vec<Attempt>,
     pub(super) is_answered: bool,
-    /// Some of its body was forwarded and not retained, so that it can not be sent again.
+    /// A part of its body was forwarded and not retained. It cannot be sent again.
     pub(super) body_is_consumed: bool,
-    /// The slow start clock has counted its next send already.
+    /// The slow start clock has already counted its next send.
     pub(super) has_advanced_slow_start: bool,
 }
 
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Returns its attempts that may have run, the oldest first.
+    /// Returns the attempts that may have run, the oldest first.
     pub(super) fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
             .filter(|attempt| attempt.state != AttemptState::NotRun)
     }
 
-    /// Returns whether an attempt has not ended.
+    /// Returns whether any attempt has not ended.
     pub(super) fn has_attempts_in_flight(&self) -> bool {
         self.attempts
             .iter()
@@ -66,7 +66,7 @@
     pub(super) state: AttemptState,
 }
 
-/// Whether an attempt has ended, and whether it may have run.
+/// The state of an attempt, which tells whether it has ended and whether it may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptState {
     InFlight,
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -1,4 +1,4 @@
-//! Which endpoint an attempt goes to: the less loaded of two random members of the subset.
+//! The choice of an attempt's endpoint: the less loaded of two random members of the subset.
 
 use super::answer_time::ORDINARY_SLOWDOWN;
 use super::balancer::Balancer;
@@ -8,14 +8,14 @@
 use super::subset::MIN_SUBSET_SIZE;
 use super::time::Timestamp;
 
-/// Random samples of the local endpoints where all of the subset is throttled.
+/// The number of local endpoints that are sampled at random while the whole subset is throttled.
 const LOCAL_SAMPLES: usize = 2 * MIN_SUBSET_SIZE;
-/// The number of samples that become candidates.
+/// The highest number of samples that become candidates.
 const MAX_LOCAL_CANDIDATES: usize = 2;
-/// The number of random choices that are compared.
+/// The number of random candidates whose load is compared.
 const RANDOM_CHOICES: usize = 2;
 
-/// What one pick looks for.
+/// The criteria by which the endpoint of one attempt is picked.
 struct PickCriteria<'a> {
     now: Timestamp,
     scope: &'a RetryScope,
@@ -25,7 +25,7 @@
 }
 
 impl Balancer {
-    /// Returns the endpoint that a request's next attempt goes to; `None` where the request has to wait.
+    /// Returns the endpoint that a request's next attempt goes to; `None` if the request has to wait.
     pub(super) fn pick(
         &mut self,
         now: Timestamp,
@@ -45,7 +45,7 @@
             .iter()
             .find(|index| self.endpoints[**index].awaits_first_send);
         if let Some(index) = first_send {
-            return Some(*index); // a balancer with few requests would stay with the fastest endpoint that it knows
+            return Some(*index); // otherwise a balancer with few requests would stay with the fastest known endpoint
         }
         match candidates.len() {
             0 => self.endpoint_with_earliest_ended_gap(&criteria, pending),
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Returns the endpoints that take the request without a gap: of the subset, else of the zone, else of other zones,
-    /// else the one that fails least.
+    /// Returns the endpoints that can take the request without waiting for the end of a gap. The candidates are subset
+    /// members, or else sampled local endpoints, or else remote endpoints, or else the endpoint with the lowest failure
+    /// rate.
     fn candidates(
         &mut self,
         criteria: &PickCriteria<'_>,
@@ -77,8 +78,8 @@
         candidates
     }
 
-    /// Returns whether an endpoint may be sent this request at all: slow start allows it, and it is in scope and not
-    /// tried before.
+    /// Returns whether an endpoint may be sent this request at all: slow start allows it, the retry scope contains it,
+    /// and no earlier attempt was sent to it.
     fn is_usable(
         &self,
         criteria: &PickCriteria<'_>,
@@ -93,7 +94,7 @@
                 .all(|attempt| attempt.endpoint != index)
     }
 
-    /// Returns whether an endpoint is usable and no outlier.
+    /// Returns whether an endpoint is usable and not an outlier.
     fn is_healthy(
         &self,
         criteria: &PickCriteria<'_>,
@@ -129,8 +130,9 @@
             .collect()
     }
 
-    /// Adds random local endpoints, where all of the subset is throttled. Only while this balancer has few attempts in
-    /// flight for its share of the tier: otherwise all balancers together would overload the whole tier.
+    /// Adds random local endpoints as candidates while the whole subset is throttled. This is done only while the
+    /// balancer has few attempts in flight for its share of the tier. Otherwise all balancers together would overload
+    /// the whole tier.
     fn add_local_samples(
         &mut self,
         criteria: &PickCriteria<'_>,
@@ -139,7 +141,7 @@
     ) {
         let own_load = f64::from(self.in_flight.count()) / self.fair_share_of_tier();
         let load_with_slowdown = own_load * self.mean_slowdown / ORDINARY_SLOWDOWN;
-        // Not so without any endpoint, where the load is not a number.
+        // False if there is no endpoint, because the load is then NaN or infinite.
         let is_below_limit = load_with_slowdown < self.thresholds.highest_onset();
         if !is_below_limit {
             return;
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Returns the remote subset's healthy endpoints that throttle no level. A concurrent request there needs a further
-    /// connection, so only one at a time is sent where connections have a price.
+    /// Returns the healthy endpoints of the remote subset that throttle no level. If new connections have a price, only
+    /// one request at a time is sent to the remote subset, because a concurrent one needs another connection.
     fn clear_remote_members(
         &self,
         criteria: &PickCriteria<'_>,
@@ -180,8 +182,9 @@
             .any(|index| self.is_healthy(criteria, pending, index))
     }
 
-    /// Returns the usable, unthrottled endpoint that fails least, for use where none is healthy. Otherwise a balancer
-    /// whose subset is warming up or fails throughout would send nothing, and slow start would never advance.
+    /// Returns the usable, unthrottled endpoint with the lowest failure rate, for use if no endpoint is healthy.
+    /// Otherwise a balancer whose whole subset is warming up or failing would send nothing, and slow start would never
+    /// advance.
     fn least_failing_unthrottled(
         &self,
         criteria: &PickCriteria<'_>,
@@ -199,7 +202,7 @@
         local.chain(&self.sets.remote_subset).copied()
     }
 
-    /// Returns the gapping subset member whose gap ended first, for use where all are throttled.
+    /// Returns the gapping subset member whose gap ended first, for use while all members are throttled.
     fn endpoint_with_earliest_ended_gap(
         &self,
         criteria: &PickCriteria<'_>,
@@ -215,8 +218,8 @@
         members.filter(is_due).min_by_key(gap_ends_at)
     }
 
-    /// Returns the less loaded of two random candidates. Where neither has attempts in flight, which happens at
-    /// balancers with few requests, all candidates are compared by their queues.
+    /// Returns the less loaded of two random candidates. If neither has attempts in flight, which is common at
+    /// balancers with few requests, all candidates are compared.
     fn best_of_two_choices(
         &mut self,
         now: Timestamp,
@@ -235,7 +238,8 @@
             .reduce(|a, b| self.less_loaded(now, a, b))
     }
 
-    /// Returns the endpoint with fewer attempts in flight for its size, or else with the shorter queueing time.
+    /// Returns the endpoint with fewer attempts in flight relative to its size. If both are equal, returns the one with
+    /// the shorter estimated wait.
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
         let load = |index: EndpointIndex| {
             f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].size
--- a/src/policy/prices.rs
+++ b/src/policy/prices.rs
@@ -1,22 +1,22 @@
-//! The prices of what a balancer uses.
+//! The prices of the resources that a balancer uses.
 
-/// Prices, as fractions of the result for each unit.
+/// The prices of resources. Each is the fraction of the balancer's result that one unit costs.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
-    /// Attempts that cross zones, for each first attempt.
+    /// The price of attempts that cross zones, per first attempt.
     pub cross_zone: f64,
-    /// Work of endpoints that served no answer, as a fraction of the work that was requested.
+    /// The price of endpoint work that led to no answer, as a fraction of the requested work.
     pub waste: f64,
-    /// Health checks, for each first attempt.
+    /// The price of health checks, per first attempt.
     pub health_check: f64,
-    /// Peer messages of full length, for each first attempt.
+    /// The price of peer messages of full length, per first attempt.
     pub peer: f64,
-    /// New connections, for each first attempt.
+    /// The price of new connections, per first attempt.
     pub handshake: f64,
-    /// Open connections, for each 100 at an endpoint.
+    /// The price of open connections, per 100 connections at an endpoint.
     pub connection: f64,
-    /// The value of requests that are not served and fail after their objective.
+    /// The price of requests that are not served and fail after their objective, per unit of their value.
     pub late_fail: f64,
-    /// List entries, for each 100 a first attempt.
+    /// The price of list entries, per 100 entries for each first attempt.
     pub discovery: f64,
 }
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -1,4 +1,4 @@
-//! The priority level of a request: by its class, and below all others beyond its tenant's quota share.
+//! The priority level of a request: the level of its class, or the lowest level if its tenant exceeds its quota share.
 
 use super::answer_time::MIN_SAMPLES;
 use super::balancer::Balancer;
@@ -7,7 +7,7 @@
 use super::thresholds::Thresholds;
 use std::collections::HashSet;
 
-/// The level of requests beyond a tenant's quota share, where there are tenants.
+/// The level of requests beyond a tenant's quota share. It is reserved if the settings have tenants.
 const OVER_SHARE_LEVEL: usize = 0;
 
 impl Balancer {
@@ -26,7 +26,7 @@
         self.queued.set_levels(level_count);
     }
 
-    /// Returns the distinct priority weights, the lowest first.
+    /// Returns the distinct priority weights of the classes in the settings and of pending requests, the lowest first.
     fn priority_weights_in_use(&self) -> Vec<f64> {
         let request_classes: HashSet<usize> =
             self.requests.values().map(|p| p.request.class.0).collect();
@@ -42,8 +42,8 @@
         priority_weights
     }
 
-    /// Sets the levels of pending requests after the settings have changed. Requests in flight are included, as they
-    /// may be queued for a retry.
+    /// Sets the levels of pending requests after the settings have changed. Requests in flight are included, because
+    /// they may be queued for a retry.
     pub(super) fn set_priority_levels_of_requests(&mut self, had_tenants: bool) {
         let keeps_tenants = had_tenants && !self.settings.tenants.is_empty();
         for pending in self.requests.values_mut() {
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Returns the level of a new request. Requests beyond their tenant's share of this balancer's arrivals get the
-    /// lowest level, at random in proportion to the excess.
+    /// Returns the level of a new request. If a tenant exceeds its share of this balancer's arrivals, the excess
+    /// fraction of its requests, selected at random, gets the lowest level.
     pub(super) fn priority_level(&mut self, request: &Request, rate_decay: f64) -> usize {
         for rate in &mut self.tenant_rates {
             *rate *= rate_decay;
--- a/src/policy/queued_requests.rs
+++ b/src/policy/queued_requests.rs
@@ -1,18 +1,18 @@
-//! The requests that wait to be sent, in their order. No decision is made here.
+//! The queued requests, in the order in which they are sent. No decision is made here.
 
 use super::id::RequestId;
 use super::pending::PendingRequest;
 use super::time::Timestamp;
 use std::collections::VecDeque;
 
-/// The queue deadline where no request is queued.
+/// The earliest queue deadline if no request is queued.
 pub(super) const NO_QUEUE_DEADLINE: Timestamp = Timestamp::from_nanos(u64::MAX);
 
 /// Queued requests by priority level, each level in order of arrival.
 #[derive(Debug)]
 pub(super) struct QueuedRequests {
     pub(super) levels: Vec<VecDeque<RequestId>>,
-    /// The earliest queue deadline, or an earlier time.
+    /// The earliest queue deadline of the queued requests, or an earlier time.
     pub(super) next_deadline: Timestamp,
 }
 
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -1,14 +1,14 @@
-//! The seeded random numbers of one balancer.
+//! The random number generator of a balancer.
 
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Random numbers that are the same for the same seed.
+/// A random number generator whose numbers are the same for the same seed.
 #[derive(Debug)]
 pub(crate) struct SeededRandom(Pcg64Mcg);
 
 impl SeededRandom {
-    /// Creates the sequence of a seed.
+    /// Creates a generator with a seed.
     pub(crate) fn new(seed: u64) -> Self {
         SeededRandom(Pcg64Mcg::seed_from_u64(seed))
     }
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -1,4 +1,4 @@
-//! How many requests are queued and for how long, in which order they are sent, and which are shed.
+//! The request queue: its length limit, its deadlines, the order of sends, and the requests that are shed.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -9,13 +9,13 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// The queue limit, as a fraction of the arrivals within the longest queue time.
+/// The queue limit, as a fraction of the requests that arrive within the longest queue time.
 const QUEUE_FRACTION: f64 = 0.5;
-/// The lowest queue limit, however few requests arrive.
+/// The lowest queue limit, which applies if few requests arrive.
 const MIN_QUEUE_LIMIT: f64 = 4.0;
 
 impl Balancer {
-    /// Rejects the requests of the lowest priority that exceed the queue limit, the newest first.
+    /// Sheds the requests that exceed the queue limit, the newest request of the lowest priority level first.
     pub(super) fn shed_past_limit(
         &mut self,
         now: Timestamp,
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Rejects requests whose queue deadline has passed, and sends what can be sent, the highest priority first.
+    /// Gives a final answer to requests whose queue deadline has passed. Sends the requests that endpoints can take,
+    /// the highest priority level first.
     pub(super) fn send_queued_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if now >= self.queued.next_deadline {
             self.reject_expired_requests(now, actions);
@@ -65,8 +66,8 @@
         self.queued.next_deadline = deadlines.min().unwrap_or(NO_QUEUE_DEADLINE);
     }
 
-    /// Sends the requests of one level in order. Breaks at the first that was not sent before and that no endpoint
-    /// takes: then no endpoint takes those behind it and below it either.
+    /// Sends the requests of one level in order. Breaks at the first request without an earlier attempt that no
+    /// endpoint takes, because no endpoint takes the requests behind it or of lower levels either.
     fn send_queued_level(
         &mut self,
         now: Timestamp,
@@ -98,7 +99,7 @@
                 if !is_retry {
                     return ControlFlow::Break(());
                 }
-                position += 1; // fewer endpoints take a retry than take the requests behind it
+                position += 1; // fewer endpoints may take a retry than the requests behind it
             }
         }
         ControlFlow::Continue(())
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -17,7 +17,7 @@
         has_tenant && has_class && !self.requests.contains_key(&request.id)
     }
 
-    /// Records that some of a request's body was forwarded and not retained.
+    /// Records that a part of a request's body was forwarded and not retained.
     pub(super) fn body_consumed(&mut self, request: &RequestId) {
         if let Some(pending) = self.requests.get_mut(request) {
             pending.body_is_consumed = true;
@@ -59,11 +59,11 @@
         let Some(mut pending) = self.requests.remove(id) else {
             return;
         };
-        // A host that names an attempt which does not exist is ignored.
+        // An event for an attempt that does not exist is ignored.
         let attempt_exists = streaming.is_none_or(|number| number < pending.attempts.len());
         pending.is_answered |= attempt_exists;
         if pending.is_answered {
-            // In the queue it would count towards the queue limit until its queue deadline.
+            // If it stayed queued, it would count towards the queue limit until its queue deadline.
             self.queued.remove(&pending);
             if self.settings.limits.cancel {
                 cancel_attempts(&pending, streaming, actions);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,15 +1,15 @@
-//! Retries: whether a request may have another attempt and where, and how many retries requests earn.
+//! Retries: the conditions for another attempt, the endpoints that it may go to, and the retry budget of a request.
 
 use super::balancer::Balancer;
 use super::class_settings::{Idempotency, KeyScope};
 use super::pending::{PendingRequest, RetryScope};
 use super::time::Timestamp;
 
-/// Retries that a request earns.
+/// The number of retries that a request adds to the budget.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.2;
 
 impl Balancer {
-    /// Returns where a request may have its next attempt; `None` where it may have none.
+    /// Returns the scope of a request's next attempt; `None` if it may have no further attempt.
     pub(super) fn retry_scope(
         &self,
         now: Timestamp,
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Returns whether the client can repeat the request without any risk that it runs twice.
+    /// Returns whether the client can safely repeat the request: it is idempotent, it has not run, or a repeat is
+    /// deduplicated.
     pub(super) fn is_retry_harmless(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let mut possible_runs = pending.possible_runs();
         match self.settings.classes[pending.request.class.0].idempotency {
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -1,32 +1,34 @@
-//! The parameters of the rules that a balancer keeps.
+//! The parameters of the rules that a balancer must follow.
 
 use std::time::Duration;
 
-/// The parameters of the rules that a balancer keeps.
+/// The parameters of the rules that a balancer must follow.
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// How long after the client's deadline a final answer still counts as in time.
     pub answer_slack: Duration,
-    /// How soon sends to an endpoint must end after the notice that it drains or was removed.
+    /// The time within which sends to an endpoint must stop after a list has shown it as draining or removed.
     pub drain_grace: Duration,
-    /// Where lists are fetched: the longest time without a call. A change counts as received after it.
+    /// The longest time between calls of discovery if lists are fetched. A change of the list counts as received after
+    /// this time.
     pub poll_interval: Duration,
-    /// The lowest fraction of its capacity that an endpoint starts with.
+    /// The lowest capacity of an endpoint at its start, as a fraction of its full capacity.
     pub initial_capacity: f64,
     /// The longest time from an endpoint's start until it is warm.
     pub warm_up_time: Duration,
-    /// Sent more than this multiple of its present capacity for the overload window, a warming endpoint fails.
+    /// The load above which a warming endpoint fails, as a multiple of its present capacity. The load has to last for
+    /// the overload window.
     pub overload_multiple: f64,
-    /// See [`Rules::overload_multiple`].
+    /// The time for which a load above [`Rules::overload_multiple`] must last until a warming endpoint fails.
     pub overload_window: Duration,
-    /// How soon idle connections to a draining endpoint must be closed; `None` where that is not required.
+    /// The time within which idle connections to a draining endpoint must be closed; `None` if that is not required.
     pub drain_close: Option<Duration>,
-    /// The cool-down of a key after an attempt that may still run, for classes in key order.
+    /// The cooldown of a key after an attempt that may still run, for classes in key order.
     pub key_cooldown: Option<Duration>,
 }
 
 impl Default for Rules {
-    /// Careful values, without a rule on idle connections and without a key cool-down.
+    /// Returns conservative values, without a rule on idle connections and without a key cooldown.
     fn default() -> Self {
         Rules {
             answer_slack: Duration::from_millis(10),
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -1,4 +1,4 @@
-//! How an attempt is sent, and the final answer to a request that no attempt serves.
+//! The send of an attempt, and the final answer to a request that is not served.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -44,15 +44,16 @@
         true
     }
 
-    /// Returns the timeout of an attempt. Some servers drop queued work that is cancelled, so an attempt whose answer
-    /// has no value any more is not left to delay the others.
+    /// Returns the timeout of an attempt; `None` if late answers have value. Otherwise the attempt times out when its
+    /// answer loses its value. Some servers drop queued work that is cancelled, and other requests are then not delayed
+    /// by it.
     fn attempt_timeout(&self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
         let class = &self.settings.classes[pending.request.class.0];
         (class.late_value == 0.0).then_some(pending.useful_until.since(now))
     }
 
-    /// Returns when a rejected client is to come back, where clients accept that. A client that came back at once would
-    /// meet the same overload, and its answer would be late.
+    /// Returns the time after which a rejected client may retry; `None` if clients are not told one. A client that
+    /// retried immediately would meet the same overload, and its answer would be late.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         let limits = &self.settings.limits;
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -7,41 +7,41 @@
 use super::rules::Rules;
 use std::time::Duration;
 
-/// How endpoint lists come.
+/// How a balancer receives endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Without a request, by an agent.
+    /// An agent pushes lists without a request.
     Pushed,
-    /// Only after [`Action::Subscribe`](super::Action::Subscribe) or
+    /// Lists arrive only after [`Action::Subscribe`](super::Action::Subscribe) or
     /// [`Action::FetchList`](super::Action::FetchList).
     OnRequest,
 }
 
-/// What the size of an endpoint in a list means.
+/// The meaning of an endpoint's size in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SizeMeaning {
-    /// Nothing; it is always 1.
+    /// The size has no meaning and is always 1.
     None,
     /// The registered capacity.
     Nominal,
-    /// The registered capacity, as a rough value.
+    /// Approximately the registered capacity.
     Rough,
-    /// The capacity over 1 + requests in flight for each core, some time ago.
+    /// The capacity divided by 1 + the requests in flight per core, measured some time ago.
     Live,
 }
 
-/// Which answers carry load reports.
+/// The answers that carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
     /// Answers to requests and to health checks.
     WithAnswers,
-    /// Answers to health checks alone.
+    /// Only answers to health checks.
     WithHealthChecks,
-    /// None.
+    /// No answers.
     Off,
 }
 
-/// Whether value counts by request or by the work in it.
+/// The basis on which the value of requests is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueBasis {
     /// All requests of a class have the same value.
@@ -65,7 +65,7 @@
     pub tier: usize,
     /// The number of tiers.
     pub tiers: usize,
-    /// Whether requests from the tier above carry the time left instead of the class's whole deadline.
+    /// Whether requests from the previous tier carry the time left instead of the class's whole deadline.
     pub propagates_deadline: bool,
     /// Whether endpoints do less work for keys that they have seen recently.
     pub warm_keys: bool,
@@ -75,19 +75,19 @@
     pub tenants: Vec<Tenant>,
     /// The fraction of its value that a request beyond its tenant's quota share keeps.
     pub over_share_value: f64,
-    /// See [`Limits`].
+    /// The limits that the environment sets.
     pub limits: Limits,
-    /// See [`Rules`].
+    /// The parameters of the rules that the balancer must follow.
     pub rules: Rules,
-    /// See [`Prices`].
+    /// The prices of the resources that the balancer uses.
     pub prices: Prices,
-    /// See [`DiscoveryMode`].
+    /// How endpoint lists are received.
     pub discovery: DiscoveryMode,
-    /// See [`SizeMeaning`].
+    /// The meaning of an endpoint's size in a list.
     pub sizes: SizeMeaning,
-    /// See [`Reporting`].
+    /// The answers that carry load reports.
     pub reporting: Reporting,
-    /// See [`ValueBasis`].
+    /// The basis on which the value of requests is counted.
     pub value_basis: ValueBasis,
     /// Whether clients mark their retries.
     pub marks_retry: bool,
--- a/src/policy/settings_change.rs
+++ b/src/policy/settings_change.rs
@@ -1,4 +1,4 @@
-//! What changes when a running balancer gets new settings.
+//! The replacement of a running balancer's settings.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -8,12 +8,12 @@
 use super::time::Timestamp;
 
 impl Balancer {
-    /// Replaces the settings, and returns the ids of the new classes, in their order. An unchanged class keeps its id;
-    /// any other class gets a new one, as pending requests keep the class that they came with. Queued requests and the
-    /// state of endpoints are kept; the new thresholds apply to them.
+    /// Replaces the settings, and returns the ids of the new classes, in their order. An unchanged class keeps its id.
+    /// Any other class gets a new id, because pending requests keep the class that they arrived with. Queued requests
+    /// and the state of endpoints are kept, and the new thresholds apply to them.
     ///
     /// # Errors
-    /// Returns the first invalid setting; nothing is changed then.
+    /// Returns the first invalid setting, and leaves the settings unchanged.
     pub fn change_settings(
         &mut self,
         now: Timestamp,
@@ -41,7 +41,7 @@
 
     fn replace_settings(&mut self, now: Timestamp, mut settings: Settings) -> Vec<ClassId> {
         self.replace_tenant_rates(&settings);
-        // The table of classes is extended instead of replaced: pending requests refer to its rows.
+        // The table of classes is extended instead of replaced, because pending requests refer to its rows.
         let class_table = std::mem::take(&mut self.settings.classes);
         let new_classes = std::mem::replace(&mut settings.classes, class_table);
         self.settings = settings;
@@ -54,7 +54,7 @@
             .collect()
     }
 
-    /// Keeps the rates of tenants that the new settings have too.
+    /// Keeps the rates of the tenants that are also in the new settings.
     fn replace_tenant_rates(&mut self, settings: &Settings) {
         let old_tenants = &self.settings.tenants;
         let position_of = |name: &str| old_tenants.iter().position(|other| other.name == name);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: the fraction of its fair share of requests that an endpoint is sent while it is warming up.
 //!
-//! The clock of slow start is the balancer's own number of sends. Of each `subset / fraction` sends one, at a random
-//! time, goes to the warming endpoint, so that any number of balancers with any rates together send it its fraction. A
-//! request that no healthy endpoint can take is counted before it is sent: otherwise the clock would not advance.
+//! The slow start clock counts the balancer's own sends. On average, one of `subset size / fraction` sends goes to the
+//! warming endpoint, at a random time. Any number of balancers with any request rates thus send it its fraction
+//! together. A request that no healthy endpoint can take is counted before it is sent; otherwise the clock would not
+//! advance.
 
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
@@ -10,13 +11,13 @@
 use super::time::Timestamp;
 
 /// The fraction of the overload multiple that a warming endpoint is sent; the rest is a margin for random variation.
-/// With a lower fraction, new endpoints were left idle while the old ones were overloaded.
+/// With a lower fraction, new endpoints stayed idle while the old ones were overloaded.
 const WARMING_FRACTION: f64 = 0.6;
 
 impl Balancer {
     /// Returns the fraction of a fair share that a warming endpoint may be sent; `None` once it is warm. The limit
-    /// stays for the whole warm-up: when it ended earlier, all balancers of an overloaded tier sent to the one clear
-    /// endpoint.
+    /// applies during the whole warm-up. When it ended earlier, all balancers of an overloaded tier sent their requests
+    /// to the only clear endpoint.
     pub(super) fn slow_start_share(&self, now: Timestamp, index: EndpointIndex) -> Option<f64> {
         let endpoint = &self.endpoints[index];
         let rules = &self.settings.rules;
@@ -30,14 +31,14 @@
         Some(capacity * rules.overload_multiple * WARMING_FRACTION)
     }
 
-    /// Returns whether slow start lets this endpoint take a request now: it is warm, or its slot has come.
+    /// Returns whether slow start lets this endpoint take a request now: it is warm, or the clock has reached its slot.
     pub(super) fn slow_start_allows(&self, now: Timestamp, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         self.slow_start_share(now, index).is_none()
             || endpoint.in_subset && self.slow_start_clock >= endpoint.slow_start_slot
     }
 
-    /// Draws an endpoint's next slot: exponentially distributed after the clock's present reading.
+    /// Draws an endpoint's next slot, at an exponentially distributed distance from the present value of the clock.
     pub(super) fn draw_slow_start_slot(&mut self, now: Timestamp, index: EndpointIndex) -> f64 {
         let share = self.slow_start_share(now, index).unwrap_or(f64::INFINITY);
         let unit_exponential = -(1.0 - self.random.unit_interval()).ln();
@@ -50,7 +51,7 @@
         self.slow_start_clock += if was_counted { 0.0 } else { 1.0 };
     }
 
-    /// Advances the clock, once, for a request that no endpoint can take.
+    /// Advances the clock before the send of a request that no endpoint can take. Counts each such request only once.
     pub(super) fn advance_slow_start_early(&mut self, pending: &mut PendingRequest) {
         if !std::mem::replace(&mut pending.has_advanced_slow_start, true) {
             self.slow_start_clock += 1.0;
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -1,4 +1,4 @@
-//! The counts of requests and endpoints for the operators.
+//! The counts of requests and endpoints that operators see.
 
 use super::balancer::Balancer;
 use super::time::Timestamp;
@@ -8,7 +8,7 @@
 pub struct BalancerStatus {
     /// Requests that are unanswered or have attempts in flight.
     pub pending: usize,
-    /// Requests that wait to be sent.
+    /// Requests that are waiting to be sent.
     pub queued: usize,
     /// Attempts in flight, including timed-out attempts that may still run.
     pub in_flight: usize,
@@ -23,7 +23,7 @@
     /// Listed endpoints that are sent nothing: they drain, are disabled or suspended, or discard every
     /// priority level.
     pub unavailable: usize,
-    /// Listed endpoints that are suspended, which count as unavailable too.
+    /// Listed endpoints that are suspended. They also count as unavailable.
     pub suspended: usize,
 }
 
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -5,19 +5,20 @@
 use super::id::EndpointId;
 use super::time::Timestamp;
 
-/// The smallest subset: two random choices need two endpoints. With a larger minimum, a balancer with few requests knew
-/// each queue less well.
+/// The smallest size of a subset. The comparison of two random candidates needs two endpoints. With a larger minimum, a
+/// balancer with few requests had less recent knowledge of each queue.
 pub(super) const MIN_SUBSET_SIZE: usize = 2;
-/// The subset's size for each arrival a second, so that each member is sent a request every other second or so.
+/// The number of subset members for each request that arrives per second. Each member is then sent about two requests
+/// per second.
 const MEMBERS_PER_REQUEST_RATE: f64 = 0.5;
-/// The number of balancers whose subsets contain one endpoint.
+/// The number of balancers whose subsets contain the same endpoint.
 const BALANCERS_PER_ENDPOINT: f64 = 4.0;
 
 impl Balancer {
     /// Selects the subset by deterministic subsetting: all balancers shuffle the tier in the same way, and each takes a
-    /// section that starts in proportion to its own number. Independent random subsets contained some endpoints twice
-    /// as often as others. A change of one endpoint changes at most one member. Warming members get a random slow start
-    /// slot, so that not all balancers send to them at once.
+    /// section whose start is proportional to its own number. Independent random subsets contained some endpoints twice
+    /// as often as others. A change of one endpoint changes at most one member. Warming members get random slow start
+    /// slots, which keeps the balancers from sending to them all at once.
     pub(super) fn select_subset(&mut self, now: Timestamp) {
         let size = self.subset_size(now);
         self.sets.subset = self.shuffled(&self.sets.local);
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Returns the length of the subset that has `size` warm members. Warming members are additional: a balancer whose
-    /// subset was mostly warming up could send hardly anything.
+    /// Returns the length at which the subset has `size` warm members. Warming members are additional, because a
+    /// balancer whose subset is mostly warming up could send hardly anything.
     fn length_with_warm_members(&self, now: Timestamp, size: usize) -> usize {
         let subset = &self.sets.subset;
         let is_warm = |position: &usize| self.slow_start_share(now, subset[*position]).is_none();
@@ -62,7 +63,8 @@
         shuffled
     }
 
-    /// Returns how many endpoints the tier has for this balancer, each shared by [`BALANCERS_PER_ENDPOINT`].
+    /// Returns the number of endpoints in this balancer's share of the tier, if [`BALANCERS_PER_ENDPOINT`] balancers
+    /// share each endpoint.
     pub(super) fn fair_share_of_tier(&self) -> f64 {
         let available = self.sets.local.len() + self.sets.remote.len();
         available as f64 * BALANCERS_PER_ENDPOINT / f64::from(self.settings.balancers)
@@ -73,7 +75,7 @@
         MIN_SUBSET_SIZE.max(self.fair_share_of_tier().min(by_rate) as usize)
     }
 
-    /// Selects the subset again once the arrival rate allows twice its size.
+    /// Selects the subset again if the arrival rate allows at least twice its present size.
     pub(super) fn grow_subset(&mut self, now: Timestamp) {
         let can_grow = self.sets.subset.len() < self.sets.local.len();
         if can_grow && self.subset_size(now) >= 2 * self.sets.subset.len() {
@@ -82,7 +84,8 @@
     }
 }
 
-/// Returns an endpoint's position key in the shuffle, which is the same at every balancer and in every build (FNV-1a).
+/// Returns the key that sorts an endpoint in the shuffled order. The key is an FNV-1a hash, which is the same at every
+/// balancer and in every build.
 fn shuffle_key(id: &EndpointId) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
--- a/src/policy/suspension.rs
+++ b/src/policy/suspension.rs
@@ -1,10 +1,12 @@
-//! Which endpoints are suspended: those whose processes have ended, while no watch shows the list to be current.
+//! Suspension: endpoints whose processes have ended or are unknown are sent nothing while no watch confirms that the
+//! list is current.
 //!
-//! The list names processes. Once one has ended, a process that answers at its address may have been started for
-//! something else, may be warming up, or may be draining; only a current list tells.
+//! The list names processes. Once a process has ended, another process that answers at its address may serve a
+//! different purpose, may be warming up, or may be draining. Only a current list tells which.
 //!
-//! A list is overdue once any change since it was current would have to be in force, although discovery was reached. From
-//! then on only a connection that was opened while the list was current shows that the process that it names still runs.
+//! A list is overdue if discovery has been reached and the list was last current so long ago that any change since then
+//! would have to be in force. While it is overdue, only a connection that was opened while the list was current proves
+//! that the listed process still runs.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -15,20 +17,22 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// How long before the list was last current an end still counts: discovery lists an end some seconds after it.
+/// The end of a process counts if it came at most this long before the list was last current. Discovery lists the end
+/// of a process some seconds after it.
 const MAX_PROCESS_END_AGE: Duration = Duration::from_secs(15);
 
-/// How long after the list was last current its processes still count as running.
+/// The time for which the listed processes still count as running after the list was last current.
 const RECENT_LIST_AGE: Duration = Duration::from_secs(2);
-/// How much earlier than a change would have to be in force the list counts as overdue: attempts in between may be held up.
+/// The margin by which a list counts as overdue before a change would have to be in force. Attempts that are sent
+/// within the margin may be delayed.
 const OVERDUE_MARGIN: Duration = Duration::from_millis(500);
 
-/// How many endpoints a line of the log names.
+/// The highest number of endpoints that a log line names.
 const MAX_LOGGED_ENDPOINTS: usize = 8;
 
 impl Balancer {
-    /// Returns whether an endpoint that takes a connection now is the process that the list names, as far as any change that
-    /// says otherwise will be in force before the list is overdue.
+    /// Returns whether an endpoint that accepts a connection now counts as the process that the list names. That holds
+    /// while any change to the contrary will be in force before the list is overdue.
     #[must_use]
     pub fn list_names_running_processes(&self, now: Timestamp) -> bool {
         let schedule = &self.discovery_schedule;
@@ -50,7 +54,7 @@
             && schedule.stale_since.is_some_and(is_overdue)
     }
 
-    /// Records that the process of an endpoint has ended, and suspends the endpoint if the list may be old.
+    /// Records that the process of an endpoint has ended, and suspends the endpoint if the list may be outdated.
     pub(super) fn process_ended(
         &mut self,
         now: Timestamp,
@@ -63,8 +67,7 @@
         }
     }
 
-    /// Suspends the endpoints of which it is not known whether the process that the list names still runs, if the list may
-    /// be old.
+    /// Suspends the endpoints whose listed processes are not known to be running, if the list may be outdated.
     pub(super) fn suspend_unknown_processes(
         &mut self,
         now: Timestamp,
@@ -80,7 +83,7 @@
         self.update_suspensions(now, actions);
     }
 
-    /// Records that the list is current. It says of each endpoint what to do, so none is suspended.
+    /// Records that the list is current. A current list is authoritative for each endpoint, and none stays suspended.
     pub(super) fn list_confirmed(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         self.list_unconfirmed_since = None;
         self.update_suspensions(now, actions);
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Records that no watch shows the list to be current since a time.
+    /// Records that no watch has confirmed the list as current since a time.
     pub(super) fn list_unconfirmed(
         &mut self,
         now: Timestamp,
@@ -141,7 +144,7 @@
         has_changed
     }
 
-    /// Returns the line of the log for endpoints whose suspension has changed.
+    /// Returns the log line for endpoints whose suspension has changed.
     fn suspension_log_line(&self, changed: &[EndpointIndex]) -> String {
         let (suspended, resumed): (Vec<EndpointIndex>, Vec<EndpointIndex>) = changed
             .iter()
--- a/src/policy/thresholds.rs
+++ b/src/policy/thresholds.rs
@@ -1,8 +1,8 @@
 //! The abatement, onset and discard thresholds on queue lengths, for each priority level.
 
-/// The lowest abatement threshold, in requests: a shorter queue is empty again before its load report arrives.
+/// The lowest abatement threshold, in requests. A shorter queue is empty again before its load report arrives.
 const MIN_ABATEMENT_THRESHOLD: f64 = 0.3;
-/// The highest discard threshold, in requests: with a longer queue every level is discarded.
+/// The highest discard threshold, in requests. An endpoint with a longer queue discards every priority level.
 pub(super) const MAX_DISCARD_THRESHOLD: f64 = 2.6;
 
 #[derive(Debug)]
@@ -25,7 +25,8 @@
 }
 
 impl Thresholds {
-    /// Creates thresholds at equal distances between the lowest abatement and the highest discard threshold.
+    /// Creates the thresholds of a number of levels, evenly spaced from the lowest abatement threshold to the highest
+    /// discard threshold.
     pub(super) fn for_levels(count: usize) -> Self {
         let step =
             (MAX_DISCARD_THRESHOLD - MIN_ABATEMENT_THRESHOLD) / (3 * count.max(1) - 1) as f64;
@@ -55,7 +56,7 @@
         self.0.last().map_or(0.0, |level| level.onset)
     }
 
-    /// Returns how many levels' thresholds a queue length has reached.
+    /// Returns the number of levels whose thresholds a queue length has reached.
     pub(super) fn reached(&self, queue_length: f64) -> LevelsReached {
         let count = |threshold: fn(&LevelThresholds) -> f64| {
             let levels = self.0.iter();
--- a/src/policy/time.rs
+++ b/src/policy/time.rs
@@ -1,12 +1,11 @@
-//! The host's clock, as the decision module sees it.
+//! Timestamps and durations on the host's clock.
 
 use std::time::Duration;
 
-/// The longest duration that is computed from seconds, some thirty years: sums and small multiples of it do not
-/// overflow.
+/// The longest duration that is computed from seconds, about 30 years. Sums and small multiples of it do not overflow.
 const MAX_SECONDS: f64 = 1e9;
 
-/// A point in time on the host's clock, which starts anywhere and never goes backwards.
+/// A point in time on the host's clock, which is monotonic and has an arbitrary start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
@@ -23,7 +22,7 @@
         self.0
     }
 
-    /// Returns the time this much earlier, or the clock's zero.
+    /// Returns the timestamp that is earlier by a duration, or zero if that would be negative.
     #[must_use]
     pub fn minus(self, duration: Duration) -> Timestamp {
         let nanos = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
@@ -46,7 +45,8 @@
     }
 }
 
-/// Returns a duration of computed seconds: zero where they are negative or not a number.
+/// Converts seconds to a duration. Negative and NaN values become zero, and long durations are limited to
+/// [`MAX_SECONDS`].
 pub(super) fn duration_from_seconds(seconds: f64) -> Duration {
     let bounded = if seconds > MAX_SECONDS {
         MAX_SECONDS
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -1,11 +1,12 @@
-//! The one timer of a balancer: for the next call of discovery, and for queued requests.
+//! The timer of a balancer, which is shared by calls of discovery and queued requests.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::time::{Timestamp, duration_from_seconds};
 
 impl Balancer {
-    /// Opens a watch where that is due, and sets the timer if something is due before it expires.
+    /// Opens a watch if that is due. Sets the timer if the next call of discovery or the next check of the queue is due
+    /// before the timer expires.
     pub(super) fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.discovery_schedule.take_due(now) {
             actions.push(Action::Subscribe);
@@ -24,8 +25,9 @@
         }
     }
 
-    /// Returns when an endpoint may take a queued request, or when one reaches its queue deadline: at the next end of a
-    /// gap or of a key cool-down, and after an unloaded answer time at the latest.
+    /// Returns when the queue has to be checked next: at the next end of a gap or of a key cooldown, at the earliest
+    /// queue deadline, or after an unloaded answer time, whichever comes first. The next check is at least one tick
+    /// away.
     fn next_queue_check(&self, now: Timestamp) -> Timestamp {
         let latest = now + duration_from_seconds(self.unloaded_time());
         let gap_ends = self
@@ -40,8 +42,8 @@
             .max(now + self.settings.tick)
     }
 
-    /// Records that a timer has expired. It is identified by its token instead of the time, as a host's timer may
-    /// expire slightly early.
+    /// Records that a timer has expired. The timer is identified by its token, because the host may report it slightly
+    /// before its time.
     pub(super) fn timer_expired(&mut self, token: u64) {
         self.timer_expires_at = self.timer_expires_at.filter(|at| at.as_nanos() != token);
     }
--- a/src/policy/token_budget.rs
+++ b/src/policy/token_budget.rs
@@ -1,8 +1,8 @@
-//! Budgets of tokens that requests earn, and that retries and health checks spend.
+//! Token budgets. Requests earn tokens; retries and health checks spend them.
 
-/// Retries that may be saved up.
+/// The highest number of retries that may be saved up.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Health checks that may be saved up.
+/// The highest number of health checks that may be saved up.
 const MAX_SAVED_HEALTH_CHECKS: f64 = 4.0;
 
 /// The budgets of a balancer.
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds tokens, up to the bound.
+    /// Adds tokens, up to the highest number of saved tokens.
     pub(super) fn earn(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.max_tokens);
     }
