--- a/src/policy/settings_check.rs
+++ b/src/policy/settings_check.rs
@@ -1,4 +1,4 @@
-//! Which settings are valid.
+//! The validation of settings.
 
 use super::class_settings::{Class, Idempotency};
 use super::settings::{DiscoveryMode, Settings};
@@ -25,7 +25,7 @@
     value: T,
 }
 
-/// Settings by the constraint that applies to them.
+/// Settings, grouped by the constraint that applies to them.
 #[derive(Default)]
 struct SettingsByConstraint {
     durations: Vec<Setting<Duration>>,
@@ -38,9 +38,9 @@
     /// Checks that all settings are valid.
     ///
     /// # Errors
-    /// Returns the first invalid setting: no balancer or class, two classes with one name, an attempt limit of zero, a
-    /// fraction, price, weight or multiple that is out of range or not a number, a duration of more than a year, or a
-    /// duration of zero where that is not allowed.
+    /// Returns the first invalid setting: zero balancers, no class, two classes with the same name, an attempt limit of
+    /// zero, a fraction, price, weight or multiple that is out of range or not a number, a duration of more than a
+    /// year, or a duration of zero where that is not allowed.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validation_errors()
             .into_iter()
@@ -61,7 +61,7 @@
         if let Some(position) = repeated_class_position(&self.classes) {
             violations.push(violation(
                 &format!("classes[{position}].name"),
-                "is there twice",
+                "repeats the name of an earlier class",
             ));
         }
         if self.limits.max_attempts == 0 {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Returns the position of the first class whose name an earlier one has.
+/// Returns the position of the first class that has the same name as an earlier class.
 fn repeated_class_position(classes: &[Class]) -> Option<usize> {
     (1..classes.len()).find(|position| {
         classes[..*position]
@@ -202,7 +202,7 @@
         }
         for Setting { path, value } in &self.amounts {
             if !(0.0..=MAX_AMOUNT).contains(value) {
-                violations.push(violation(path, "is not from 0 to a thousand million"));
+                violations.push(violation(path, "is not from 0 to 1000000000"));
             }
         }
     }
