--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -84,7 +84,7 @@
             if is_decided {
                 return;
             }
-            // A host has to keep all timers in order; here there is one at a time.
+            // A real host keeps several timers and reports them in order. Here there is only one at a time.
             let timer = actions.iter().find_map(|action| match action {
                 Action::SetTimer { at, token } => Some((*at, *token)),
                 _ => None,
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the table keeps.
+//! Tests of the endpoint table.
 
 use crate::policy::*;
 use std::time::Duration;
@@ -46,7 +46,7 @@
     Balancer::new(Settings::new("a".into(), vec![class]), 1).expect("valid settings")
 }
 
-/// Handles an event, and returns the endpoints that a request was sent to.
+/// Handles an event, and returns the endpoints that requests were sent to.
 fn handle(balancer: &mut Balancer, now_ms: u64, event: Event) -> Vec<EndpointId> {
     let mut actions = Vec::new();
     let now = Timestamp::from_nanos(now_ms * 1_000_000);
@@ -58,8 +58,8 @@
     actions.into_iter().filter_map(send_target).collect()
 }
 
-/// Guards against growth where endpoints are replaced all day: the indices of removed endpoints are reused, but not
-/// while an attempt refers to them.
+/// Guards against unbounded growth of the table when endpoints are replaced continually. The index of a removed
+/// endpoint is reused, but not while an attempt refers to the endpoint.
 #[test]
 fn removed_endpoints_without_attempts_leave_the_table() {
     let mut balancer = new_balancer();
@@ -68,7 +68,7 @@
     let sent_to = handle(&mut balancer, 2, Event::Request(request("r")));
     assert!(
         sent_to.iter().any(|id| id.0.starts_with("first")),
-        "it is sent"
+        "the request is sent to the first endpoint"
     );
     let mut last = "first".to_string();
     for number in 0..500 {
@@ -82,11 +82,11 @@
     }
     assert!(
         balancer.endpoints.index_of(&"first".into()).is_some(),
-        "its attempt is in flight"
+        "the first endpoint has an attempt in flight"
     );
     assert_eq!(balancer.endpoints.len(), 2);
     let slots = balancer.endpoints.indices().len();
-    assert!(slots <= 4, "{slots}");
+    assert!(slots <= 4, "{slots} indices are in use or free");
 
     let disconnected = Event::ClientDisconnected {
         request: "r".into(),
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -1,14 +1,15 @@
 //! The deploy file names every file of the decision module that decides something.
 //!
-//! Operators read the files that `policy` in `deploy/balancer.toml` names to learn how the balancer decides. A decision
-//! or a tuned constant in a file that is not named there would be missed.
+//! Operators learn how the balancer decides from the files that `policy` in `deploy/balancer.toml` names. They would
+//! miss a decision or a tunable constant in any other file.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
 const POLICY_FOLDER: &str = "src/policy";
-/// Types of the constants that tune a decision. Others, such as a `Timestamp`, only name a special value.
+/// The types of constants that tune a decision. A constant of another type, such as `Timestamp`, only names a special
+/// value.
 const TUNABLE_TYPES: [&str; 5] = ["f64", "u32", "u64", "usize", "Duration"];
 
 fn root() -> PathBuf {
@@ -19,7 +20,7 @@
     fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The files that the deploy file names under `policy`.
+/// Returns the files that the deploy file names under `policy`.
 fn deployed_policy_files() -> Vec<String> {
     let deploy = read(&root().join("deploy/balancer.toml"));
     let policy = deploy
@@ -34,7 +35,7 @@
         .collect()
 }
 
-/// The text of each source file of the decision module, by its path from the root.
+/// Returns the text of each source file of the decision module, by its path from the root.
 fn policy_sources() -> BTreeMap<String, String> {
     let folder = fs::read_dir(root().join(POLICY_FOLDER)).expect("the policy folder");
     let paths = folder.map(|entry| entry.expect("an entry").path());
@@ -46,12 +47,12 @@
         .collect()
 }
 
-/// Whether a file reads or changes the balancer's state.
+/// Returns whether a file reads or changes the balancer's state.
 fn acts_on_balancer(text: &str) -> bool {
     text.contains("impl Balancer")
 }
 
-/// Whether a file defines a constant that tunes a decision.
+/// Returns whether a file defines a constant that tunes a decision.
 fn has_tunable_constant(text: &str) -> bool {
     let definitions = text.lines().filter_map(|line| line.split_once("const "));
     let typed = definitions.filter_map(|(_, definition)| definition.split_once(": "));
@@ -64,7 +65,7 @@
         })
 }
 
-/// The rows of the table of decisions in the module's documentation: the decision, and its files.
+/// Returns the rows of the table of decisions in the module's documentation. Each row has a decision and its files.
 fn documented_decisions() -> Vec<(String, Vec<String>)> {
     let text = read(&root().join(POLICY_FOLDER).join("mod.rs"));
     let rows = text
@@ -119,7 +120,7 @@
         let is_deployed = deployed.contains(&file);
         assert!(
             is_deployed || !has_tunable_constant(&text),
-            "{file} holds a constant to tune and is not in the deploy file"
+            "{file} defines a tunable constant and is not in the deploy file"
         );
     }
 }
@@ -132,12 +133,12 @@
     for (decision, files) in &decisions {
         for file in files {
             let other = owners.insert(file.clone(), decision);
-            assert_eq!(other, None, "{file} stands for two decisions");
+            assert_eq!(other, None, "{file} is listed for two decisions");
         }
     }
     let documented: BTreeSet<String> = owners.into_keys().collect();
     assert_eq!(
         deployed, documented,
-        "the deploy file and the module's table of decisions"
+        "the deploy file and the module's table of decisions name different files"
     );
 }
