--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn each_deployed_file_belongs_to_one_documented_decision() {
+fn deployed_files_match_decision_table() {
     let decisions = documented_decisions();
     let deployed: BTreeSet<String> = deployed_policy_files().into_iter().collect();
     let mut owners: BTreeMap<String, &str> = BTreeMap::new();
