--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -25,7 +25,7 @@
     pub(super) settings: Settings,
     pub(super) random: SeededRandom,
     pub(super) endpoints: EndpointTable,
-    pub(super) sets: EndpointSets,
+    pub(super) endpoint_sets: EndpointSets,
     pub(super) thresholds: Thresholds,
     pub(super) mean_queue_lengths: MeanQueueLengths,
     /// The mean slowdown of the tier.
@@ -62,7 +62,7 @@
         let mut balancer = Balancer {
             random: SeededRandom::new(seed),
             endpoints: EndpointTable::default(),
-            sets: EndpointSets::default(),
+            endpoint_sets: EndpointSets::default(),
             thresholds: Thresholds::default(),
             mean_queue_lengths: MeanQueueLengths::default(),
             mean_slowdown: 1.0,
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -39,7 +39,7 @@
         while self.budgets.health_checks.has_token() {
             let next_health_check =
                 |index: &&EndpointIndex| self.endpoints[**index].next_health_check;
-            let members = self.sets.subset.iter();
+            let members = self.endpoint_sets.subset.iter();
             let due = members.filter(|index| now >= next_health_check(index));
             let Some(index) = due.min_by_key(next_health_check).copied() else {
                 return;
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -123,10 +123,13 @@
         let available = endpoints
             .indices()
             .filter(|index| endpoints[*index].is_available);
-        (self.sets.local, self.sets.remote) =
+        (self.endpoint_sets.local, self.endpoint_sets.remote) =
             available.partition(|index| endpoints[*index].locality == Locality::Local);
-        if self.sets.local.is_empty() {
-            std::mem::swap(&mut self.sets.local, &mut self.sets.remote);
+        if self.endpoint_sets.local.is_empty() {
+            std::mem::swap(
+                &mut self.endpoint_sets.local,
+                &mut self.endpoint_sets.remote,
+            );
         }
         self.select_subset(now);
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -37,11 +37,11 @@
     /// come from the next tier.
     pub(super) fn failure_limit(&self, now: Timestamp, class: usize) -> FailureLimit {
         let class = (!self.is_unsafe(class)).then_some(class);
-        let members = self.sets.subset.iter();
+        let members = self.endpoint_sets.subset.iter();
         let sum: f64 = members
             .map(|index| self.failure_rate(now, *index, class))
             .sum();
-        let mean = sum / (self.sets.subset.len() + ASSUMED_HEALTHY_ENDPOINTS) as f64;
+        let mean = sum / (self.endpoint_sets.subset.len() + ASSUMED_HEALTHY_ENDPOINTS) as f64;
         FailureLimit {
             class,
             max_rate: mean + FAILURE_MARGIN,
@@ -119,11 +119,11 @@
     }
 
     fn is_most_of_subset_clear(&self, now: Timestamp) -> bool {
-        let members = self.sets.subset.iter();
+        let members = self.endpoint_sets.subset.iter();
         let clear = members
             .filter(|index| self.throttled_levels(now, **index).gapping == 0)
             .count();
-        2 * clear > self.sets.subset.len()
+        2 * clear > self.endpoint_sets.subset.len()
     }
 
     /// Updates an endpoint's failure rate after the end of an attempt. Rejections do not count.
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -99,7 +99,7 @@
     pub(super) fn gap(&mut self, now: Timestamp, queue_length: f64) -> Duration {
         let severity = (queue_length / self.thresholds.lowest_onset()).max(1.0);
         let arrival_rate = self.arrival_rate.per_second(now).max(MIN_ARRIVAL_RATE);
-        let usual_gap = self.sets.subset.len() as f64 / arrival_rate;
+        let usual_gap = self.endpoint_sets.subset.len() as f64 / arrival_rate;
         duration_from_seconds(severity * usual_gap * (MIN_GAP_FACTOR + self.random.unit_interval()))
     }
 
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -124,7 +124,7 @@
         criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
-        let members = self.sets.subset.iter().copied();
+        let members = self.endpoint_sets.subset.iter().copied();
         members
             .filter(|index| self.is_eligible(criteria, pending, *index))
             .collect()
@@ -147,8 +147,8 @@
             return;
         }
         for _ in 0..LOCAL_SAMPLES {
-            let sample = self.random.below(self.sets.local.len());
-            let Some(index) = self.sets.local.get(sample).copied() else {
+            let sample = self.random.below(self.endpoint_sets.local.len());
+            let Some(index) = self.endpoint_sets.local.get(sample).copied() else {
                 continue;
             };
             if candidates.len() < MAX_LOCAL_CANDIDATES && self.is_eligible(criteria, pending, index)
@@ -165,7 +165,7 @@
         criteria: &PickCriteria<'_>,
         pending: &PendingRequest,
     ) -> Vec<EndpointIndex> {
-        let members = || self.sets.remote_subset.iter().copied();
+        let members = || self.endpoint_sets.remote_subset.iter().copied();
         let connections_are_priced = self.settings.prices.handshake > 0.0;
         if connections_are_priced && members().any(|index| self.endpoints[index].in_flight > 0) {
             return Vec::new();
@@ -198,8 +198,8 @@
 
     /// Returns all local endpoints and the remote subset.
     fn selectable_endpoints(&self) -> impl Iterator<Item = EndpointIndex> {
-        let local = self.sets.local.iter();
-        local.chain(&self.sets.remote_subset).copied()
+        let local = self.endpoint_sets.local.iter();
+        local.chain(&self.endpoint_sets.remote_subset).copied()
     }
 
     /// Returns the gapping subset member whose gap ended first, for use while all members are throttled.
@@ -214,7 +214,7 @@
                 && gap_ends_at(index) <= criteria.now
                 && criteria.level >= self.throttled_levels(criteria.now, *index).discarding
         };
-        let members = self.sets.subset.iter().copied();
+        let members = self.endpoint_sets.subset.iter().copied();
         members.filter(is_due).min_by_key(gap_ends_at)
     }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -42,7 +42,7 @@
     pub(super) fn draw_slow_start_slot(&mut self, now: Timestamp, index: EndpointIndex) -> f64 {
         let share = self.slow_start_share(now, index).unwrap_or(f64::INFINITY);
         let unit_exponential = -(1.0 - self.random.unit_interval()).ln();
-        self.slow_start_clock + unit_exponential * self.sets.subset.len() as f64 / share
+        self.slow_start_clock + unit_exponential * self.endpoint_sets.subset.len() as f64 / share
     }
 
     /// Advances the clock for a send, unless the request was counted early.
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -21,16 +21,16 @@
     /// slots, which keeps the balancers from sending to them all at once.
     pub(super) fn select_subset(&mut self, now: Timestamp) {
         let size = self.subset_size(now);
-        self.sets.subset = self.shuffled(&self.sets.local);
+        self.endpoint_sets.subset = self.shuffled(&self.endpoint_sets.local);
         let length = self.length_with_warm_members(now, size);
-        self.sets.subset.truncate(length);
-        self.sets.remote_subset = self.shuffled(&self.sets.remote);
-        self.sets.remote_subset.truncate(size);
+        self.endpoint_sets.subset.truncate(length);
+        self.endpoint_sets.remote_subset = self.shuffled(&self.endpoint_sets.remote);
+        self.endpoint_sets.remote_subset.truncate(size);
         for endpoint in self.endpoints.iter_mut() {
             endpoint.in_subset = false;
         }
-        for position in 0..self.sets.subset.len() {
-            self.add_to_subset(now, self.sets.subset[position]);
+        for position in 0..self.endpoint_sets.subset.len() {
+            self.add_to_subset(now, self.endpoint_sets.subset[position]);
         }
     }
 
@@ -46,7 +46,7 @@
     /// Returns the length at which the subset has `size` warm members. Warming members are additional, because a
     /// balancer whose subset is mostly warming up could send hardly anything.
     fn length_with_warm_members(&self, now: Timestamp, size: usize) -> usize {
-        let subset = &self.sets.subset;
+        let subset = &self.endpoint_sets.subset;
         let is_warm = |position: &usize| self.slow_start_share(now, subset[*position]).is_none();
         let last = (0..subset.len()).filter(is_warm).nth(size - 1);
         last.map_or(subset.len(), |position| position + 1)
@@ -66,7 +66,7 @@
     /// Returns the number of endpoints in this balancer's share of the tier, if [`BALANCERS_PER_ENDPOINT`] balancers
     /// share each endpoint.
     pub(super) fn fair_share_of_tier(&self) -> f64 {
-        let available = self.sets.local.len() + self.sets.remote.len();
+        let available = self.endpoint_sets.local.len() + self.endpoint_sets.remote.len();
         available as f64 * BALANCERS_PER_ENDPOINT / f64::from(self.settings.balancers)
     }
 
@@ -77,8 +77,8 @@
 
     /// Selects the subset again if the arrival rate allows at least twice its present size.
     pub(super) fn grow_subset(&mut self, now: Timestamp) {
-        let can_grow = self.sets.subset.len() < self.sets.local.len();
-        if can_grow && self.subset_size(now) >= 2 * self.sets.subset.len() {
+        let can_grow = self.endpoint_sets.subset.len() < self.endpoint_sets.local.len();
+        if can_grow && self.subset_size(now) >= 2 * self.endpoint_sets.subset.len() {
             self.select_subset(now);
         }
     }
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -31,7 +31,7 @@
     fn next_queue_check(&self, now: Timestamp) -> Timestamp {
         let latest = now + duration_from_seconds(self.unloaded_time());
         let gap_ends = self
-            .sets
+            .endpoint_sets
             .subset
             .iter()
             .map(|index| self.endpoints[*index].gap_ends_at)
