--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -28,7 +28,7 @@
     pub(super) endpoint_sets: EndpointSets,
     pub(super) thresholds: Thresholds,
     pub(super) mean_queue_lengths: MeanQueueLengths,
-    /// The mean slowdown of the tier.
+    /// The mean slowdown of the tier: answer times as a multiple of the unloaded answer time.
     pub(super) mean_slowdown: f64,
     /// The state of each class by its [`ClassId`](super::ClassId), including classes that the settings no longer have.
     pub(super) classes: Vec<ClassState>,
--- a/src/policy/class.rs
+++ b/src/policy/class.rs
@@ -11,6 +11,7 @@
 pub(super) struct ClassState {
     /// When the class was removed from the settings. Pending requests may still refer to a removed class.
     pub(super) retired_at: Option<Timestamp>,
+    /// The priority level of its requests; 0 is the lowest.
     pub(super) level: usize,
     /// The answer time estimate in seconds, for a request of mean cost.
     pub(super) estimated_time: f64,
@@ -18,6 +19,7 @@
     pub(super) long_term_mean_time: f64,
     /// The unloaded answer time in seconds; 0 before it is known.
     pub(super) unloaded_time: f64,
+    /// The number of answers so far.
     pub(super) answers: u32,
     pub(super) hints: HintRegression,
 }
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -49,7 +49,7 @@
     pub(super) in_flight: u32,
     /// The queue length at the last update of the overload state.
     pub(super) queue_length: f64,
-    /// The mean slowdown.
+    /// The mean slowdown: answer times as a multiple of the unloaded answer time.
     pub(super) slowdown: f64,
     /// The number of gapping priority levels, from the lowest.
     pub(super) gapping_levels: usize,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,14 @@
 //! The decisions of a load balancer with overload control, without I/O. Each caller has one [`Balancer`].
 //!
 //! Each endpoint has an overload state for each priority level: clear, gapping or discarding. The state follows from
-//! the endpoint's queue length and the abatement, onset and discard thresholds of the level. A request is sent to the
-//! less loaded of two random members of a subset of the endpoints, excluding those that throttle its level. While all
-//! members throttle the level, the request is queued until a gap ends. Beyond the queue limit, requests of the lowest
-//! priority level are rejected.
+//! the endpoint's queue length and the abatement, onset and discard thresholds of the level. An endpoint throttles a
+//! level for which it is gapping or discarding: it is sent requests of that level only after a gap, or none at all. A
+//! request is sent to the less loaded of two random members of a subset of the endpoints, excluding those that throttle
+//! its level. While all members throttle the level, the request is queued until a gap ends. Beyond the queue limit,
+//! requests of the lowest priority level are rejected.
 //!
-//! A host builds [`Event`]s, passes them to [`Balancer::handle`], and carries out the returned [`Action`]s in order.
+//! The host is the program that embeds a balancer. It builds [`Event`]s, passes them to [`Balancer::handle`], and
+//! carries out the returned [`Action`]s in order.
 //!
 //! | decision | file |
 //! | --- | --- |
--- a/src/policy/thresholds.rs
+++ b/src/policy/thresholds.rs
@@ -5,6 +5,7 @@
 /// The highest discard threshold, in requests. An endpoint with a longer queue discards every priority level.
 pub(super) const MAX_DISCARD_THRESHOLD: f64 = 2.6;
 
+/// The thresholds of one priority level, in requests.
 #[derive(Debug)]
 struct LevelThresholds {
     abatement: f64,
