--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Drives one balancer by hand: list, request, throttling, queueing, timer, rejection and drain.
+//! Drives one balancer by hand: list, request, throttling, queueing, timer and drain.
 //!
 //! `cargo run --example embed`
 
@@ -120,7 +120,7 @@
     host.list_arrives(Readiness::Draining); // idle connections are closed
     host.request_arrives("d", 0); // no endpoint takes it: queued
     for number in 0..5 {
-        host.request_arrives(&format!("e{number}"), 0); // past the queue limit, the newest is rejected
+        host.request_arrives(&format!("e{number}"), 0); // queued; the newest is rejected only past the queue limit
     }
     Ok(())
 }
