--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Drives one balancer by hand: list, request, throttling, queueing, timer, rejection and drain.
+//! Drives one balancer by hand: list, request, throttling, queueing, timer and drain.
 //!
 //! `cargo run --example embed`
 
@@ -84,7 +84,7 @@
             if is_decided {
                 return;
             }
-            // A host has to keep all timers in order; here there is one at a time.
+            // A real host keeps several timers and reports them in order. Here there is only one at a time.
             let timer = actions.iter().find_map(|action| match action {
                 Action::SetTimer { at, token } => Some((*at, *token)),
                 _ => None,
@@ -120,7 +120,7 @@
     host.list_arrives(Readiness::Draining); // idle connections are closed
     host.request_arrives("d", 0); // no endpoint takes it: queued
     for number in 0..5 {
-        host.request_arrives(&format!("e{number}"), 0); // past the queue limit, the newest is rejected
+        host.request_arrives(&format!("e{number}"), 0); // queued; the newest is rejected only past the queue limit
     }
     Ok(())
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,4 +1,4 @@
-//! Which endpoints take work: by the lists of discovery and by the operators.
+//! Membership: the endpoints that take work, according to endpoint lists and operators.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -9,10 +9,10 @@
 use super::time::Timestamp;
 use std::collections::HashSet;
 
-/// The price of a crossing between zones from which on a balancer prefers its own zone. The number of balancers for
-/// each endpoint differs between zones; an even distribution over the whole tier is worth about two crossings of this
-/// price.
-const COSTLY_CROSSING_PRICE: f64 = 0.01;
+/// The price of attempts across zones from which on a balancer prefers its own zone. The number of balancers per
+/// endpoint differs between zones, and an even load over the whole tier is worth about two attempts across zones at
+/// this price.
+const COSTLY_CROSS_ZONE_PRICE: f64 = 0.01;
 
 impl Balancer {
     /// Applies an endpoint list, or the changes in it.
@@ -32,7 +32,7 @@
         }
         if kind != ListKind::Changes {
             for endpoint in self.endpoints.iter_mut() {
-                endpoint.unlist();
+                endpoint.mark_unlisted();
             }
         }
         for entry in entries {
@@ -49,12 +49,12 @@
         let locality = self.locality(index);
         let endpoint = &mut self.endpoints[index];
         endpoint.locality = locality;
-        endpoint.update(entry);
+        endpoint.apply_entry(entry);
         self.update_availability(index);
         self.close_idle_if_draining(index, actions);
     }
 
-    /// Removes endpoints that are no longer listed: where endpoints are replaced all day, they would accumulate. An
+    /// Removes endpoints that are no longer listed. They would accumulate if endpoints were replaced continually. An
     /// endpoint stays in the table while an attempt refers to it.
     fn remove_unlisted(&mut self) {
         if !self.endpoints.has_unlisted() {
@@ -68,8 +68,8 @@
         self.endpoints.remove_unlisted(&in_use);
     }
 
-    /// Closes idle connections to an endpoint that drains, which waits for them. Called on the notice, and after each
-    /// attempt there.
+    /// Closes idle connections to a draining endpoint, which waits until they are closed. Called for each list entry of
+    /// the endpoint and after each attempt there.
     pub(super) fn close_idle_if_draining(&self, index: EndpointIndex, actions: &mut Vec<Action>) {
         let endpoint = &self.endpoints[index];
         if endpoint.is_draining && self.settings.rules.drain_close.is_some() {
@@ -93,15 +93,15 @@
         self.repartition_endpoints(now);
     }
 
-    /// Enables an endpoint. It counts as warming up, as it may have restarted, which the list shows only later. Its
-    /// first request is due at once: with few requests, its slow start slot would come late.
+    /// Enables an endpoint. It counts as warming up, because it may have restarted and the list shows that only later.
+    /// Its first request does not wait for a slow start slot, which would come late at a balancer with few requests.
     pub(super) fn enable(&mut self, now: Timestamp, id: &EndpointId) {
         if !self.endpoints.enable(id) {
             return;
         }
         if let Some(index) = self.endpoints.index_of(id) {
             let endpoint = &mut self.endpoints[index];
-            endpoint.restart(endpoint.started_at);
+            endpoint.reset_process_state(endpoint.started_at);
             endpoint.enabled_at = Some(now);
             endpoint.awaits_first_send = true;
             self.update_availability(index);
@@ -109,23 +109,27 @@
         self.repartition_endpoints(now);
     }
 
-    /// Updates whether an endpoint takes work: by the list, by the operators, and by what was seen of its process.
+    /// Updates whether an endpoint takes work. It does if the list shows it as serving and it is neither disabled nor
+    /// suspended.
     pub(super) fn update_availability(&mut self, index: EndpointIndex) {
         let is_disabled = self.endpoints.is_disabled(&self.endpoints[index].id);
         let endpoint = &mut self.endpoints[index];
         endpoint.is_available = endpoint.is_serving && !is_disabled && !endpoint.is_suspended;
     }
 
-    /// Partitions the available endpoints into local and remote ones, and selects the subset again.
+    /// Partitions the available endpoints into local and remote ones, and selects the subsets again.
     pub(super) fn repartition_endpoints(&mut self, now: Timestamp) {
         let endpoints = &self.endpoints;
         let available = endpoints
             .indices()
             .filter(|index| endpoints[*index].is_available);
-        (self.sets.local, self.sets.remote) =
+        (self.endpoint_sets.local, self.endpoint_sets.remote) =
             available.partition(|index| endpoints[*index].locality == Locality::Local);
-        if self.sets.local.is_empty() {
-            std::mem::swap(&mut self.sets.local, &mut self.sets.remote);
+        if self.endpoint_sets.local.is_empty() {
+            std::mem::swap(
+                &mut self.endpoint_sets.local,
+                &mut self.endpoint_sets.remote,
+            );
         }
         self.select_subset(now);
     }
@@ -138,7 +142,7 @@
     }
 
     fn locality(&self, index: EndpointIndex) -> Locality {
-        let is_costly = self.settings.prices.cross_zone >= COSTLY_CROSSING_PRICE;
+        let is_costly = self.settings.prices.cross_zone >= COSTLY_CROSS_ZONE_PRICE;
         if is_costly && self.endpoints[index].zone != self.settings.zone {
             Locality::Remote
         } else {
