--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -36,7 +36,7 @@
 mod state;
 
 pub use active_configuration::ActiveSettings;
-pub use open_request::{FinalAnswer, RequestRejected};
+pub use open_request::{FinalAnswer, SubmitError};
 pub use operators::UnknownEndpoint;
 pub use process_messages::TakeoverEnd;
 pub use report::NodeReport;
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -25,13 +25,13 @@
 
 /// Why a request is not submitted to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RequestRejected {
+pub enum SubmitError {
     /// A request with its id is open.
     #[error("a request with this id is open")]
-    Repeated,
+    DuplicateId,
     /// The limit of unanswered requests is reached.
     #[error("too many requests are unanswered")]
-    TooMany,
+    TooManyUnanswered,
 }
 
 /// An open request: it is unanswered, or has attempts in flight.
--- a/src/sidecar/node/open_requests.rs
+++ b/src/sidecar/node/open_requests.rs
@@ -1,6 +1,6 @@
 //! The table of open requests.
 
-use super::open_request::{FinalAnswer, OpenRequest, RequestRejected};
+use super::open_request::{FinalAnswer, OpenRequest, SubmitError};
 use crate::policy::{Request, RequestId, Timestamp};
 use crate::sidecar::endpoint::ForwardedRequest;
 use std::collections::HashMap;
@@ -29,12 +29,12 @@
         request: &Request,
         forwarded: ForwardedRequest,
         max_open: u64,
-    ) -> Result<oneshot::Receiver<FinalAnswer>, RequestRejected> {
+    ) -> Result<oneshot::Receiver<FinalAnswer>, SubmitError> {
         if self.unanswered >= max_open {
-            return Err(RequestRejected::TooMany);
+            return Err(SubmitError::TooManyUnanswered);
         }
         if self.requests.contains_key(&request.id) {
-            return Err(RequestRejected::Repeated);
+            return Err(SubmitError::DuplicateId);
         }
         let (reply, answer) = oneshot::channel();
         let open_request = OpenRequest::new(forwarded, request.deadline, reply);
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -1,6 +1,6 @@
 //! Requests from their arrival to their one final answer.
 
-use super::open_request::{FinalAnswer, RequestRejected};
+use super::open_request::{FinalAnswer, SubmitError};
 use super::state::{Node, NodeHandle};
 use crate::policy::{Event, Request, RequestId, Timestamp};
 use crate::sidecar::endpoint::ForwardedRequest;
@@ -17,7 +17,7 @@
         &self,
         mut request: Request,
         forwarded: ForwardedRequest,
-    ) -> Result<oneshot::Receiver<FinalAnswer>, RequestRejected> {
+    ) -> Result<oneshot::Receiver<FinalAnswer>, SubmitError> {
         let mut node = self.borrow();
         let settings = node.configuration.settings();
         let max_open = settings.limits.max_open;
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -9,7 +9,7 @@
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::memory::MemoryReservation;
 use crate::sidecar::metrics::RequestCount;
-use crate::sidecar::node::{NodeHandle, RequestRejected};
+use crate::sidecar::node::{NodeHandle, SubmitError};
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
 use tokio::time::Instant;
@@ -72,8 +72,8 @@
     let forwarded = parsed.forwarded(head, received, memory);
     let mut pending = match PendingRequest::begin(node, parsed.request, forwarded) {
         Ok(pending) => pending,
-        Err(RequestRejected::TooMany) => return Ok(caller.reject_early()),
-        Err(RequestRejected::Repeated) => return Err(repeated_id()),
+        Err(SubmitError::TooManyUnanswered) => return Ok(caller.reject_early()),
+        Err(SubmitError::DuplicateId) => return Err(repeated_id()),
     };
     let answer = match upload {
         None => timeout.wait(&mut pending.answer).await,
--- a/src/sidecar/server/pending_request.rs
+++ b/src/sidecar/server/pending_request.rs
@@ -8,7 +8,7 @@
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::endpoint::ForwardedRequest;
 use crate::sidecar::metrics::RequestCount;
-use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected};
+use crate::sidecar::node::{FinalAnswer, NodeHandle, SubmitError};
 use hyper::StatusCode;
 use std::pin::pin;
 use std::time::Duration;
@@ -34,7 +34,7 @@
         node: &'a NodeHandle,
         request: PolicyRequest,
         forwarded: ForwardedRequest,
-    ) -> Result<Self, RequestRejected> {
+    ) -> Result<Self, SubmitError> {
         let id = request.id.clone();
         let answer = node.submit(request, forwarded)?;
         Ok(PendingRequest { node, id, answer })
