--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a request at an endpoint.
 
 use super::attempt_result::{AttemptResult, ResponseBody};
-use super::connect::{connect, report_refusal};
+use super::connect::{connect, report_if_refused};
 use super::connection::{EndpointConnection, ExchangeError, ExchangeKind};
 use super::forwarded_request::{AttemptSpec, ForwardedRequest};
 use super::hedged_dial::dial_hedged;
@@ -109,7 +109,7 @@
                 origin: ConnectionOrigin::New,
             }),
             Err(error) => {
-                report_refusal(self.host, target, &error);
+                report_if_refused(self.host, target, &error);
                 None
             }
         }
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -8,8 +8,8 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Response, StatusCode};
 
-const LOAD: HeaderName = HeaderName::from_static("x-load");
-const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
+const LOAD_HEADER: HeaderName = HeaderName::from_static("x-load");
+const NOT_RUN_HEADER: HeaderName = HeaderName::from_static("x-not-run");
 
 /// An endpoint's response that is forwarded to the client.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
         let (outcome, response) = match (head.status(), body) {
             (StatusCode::OK, Some(body)) => {
                 let mut headers = end_to_end_headers(head.headers());
-                headers.remove(LOAD);
+                headers.remove(LOAD_HEADER);
                 (Outcome::Served, Some(ServedResponse { headers, body }))
             }
             (StatusCode::OK, None) => (Outcome::Reset, None),
@@ -90,7 +90,7 @@
 /// Returns the first load report that can be parsed; a malformed one may precede it.
 fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     headers
-        .get_all(LOAD)
+        .get_all(LOAD_HEADER)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .find_map(parse_load_report)
@@ -105,7 +105,7 @@
     has_rejection_status
         && head
             .headers()
-            .get(NOT_RUN)
+            .get(NOT_RUN_HEADER)
             .is_some_and(|value| value == "1")
 }
 
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -49,7 +49,7 @@
 
 /// A value that no endpoint can have is ignored. A report without any valid value does not mean that the queue is empty.
 #[test]
-fn impossible_values_are_ignored() {
+fn out_of_range_values_are_ignored() {
     assert_eq!(result_of(200, &[]).report, None);
     for text in [
         "JSON {}",
--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -33,7 +33,7 @@
 }
 
 /// Reports to the host that the endpoint's process has ended, if that is why a connection failed.
-pub fn report_refusal(host: &impl EndpointHost, target: &Target, error: &io::Error) {
+pub fn report_if_refused(host: &impl EndpointHost, target: &Target, error: &io::Error) {
     if error.kind() == io::ErrorKind::ConnectionRefused {
         host.process_ended(target);
     }
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -25,16 +25,16 @@
 use tokio::sync::Notify;
 
 /// The size of a connection's read buffer, and so of the longest response head, in bytes.
-const READ_BUFFER: usize = 16 << 10;
+const READ_BUFFER_SIZE: usize = 16 << 10;
 /// The maximum number of informational (1xx) responses ahead of a final one.
-const MAX_INFORMATIONAL: usize = 16;
+const MAX_INFORMATIONAL_RESPONSES: usize = 16;
 
 /// A connection to an endpoint. Dropping it closes it.
 pub struct EndpointConnection {
     sender: SendRequest<RequestBody>,
     stream: Rc<TcpStream>,
     progress: Rc<WriteProgress>,
-    use_state: Rc<UseState>,
+    idle_state: Rc<IdleState>,
     reaches_known_process: bool,
     _task: Task,
 }
@@ -52,15 +52,15 @@
 }
 
 /// Whether a connection is in use, and what is to be done when it is reset while it is not.
-struct UseState {
+struct IdleState {
     /// An exchange on it is complete, and no other one has begun.
     is_idle: Cell<bool>,
     on_idle_reset: Cell<Option<Box<dyn FnOnce()>>>,
 }
 
-impl UseState {
+impl IdleState {
     /// Notes that the connection was reset.
-    fn reset(&self) {
+    fn on_reset(&self) {
         if self.is_idle.get()
             && let Some(on_idle_reset) = self.on_idle_reset.take()
         {
@@ -84,9 +84,9 @@
     /// The connection failed, or what came on it is not HTTP.
     #[error("the connection failed")]
     Http(#[from] hyper::Error),
-    /// More than [`MAX_INFORMATIONAL`] informational responses came. hyper passes over any number of them.
+    /// More than [`MAX_INFORMATIONAL_RESPONSES`] informational responses came. hyper passes over any number of them.
     #[error("too many informational responses")]
-    TooManyInformational,
+    TooManyInformationalResponses,
     /// The response's framing is not acceptable.
     #[error(transparent)]
     Framing(#[from] FramingError),
@@ -113,18 +113,18 @@
         let socket = ObservedSocket::new(stream.clone(), progress.clone());
         let mut builder = http1::Builder::new();
         let handshake = builder
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(READ_BUFFER_SIZE)
             .handshake(TokioIo::new(socket));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
-        let use_state = Rc::new(UseState {
+        let idle_state = Rc::new(IdleState {
             is_idle: Cell::new(false),
             on_idle_reset: Cell::new(Some(Box::new(on_idle_reset))),
         });
-        let state_of_task = use_state.clone();
+        let state_for_task = idle_state.clone();
         let task = Task::spawn(async move {
             // The attempt in progress learns of an error from its own future.
             if connection.await.is_err_and(|error| is_reset(&error)) {
-                state_of_task.reset();
+                state_for_task.on_reset();
             }
             drop((descriptor, known_process));
         });
@@ -132,7 +132,7 @@
             sender,
             stream,
             progress,
-            use_state,
+            idle_state,
             reaches_known_process,
             _task: task,
         })
@@ -156,11 +156,11 @@
             ExchangeKind::Attempt(_) => self.progress.on_attempt_started(),
             ExchangeKind::HealthCheck => self.progress.on_health_check_started(),
         }
-        self.use_state.is_idle.set(false);
-        let too_many_informational = limit_informational(&mut request);
+        self.idle_state.is_idle.set(false);
+        let too_many_informational = limit_informational_responses(&mut request);
         let response = tokio::select! {
             response = self.sender.try_send_request(request) => response.map_err(TrySendError::into_error)?,
-            () = too_many_informational.notified() => return Err(ExchangeError::TooManyInformational),
+            () = too_many_informational.notified() => return Err(ExchangeError::TooManyInformationalResponses),
         };
         check_framing(&response)?;
         let (head, body) = response.into_parts();
@@ -173,7 +173,7 @@
         };
         let body = receive_response(body, buffering).await;
         let is_complete = matches!(body, Ok(ReceivedResponse::Complete(_)));
-        self.use_state.is_idle.set(is_complete);
+        self.idle_state.is_idle.set(is_complete);
         Ok(EndpointResponse {
             head: hyper::Response::from_parts(head, ()),
             body,
@@ -196,7 +196,7 @@
         match sockets::state(&self.stream) {
             SocketState::OpenWithoutUnread => self.sender.is_ready(),
             SocketState::Reset => {
-                self.use_state.reset();
+                self.idle_state.on_reset();
                 false
             }
             SocketState::ClosedOrUnread => false,
@@ -221,11 +221,11 @@
 }
 
 /// Returns what is notified once the request has got more informational responses than allowed.
-fn limit_informational(request: &mut Request<RequestBody>) -> Arc<Notify> {
+fn limit_informational_responses(request: &mut Request<RequestBody>) -> Arc<Notify> {
     let too_many = Arc::new(Notify::new());
     let (received, notify) = (AtomicUsize::new(0), too_many.clone());
     hyper::ext::on_informational(request, move |_| {
-        if received.fetch_add(1, Ordering::Relaxed) >= MAX_INFORMATIONAL {
+        if received.fetch_add(1, Ordering::Relaxed) >= MAX_INFORMATIONAL_RESPONSES {
             notify.notify_one();
         }
     });
--- a/src/sidecar/endpoint/health_check.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -1,7 +1,7 @@
 //! Health checks: calls of an endpoint for its load report alone.
 
 use super::attempt_result::AttemptResult;
-use super::connect::{connect, report_refusal};
+use super::connect::{connect, report_if_refused};
 use super::connection::ExchangeKind;
 use super::forwarded_request::Target;
 use super::host::EndpointHost;
@@ -39,7 +39,7 @@
         None => match connect(host, target).await {
             Ok(connection) => connection,
             Err(error) => {
-                report_refusal(host, target, &error);
+                report_if_refused(host, target, &error);
                 return AttemptResult::without_response(Outcome::ConnectFailed);
             }
         },
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -36,8 +36,8 @@
             _ => {}
         }
     }
-    let names_queue = QUEUE_FIELDS.iter().any(|name| text.contains(name));
-    let has_queue = report.queue_length.or(report.in_flight).is_some();
-    let is_valid = report != LoadReport::default() && (has_queue || !names_queue);
+    let mentions_queue = QUEUE_FIELDS.iter().any(|name| text.contains(name));
+    let has_valid_queue = report.queue_length.or(report.in_flight).is_some();
+    let is_valid = report != LoadReport::default() && (has_valid_queue || !mentions_queue);
     is_valid.then_some(report)
 }
--- a/src/sidecar/endpoint/pool.rs
+++ b/src/sidecar/endpoint/pool.rs
@@ -51,11 +51,11 @@
 
 /// Whether a pool holds idle connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum IdleConnections {
+pub enum IdleConnectionPolicy {
     /// Connections are pooled.
-    Pooled,
+    Keep,
     /// Connections are closed after their exchange: another process needs the descriptors more.
-    Closed,
+    Close,
 }
 
 impl ConnectionPool {
@@ -109,10 +109,10 @@
     }
 
     /// Sets whether the pool holds idle connections. Those that it must not hold are closed.
-    pub fn set_idle_connections(&mut self, idle_connections: IdleConnections) {
-        match idle_connections {
-            IdleConnections::Pooled => self.max_idle_per_endpoint = MAX_IDLE_PER_BUSY_ENDPOINT,
-            IdleConnections::Closed => {
+    pub fn set_idle_policy(&mut self, idle_policy: IdleConnectionPolicy) {
+        match idle_policy {
+            IdleConnectionPolicy::Keep => self.max_idle_per_endpoint = MAX_IDLE_PER_BUSY_ENDPOINT,
+            IdleConnectionPolicy::Close => {
                 self.max_idle_per_endpoint = 0;
                 self.idle.clear();
             }
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -33,7 +33,7 @@
             Action::Subscribe => {
                 // A reload may have opened a watch already, and a second one would cost discovery a call.
                 if !self.endpoints.is_watching() {
-                    self.follow_discovery(handle);
+                    self.start_discovery_watch(handle);
                 }
             }
             Action::Unsubscribe => self.endpoints.stop_watch(),
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -32,8 +32,8 @@
         };
         let attempt = open_request.next_attempt();
         let Some(target) = target.filter(|_| open_request.is_unanswered()) else {
-            open_request.skip_attempt();
-            let event = self.attempt_end(&request, attempt, now, Outcome::NotSent, None);
+            open_request.add_unsent_attempt();
+            let event = self.record_attempt_end(&request, attempt, now, Outcome::NotSent, None);
             self.queue_event(event);
             return;
         };
@@ -55,14 +55,15 @@
             return;
         };
         if let Some(sent_at) = open_request.end_attempt(attempt) {
-            let event = self.attempt_end(request, attempt, sent_at, Outcome::Cancelled, None);
+            let event =
+                self.record_attempt_end(request, attempt, sent_at, Outcome::Cancelled, None);
             self.queue_event(event);
-            self.requests.remove_if_over(request);
+            self.requests.remove_if_finished(request);
         }
     }
 
     /// Counts the end of an attempt, and returns the event that reports it to the balancer.
-    pub(super) fn attempt_end(
+    pub(super) fn record_attempt_end(
         &mut self,
         request: &RequestId,
         attempt: AttemptNumber,
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -4,8 +4,8 @@
 use crate::sidecar::caller::{AcceptedCaller, Admission, CallerTable, DrainState};
 use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, Side};
 use crate::sidecar::endpoint::{
-    ConnectionPool, EndpointConnection, IdleConnections, KnownProcess, KnownProcesses, SweepTask,
-    Target,
+    ConnectionPool, EndpointConnection, IdleConnectionPolicy, KnownProcess, KnownProcesses,
+    SweepTask, Target,
 };
 use crate::task::Task;
 use tokio::time::Instant;
@@ -100,7 +100,7 @@
     }
 
     /// Returns whether a connection is open to the process that the list names at an endpoint.
-    pub fn knows(&self, target: &Target) -> bool {
+    pub fn is_known_process(&self, target: &Target) -> bool {
         self.known_processes.contains(target)
     }
 
@@ -137,21 +137,21 @@
     /// Another process accepts callers from now on, and needs the descriptors of idle connections more.
     pub fn suspend_accepting(&mut self) {
         self.callers.suspend_accepting();
-        self.pool.set_idle_connections(IdleConnections::Closed);
+        self.pool.set_idle_policy(IdleConnectionPolicy::Close);
     }
 
     /// No other process accepts callers any more. Returns whether this one does so again.
     pub fn resume_accepting(&mut self) -> bool {
         let has_resumed = self.callers.resume_accepting();
         if has_resumed {
-            self.pool.set_idle_connections(IdleConnections::Pooled);
+            self.pool.set_idle_policy(IdleConnectionPolicy::Keep);
         }
         has_resumed
     }
 
     /// Keeps idle connections to endpoints again.
-    pub fn keep_idle(&mut self) {
-        self.pool.set_idle_connections(IdleConnections::Pooled);
+    pub fn keep_idle_connections(&mut self) {
+        self.pool.set_idle_policy(IdleConnectionPolicy::Keep);
     }
 
     /// Begins a drain, which a task takes through its further states.
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -56,7 +56,7 @@
     }
 
     /// Starts a watch on discovery, in place of the one that there was.
-    pub(super) fn follow_discovery(&mut self, handle: &NodeHandle) {
+    pub(super) fn start_discovery_watch(&mut self, handle: &NodeHandle) {
         let mode = self.discovery_mode();
         self.endpoints.start_watch(handle.clone(), mode);
         let now = self.clock.now();
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -82,8 +82,8 @@
     fn known_process(&self, target: &Target) -> Option<KnownProcess> {
         let node = self.borrow();
         let now = node.clock.now();
-        let is_known =
-            node.balancer.list_names_running_processes(now) || node.connections.knows(target);
+        let is_known = node.balancer.list_names_running_processes(now)
+            || node.connections.is_known_process(target);
         is_known.then(|| node.connections.add_known_process(target))
     }
 
@@ -94,7 +94,7 @@
 
     /// The balancer is given all known processes at once, so that it does not try the others one by one.
     fn unknown_process_reached(&self) {
-        let endpoints = self.borrow().known_processes();
+        let endpoints = self.borrow().endpoints_with_known_process();
         self.handle(Event::OnlyKnownProcesses { endpoints });
     }
 
@@ -110,7 +110,7 @@
             });
         }
         self.handle(event);
-        self.borrow().requests.remove_if_over(request);
+        self.borrow().requests.remove_if_finished(request);
     }
 
     fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
@@ -134,11 +134,11 @@
 
 impl Node {
     /// Returns the endpoints at which the process that the list names is known to run.
-    fn known_processes(&self) -> HashSet<EndpointId> {
+    fn endpoints_with_known_process(&self) -> HashSet<EndpointId> {
         let serving = self.endpoints.serving();
         let targets = serving.filter_map(|endpoint| self.endpoints.target(endpoint));
         targets
-            .filter(|target| self.connections.knows(target))
+            .filter(|target| self.connections.is_known_process(target))
             .map(|target| target.endpoint)
             .collect()
     }
@@ -152,8 +152,10 @@
         if let Some(response) = result.response {
             self.answer(&spec.request, FinalAnswer::Served(response));
         }
-        let sent_at = self.started_at(spec).map_or(sent_at, |at| at.max(sent_at));
-        Some(self.attempt_end(
+        let sent_at = self
+            .upload_completed_at(spec)
+            .map_or(sent_at, |at| at.max(sent_at));
+        Some(self.record_attempt_end(
             &spec.request,
             spec.attempt,
             sent_at,
@@ -163,7 +165,7 @@
     }
 
     /// Returns when a streamed upload was complete: the endpoint answers it from then on.
-    fn started_at(&self, spec: &AttemptSpec) -> Option<Timestamp> {
+    fn upload_completed_at(&self, spec: &AttemptSpec) -> Option<Timestamp> {
         let upload = spec.forwarded.upload.as_ref()?;
         let completed_at = upload.completed_at()?;
         Some(self.clock.timestamp(completed_at))
--- a/src/sidecar/node/first_list_tests.rs
+++ b/src/sidecar/node/first_list_tests.rs
@@ -50,7 +50,7 @@
 /// Guards a hot restart where nothing has changed since the cached list: the watch is open and sends nothing up to its first
 /// heartbeat, which must not delay readiness for as long as an unreachable discovery does.
 #[test]
-fn new_process_is_ready_soon_after_its_watch_opens_without_a_list() {
+fn watch_without_list_ends_wait_for_first_list() {
     with_new_process(async |node| {
         assert!(!node.borrow().is_ready(), "discovery has not been reached");
         let source = node.borrow().endpoints.source();
@@ -64,7 +64,7 @@
 /// Guards a hot restart while discovery is unreachable: callers do not depend on a list that may be old at once, but do
 /// after a limited time.
 #[test]
-fn new_process_waits_a_limited_time_for_an_unreachable_discovery() {
+fn unreachable_discovery_delays_readiness_for_limited_time() {
     with_new_process(async |node| {
         advance(Duration::from_millis(2_900)).await;
         assert!(!node.borrow().is_ready());
--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns whether the last change could not be stored, so that the shared directory lacks it.
-    pub fn is_store_behind(&self) -> bool {
+    pub fn is_store_stale(&self) -> bool {
         self.directory
             .as_ref()
             .is_some_and(|directory| directory.disabled_endpoints().is_stale())
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -38,18 +38,18 @@
 pub struct OpenRequest {
     forwarded: Rc<ForwardedRequest>,
     deadline: Timestamp,
-    reply: Reply,
+    reply: ReplyState,
     /// By their numbers.
     attempts: Vec<OpenAttempt>,
     last_outcome: Option<Outcome>,
 }
 
 /// Whether a request waits for its final answer.
-enum Reply {
+enum ReplyState {
     /// Whoever takes the sender answers the request.
-    Awaited(oneshot::Sender<FinalAnswer>),
+    Pending(oneshot::Sender<FinalAnswer>),
     /// It has its final answer, or its client has disconnected.
-    Given,
+    Taken,
 }
 
 /// An attempt of an open request.
@@ -73,7 +73,7 @@
         OpenRequest {
             forwarded: Rc::new(forwarded),
             deadline,
-            reply: Reply::Awaited(reply),
+            reply: ReplyState::Pending(reply),
             attempts: Vec::new(),
             last_outcome: None,
         }
@@ -91,14 +91,14 @@
 
     /// Returns whether it waits for its final answer.
     pub fn is_unanswered(&self) -> bool {
-        matches!(self.reply, Reply::Awaited(_))
+        matches!(self.reply, ReplyState::Pending(_))
     }
 
     /// Takes the sender of its final answer; `None` once it was taken.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
-        match std::mem::replace(&mut self.reply, Reply::Given) {
-            Reply::Awaited(reply) => Some(reply),
-            Reply::Given => None,
+        match std::mem::replace(&mut self.reply, ReplyState::Taken) {
+            ReplyState::Pending(reply) => Some(reply),
+            ReplyState::Taken => None,
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Adds the next attempt, which ends before it has begun.
-    pub fn skip_attempt(&mut self) {
+    pub fn add_unsent_attempt(&mut self) {
         self.attempts.push(OpenAttempt::Ended);
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Returns whether it is answered and has no attempts in flight, so that the balancer has forgotten it too.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         let is_in_flight = |attempt: &OpenAttempt| matches!(attempt, OpenAttempt::InFlight { .. });
         !self.is_unanswered() && !self.attempts.iter().any(is_in_flight)
     }
--- a/src/sidecar/node/open_requests.rs
+++ b/src/sidecar/node/open_requests.rs
@@ -68,7 +68,7 @@
         if let Some(reply) = self.take_reply(request) {
             // The receiver may just have been dropped: the request is over either way.
             let _ = reply.send(answer);
-            self.remove_if_over(request);
+            self.remove_if_finished(request);
         }
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// Removes a request that is answered and has no attempts in flight, as the balancer does.
-    pub fn remove_if_over(&mut self, request: &RequestId) {
-        if self.get(request).is_some_and(OpenRequest::is_over) {
+    pub fn remove_if_finished(&mut self, request: &RequestId) {
+        if self.get(request).is_some_and(OpenRequest::is_finished) {
             self.requests.remove(request);
         }
     }
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -74,7 +74,7 @@
         drop(guard);
         for endpoint in disabled.symmetric_difference(&stored) {
             let state = AdminState::from_disabled(stored.contains(endpoint));
-            if state.is_disabled() || !self.borrow().hot_restart.is_store_behind() {
+            if state.is_disabled() || !self.borrow().hot_restart.is_store_stale() {
                 self.apply_admin_state(&endpoint.as_str().into(), state);
             }
         }
@@ -83,7 +83,7 @@
     /// Accepts callers again after the new process has ended.
     pub fn takeover_ended(&self) -> TakeoverEnd {
         let mut node = self.borrow();
-        node.connections.keep_idle();
+        node.connections.keep_idle_connections();
         let has_resumed = node.connections.resume_accepting();
         if node.connections.callers().is_shutting_down() {
             TakeoverEnd::ShuttingDown
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -69,7 +69,7 @@
     fn move_discovery(&mut self, handle: &NodeHandle, address: SocketAddr) -> SourceChange {
         let change = self.endpoints.move_to(address);
         if change == SourceChange::Moved {
-            self.follow_discovery(handle);
+            self.start_discovery_watch(handle);
         }
         change
     }
@@ -99,7 +99,7 @@
             self.execute(handle, action);
         }
         if mode_changes {
-            self.follow_discovery(handle);
+            self.start_discovery_watch(handle);
         }
         Ok(changed)
     }
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -43,7 +43,7 @@
         self.handle(Event::ClientDisconnected {
             request: request.clone(),
         });
-        self.borrow().requests.remove_if_over(request);
+        self.borrow().requests.remove_if_finished(request);
     }
 
     /// The deadline was exceeded without an answer of the balancer, which is a bug; the caller answers by itself.
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -89,8 +89,8 @@
             node.borrow().endpoints.set_cached_version(list.index);
             node.apply_list(list, ListKind::Cached);
         }
-        if cached_list.is_none() || node.borrow().follows_at_once(mode) {
-            node.borrow().follow_discovery(&node);
+        if cached_list.is_none() || node.borrow().watches_at_once(mode) {
+            node.borrow().start_discovery_watch(&node);
         }
         if mode == StartMode::HotRestart {
             node.borrow().await_first_list();
@@ -164,7 +164,7 @@
     }
 
     /// Returns whether a node follows discovery without waiting for its balancer to subscribe.
-    fn follows_at_once(&self, mode: StartMode) -> bool {
+    fn watches_at_once(&self, mode: StartMode) -> bool {
         mode == StartMode::HotRestart || self.discovery_mode() == DiscoveryMode::Pushed
     }
 
