--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -29,7 +29,7 @@
     spec: &'a AttemptSpec,
 }
 
-/// A connection for an attempt.
+/// A connection for an attempt, and where it came from.
 struct AcquiredConnection {
     connection: EndpointConnection,
     origin: ConnectionOrigin,
@@ -37,9 +37,9 @@
 
 #[derive(PartialEq)]
 enum ConnectionOrigin {
-    /// It was idle in the pool, and the endpoint may have closed it meanwhile.
+    /// Taken from the pool. The endpoint may have closed it while it was idle.
     Pool,
-    /// It was opened for this attempt.
+    /// Opened for this attempt.
     New,
 }
 
@@ -72,7 +72,7 @@
                 && acquired.origin == ConnectionOrigin::Pool
                 && is_unwritten;
             if was_closed_while_idle && !self.forwarded().is_consumed() {
-                continue; // nothing was sent: the attempt still has to begin
+                continue; // no byte was written: try another connection
             }
             return AttemptResult::without_response(if progress.is_complete() {
                 failure
@@ -86,9 +86,9 @@
         &self.spec.forwarded
     }
 
-    /// Takes an idle connection from the pool or opens a new one. An endpoint may close an idle connection at any time, or
-    /// reset it at the next request, which may have run by then. A request that must not run twice would be lost that way,
-    /// so it always gets a new connection.
+    /// Takes an idle connection from the pool or opens a new one. A request that must not run twice always gets a new
+    /// connection: an endpoint may close an idle one at any time, or reset it at the next request. That request may
+    /// have run by then, so it could not be sent again.
     async fn acquire(&self, deadline: Instant) -> Option<AcquiredConnection> {
         let target = &self.spec.target;
         if self.forwarded().is_repeatable
@@ -99,7 +99,7 @@
                 origin: ConnectionOrigin::Pool,
             });
         }
-        // Only the first dial may evict other connections for its descriptor.
+        // Only the first dial may evict an idle connection; a further one is started only if a descriptor is free.
         let dial = || connect(self.host, target);
         let may_hedge = || !self.host.descriptors_exhausted();
         let connect_timeout = self.host.connect_timeout();
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Sends the request and receives the response, or its beginning. Returns `None` when it did not come in time.
+    /// Sends the request and receives the response, or its beginning. Returns `None` if it did not arrive by the
+    /// deadline.
     async fn exchange(
         &self,
         connection: &mut EndpointConnection,
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's response means for its attempt.
+//! Results of attempts and health checks, as derived from endpoints' responses.
 
 use super::forwarded_request::end_to_end_headers;
 use super::load_report::parse_load_report;
@@ -8,13 +8,15 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Response, StatusCode};
 
+/// The header of an endpoint's load report.
 const LOAD_HEADER: HeaderName = HeaderName::from_static("x-load");
+/// The header whose value `1` states that the endpoint has not run the request.
 const NOT_RUN_HEADER: HeaderName = HeaderName::from_static("x-not-run");
 
 /// An endpoint's response that is forwarded to the client.
 #[derive(Debug)]
 pub struct ServedResponse {
-    /// Its headers, without those that belong to the endpoint's connection.
+    /// Its headers, without hop-by-hop headers and the load report.
     pub headers: HeaderMap,
     /// Its body.
     pub body: ResponseBody,
@@ -23,9 +25,9 @@
 /// The body of an endpoint's response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// It is too large to be buffered, or there is no memory for it: it is forwarded while it is received.
+    /// A body that is too large to buffer or exceeds the memory budget. It is forwarded while it is received.
     Streamed(Box<StreamedResponse>),
 }
 
@@ -36,7 +38,7 @@
     pub outcome: Outcome,
     /// The endpoint's load report, if the response had one.
     pub report: Option<LoadReport>,
-    /// The response to forward: with [`Outcome::Served`] of an attempt, and only then.
+    /// The response to forward. Set for an attempt with [`Outcome::Served`], and for nothing else.
     pub response: Option<ServedResponse>,
 }
 
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Creates the result of an attempt that got this response; `body` is `None` where it could not be received.
+    /// Creates the result of an attempt that got a response. `body` is `None` if it was not received or is not
+    /// forwarded.
     pub fn from_response(head: &Response<()>, body: Option<ResponseBody>) -> Self {
         let (outcome, response) = match (head.status(), body) {
             (StatusCode::OK, Some(body)) => {
@@ -69,7 +72,8 @@
         }
     }
 
-    /// Creates the result of a health check, whose response body is the load report.
+    /// Creates the result of a health check. The load report is read from the header, or else from the body of a served
+    /// response.
     pub fn from_health_check(head: &Response<()>, body: Option<Bytes>) -> Self {
         let text = body
             .as_ref()
@@ -87,7 +91,7 @@
     }
 }
 
-/// Returns the first load report that can be parsed; a malformed one may precede it.
+/// Returns the first valid load report. Malformed ones before it are skipped.
 fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     headers
         .get_all(LOAD_HEADER)
@@ -96,7 +100,7 @@
         .find_map(parse_load_report)
 }
 
-/// Returns whether the endpoint says that it rejected the request before running any of it.
+/// Returns whether the response states that the endpoint rejected the request before running any of it.
 fn is_early_rejection(head: &Response<()>) -> bool {
     let has_rejection_status = matches!(
         head.status(),
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -11,7 +11,7 @@
     AttemptResult::from_response(&head, Some(ResponseBody::Complete(Bytes::new())))
 }
 
-/// Load reports come with every response, and matter most with errors.
+/// Load reports are read from responses of every status. Those of error responses matter most.
 #[test]
 fn load_reports_are_parsed_with_every_status() {
     let load = (
@@ -47,7 +47,8 @@
     }
 }
 
-/// A value that no endpoint can have is ignored. A report without any valid value does not mean that the queue is empty.
+/// Malformed and out-of-range values are ignored. A report without any valid value counts as absent, not as an empty
+/// queue.
 #[test]
 fn out_of_range_values_are_ignored() {
     assert_eq!(result_of(200, &[]).report, None);
--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// Opens a connection. Another one may be closed for its descriptor.
+/// Opens a connection to an endpoint. An idle connection may be evicted to free a descriptor for it.
 ///
 /// # Errors
 /// No descriptor is available, or the connection was not established.
@@ -21,7 +21,7 @@
     let progress = WriteProgress::new(permit.attempts_written);
     let known_process = host.known_process(target);
     let (host, target) = (host.clone(), target.clone());
-    // The host may be in use while the reset is noticed.
+    // Runs in a task of its own, because the host may be borrowed when the reset is detected.
     let on_idle_reset = move || drop(spawn_local(async move { host.process_ended(&target) }));
     let connection = OpenedConnection {
         stream,
@@ -32,7 +32,7 @@
     EndpointConnection::handshake(connection, on_idle_reset).await
 }
 
-/// Reports to the host that the endpoint's process has ended, if that is why a connection failed.
+/// Reports to the host that the endpoint's process has ended, if it refused the connection.
 pub fn report_if_refused(host: &impl EndpointHost, target: &Target, error: &io::Error) {
     if error.kind() == io::ErrorKind::ConnectionRefused {
         host.process_ended(target);
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -24,9 +24,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// The size of a connection's read buffer, and so of the longest response head, in bytes.
+/// The size of a connection's read buffer in bytes, which also limits the length of a response head.
 const READ_BUFFER_SIZE: usize = 16 << 10;
-/// The maximum number of informational (1xx) responses ahead of a final one.
+/// The maximum number of informational (1xx) responses before the final one.
 const MAX_INFORMATIONAL_RESPONSES: usize = 16;
 
 /// A connection to an endpoint. Dropping it closes it.
@@ -39,27 +39,27 @@
     _task: Task,
 }
 
-/// What a connection is made of.
+/// The parts of an [`EndpointConnection`] before its handshake.
 pub struct OpenedConnection {
     /// The connected socket.
     pub stream: TcpStream,
-    /// The progress of what is written to it.
+    /// The progress of writes to it.
     pub progress: WriteProgress,
-    /// Its descriptor.
+    /// Its share of the descriptor budget.
     pub descriptor: DescriptorPermit,
-    /// Set if it is known to reach the process that the list names.
+    /// Set if the connection is known to reach the process that the endpoint list names.
     pub known_process: Option<KnownProcess>,
 }
 
-/// Whether a connection is in use, and what is to be done when it is reset while it is not.
+/// The idle flag of a connection, and the callback for a reset while it is idle.
 struct IdleState {
-    /// An exchange on it is complete, and no other one has begun.
+    /// Set from the end of a complete exchange to the start of the next one.
     is_idle: Cell<bool>,
     on_idle_reset: Cell<Option<Box<dyn FnOnce()>>>,
 }
 
 impl IdleState {
-    /// Notes that the connection was reset.
+    /// Handles a reset of the connection: calls `on_idle_reset` if it is idle, and only the first time.
     fn on_reset(&self) {
         if self.is_idle.get()
             && let Some(on_idle_reset) = self.on_idle_reset.take()
@@ -69,7 +69,7 @@
     }
 }
 
-/// What an exchange on a connection is for.
+/// The purpose of an exchange on a connection.
 #[derive(Clone, Copy)]
 pub enum ExchangeKind<'a> {
     /// An attempt. It is counted, and its response is buffered within this budget.
@@ -81,10 +81,11 @@
 /// Why an exchange got no response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// The connection failed, or what came on it is not HTTP.
+    /// The connection failed, or the endpoint sent invalid HTTP.
     #[error("the connection failed")]
     Http(#[from] hyper::Error),
-    /// More than [`MAX_INFORMATIONAL_RESPONSES`] informational responses came. hyper passes over any number of them.
+    /// More than [`MAX_INFORMATIONAL_RESPONSES`] informational responses arrived. hyper itself skips any number of
+    /// them.
     #[error("too many informational responses")]
     TooManyInformationalResponses,
     /// The response's framing is not acceptable.
@@ -97,7 +98,7 @@
     /// complete exchange and before the next.
     ///
     /// # Errors
-    /// The handshake with hyper failed.
+    /// hyper failed to set up the connection.
     pub async fn handshake(
         connection: OpenedConnection,
         on_idle_reset: impl FnOnce() + 'static,
@@ -122,7 +123,7 @@
         });
         let state_for_task = idle_state.clone();
         let task = Task::spawn(async move {
-            // The attempt in progress learns of an error from its own future.
+            // An exchange in progress gets the error from its own future.
             if connection.await.is_err_and(|error| is_reset(&error)) {
                 state_for_task.on_reset();
             }
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Returns what has been written to the connection.
+    /// Returns the progress of writes to the connection.
     pub fn progress(&self) -> &Rc<WriteProgress> {
         &self.progress
     }
@@ -146,7 +147,7 @@
     /// Sends a request and receives its response, or as much of it as may be buffered.
     ///
     /// # Errors
-    /// There was no acceptable response head.
+    /// No acceptable response head was received.
     pub async fn exchange(
         &mut self,
         mut request: Request<RequestBody>,
@@ -190,8 +191,8 @@
         self.sender.is_closed()
     }
 
-    /// Returns whether the connection can carry a request now: it is open, and has no unread bytes, which would be taken
-    /// for the next request's response.
+    /// Returns whether the connection can carry a request now: it is open and has no unread bytes. Unread bytes would
+    /// be taken for the next request's response.
     pub fn is_ready(&self) -> bool {
         match sockets::state(&self.stream) {
             SocketState::OpenWithoutUnread => self.sender.is_ready(),
@@ -220,7 +221,8 @@
     source.is_some_and(|error: &io::Error| error.kind() == io::ErrorKind::ConnectionReset)
 }
 
-/// Returns what is notified once the request has got more informational responses than allowed.
+/// Returns a [`Notify`] that is notified once the request has received more than [`MAX_INFORMATIONAL_RESPONSES`]
+/// informational responses.
 fn limit_informational_responses(request: &mut Request<RequestBody>) -> Arc<Notify> {
     let too_many = Arc::new(Notify::new());
     let (received, notify) = (AtomicUsize::new(0), too_many.clone());
--- a/src/sidecar/endpoint/forwarded_request.rs
+++ b/src/sidecar/endpoint/forwarded_request.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the sender of a request waits for its response, in seconds.
+/// The header that states how long the sender of a request waits for its response, in seconds.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline");
 
 /// Headers that belong to a connection and not to the message, or that hyper sets itself.
@@ -29,22 +29,22 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// What of a request is forwarded. It is the same in each attempt.
+/// The part of a request that is forwarded to endpoints. It is the same in each attempt.
 #[derive(Debug)]
 pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
     pub path: PathAndQuery,
-    /// Its headers, without those that belong to the caller's connection.
+    /// Its headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body as far as that is buffered.
+    /// The buffered part of its body: all of it, or its beginning if there is an upload.
     pub body: Bytes,
     /// The rest of a body that is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
-    /// Whether it may run twice, so that another attempt can follow one that may have run.
+    /// Whether the request may run twice. If so, another attempt can follow one that may have run.
     pub is_repeatable: bool,
-    /// The memory that the body takes.
+    /// The reservation of the memory that the body takes.
     pub _memory: MemoryReservation,
 }
 
@@ -55,7 +55,7 @@
     pub endpoint: EndpointId,
     /// The address that it listens on.
     pub address: SocketAddr,
-    /// When the endpoint's process was started, which tells it from an earlier process of the same endpoint.
+    /// When the endpoint's process was started. It distinguishes the process from earlier ones of the same endpoint.
     pub started_at: Option<Timestamp>,
 }
 
@@ -75,14 +75,15 @@
 }
 
 impl ForwardedRequest {
-    /// Returns whether some of a body that is not buffered has been streamed, so that no other attempt can be made.
+    /// Returns whether an attempt has begun to stream the part of the body that is not buffered. No other attempt can
+    /// be made then.
     pub fn is_consumed(&self) -> bool {
         self.upload
             .as_ref()
             .is_some_and(|upload| upload.is_consumed())
     }
 
-    /// Creates the request of one attempt, with the time that is left to its deadline.
+    /// Creates the HTTP request of an attempt. Its deadline header states `time_left`.
     pub fn to_request(&self, time_left: Duration, body: RequestBody) -> Request<RequestBody> {
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -108,7 +109,7 @@
     }
 }
 
-/// Returns a message's headers without those that belong to its connection.
+/// Returns a message's headers without hop-by-hop headers and those that its Connection header names.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut end_to_end = headers.clone();
     let connection_values = headers
--- a/src/sidecar/endpoint/health_check.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: calls of an endpoint for its load report alone.
+//! Health checks, which only request an endpoint's load report.
 
 use super::attempt_result::AttemptResult;
 use super::connect::{connect, report_if_refused};
--- a/src/sidecar/endpoint/hedged_dial.rs
+++ b/src/sidecar/endpoint/hedged_dial.rs
@@ -1,5 +1,5 @@
-//! Hedged dials: while a connection is not established, further ones are dialled to the same endpoint, and the first to
-//! be established is used. The request is written to that one alone, so a dial is not an attempt.
+//! Hedged dials: if a connection is slow to be established, further ones are dialled to the same endpoint, and the
+//! first to be established is used. The request is written only to that one, so a dial does not count as an attempt.
 
 use std::future::poll_fn;
 use std::io;
@@ -8,16 +8,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The maximum number of dials for one connection. Where a third of them are late, all three are late for one request in 27.
+/// The maximum number of dials for one connection. If a third of all dials are late, all three are late for one request
+/// in 27.
 const MAX_DIALS: usize = 3;
 
-/// The fraction of the connect timeout after which the next dial is started. A connection takes one round trip, and the
-/// timeout allows for many.
+/// The fraction of the connect timeout after which the next dial is started. Establishing a connection takes one round
+/// trip, and the timeout allows for many.
 const HEDGE_DELAY_FRACTION: f64 = 0.1;
 
-/// Dials until one connection is established, and drops the other dials.
+/// Returns the result of the first dial to end, and drops the other dials.
 ///
-/// `dial` starts one dial; `may_hedge` says whether descriptors allow one more beside those in progress.
+/// `dial` starts one dial. `may_hedge` returns whether the descriptor budget allows another one.
 ///
 /// # Errors
 /// The first dial to end failed, or none has ended by the deadline.
@@ -51,7 +52,7 @@
     }
 }
 
-/// Polls the dials, the oldest first, until one has ended.
+/// Polls the dials, the oldest first, and returns the first result.
 fn poll_first_ended<Connection, Dial>(
     dials: &mut [Pin<Box<Dial>>],
     context: &mut Context<'_>,
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -1,4 +1,4 @@
-//! The interface to the sidecar that attempts and health checks run in.
+//! The interface through which attempts and health checks use the sidecar.
 
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
@@ -15,9 +15,9 @@
 /// Permission to open a connection.
 #[derive(Debug)]
 pub struct ConnectPermit {
-    /// The connection's descriptor.
+    /// The connection's share of the descriptor budget.
     pub descriptor: DescriptorPermit,
-    /// The metric of attempts that were written completely.
+    /// The metric that counts completely written attempts.
     pub attempts_written: Rc<Cell<u64>>,
 }
 
@@ -35,29 +35,32 @@
     /// Returns whether all descriptors are in use.
     fn descriptors_exhausted(&self) -> bool;
 
-    /// Returns a permit to open a connection, for which another one may be closed; `None` where no descriptor is available.
+    /// Returns a permit to open a connection, or `None` if no descriptor is available. An idle connection may be
+    /// evicted for it.
     fn connect_permit(&self) -> Option<ConnectPermit>;
 
     /// Takes an idle connection to an endpoint from the pool.
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection>;
 
-    /// Returns a connection whose exchange is complete to the pool, or closes it where its endpoint takes no more work.
+    /// Returns a connection whose exchange is complete to the pool, or closes it if its endpoint takes no more work.
     fn return_connection(&self, connection: EndpointConnection, target: &Target);
 
-    /// Returns whether an attempt may still be written. It is called just before the first byte, as everything may have
-    /// changed while the connection was established.
+    /// Returns whether an attempt may still be written. It is called just before the first byte, because the request
+    /// and the endpoint may have changed while the connection was established.
     fn may_write(&self, spec: &AttemptSpec) -> bool;
 
-    /// Reports that an endpoint refused a connection or reset an idle one: its process has ended.
+    /// Reports that an endpoint refused a connection or reset an idle one, which means that its process has ended.
     fn process_ended(&self, target: &Target);
 
-    /// Returns a guard for a connection that was just opened, if it is known to reach the process that the list names.
+    /// Returns a guard for a connection that was just opened, if it is known to reach the process that the endpoint
+    /// list names.
     fn known_process(&self, target: &Target) -> Option<KnownProcess>;
 
-    /// Returns whether attempts may be written on connections to known processes only, as the list is overdue.
+    /// Returns whether attempts may be written only on connections to known processes, because the endpoint list is
+    /// overdue.
     fn requires_known_process(&self) -> bool;
 
-    /// Reports that an attempt reached a process that is not known, while that is required.
+    /// Reports that an attempt's connection reaches an unknown process although a known one is required.
     fn unknown_process_reached(&self);
 
     /// Reports that an attempt has ended.
--- a/src/sidecar/endpoint/known_processes.rs
+++ b/src/sidecar/endpoint/known_processes.rs
@@ -1,4 +1,4 @@
-//! Which endpoints' processes are known to be those that the list names, by open connections to them.
+//! Known processes: endpoint processes that an open connection shows to be those that the endpoint list names.
 
 use super::forwarded_request::Target;
 use crate::policy::{EndpointId, Timestamp};
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A process of an endpoint, as the list names it.
+/// A process of an endpoint, as the endpoint list names it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ListedProcess {
     endpoint: EndpointId,
@@ -15,12 +15,12 @@
 
 type ConnectionCounts = Rc<RefCell<HashMap<ListedProcess, usize>>>;
 
-/// The processes to which a connection is open that was opened while the list showed them to be running. As long as one
-/// such connection is open, the process runs, and a further connection to its address reaches it too.
+/// Processes with an open connection that was opened while the endpoint list showed them to be running. While one such
+/// connection is open, the process runs, and a further connection to its address reaches the same process.
 #[derive(Debug, Default)]
 pub struct KnownProcesses(ConnectionCounts);
 
-/// A connection to a known process. The process stays known until the last of them is dropped.
+/// A guard for a connection to a known process. The process stays known until its last guard is dropped.
 #[derive(Debug)]
 pub struct KnownProcess {
     process: ListedProcess,
@@ -28,7 +28,7 @@
 }
 
 impl KnownProcesses {
-    /// Records a connection to the process that the list names.
+    /// Records a connection to the process that the list names, and returns its guard.
     pub fn add(&self, target: &Target) -> KnownProcess {
         let process = ListedProcess::from(target);
         *self.0.borrow_mut().entry(process.clone()).or_default() += 1;
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -3,18 +3,19 @@
 use crate::policy::LoadReport;
 use std::time::Duration;
 
-/// The largest plausible count, rate or time in milliseconds. A larger one is ignored: it would distort means for long.
+/// The largest plausible count, rate or time in milliseconds. Larger values are ignored, because they would distort
+/// averages for a long time.
 const MAX_VALUE: f64 = 1e5;
 /// The largest plausible utilisation.
 const MAX_UTILISATION: f64 = 2.0;
 /// The names of the fields that describe the queue.
 const QUEUE_FIELDS: [&str; 4] = ["concurrent", "inflight", "depth", "queue"];
 
-/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61`. Field names are those of the settings or those of
-/// the protocol's example. Implausible values are ignored.
+/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61`. Each field may have its name in the settings or
+/// its name in the protocol's example. Implausible values are ignored.
 ///
-/// Returns `None` where no valid value is left, or where the report names queue fields but none of them is valid: such a
-/// report would be taken for an empty queue.
+/// Returns `None` if no value is valid. Also returns `None` if the report has queue fields but none of them is valid:
+/// such a report would be taken for an empty queue.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for field in text.trim().strip_prefix("TEXT")?.split(',') {
--- a/src/sidecar/endpoint/pool.rs
+++ b/src/sidecar/endpoint/pool.rs
@@ -6,30 +6,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The fraction of an endpoint's idle timeout after which an idle connection is closed here. A request that is written
-/// just as the endpoint closes the connection is reset, and an unsafe one is lost that way.
+/// The fraction of an endpoint's idle timeout after which the pool closes an idle connection. A request that is written
+/// just as the endpoint closes the connection is reset, and an unsafe one is then lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// How long a connection rests after a response. An endpoint may close it just after the response, or send a second one,
-/// which was seen up to 4 ms later. If the connection were used again at once, that would hit the next request; within
-/// this time it is noticed. A longer time needs more connections, some of which are established late.
+/// How long a connection is not reused after a response. An endpoint may close it just after the response, or send a
+/// second response, observed up to 4 ms later. Either is detected within this time, and would otherwise hit the next
+/// request. A longer time needs more connections, some of which are established late.
 const SETTLING_TIME: Duration = Duration::from_millis(20);
-/// The maximum number of idle connections to an endpoint. Each takes a descriptor there, and those of a burst are not soon needed
-/// again.
+/// The maximum number of idle connections to an endpoint. Each takes a descriptor at the endpoint, and those opened for
+/// a burst are not needed again soon.
 const MAX_IDLE_PER_ENDPOINT: usize = 4;
-/// The maximum number of idle connections to an endpoint while it is busy. A request occupies one for [`SETTLING_TIME`] beside its own
-/// time, so four would carry 200 requests a second at most.
+/// The maximum number of idle connections to a busy endpoint. A request occupies a connection for [`SETTLING_TIME`] in
+/// addition to its own time, so four would carry at most 200 requests per second.
 const MAX_IDLE_PER_BUSY_ENDPOINT: usize = 16;
 /// How long connections beyond [`MAX_IDLE_PER_ENDPOINT`] stay open after their last use.
 const BUSY_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Idle connections by endpoint. The most recently used one is taken first, so that surplus ones reach their idle timeout.
+/// Idle connections by endpoint. The most recently used one is taken first, which lets surplus ones reach their idle
+/// timeout.
 #[derive(Debug)]
 pub struct ConnectionPool {
     /// Each endpoint's connections, the longest idle first.
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
     idle_timeout: Duration,
     max_idle_per_endpoint: usize,
-    /// Whether a task sweeps the pool.
+    /// Whether a task that sweeps the pool is running.
     is_sweep_scheduled: bool,
 }
 
@@ -39,22 +40,22 @@
     idle_since: Instant,
 }
 
-/// Whether the caller has to start a task that sweeps the pool.
+/// Whether a task that sweeps the pool has to be started.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub enum SweepTask {
-    /// There is one, or nothing to sweep.
+    /// A sweep task is running, or the connection was not pooled.
     NotNeeded,
-    /// The pool holds connections, and there is none.
+    /// The pool holds connections, and no sweep task is running.
     Needed,
 }
 
-/// Whether a pool holds idle connections.
+/// The treatment of connections after their exchange.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum IdleConnectionPolicy {
-    /// Connections are pooled.
+    /// They are pooled.
     Keep,
-    /// Connections are closed after their exchange: another process needs the descriptors more.
+    /// They are closed, because another process needs their descriptors more.
     Close,
 }
 
@@ -90,7 +91,7 @@
         None
     }
 
-    /// Pools a connection, or closes it if the endpoint already has its maximum of idle connections.
+    /// Pools a connection, or closes it if it is unusable or the endpoint has its maximum of idle connections.
     pub fn put(&mut self, endpoint: &EndpointId, connection: EndpointConnection) -> SweepTask {
         let connections = self.idle.entry(endpoint.clone()).or_default();
         let is_usable = !connection.is_closed() && connection.progress().is_complete();
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Sets whether the pool holds idle connections. Those that it must not hold are closed.
+    /// Sets whether the pool keeps idle connections. Those that it must not keep are closed.
     pub fn set_idle_policy(&mut self, idle_policy: IdleConnectionPolicy) {
         match idle_policy {
             IdleConnectionPolicy::Keep => self.max_idle_per_endpoint = MAX_IDLE_PER_BUSY_ENDPOINT,
@@ -124,7 +125,7 @@
         self.idle.remove(endpoint);
     }
 
-    /// Closes the connection that has been idle longest. Returns false where there is none.
+    /// Closes the connection that has been idle longest. Returns false if there is none.
     pub fn close_oldest(&mut self) -> bool {
         let oldest = self
             .idle
@@ -138,7 +139,7 @@
         true
     }
 
-    /// Closes what has been idle for too long. Returns when to sweep next, or `None` where the pool is empty.
+    /// Closes connections that have been idle for too long. Returns when to sweep next, or `None` if the pool is empty.
     pub fn sweep(&mut self) -> Option<Instant> {
         let now = Instant::now();
         let idle_timeout = self.idle_timeout;
@@ -156,14 +157,14 @@
             .values()
             .filter_map(|connections| first_expires_at(connections, idle_timeout))
             .min();
-        // Connections that come back until then may expire before those that are idle now.
+        // Connections that are returned before then may expire earlier than those that are idle now.
         let next = next.map(|at| at.min(now + idle_timeout.min(BUSY_IDLE_TIMEOUT)));
         self.is_sweep_scheduled = next.is_some();
         next
     }
 }
 
-/// Returns when the longest idle of an endpoint's connections expires.
+/// Returns when the longest-idle of an endpoint's connections expires.
 fn first_expires_at(connections: &[IdleConnection], idle_timeout: Duration) -> Option<Instant> {
     let timeout = if connections.len() > MAX_IDLE_PER_ENDPOINT {
         idle_timeout.min(BUSY_IDLE_TIMEOUT)
--- a/src/sidecar/endpoint/request_body.rs
+++ b/src/sidecar/endpoint/request_body.rs
@@ -1,4 +1,4 @@
-//! The request body that an attempt writes.
+//! The body of a request to an endpoint.
 
 use super::write_progress::WriteProgress;
 use crate::sidecar::body::{BodyTransferError, RemainingUpload, Upload, UploadError, poll_data};
@@ -10,8 +10,8 @@
 use std::task::{Context, Poll};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// A request body on its way to an endpoint. hyper drops it as soon as it has taken all of it, or at once where it is
-/// empty; the connection's [`WriteProgress`] is notified then.
+/// The body of a request to an endpoint. hyper drops it as soon as it has taken all of it, or at once if it is empty.
+/// The connection's [`WriteProgress`] is notified when it is dropped.
 #[derive(Debug)]
 pub struct RequestBody {
     source: Source,
@@ -27,7 +27,7 @@
 /// A body that is streamed while the client sends it.
 #[derive(Debug)]
 struct UploadSource {
-    /// What was received before the attempt, until it has been forwarded.
+    /// The beginning of the body, received before the attempt. `None` once it has been forwarded.
     buffered: Option<Bytes>,
     upload: Rc<Upload>,
     remaining: Option<RemainingUpload>,
@@ -35,7 +35,7 @@
 }
 
 impl RequestBody {
-    /// Creates a body: all of it is buffered, or its beginning where there is an upload.
+    /// Creates a body. `buffered` is all of it, or its beginning if there is an upload.
     pub fn new(buffered: Bytes, upload: Option<Rc<Upload>>, progress: Rc<WriteProgress>) -> Self {
         let source = match upload {
             None => Source::Buffered(Full::new(buffered)),
@@ -98,7 +98,8 @@
         self.buffered.is_none() && self.upload.completed_at().is_some()
     }
 
-    /// Notes the end of an upload that hyper has stopped reading at its declared length, ahead of its end.
+    /// Marks an upload as finished once its declared length has been received. hyper stops reading there, before the
+    /// upload reports its end.
     fn finish_at_declared_length(&self) {
         if self.upload.has_declared_length() && !self.upload.is_finished() {
             self.upload.set_finished(Ok(()));
@@ -106,7 +107,7 @@
     }
 }
 
-/// Polls for the next data of an upload, `None` at its end.
+/// Polls for the next data of an upload. Returns `None` at its end.
 fn poll_remaining(
     remaining: &mut RemainingUpload,
     deadline_timer: &mut Pin<Box<Sleep>>,
--- a/src/sidecar/endpoint/response.rs
+++ b/src/sidecar/endpoint/response.rs
@@ -10,29 +10,29 @@
 pub struct EndpointResponse {
     /// Its status and headers.
     pub head: Response<()>,
-    /// Its body, or why that could not be received.
+    /// Its body, or why it could not be received.
     pub body: Result<ReceivedResponse, BodyTransferError>,
 }
 
-/// Why a response is not read: its length is ambiguous, too large, or does not apply.
+/// Why a response is not read: its length is ambiguous or too large, or it switches protocols.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum FramingError {
-    /// It declares its length more than once. Two readers that believe different lengths see different responses. hyper
-    /// accepts equal lengths, and chunked encoding in spite of a length.
+    /// It declares its length more than once. Readers that use different lengths see different responses. hyper itself
+    /// accepts repeated equal lengths, and chunked encoding beside a length.
     #[error("the response declares more than one length")]
     AmbiguousLength,
     /// Its declared length is larger than [`MAX_BODY`].
     #[error("the response is too large")]
     TooLarge,
-    /// Its status is 101, after which the connection does not carry HTTP any more.
+    /// Its status is 101, after which the connection no longer carries HTTP.
     #[error("the response switches protocols")]
     ProtocolSwitch,
 }
 
-/// Checks that a response can be forwarded as it is framed.
+/// Checks that a response's framing allows it to be forwarded.
 ///
 /// # Errors
-/// Why it cannot.
+/// Its length is ambiguous or too large, or it switches protocols.
 pub fn check_framing(response: &Response<Incoming>) -> Result<(), FramingError> {
     let headers = response.headers();
     let lengths: Vec<_> = headers.get_all(header::CONTENT_LENGTH).iter().collect();
--- a/src/sidecar/endpoint/streamed_response.rs
+++ b/src/sidecar/endpoint/streamed_response.rs
@@ -10,27 +10,28 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How long an endpoint may pause in the middle of its response. It may be waiting for a further tier.
+/// How long an endpoint may pause in the middle of its response. It may be waiting for the next tier.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
 
 /// Returns a connection to the pool once its response is complete.
 type ReturnConnection = Box<dyn FnOnce(EndpointConnection)>;
 
-/// A response body that is forwarded while it is received. Nothing can be tried again any more, so a failure from now on
-/// breaks off the client's response too.
+/// A response body that is forwarded while it is received. The request can no longer be tried again, so a failure also
+/// aborts the response to the client.
 pub struct StreamedResponse {
     buffered: Bytes,
     remaining: Incoming,
     length: Option<u64>,
+    /// The bytes forwarded so far.
     forwarded: u64,
-    /// Fires when the endpoint has paused for too long. `None` while data comes.
+    /// Fires when the endpoint has paused for too long. `None` while data arrives.
     pause_timer: Option<Pin<Box<Sleep>>>,
     /// `None` once the response is complete.
     connection: Option<(EndpointConnection, ReturnConnection)>,
 }
 
 impl StreamedResponse {
-    /// Creates a response of which `buffered` has been received on a connection.
+    /// Creates a response whose beginning, `buffered`, has been received on a connection.
     pub fn new(
         buffered: Bytes,
         remaining: Incoming,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Returns whether all of the response has been received. A response that broke off never is.
+    /// Returns whether all of the response has been received. A response that was cut off never becomes complete.
     pub fn is_complete(&self) -> bool {
         self.connection.is_none()
     }
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Polls for the next data, `None` at the end.
+    /// Polls for the next data. Returns `None` at the end.
     fn poll_remaining(
         &mut self,
         context: &mut Context<'_>,
--- a/src/sidecar/endpoint/write_progress.rs
+++ b/src/sidecar/endpoint/write_progress.rs
@@ -1,4 +1,4 @@
-//! How much of an attempt has been written to its connection.
+//! The progress of writing attempts to connections.
 
 use crate::sidecar::sockets::WriteObserver;
 use std::cell::Cell;
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// How far the writing of an attempt has come.
+/// The stage of writing an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// No attempt is being written: there is none, or it has been written completely and counted.
+    /// No attempt is being written: there is none, or the last one has been written completely and counted.
     Idle,
     /// hyper has not taken the complete request yet.
     Started,
@@ -23,7 +23,7 @@
 pub struct WriteProgress {
     bytes_written: Cell<u64>,
     stage: Cell<Stage>,
-    /// The metric of attempts that were written completely.
+    /// The metric that counts completely written attempts.
     attempts_written: Rc<Cell<u64>>,
 }
 
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Notes that an attempt is about to be written. It is counted once that is complete.
+    /// Notes that an attempt is about to be written. It is counted once it has been written completely.
     pub fn on_attempt_started(&self) {
         self.stage.set(Stage::Started);
     }
 
-    /// Notes that a health check is about to be written, which is not counted.
+    /// Notes that a health check is about to be written. Health checks are not counted.
     pub fn on_health_check_started(&self) {
         self.stage.set(Stage::Idle);
     }
@@ -73,7 +73,8 @@
         }
     }
 
-    /// hyper flushes only what it has written out, so a request that it had taken completely is written to its last byte.
+    /// hyper flushes only after it has written out its buffer, so a request that it had taken completely is written to
+    /// its last byte.
     fn on_flush(&self) {
         if self.stage.get() == Stage::Buffered {
             self.stage.set(Stage::Idle);
