--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep_until;
 
 impl Node {
-    /// Executes one action of the balancer. Events that follow from it at once are queued.
+    /// Executes one action of the balancer. Events that it causes at once are queued.
     pub(super) fn execute(&mut self, handle: &NodeHandle, action: Action) {
         match action {
             Action::Send {
@@ -27,7 +27,7 @@
                 self.answer(&request, FinalAnswer::Failed { timed_out });
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
-            // An agent that pushes lists is followed all the time.
+            // The watch on an agent that pushes lists stays open all the time.
             Action::Subscribe | Action::Unsubscribe
                 if self.discovery_mode() == DiscoveryMode::Pushed => {}
             Action::Subscribe => {
@@ -40,8 +40,8 @@
             Action::FetchList => self.fetch_list(handle),
             Action::CloseIdleConnections { endpoint } => self.connections.close_idle(&endpoint),
             Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
-            // The balancer sends no messages to others of its kind.
-            Action::SendPeerMessage { .. } => log!("no peers to send a message to"),
+            // A sidecar has no peers to exchange messages with.
+            Action::SendPeerMessage { .. } => log!("peer message dropped: a sidecar has no peers"),
             Action::Log(text) => log!("{text}"),
         }
     }
--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and the settings that it replaced a moment ago.
+//! The configuration in force, and the settings that were replaced by the last reload.
 
 use crate::configuration::{Config, ReloadBaseline, RestartValues};
 use crate::policy::{ClassId, Settings};
@@ -9,7 +9,7 @@
 /// How long after a reload a request may still have been sent under the replaced settings.
 const RELOAD_GRACE: Duration = Duration::from_secs(1);
 
-/// Settings, and the balancer's ids of their classes.
+/// Settings, and the balancer's ids of their request classes.
 #[derive(Debug)]
 pub struct ActiveSettings {
     /// The settings.
@@ -18,7 +18,7 @@
     pub classes: Vec<ClassId>,
 }
 
-/// The configuration in force, as far as it can change or is compared with the next one.
+/// The parts of the configuration in force that a reload changes or compares with the next configuration.
 pub struct ActiveConfiguration {
     settings: Rc<ActiveSettings>,
     replaced: Option<ReplacedSettings>,
@@ -33,17 +33,17 @@
     replaced_at: Instant,
 }
 
-/// The settings that a request may have been sent under.
+/// The settings under which a request may have been sent.
 #[derive(Debug)]
 pub struct RequestSettings {
-    /// Those in force.
+    /// The settings in force.
     pub current: Rc<ActiveSettings>,
-    /// Those before, for [`RELOAD_GRACE`] after a reload.
+    /// The settings before the last reload, for a request that arrived within [`RELOAD_GRACE`] after it.
     pub previous: Option<Rc<ActiveSettings>>,
 }
 
 impl ActiveConfiguration {
-    /// Creates it from the configuration of the start.
+    /// Creates it from the configuration that the process starts with.
     pub fn new(
         settings: Settings,
         reload_baseline: ReloadBaseline,
@@ -63,7 +63,7 @@
         &self.settings.settings
     }
 
-    /// Returns the settings for a request whose first byte arrived at an instant.
+    /// Returns the settings for a request whose first byte arrived at `first_byte_at`.
     pub fn settings_for_request(&self, first_byte_at: Instant) -> RequestSettings {
         let replaced = self
             .replaced
@@ -90,7 +90,8 @@
         self.restart_values.differences(&next.restart_values)
     }
 
-    /// Replaces the settings by those of the next configuration, with the balancer's ids of its classes.
+    /// Replaces the settings by those of the next configuration. `classes` are the balancer's ids of its request
+    /// classes.
     pub fn replace_settings(&mut self, next: &Config, classes: Vec<ClassId>) {
         let settings = Rc::new(ActiveSettings {
             settings: next.settings.clone(),
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from their sending to their end.
+//! The start, cancellation and end of attempts.
 
 use super::state::{Node, NodeHandle};
 use crate::policy::{
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 impl Node {
-    /// Returns whether the same process of an endpoint still takes work, by its list entry, by the operators, and by what
-    /// was seen of it.
+    /// Returns whether the same process of an endpoint still takes work: it is listed as serving, and neither disabled
+    /// by the operators nor suspended.
     pub(super) fn takes_work(&self, target: &Target) -> bool {
         self.endpoints.is_serving(target)
             && !self.balancer.is_disabled(&target.endpoint)
             && !self.balancer.is_suspended(&target.endpoint)
     }
 
-    /// Starts an attempt, if its request is still unanswered and its endpoint still listed.
+    /// Starts an attempt, if its request is still unanswered and its endpoint is still listed.
     pub(super) fn send(
         &mut self,
         handle: &NodeHandle,
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -16,7 +16,7 @@
     pool: ConnectionPool,
     descriptors: DescriptorBudget,
     known_processes: KnownProcesses,
-    /// Takes a drain through its states; aborted when the drain ends.
+    /// Advances a drain through its states. It is aborted when the drain ends.
     drain_task: Option<Task>,
 }
 
@@ -47,13 +47,14 @@
         &self.callers
     }
 
-    /// Returns the callers' connections, for a change.
+    /// Returns a mutable reference to the callers' connections.
     pub fn callers_mut(&mut self) -> &mut CallerTable {
         &mut self.callers
     }
 
-    /// Admits a connection that was just accepted, evicting an idle one where the callers' limit is reached. Where none
-    /// is idle, it is admitted to be rejected with an answer; returns `None` where there is no descriptor even for that.
+    /// Admits a connection that was just accepted. If the callers' limit is reached, an idle connection is evicted for
+    /// it. If none is idle, it is admitted only to be rejected with a response. Returns `None` if no descriptor is
+    /// available even for that.
     pub fn admit_caller(&mut self) -> Option<AdmittedCaller> {
         let admission = if self.descriptors.is_caller_limit_reached() && !self.evict_for_caller() {
             Admission::RejectedEarly
@@ -75,8 +76,8 @@
         (self.descriptors.is_exhausted() && self.pool.close_oldest()) || self.callers.evict_one()
     }
 
-    /// Returns a descriptor for a new connection to an endpoint, evicting an idle connection of either side where the
-    /// budget is exhausted; `None` where none is idle.
+    /// Returns a descriptor for a new connection to an endpoint. If the budget is exhausted, an idle connection of
+    /// either side is evicted. Returns `None` if none is idle.
     pub fn permit_for_endpoint(&mut self) -> Option<DescriptorPermit> {
         let has_descriptor = !self.descriptors.is_exhausted()
             || self.pool.close_oldest()
@@ -94,17 +95,17 @@
         self.descriptors.in_use()
     }
 
-    /// Sets how many connections each other process has open, which come out of the same budget.
+    /// Sets how many connections each other process has open. They count against the same budget.
     pub fn set_other_process_connections(&mut self, connections: impl Iterator<Item = usize>) {
         self.descriptors.set_other_process_connections(connections);
     }
 
-    /// Returns whether a connection is open to the process that the list names at an endpoint.
+    /// Returns whether a connection is open to the endpoint's process that the list names.
     pub fn is_known_process(&self, target: &Target) -> bool {
         self.known_processes.contains(target)
     }
 
-    /// Records a connection to the process that the list names at an endpoint.
+    /// Records a connection to the endpoint's process that the list names, and returns its guard.
     pub fn add_known_process(&self, target: &Target) -> KnownProcess {
         self.known_processes.add(target)
     }
@@ -124,7 +125,7 @@
         self.pool.close_idle(endpoint);
     }
 
-    /// Closes connections that have been idle too long; returns when the next will have been.
+    /// Closes connections that have been idle for too long. Returns when to sweep next, or `None` if none is left.
     pub fn sweep_idle(&mut self) -> Option<Instant> {
         self.pool.sweep()
     }
@@ -134,13 +135,15 @@
         self.pool.change_limits(limits);
     }
 
-    /// Another process accepts callers from now on, and needs the descriptors of idle connections more.
+    /// Stops accepting callers, because another process accepts them from now on. Closes idle connections to endpoints,
+    /// because that process needs their descriptors more.
     pub fn suspend_accepting(&mut self) {
         self.callers.suspend_accepting();
         self.pool.set_idle_policy(IdleConnectionPolicy::Close);
     }
 
-    /// No other process accepts callers any more. Returns whether this one does so again.
+    /// Resumes accepting callers, because no other process accepts them any more. Returns whether this process accepts
+    /// them again.
     pub fn resume_accepting(&mut self) -> bool {
         let has_resumed = self.callers.resume_accepting();
         if has_resumed {
@@ -154,13 +157,13 @@
         self.pool.set_idle_policy(IdleConnectionPolicy::Keep);
     }
 
-    /// Begins a drain, which a task takes through its further states.
+    /// Begins a drain. `task` advances it through its further states.
     pub fn begin_drain(&mut self, task: Task) {
         self.callers.set_drain_state(Some(DrainState::NotReady));
         self.drain_task = Some(task);
     }
 
-    /// Ends a drain; its task is aborted.
+    /// Ends a drain and aborts its task.
     pub fn end_drain(&mut self) {
         self.drain_task = None;
         self.callers.set_drain_state(None);
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 
 impl NodeHandle {
-    /// Applies an accepted list: updates the endpoints, closes idle connections to processes that take no more work, and
-    /// gives the list to the balancer.
+    /// Applies an accepted list: updates the endpoints, closes idle connections to processes that take no more work,
+    /// and gives the list to the balancer.
     pub(super) fn apply_list(&self, list: &EndpointList, kind: ListKind) {
         let mut node = self.borrow();
         let update = node.endpoints.update(list, kind);
@@ -55,7 +55,7 @@
         self.configuration.settings().discovery
     }
 
-    /// Starts a watch on discovery, in place of the one that there was.
+    /// Starts a watch on discovery, which replaces the current one.
     pub(super) fn start_discovery_watch(&mut self, handle: &NodeHandle) {
         let mode = self.discovery_mode();
         self.endpoints.start_watch(handle.clone(), mode);
@@ -81,7 +81,8 @@
         Ok(())
     }
 
-    /// An open watch confirms the known version, as discovery sends nothing until the first change.
+    /// Gives the balancer an update without changes: an open watch confirms the known version, because discovery sends
+    /// nothing until the first change.
     fn watch_opened(&self, source: Source) {
         let Some(version) = self.known_version(source) else {
             return;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// A failure of the previous source is ignored: it was to be expected after the move.
+    /// Ignores a failure of the previous source, which is expected after a move to another one.
     fn discovery_failed(&self, source: Source, failure: DiscoveryFailure) {
         let mut node = self.borrow();
         if source != node.endpoints.source() {
@@ -142,12 +143,13 @@
         });
     }
 
-    /// An agent sends nothing while discovery is down, so its silence shows nothing.
+    /// Ignores hedged calls to an agent that pushes lists: an agent sends nothing while discovery is down, so its
+    /// silence says nothing about discovery.
     fn call_hedged(&self, _source: Source, is_reached: bool) {
         if self.borrow().discovery_mode() != DiscoveryMode::OnRequest {
             return;
         }
-        log!("discovery is late with an answer and is called again");
+        log!("discovery call hedged by a second one: no response yet");
         if is_reached {
             self.handle(Event::DiscoveryLate);
         }
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -92,13 +92,13 @@
         node.balancer.is_list_overdue(node.clock.now())
     }
 
-    /// The balancer is given all known processes at once, so that it does not try the others one by one.
+    /// Gives the balancer all endpoints with known processes at once, which keeps it from trying the others one by one.
     fn unknown_process_reached(&self) {
         let endpoints = self.borrow().endpoints_with_known_process();
         self.handle(Event::OnlyKnownProcesses { endpoints });
     }
 
-    /// The first attempt that is served is the request's final answer.
+    /// The response of the first served attempt is the request's final answer.
     fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult) {
         let request = &spec.request;
         let Some(event) = self.borrow().end_attempt(spec, result) else {
@@ -143,8 +143,8 @@
             .collect()
     }
 
-    /// Ends an attempt, and answers its request if it was served; returns the event that reports it to the balancer, or
-    /// `None` where it was cancelled, of which the balancer knows.
+    /// Ends an attempt, and answers its request if the attempt was served. Returns the event that reports the end to
+    /// the balancer. Returns `None` for a cancelled attempt, whose end the balancer already knows.
     fn end_attempt(&mut self, spec: &AttemptSpec, result: AttemptResult) -> Option<Event> {
         let open_request = self.requests.get_mut(&spec.request)?;
         let sent_at = open_request.end_attempt(spec.attempt)?;
@@ -164,7 +164,7 @@
         ))
     }
 
-    /// Returns when a streamed upload was complete: the endpoint answers it from then on.
+    /// Returns when an attempt's streamed upload was complete. The endpoint's response time is measured from then on.
     fn upload_completed_at(&self, spec: &AttemptSpec) -> Option<Timestamp> {
         let upload = spec.forwarded.upload.as_ref()?;
         let completed_at = upload.completed_at()?;
--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints as discovery lists them, and the wait for the first list.
+//! The endpoints listed by discovery, and the wait for the first list.
 
 use super::list_status::ListStatus;
 use crate::discovery::{
@@ -10,22 +10,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a process of a hot restart waits for its first list before it is ready with the cached one.
+/// How long the new process of a hot restart waits for its first list before it is ready with the cached list.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long after a watch has opened its first list may still arrive: it follows the response head in the next segment.
+/// How long the first list may take to arrive after its watch has opened. It follows the response head in the next
+/// segment.
 const FIRST_LIST_AFTER_WATCH: Duration = Duration::from_millis(100);
 
 /// The endpoints listed by discovery, and the watches on it.
 #[derive(Debug)]
 pub struct Endpoints {
     subscription: Subscription,
-    /// Until then the node is not ready without a list from discovery: the old process serves callers meanwhile.
+    /// Until then, the node is not ready without a list from discovery, and the old process serves callers. `None` if
+    /// the node does not wait for a list.
     first_list_deadline: Option<Timestamp>,
     status: ListStatus,
 }
 
 impl Endpoints {
-    /// Creates an empty list from a discovery service that is not followed yet.
+    /// Creates an empty list for a discovery service that is not watched yet.
     pub fn new(discovery: SocketAddr, now: Timestamp) -> Self {
         Endpoints {
             subscription: Subscription::new(discovery),
@@ -39,7 +41,7 @@
         &self.status
     }
 
-    /// Returns how current the list is, for a change.
+    /// Returns a mutable reference to the status of the list.
     pub fn status_mut(&mut self) -> &mut ListStatus {
         &mut self.status
     }
@@ -49,7 +51,7 @@
         self.subscription.source()
     }
 
-    /// Returns the version of the list that a source gave; `None` for any but the current source.
+    /// Returns the version of the list from a source, or `None` if it is not the current source.
     pub fn known_version(&self, source: Source) -> Option<u64> {
         self.subscription.known_version(source)
     }
@@ -64,7 +66,7 @@
         self.subscription.is_watching()
     }
 
-    /// Starts a watch on the current source, in place of the one that there was.
+    /// Starts a watch on the current source, which replaces any earlier watch on it.
     pub fn start_watch<C: ListConsumer>(&mut self, consumer: C, mode: DiscoveryMode) {
         self.subscription.start_watch(consumer, mode);
     }
@@ -79,7 +81,7 @@
         self.subscription.move_to(discovery)
     }
 
-    /// Sets the version of the cached list, which changes from discovery may follow on.
+    /// Sets the version of the cached list. Discovery may send changes that follow on this version.
     pub fn set_cached_version(&mut self, version: u64) {
         self.subscription
             .membership_mut()
@@ -102,7 +104,8 @@
         Ok(origin)
     }
 
-    /// Updates the endpoints by an accepted list, and removes those at whose addresses others have started since.
+    /// Updates the endpoints by an accepted list. Removes those at whose addresses a later process runs under another
+    /// name.
     pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
         let membership = self.subscription.membership_mut();
         let mut update = membership.update(list, kind);
@@ -115,7 +118,8 @@
         self.first_list_deadline = Some(now + FIRST_LIST_TIMEOUT);
     }
 
-    /// Shortens the wait for the first list: discovery is reachable, so a list comes right away or nothing has changed.
+    /// Shortens the wait for the first list, because discovery is reachable: a list arrives right away, or nothing has
+    /// changed.
     pub fn expect_first_list_soon(&mut self, now: Timestamp) {
         let soon = now + FIRST_LIST_AFTER_WATCH;
         self.first_list_deadline = self.first_list_deadline.map(|deadline| deadline.min(soon));
@@ -127,7 +131,7 @@
             .is_some_and(|deadline| now < deadline)
     }
 
-    /// Returns where an endpoint listens, if it is listed.
+    /// Returns an endpoint's address and process, if it is listed.
     pub fn target(&self, endpoint: &EndpointId) -> Option<Target> {
         let member = self.subscription.membership().get(endpoint)?;
         Some(Target {
@@ -153,7 +157,7 @@
         member.is_some_and(|member| member.started_at == target.started_at)
     }
 
-    /// Returns the endpoints that take work, by the list.
+    /// Returns the endpoints that the list names as serving.
     pub fn serving(&self) -> impl Iterator<Item = &EndpointId> {
         self.subscription.membership().serving()
     }
--- a/src/sidecar/node/first_list_tests.rs
+++ b/src/sidecar/node/first_list_tests.rs
@@ -30,7 +30,7 @@
     Config::parse(&config.to_string()).expect("a configuration")
 }
 
-/// Starts the node of a new process in a hot restart, and passes it to a check.
+/// Starts the node of the new process in a hot restart, and passes it to `check`.
 fn with_new_process(check: impl AsyncFnOnce(NodeHandle)) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -47,8 +47,8 @@
     });
 }
 
-/// Guards a hot restart where nothing has changed since the cached list: the watch is open and sends nothing up to its first
-/// heartbeat, which must not delay readiness for as long as an unreachable discovery does.
+/// Guards a hot restart without changes since the cached list. The open watch sends nothing before its first heartbeat;
+/// this must not delay readiness for as long as an unreachable discovery does.
 #[test]
 fn watch_without_list_ends_wait_for_first_list() {
     with_new_process(async |node| {
@@ -61,8 +61,8 @@
     });
 }
 
-/// Guards a hot restart while discovery is unreachable: callers do not depend on a list that may be old at once, but do
-/// after a limited time.
+/// Guards a hot restart while discovery is unreachable. The new process does not serve callers with a possibly old list
+/// at once, but does after a limited time.
 #[test]
 fn unreachable_discovery_delays_readiness_for_limited_time() {
     with_new_process(async |node| {
--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -1,4 +1,4 @@
-//! The other processes of this sidecar during a hot restart, and what they share with it.
+//! The other processes of this sidecar during a hot restart, and the directory that they share with this one.
 
 use crate::policy::EndpointId;
 use crate::sidecar::admin_state::AdminState;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The other processes that are one sidecar with this one for a while, and the directory that they share.
+/// The other processes of the same sidecar during a hot restart, and the directory that all of them share.
 pub struct HotRestart {
     processes: OtherProcesses,
     directory: Option<Rc<SharedDirectory>>,
@@ -28,7 +28,7 @@
         &self.processes
     }
 
-    /// Returns the other processes, for a change.
+    /// Returns a mutable reference to the other processes.
     pub fn processes_mut(&mut self) -> &mut OtherProcesses {
         &mut self.processes
     }
@@ -38,7 +38,7 @@
         self.processes.send(message, None);
     }
 
-    /// Sends an endpoint's administrative state to all other processes but the one that it came from.
+    /// Sends an endpoint's administrative state to all other processes but `origin`, which it came from.
     pub fn broadcast_admin_state(
         &self,
         endpoint: &EndpointId,
@@ -52,13 +52,14 @@
         self.processes.send(&message, origin);
     }
 
-    /// Returns the disabled endpoints that the shared directory holds; `None` where it holds none or there is no directory.
+    /// Returns the disabled endpoints stored in the shared directory. Returns `None` if nothing is stored or there is
+    /// no directory.
     pub fn stored_disabled_endpoints(&self) -> Option<BTreeSet<String>> {
         self.directory.as_ref()?.disabled_endpoints().load()
     }
 
-    /// Stores an endpoint's administrative state in the shared directory. Where nothing is stored yet, all the endpoints
-    /// that this process knows as disabled are stored with it.
+    /// Stores an endpoint's administrative state in the shared directory. If nothing is stored yet, all endpoints that
+    /// this process knows as disabled are stored with it.
     pub fn store_admin_state<'a>(
         &self,
         endpoint: &EndpointId,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Returns whether the last change could not be stored, so that the shared directory lacks it.
+    /// Returns whether the shared directory lacks the last change, because it could not be stored.
     pub fn is_store_stale(&self) -> bool {
         self.directory
             .as_ref()
--- a/src/sidecar/node/list_status.rs
+++ b/src/sidecar/node/list_status.rs
@@ -6,7 +6,7 @@
 /// How current the endpoint list is, for the log and the operators' metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ListStatus {
-    /// Since when no watch has shown the list to be current; `None` while one does.
+    /// Since when no watch has confirmed the list as current. `None` while one confirms it.
     unconfirmed_since: Option<Timestamp>,
     /// Watches opened since the start.
     watches_opened: u64,
@@ -28,14 +28,14 @@
         self.watches_opened += 1;
     }
 
-    /// Records that the list is current; returns for how long that was unknown, if it was.
+    /// Records that the list is current. Returns how long it was unconfirmed, or `None` if it was not.
     pub fn confirm(&mut self, now: Timestamp) -> Option<Duration> {
         let since = self.unconfirmed_since.take()?;
         Some(now.since(since))
     }
 
-    /// Records that a call failed, or that a watch was lost on which something was last received at `last_received_at`.
-    /// Returns since when the list is unconfirmed, if it was not before.
+    /// Records that a call failed or a watch was lost. `last_received_at` is when something was last received on that
+    /// watch. Returns since when the list is unconfirmed, or `None` if it already was.
     pub fn watch_ended(
         &mut self,
         now: Timestamp,
@@ -45,8 +45,8 @@
         self.set_unconfirmed(last_received_at.unwrap_or(now))
     }
 
-    /// Records that the open watch, if there is one, was replaced by a call for another. Returns since when the list is
-    /// unconfirmed, if it was not before.
+    /// Records that a call for a new watch has replaced the open one, if there was one. Returns since when the list is
+    /// unconfirmed, or `None` if it already was.
     pub fn watch_replaced(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.set_unconfirmed(now)
     }
@@ -59,7 +59,7 @@
         self.unconfirmed_since
     }
 
-    /// Returns for how long no watch has shown the list to be current; zero while one does.
+    /// Returns how long no watch has confirmed the list as current; zero while one confirms it.
     pub fn unconfirmed_for(&self, now: Timestamp) -> Duration {
         self.unconfirmed_since
             .map_or(Duration::ZERO, |since| now.since(since))
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node: the owner of all request state around one balancer, and the only place that calls it.
+//! The node: the owner of one balancer and of all request state, and the only caller of that balancer.
 //!
 //! | file | what it owns |
 //! | --- | --- |
@@ -10,9 +10,9 @@
 //! | `hot_restart.rs` | the other processes of this sidecar, and the shared directory |
 //! | `active_configuration.rs` | the configuration in force and the settings before it |
 //!
-//! The other files are the node's interfaces: `requests.rs` to callers, `endpoint_host.rs` to attempts, `discovery.rs` to
-//! the discovery client, `process_messages.rs` to the other processes, `operators.rs`, `reload.rs` and `report.rs` to the operators; `actions.rs` and `attempts.rs`
-//! execute what the balancer decides.
+//! The other files are the node's interfaces: `requests.rs` to callers, `endpoint_host.rs` to attempts, `discovery.rs`
+//! to the discovery client, `process_messages.rs` to the other processes, `operators.rs`, `reload.rs` and `report.rs`
+//! to the operators; `actions.rs` and `attempts.rs` execute what the balancer decides.
 //!
 //! Callers, attempts and discovery run in local tasks and reach the node through [`NodeHandle`]. Its methods borrow the
 //! node, pass an event to the balancer, execute its actions and release the node, never across an await.
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -11,9 +11,9 @@
 pub enum FinalAnswer {
     /// An endpoint has served it.
     Served(ServedResponse),
-    /// It was rejected unserved: trying again is harmless.
+    /// It was rejected without being run. Trying again is harmless.
     Rejected {
-        /// When the client is to come back.
+        /// How long the client should wait before it tries again.
         retry_after: Option<Duration>,
     },
     /// It has failed, and may have run.
@@ -26,7 +26,7 @@
 /// Why a request is not submitted to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
-    /// A request with its id is open.
+    /// Another request with the same id is open.
     #[error("a request with this id is open")]
     DuplicateId,
     /// The limit of unanswered requests is reached.
@@ -39,16 +39,16 @@
     forwarded: Rc<ForwardedRequest>,
     deadline: Timestamp,
     reply: ReplyState,
-    /// By their numbers.
+    /// Indexed by attempt number.
     attempts: Vec<OpenAttempt>,
     last_outcome: Option<Outcome>,
 }
 
-/// Whether a request waits for its final answer.
+/// The state of a request's final answer.
 enum ReplyState {
-    /// Whoever takes the sender answers the request.
+    /// The request waits for its final answer, which is sent through this channel.
     Pending(oneshot::Sender<FinalAnswer>),
-    /// It has its final answer, or its client has disconnected.
+    /// The request has its final answer, or its client has disconnected.
     Taken,
 }
 
@@ -59,7 +59,7 @@
         /// Aborts the attempt when it is dropped.
         _task: Task,
     },
-    /// It has ended, or never began.
+    /// It has ended, or was never sent.
     Ended,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns what is sent to endpoints.
+    /// Returns the part of the request that is sent to endpoints.
     pub fn forwarded(&self) -> &Rc<ForwardedRequest> {
         &self.forwarded
     }
@@ -107,7 +107,7 @@
         self.attempts.len()
     }
 
-    /// Adds the next attempt, which a task makes.
+    /// Adds the next attempt, which `task` makes.
     pub fn begin_attempt(&mut self, sent_at: Timestamp, task: Task) {
         self.attempts.push(OpenAttempt::InFlight {
             sent_at,
@@ -115,7 +115,7 @@
         });
     }
 
-    /// Adds the next attempt, which ends before it has begun.
+    /// Adds the next attempt as one that has ended without being sent.
     pub fn add_unsent_attempt(&mut self) {
         self.attempts.push(OpenAttempt::Ended);
     }
@@ -128,7 +128,7 @@
         )
     }
 
-    /// Ends an attempt and its task; returns when it was sent, or `None` where it was not in flight.
+    /// Ends an attempt and its task. Returns when it was sent, or `None` if it was not in flight.
     pub fn end_attempt(&mut self, attempt: AttemptNumber) -> Option<Timestamp> {
         let attempt = self.attempts.get_mut(attempt)?;
         match std::mem::replace(attempt, OpenAttempt::Ended) {
@@ -147,7 +147,7 @@
         self.last_outcome == Some(Outcome::TimedOut)
     }
 
-    /// Returns whether it is answered and has no attempts in flight, so that the balancer has forgotten it too.
+    /// Returns whether it is answered and has no attempts in flight. The balancer has then forgotten it too.
     pub fn is_finished(&self) -> bool {
         let is_in_flight = |attempt: &OpenAttempt| matches!(attempt, OpenAttempt::InFlight { .. });
         !self.is_unanswered() && !self.attempts.iter().any(is_in_flight)
--- a/src/sidecar/node/open_requests.rs
+++ b/src/sidecar/node/open_requests.rs
@@ -8,19 +8,19 @@
 
 /// All requests that are unanswered or have attempts in flight.
 ///
-/// Every final answer leaves through [`OpenRequests::answer`]; a request whose client has disconnected leaves through
-/// [`OpenRequests::disconnect`]. Both happen at most once a request.
+/// Every final answer is given by [`OpenRequests::answer`]; a client's disconnection is recorded by
+/// [`OpenRequests::disconnect`]. A request gets one of the two, and at most once.
 #[derive(Default)]
 pub struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
-    /// Requests without a final answer. Never more than `requests`, which also holds those with attempts in flight.
+    /// The number of unanswered requests. `requests` also holds answered ones with attempts in flight.
     unanswered: u64,
-    /// Set by a graceful shutdown: every request that arrives is answered by then.
+    /// Set by a graceful shutdown. Every request that arrives is answered by then.
     shutdown_deadline: Option<Timestamp>,
 }
 
 impl OpenRequests {
-    /// Adds a request; its final answer comes over the channel returned.
+    /// Adds a request. Its final answer arrives on the returned channel.
     ///
     /// # Errors
     /// `max_open` requests are unanswered already, or a request with this id is open.
@@ -48,7 +48,7 @@
         self.requests.get(request)
     }
 
-    /// Returns an open request, for a change of its attempts.
+    /// Returns a mutable reference to an open request.
     pub fn get_mut(&mut self, request: &RequestId) -> Option<&mut OpenRequest> {
         self.requests.get_mut(request)
     }
@@ -66,25 +66,25 @@
     /// Gives a request its final answer, unless it has one or its client has disconnected.
     pub fn answer(&mut self, request: &RequestId, answer: FinalAnswer) {
         if let Some(reply) = self.take_reply(request) {
-            // The receiver may just have been dropped: the request is over either way.
+            // The receiver may just have been dropped: the request is answered either way.
             let _ = reply.send(answer);
             self.remove_if_finished(request);
         }
     }
 
-    /// Marks a request as unwanted by its client. Returns whether it was still unanswered.
+    /// Records that a request's client has disconnected. Returns whether the request was still unanswered.
     pub fn disconnect(&mut self, request: &RequestId) -> bool {
         self.take_reply(request).is_some()
     }
 
-    /// Removes a request that is answered and has no attempts in flight, as the balancer does.
+    /// Removes a request if it is answered and has no attempts in flight. The balancer forgets it at the same time.
     pub fn remove_if_finished(&mut self, request: &RequestId) {
         if self.get(request).is_some_and(OpenRequest::is_finished) {
             self.requests.remove(request);
         }
     }
 
-    /// Has every request from now on answered by a point in time.
+    /// Sets the time by which every request that arrives from now on is answered.
     pub fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = Some(deadline);
     }
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long after a drain has begun callers may still be sent here: the front polls readiness ten times a second, and
-/// sends some callers for 0.2 s after a negative answer.
+/// How long callers may still be sent here after a drain has begun. The front end polls readiness ten times per second,
+/// and sends some callers for 0.2 s after a negative answer.
 const READINESS_PROPAGATION: Duration = Duration::from_millis(600);
-/// How long callers then have for one more request, whose response closes their connection. A drain must have closed all
-/// connections after 4 s, and may interrupt no request of the 2 s before that.
+/// How long callers then have for one more request, whose response closes their connection. A drain must have closed
+/// all connections after 4 s, and must not interrupt requests of the 2 s before that.
 const LAST_REQUEST_TIME: Duration = Duration::from_millis(1_000);
 
 /// No endpoint with this id is listed or disabled.
@@ -21,7 +21,7 @@
 pub struct UnknownEndpoint;
 
 impl NodeHandle {
-    /// Disables or enables an endpoint, here and in the other processes of this sidecar.
+    /// Disables or enables an endpoint, in this process and the other processes of this sidecar.
     ///
     /// # Errors
     /// No endpoint with this id is listed or disabled.
@@ -41,8 +41,8 @@
         Ok(())
     }
 
-    /// Applies an endpoint's administrative state, as the operators or another process have set it, and stores it for the
-    /// next process.
+    /// Applies an endpoint's administrative state, set by the operators or another process, and stores it for the next
+    /// process.
     pub(super) fn apply_admin_state(&self, endpoint: &EndpointId, state: AdminState) {
         log!("endpoint {} is {state} by the operators", endpoint.0);
         self.handle(match state {
@@ -54,7 +54,7 @@
             .store_admin_state(endpoint, state, node.disabled_endpoints());
     }
 
-    /// Begins to drain the sidecar of callers. Does nothing during a drain.
+    /// Begins to drain the sidecar of callers. Does nothing if a drain is in progress.
     pub fn drain(&self) {
         if self.borrow().callers().drain_state().is_some() {
             return;
@@ -74,8 +74,8 @@
     }
 }
 
-/// Takes a drain through its states: first callers are served as before, then each connection closes with its next
-/// response, and at last the idle ones close.
+/// Advances a drain through its states. Callers are served as before at first. Then each connection closes with its
+/// next response, and finally idle connections close.
 async fn advance_drain(node: NodeHandle) {
     sleep(READINESS_PROPAGATION).await;
     node.borrow()
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -1,4 +1,4 @@
-//! The node and the other processes of its sidecar: messages, and what follows from a process's end.
+//! Messages between the node and the other processes of its sidecar, and the handling of a process's end.
 
 use super::state::NodeHandle;
 use crate::policy::EndpointId;
@@ -7,19 +7,19 @@
 use std::collections::BTreeSet;
 use tokio::sync::mpsc;
 
-/// What follows from the end of the process that had taken over.
+/// The effect of the end of the process that had taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeoverEnd {
-    /// Callers are accepted here again.
+    /// This process accepts callers again.
     Resumed,
-    /// Callers were accepted here all along.
+    /// This process has accepted callers all along.
     NeverSuspended,
     /// This process is shutting down itself.
     ShuttingDown,
 }
 
 impl NodeHandle {
-    /// Adds another process; returns what is to be written to it.
+    /// Adds another process. Returns its id, and the channel of the messages to be written to it.
     pub fn add_process(
         &self,
         role: ProcessRole,
@@ -46,8 +46,8 @@
             .broadcast(&ProcessMessage::ShuttingDown);
     }
 
-    /// Sends the disabled endpoints to the other processes: a new one has read the file, but perhaps before the last
-    /// change.
+    /// Sends the disabled endpoints to the other processes. A new one has read the stored file, but perhaps before the
+    /// last change.
     pub fn send_disabled_endpoints(&self) {
         let node = self.borrow();
         for endpoint in node.disabled_endpoints() {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Removes a process that has ended, with the connections that it had. It may have stored a last change without
-    /// sending it on, so that what is stored applies.
+    /// Removes a process that has ended, with the connections that it had. Applies the stored disabled endpoints,
+    /// because the process may have stored a last change without sending it.
     pub fn process_ended(&self, process: OtherProcessId) {
         let mut guard = self.borrow();
         let node = &mut *guard;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Accepts callers again where the new process shuts down. The old process's shutdown changes nothing here.
+    /// Accepts callers again if the new process shuts down. A shutdown of the old process changes nothing.
     fn receive_shutting_down(&self, origin: OtherProcessId) {
         let mut node = self.borrow();
         if node.hot_restart.processes().is_new_process(origin)
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -9,7 +9,7 @@
 /// Why a configuration is not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// A key is missing that the file had before, as in a file that was cut off.
+    /// A key that the file had before is missing, for example because the file is truncated.
     #[error("{0} is missing, which was there before")]
     MissingKey(String),
     /// The balancer cannot work with the settings.
@@ -18,9 +18,9 @@
 }
 
 impl NodeHandle {
-    /// Applies a configuration as far as a running process can, or nothing of it. A discovery that has moved is followed
-    /// at once, and the previous one as well until the new one has sent a list. The cached list is ignored: the lists
-    /// received since the start are newer.
+    /// Applies the parts of a configuration that a running process can change, or none of them on an error. If
+    /// discovery has moved, the new service is watched at once, and the previous one too until the new one has sent a
+    /// list. The cached list is ignored, because the lists received since the start are newer.
     ///
     /// # Errors
     /// A key is missing, or the settings are invalid.
@@ -54,11 +54,11 @@
         self.borrow().metrics.reload_failed();
     }
 
-    /// Applies the settings of a configuration; returns the names of those that have changed.
+    /// Applies the settings of a configuration. Returns the names of those that have changed.
     fn change_settings(&self, config: &Config) -> Result<Vec<String>, ReloadError> {
         let changed = self.borrow().apply_settings(self, config)?;
         if !changed.is_empty() {
-            // The actions may have queued events; a timer without effect has the balancer handle them.
+            // The actions may have queued events. A timer event without effect makes the balancer handle them.
             self.handle(Event::Timer { token: 0 });
         }
         Ok(changed)
--- a/src/sidecar/node/report.rs
+++ b/src/sidecar/node/report.rs
@@ -8,9 +8,9 @@
 use crate::sidecar::descriptors::OpenConnections;
 use crate::sidecar::metrics::{ListMetrics, MemberCounts};
 
-/// What the log's counters line reports.
+/// The figures of the log's counters line.
 pub struct NodeReport {
-    /// What has happened since the last line.
+    /// The counters since the last line.
     pub counters: CountersLine,
     /// The balancer's present state.
     pub status: BalancerStatus,
@@ -21,7 +21,7 @@
 }
 
 impl Node {
-    /// Writes the metrics, one a line.
+    /// Writes the metrics, one per line.
     pub fn write_metrics(&self, text: &mut String) {
         let status = self.balancer_status();
         let members = MemberCounts {
@@ -32,7 +32,7 @@
         self.metrics.write(&members, &self.list_metrics(), text);
     }
 
-    /// Returns the present state and the counters since the last report, which start over.
+    /// Returns the present state and the counters since the last report, and resets the counters.
     pub fn take_report(&mut self) -> NodeReport {
         let answered = self.metrics.answered();
         NodeReport {
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -8,11 +8,11 @@
 use tokio::sync::oneshot;
 
 impl NodeHandle {
-    /// Submits a request to the balancer. Its final answer comes once, over the channel returned, unless
+    /// Submits a request to the balancer. Its final answer arrives once, on the returned channel, unless
     /// [`NodeHandle::client_disconnected`] or [`NodeHandle::deadline_exceeded`] is called first.
     ///
     /// # Errors
-    /// A limit is reached, or a request with this id is open; the request has then not run.
+    /// The limit of unanswered requests is reached, or a request with this id is open. The request has not run then.
     pub fn submit(
         &self,
         mut request: Request,
@@ -21,7 +21,8 @@
         let mut node = self.borrow();
         let settings = node.configuration.settings();
         let max_open = settings.limits.max_open;
-        // Parsed under the settings before a reload, it may name a tenant that the settings in force lack.
+        // A request that was parsed under the settings before a reload may name a tenant that the settings in force
+        // lack.
         request
             .tenant
             .take_if(|tenant| tenant.0 >= settings.tenants.len());
@@ -32,7 +33,7 @@
         Ok(answer)
     }
 
-    /// The client has closed its connection: the request needs no answer any more.
+    /// Withdraws a request whose client has closed its connection. The request needs no answer any more.
     pub fn client_disconnected(&self, request: &RequestId) {
         let mut node = self.borrow();
         if !node.requests.disconnect(request) {
@@ -46,7 +47,8 @@
         self.borrow().requests.remove_if_finished(request);
     }
 
-    /// The deadline was exceeded without an answer of the balancer, which is a bug; the caller answers by itself.
+    /// Handles a request that the balancer has not answered by its deadline, which is a bug. The calling function
+    /// answers it.
     pub fn deadline_exceeded(&self, request: &RequestId) {
         log!("request {} was still open at its deadline", request.0);
         self.client_disconnected(request);
@@ -59,14 +61,14 @@
         self.requests.answer(request, answer);
     }
 
-    /// Counts a request that is rejected before the balancer sees it; returns its Retry-After.
+    /// Counts a request that is rejected before the balancer sees it. Returns its Retry-After.
     pub fn reject_early(&mut self) -> Option<Duration> {
         self.counters.request_rejected_early();
         self.balancer.retry_after()
     }
 
-    /// Returns the deadline of a request that has just been received whole, of which its client waits for so long. During
-    /// a graceful shutdown it is no later than the shutdown's.
+    /// Returns the deadline of a request that has just been received completely, and whose client waits for
+    /// `time_left`. During a graceful shutdown, it is no later than the shutdown's deadline.
     pub fn request_deadline(&self, time_left: Duration) -> Timestamp {
         self.requests.limit_deadline(self.clock.now() + time_left)
     }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -20,12 +20,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The fraction of the process's memory that callers' request bodies may use is one of so many.
+/// The process's memory is divided by this number for the budget of callers' request bodies.
 const REQUEST_MEMORY_DIVISOR: usize = 4;
-/// The fraction of the process's memory that endpoints' responses may use is one of so many.
+/// The process's memory is divided by this number for the budget of endpoints' responses.
 const RESPONSE_MEMORY_DIVISOR: usize = 8;
 
-/// The state of one sidecar around its balancer. Each component is changed through its own methods alone.
+/// The state of one sidecar, with its balancer. Each component is changed only through its own methods.
 pub struct Node {
     pub(super) clock: Clock,
     pub(super) balancer: Balancer,
@@ -36,15 +36,15 @@
     pub(super) hot_restart: HotRestart,
     request_memory: MemoryBudget,
     response_memory: MemoryBudget,
-    /// Since the last counters line of the log.
+    /// The counters since the last counters line of the log.
     pub(super) counters: Counters,
-    /// Since the start.
+    /// The metrics since the start.
     pub(super) metrics: Metrics,
-    /// Seeds random numbers that the balancer does not draw.
+    /// The seed of random numbers that are drawn outside the balancer.
     seed: u64,
     /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
-    /// Reused by each event, so that none allocates.
+    /// The buffer of the balancer's actions, reused to avoid an allocation per event.
     actions: Vec<Action>,
 }
 
@@ -74,9 +74,9 @@
 }
 
 impl NodeHandle {
-    /// Starts a node with the cached list of its configuration. It follows discovery once its balancer subscribes; at once
-    /// in a hot restart, where lists are pushed, and where there is no cached list, as the balancer subscribes only when
-    /// it has a list that is old.
+    /// Starts a node with the cached list of its configuration. It watches discovery once its balancer subscribes. It
+    /// watches at once in a hot restart, if lists are pushed, and if there is no cached list, because the balancer
+    /// subscribes only when it has an old list.
     ///
     /// # Errors
     /// The balancer cannot work with the settings.
@@ -110,7 +110,7 @@
         self.0.borrow_mut()
     }
 
-    /// Has the balancer handle an event and those that follow from it, and executes its actions in order.
+    /// Passes an event, and those that follow from it, to the balancer, and executes the balancer's actions in order.
     pub(super) fn handle(&self, event: Event) {
         let mut node = self.borrow();
         node.events.push_back(event);
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Returns whether a node follows discovery without waiting for its balancer to subscribe.
+    /// Returns whether a node watches discovery without waiting for its balancer to subscribe.
     fn watches_at_once(&self, mode: StartMode) -> bool {
         mode == StartMode::HotRestart || self.discovery_mode() == DiscoveryMode::Pushed
     }
@@ -178,7 +178,7 @@
         self.events.push_back(event);
     }
 
-    /// Returns the clock that the balancer runs by.
+    /// Returns the clock whose time the balancer is given.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -193,12 +193,12 @@
         self.connections.callers()
     }
 
-    /// Returns the callers' connections, for a change.
+    /// Returns a mutable reference to the callers' connections.
     pub fn callers_mut(&mut self) -> &mut CallerTable {
         self.connections.callers_mut()
     }
 
-    /// Admits a connection that was just accepted; `None` where it is to be closed unread.
+    /// Admits a connection that was just accepted. Returns `None` if it is to be closed unread.
     pub fn admit_caller(&mut self) -> Option<AdmittedCaller> {
         self.connections.admit_caller()
     }
@@ -223,18 +223,18 @@
         &self.response_memory
     }
 
-    /// Returns the seed of random numbers that the balancer does not draw.
+    /// Returns the seed of random numbers that are drawn outside the balancer.
     pub(super) fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Begins a graceful shutdown: every request that arrives from now on is answered within this time.
+    /// Begins a graceful shutdown. Every request that arrives from now on is answered within `time`.
     pub fn begin_shutdown(&mut self, time: Duration) {
         let deadline = self.clock.now() + time;
         self.requests.set_shutdown_deadline(deadline);
     }
 
-    /// Returns what the operators have decided about an endpoint.
+    /// Returns whether the operators have disabled an endpoint.
     pub fn admin_state(&self, endpoint: &EndpointId) -> AdminState {
         AdminState::from_disabled(self.balancer.is_disabled(endpoint))
     }
@@ -244,8 +244,8 @@
         self.balancer.disabled_endpoints()
     }
 
-    /// Returns whether callers may be sent here: an endpoint takes work, and the sidecar neither shuts down, drains nor
-    /// waits for its first list.
+    /// Returns whether callers may be sent here: an endpoint takes work, and the sidecar is neither shutting down, nor
+    /// draining, nor waiting for its first list.
     pub fn is_ready(&self) -> bool {
         let is_enabled = |endpoint: &EndpointId| !self.balancer.is_disabled(endpoint);
         self.endpoints.serving().any(is_enabled)
@@ -254,7 +254,7 @@
             && self.callers().drain_state().is_none()
     }
 
-    /// Begins the count of a request of a class.
+    /// Starts the count of a request of a class in the metrics.
     pub fn begin_request(&mut self, class: &str) -> RequestCount {
         self.metrics.begin_request(class)
     }
