--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -48,7 +48,7 @@
         let deadline = self.host.clock().instant(self.spec.deadline);
         let connect_deadline = deadline.min(Instant::now() + self.host.connect_timeout());
         loop {
-            let Some(mut acquired) = self.acquire(connect_deadline).await else {
+            let Some(mut acquired) = self.acquire_connection(connect_deadline).await else {
                 return AttemptResult::without_response(Outcome::ConnectFailed);
             };
             if !self.host.may_write(self.spec) || self.forwarded().is_consumed() {
@@ -89,7 +89,7 @@
     /// Takes an idle connection from the pool or opens a new one. A request that must not run twice always gets a new
     /// connection: an endpoint may close an idle one at any time, or reset it at the next request. That request may
     /// have run by then, so it could not be sent again.
-    async fn acquire(&self, deadline: Instant) -> Option<AcquiredConnection> {
+    async fn acquire_connection(&self, deadline: Instant) -> Option<AcquiredConnection> {
         let target = &self.spec.target;
         if self.forwarded().is_repeatable
             && let Some(connection) = self.host.take_connection(&target.endpoint)
--- a/src/sidecar/listener_handover/new_process.rs
+++ b/src/sidecar/listener_handover/new_process.rs
@@ -56,7 +56,7 @@
     let message_node = node.clone();
     tokio::task::spawn_local(async move {
         exchange_messages(&message_node, process, stream, messages).await;
-        message_node.process_ended(process);
+        message_node.other_process_ended(process);
         log!("hot restart: the old process has ended");
     });
     let has_old_process = || node.has_process(process);
--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -33,7 +33,7 @@
         let (process, messages) = node.add_process(ProcessRole::New);
         node.send_disabled_endpoints();
         exchange_messages(&node, process, stream, messages).await;
-        node.process_ended(process);
+        node.other_process_ended(process);
         match node.takeover_ended() {
             // This may be the last descriptor of the listener: no other process accepts what is in its backlog.
             TakeoverEnd::ShuttingDown => return server::accept_backlog(&node, listener),
--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -16,8 +16,8 @@
                 request,
                 endpoint,
                 timeout,
-            } => self.send(handle, request, &endpoint, timeout),
-            Action::Cancel { request, attempt } => self.cancel(&request, attempt),
+            } => self.send_attempt(handle, request, &endpoint, timeout),
+            Action::Cancel { request, attempt } => self.cancel_attempt(&request, attempt),
             Action::Reject {
                 request,
                 retry_after,
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -18,7 +18,7 @@
     }
 
     /// Starts an attempt, if its request is still unanswered and its endpoint is still listed.
-    pub(super) fn send(
+    pub(super) fn send_attempt(
         &mut self,
         handle: &NodeHandle,
         request: RequestId,
@@ -50,7 +50,7 @@
     }
 
     /// Aborts an attempt, which closes its connection.
-    pub(super) fn cancel(&mut self, request: &RequestId, attempt: AttemptNumber) {
+    pub(super) fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
         let Some(open_request) = self.requests.get_mut(request) else {
             return;
         };
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -58,7 +58,7 @@
 
     /// Removes a process that has ended, with the connections that it had. Applies the stored disabled endpoints,
     /// because the process may have stored a last change without sending it.
-    pub fn process_ended(&self, process: OtherProcessId) {
+    pub fn other_process_ended(&self, process: OtherProcessId) {
         let mut guard = self.borrow();
         let node = &mut *guard;
         node.hot_restart.processes_mut().remove(process);
