--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -142,8 +142,8 @@
         self.pool.set_idle_policy(IdleConnectionPolicy::Close);
     }
 
-    /// Resumes accepting callers, because no other process accepts them any more. Returns whether this process accepts
-    /// them again.
+    /// Resumes accepting callers, because no other process accepts them now. Returns whether this process accepts them
+    /// again.
     pub fn resume_accepting(&mut self) -> bool {
         let has_resumed = self.callers.resume_accepting();
         if has_resumed {
--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -81,7 +81,7 @@
         self.subscription.move_to(discovery)
     }
 
-    /// Sets the version of the cached list. Discovery may send changes that follow on this version.
+    /// Sets the version of the cached list. Discovery may send changes relative to this version.
     pub fn set_cached_version(&mut self, version: u64) {
         self.subscription
             .membership_mut()
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use tokio::sync::mpsc;
 
-/// The effect of the end of the process that had taken over.
+/// How this process accepts callers after the process that had taken over has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeoverEnd {
     /// This process accepts callers again.
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -33,7 +33,7 @@
         Ok(answer)
     }
 
-    /// Withdraws a request whose client has closed its connection. The request needs no answer any more.
+    /// Withdraws a request whose client has closed its connection. The request no longer needs an answer.
     pub fn client_disconnected(&self, request: &RequestId) {
         let mut node = self.borrow();
         if !node.requests.disconnect(request) {
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -110,7 +110,7 @@
         self.0.borrow_mut()
     }
 
-    /// Passes an event, and those that follow from it, to the balancer, and executes the balancer's actions in order.
+    /// Passes an event and the events that it causes to the balancer, and executes the balancer's actions in order.
     pub(super) fn handle(&self, event: Event) {
         let mut node = self.borrow();
         node.events.push_back(event);
