--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -9,15 +9,15 @@
 use tokio::time::sleep_until;
 
 impl Node {
-    /// Executes one action of the balancer. Events that follow from it at once are queued.
+    /// Executes one action of the balancer. Events that it causes at once are queued.
     pub(super) fn execute(&mut self, handle: &NodeHandle, action: Action) {
         match action {
             Action::Send {
                 request,
                 endpoint,
                 timeout,
-            } => self.send(handle, request, &endpoint, timeout),
-            Action::Cancel { request, attempt } => self.cancel(&request, attempt),
+            } => self.send_attempt(handle, request, &endpoint, timeout),
+            Action::Cancel { request, attempt } => self.cancel_attempt(&request, attempt),
             Action::Reject {
                 request,
                 retry_after,
@@ -27,21 +27,21 @@
                 self.answer(&request, FinalAnswer::Failed { timed_out });
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
-            // An agent that pushes lists is followed all the time.
+            // The watch on an agent that pushes lists stays open all the time.
             Action::Subscribe | Action::Unsubscribe
                 if self.discovery_mode() == DiscoveryMode::Pushed => {}
             Action::Subscribe => {
                 // A reload may have opened a watch already, and a second one would cost discovery a call.
                 if !self.endpoints.is_watching() {
-                    self.follow_discovery(handle);
+                    self.start_discovery_watch(handle);
                 }
             }
             Action::Unsubscribe => self.endpoints.stop_watch(),
             Action::FetchList => self.fetch_list(handle),
             Action::CloseIdleConnections { endpoint } => self.connections.close_idle(&endpoint),
             Action::HealthCheck { endpoint } => self.check_health(handle, &endpoint),
-            // The balancer sends no messages to others of its kind.
-            Action::SendPeerMessage { .. } => log!("no peers to send a message to"),
+            // A sidecar has no peers to exchange messages with.
+            Action::SendPeerMessage { .. } => log!("peer message dropped: a sidecar has no peers"),
             Action::Log(text) => log!("{text}"),
         }
     }
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from their sending to their end.
+//! The start, cancellation and end of attempts.
 
 use super::state::{Node, NodeHandle};
 use crate::policy::{
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 impl Node {
-    /// Returns whether the same process of an endpoint still takes work, by its list entry, by the operators, and by what
-    /// was seen of it.
+    /// Returns whether the same process of an endpoint still takes work: it is listed as serving, and neither disabled
+    /// by the operators nor suspended.
     pub(super) fn takes_work(&self, target: &Target) -> bool {
         self.endpoints.is_serving(target)
             && !self.balancer.is_disabled(&target.endpoint)
             && !self.balancer.is_suspended(&target.endpoint)
     }
 
-    /// Starts an attempt, if its request is still unanswered and its endpoint still listed.
-    pub(super) fn send(
+    /// Starts an attempt, if its request is still unanswered and its endpoint is still listed.
+    pub(super) fn send_attempt(
         &mut self,
         handle: &NodeHandle,
         request: RequestId,
@@ -32,8 +32,8 @@
         };
         let attempt = open_request.next_attempt();
         let Some(target) = target.filter(|_| open_request.is_unanswered()) else {
-            open_request.skip_attempt();
-            let event = self.attempt_end(&request, attempt, now, Outcome::NotSent, None);
+            open_request.add_unsent_attempt();
+            let event = self.record_attempt_end(&request, attempt, now, Outcome::NotSent, None);
             self.queue_event(event);
             return;
         };
@@ -50,19 +50,20 @@
     }
 
     /// Aborts an attempt, which closes its connection.
-    pub(super) fn cancel(&mut self, request: &RequestId, attempt: AttemptNumber) {
+    pub(super) fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
         let Some(open_request) = self.requests.get_mut(request) else {
             return;
         };
         if let Some(sent_at) = open_request.end_attempt(attempt) {
-            let event = self.attempt_end(request, attempt, sent_at, Outcome::Cancelled, None);
+            let event =
+                self.record_attempt_end(request, attempt, sent_at, Outcome::Cancelled, None);
             self.queue_event(event);
-            self.requests.remove_if_over(request);
+            self.requests.remove_if_finished(request);
         }
     }
 
     /// Counts the end of an attempt, and returns the event that reports it to the balancer.
-    pub(super) fn attempt_end(
+    pub(super) fn record_attempt_end(
         &mut self,
         request: &RequestId,
         attempt: AttemptNumber,
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -11,9 +11,9 @@
 pub enum FinalAnswer {
     /// An endpoint has served it.
     Served(ServedResponse),
-    /// It was rejected unserved: trying again is harmless.
+    /// It was rejected without being run. Trying again is harmless.
     Rejected {
-        /// When the client is to come back.
+        /// How long the client should wait before it tries again.
         retry_after: Option<Duration>,
     },
     /// It has failed, and may have run.
@@ -25,31 +25,31 @@
 
 /// Why a request is not submitted to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RequestRejected {
-    /// A request with its id is open.
+pub enum SubmitError {
+    /// Another request with the same id is open.
     #[error("a request with this id is open")]
-    Repeated,
+    DuplicateId,
     /// The limit of unanswered requests is reached.
     #[error("too many requests are unanswered")]
-    TooMany,
+    TooManyUnanswered,
 }
 
 /// An open request: it is unanswered, or has attempts in flight.
 pub struct OpenRequest {
     forwarded: Rc<ForwardedRequest>,
     deadline: Timestamp,
-    reply: Reply,
-    /// By their numbers.
+    reply: ReplyState,
+    /// Indexed by attempt number.
     attempts: Vec<OpenAttempt>,
     last_outcome: Option<Outcome>,
 }
 
-/// Whether a request waits for its final answer.
-enum Reply {
-    /// Whoever takes the sender answers the request.
-    Awaited(oneshot::Sender<FinalAnswer>),
-    /// It has its final answer, or its client has disconnected.
-    Given,
+/// The state of a request's final answer.
+enum ReplyState {
+    /// The request waits for its final answer, which is sent through this channel.
+    Pending(oneshot::Sender<FinalAnswer>),
+    /// The request has its final answer, or its client has disconnected.
+    Taken,
 }
 
 /// An attempt of an open request.
@@ -59,7 +59,7 @@
         /// Aborts the attempt when it is dropped.
         _task: Task,
     },
-    /// It has ended, or never began.
+    /// It has ended, or was never sent.
     Ended,
 }
 
@@ -73,13 +73,13 @@
         OpenRequest {
             forwarded: Rc::new(forwarded),
             deadline,
-            reply: Reply::Awaited(reply),
+            reply: ReplyState::Pending(reply),
             attempts: Vec::new(),
             last_outcome: None,
         }
     }
 
-    /// Returns what is sent to endpoints.
+    /// Returns the part of the request that is sent to endpoints.
     pub fn forwarded(&self) -> &Rc<ForwardedRequest> {
         &self.forwarded
     }
@@ -91,14 +91,14 @@
 
     /// Returns whether it waits for its final answer.
     pub fn is_unanswered(&self) -> bool {
-        matches!(self.reply, Reply::Awaited(_))
+        matches!(self.reply, ReplyState::Pending(_))
     }
 
     /// Takes the sender of its final answer; `None` once it was taken.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
-        match std::mem::replace(&mut self.reply, Reply::Given) {
-            Reply::Awaited(reply) => Some(reply),
-            Reply::Given => None,
+        match std::mem::replace(&mut self.reply, ReplyState::Taken) {
+            ReplyState::Pending(reply) => Some(reply),
+            ReplyState::Taken => None,
         }
     }
 
@@ -107,7 +107,7 @@
         self.attempts.len()
     }
 
-    /// Adds the next attempt, which a task makes.
+    /// Adds the next attempt, which `task` makes.
     pub fn begin_attempt(&mut self, sent_at: Timestamp, task: Task) {
         self.attempts.push(OpenAttempt::InFlight {
             sent_at,
@@ -115,8 +115,8 @@
         });
     }
 
-    /// Adds the next attempt, which ends before it has begun.
-    pub fn skip_attempt(&mut self) {
+    /// Adds the next attempt as one that has ended without being sent.
+    pub fn add_unsent_attempt(&mut self) {
         self.attempts.push(OpenAttempt::Ended);
     }
 
@@ -128,7 +128,7 @@
         )
     }
 
-    /// Ends an attempt and its task; returns when it was sent, or `None` where it was not in flight.
+    /// Ends an attempt and its task. Returns when it was sent, or `None` if it was not in flight.
     pub fn end_attempt(&mut self, attempt: AttemptNumber) -> Option<Timestamp> {
         let attempt = self.attempts.get_mut(attempt)?;
         match std::mem::replace(attempt, OpenAttempt::Ended) {
@@ -147,8 +147,8 @@
         self.last_outcome == Some(Outcome::TimedOut)
     }
 
-    /// Returns whether it is answered and has no attempts in flight, so that the balancer has forgotten it too.
-    pub fn is_over(&self) -> bool {
+    /// Returns whether it is answered and has no attempts in flight. The balancer has then forgotten it too.
+    pub fn is_finished(&self) -> bool {
         let is_in_flight = |attempt: &OpenAttempt| matches!(attempt, OpenAttempt::InFlight { .. });
         !self.is_unanswered() && !self.attempts.iter().any(is_in_flight)
     }
