--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns whether as many bytes as the request declares have been received.
-    pub fn has_declared_length(&self) -> bool {
+    pub fn has_received_declared_length(&self) -> bool {
         self.length == Some(self.received.get())
     }
 
--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -24,7 +24,7 @@
 
 /// The peer of a connection.
 #[derive(Clone, Copy, Debug)]
-pub enum Side {
+pub enum PeerKind {
     /// A caller.
     Callers,
     /// An endpoint.
@@ -66,10 +66,10 @@
     }
 
     /// Returns a permit for one more connection. It does not check the budget.
-    pub fn permit(&self, side: Side) -> DescriptorPermit {
-        let open = match side {
-            Side::Callers => &self.callers,
-            Side::Endpoints => &self.endpoints,
+    pub fn permit(&self, peer: PeerKind) -> DescriptorPermit {
+        let open = match peer {
+            PeerKind::Callers => &self.callers,
+            PeerKind::Endpoints => &self.endpoints,
         };
         open.set(open.get() + 1);
         DescriptorPermit(open.clone())
--- a/src/sidecar/endpoint/request_body.rs
+++ b/src/sidecar/endpoint/request_body.rs
@@ -100,7 +100,7 @@
 
     /// Notes the end of an upload that hyper has stopped reading at its declared length, ahead of its end.
     fn finish_at_declared_length(&self) {
-        if self.upload.has_declared_length() && !self.upload.is_finished() {
+        if self.upload.has_received_declared_length() && !self.upload.is_finished() {
             self.upload.set_finished(Ok(()));
         }
     }
--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -75,7 +75,7 @@
 
 /// A request that is counted once, at its end.
 #[derive(Debug)]
-pub struct RequestCount {
+pub struct RequestTracker {
     class: Rc<ClassMetrics>,
     pending: Rc<Cell<u64>>,
     is_whole: bool,
@@ -101,8 +101,8 @@
     }
 
     /// Begins the count of a request of a class.
-    pub fn begin_request(&mut self, class: &str) -> RequestCount {
-        RequestCount {
+    pub fn begin_request(&mut self, class: &str) -> RequestTracker {
+        RequestTracker {
             class: self.class(class),
             pending: self.pending.clone(),
             is_whole: false,
@@ -171,7 +171,7 @@
     }
 }
 
-impl RequestCount {
+impl RequestTracker {
     /// Marks the request as received whole: from now on it is pending.
     pub fn set_whole(&mut self) {
         if !std::mem::replace(&mut self.is_whole, true) {
@@ -194,7 +194,7 @@
 }
 
 /// A request that is dropped without an answer is one whose client has disconnected.
-impl Drop for RequestCount {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         if self.is_whole {
             self.pending.set(self.pending.get() - 1);
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::{EndpointId, Limits};
 use crate::sidecar::caller::{AcceptedCaller, Admission, CallerTable, DrainState};
-use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, Side};
+use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, PeerKind};
 use crate::sidecar::endpoint::{
     ConnectionPool, EndpointConnection, IdleConnections, KnownProcess, KnownProcesses, SweepTask,
     Target,
@@ -67,7 +67,7 @@
         Some(AdmittedCaller {
             accepted: self.callers.add(admission),
             admission,
-            permit: self.descriptors.permit(Side::Callers),
+            permit: self.descriptors.permit(PeerKind::Callers),
         })
     }
 
@@ -81,7 +81,7 @@
         let has_descriptor = !self.descriptors.is_exhausted()
             || self.pool.close_oldest()
             || self.callers.evict_one();
-        has_descriptor.then(|| self.descriptors.permit(Side::Endpoints))
+        has_descriptor.then(|| self.descriptors.permit(PeerKind::Endpoints))
     }
 
     /// Returns whether all descriptors are in use.
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -14,7 +14,7 @@
 use crate::sidecar::descriptors::{DescriptorBudget, OpenConnections};
 use crate::sidecar::hot_restart::SharedDirectory;
 use crate::sidecar::memory::MemoryBudget;
-use crate::sidecar::metrics::{Metrics, RequestCount};
+use crate::sidecar::metrics::{Metrics, RequestTracker};
 use std::cell::{RefCell, RefMut};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -255,7 +255,7 @@
     }
 
     /// Begins the count of a request of a class.
-    pub fn begin_request(&mut self, class: &str) -> RequestCount {
+    pub fn begin_request(&mut self, class: &str) -> RequestTracker {
         self.metrics.begin_request(class)
     }
 }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -8,7 +8,7 @@
 use crate::sidecar::body::{buffer_size, receive_request_body};
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::memory::MemoryReservation;
-use crate::sidecar::metrics::RequestCount;
+use crate::sidecar::metrics::RequestTracker;
 use crate::sidecar::node::{NodeHandle, RequestRejected};
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
@@ -50,7 +50,7 @@
     caller: &CallerConnection,
     request: Request<Incoming>,
     begun: Instant,
-    count: &mut Option<RequestCount>,
+    count: &mut Option<RequestTracker>,
 ) -> Result<Reply, RequestError> {
     let node = &caller.node;
     let (head, body) = request.into_parts();
--- a/src/sidecar/server/pending_request.rs
+++ b/src/sidecar/server/pending_request.rs
@@ -7,7 +7,7 @@
 use crate::sidecar::body::Upload;
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::endpoint::ForwardedRequest;
-use crate::sidecar::metrics::RequestCount;
+use crate::sidecar::metrics::RequestTracker;
 use crate::sidecar::node::{FinalAnswer, NodeHandle, RequestRejected};
 use hyper::StatusCode;
 use std::pin::pin;
@@ -87,7 +87,7 @@
         caller: &CallerConnection,
         upload: &Upload,
         answer: &mut oneshot::Receiver<FinalAnswer>,
-        count: &mut RequestCount,
+        count: &mut RequestTracker,
     ) -> Result<Option<FinalAnswer>, RequestError> {
         // With a response ahead of the body's end, the start of the next request is not known.
         caller.state.set_persistence(Persistence::Close);
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -3,7 +3,7 @@
 use crate::sidecar::body::BodyTransferError;
 use crate::sidecar::caller::ConnectionState;
 use crate::sidecar::endpoint::{ResponseBody, StreamedResponse};
-use crate::sidecar::metrics::RequestCount;
+use crate::sidecar::metrics::RequestTracker;
 use crate::sidecar::node::FinalAnswer;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -30,14 +30,14 @@
 pub struct StreamedReply {
     response: StreamedResponse,
     /// The metrics of its request, until the body has ended.
-    count: Option<RequestCount>,
+    count: Option<RequestTracker>,
     /// The state of the caller's connection.
     state: Option<Rc<ConnectionState>>,
 }
 
 impl StreamedReply {
     /// Has the end of the body reported to the metrics of its request and to the connection's state.
-    pub fn report_end_to(&mut self, count: RequestCount, state: &Rc<ConnectionState>) {
+    pub fn report_end_to(&mut self, count: RequestTracker, state: &Rc<ConnectionState>) {
         self.count = Some(count);
         self.state = Some(state.clone());
     }
