--- a/src/sidecar/body/upload_deadline.rs
+++ b/src/sidecar/body/upload_deadline.rs
@@ -9,9 +9,9 @@
 /// Bytes a second: half the rate of the slowest client that has to be served.
 const MIN_RATE: f64 = 32_000.0;
 /// A piece of at least so many bytes shows that they were waiting to be read: the endpoint was slow, not the client.
-const LARGE_PIECE: usize = 16 << 10;
+const LARGE_FRAME: usize = 16 << 10;
 /// The least time that is left to a client after a large piece.
-const MIN_TIME_AFTER_LARGE_PIECE: Duration = Duration::from_secs(1);
+const MIN_TIME_AFTER_LARGE_FRAME: Duration = Duration::from_secs(1);
 
 /// The time by which a client has to have sent more of its body. It is paused while the sidecar does not wait for
 /// the client.
@@ -44,8 +44,8 @@
         let now = Instant::now();
         self.paused_since = Some(now);
         self.deadline += Duration::from_secs_f64(bytes as f64 / MIN_RATE);
-        if bytes >= LARGE_PIECE {
-            self.deadline = self.deadline.max(now + MIN_TIME_AFTER_LARGE_PIECE);
+        if bytes >= LARGE_FRAME {
+            self.deadline = self.deadline.max(now + MIN_TIME_AFTER_LARGE_FRAME);
         }
     }
 }
--- a/src/sidecar/body/upload_deadline_tests.rs
+++ b/src/sidecar/body/upload_deadline_tests.rs
@@ -6,7 +6,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[tokio::test(start_paused = true)]
-async fn deadline_moves_by_the_time_that_received_bytes_may_take() {
+async fn received_bytes_extend_the_deadline() {
     let started_at = Instant::now();
     let mut deadline = UploadDeadline::new(started_at);
     assert_eq!(deadline.resume(), started_at + BASE_TIME);
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn deadline_is_paused_while_the_client_is_not_waited_for() {
+async fn deadline_pauses_while_no_data_is_awaited() {
     let started_at = Instant::now();
     let mut deadline = UploadDeadline::new(started_at);
     deadline.on_received(0);
@@ -34,15 +34,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_large_piece_leaves_a_client_that_is_late_the_minimum_time() {
+async fn large_frame_leaves_a_late_client_the_minimum_time() {
     let started_at = Instant::now();
     let mut deadline = UploadDeadline::new(started_at);
     advance(10 * SECOND).await;
 
-    deadline.on_received(LARGE_PIECE);
+    deadline.on_received(LARGE_FRAME);
 
     assert_eq!(
         deadline.resume(),
-        Instant::now() + MIN_TIME_AFTER_LARGE_PIECE
+        Instant::now() + MIN_TIME_AFTER_LARGE_FRAME
     );
 }
--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -5,7 +5,7 @@
 //!
 //! - `write_blocked_since`: the client reads nothing. It concerns the writing direction alone, and takes precedence in
 //!   [`ConnectionState::deadline`].
-//! - `peer_has_ended`: the client has sent FIN or a reset. hyper may still be answering.
+//! - `has_peer_closed`: the client has sent FIN or a reset. hyper may still be answering.
 //! - `persistence`: whether the connection ends with the next response. Heads, bodies, uploads and shutdowns set it, and a
 //!   finished upload resets it.
 //! - `head_error`: why a head was rejected. It outlives the phase: nothing after a rejected head is read as a request. A
@@ -56,7 +56,7 @@
     reader: RefCell<Option<Waker>>,
     head_error: Cell<Option<HeadError>>,
     persistence: Cell<Persistence>,
-    peer_has_ended: Cell<bool>,
+    has_peer_closed: Cell<bool>,
     write_blocked_since: Cell<Option<Instant>>,
     is_closing_idle: Cell<bool>,
 }
@@ -73,7 +73,7 @@
             reader: RefCell::new(None),
             head_error: Cell::new(None),
             persistence: Cell::new(Persistence::KeepAlive),
-            peer_has_ended: Cell::new(false),
+            has_peer_closed: Cell::new(false),
             write_blocked_since: Cell::new(None),
             is_closing_idle: Cell::new(false),
         })
@@ -112,14 +112,15 @@
         let now = Instant::now();
         self.last_byte_at.set(now);
         if bytes > 0 {
-            self.phase.set(self.phase.get().head_begun(now));
+            self.phase.set(self.phase.get().head_started(now));
         }
     }
 
     /// The reader gets to the next request, of which bytes have come already. They were not read while the last one was
     /// answered, so that its time counts from now on.
-    pub fn next_head_begun(&self) {
-        self.phase.set(self.phase.get().head_begun(Instant::now()));
+    pub fn next_head_started(&self) {
+        self.phase
+            .set(self.phase.get().head_started(Instant::now()));
     }
 
     /// All bytes of a head have come, whether or not it is valid.
@@ -144,19 +145,19 @@
     }
 
     /// The client has sent FIN, or has reset the connection.
-    pub fn peer_ended(&self) {
-        self.peer_has_ended.set(true);
+    pub fn peer_closed(&self) {
+        self.has_peer_closed.set(true);
     }
 
     /// Returns whether the client has sent FIN, or has reset the connection.
-    pub fn peer_has_ended(&self) -> bool {
-        self.peer_has_ended.get()
+    pub fn has_peer_closed(&self) -> bool {
+        self.has_peer_closed.get()
     }
 
     // ---- The service's events -------------------------------------------------------------------------------
 
     /// hyper has called the service with a request. Returns when its head began to come.
-    pub fn request_begun(&self) -> Instant {
+    pub fn request_started(&self) -> Instant {
         let head = self.phase.replace(Phase::Answering).incoming_head();
         head.map_or_else(Instant::now, |head| head.since)
     }
@@ -180,14 +181,14 @@
     }
 
     fn end_response(&self) {
-        let rest = |since| {
+        let idle_phase = |since| {
             if self.has_received_head.get() {
                 Phase::Idle { since }
             } else {
                 Phase::AwaitingFirstHead { since }
             }
         };
-        let phase = self.phase.get().response_ended(Instant::now(), rest);
+        let phase = self.phase.get().response_ended(Instant::now(), idle_phase);
         self.phase.set(phase);
     }
 
--- a/src/sidecar/caller/connection_state_tests.rs
+++ b/src/sidecar/caller/connection_state_tests.rs
@@ -20,12 +20,12 @@
 /// Has a request arrive and its response be ready.
 fn exchange(state: &ConnectionState, kind: ResponseKind) {
     receive_request(state);
-    state.request_begun();
+    state.request_started();
     state.response_ready(kind);
 }
 
 #[tokio::test(start_paused = true)]
-async fn new_connection_awaits_its_first_head_until_the_head_timeout() {
+async fn new_connection_awaits_its_first_head() {
     let state = ConnectionState::new();
     let accepted_at = Instant::now();
     assert_eq!(
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn new_connection_that_is_to_close_waits_no_longer_than_the_grace_for_its_first_request() {
+async fn closing_connection_waits_only_the_grace_for_its_first_request() {
     let state = ConnectionState::new();
     state.set_persistence(Persistence::Close);
     assert_eq!(state.deadline(), Some(Instant::now() + FIRST_REQUEST_GRACE));
@@ -52,11 +52,11 @@
     let accepted_at = Instant::now();
     advance(STEP).await;
     state.received(1);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     advance(STEP).await;
     state.received(1);
     let head = IncomingHead {
-        since: begun,
+        since: started_at,
         progress: HeadProgress::Receiving,
     };
     assert_eq!(
@@ -66,13 +66,13 @@
             head
         }
     );
-    assert_eq!(state.deadline(), Some(begun + HEAD_TIMEOUT));
-    assert_eq!(state.last_byte_at(), begun + STEP);
+    assert_eq!(state.deadline(), Some(started_at + HEAD_TIMEOUT));
+    assert_eq!(state.last_byte_at(), started_at + STEP);
     assert!(!state.is_awaiting_response());
 }
 
 #[tokio::test(start_paused = true)]
-async fn fin_without_bytes_begins_no_head() {
+async fn fin_without_bytes_starts_no_head() {
     let state = ConnectionState::new();
     state.received(0);
     assert!(!state.is_receiving_head());
@@ -80,14 +80,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn request_that_is_answered_has_no_deadline_here_and_knows_when_its_head_began() {
+async fn request_being_answered_has_no_deadline_and_keeps_its_start() {
     let state = ConnectionState::new();
     receive_request(&state);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert!(state.is_awaiting_response(), "hyper has the head");
-    assert_eq!(state.deadline(), Some(begun + HEAD_TIMEOUT));
+    assert_eq!(state.deadline(), Some(started_at + HEAD_TIMEOUT));
     advance(STEP).await;
-    assert_eq!(state.request_begun(), begun);
+    assert_eq!(state.request_started(), started_at);
     assert_eq!(state.phase(), Phase::Answering);
     assert_eq!(state.deadline(), None);
     assert!(state.is_awaiting_response());
@@ -104,7 +104,7 @@
     }
     let state = ConnectionState::new();
     receive_request(&state);
-    state.request_begun();
+    state.request_started();
     let woken = Arc::new(Flag(AtomicBool::new(false)));
     state.wake_reader_when_answered(&Waker::from(woken.clone()));
     advance(STEP).await;
@@ -116,16 +116,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_behind_an_unanswered_request_begin_no_head_until_the_reader_gets_to_them() {
+async fn pipelined_head_starts_when_the_reader_reaches_it() {
     let state = ConnectionState::new();
     receive_request(&state);
-    state.request_begun();
+    state.request_started();
     state.received(10);
     assert_eq!(state.phase(), Phase::Answering);
     state.response_ready(ResponseKind::Complete);
     let idle_since = Instant::now();
     advance(STEP).await;
-    state.next_head_begun();
+    state.next_head_started();
     let head = IncomingHead {
         since: Instant::now(),
         progress: HeadProgress::Receiving,
@@ -134,37 +134,37 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn next_head_that_arrives_during_a_stream_keeps_its_start_past_the_streams_end() {
+async fn head_received_during_a_stream_keeps_its_start() {
     let state = ConnectionState::new();
     exchange(&state, ResponseKind::Streamed);
     assert_eq!(state.phase(), Phase::Streaming { next: None });
     advance(STEP).await;
     state.received(10);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert!(state.is_receiving_head());
     assert_eq!(state.deadline(), None, "the stream has no deadline here");
     advance(STEP).await;
     state.stream_ended();
-    assert_eq!(state.deadline(), Some(begun + HEAD_TIMEOUT));
+    assert_eq!(state.deadline(), Some(started_at + HEAD_TIMEOUT));
     assert!(!state.is_awaiting_response());
 }
 
 #[tokio::test(start_paused = true)]
-async fn request_that_is_forwarded_during_a_stream_awaits_its_response() {
+async fn request_forwarded_during_a_stream_awaits_its_response() {
     let state = ConnectionState::new();
     exchange(&state, ResponseKind::Streamed);
     receive_request(&state);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert!(state.is_awaiting_response());
     advance(STEP).await;
     state.stream_ended();
     let head = IncomingHead {
-        since: begun,
+        since: started_at,
         progress: HeadProgress::Forwarded,
     };
     let idle_since = Instant::now();
     assert_eq!(state.phase(), Phase::ReceivingRequest { idle_since, head });
-    assert_eq!(state.request_begun(), begun);
+    assert_eq!(state.request_started(), started_at);
 }
 
 #[tokio::test(start_paused = true)]
@@ -194,14 +194,14 @@
     );
     assert_eq!(state.persistence(), Persistence::Close);
     assert_eq!(state.head_error(), Some(HeadError::Framing));
-    state.request_begun();
+    state.request_started();
     state.response_ready(ResponseKind::Complete);
     assert!(matches!(state.phase(), Phase::Idle { .. }));
     assert_eq!(state.head_error(), Some(HeadError::Framing));
 }
 
 #[tokio::test(start_paused = true)]
-async fn connection_whose_first_head_was_never_complete_awaits_one_after_the_error_response() {
+async fn connection_awaits_a_first_head_after_an_incomplete_one() {
     let state = ConnectionState::new();
     let accepted_at = Instant::now();
     state.received(10);
@@ -209,7 +209,7 @@
     state.head_timed_out();
     assert_eq!(state.deadline(), None);
     state.head_rejected(HeadError::TooSlow);
-    state.request_begun();
+    state.request_started();
     state.response_ready(ResponseKind::Complete);
     let since = Instant::now();
     assert_eq!(state.phase(), Phase::AwaitingFirstHead { since });
@@ -217,7 +217,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn blocked_write_has_precedence_until_a_write_succeeds() {
+async fn blocked_write_sets_the_deadline_until_a_write_succeeds() {
     let state = ConnectionState::new();
     exchange(&state, ResponseKind::Streamed);
     let blocked_since = Instant::now();
@@ -232,7 +232,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connection_that_closes_as_idle_has_no_deadline_but_that_of_a_blocked_write() {
+async fn closing_idle_connection_keeps_only_its_write_deadline() {
     let state = ConnectionState::new();
     exchange(&state, ResponseKind::Complete);
     state.close_idle();
--- a/src/sidecar/caller/head.rs
+++ b/src/sidecar/caller/head.rs
@@ -30,13 +30,13 @@
         searched: usize,
     },
     /// The head and its body have this length together.
-    Length(u64),
+    KnownLength(u64),
     /// The body is chunked, so that only hyper knows its end.
     Chunked,
     /// The head is complete and does not parse. hyper reports the error and ends the connection.
     Malformed,
     /// The head is incomplete and does not parse. hyper reports the error and ends the connection.
-    NeverComplete,
+    MalformedPrefix,
     /// The head must not be forwarded.
     Rejected(HeadError),
 }
@@ -48,7 +48,7 @@
         !matches!(
             self,
             HeadValidation::Incomplete { .. }
-                | HeadValidation::NeverComplete
+                | HeadValidation::MalformedPrefix
                 | HeadValidation::Rejected(HeadError::TooLong)
         )
     }
@@ -78,12 +78,12 @@
         &framing.content_lengths[..],
         &framing.transfer_encodings[..],
     ) {
-        ([], []) => HeadValidation::Length(end as u64),
+        ([], []) => HeadValidation::KnownLength(end as u64),
         ([], [encoding]) if encoding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
             HeadValidation::Chunked
         }
         ([length], []) => match total_length(end, length) {
-            Some(length) => HeadValidation::Length(length),
+            Some(length) => HeadValidation::KnownLength(length),
             None => HeadValidation::Rejected(HeadError::Framing),
         },
         _ => HeadValidation::Rejected(HeadError::Framing),
@@ -118,7 +118,7 @@
         return HeadValidation::Rejected(HeadError::TooLong);
     }
     if bytes.len() <= MAX_EARLY_PARSE_LENGTH && parse(bytes).is_err() {
-        return HeadValidation::NeverComplete; // waiting for more is of no use
+        return HeadValidation::MalformedPrefix; // waiting for more is of no use
     }
     // The last two bytes may be the beginning of the end.
     HeadValidation::Incomplete {
--- a/src/sidecar/caller/phase.rs
+++ b/src/sidecar/caller/phase.rs
@@ -84,7 +84,7 @@
 
     /// The first byte of the next request has come.
     #[must_use]
-    pub fn head_begun(self, now: Instant) -> Self {
+    pub fn head_started(self, now: Instant) -> Self {
         let head = IncomingHead {
             since: now,
             progress: HeadProgress::Receiving,
@@ -118,11 +118,11 @@
         }
     }
 
-    /// A complete response is ready, or the stream of one has ended. `rest` is the phase between requests.
+    /// A complete response is ready, or the stream of one has ended. `idle_phase` is the phase between requests.
     #[must_use]
-    pub fn response_ended(self, now: Instant, rest: impl FnOnce(Instant) -> Self) -> Self {
+    pub fn response_ended(self, now: Instant, idle_phase: impl FnOnce(Instant) -> Self) -> Self {
         match self {
-            Phase::Answering | Phase::Streaming { next: None } => rest(now),
+            Phase::Answering | Phase::Streaming { next: None } => idle_phase(now),
             Phase::Streaming { next: Some(head) } => Phase::ReceivingRequest {
                 idle_since: now,
                 head,
--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -99,14 +99,14 @@
                 self.mode = ReadMode::Head { searched };
                 None
             }
-            HeadValidation::Length(remaining) => {
+            HeadValidation::KnownLength(remaining) => {
                 Some(self.forward_head(ReadMode::Forwarding { remaining }))
             }
             HeadValidation::Chunked => {
                 self.connection.set_persistence(Persistence::Close);
                 Some(self.forward_head(ReadMode::ForwardingAll))
             }
-            HeadValidation::Malformed | HeadValidation::NeverComplete => {
+            HeadValidation::Malformed | HeadValidation::MalformedPrefix => {
                 Some(self.forward_head(ReadMode::ForwardingAll))
             }
             HeadValidation::Rejected(error) => Some(self.reject_head(error)),
@@ -186,7 +186,7 @@
         let count = limited.filled().len();
         buffer.advance(count);
         if count == 0 {
-            self.connection.peer_ended();
+            self.connection.peer_closed();
         }
         Poll::Ready(Ok(count))
     }
@@ -194,7 +194,7 @@
     /// Begins to collect the next head, of which bytes may have arrived already.
     fn begin_next_head(&mut self) {
         if !self.unread.is_empty() {
-            self.connection.next_head_begun();
+            self.connection.next_head_started();
         }
         self.mode = ReadMode::Head { searched: 0 };
     }
@@ -249,7 +249,7 @@
                 ReadMode::ReplacementHead { .. } => return Poll::Pending,
             };
             if let HeadPoll::EndOfStream = head_poll {
-                self.connection.peer_ended();
+                self.connection.peer_closed();
                 return Poll::Ready(Ok(()));
             }
         }
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -111,8 +111,9 @@
             close: close.clone(),
         };
         self.connections.insert(number, caller);
-        let closes_at_once = self.is_shutting_down || self.drain == Some(DrainState::ClosingIdle);
-        let persistence = if closes_at_once || admission == Admission::RejectedEarly {
+        let closes_after_first_response =
+            self.is_shutting_down || self.drain == Some(DrainState::ClosingIdle);
+        let persistence = if closes_after_first_response || admission == Admission::RejectedEarly {
             Persistence::Close
         } else {
             Persistence::KeepAlive
@@ -199,7 +200,7 @@
     }
 
     /// Returns whether connections close with their next response, so that their callers connect elsewhere.
-    pub fn close_after_responses(&self) -> bool {
+    pub fn closes_after_responses(&self) -> bool {
         let is_draining = matches!(
             self.drain,
             Some(DrainState::ClosingAfterResponses | DrainState::ClosingIdle)
--- a/src/sidecar/caller/table_tests.rs
+++ b/src/sidecar/caller/table_tests.rs
@@ -14,7 +14,7 @@
     caller.state.received(10);
     caller.state.head_completed();
     caller.state.head_forwarded();
-    caller.state.request_begun();
+    caller.state.request_started();
 }
 
 /// Has a request arrive and be answered.
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connections_are_evicted_from_the_least_useful_to_the_possibly_active() {
+async fn idle_connections_are_evicted_before_possibly_active_ones() {
     let mut table = CallerTable::default();
     let possibly_active = 0;
     let (never_used, long_idle, recently_idle, stalled_head) = (1, 2, 3, 4);
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connections_whose_request_is_answered_are_not_evicted() {
+async fn connections_with_an_unfinished_response_are_not_evicted() {
     let mut table = CallerTable::default();
     let (answering, streaming) = (add(&mut table), add(&mut table));
     begin_request(&answering);
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connections_close_with_their_first_response_when_rejected_early_or_shutting_down() {
+async fn early_rejection_drain_and_shutdown_close_new_connections() {
     let mut table = CallerTable::default();
     let persistence = |table: &mut CallerTable, admission| table.add(admission).persistence;
     assert_eq!(
--- a/src/sidecar/hot_restart/shared_directory.rs
+++ b/src/sidecar/hot_restart/shared_directory.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns the path where this process binds its socket before it is renamed to [`Self::socket`].
-    pub fn own_socket(&self) -> PathBuf {
+    pub fn temporary_socket(&self) -> PathBuf {
         let name = format!("{}.sock", std::process::id());
         file_path(&self.path, &self.directory, &name)
     }
--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -50,10 +50,10 @@
 /// Binds this process's socket under a name of its own and renames it over the old process's, so that a
 /// new process finds a socket at any time.
 fn bind(directory: &SharedDirectory) -> io::Result<UnixListener> {
-    let own_path = directory.own_socket();
-    let _ = std::fs::remove_file(&own_path);
-    let socket = UnixListener::bind(&own_path)?;
-    std::fs::rename(&own_path, directory.socket())?;
+    let temporary_path = directory.temporary_socket();
+    let _ = std::fs::remove_file(&temporary_path);
+    let socket = UnixListener::bind(&temporary_path)?;
+    std::fs::rename(&temporary_path, directory.socket())?;
     Ok(socket)
 }
 
--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -78,10 +78,10 @@
 pub struct RequestTracker {
     class: Rc<ClassMetrics>,
     pending: Rc<Cell<u64>>,
-    is_whole: bool,
+    is_received: bool,
 }
 
-fn add_one(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
@@ -105,7 +105,7 @@
         RequestTracker {
             class: self.class(class),
             pending: self.pending.clone(),
-            is_whole: false,
+            is_received: false,
         }
     }
 
@@ -173,9 +173,9 @@
 
 impl RequestTracker {
     /// Marks the request as received whole: from now on it is pending.
-    pub fn set_whole(&mut self) {
-        if !std::mem::replace(&mut self.is_whole, true) {
-            add_one(&self.pending);
+    pub fn mark_received(&mut self) {
+        if !std::mem::replace(&mut self.is_received, true) {
+            increment(&self.pending);
         }
     }
 
@@ -183,11 +183,11 @@
     /// one that is rejected before that is.
     pub fn end(self, status: StatusCode) {
         match status {
-            StatusCode::OK => add_one(&self.class.completed),
+            StatusCode::OK => increment(&self.class.completed),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                add_one(&self.class.rejected);
+                increment(&self.class.rejected);
             }
-            _ if self.is_whole => add_one(&self.class.failed),
+            _ if self.is_received => increment(&self.class.failed),
             _ => {}
         }
     }
@@ -196,7 +196,7 @@
 /// A request that is dropped without an answer is one whose client has disconnected.
 impl Drop for RequestTracker {
     fn drop(&mut self) {
-        if self.is_whole {
+        if self.is_received {
             self.pending.set(self.pending.get() - 1);
         }
     }
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -149,7 +149,7 @@
         })?;
         let mut tasks = vec![
             Task::spawn(report::write_at_intervals(node.clone())),
-            Task::spawn(reload_on(hangup, node.clone())),
+            Task::spawn(reload_on_hangup(hangup, node.clone())),
         ];
         tasks.extend(operators.map(|listener| serve_operators(&node, &name, listener)));
         log!("{name} listens on {address}");
@@ -221,7 +221,7 @@
 
 /// Reloads the configuration at each SIGHUP, also during a shutdown, as discovery may move then too. A configuration with
 /// an error changes nothing.
-async fn reload_on(mut hangup: Signal, node: NodeHandle) {
+async fn reload_on_hangup(mut hangup: Signal, node: NodeHandle) {
     while hangup.recv().await.is_some() {
         let result = match Config::from_environment() {
             Ok(config) => node.reload(&config).map_err(|error| error.to_string()),
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -48,7 +48,7 @@
     let stream = Rc::new(stream);
     serve_requests(&caller, &stream, &close, persistence).await;
     let state = &caller.state;
-    if !state.peer_has_ended() && !state.is_closing_idle() {
+    if !state.has_peer_closed() && !state.is_closing_idle() {
         let _ = sockets::shutdown_write(&stream); // for clients that read the response until FIN
         lingering_close(&stream, state, &close).await;
     }
@@ -80,7 +80,7 @@
             // An error means that the client broke the connection off, of which its request was notified.
             _ = connection.as_mut() => NextStep::Terminate,
             () = client_disconnected.as_mut() => {
-                state.peer_ended();
+                state.peer_closed();
                 NextStep::Terminate
             }
             () = close.notified() => on_close_request(stream, state),
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -21,10 +21,10 @@
 pub async fn answer(
     caller: &CallerConnection,
     request: Request<Incoming>,
-    begun: Instant,
+    started_at: Instant,
 ) -> Result<Reply, RequestError> {
-    let mut count = None;
-    let mut answer = forward(caller, request, begun, &mut count).await;
+    let mut tracker = None;
+    let mut answer = forward(caller, request, started_at, &mut tracker).await;
     let streamed = answer
         .as_mut()
         .ok()
@@ -32,10 +32,10 @@
             ReplyBody::Streamed(streamed) => Some(streamed),
             ReplyBody::Complete(_) => None,
         });
-    match (count, streamed) {
-        (Some(count), Some(streamed)) => streamed.report_end_to(count, &caller.state),
-        (Some(count), None) => {
-            count.end(
+    match (tracker, streamed) {
+        (Some(tracker), Some(streamed)) => streamed.report_end_to(tracker, &caller.state),
+        (Some(tracker), None) => {
+            tracker.end(
                 answer
                     .as_ref()
                     .map_or_else(|error| error.status, Response::status),
@@ -49,22 +49,22 @@
 async fn forward(
     caller: &CallerConnection,
     request: Request<Incoming>,
-    begun: Instant,
-    count: &mut Option<RequestTracker>,
+    started_at: Instant,
+    tracker: &mut Option<RequestTracker>,
 ) -> Result<Reply, RequestError> {
     let node = &caller.node;
     let (head, body) = request.into_parts();
-    let mut parsed = ParsedRequest::parse(node, &head, begun)
+    let mut parsed = ParsedRequest::parse(node, &head, started_at)
         .map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
-    let count = count.insert(node.borrow().begin_request(&parsed.class().name));
+    let tracker = tracker.insert(node.borrow().begin_request(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
         caller.state.set_persistence(Persistence::Close);
         return Ok(caller.reject_early());
     };
     let persistence = caller.state.persistence();
-    let received = receive_request_body(body, begun).await?;
+    let received = receive_request_body(body, started_at).await?;
     if received.upload.is_none() {
-        count.set_whole();
+        tracker.mark_received();
     }
     parsed.request.deadline = node.borrow().request_deadline(parsed.time_left);
     let timeout = parsed.response_timeout(node, persistence);
@@ -73,13 +73,13 @@
     let mut pending = match PendingRequest::begin(node, parsed.request, forwarded) {
         Ok(pending) => pending,
         Err(RequestRejected::TooMany) => return Ok(caller.reject_early()),
-        Err(RequestRejected::Repeated) => return Err(repeated_id()),
+        Err(RequestRejected::Repeated) => return Err(duplicate_id_error()),
     };
     let answer = match upload {
         None => timeout.wait(&mut pending.answer).await,
         Some(upload) => {
             timeout
-                .wait_during_upload(caller, &upload, &mut pending.answer, count)
+                .wait_during_upload(caller, &upload, &mut pending.answer, tracker)
                 .await?
         }
     };
@@ -91,7 +91,7 @@
     node.borrow().request_memory().reserve(buffer_size(body))
 }
 
-fn repeated_id() -> RequestError {
+fn duplicate_id_error() -> RequestError {
     RequestError::new(StatusCode::CONFLICT, "a request with this id is open")
         .with_body_unread(false)
 }
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 /// Pause after a failed accept, as happens while the process has no descriptors.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Accepts connections for as long as it is polled, unless another process does. It waits for nothing else, as connections
 /// in the kernel's backlog count as taken. It yields after each connection, so that evicted ones can close.
@@ -30,7 +30,7 @@
             Ok((stream, _)) => start_serving(&node, stream),
             Err(error) => {
                 log!("a connection could not be accepted: {error}");
-                sleep(ACCEPT_RETRY_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
         yield_now().await;
--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -31,12 +31,16 @@
     ///
     /// # Errors
     /// The head is invalid under the current settings.
-    pub fn parse(node: &NodeHandle, head: &Parts, begun: Instant) -> Result<Self, RequestError> {
+    pub fn parse(
+        node: &NodeHandle,
+        head: &Parts,
+        started_at: Instant,
+    ) -> Result<Self, RequestError> {
         let (now, settings) = {
             let node = node.borrow();
             (
                 node.clock().now(),
-                node.configuration().settings_for_request(begun),
+                node.configuration().settings_for_request(started_at),
             )
         };
         let parse_under = |settings: Rc<ActiveSettings>| -> Result<ParsedRequest, RequestError> {
@@ -65,9 +69,9 @@
     /// Returns how long to wait for the response. `persistence` is that of the connection apart from the upload.
     pub fn response_timeout(&self, node: &NodeHandle, persistence: Persistence) -> ResponseTimeout {
         let slack = self.settings.settings.rules.answer_slack;
-        let until = node.borrow().clock().instant(self.request.deadline) + slack;
+        let answer_deadline = node.borrow().clock().instant(self.request.deadline) + slack;
         ResponseTimeout {
-            until,
+            answer_deadline,
             after_upload: self.time_left + slack,
             persistence,
         }
--- a/src/sidecar/server/pending_request.rs
+++ b/src/sidecar/server/pending_request.rs
@@ -65,7 +65,7 @@
 /// How long to wait for the final answer.
 pub struct ResponseTimeout {
     /// The end of the wait for a request that has arrived completely.
-    pub until: Instant,
+    pub answer_deadline: Instant,
     /// The time from an upload's last byte on.
     pub after_upload: Duration,
     /// The connection's persistence once the upload is complete.
@@ -75,7 +75,7 @@
 impl ResponseTimeout {
     /// Waits for the answer to a complete request. Returns none where there was none in time.
     pub async fn wait(&self, answer: &mut oneshot::Receiver<FinalAnswer>) -> Option<FinalAnswer> {
-        timeout_at(self.until, answer).await.ok()?.ok()
+        timeout_at(self.answer_deadline, answer).await.ok()?.ok()
     }
 
     /// Waits for the answer while the request's body still comes. Returns none where there was none in time.
@@ -87,25 +87,25 @@
         caller: &CallerConnection,
         upload: &Upload,
         answer: &mut oneshot::Receiver<FinalAnswer>,
-        count: &mut RequestTracker,
+        tracker: &mut RequestTracker,
     ) -> Result<Option<FinalAnswer>, RequestError> {
         // With a response ahead of the body's end, the start of the next request is not known.
         caller.state.set_persistence(Persistence::Close);
         let answer = pin!(upload.timeout(self.after_upload, answer));
-        let failed = async {
+        let upload_failure = async {
             if let Err(error) = upload.wait_until_finished().await {
                 return error;
             }
             caller.state.set_persistence(self.persistence);
-            count.set_whole();
+            tracker.mark_received();
             std::future::pending().await
         };
         let answer = tokio::select! {
             biased;
-            error = failed => return Err(error.into()),
+            error = upload_failure => return Err(error.into()),
             answer = answer => answer,
         };
-        count.set_whole();
+        tracker.mark_received();
         Ok(answer.and_then(Result::ok))
     }
 }
--- a/src/sidecar/server/pending_request_tests.rs
+++ b/src/sidecar/server/pending_request_tests.rs
@@ -45,7 +45,7 @@
 /// Guards a request against the end of an earlier one's connection where both have the same id: the earlier one has its
 /// answer, but its connection has not been polled since.
 #[test]
-fn dropping_an_answered_request_does_not_cancel_the_next_one_with_its_id() {
+fn dropping_an_answered_request_keeps_the_next_one_with_its_id() {
     let config = serde_json::json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
         "limits": {"sockets": 256, "memory_mb": 32},
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -30,15 +30,15 @@
 pub struct StreamedReply {
     response: StreamedResponse,
     /// The metrics of its request, until the body has ended.
-    count: Option<RequestTracker>,
+    tracker: Option<RequestTracker>,
     /// The state of the caller's connection.
     state: Option<Rc<ConnectionState>>,
 }
 
 impl StreamedReply {
     /// Has the end of the body reported to the metrics of its request and to the connection's state.
-    pub fn report_end_to(&mut self, count: RequestTracker, state: &Rc<ConnectionState>) {
-        self.count = Some(count);
+    pub fn report_end_to(&mut self, tracker: RequestTracker, state: &Rc<ConnectionState>) {
+        self.tracker = Some(tracker);
         self.state = Some(state.clone());
     }
 
@@ -52,9 +52,9 @@
             _ => self.response.is_complete().then_some(StatusCode::OK),
         };
         if let Some(status) = status
-            && let Some(count) = self.count.take()
+            && let Some(tracker) = self.tracker.take()
         {
-            count.end(status);
+            tracker.end(status);
         }
         frame
     }
@@ -109,7 +109,7 @@
                 ResponseBody::Streamed(response) => {
                     let streamed = StreamedReply {
                         response: *response,
-                        count: None,
+                        tracker: None,
                         state: None,
                     };
                     ReplyBody::Streamed(Box::new(streamed))
--- a/src/sidecar/server/service.rs
+++ b/src/sidecar/server/service.rs
@@ -13,14 +13,14 @@
 impl CallerConnection {
     /// Answers one request, and decides whether the connection outlives it.
     pub async fn serve_one(&self, request: Request<Incoming>) -> Reply {
-        let begun = self.state.request_begun();
-        let mut reply = self.answer(request, begun).await;
+        let started_at = self.state.request_started();
+        let mut reply = self.answer(request, started_at).await;
         self.state.response_ready(match reply.body() {
             ReplyBody::Complete(_) => ResponseKind::Complete,
             ReplyBody::Streamed(_) => ResponseKind::Streamed,
         });
         if self.state.persistence() == Persistence::Close
-            || self.node.borrow().callers().close_after_responses()
+            || self.node.borrow().callers().closes_after_responses()
         {
             reply
                 .headers_mut()
@@ -29,7 +29,7 @@
         reply
     }
 
-    async fn answer(&self, request: Request<Incoming>, begun: Instant) -> Reply {
+    async fn answer(&self, request: Request<Incoming>, started_at: Instant) -> Reply {
         if let Some(error) = self.state.head_error() {
             return RequestError::from(error).reply();
         }
@@ -40,7 +40,7 @@
                 self.reject_early_and_count(&request)
             }
             ("/api", &Method::GET | &Method::POST) => {
-                let answer = forward::answer(self, request, begun).await;
+                let answer = forward::answer(self, request, started_at).await;
                 answer.unwrap_or_else(|error| self.reply_to_error(error))
             }
             ("/api", _) => RequestError::method_not_allowed("GET, POST").reply(),
--- a/src/sidecar/shutdown.rs
+++ b/src/sidecar/shutdown.rs
@@ -13,14 +13,14 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// How long new connections are accepted after idle ones have closed: they arrive for up to 0.4 s after SIGTERM.
-const ACCEPT_TAIL: Duration = Duration::from_millis(600);
+const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(600);
 /// The longest request deadline that a shutdown allows for. The process may be killed 0.7 s after the longest deadline.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
 /// The fraction of the request time in which callers keep their connections: another sidecar may be down at the same
 /// time, so that they have nowhere else to go.
 const KEEP_ALIVE_FRACTION: f64 = 0.7;
 /// How long after the longest deadline the process ends at the latest, ahead of the kill.
-const EXIT_SLACK: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// Serves callers until SIGTERM, and then shuts down. The listening socket is offered to a new process all the time.
 pub async fn serve_until_shutdown(
@@ -35,13 +35,13 @@
     }
     let max_deadline = max_deadline(node);
     let request_time = max_deadline.min(MAX_REQUEST_TIME);
-    let exit_at = Instant::now() + max_deadline + EXIT_SLACK;
+    let exit_at = Instant::now() + max_deadline + EXIT_MARGIN;
     report::write(node);
     node.borrow().begin_shutdown(request_time);
     node.announce_shutdown();
     accept_for(node, &listener, request_time.mul_f64(KEEP_ALIVE_FRACTION)).await;
     node.borrow().callers_mut().begin_shutdown();
-    accept_for(node, &listener, ACCEPT_TAIL).await;
+    accept_for(node, &listener, FINAL_ACCEPT_TIME).await;
     close_listener(node, listener, &mut listener_offer).await;
     node.borrow().callers_mut().begin_shutdown(); // for connections accepted since
     if timeout_at(exit_at, all_closed(node)).await.is_err() {
