--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -1,18 +1,18 @@
 //! The state of a caller's connection, shared by its reader, its writer, the service and the table of connections.
 //!
-//! [`Phase`] says what the connection does; all deadlines follow from it. These facts stay separate, as they outlast a
-//! phase and combine with several:
+//! [`Phase`] tracks the progress of requests and responses, and determines most deadlines. The following facts are not
+//! part of it, because each of them outlasts a phase and can occur in several:
 //!
-//! - `write_blocked_since`: the client reads nothing. It concerns the writing direction alone, and takes precedence in
-//!   [`ConnectionState::deadline`].
+//! - `write_blocked_since`: the client does not read what was written. The write timeout takes precedence over the
+//!   deadline of the phase in [`ConnectionState::deadline`].
 //! - `has_peer_closed`: the client has sent FIN or a reset. hyper may still be answering.
-//! - `persistence`: whether the connection ends with the next response. Heads, bodies, uploads and shutdowns set it, and a
-//!   finished upload resets it.
-//! - `head_error`: why a head was rejected. It outlives the phase: nothing after a rejected head is read as a request. A
-//!   head that times out after hyper has been given it is answered with the error, too.
-//! - `is_closing_idle`: the connection closes unless its next request is already there. hyper ends it between requests, so
-//!   that it coexists with every phase until then.
-//! - `has_received_head`: decides between [`Phase::Idle`] and [`Phase::AwaitingFirstHead`] after an error response.
+//! - `persistence`: states whether the connection closes after the next response. Heads, bodies, uploads and shutdowns
+//!   set it. A finished upload resets it.
+//! - `head_error`: the reason why a head was rejected. It outlasts the phase because nothing after a rejected head is
+//!   read as a request. A head that times out after it was forwarded to hyper is answered with this error, too.
+//! - `is_closing_idle`: the connection closes unless its next request has already arrived. hyper closes it only between
+//!   requests. Until then it can be in any phase.
+//! - `has_received_head`: selects [`Phase::Idle`] or [`Phase::AwaitingFirstHead`] after an error response.
 
 use super::head::HeadError;
 use super::persistence::Persistence;
@@ -25,22 +25,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Limit from a connection's start to its first head, and from a head's first byte to its last.
+/// The time within which the first head must be complete after the connection was accepted, and any head after its
+/// first byte.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
-/// A connection that is idle between requests for so long is closed.
+/// The time after which a connection that is idle between requests is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// For so long after its start a connection may have its first request on the way.
+/// The time for which the first request of a new connection is assumed to be in transit.
 pub const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// Limit for a client to read what was written to it. The kernel's buffers take a slow client many seconds to read, in
-/// which no more can be written.
+/// The time for which a write may stay blocked before the connection is closed. A slow client takes many seconds to
+/// empty the kernel's buffers, and nothing can be written during that time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Whether the service returns a response with all of its body.
+/// Tells whether the body of a response is complete when the service returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// Its body is complete.
+    /// The body is complete.
     Complete,
-    /// Its body follows as the endpoint sends it, until [`ConnectionState::stream_ended`].
+    /// The body is streamed as the endpoint sends it, until [`ConnectionState::stream_ended`].
     Streamed,
 }
 
@@ -49,10 +50,10 @@
 pub struct ConnectionState {
     accepted_at: Instant,
     phase: Cell<Phase>,
-    /// When the last byte of an awaited head came.
+    /// The time of acceptance, or of the last read from the socket apart from reads of forwarded bodies.
     last_byte_at: Cell<Instant>,
     has_received_head: Cell<bool>,
-    /// The reader, while it waits for the response before it reads on.
+    /// Wakes the reader, which reads the next request only once the response is ready.
     reader: RefCell<Option<Waker>>,
     head_error: Cell<Option<HeadError>>,
     persistence: Cell<Persistence>,
@@ -62,7 +63,7 @@
 }
 
 impl ConnectionState {
-    /// The state of a connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub fn new() -> Rc<Self> {
         let now = Instant::now();
         Rc::new(ConnectionState {
@@ -79,17 +80,17 @@
         })
     }
 
-    /// What the connection does now.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// When the last byte of an awaited head came.
+    /// Returns the time of acceptance, or of the last read from the socket apart from reads of forwarded bodies.
     pub fn last_byte_at(&self) -> Instant {
         self.last_byte_at.get()
     }
 
-    /// Returns whether a byte of a request has come that the service has not seen.
+    /// Returns whether a byte of a request has arrived with which the service has not been called yet.
     pub fn is_receiving_head(&self) -> bool {
         self.phase.get().incoming_head().is_some()
     }
@@ -99,7 +100,7 @@
         self.phase.get().is_awaiting_response()
     }
 
-    /// Returns whether the connection was accepted so short a time ago that its first request may be on the way.
+    /// Returns whether the connection is new enough that its first request may still be in transit.
     pub fn is_awaiting_first_request(&self) -> bool {
         matches!(self.phase.get(), Phase::AwaitingFirstHead { .. })
             && Instant::now() < self.accepted_at + FIRST_REQUEST_GRACE
@@ -107,7 +108,8 @@
 
     // ---- The reader's events --------------------------------------------------------------------------------
 
-    /// The reader has read from the socket while it was not forwarding a body; no bytes mean the client's FIN.
+    /// Records that the reader has read from the socket while it was not forwarding a body. Zero bytes mean that the
+    /// client has sent FIN.
     pub fn received(&self, bytes: usize) {
         let now = Instant::now();
         self.last_byte_at.set(now);
@@ -116,53 +118,54 @@
         }
     }
 
-    /// The reader gets to the next request, of which bytes have come already. They were not read while the last one was
-    /// answered, so that its time counts from now on.
+    /// Records that the reader has reached the next request, some bytes of which have already arrived. Its head timeout
+    /// starts now, because the reader did not process these bytes while the previous request was answered.
     pub fn next_head_started(&self) {
         self.phase
             .set(self.phase.get().head_started(Instant::now()));
     }
 
-    /// All bytes of a head have come, whether or not it is valid.
+    /// Records that all bytes of a head have arrived, valid or not.
     pub fn head_completed(&self) {
         self.has_received_head.set(true);
     }
 
-    /// The reader hands the head on to hyper.
+    /// Records that the reader forwards the head to hyper.
     pub fn head_forwarded(&self) {
         self.phase.set(self.phase.get().head_forwarded());
     }
 
-    /// The reader replaces the head, and reads nothing after it. The service answers the replacement with the error.
+    /// Records that the reader has rejected the head. The reader forwards a replacement, which the service answers with
+    /// the error, and reads nothing after it.
     pub fn head_rejected(&self, error: HeadError) {
         self.head_error.set(Some(error));
         self.persistence.set(Persistence::Close);
     }
 
-    /// Wakes the reader when the response is ready.
+    /// Registers the reader's waker, which is woken when the response is ready.
     pub fn wake_reader_when_answered(&self, reader: &Waker) {
         *self.reader.borrow_mut() = Some(reader.clone());
     }
 
-    /// The client has sent FIN, or has reset the connection.
+    /// Records that the client has sent FIN or has reset the connection.
     pub fn peer_closed(&self) {
         self.has_peer_closed.set(true);
     }
 
-    /// Returns whether the client has sent FIN, or has reset the connection.
+    /// Returns whether the client has sent FIN or has reset the connection.
     pub fn has_peer_closed(&self) -> bool {
         self.has_peer_closed.get()
     }
 
     // ---- The service's events -------------------------------------------------------------------------------
 
-    /// hyper has called the service with a request. Returns when its head began to come.
+    /// Records that hyper has called the service with a request. Returns the time at which its head started to arrive.
     pub fn request_started(&self) -> Instant {
         let head = self.phase.replace(Phase::Answering).incoming_head();
         head.map_or_else(Instant::now, |head| head.since)
     }
 
-    /// The service has a response: the next request may be read.
+    /// Records that the service has a response. The next request may then be read.
     pub fn response_ready(&self, kind: ResponseKind) {
         match kind {
             ResponseKind::Complete => self.end_response(),
@@ -173,7 +176,7 @@
         }
     }
 
-    /// The body of a streamed response has ended, or hyper has dropped it.
+    /// Records that the body of a streamed response has ended, or that hyper has dropped it.
     pub fn stream_ended(&self) {
         if matches!(self.phase.get(), Phase::Streaming { .. }) {
             self.end_response();
@@ -192,30 +195,32 @@
         self.phase.set(phase);
     }
 
-    /// Why the head was rejected that the service's request replaces.
+    /// Returns the reason why the head was rejected, if it was. The service's request is then the replacement of that
+    /// head.
     pub fn head_error(&self) -> Option<HeadError> {
         self.head_error.get()
     }
 
-    /// Returns whether the connection outlives the response.
+    /// Returns whether the connection stays open after the response.
     pub fn persistence(&self) -> Persistence {
         self.persistence.get()
     }
 
-    /// Decides whether the connection outlives the response.
+    /// Sets whether the connection stays open after the response.
     pub fn set_persistence(&self, persistence: Persistence) {
         self.persistence.set(persistence);
     }
 
     // ---- Deadlines and closing ------------------------------------------------------------------------------
 
-    /// When the first head must be complete.
+    /// Returns the time by which the first head must be complete.
     pub fn first_head_deadline(&self) -> Instant {
         self.accepted_at + HEAD_TIMEOUT
     }
 
-    /// When the time of the present phase is up. None while a request is answered, which has a deadline of its own, unless
-    /// the client does not read the response.
+    /// Returns the deadline of a blocked write if there is one, and otherwise that of the current phase.
+    ///
+    /// Returns `None` while a request is answered, because the request has its own deadline.
     pub fn deadline(&self) -> Option<Instant> {
         if let Some(since) = self.write_blocked_since.get() {
             return Some(since + WRITE_TIMEOUT);
@@ -237,23 +242,23 @@
         }
     }
 
-    /// The head was not complete in time. The reader rejects it when it is polled next.
+    /// Records that the head was not complete in time. The reader rejects it when it is next polled.
     pub fn head_timed_out(&self) {
         self.head_error.set(Some(HeadError::TooSlow));
     }
 
-    /// Closes the connection as idle: it was idle for too long, or its descriptor is needed. Nothing on it is left to be
-    /// read.
+    /// Marks the connection as closing because it was idle for too long or its descriptor is needed. It needs no
+    /// lingering close, because no received bytes are left unread on it.
     pub fn close_idle(&self) {
         self.is_closing_idle.set(true);
     }
 
-    /// Returns whether the connection was closed as idle.
+    /// Returns whether [`Self::close_idle`] has been called.
     pub fn is_closing_idle(&self) -> bool {
         self.is_closing_idle.get()
     }
 
-    /// Returns whether writes wait for the client to read what was written before.
+    /// Returns whether writes are blocked because the client has not read what was written before.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked_since.get().is_some()
     }
--- a/src/sidecar/caller/connection_state_tests.rs
+++ b/src/sidecar/caller/connection_state_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the phases and deadlines of a caller's connection, on a paused clock.
+//! Tests of the phases and deadlines of a caller's connection, with tokio's clock paused.
 
 use super::super::phase::{HeadProgress, IncomingHead};
 use super::*;
@@ -10,14 +10,14 @@
 /// Time between the events of a test.
 const STEP: Duration = Duration::from_millis(100);
 
-/// Has a request's head arrive and go on to hyper.
+/// Simulates a request head that arrives and is forwarded to hyper.
 fn receive_request(state: &ConnectionState) {
     state.received(10);
     state.head_completed();
     state.head_forwarded();
 }
 
-/// Has a request arrive and its response be ready.
+/// Simulates a request up to the point at which its response is ready.
 fn exchange(state: &ConnectionState, kind: ResponseKind) {
     receive_request(state);
     state.request_started();
--- a/src/sidecar/caller/drain_state.rs
+++ b/src/sidecar/caller/drain_state.rs
@@ -1,13 +1,13 @@
 //! The steps of a drain by the operators.
 
-/// The step that a drain has reached. From the first one on readiness checks fail, so that the front end sends no new
-/// callers here.
+/// The step that a drain has reached. Readiness checks fail during all steps, so the front end stops sending new
+/// callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// Callers that still arrive are served as before, until the front end has noticed.
+    /// New callers are served as before, because the front end takes time to notice the failed readiness checks.
     NotReady,
-    /// Each connection closes with its next response.
+    /// Each connection closes after its next response.
     ClosingAfterResponses,
-    /// Idle connections close as well.
+    /// Idle connections close too.
     ClosingIdle,
 }
--- a/src/sidecar/caller/head.rs
+++ b/src/sidecar/caller/head.rs
@@ -1,19 +1,23 @@
 //! Validation of request heads before hyper reads them.
 //!
-//! hyper cannot do this: it silently drops a Content-Length beside a Transfer-Encoding, so that the service cannot tell;
-//! it accepts a repeated Content-Length; and it has one timeout for the wait before a head and for the head itself.
+//! hyper's own checks are not sufficient:
+//!
+//! - If a head has both Content-Length and Transfer-Encoding, hyper drops the Content-Length before it calls the
+//!   service.
+//! - hyper accepts a repeated Content-Length.
+//! - hyper has a single timeout for the wait before a head and for the head itself.
 
-/// The maximum length of a head, about twenty times that of an ordinary one.
+/// The maximum length of a head in bytes, about twenty times that of an ordinary one.
 pub const MAX_HEAD_LENGTH: usize = 16 << 10;
-/// Up to this length an incomplete head is parsed as well, to find one that can never become valid.
+/// The maximum length in bytes at which an incomplete head is parsed, to detect early that it can never become valid.
 const MAX_EARLY_PARSE_LENGTH: usize = 4 << 10;
-/// The number of headers that hyper accepts.
+/// The maximum number of headers that hyper accepts.
 const MAX_HEADERS: usize = 100;
 
-/// Why a head is rejected. Nothing after it is read as a request.
+/// The reason why a head is rejected. Nothing after a rejected head is read as a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// Two readers could disagree on where the body ends.
+    /// The headers do not define the end of the body unambiguously, so another server could find a different end.
     Framing,
     /// The head is longer than [`MAX_HEAD_LENGTH`].
     TooLong,
@@ -24,25 +28,27 @@
 /// The result of validating the bytes of a head.
 #[derive(Debug)]
 pub enum HeadValidation {
-    /// Its end has not come yet.
+    /// The end of the head has not arrived yet.
     Incomplete {
-        /// The number of leading bytes that do not contain the end.
+        /// The number of leading bytes that are known not to contain the end.
         searched: usize,
     },
-    /// The head and its body have this length together.
+    /// The head and its body together have this length in bytes.
     KnownLength(u64),
-    /// The body is chunked, so that only hyper knows its end.
+    /// The body is chunked. Only hyper, which decodes it, can find its end.
     Chunked,
-    /// The head is complete and does not parse. hyper reports the error and ends the connection.
+    /// The head is complete but cannot be parsed. It is forwarded to hyper, which reports the error and closes the
+    /// connection.
     Malformed,
-    /// The head is incomplete and does not parse. hyper reports the error and ends the connection.
+    /// The head is incomplete, and no further bytes could make it valid. It is forwarded to hyper, which reports the
+    /// error and closes the connection.
     MalformedPrefix,
     /// The head must not be forwarded.
     Rejected(HeadError),
 }
 
 impl HeadValidation {
-    /// Returns whether all of the head has come.
+    /// Returns whether all of the head has arrived.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         !matches!(
@@ -54,7 +60,7 @@
     }
 }
 
-/// The parts of a head that delimit the head and its body.
+/// The properties of a head that determine where the head and its body end.
 #[derive(Debug)]
 struct Framing<'a> {
     head_length: usize,
@@ -90,12 +96,12 @@
     }
 }
 
-/// Returns the length of a head and its body, or none for an invalid Content-Length.
+/// Returns the length of a head and its body together, or `None` if the Content-Length is invalid.
 fn total_length(head_length: usize, content_length: &[u8]) -> Option<u64> {
     parse_length(content_length)?.checked_add(head_length as u64)
 }
 
-/// Returns where a head ends: behind its first empty line, apart from leading ones.
+/// Returns the position after a head, which ends with its first empty line. Empty lines before the head are skipped.
 fn head_end(bytes: &[u8], searched: usize) -> Option<usize> {
     let start = bytes
         .iter()
@@ -118,15 +124,15 @@
         return HeadValidation::Rejected(HeadError::TooLong);
     }
     if bytes.len() <= MAX_EARLY_PARSE_LENGTH && parse(bytes).is_err() {
-        return HeadValidation::MalformedPrefix; // waiting for more is of no use
+        return HeadValidation::MalformedPrefix; // more bytes cannot make the head valid
     }
-    // The last two bytes may be the beginning of the end.
+    // The last two bytes may be the start of the empty line that ends the head.
     HeadValidation::Incomplete {
         searched: bytes.len().saturating_sub(2),
     }
 }
 
-/// Parses a head with hyper's own parser. Returns none for an incomplete one.
+/// Parses a head with httparse, the parser that hyper uses. Returns `None` if the head is incomplete.
 fn parse(bytes: &[u8]) -> Result<Option<Framing<'_>>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
--- a/src/sidecar/caller/mod.rs
+++ b/src/sidecar/caller/mod.rs
@@ -1,5 +1,7 @@
-//! Callers' connections: request heads are validated as they arrive, [`ConnectionState`] tracks what each connection does,
-//! and [`CallerTable`] decides which connections close.
+//! Callers' connections.
+//!
+//! [`RequestReader`] validates request heads as they arrive. [`ConnectionState`] tracks the phase of each connection.
+//! [`CallerTable`] decides which connections close.
 
 mod connection_state;
 mod drain_state;
--- a/src/sidecar/caller/persistence.rs
+++ b/src/sidecar/caller/persistence.rs
@@ -1,10 +1,10 @@
-//! Whether a connection outlives its next response.
+//! The persistence of a caller's connection.
 
-/// Whether a connection outlives its next response.
+/// States whether a connection stays open after its next response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// Further requests may follow.
+    /// The connection stays open for further requests.
     KeepAlive,
-    /// It ends with the response.
+    /// The connection closes after the response.
     Close,
 }
--- a/src/sidecar/caller/phase.rs
+++ b/src/sidecar/caller/phase.rs
@@ -1,71 +1,73 @@
 //! The phases of a caller's connection and the transitions between them.
 //!
-//! HTTP/1.1 lets a client send its next request before it has read the last response, so a phase covers both directions
-//! of the connection: what is being received and what is being answered. Every transition is a method of [`Phase`]; an
-//! event without an entry for a phase does not change it.
+//! HTTP/1.1 lets a client send its next request before it has read the last response. A phase therefore covers both
+//! directions of the connection: the bytes being received and the request being answered. Every transition is a method
+//! of [`Phase`]. An event that the table does not list for a phase leaves the phase unchanged.
 //!
 //! | phase | receiving | answering | event → next phase |
 //! | --- | --- | --- | --- |
-//! | `AwaitingFirstHead` | nothing yet | nothing | head begins → `ReceivingRequest` (receiving) |
-//! | `Idle` | nothing yet | nothing | head begins → `ReceivingRequest` (receiving) |
-//! | `ReceivingRequest` (receiving) | a head | nothing | head forwarded → `ReceivingRequest` (forwarded); request begins, which is the replacement of a rejected head → `Answering` |
-//! | `ReceivingRequest` (forwarded) | a body | nothing, hyper has the head | request begins → `Answering` |
-//! | `Answering` | a body, or buffered bytes of the next request | a request | response ready, complete → `Idle`, or `AwaitingFirstHead` where no head was ever complete; response ready, streamed → `Streaming` (no head) |
-//! | `Streaming` (no head) | nothing yet | the rest of a response body | head begins → `Streaming` (receiving); stream ends → `Idle` |
+//! | `AwaitingFirstHead` | nothing yet | nothing | head starts → `ReceivingRequest` (receiving) |
+//! | `Idle` | nothing yet | nothing | head starts → `ReceivingRequest` (receiving) |
+//! | `ReceivingRequest` (receiving) | a head | nothing | head forwarded → `ReceivingRequest` (forwarded); request starts (the replacement of a rejected head) → `Answering` |
+//! | `ReceivingRequest` (forwarded) | a body | nothing; hyper has the head | request starts → `Answering` |
+//! | `Answering` | a body, or buffered bytes of the next request | a request | complete response ready → `Idle`, or `AwaitingFirstHead` if no head was ever complete; streamed response ready → `Streaming` (no head) |
+//! | `Streaming` (no head) | nothing yet | the rest of a response body | head starts → `Streaming` (receiving); stream ends → `Idle` |
 //! | `Streaming` (receiving) | the next head | the rest of a response body | head forwarded → `Streaming` (forwarded); stream ends → `ReceivingRequest` (receiving) |
 //! | `Streaming` (forwarded) | the next body | the rest of a response body | stream ends → `ReceivingRequest` (forwarded) |
 
 use tokio::time::Instant;
 
-/// How far the head of the next request has come.
+/// The progress of the head of the next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadProgress {
-    /// It is still being collected, or was rejected and is replaced.
+    /// The reader is still collecting the head, or has rejected it and is forwarding a replacement.
     Receiving,
-    /// hyper reads it; the service has not been called yet.
+    /// hyper has the head, but has not called the service with the request yet.
     Forwarded,
 }
 
-/// The head of a request that the service has not seen yet.
+/// The head of a request with which hyper has not called the service yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncomingHead {
-    /// When its first byte came, or when the reader got to it where it had come behind an earlier request.
+    /// The time at which its first byte arrived. For a pipelined request, whose bytes arrived before the response to
+    /// the previous one, the time at which the reader reached them.
     pub since: Instant,
-    /// How far it has come.
+    /// Its progress.
     pub progress: HeadProgress,
 }
 
-/// What a caller's connection does now. The module's table lists the transitions.
+/// The phase of a caller's connection. The table in the module's documentation lists the transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No complete head has come on the connection, and no byte of one is waiting.
+    /// No complete head has arrived on the connection, and no byte of a head is waiting.
     AwaitingFirstHead {
-        /// When the connection was accepted, or an incomplete first head answered with an error.
+        /// The time at which the connection was accepted, or at which an incomplete first head was answered with an
+        /// error.
         since: Instant,
     },
-    /// Between requests.
+    /// The last response has ended, and no byte of the next request has arrived.
     Idle {
-        /// When the last response was ready, or its stream ended.
+        /// The time at which the last complete response was ready, or the last stream ended.
         since: Instant,
     },
-    /// A request comes in, and no response is under way.
+    /// A request is being received, and no response is being sent.
     ReceivingRequest {
-        /// When the connection last became idle.
+        /// The time at which the connection last became idle.
         idle_since: Instant,
-        /// Its head.
+        /// The head of the request.
         head: IncomingHead,
     },
-    /// The service has a request, and no response to it yet.
+    /// The service has a request and has not returned its response yet.
     Answering,
-    /// A response body is streamed.
+    /// A response body is being streamed.
     Streaming {
-        /// The head of the next request, if it has begun.
+        /// The head of the next request, if a byte of it has arrived.
         next: Option<IncomingHead>,
     },
 }
 
 impl Phase {
-    /// The head of the next request, if a byte of it has come and the service has not seen it.
+    /// Returns the head of the next request, if a byte of it has arrived and the service has not been called with it.
     pub fn incoming_head(self) -> Option<IncomingHead> {
         match self {
             Phase::ReceivingRequest { head, .. } => Some(head),
@@ -82,7 +84,7 @@
         self == Phase::Answering || is_forwarded
     }
 
-    /// The first byte of the next request has come.
+    /// Handles the arrival of the first byte of the next request.
     #[must_use]
     pub fn head_started(self, now: Instant) -> Self {
         let head = IncomingHead {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The head has been validated, and goes on to hyper.
+    /// Handles the forwarding of a validated head to hyper.
     #[must_use]
     pub fn head_forwarded(self) -> Self {
         let forward = |head: IncomingHead| IncomingHead {
@@ -118,7 +120,8 @@
         }
     }
 
-    /// A complete response is ready, or the stream of one has ended. `idle_phase` is the phase between requests.
+    /// Handles the end of a response: it is complete, or its stream has ended. `idle_phase` makes the phase that
+    /// follows if no byte of the next request has arrived.
     #[must_use]
     pub fn response_ended(self, now: Instant, idle_phase: impl FnOnce(Instant) -> Self) -> Self {
         match self {
--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -1,11 +1,12 @@
 //! The reading half of a caller's connection, which validates request heads before hyper reads them.
 //!
 //! [`RequestReader`] collects each head, validates it, and forwards it to hyper once it is complete, one request at a
-//! time; hyper still does all the parsing that counts. A head that fails validation is replaced by an empty request, which
-//! the service answers with the error.
+//! time. hyper then parses the request itself. A head that fails validation is replaced by an empty request, which the
+//! service answers with the error.
 //!
-//! While a request is answered the reader keeps what arrives after it: hyper notices the client's FIN only while it has
-//! no unread bytes. [`client_disconnected`] watches the socket itself for the cases in which nobody reads on.
+//! While a request is answered, the reader buffers what arrives after it, because hyper notices the client's FIN only
+//! while it has no unread bytes. [`client_disconnected`] watches the socket itself for the cases in which neither hyper
+//! nor the reader reads from it.
 
 use super::connection_state::ConnectionState;
 use super::head::{HeadError, HeadValidation, MAX_HEAD_LENGTH, validate_head};
@@ -19,30 +20,30 @@
 use tokio::io::{AsyncRead, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The maximum number of bytes that are read at once while a head is collected.
+/// The maximum number of bytes that one read returns while a head is collected.
 const READ_CHUNK: usize = 4 << 10;
-/// What hyper reads in place of a rejected head.
+/// The request that hyper reads in place of a rejected head.
 const REPLACEMENT_HEAD: &[u8] = b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n";
 
-/// What the reader does with the next bytes.
+/// Determines what the reader does with the next bytes.
 #[derive(Clone, Copy, Debug)]
 enum ReadMode {
-    /// Collects a head. The first `searched` unread bytes do not contain its end.
+    /// Collects a head. The first `searched` unread bytes are known not to contain its end.
     Head { searched: usize },
     /// Forwards the `remaining` bytes of a validated head and its body.
     Forwarding { remaining: u64 },
-    /// Forwards everything: a chunked body, whose end only hyper knows, or a head that hyper is to report as malformed. The
-    /// connection ends with it.
+    /// Forwards everything that follows: a request with a chunked body, whose end only hyper can find, or a malformed
+    /// head, which hyper reports. No other request is read on the connection.
     ForwardingAll,
-    /// The request has been forwarded, and has no response yet.
+    /// Waits for the response to the request, all of which has been forwarded.
     AwaitingResponse,
-    /// Forwards the replacement of a rejected head, of which `forwarded` bytes are done, and nothing after it.
+    /// Forwards the replacement of a rejected head and nothing after it. `forwarded` bytes of it have been forwarded.
     ReplacementHead { forwarded: usize },
 }
 
-/// What became of polling for a head.
+/// The result of a read for a head.
 enum HeadPoll {
-    /// The mode has changed, or more bytes are there to be validated.
+    /// The mode has changed, or more bytes have been received and are to be validated.
     Progress,
     /// The client has sent FIN.
     EndOfStream,
@@ -54,14 +55,16 @@
     stream: Rc<TcpStream>,
     connection: Rc<ConnectionState>,
     mode: ReadMode,
-    /// Received and not forwarded.
+    /// The bytes that have been received and not forwarded.
     unread: Vec<u8>,
 }
 
-/// Waits until the client has disconnected, by FIN or reset, while it has a request without a response. hyper notices that
-/// only while it reads; this does also while it does not, as for a body that no endpoint takes yet.
+/// Waits until the client disconnects, by FIN or reset, while one of its requests has no response.
+///
+/// hyper notices this only while it reads. It does not read while, for example, no endpoint takes the request's body
+/// yet.
 pub async fn client_disconnected(stream: &TcpStream, connection: &ConnectionState) {
-    // The socket becomes ready for these interests only once the client sends no more.
+    // The socket becomes ready for these interests only after the client has sent FIN or a reset.
     let is_ready = stream.ready(Interest::PRIORITY | Interest::ERROR).await;
     if is_ready.is_err() {
         return;
@@ -70,14 +73,14 @@
         if connection.is_awaiting_response() {
             Poll::Ready(())
         } else {
-            Poll::Pending // polled again with the connection, whose state this is
+            Poll::Pending // polled again whenever the connection is polled, which is when its state changes
         }
     })
     .await;
 }
 
 impl RequestReader {
-    /// Reads from a connection that was just accepted.
+    /// Creates the reader of a connection that was just accepted.
     #[must_use]
     pub fn new(stream: Rc<TcpStream>, connection: Rc<ConnectionState>) -> Self {
         RequestReader {
@@ -88,7 +91,8 @@
         }
     }
 
-    /// Validates the head that the unread bytes begin with. Returns the next mode if the head is complete or rejected.
+    /// Validates the head at the start of the unread bytes. Returns the next mode if the head is to be forwarded or
+    /// replaced.
     fn validate_head(&mut self, searched: usize) -> Option<ReadMode> {
         let validation = validate_head(&self.unread, searched);
         if validation.is_complete() {
@@ -123,7 +127,7 @@
         ReadMode::ReplacementHead { forwarded: 0 }
     }
 
-    /// Changes the mode if the head is complete, invalid or too late; otherwise reads more of it.
+    /// Changes the mode if the head is complete, invalid or has timed out. Otherwise reads more of it.
     fn poll_head(
         &mut self,
         searched: usize,
@@ -146,7 +150,7 @@
     fn poll_receive(&mut self, context: &mut Context<'_>) -> Poll<io::Result<HeadPoll>> {
         let read = sockets::poll_append(&self.stream, context, &mut self.unread, READ_CHUNK);
         if self.unread.is_empty() {
-            self.unread = Vec::new(); // most connections are idle most of the time: free the buffer
+            self.unread = Vec::new(); // frees the buffer, because most connections are idle most of the time
         }
         let received = ready!(read)?;
         self.connection.received(received);
@@ -157,16 +161,16 @@
         }))
     }
 
-    /// Keeps what arrives while the request is answered, up to the length of a head.
+    /// Buffers what arrives while the request is answered, up to the maximum length of a head.
     fn poll_while_answering(&mut self, context: &mut Context<'_>) -> Poll<io::Result<HeadPoll>> {
         self.connection.wake_reader_when_answered(context.waker());
         if self.unread.len() >= MAX_HEAD_LENGTH {
-            return Poll::Pending; // [`client_disconnected`] notices the end of the connection
+            return Poll::Pending; // [`client_disconnected`] notices a disconnect
         }
         self.poll_receive(context)
     }
 
-    /// Forwards up to `max` bytes, unread ones first, and returns their number; 0 at the client's FIN.
+    /// Forwards up to `max` bytes, unread ones first. Returns their number, which is 0 at the client's FIN.
     fn poll_forward(
         &mut self,
         context: &mut Context<'_>,
@@ -191,7 +195,7 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Begins to collect the next head, of which bytes may have arrived already.
+    /// Starts to collect the next head, some bytes of which may already have arrived.
     fn begin_next_head(&mut self) {
         if !self.unread.is_empty() {
             self.connection.next_head_started();
@@ -199,7 +203,7 @@
         self.mode = ReadMode::Head { searched: 0 };
     }
 
-    /// Copies the next bytes of the replacement head.
+    /// Copies the next bytes of the replacement head into `buffer`.
     fn forward_replacement(&mut self, buffer: &mut ReadBuf<'_>, forwarded: usize) {
         let rest = &REPLACEMENT_HEAD[forwarded..];
         let count = buffer.remaining().min(rest.len());
@@ -245,7 +249,7 @@
                     self.forward_replacement(buffer, forwarded);
                     return Poll::Ready(Ok(()));
                 }
-                // The service answers at once and the connection ends with that, so that nothing needs to wake this.
+                // No waker is needed: the service answers at once, and the connection closes after the response.
                 ReadMode::ReplacementHead { .. } => return Poll::Pending,
             };
             if let HeadPoll::EndOfStream = head_poll {
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -1,5 +1,7 @@
-//! The callers' connections, and which of them close: for a shutdown, a drain, a hot restart, or because their
-//! descriptors are needed.
+//! The table of callers' connections.
+//!
+//! The table decides which connections close for a shutdown, a drain or a hot restart, or because their descriptors are
+//! needed.
 
 use super::connection_state::{ConnectionState, FIRST_REQUEST_GRACE};
 use super::drain_state::DrainState;
@@ -11,9 +13,10 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// A connection that was in use may be idle for so long before it is among the first to be evicted.
+/// The time for which a connection must be idle after a response before it is evicted as [`EvictionRank::LongIdle`].
 const IDLE_GRACE: Duration = Duration::from_secs(2);
-/// A head of which no byte came for so long counts as stalled: a slow client sends more often.
+/// The time without a received byte after which an incomplete head counts as stalled. Even a slow client sends more
+/// often.
 const HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The callers' connections.
@@ -21,29 +24,31 @@
 pub struct CallerTable {
     connections: HashMap<u64, Caller>,
     next_number: u64,
-    /// Graceful shutdown has begun: each connection closes once it is idle.
+    /// Set once graceful shutdown has begun. Each connection then closes when it is idle.
     is_shutting_down: bool,
+    /// Notified during a shutdown when the last connection has closed.
     all_closed: Rc<Notify>,
-    /// Another process accepts callers: each connection here closes with its next response.
+    /// True while another process accepts callers. Each connection here then closes after its next response.
     accepted_elsewhere: watch::Sender<bool>,
-    /// The step of a drain by the operators, if there is one.
+    /// The step of the operators' drain, if one is in progress.
     drain: Option<DrainState>,
 }
 
 #[derive(Debug)]
 struct Caller {
     state: Rc<ConnectionState>,
-    /// It has been chosen by [`CallerTable::evict_one`], which does so once.
+    /// Set once [`CallerTable::evict_one`] has chosen the connection. It is not chosen again.
     is_evicted: bool,
+    /// Notified when the connection is to close.
     close: Rc<Notify>,
 }
 
-/// Whether there are descriptors for a new connection.
+/// Tells whether there are descriptors for a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Its requests are served.
+    /// The connection's requests are served.
     Accepted,
-    /// Its first request is rejected, and the connection closes with that.
+    /// The connection's first request is rejected, and the connection closes after the response.
     RejectedEarly,
 }
 
@@ -52,31 +57,32 @@
 pub struct AcceptedCaller {
     /// Its number in the table.
     pub number: u64,
-    /// What it does.
+    /// Its state.
     pub state: Rc<ConnectionState>,
     /// Notified when the connection is to close.
     pub close: Rc<Notify>,
-    /// Whether it outlives its first response.
+    /// The initial persistence: whether the connection stays open after its first response.
     pub persistence: Persistence,
 }
 
-/// The order in which connections are evicted; within a rank the longest inactive one is first.
+/// The order in which connections are evicted. Within a rank, the connection that has been inactive longest is first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// No request came within [`FIRST_REQUEST_GRACE`].
+    /// No byte of a first request arrived within [`FIRST_REQUEST_GRACE`].
     NeverUsed,
     /// Idle for [`IDLE_GRACE`].
     LongIdle,
-    /// In the middle of a head for [`HEAD_STALL_TIMEOUT`].
+    /// A head is incomplete, and no byte of it arrived for [`HEAD_STALL_TIMEOUT`].
     StalledHead,
-    /// Idle for a shorter time, which is still better than to reject a new caller.
+    /// Idle for less than [`IDLE_GRACE`]. Evicting it is still better than rejecting a new caller.
     RecentlyIdle,
-    /// A request may be on the way.
+    /// A request may be arriving.
     PossiblyActive,
 }
 
 impl Caller {
-    /// Returns the connection's place in the order of eviction, or none while it is answered.
+    /// Returns the connection's rank and the time since which it has been inactive. Returns `None` for a connection
+    /// that is being answered or has already been evicted.
     fn eviction_rank(&self, now: Instant) -> Option<(EvictionRank, Instant)> {
         if self.is_evicted {
             return None;
@@ -134,7 +140,7 @@
         }
     }
 
-    /// Closes the connection that is first in the order of eviction. Returns false where all are being answered.
+    /// Closes the connection that is first in the order of eviction. Returns false if none can be evicted.
     pub fn evict_one(&mut self) -> bool {
         let now = Instant::now();
         let ranks = self
@@ -152,20 +158,21 @@
         })
     }
 
-    /// Begins a graceful shutdown: from now on connections close when they are idle. Another call reaches those that were
-    /// added since.
+    /// Begins a graceful shutdown, in which connections close when they are idle. Another call also closes those that
+    /// were added since the previous one.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
         self.close_idle();
     }
 
+    /// Notifies all connections to close when they are idle.
     fn close_idle(&self) {
         for caller in self.connections.values() {
             caller.close.notify_one();
         }
     }
 
-    /// The step of a drain by the operators, if there is one.
+    /// Returns the step of the operators' drain, if one is in progress.
     pub fn drain_state(&self) -> Option<DrainState> {
         self.drain
     }
@@ -178,13 +185,13 @@
         }
     }
 
-    /// Stops accepting here, as another process accepts callers from now on.
+    /// Stops accepting callers in this process, because another process accepts them from now on.
     pub fn suspend_accepting(&mut self) {
         self.accepted_elsewhere.send_replace(true);
     }
 
-    /// Accepts here again, as the other process has ended or is about to. Returns whether that changes anything: callers
-    /// were accepted elsewhere, and this process is not shutting down.
+    /// Accepts callers in this process again, because the other process has ended or is about to. Returns whether this
+    /// changes anything: another process accepted callers, and this process is not shutting down.
     pub fn resume_accepting(&mut self) -> bool {
         self.accepted_elsewhere.send_replace(false) && !self.is_shutting_down
     }
@@ -194,12 +201,13 @@
         *self.accepted_elsewhere.borrow()
     }
 
-    /// Watches whether another process accepts callers.
+    /// Returns a receiver that reports whether another process accepts callers.
     pub fn watch_accepted_elsewhere(&self) -> watch::Receiver<bool> {
         self.accepted_elsewhere.subscribe()
     }
 
-    /// Returns whether connections close with their next response, so that their callers connect elsewhere.
+    /// Returns whether connections close after their next response, which makes their callers connect to another
+    /// process or sidecar.
     pub fn closes_after_responses(&self) -> bool {
         let is_draining = matches!(
             self.drain,
@@ -218,7 +226,8 @@
         self.connections.is_empty()
     }
 
-    /// Notified during a shutdown when the last connection has closed, by when all requests have been answered.
+    /// Returns the notification, sent during a shutdown, that the last connection has closed. All requests have been
+    /// answered by then.
     pub fn all_closed(&self) -> Rc<Notify> {
         self.all_closed.clone()
     }
--- a/src/sidecar/caller/table_tests.rs
+++ b/src/sidecar/caller/table_tests.rs
@@ -1,15 +1,15 @@
-//! Tests of the order of eviction, on a paused clock.
+//! Tests of the table of callers' connections, with tokio's clock paused.
 
 use super::super::connection_state::ResponseKind;
 use super::*;
 use tokio::time::advance;
 
-/// Adds a connection that is served.
+/// Adds a connection for which there are descriptors.
 fn add(table: &mut CallerTable) -> AcceptedCaller {
     table.add(Admission::Accepted)
 }
 
-/// Has a request arrive, and the service be called with it.
+/// Simulates a request up to the call of the service.
 fn begin_request(caller: &AcceptedCaller) {
     caller.state.received(10);
     caller.state.head_completed();
@@ -17,13 +17,13 @@
     caller.state.request_started();
 }
 
-/// Has a request arrive and be answered.
+/// Simulates a request up to its complete response.
 fn complete_request(caller: &AcceptedCaller) {
     begin_request(caller);
     caller.state.response_ready(ResponseKind::Complete);
 }
 
-/// Evicts as many connections as there can be, and returns their positions in the order of eviction.
+/// Evicts connections until none can be evicted. Returns their positions in `callers` in the order of eviction.
 fn eviction_order(table: &mut CallerTable, callers: &[AcceptedCaller]) -> Vec<usize> {
     let mut order = Vec::new();
     while table.evict_one() {
@@ -31,7 +31,7 @@
             callers[*position].state.is_closing_idle() && !order.contains(position)
         };
         let evicted = (0..callers.len()).find(is_new);
-        order.push(evicted.expect("an eviction closes another connection"));
+        order.push(evicted.expect("each eviction closes one more connection"));
     }
     order
 }
