--- a/src/sidecar/admin_state.rs
+++ b/src/sidecar/admin_state.rs
@@ -1,18 +1,18 @@
-//! Whether the operators let an endpoint be used.
+//! The administrative state of an endpoint, which operators set.
 
 use std::fmt;
 
-/// What the operators have decided about an endpoint, whatever its list entry says.
+/// The administrative state of an endpoint. It is independent of the endpoint's entry in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminState {
-    /// It takes work as far as its list entry says so.
+    /// The endpoint gets requests if its list entry allows it.
     Enabled,
-    /// It gets no requests.
+    /// The endpoint gets no requests.
     Disabled,
 }
 
 impl AdminState {
-    /// Converts from the flag that messages between processes carry.
+    /// Converts the flag that messages between processes carry.
     #[must_use]
     pub fn from_disabled(is_disabled: bool) -> Self {
         if is_disabled {
--- a/src/sidecar/body/buffered_response.rs
+++ b/src/sidecar/body/buffered_response.rs
@@ -1,4 +1,4 @@
-//! Receiving endpoints' responses: completely, or as far as they are buffered.
+//! Receiving endpoints' responses, completely or up to the limit of buffering.
 
 use super::error::BodyTransferError;
 use super::limits::exceeds_buffer;
@@ -6,35 +6,35 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-/// A response body as far as it has been received.
+/// The received part of a response body.
 #[derive(Debug)]
 pub enum ReceivedResponse {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// Its beginning; the rest is to be streamed.
+    /// The start of the body. The rest is to be streamed.
     Partial {
-        /// What has been received.
+        /// The bytes that have been received.
         buffered: Bytes,
-        /// What is still to come.
+        /// The body, from which the rest is to be read.
         remaining: Incoming,
         /// The length that the response declares.
         length: Option<u64>,
     },
 }
 
-/// How much of a response is received before it is passed on.
+/// The amount of a response body that is received before the response is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Buffering {
     /// Up to [`super::limits::MAX_BUFFERED_BODY`] bytes.
     UpToLimit,
-    /// Its first bytes alone: there is no memory for more.
+    /// Only the first bytes, because there is no memory for more.
     FirstBytes,
 }
 
-/// Receives a response until it is complete, or as far as it may be buffered.
+/// Receives a response body until it is complete or no more of it may be buffered.
 ///
 /// # Errors
-/// The response broke off.
+/// The connection failed before the response was complete.
 pub async fn receive_response(
     mut body: Incoming,
     buffering: Buffering,
--- a/src/sidecar/body/error.rs
+++ b/src/sidecar/body/error.rs
@@ -1,34 +1,34 @@
-//! Errors of bodies in transit.
+//! Errors in the transfer of request and response bodies.
 
 use thiserror::Error;
 
-/// Why a client's request body cannot be received.
+/// The reason why a client's request body cannot be received.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum UploadError {
-    /// It came below the minimum rate.
-    #[error("the request body comes below the minimum rate")]
+    /// The client sent it below the minimum rate.
+    #[error("the request body arrives below the minimum rate")]
     TooSlow,
     /// It is larger than [`super::MAX_BODY`].
     #[error("the request body is too large")]
     TooLarge,
-    /// It broke off, or its framing is malformed.
+    /// The connection failed before its end, or its framing is malformed.
     #[error("the request body is incomplete")]
     Incomplete,
 }
 
-/// Why a body stops in transit. hyper passes it on to the connection that the body is written to.
+/// The reason why the transfer of a body stops. hyper reports it on the connection to which the body is written.
 #[derive(Debug, Error)]
 pub enum BodyTransferError {
-    /// The connection that it came on failed.
-    #[error("the body's connection failed")]
+    /// The connection from which the body was read failed.
+    #[error("the connection from which the body was read failed")]
     Http(#[from] hyper::Error),
-    /// An endpoint paused for too long in the middle of its response.
+    /// An endpoint paused for too long before the end of its response.
     #[error("the endpoint stopped sending in the middle of its response")]
     ResponseStalled,
     /// A response is larger than [`super::MAX_BODY`].
     #[error("the response is too large")]
     ResponseTooLarge,
-    /// A streamed request body can be sent by one attempt only.
+    /// Another attempt has taken the streamed request body, which can be sent only once.
     #[error("another attempt has sent the request body")]
     UploadConsumed,
     /// The client's request body cannot be received.
--- a/src/sidecar/body/frames.rs
+++ b/src/sidecar/body/frames.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// Polls for the next data frame of a body; `None` at its end. Trailers are not forwarded, so they are skipped.
+/// Polls for the next data frame of a body. Returns `None` at its end. Skips trailers, which are not forwarded.
 pub fn poll_data(
     body: &mut Incoming,
     context: &mut Context<'_>,
--- a/src/sidecar/body/mod.rs
+++ b/src/sidecar/body/mod.rs
@@ -1,8 +1,11 @@
-//! Request and response bodies on their way through the sidecar.
+//! The transfer of request and response bodies through the sidecar.
 //!
-//! A body of up to [`limits::MAX_BUFFERED_BODY`] bytes is received completely before it is forwarded: a request can then be sent
-//! again in another attempt, and a truncated response is discovered before the client has seen any of it. A larger body
-//! is streamed: no more than that of it is buffered, and the next piece is read only when the receiver has taken the last.
+//! A body of up to [`limits::MAX_BUFFERED_BODY`] bytes is received completely before it is forwarded. A request can
+//! then be sent again in another attempt, and a truncated response is discovered before the client has received any of
+//! it.
+//!
+//! A larger body is streamed. No more than [`limits::MAX_BUFFERED_BODY`] bytes of it are buffered, and each further
+//! frame is read only when the receiver has taken the previous one.
 
 mod buffered_response;
 mod error;
--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -1,4 +1,4 @@
-//! Receiving clients' request bodies: completely, or as far as they are buffered.
+//! Receiving clients' request bodies, completely or up to the limit of buffering.
 
 use super::error::UploadError;
 use super::limits::{MAX_BODY, exceeds_buffer};
@@ -12,23 +12,23 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a streamed request body may pause, whether the client or the endpoint is slow.
+/// The maximum time without progress of a streamed request body, whether the client or the endpoint is slow.
 const MAX_PAUSE: Duration = Duration::from_secs(6);
 
-/// A request body as far as it has been received.
+/// The received part of a request body.
 #[derive(Debug)]
 pub struct ReceivedRequestBody {
-    /// All of it, or its beginning where there is an upload.
+    /// The complete body, or the start of it if there is an upload.
     pub buffered: Bytes,
     /// The rest of a body that is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
 }
 
-/// Receives a request body until it is complete or too large to be buffered. `started_at` is when the request's first
-/// byte arrived.
+/// Receives a request body until it is complete or too large to be buffered. `started_at` is the time at which the
+/// request's first byte arrived.
 ///
 /// # Errors
-/// Why the body cannot be received.
+/// The body cannot be received.
 pub async fn receive_request_body(
     mut body: Incoming,
     started_at: Instant,
@@ -64,12 +64,13 @@
     }
 }
 
-/// A request body that is too large to be buffered and is streamed to one endpoint. The attempt that streams it and the
-/// task that waits for the response share it.
+/// A request body that is too large to be buffered and is streamed to one endpoint. It is shared by the attempt that
+/// streams it and the task that waits for the response.
 #[derive(Debug)]
 pub struct Upload {
-    /// Taken by the first attempt that streams the body; no other attempt can follow it.
+    /// The rest of the body. The first attempt that streams it takes it, so no other attempt can send it.
     remaining: RefCell<Option<RemainingUpload>>,
+    /// The length that the request declares.
     length: Option<u64>,
     received: Cell<u64>,
     last_progress_at: Cell<Instant>,
@@ -77,16 +78,16 @@
     finished: Notify,
 }
 
-/// What is still to come of an upload.
+/// The part of an upload that has not been received yet.
 #[derive(Debug)]
 pub struct RemainingUpload {
     /// The rest of the body.
     pub body: Incoming,
-    /// By when the client has to send more of it.
+    /// The deadline by which the client has to send more of it.
     pub deadline: UploadDeadline,
 }
 
-/// How and when an upload finished.
+/// The result of an upload, and the time at which it finished.
 #[derive(Clone, Copy, Debug)]
 struct UploadFinish {
     result: Result<(), UploadError>,
@@ -105,13 +106,13 @@
         }
     }
 
-    /// Returns whether an attempt has begun to stream it. What was streamed is not buffered, so no other attempt can be
-    /// made.
+    /// Returns whether an attempt has started to stream the body. Streamed bytes are not buffered, so no other attempt
+    /// can be made then.
     pub fn is_consumed(&self) -> bool {
         self.remaining.borrow().is_none()
     }
 
-    /// Takes what is still to come, for the one attempt that may stream it.
+    /// Takes the rest of the body, for the only attempt that may stream it. Returns `None` if it was taken before.
     pub fn take_remaining(&self) -> Option<RemainingUpload> {
         self.remaining.borrow_mut().take()
     }
@@ -121,12 +122,12 @@
         self.length
     }
 
-    /// Returns whether as many bytes as the request declares have been received.
+    /// Returns whether the declared number of bytes has been received.
     pub fn has_received_declared_length(&self) -> bool {
         self.length == Some(self.received.get())
     }
 
-    /// Returns when the last byte had been received, once the body is complete.
+    /// Returns the time at which the body was complete, or `None` if it is not.
     pub fn completed_at(&self) -> Option<Instant> {
         self.finish
             .get()
@@ -139,15 +140,15 @@
         self.finish.get().is_some()
     }
 
-    /// Notes that an attempt with this body begins: pauses are measured from now on.
+    /// Records that an attempt with this body starts. The time without progress is measured from then on.
     pub fn on_attempt_started(&self) {
         self.last_progress_at.set(Instant::now());
     }
 
-    /// Notes that so many bytes were received and are forwarded.
+    /// Records that `bytes` bytes were received and are being forwarded.
     ///
     /// # Errors
-    /// [`UploadError::TooLarge`] where the body has become larger than [`MAX_BODY`].
+    /// [`UploadError::TooLarge`] if the body has become larger than [`MAX_BODY`].
     pub fn on_received(&self, bytes: usize) -> Result<(), UploadError> {
         self.last_progress_at.set(Instant::now());
         self.received.set(self.received.get() + bytes as u64);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Notes that the body is complete or has failed, and wakes those that wait for it.
+    /// Records that the body is complete or has failed, and wakes the tasks that wait for this.
     pub fn set_finished(&self, result: Result<(), UploadError>) {
         self.finish.set(Some(UploadFinish {
             result,
@@ -167,7 +168,8 @@
         self.finished.notify_waiters();
     }
 
-    /// Returns the current deadline of work that may take `timeout` after the body's last byte.
+    /// Returns the current deadline of work that may take `timeout` after the body's last byte. Before the last byte,
+    /// the deadline counts from the last progress.
     fn deadline(&self, timeout: Duration) -> Instant {
         match self.completed_at() {
             Some(completed_at) => completed_at + timeout,
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Awaits work that may take `timeout` after the body's last byte. While the body is still coming the deadline moves
-    /// with it. Returns `None` once the deadline has passed.
+    /// Awaits work that may take `timeout` after the body's last byte. Each progress of the body moves the deadline.
+    /// Returns `None` once the deadline has passed.
     pub async fn timeout<T>(&self, timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
         let mut work = std::pin::pin!(work);
         loop {
@@ -192,7 +194,7 @@
     /// Waits until the body is complete.
     ///
     /// # Errors
-    /// Why the body could not be received.
+    /// The body could not be received.
     pub async fn wait_until_finished(&self) -> Result<(), UploadError> {
         loop {
             let finished = self.finished.notified();
--- a/src/sidecar/body/upload_deadline.rs
+++ b/src/sidecar/body/upload_deadline.rs
@@ -1,29 +1,30 @@
-//! The minimum rate at which a client has to send its request body.
+//! The deadline that enforces a minimum rate of a client's request body.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a client may take over a body, from the first byte of the request's head. Each [`MIN_RATE`] bytes received
+/// The time that a client has for a body, from the first byte of the request's head. Each [`MIN_RATE`] bytes received
 /// add a second.
 const BASE_TIME: Duration = Duration::from_millis(2_600);
-/// Bytes a second: half the rate of the slowest client that has to be served.
+/// The minimum rate in bytes per second: half the rate of the slowest client that has to be served.
 const MIN_RATE: f64 = 32_000.0;
-/// A piece of at least so many bytes shows that they were waiting to be read: the endpoint was slow, not the client.
+/// The size in bytes from which a data frame shows that the client was not slow: its bytes were waiting to be read,
+/// because the endpoint took the previous ones slowly.
 const LARGE_FRAME: usize = 16 << 10;
-/// The least time that is left to a client after a large piece.
+/// The minimum time that a client has left after a frame of at least [`LARGE_FRAME`] bytes.
 const MIN_TIME_AFTER_LARGE_FRAME: Duration = Duration::from_secs(1);
 
-/// The time by which a client has to have sent more of its body. It is paused while the sidecar does not wait for
+/// The time by which a client has to send more of its body. The deadline is paused while the sidecar does not wait for
 /// the client.
 #[derive(Debug)]
 pub struct UploadDeadline {
     deadline: Instant,
-    /// Since when the client is not waited for, if it is not.
+    /// The time at which the sidecar stopped waiting for the client, while the deadline is paused.
     paused_since: Option<Instant>,
 }
 
 impl UploadDeadline {
-    /// Creates the deadline of a request whose first byte arrived at `started_at`; the client is waited for.
+    /// Creates the deadline of a request whose first byte arrived at `started_at`. It is not paused.
     pub fn new(started_at: Instant) -> Self {
         UploadDeadline {
             deadline: started_at + BASE_TIME,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Notes that the client is waited for from now on, and returns the deadline.
+    /// Ends the pause, if the deadline is paused, and returns the deadline.
     pub fn resume(&mut self) -> Instant {
         if let Some(paused_since) = self.paused_since.take() {
             self.deadline += paused_since.elapsed();
@@ -39,7 +40,7 @@
         self.deadline
     }
 
-    /// Notes that so many bytes were received, and that the client is not waited for until [`Self::resume`].
+    /// Extends the deadline for `bytes` received bytes, and pauses it until [`Self::resume`].
     pub fn on_received(&mut self, bytes: usize) {
         let now = Instant::now();
         self.paused_since = Some(now);
--- a/src/sidecar/body/upload_deadline_tests.rs
+++ b/src/sidecar/body/upload_deadline_tests.rs
@@ -1,4 +1,4 @@
-//! The deadline of a client's upload, on paused time.
+//! Tests of the deadline of a client's upload, with tokio's clock paused.
 
 use super::*;
 use tokio::time::advance;
@@ -29,7 +29,7 @@
     assert_eq!(
         deadline.resume(),
         started_at + BASE_TIME + 10 * SECOND,
-        "it is not paused while the client is waited for"
+        "the deadline is not paused after it was resumed"
     );
 }
 
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -1,10 +1,10 @@
-//! Counters of what has happened since the last counters line of the log.
+//! Counters of events since the last counters line of the log.
 
 use super::metrics::AnsweredRequests;
 use crate::policy::{LoadReport, Outcome};
 use std::fmt;
 
-/// The outcomes of attempts, and their names in the log.
+/// The outcomes of attempts and their names in the log.
 const OUTCOME_NAMES: [(Outcome, &str); 8] = [
     (Outcome::Served, "ok"),
     (Outcome::Error, "error"),
@@ -16,7 +16,7 @@
     (Outcome::NotSent, "not_sent"),
 ];
 
-/// Counters since the last line.
+/// Counters of events since the last counters line.
 #[derive(Debug, Default, PartialEq)]
 pub struct Counters {
     received: u64,
@@ -25,27 +25,28 @@
     connects: u64,
     health_checks: u64,
     reports: u64,
-    /// In the order of [`OUTCOME_NAMES`].
+    /// The number of attempts by outcome, in the order of [`OUTCOME_NAMES`].
     outcomes: [u64; OUTCOME_NAMES.len()],
-    /// How many requests were answered at the last line.
+    /// The totals of answered requests at the last line.
     answered_before: AnsweredRequests,
 }
 
-/// The counters of one line.
+/// The content of one counters line.
 #[derive(Debug, PartialEq)]
 pub struct CountersLine {
     counters: Counters,
-    /// How many requests were answered at this line.
+    /// The totals of answered requests at this line.
     answered: AnsweredRequests,
 }
 
 impl Counters {
-    /// Counts a request that the balancer was given.
+    /// Counts a request that was submitted to the balancer.
     pub fn request_received(&mut self) {
         self.received += 1;
     }
 
-    /// Counts a request that was rejected before the balancer saw it, as its limit was reached, or its connection's.
+    /// Counts a request that was rejected before it reached the balancer, because the limit of open requests, of
+    /// connections or of buffered bytes was reached.
     pub fn request_rejected_early(&mut self) {
         self.rejected_early += 1;
     }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Returns the counters since the last line, and starts over.
+    /// Returns the counters since the last line and resets them. `answered` are the current totals.
     pub fn take(&mut self, answered: AnsweredRequests) -> CountersLine {
         let next = Counters {
             answered_before: answered,
@@ -97,7 +98,7 @@
 }
 
 impl CountersLine {
-    /// Returns whether nothing has happened.
+    /// Returns whether no event was counted.
     pub fn is_empty(&self) -> bool {
         self.counters
             == Counters {
--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -1,28 +1,29 @@
-//! The budget of file descriptors, which connections of callers and connections to endpoints share.
+//! The budget of file descriptors, which callers' connections and connections to endpoints share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are not budgeted: the standard streams, the runtime's, the listener, discovery, and a few connections
-/// that are about to be closed.
+/// The number of descriptors outside the budget: for the standard streams, the runtime, the listener, discovery, and a
+/// few connections that are about to be closed.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// How many connections beyond their limit callers may have while evicted ones are still closing.
+/// The number of connections that callers may have beyond their limit while evicted ones are still closing.
 const CALLER_OVERCOMMIT: usize = 8;
-/// The fraction of the budget that is reserved for connections to endpoints, in eighths.
+/// The share of the budget that callers leave to connections to endpoints, in eighths.
 const ENDPOINT_EIGHTHS: usize = 3;
 
-/// The budget, and how much of it is in use.
+/// The budget of descriptors, and the number of them in use.
 #[derive(Debug)]
 pub struct DescriptorBudget {
     budget: usize,
+    /// The descriptors of a process outside the budget.
     reserved: usize,
-    /// Descriptors that the sidecar's other processes use, during a hot restart.
+    /// The descriptors that the sidecar's other processes use during a hot restart.
     other_processes: Cell<usize>,
     callers: Rc<Cell<usize>>,
     endpoints: Rc<Cell<usize>>,
 }
 
-/// The peer of a connection.
+/// The kind of peer that a connection has.
 #[derive(Clone, Copy, Debug)]
 pub enum PeerKind {
     /// A caller.
@@ -31,16 +32,16 @@
     Endpoints,
 }
 
-/// One connection's descriptor, in use until this is dropped.
+/// A permit for one connection's descriptor. The descriptor counts as in use until the permit is dropped.
 #[derive(Debug)]
 pub struct DescriptorPermit(Rc<Cell<usize>>);
 
-/// How many connections are open.
+/// The numbers of open connections.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenConnections {
-    /// Those of callers.
+    /// Connections from callers.
     pub callers: usize,
-    /// Those to endpoints.
+    /// Connections to endpoints.
     pub endpoints: usize,
 }
 
@@ -52,8 +53,8 @@
 }
 
 impl DescriptorBudget {
-    /// Creates the budget of a process that may open `limit` descriptors, of which `reserved` are needed beside
-    /// [`RESERVED_DESCRIPTORS`].
+    /// Creates the budget of a process that may open `limit` descriptors. `reserved` of them are kept outside the
+    /// budget in addition to [`RESERVED_DESCRIPTORS`].
     pub fn new(limit: usize, reserved: usize) -> Self {
         let reserved = RESERVED_DESCRIPTORS + reserved;
         DescriptorBudget {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Returns a permit for one more connection. It does not check the budget.
+    /// Returns a permit for one more connection, without checking the budget.
     pub fn permit(&self, peer: PeerKind) -> DescriptorPermit {
         let open = match peer {
             PeerKind::Callers => &self.callers,
@@ -75,7 +76,7 @@
         DescriptorPermit(open.clone())
     }
 
-    /// Returns this process's open connections.
+    /// Returns the numbers of this process's open connections.
     pub fn in_use(&self) -> OpenConnections {
         OpenConnections {
             callers: self.callers.get(),
@@ -83,31 +84,32 @@
         }
     }
 
-    /// Sets how many connections each other process of the sidecar has open. Their reserved descriptors are added.
+    /// Sets the number of open connections of each other process of the sidecar. The reserved descriptors of each
+    /// process are added to it.
     pub fn set_other_process_connections(&self, connections: impl Iterator<Item = usize>) {
         let descriptors = connections.map(|open| open + self.reserved).sum();
         self.other_processes.set(descriptors);
     }
 
-    /// Returns the budget that is left to this process beside the other ones.
+    /// Returns the part of the budget that the other processes leave to this one.
     fn own_budget(&self) -> usize {
         self.budget
             .saturating_sub(self.other_processes.get())
             .max(CALLER_OVERCOMMIT)
     }
 
-    /// Returns whether all descriptors are in use.
+    /// Returns whether all descriptors of the budget are in use.
     pub fn is_exhausted(&self) -> bool {
         self.in_use().total() >= self.own_budget()
     }
 
-    /// Returns whether another caller's connection would take a descriptor that attempts need: each pending request may
-    /// have one in flight, so callers may not use the whole budget.
+    /// Returns whether callers have all the descriptors that they may use. The rest of the budget is for attempts,
+    /// because each pending request may have one in flight.
     pub fn is_caller_limit_reached(&self) -> bool {
         self.is_exhausted() || self.callers.get() >= self.caller_limit()
     }
 
-    /// Returns whether callers are beyond their limit by as much as is tolerated.
+    /// Returns whether callers' connections exceed their limit by [`CALLER_OVERCOMMIT`].
     pub fn is_caller_overcommit_reached(&self) -> bool {
         self.callers.get() >= self.caller_limit() + CALLER_OVERCOMMIT
     }
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -1,15 +1,16 @@
-//! The sidecar: forwards its callers' requests to endpoints, as the balancer in [`policy`](crate::policy) decides.
+//! The sidecar, which forwards its callers' requests to the endpoints that the balancer in [`policy`](crate::policy)
+//! chooses.
 //!
-//! Its layers, each of which imports only those above it:
+//! The sidecar consists of layers. Each layer imports only the layers above it in this table:
 //!
 //! | layer | files |
 //! | --- | --- |
 //! | foundations | `log.rs`, `admin_state.rs`, `sockets.rs`, `descriptors.rs`, `memory.rs`, `metrics.rs`, `counters.rs` |
 //! | bodies | `body/` |
-//! | connections | `endpoint/`: to endpoints; `caller/`: of callers; `hot_restart/`: to other processes |
-//! | requests and attempts | `node/`: the owner of their state, and the only caller of the balancer |
-//! | addresses | `server/`: the callers'; `operators/`: the operators'; `listener_handover/`: the new process's; `report.rs`: the log |
-//! | process | `process.rs`: start and signals; `shutdown.rs`: serving until SIGTERM and the graceful shutdown |
+//! | connections | `endpoint/`: to endpoints; `caller/`: from callers; `hot_restart/`: to other processes of this sidecar |
+//! | requests and attempts | `node/`: owns their state; nothing else calls the balancer |
+//! | interfaces | `server/`: for callers; `operators/`: for operators; `listener_handover/`: for the new process of a hot restart; `report.rs`: the counters line of the log |
+//! | process | `process.rs`: start and signals; `shutdown.rs`: serving until SIGTERM, and the graceful shutdown |
 
 #[macro_use]
 mod log;
