--- a/src/sidecar/hot_restart/disabled_endpoints_file.rs
+++ b/src/sidecar/hot_restart/disabled_endpoints_file.rs
@@ -1,4 +1,4 @@
-//! The file in which the disabled endpoints outlast a process: a JSON array of their ids.
+//! The file that stores the disabled endpoints across processes, as a JSON array of their ids.
 
 use crate::sidecar::admin_state::AdminState;
 use std::cell::Cell;
@@ -7,20 +7,20 @@
 use std::io::{self, Read};
 use std::path::PathBuf;
 
-/// The largest file that is read, in bytes: enough for thousands of endpoints.
+/// The maximum number of bytes that are read from the file, enough for thousands of endpoints.
 const MAX_FILE_LENGTH: u64 = 1 << 20;
 
 /// The file of disabled endpoints, which each process of the sidecar reads and writes.
 #[derive(Debug)]
 pub struct DisabledEndpointsFile {
     path: PathBuf,
-    /// This process's own path for a new version, which is renamed to `path`.
+    /// The path at which this process writes a new version, which is then renamed to `path`.
     temporary_path: PathBuf,
-    /// The last change could not be written, so that the file lacks it.
+    /// True if the last change by this process could not be written, so the file lacks it.
     is_stale: Cell<bool>,
 }
 
-/// Why the file cannot be read.
+/// The reason why the file cannot be read.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error(transparent)]
@@ -30,7 +30,8 @@
 }
 
 impl DisabledEndpointsFile {
-    /// Creates the handle of a file that need not exist, with a path beside it for new versions.
+    /// Creates the handle of a file that need not exist. New versions are written at `temporary_path`, which is in the
+    /// same directory.
     pub(super) fn new(path: PathBuf, temporary_path: PathBuf) -> Self {
         DisabledEndpointsFile {
             path,
@@ -39,14 +40,14 @@
         }
     }
 
-    /// Returns whether the file lacks the last change by this process, as it could not be written.
+    /// Returns whether the file lacks the last change by this process, because it could not be written.
     #[must_use]
     pub fn is_stale(&self) -> bool {
         self.is_stale.get()
     }
 
-    /// Returns the disabled endpoints' ids, as the last change by any process left them; `None` where there is no file. A
-    /// file that cannot be read is logged, and counts as none.
+    /// Returns the ids of the disabled endpoints, including changes by other processes. Returns `None` if there is no
+    /// file. Logs a file that cannot be read, and returns `None` for it too.
     pub fn load(&self) -> Option<BTreeSet<String>> {
         match self.read() {
             Ok(disabled) => Some(disabled),
@@ -66,8 +67,10 @@
         Ok(serde_json::from_str(&text)?)
     }
 
-    /// Stores an endpoint's administrative state beside what other processes have stored. Where nothing is stored yet, all
-    /// the endpoints that this process knows as disabled are stored with it.
+    /// Stores an endpoint's administrative state in addition to the states that other processes have stored.
+    ///
+    /// If nothing is stored yet, the endpoints in `disabled`, all those that this process knows to be disabled, are
+    /// stored too.
     pub fn store<'a>(
         &self,
         endpoint: &str,
@@ -84,11 +87,13 @@
         let written = self.write(&stored);
         self.is_stale.set(written.is_err());
         if let Err(error) = written {
-            log!("disabled endpoints: not stored for the next process: {error}");
+            log!(
+                "disabled endpoints: the change could not be stored for the next process: {error}"
+            );
         }
     }
 
-    /// Writes a new version beside the file and renames it, so that no process reads half of one.
+    /// Writes a new version to a temporary file and renames it, so no process reads an incomplete version.
     fn write(&self, disabled: &BTreeSet<String>) -> io::Result<()> {
         std::fs::write(&self.temporary_path, serde_json::to_vec(disabled)?)?;
         std::fs::rename(&self.temporary_path, &self.path)
--- a/src/sidecar/hot_restart/message.rs
+++ b/src/sidecar/hot_restart/message.rs
@@ -4,24 +4,24 @@
 
 /// A message to another process of this sidecar, serialized as one line of JSON.
 ///
-/// The other process may be of another release: the serialized names must not change.
+/// The other process may be of another release, so the serialized names must not change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ProcessMessage {
-    /// The sender has this many connections open.
+    /// Reports the number of connections that the sender has open.
     #[serde(rename = "holds")]
     OpenConnections(usize),
-    /// The sender, a new process, accepts callers from now on.
+    /// Announces that the sender, a new process, accepts callers from now on.
     Serving,
-    /// The sender is shutting down, and will soon accept no more callers.
+    /// Announces that the sender is shutting down and will soon stop accepting callers.
     #[serde(rename = "stopping")]
     ShuttingDown,
-    /// The operators have disabled an endpoint, or enabled it.
+    /// Reports that operators have disabled or enabled an endpoint.
     #[serde(rename = "disabled")]
     AdminState {
         /// The endpoint's id.
         endpoint: String,
-        /// Whether it is disabled now; else it is enabled.
+        /// True if the endpoint is now disabled, false if it is now enabled.
         disabled: bool,
     },
 }
--- a/src/sidecar/hot_restart/mod.rs
+++ b/src/sidecar/hot_restart/mod.rs
@@ -1,6 +1,7 @@
-//! Hot restart: several processes that are one sidecar for a while, and what they share.
+//! Hot restart, in which several processes run as one sidecar for a while: the registry of the processes, their
+//! messages and their shared directory.
 //!
-//! These are the parts that the node builds upon. The [listener hand-over](super::listener_handover) builds upon the node.
+//! The node uses this module. The [listener hand-over](super::listener_handover), in turn, uses the node.
 
 mod disabled_endpoints_file;
 mod message;
--- a/src/sidecar/hot_restart/other_processes.rs
+++ b/src/sidecar/hot_restart/other_processes.rs
@@ -1,26 +1,27 @@
-//! The registry of the other processes that are one sidecar with this one for a while.
+//! The registry of the sidecar's other processes during a hot restart.
 
 use super::message::ProcessMessage;
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// Messages that may wait to be written to one process. More are dropped: a process that runs reads them at once.
+/// The maximum number of messages that wait to be written to one process. Further ones are dropped. A process that runs
+/// normally reads its messages at once.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Another process's side of the hot restart.
+/// The role of another process in the hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessRole {
-    /// It handed the listening socket to this process.
+    /// The other process handed its listening socket to this one.
     Old,
-    /// It received the listening socket from this process.
+    /// The other process received the listening socket from this one.
     New,
 }
 
-/// Identifies another process within this one.
+/// Identifies another process. The id is valid only within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OtherProcessId(u64);
 
-/// The other processes that run.
+/// The sidecar's other running processes.
 #[derive(Debug, Default)]
 pub struct OtherProcesses {
     next_id: u64,
@@ -29,14 +30,15 @@
 
 #[derive(Debug)]
 struct OtherProcess {
+    /// The queue of messages to be written to the process.
     messages: mpsc::Sender<ProcessMessage>,
     role: ProcessRole,
-    /// The number that it reported last, if any.
+    /// The number of open connections that the process reported last, if it has reported one.
     open_connections: Option<usize>,
 }
 
 impl OtherProcesses {
-    /// Adds a process; returns its id and the queue of messages to be written to it.
+    /// Adds a process. Returns its id and the queue of messages to be written to it.
     pub fn add(&mut self, role: ProcessRole) -> (OtherProcessId, mpsc::Receiver<ProcessMessage>) {
         let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let id = OtherProcessId(self.next_id);
@@ -50,7 +52,7 @@
         (id, messages)
     }
 
-    /// Removes a process that has ended, and its open connections with it.
+    /// Removes a process that has ended. Its open connections no longer count.
     pub fn remove(&mut self, id: OtherProcessId) {
         self.processes.remove(&id);
     }
@@ -61,7 +63,7 @@
         self.processes.contains_key(&id)
     }
 
-    /// Sends a message to all processes but the one that it came from.
+    /// Queues a message for all processes except `origin`, the process from which it was received.
     pub fn send(&self, message: &ProcessMessage, origin: Option<OtherProcessId>) {
         let receivers = self.processes.iter().filter(|(id, _)| Some(**id) != origin);
         for (_, process) in receivers {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Returns whether any process received the listening socket from this one.
+    /// Returns whether a process that received the listening socket from this one is running.
     #[must_use]
     pub fn has_new_process(&self) -> bool {
         self.processes
@@ -77,7 +79,7 @@
             .any(|process| process.role == ProcessRole::New)
     }
 
-    /// Returns whether this process received the listening socket from this one.
+    /// Returns whether the process with this id is running and received the listening socket from this one.
     #[must_use]
     pub fn is_new_process(&self, id: OtherProcessId) -> bool {
         self.processes
@@ -85,14 +87,14 @@
             .is_some_and(|process| process.role == ProcessRole::New)
     }
 
-    /// Sets how many connections a process has reported as open.
+    /// Sets the number of open connections that a process has reported.
     pub fn set_open_connections(&mut self, id: OtherProcessId, connections: usize) {
         if let Some(process) = self.processes.get_mut(&id) {
             process.open_connections = Some(connections);
         }
     }
 
-    /// Returns the number of open connections of each process that has reported one.
+    /// Returns the number of open connections of each process that has reported it.
     pub fn open_connections(&self) -> impl Iterator<Item = usize> {
         self.processes
             .values()
--- a/src/sidecar/hot_restart/shared_directory.rs
+++ b/src/sidecar/hot_restart/shared_directory.rs
@@ -1,4 +1,4 @@
-//! The directory that the processes of one sidecar share, and no other program uses: `$TMPDIR`.
+//! The directory that the processes of one sidecar share: `$TMPDIR`. No other program uses it.
 
 use super::disabled_endpoints_file::DisabledEndpointsFile;
 use std::fs::File;
@@ -7,7 +7,7 @@
 
 /// The environment variable with the directory's path.
 const DIRECTORY_VARIABLE: &str = "TMPDIR";
-/// The longest path that the address of a Unix socket can hold, in bytes.
+/// The maximum length in bytes of a path in the address of a Unix socket.
 const MAX_SOCKET_PATH_LENGTH: usize = 107;
 const SOCKET_NAME: &str = "pipittray.sock";
 const DISABLED_ENDPOINTS_NAME: &str = "pipittray.disabled";
@@ -16,13 +16,13 @@
 #[derive(Debug)]
 pub struct SharedDirectory {
     path: PathBuf,
-    /// An open descriptor, through which a path that is too long for a socket's address is named.
+    /// The opened directory. Its descriptor gives a short path if the actual one is too long for a socket's address.
     directory: File,
     disabled_endpoints: DisabledEndpointsFile,
 }
 
 impl SharedDirectory {
-    /// Opens `$TMPDIR`. Returns `None` where it is not set or not a directory that can be opened.
+    /// Opens `$TMPDIR`. Returns `None` if the variable is not set or the directory cannot be opened.
     pub fn from_environment() -> Option<Self> {
         let path =
             PathBuf::from(std::env::var_os(DIRECTORY_VARIABLE).filter(|path| !path.is_empty())?);
@@ -41,12 +41,12 @@
         })
     }
 
-    /// Returns the path of the socket where the process that serves hands its listener over.
+    /// Returns the path of the socket at which the serving process hands its listener over.
     pub fn socket(&self) -> PathBuf {
         file_path(&self.path, &self.directory, SOCKET_NAME)
     }
 
-    /// Returns the path where this process binds its socket before it is renamed to [`Self::socket`].
+    /// Returns the path at which this process binds its socket before it renames it to [`Self::socket`].
     pub fn temporary_socket(&self) -> PathBuf {
         let name = format!("{}.sock", std::process::id());
         file_path(&self.path, &self.directory, &name)
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns a path of a file in the directory that is short enough for a socket's address.
+/// Returns a path of a file in the directory. The path is short enough for a socket's address.
 fn file_path(path: &Path, directory: &File, name: &str) -> PathBuf {
     let path = path.join(name);
     if path.as_os_str().len() <= MAX_SOCKET_PATH_LENGTH {
--- a/src/sidecar/listener_handover/descriptor_passing.rs
+++ b/src/sidecar/listener_handover/descriptor_passing.rs
@@ -1,4 +1,5 @@
-//! Passing a listening socket over a Unix stream, as a control message (`SCM_RIGHTS`) beside one byte.
+//! Passing a listening socket over a Unix stream, as a control message (`SCM_RIGHTS`) that accompanies one byte of
+//! data.
 
 use rustix::io::Errno;
 use rustix::net::{
@@ -15,15 +16,15 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-/// How long either side waits for the other.
+/// The time that either process waits for the other.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The byte that carries the control message, as one cannot be sent without data.
+/// The data that accompanies the control message, which cannot be sent without any.
 const HANDOVER_BYTE: &[u8] = b"L";
 
-/// Why no listening socket was received.
+/// The reason why no listening socket was received.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveListenerError {
-    /// The stream failed, or nothing came in time.
+    /// The stream failed, or nothing was received in time.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The peer sent data without a descriptor, or closed the stream.
@@ -37,10 +38,11 @@
     }
 }
 
-/// Receives a listening socket. Blocks for up to [`HANDOVER_TIMEOUT`]: the process does not serve yet.
+/// Receives a listening socket. Blocks the thread for up to [`HANDOVER_TIMEOUT`], because the process does not serve
+/// yet.
 ///
 /// # Errors
-/// The stream fails, nothing comes in time, or no descriptor does.
+/// The stream fails, nothing is received in time, or no descriptor is received.
 pub fn receive_listener(stream: &BlockingUnixStream) -> Result<TcpListener, ReceiveListenerError> {
     stream.set_read_timeout(Some(HANDOVER_TIMEOUT))?;
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -58,10 +60,10 @@
         .ok_or(ReceiveListenerError::NoDescriptor)
 }
 
-/// Sends a listening socket, which stays open here too.
+/// Sends a listening socket, which stays open in this process too.
 ///
 /// # Errors
-/// The stream fails, or takes nothing in time.
+/// The stream fails or stays blocked for [`HANDOVER_TIMEOUT`].
 pub async fn send_listener(stream: &UnixStream, listener: &TcpListener) -> io::Result<()> {
     let send = || {
         let descriptors = [listener.as_fd()];
--- a/src/sidecar/listener_handover/listen.rs
+++ b/src/sidecar/listener_handover/listen.rs
@@ -1,26 +1,27 @@
-//! The callers' listening socket: the one that the old process handed over, or a new one.
+//! The callers' listening socket, which the old process handed over or which is newly bound.
 
 use super::new_process::OldProcess;
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that may wait in the kernel to be accepted.
+/// The maximum number of connections in the kernel that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Whether another process may bind the same address.
+/// Tells whether another process may bind the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PortSharing {
-    /// No other process may.
+    /// No other process may bind it.
     Exclusive,
-    /// Another one may (`SO_REUSEPORT`), so that a hot restart is possible also where the listener hand-over fails.
+    /// Another process may bind it (`SO_REUSEPORT`). A hot restart is then possible even if the listener hand-over
+    /// fails.
     Shared,
 }
 
-/// Returns the callers' listening socket: the old process's where there is one, else a new one at this address.
+/// Returns the callers' listening socket: that of the old process if there is one, otherwise a new one at this address.
 ///
 /// # Errors
-/// The socket handed over is unusable, or the address cannot be bound.
+/// The socket that was handed over is unusable, or the address cannot be bound.
 pub fn listen(
     address: SocketAddr,
     sharing: PortSharing,
--- a/src/sidecar/listener_handover/message_exchange.rs
+++ b/src/sidecar/listener_handover/message_exchange.rs
@@ -1,4 +1,4 @@
-//! The messages between two processes: written and read, one line of JSON each, until either process ends.
+//! The exchange of messages between two processes, as lines of JSON, until either process ends.
 
 use crate::sidecar::hot_restart::{OtherProcessId, ProcessMessage};
 use crate::sidecar::node::NodeHandle;
@@ -9,12 +9,14 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How often a process checks whether its number of open connections has changed.
+/// The time without another message after which a process reports its number of open connections if it has changed.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest message in bytes: an endpoint's id of 256 bytes, each of them escaped, and the rest.
+/// The maximum length of a message in bytes. The longest message has an endpoint's id of 256 bytes, each of them
+/// escaped.
 const MAX_MESSAGE_LENGTH: u64 = 4 << 10;
 
-/// Writes the node's messages to another process and passes that one's to the node, until the stream ends.
+/// Writes the node's messages to another process, and passes the messages of that process to the node, until the stream
+/// ends.
 pub async fn exchange_messages(
     node: &NodeHandle,
     process: OtherProcessId,
@@ -28,7 +30,8 @@
     }
 }
 
-/// Writes messages as they come and, where none has for a while, the number of open connections if that has changed.
+/// Writes messages as they are queued. If none is queued for [`HEARTBEAT_INTERVAL`], writes the number of open
+/// connections if it has changed.
 async fn write_messages(
     node: &NodeHandle,
     mut writer: OwnedWriteHalf,
@@ -70,7 +73,7 @@
         }
         match serde_json::from_slice(&line) {
             Ok(message) => node.receive(process, message),
-            // The other process may be of a later release, with messages that this one does not know.
+            // The other process may be of a later release and send messages that this release does not know.
             Err(error) => log!("hot restart: unknown message from the other process: {error}"),
         }
     }
--- a/src/sidecar/listener_handover/new_process.rs
+++ b/src/sidecar/listener_handover/new_process.rs
@@ -1,4 +1,4 @@
-//! The new process's side of a hot restart: it requests the listener, and takes over once it is ready.
+//! The part of the new process in a hot restart: it requests the listener and takes over once it is ready.
 
 use super::descriptor_passing::receive_listener;
 use super::message_exchange::exchange_messages;
@@ -10,10 +10,10 @@
 use tokio::net::{TcpListener, UnixStream};
 use tokio::time::sleep;
 
-/// How often the new process checks whether it is ready.
+/// The interval at which the new process checks whether it is ready.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The old process, after it has handed its listening socket over.
+/// The connection to the old process, which has handed its listening socket over.
 #[derive(Debug)]
 pub struct OldProcess {
     listener: std::net::TcpListener,
@@ -24,28 +24,28 @@
     /// Returns the listening socket that the old process has handed over.
     ///
     /// # Errors
-    /// The socket is unusable, or there is no descriptor left.
+    /// The socket is unusable, or the process has no free descriptor.
     pub fn listener(&self) -> io::Result<TcpListener> {
         self.listener.set_nonblocking(true)?;
         TcpListener::from_std(self.listener.try_clone()?)
     }
 }
 
-/// Requests the listening socket of the process that serves already. Returns `None` where there is no such process, as at
-/// every start but a hot restart, or where the hand-over fails.
+/// Requests the listening socket from the old process. Returns `None` if the hand-over fails or there is no old
+/// process, which is the case at every start other than a hot restart.
 pub fn request_listener(directory: &SharedDirectory) -> Option<OldProcess> {
     let stream = BlockingUnixStream::connect(directory.socket()).ok()?;
     match receive_listener(&stream) {
         Ok(listener) => Some(OldProcess { listener, stream }),
         Err(error) => {
-            log!("hot restart: no listener from the old process: {error}");
+            log!("hot restart: no listener was received from the old process: {error}");
             None
         }
     }
 }
 
-/// Waits until the node is ready or the old process has ended, and announces that this process accepts callers. Messages
-/// are exchanged with the old process until it ends.
+/// Waits until the node is ready or the old process has ended, then announces that this process accepts callers. Starts
+/// a task that exchanges messages with the old process until it ends.
 ///
 /// # Errors
 /// The stream to the old process cannot be registered with the runtime.
--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -1,4 +1,4 @@
-//! The old process's side of a hot restart: it hands its listener to one new process after another.
+//! The part of the old process in a hot restart: it hands its listener to one new process after another.
 
 use super::descriptor_passing::send_listener;
 use super::message_exchange::exchange_messages;
@@ -12,12 +12,13 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::sleep;
 
-/// Delay after an accept that failed, as it does while the process is out of descriptors.
+/// The delay after a failed accept. Accepting fails, for example, while the process has no free descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Hands the listener to each new process that connects, one at a time, and exchanges messages with it until it ends.
-/// Callers are accepted here again then. Returns if the socket cannot be bound, or if this process is shutting down when
-/// the new one ends.
+/// Then accepts callers in this process again.
+///
+/// Returns if the socket cannot be bound, or if this process is shutting down when the new one ends.
 pub async fn serve_new_processes(
     node: NodeHandle,
     directory: Rc<SharedDirectory>,
@@ -35,20 +36,20 @@
         exchange_messages(&node, process, stream, messages).await;
         node.process_ended(process);
         match node.takeover_ended() {
-            // This may be the last descriptor of the listener: no other process accepts what is in its backlog.
+            // This may be the last descriptor of the listener. No other process would then accept its backlog.
             TakeoverEnd::ShuttingDown => return server::accept_backlog(&node, listener),
             TakeoverEnd::Resumed => {
                 log!("hot restart: the new process has ended; accepting callers again");
             }
             TakeoverEnd::NeverSuspended => log!("hot restart: the new process has ended"),
         }
-        // The new process may have renamed its own socket over this one's.
+        // The new process may have replaced this process's socket by renaming its own.
         bound = bind(&directory);
     }
 }
 
-/// Binds this process's socket under a name of its own and renames it over the old process's, so that a
-/// new process finds a socket at any time.
+/// Binds this process's socket at a temporary path, then renames it, which replaces the socket of the previous process.
+/// A new process thus finds a socket at any time.
 fn bind(directory: &SharedDirectory) -> io::Result<UnixListener> {
     let temporary_path = directory.temporary_socket();
     let _ = std::fs::remove_file(&temporary_path);
@@ -57,7 +58,8 @@
     Ok(socket)
 }
 
-/// Hands the listener to the next process that connects and receives it.
+/// Waits for a process that connects, and hands the listener to it. Returns the stream to the first process for which
+/// this succeeds.
 async fn hand_over_to_next(socket: &UnixListener, listener: &TcpListener) -> UnixStream {
     loop {
         let Ok((stream, _)) = socket.accept().await else {
--- a/src/sidecar/log.rs
+++ b/src/sidecar/log.rs
@@ -1,6 +1,7 @@
 //! The log: lines on standard error.
 
-/// Writes one line of the log in one system call. A failure is ignored: the sidecar goes on without a reader of its log.
+/// Writes one line of the log in one system call. Ignores failures, so the sidecar keeps running if nothing reads its
+/// log.
 macro_rules! log {
     ($($text:tt)*) => {{
         let line = format!("balancer-sidecar: {}\n", format_args!($($text)*));
--- a/src/sidecar/memory.rs
+++ b/src/sidecar/memory.rs
@@ -1,4 +1,4 @@
-//! The memory budget of buffered bodies: of pending requests, or of responses that are being received.
+//! Memory budgets for buffered bodies of pending requests and of responses that are being received.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
     reserved: Rc<Cell<usize>>,
 }
 
-/// Bytes reserved for one body until it is dropped.
+/// A reservation of bytes for one body, which ends when it is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
     size: usize,
@@ -18,7 +18,7 @@
 }
 
 impl MemoryBudget {
-    /// Creates a budget of the process's memory divided by `divisor`.
+    /// Creates a budget of the process's memory, `memory_mb` MiB, divided by `divisor`.
     pub fn fraction_of(memory_mb: usize, divisor: usize) -> Self {
         MemoryBudget {
             limit: (memory_mb << 20) / divisor,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Reserves so many bytes. Returns `None` where they exceed the budget.
+    /// Reserves `size` bytes. Returns `None` if the budget does not have them left.
     pub fn reserve(&self, size: usize) -> Option<MemoryReservation> {
         let total = self.reserved.get() + size;
         if total > self.limit {
--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics since the process started, as the operators' `STATS` call reports them.
+//! The metrics since the process started, which the operators' `STATS` command reports.
 
 use crate::policy::Class;
 use hyper::StatusCode;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The final answers of one class's requests.
+/// The numbers of final answers to the requests of one class.
 #[derive(Debug, Default)]
 struct ClassMetrics {
     completed: Cell<u64>,
@@ -16,53 +16,53 @@
     failed: Cell<u64>,
 }
 
-/// Final answers over all classes.
+/// The numbers of final answers to the requests of all classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnsweredRequests {
-    /// Answered by an endpoint.
+    /// Requests that an endpoint answered.
     pub completed: u64,
-    /// Answered 429 or 503.
+    /// Requests answered 429 or 503.
     pub rejected: u64,
-    /// Answered with any other status.
+    /// Requests answered with any other status.
     pub failed: u64,
 }
 
-/// Metrics since the process started.
+/// The metrics since the process started.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// By the class's name. A class that a reload removes keeps its counts.
+    /// The counters of each class, by its name. A class that a reload removes keeps its counters.
     classes: BTreeMap<String, Rc<ClassMetrics>>,
-    /// Requests received whole and not answered.
+    /// The number of requests that have been received completely and not answered.
     pending: Rc<Cell<u64>>,
-    /// Attempts that were written whole.
+    /// The number of attempts that were written completely.
     written_attempts: Rc<Cell<u64>>,
-    /// Configurations applied on SIGHUP.
+    /// The number of configurations applied on SIGHUP.
     reloads: u64,
-    /// Configurations rejected on SIGHUP.
+    /// The number of configurations rejected on SIGHUP.
     reload_errors: u64,
 }
 
-/// How many endpoints there are.
+/// The numbers of endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberCounts {
     /// Endpoints that discovery lists.
     pub listed: usize,
-    /// Those of them that get no requests now.
+    /// Listed endpoints that currently get no requests.
     pub unavailable: usize,
-    /// Those of them whose processes have ended, while the list may be old.
+    /// Listed endpoints whose processes have ended while the list may be outdated.
     pub suspended: usize,
 }
 
-/// How current the endpoint list is.
+/// The state of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListMetrics {
-    /// The version of the list; 0 without one from the current discovery.
+    /// The version of the list, or 0 if there is no list from the current discovery service.
     pub version: u64,
-    /// For how long no watch has shown the list to be current; zero while one does.
+    /// The time for which no watch has confirmed that the list is current, or zero while one does.
     pub unconfirmed_for: Duration,
-    /// Watches opened since the start.
+    /// The number of watches opened since the start.
     pub watches_opened: u64,
-    /// Calls that failed and watches that were lost since the start.
+    /// The number of failed discovery calls and lost watches since the start.
     pub discovery_failures: u64,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// A request that is counted once, at its end.
+/// Tracks one request: counts it as pending while it is, and once, by its final answer, at its end.
 #[derive(Debug)]
 pub struct RequestTracker {
     class: Rc<ClassMetrics>,
@@ -86,13 +86,14 @@
 }
 
 impl Metrics {
-    /// Adds classes, which are reported from now on, also before their first request.
+    /// Adds classes. They are reported from then on, even before their first request.
     pub fn add_classes(&mut self, classes: &[Class]) {
         for class in classes {
             self.class(&class.name);
         }
     }
 
+    /// Returns the counters of a class, which are created if there are none.
     fn class(&mut self, name: &str) -> Rc<ClassMetrics> {
         match self.classes.get(name) {
             Some(class) => class.clone(),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Begins the count of a request of a class.
+    /// Starts to track a request of a class.
     pub fn begin_request(&mut self, class: &str) -> RequestTracker {
         RequestTracker {
             class: self.class(class),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Returns the counter of attempts that were written whole.
+    /// Returns the counter of attempts that were written completely.
     pub fn written_attempts(&self) -> Rc<Cell<u64>> {
         self.written_attempts.clone()
     }
@@ -124,7 +125,7 @@
         self.reload_errors += 1;
     }
 
-    /// Returns how requests were answered so far.
+    /// Returns the numbers of requests answered so far.
     pub fn answered(&self) -> AnsweredRequests {
         let sum = |counter: fn(&ClassMetrics) -> &Cell<u64>| {
             let counts = self.classes.values().map(|class| counter(class).get());
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Writes the metrics, one a line.
+    /// Appends the metrics to `text`, one per line.
     pub fn write(&self, members: &MemberCounts, list: &ListMetrics, text: &mut String) {
         for (name, class) in &self.classes {
             let label = name
@@ -172,15 +173,15 @@
 }
 
 impl RequestTracker {
-    /// Marks the request as received whole: from now on it is pending.
+    /// Marks the request as received completely. It is pending from then on.
     pub fn mark_received(&mut self) {
         if !std::mem::replace(&mut self.is_received, true) {
             increment(&self.pending);
         }
     }
 
-    /// Counts the request by the status of its final answer. One that fails before it was received whole is not counted;
-    /// one that is rejected before that is.
+    /// Counts the request by the status of its final answer. A request that was not received completely is not counted
+    /// if it fails, but is counted if it is rejected.
     pub fn end(self, status: StatusCode) {
         match status {
             StatusCode::OK => increment(&self.class.completed),
@@ -193,7 +194,8 @@
     }
 }
 
-/// A request that is dropped without an answer is one whose client has disconnected.
+/// Ends the pending request, answered or not. One that is dropped without an answer is one whose client has
+/// disconnected.
 impl Drop for RequestTracker {
     fn drop(&mut self) {
         if self.is_received {
