--- a/src/sidecar/operators/command.rs
+++ b/src/sidecar/operators/command.rs
@@ -1,17 +1,17 @@
-//! The commands that operators may send, parsed here and written by the command line.
+//! The commands of operators. The sidecar parses them, and the command line writes them.
 
 use std::fmt;
 
-/// A command, which is sent as one line.
+/// A command, sent as one line of text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// Queries whether the sidecar is ready to serve.
+    /// Asks whether the sidecar is ready to serve.
     Ready,
-    /// Queries the metrics.
+    /// Requests the metrics.
     Stats,
-    /// Drains the sidecar of callers.
+    /// Starts to drain the sidecar, so that its callers move to others.
     Drain,
-    /// Ends a drain.
+    /// Ends the drain.
     Undrain,
     /// Disables the endpoint with this id.
     Disable(&'a str),
@@ -19,7 +19,7 @@
     Enable(&'a str),
 }
 
-/// Writes the line, without its end.
+/// Formats the command as a line without a line break.
 impl fmt::Display for Command<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -33,16 +33,16 @@
     }
 }
 
-/// Why a line is not a command. The texts are part of the protocol.
+/// The reason why a line is not a command. The texts are part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// The line is cut off, too long or not UTF-8.
+    /// The line is incomplete, too long or not UTF-8.
     #[error("this is no call of one line")]
     InvalidLine,
-    /// An endpoint's id is missing, or followed by something else.
+    /// The command takes one endpoint's id, but has none or further arguments.
     #[error("this call takes one endpoint's id")]
     EndpointExpected,
-    /// A command without arguments is followed by something.
+    /// The command takes no arguments, but has some.
     #[error("this call stands alone")]
     UnexpectedArgument,
     /// There is no such command.
@@ -51,7 +51,7 @@
 }
 
 impl<'a> Command<'a> {
-    /// Parses a line, without its end.
+    /// Parses a line without its line break.
     ///
     /// # Errors
     /// The line is not a command.
--- a/src/sidecar/operators/connection.rs
+++ b/src/sidecar/operators/connection.rs
@@ -1,4 +1,4 @@
-//! One operator's connection: a line is read and its response written.
+//! One operator's connection, on which one command is read and answered.
 
 use super::execute::execute_line;
 use super::response::Response;
@@ -9,14 +9,15 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The longest line in bytes: a command with an endpoint's id of 256 bytes, and some more.
+/// The maximum length of a line in bytes. The longest command has an endpoint's id of 256 bytes, and a margin is added.
 const MAX_LINE_LENGTH: usize = 320;
-/// From the start of a connection to the end of its line.
+/// The time from the start of a connection within which a complete line must arrive.
 const LINE_TIMEOUT: Duration = Duration::from_secs(3);
-/// For writing the response, and for the peer to close its side.
+/// The time for writing the response and for the peer to close its sending side.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves a connection until its end; without a response where it is closed before its line has been received.
+/// Serves a connection until its end. Sends no response if the connection is closed for a newer one before a line has
+/// been received.
 pub async fn serve_connection(
     node: &NodeHandle,
     mut stream: TcpStream,
@@ -31,7 +32,7 @@
     let _ = timeout(RESPONSE_TIMEOUT, write_response(&mut stream, &response)).await;
 }
 
-/// Reads one whole line of text. Returns `None` where it is cut off, too long or not UTF-8.
+/// Reads one line of text. Returns `None` if it is incomplete, too long or not UTF-8.
 async fn read_line(stream: &mut TcpStream) -> Option<String> {
     let mut buffer = [0; MAX_LINE_LENGTH];
     let mut received = 0;
@@ -50,8 +51,8 @@
     }
 }
 
-/// Writes a response and reads up to the peer's end: closed with unread bytes, the connection would be reset, and the
-/// response lost with it.
+/// Writes a response, then reads until the peer closes its sending side. If the connection were closed with unread
+/// bytes, it would be reset and the peer could lose the response.
 async fn write_response(stream: &mut TcpStream, response: &Response) {
     let text = response.to_string();
     if stream.write_all(text.as_bytes()).await.is_err() || stream.shutdown().await.is_err() {
--- a/src/sidecar/operators/execute.rs
+++ b/src/sidecar/operators/execute.rs
@@ -1,11 +1,11 @@
-//! Carrying out operators' commands on the node.
+//! The execution of operators' commands on the node.
 
 use super::command::{Command, CommandError};
 use super::response::{Refusal, Response};
 use crate::sidecar::admin_state::AdminState;
 use crate::sidecar::node::NodeHandle;
 
-/// Carries out the command in a line, or in `None` where no whole line was received.
+/// Executes the command in a line. `line` is `None` if no complete line was received.
 pub fn execute_line(node: &NodeHandle, line: Option<&str>) -> Response {
     match line
         .ok_or(CommandError::InvalidLine)
--- a/src/sidecar/operators/listener.rs
+++ b/src/sidecar/operators/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting operators' connections.
+//! The listener for operators' connections.
 
 use super::connection::serve_connection;
 use super::permits::ConnectionPermits;
@@ -11,10 +11,10 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Delay after an accept that failed, as it does while the process is out of descriptors.
+/// The delay after a failed accept. Accepting fails, for example, while the process has no free descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Listens at the operators' address.
+/// Listens on the operators' address.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -22,17 +22,17 @@
     TcpListener::bind(address).await
 }
 
-/// Accepts and serves connections for as long as it is polled.
+/// Accepts and serves connections until it is dropped.
 pub async fn serve(node: NodeHandle, listener: TcpListener) {
     let waiting_connections = WaitingConnections::default();
     let permits = ConnectionPermits::default();
     loop {
         let stream = accept(&listener).await;
         while permits.are_exhausted() && waiting_connections.close_oldest() {
-            yield_now().await; // lets it close
+            yield_now().await; // lets the connection's task end
         }
         if permits.are_exhausted() {
-            continue; // each of the others is being answered: this one closes unread
+            continue; // all other connections are being answered, so the new one is closed unread
         }
         let waiting = waiting_connections.add();
         let permit = permits.acquire();
--- a/src/sidecar/operators/mod.rs
+++ b/src/sidecar/operators/mod.rs
@@ -1,7 +1,9 @@
-//! The operators' address: one command a connection, in one line of text, answered with `YES`, `NO` or the metrics.
+//! The operators' address. Each connection carries one command in one line of text, which is answered with `YES`, `NO`
+//! or the metrics.
 //!
-//! It shares only the node with the callers' side. Its connections are limited on their own, so that many callers keep no
-//! operator out; and of those, the oldest that has sent no command closes for the next one.
+//! This module shares only the node with the server for callers. Operators' connections have a separate limit, so many
+//! callers cannot lock operators out. At the limit, the oldest connection that has sent no command closes for a new
+//! one.
 
 mod command;
 mod connection;
--- a/src/sidecar/operators/permits.rs
+++ b/src/sidecar/operators/permits.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Connections at once. A command occupies one for some milliseconds.
+/// The maximum number of operators' connections at once. A command occupies one for a few milliseconds.
 pub const MAX_CONNECTIONS: usize = 16;
 
 /// Permits for operators' connections.
@@ -12,20 +12,20 @@
     in_use: Rc<Cell<usize>>,
 }
 
-/// A permit, in use until it is dropped together with its connection.
+/// A permit for one connection. It is in use until it is dropped, together with the connection.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     in_use: Rc<Cell<usize>>,
 }
 
 impl ConnectionPermits {
-    /// Returns whether as many permits are in use as connections are allowed.
+    /// Returns whether [`MAX_CONNECTIONS`] permits are in use.
     #[must_use]
     pub fn are_exhausted(&self) -> bool {
         self.in_use.get() >= MAX_CONNECTIONS
     }
 
-    /// Returns a permit for one more connection, whether or not they are exhausted.
+    /// Returns a permit for one more connection, without checking the limit.
     #[must_use]
     pub fn acquire(&self) -> ConnectionPermit {
         self.in_use.set(self.in_use.get() + 1);
--- a/src/sidecar/operators/response.rs
+++ b/src/sidecar/operators/response.rs
@@ -10,21 +10,21 @@
 /// A response to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// It is so, or it is done.
+    /// The answer to the question is yes, or the command was executed.
     Yes,
-    /// It is not so, or it cannot be done.
+    /// The answer to the question is no, or the command cannot be executed.
     No(Refusal),
-    /// The metrics, one a line.
+    /// The metrics, one per line.
     Metrics(String),
 }
 
-/// Why a response is negative. The texts are part of the protocol.
+/// The reason for a negative response. The texts are part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// The sidecar is not ready to serve.
     #[error("not ready to serve")]
     NotReady,
-    /// No such endpoint is known.
+    /// The node does not know the endpoint.
     #[error(transparent)]
     UnknownEndpoint(#[from] UnknownEndpoint),
     /// The line is not a command.
--- a/src/sidecar/operators/waiting_connections.rs
+++ b/src/sidecar/operators/waiting_connections.rs
@@ -1,11 +1,11 @@
-//! Operators' connections that have not sent a command yet, and may be closed for new ones.
+//! Operators' connections that have not sent a command yet and may be closed for newer ones.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The connections whose command has not been received yet, the oldest first.
+/// The connections whose command has not been received yet, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingConnections(Rc<RefCell<Queue>>);
 
@@ -22,7 +22,7 @@
     _keep_open: oneshot::Sender<()>,
 }
 
-/// A connection's place among those that wait, given up when this is dropped.
+/// A connection's entry in [`WaitingConnections`], which is removed when this is dropped.
 #[derive(Debug)]
 pub struct WaitingConnection {
     number: u64,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Closes the oldest connection; returns whether there was one.
+    /// Closes the oldest connection. Returns whether there was one.
     pub fn close_oldest(&self) -> bool {
         self.0.borrow_mut().connections.pop_front().is_some()
     }
@@ -58,7 +58,7 @@
 impl WaitingConnection {
     /// Waits until the connection is to close for a newer one.
     pub async fn closed(&mut self) {
-        let _ = (&mut self.keep_open).await; // only ever dropped
+        let _ = (&mut self.keep_open).await; // the sender is dropped without sending a value
     }
 }
 
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -1,4 +1,4 @@
-//! The process: its start, its signals and its end.
+//! The sidecar's process: its start, its signals and its end.
 
 use super::hot_restart::SharedDirectory;
 use super::listener_handover::{self, OldProcess, PortSharing};
@@ -18,53 +18,53 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Why the sidecar could not start or take over.
+/// The reason why the sidecar could not start or take over.
 #[derive(Debug, thiserror::Error)]
 enum ProcessError {
-    #[error("the runtime: {0}")]
+    #[error("the runtime could not be started: {0}")]
     Runtime(#[source] io::Error),
-    #[error("{name}: {source}")]
+    #[error("the handler of {name} could not be installed: {source}")]
     Signal {
         name: &'static str,
         source: io::Error,
     },
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("the operators' address, {address}: {source}")]
+    #[error("cannot listen for operators on {address}: {source}")]
     ListenForOperators {
         address: SocketAddr,
         source: io::Error,
     },
-    #[error("{address}: {source}")]
+    #[error("cannot listen for callers on {address}: {source}")]
     Listen {
         address: SocketAddr,
         source: io::Error,
     },
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
-    #[error("hot restart: {0}")]
+    #[error("hot restart failed: {0}")]
     HotRestart(#[source] io::Error),
 }
 
-/// A sidecar that has started, and the tasks that serve it in the background.
+/// A sidecar that has started, and its background tasks.
 struct Process {
     name: String,
     node: NodeHandle,
-    /// Where callers connect.
+    /// The callers' listening socket.
     listener: TcpListener,
-    /// Set where the operators have an address: only such a sidecar is replaced while it serves.
+    /// Set if the sidecar has an operators' address, because only such a sidecar takes part in hot restarts.
     directory: Option<Rc<SharedDirectory>>,
-    /// Set in a hot restart.
+    /// Set in a hot restart until this process takes over.
     old_process: Option<OldProcess>,
     _tasks: Vec<Task>,
 }
 
-/// How the wait for a hot restart's take-over ended.
+/// The result of waiting for the take-over of a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Takeover {
     /// This process serves callers.
     Completed,
-    /// SIGTERM came first: the old process goes on serving.
+    /// SIGTERM arrived first, so the old process continues to serve callers.
     Terminated,
 }
 
@@ -81,8 +81,8 @@
 }
 
 fn run_on_new_runtime() -> Result<(), ProcessError> {
-    // A local runtime's scheduler polls local tasks itself. A `LocalSet` on top of another runtime
-    // is woken through the event descriptor, which costs system calls.
+    // A local runtime's scheduler polls local tasks itself. A `LocalSet` on top of another runtime would be woken
+    // through the event descriptor, which costs system calls.
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default());
@@ -90,7 +90,7 @@
 }
 
 async fn run() -> Result<(), ProcessError> {
-    // Both signals are handled before anything else, as their default is to kill the process.
+    // Both signals are handled before anything else, because their default action kills the process.
     let mut terminate = handle_signal(SignalKind::terminate(), "SIGTERM")?;
     let hangup = handle_signal(SignalKind::hangup(), "SIGHUP")?;
     let mut process = Process::start(Config::from_environment()?, hangup).await?;
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Takes callers over from the old process, unless SIGTERM comes first.
+    /// Takes over from the old process, unless SIGTERM arrives first.
     async fn take_over(
         &self,
         old_process: OldProcess,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Starts to offer the listening socket to a new process.
+    /// Starts a task that offers the listening socket to new processes. Returns `None` without a shared directory.
     fn offer_listener(&self) -> Result<Option<Task>, ProcessError> {
         let Some(directory) = &self.directory else {
             return Ok(None);
@@ -219,8 +219,9 @@
     Task::spawn(operators::serve(node.clone(), listener))
 }
 
-/// Reloads the configuration at each SIGHUP, also during a shutdown, as discovery may move then too. A configuration with
-/// an error changes nothing.
+/// Reloads the configuration at each SIGHUP. An invalid configuration changes nothing.
+///
+/// Reloads also happen during a shutdown, because the address of discovery may change then too.
 async fn reload_on_hangup(mut hangup: Signal, node: NodeHandle) {
     while hangup.recv().await.is_some() {
         let result = match Config::from_environment() {
--- a/src/sidecar/report.rs
+++ b/src/sidecar/report.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The time between two lines: a busy sidecar writes about seventeen thousand a day.
+/// The interval between two lines. A busy sidecar writes about seventeen thousand lines a day.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Writes a line for each interval in which something happened.
+/// Writes a line at the end of each interval in which an event was counted.
 pub async fn write_at_intervals(node: NodeHandle) {
     loop {
         sleep(REPORT_INTERVAL).await;
@@ -16,7 +16,7 @@
     }
 }
 
-/// Writes the counters since the last line, and the balancer's status; nothing where nothing has happened.
+/// Writes the counters since the last line and the balancer's status. Writes nothing if no event was counted.
 pub fn write(node: &NodeHandle) {
     let NodeReport {
         counters,
--- a/src/sidecar/shutdown.rs
+++ b/src/sidecar/shutdown.rs
@@ -1,7 +1,10 @@
 //! Serving until SIGTERM, and the graceful shutdown after it.
 //!
-//! A shutdown goes through three steps: callers go on as before, but are no longer sent here; then idle connections
-//! close, while new ones still arrive; at last everything that was accepted is answered.
+//! A shutdown has three steps:
+//!
+//! 1. Connections are served as before, while the front end stops sending new callers.
+//! 2. Idle connections close, and new connections are still accepted.
+//! 3. The listener closes, and all requests on accepted connections are answered.
 
 use super::node::NodeHandle;
 use super::report;
@@ -12,17 +15,20 @@
 use tokio::signal::unix::Signal;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// How long new connections are accepted after idle ones have closed: they arrive for up to 0.4 s after SIGTERM.
+/// The time for which new connections are accepted after idle ones have closed. Connections may arrive for up to 0.4 s
+/// after SIGTERM.
 const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// The longest request deadline that a shutdown allows for. The process may be killed 0.7 s after the longest deadline.
+/// The maximum time for requests that arrive during a shutdown. The process may be killed 0.7 s after the longest
+/// deadline.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
-/// The fraction of the request time in which callers keep their connections: another sidecar may be down at the same
-/// time, so that they have nowhere else to go.
+/// The fraction of the request time for which callers keep their connections. Another sidecar may be down at the same
+/// time, and callers could then not connect elsewhere.
 const KEEP_ALIVE_FRACTION: f64 = 0.7;
-/// How long after the longest deadline the process ends at the latest, ahead of the kill.
+/// The time after the longest deadline at which the process ends at the latest, before it may be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// Serves callers until SIGTERM, and then shuts down. The listening socket is offered to a new process all the time.
+/// Serves callers until SIGTERM, then shuts down. `listener_offer` is the task that offers the listening socket to new
+/// processes.
 pub async fn serve_until_shutdown(
     node: &NodeHandle,
     listener: TcpListener,
@@ -45,24 +51,25 @@
     close_listener(node, listener, &mut listener_offer).await;
     node.borrow().callers_mut().begin_shutdown(); // for connections accepted since
     if timeout_at(exit_at, all_closed(node)).await.is_err() {
-        log!("shutdown: connections were still open at its deadline");
+        log!("shutdown: connections were still open at the deadline");
     }
 }
 
-/// Accepts connections for a time.
+/// Accepts connections for the given time.
 async fn accept_for(node: &NodeHandle, listener: &TcpListener, time: Duration) {
-    // Accepting never ends by itself, so that this always times out.
+    // Accepting never ends by itself, so this always times out.
     let _ = timeout(time, server::accept(node.clone(), listener)).await;
 }
 
-/// Closes this process's listening socket, and accepts what waits in its backlog unless another process does. While
-/// there is a new process, the offer goes on: that one may end before this one does.
+/// Closes this process's listening socket, after accepting the connections in its backlog unless another process
+/// accepts them. If there is a new process, the offer continues, because that process may end before this one does.
 async fn close_listener(
     node: &NodeHandle,
     listener: TcpListener,
     listener_offer: &mut Option<Task>,
 ) {
-    // Without a new process the descriptor on offer would keep the socket open, and callers waiting in its backlog.
+    // Without a new process, the descriptor of the offer would keep the socket open, and callers would wait in its
+    // backlog.
     let has_new_process = node.borrow().has_new_process();
     if let Some(offer) = listener_offer.take_if(|_| !has_new_process) {
         offer.stop().await;
@@ -83,7 +90,7 @@
     deadlines.max().unwrap_or_default()
 }
 
-/// Waits until the last connection of a caller has closed.
+/// Waits until all callers' connections have closed.
 async fn all_closed(node: &NodeHandle) {
     let closed = node.borrow().callers().all_closed();
     while !node.borrow().callers().is_empty() {
--- a/src/sidecar/sockets.rs
+++ b/src/sidecar/sockets.rs
@@ -1,4 +1,4 @@
-//! Reading from and writing to sockets that are shared by more than one owner.
+//! Reads from and writes to sockets that have more than one owner.
 
 use bytes::BufMut;
 use socket2::SockRef;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Reads into the unfilled part of a buffer, which need not be initialised.
+/// Reads into the unfilled part of a buffer, which need not be initialized.
 pub fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Appends up to `max` received bytes to a vector, which grows only once there are any. Returns 0 at the peer's end.
+/// Appends up to `max` received bytes to a vector, which grows only once there are any. Returns 0 at the peer's FIN.
 pub fn poll_append(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Writes as much of the slices as the socket's send buffer takes.
+/// Writes as many bytes of the slices as fit into the socket's send buffer.
 pub fn poll_write(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns whether received bytes are unread. It asks the kernel, as the runtime is notified later.
+/// Returns whether received bytes are unread. Asks the kernel, because the runtime is notified later.
 pub fn has_unread(stream: &TcpStream) -> bool {
     peek(stream).is_ok_and(|count| count > 0)
 }
@@ -74,7 +74,7 @@
     ClosedOrUnread,
 }
 
-/// Returns the state of a connection's receiving side. It asks the kernel, as the runtime is notified later.
+/// Returns the state of a connection's receiving side. Asks the kernel, because the runtime is notified later.
 pub fn state(stream: &TcpStream) -> SocketState {
     match peek(stream).map_err(|error| error.kind()) {
         Err(io::ErrorKind::WouldBlock) => SocketState::OpenWithoutUnread,
@@ -87,17 +87,17 @@
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
 
-/// Shuts down the sending side, so that the peer reads the end.
+/// Shuts down the sending side, which sends FIN to the peer.
 pub fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).shutdown(Shutdown::Write)
 }
 
 /// Observes the writes to an [`ObservedSocket`].
 pub trait WriteObserver {
-    /// A write was attempted; it is pending where the socket's send buffer is full.
+    /// Handles the result of an attempted write, which is pending if the socket's send buffer is full.
     fn on_write(&self, result: &Poll<io::Result<usize>>);
 
-    /// The writer has handed all of its buffered bytes to the socket.
+    /// Handles a flush, by which the writer has written all of its buffered bytes to the socket.
     fn on_flush(&self) {}
 }
 
