--- a/src/sidecar/server/caller_connection.rs
+++ b/src/sidecar/server/caller_connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection as the code that answers its requests has it.
+//! The context in which the requests of one caller's connection are answered.
 
 use super::reply::{Reply, rejected};
 use crate::sidecar::caller::{Admission, ConnectionState};
@@ -6,17 +6,17 @@
 use crate::sidecar::node::NodeHandle;
 use std::rc::Rc;
 
-/// One caller's connection, which is in the table of callers until this is dropped.
+/// One caller's connection. It stays in the table of callers until this is dropped.
 pub struct CallerConnection {
-    /// The owner of all request state.
+    /// The node, which owns the state of all requests.
     pub node: NodeHandle,
     /// The connection's number in the table.
     pub number: u64,
-    /// What the connection does.
+    /// The connection's state.
     pub state: Rc<ConnectionState>,
-    /// Whether its requests are served.
+    /// Tells whether the connection's requests are served or rejected.
     pub admission: Admission,
-    /// Counts its descriptor.
+    /// The permit for the connection's descriptor.
     pub _permit: DescriptorPermit,
 }
 
@@ -27,12 +27,12 @@
 }
 
 impl CallerConnection {
-    /// Returns whether there are no descriptors for the connection, so that its requests are rejected.
+    /// Returns whether the connection's requests are rejected because there are no descriptors for it.
     pub fn is_rejected_early(&self) -> bool {
         self.admission == Admission::RejectedEarly
     }
 
-    /// Rejects a request for lack of descriptors or memory.
+    /// Rejects a request because the limit of descriptors, memory or open requests is reached.
     pub fn reject_early(&self) -> Reply {
         rejected(self.node.borrow().reject_early())
     }
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -1,4 +1,4 @@
-//! Serves one caller's connection from its acceptance to its close.
+//! Serves one caller's connection from its acceptance to its end.
 
 use super::caller_connection::CallerConnection;
 use super::reply::Reply;
@@ -18,38 +18,38 @@
 use tokio::sync::Notify;
 use tokio::time::{Sleep, sleep_until, timeout};
 
-/// Limit for the lingering close of a connection that ended with an early response. Closed with bytes unread it would be
-/// reset, and the response lost with it.
+/// The maximum time of a lingering close. If a connection were closed with unread bytes, as after an early response, it
+/// would be reset, and the client could lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The size of the buffer into which bytes are discarded during a lingering close.
 const LINGER_BUFFER_SIZE: usize = 16 << 10;
-/// The maximum number of unread bytes that hyper buffers: a head and a piece of a body.
+/// The maximum number of unread bytes that hyper buffers, enough for a head and part of a body.
 const READ_BUFFER_SIZE: usize = 32 << 10;
 
-/// What a connection does after an event.
+/// The action on a connection after an event.
 #[derive(Debug, PartialEq, Eq)]
 enum NextStep {
-    /// It is served on.
+    /// The connection is served further.
     Continue,
-    /// It closes once it is idle.
+    /// The connection closes once it is idle.
     GracefulShutdown,
-    /// It ends now.
+    /// The connection ends now.
     Terminate,
 }
 
-/// Serves a connection until it ends. `close` is notified when it is to close.
+/// Serves a connection until it ends. A notification through `close` requests that it closes.
 pub async fn serve(
     caller: CallerConnection,
     stream: TcpStream,
     close: Rc<Notify>,
     persistence: Persistence,
 ) {
-    let _ = stream.set_nodelay(true); // without it responses are slower, not wrong
+    let _ = stream.set_nodelay(true); // a failure only delays responses
     let stream = Rc::new(stream);
     serve_requests(&caller, &stream, &close, persistence).await;
     let state = &caller.state;
     if !state.has_peer_closed() && !state.is_closing_idle() {
-        let _ = sockets::shutdown_write(&stream); // for clients that read the response until FIN
+        let _ = sockets::shutdown_write(&stream); // sends FIN, up to which some clients read the response
         lingering_close(&stream, state, &close).await;
     }
 }
@@ -75,9 +75,10 @@
     let mut client_disconnected = pin!(client_disconnected(stream, state));
     loop {
         let next = tokio::select! {
-            // The connection is polled first: once a request has been read, the connection is no longer idle.
+            // The connection is polled first, so that a request that has arrived is read before the other events are
+            // handled. The connection is then no longer idle.
             biased;
-            // An error means that the client broke the connection off, of which its request was notified.
+            // An error means that the client closed the connection. Dropping its request reports this to the node.
             _ = connection.as_mut() => NextStep::Terminate,
             () = client_disconnected.as_mut() => {
                 state.peer_closed();
@@ -94,7 +95,7 @@
     }
 }
 
-/// Ready when the deadline of the connection's present state has passed.
+/// Polls the deadline of the connection's current state. Ready once it has passed.
 fn poll_deadline(
     state: &ConnectionState,
     mut timer: Pin<&mut Sleep>,
@@ -109,18 +110,18 @@
     timer.as_mut().poll(context)
 }
 
-/// Decides how a connection closes that a shutdown, a drain or an eviction has notified.
+/// Decides how a connection closes after a shutdown, a drain or an eviction has requested it.
 fn on_close_request(stream: &TcpStream, state: &ConnectionState) -> NextStep {
     let is_evicted = state.is_closing_idle();
     if state.is_receiving_head() {
         if is_evicted {
             return NextStep::Terminate;
         }
-        state.set_persistence(Persistence::Close); // the request is on the way, and is answered
+        state.set_persistence(Persistence::Close); // the request is arriving and is answered first
         return NextStep::Continue;
     }
-    // A connection that was just accepted has not been read yet, or its request is on the way; what has arrived on it counts
-    // as taken.
+    // The first request of a new connection may still be arriving, and bytes that have arrived but have not been read
+    // belong to a request that must be answered.
     if !is_evicted && (state.is_awaiting_first_request() || sockets::has_unread(stream)) {
         state.set_persistence(Persistence::Close);
         return NextStep::Continue;
@@ -128,6 +129,7 @@
     NextStep::GracefulShutdown
 }
 
+/// Decides what happens to a connection whose deadline has passed.
 fn on_deadline(state: &ConnectionState) -> NextStep {
     if state.is_write_blocked() {
         return NextStep::Terminate;
@@ -140,8 +142,8 @@
     NextStep::GracefulShutdown
 }
 
-/// Reads on and discards, so that the client can read the response first. Graceful shutdown does not cut this short; an
-/// eviction does.
+/// Reads and discards until the client closes the connection, so that the client can read the response first. An
+/// eviction ends this early. A graceful shutdown does not.
 async fn lingering_close(stream: &TcpStream, state: &ConnectionState, close: &Notify) {
     let mut discarded = vec![0; LINGER_BUFFER_SIZE];
     let mut read_to_end = async || loop {
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards one request: from its head through the node to its response.
+//! Forwards one request through the node and returns its response.
 
 use super::caller_connection::CallerConnection;
 use super::parsed_request::ParsedRequest;
@@ -14,10 +14,10 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::Instant;
 
-/// Forwards a request, returns its response, and counts it for its class.
+/// Forwards a request, returns its response, and counts the request in the metrics of its class.
 ///
 /// # Errors
-/// The request is invalid, or its body did not arrive.
+/// The request is invalid, or its body could not be received.
 pub async fn answer(
     caller: &CallerConnection,
     request: Request<Incoming>,
@@ -46,6 +46,7 @@
     answer
 }
 
+/// Forwards a request and returns its response. Sets `tracker` once the request's class is known.
 async fn forward(
     caller: &CallerConnection,
     request: Request<Incoming>,
@@ -86,7 +87,7 @@
     Ok(pending.reply(answer))
 }
 
-/// Reserves the memory that buffering a body can take.
+/// Reserves the maximum memory that buffering a body takes.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
     node.borrow().request_memory().reserve(buffer_size(body))
 }
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections.
+//! The listener for callers' connections.
 
 use super::caller_connection::CallerConnection;
 use super::connection;
@@ -8,11 +8,13 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Pause after a failed accept, as happens while the process has no descriptors.
+/// The delay after a failed accept. Accepting fails, for example, while the process has no free descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Accepts connections for as long as it is polled, unless another process does. It waits for nothing else, as connections
-/// in the kernel's backlog count as taken. It yields after each connection, so that evicted ones can close.
+/// Accepts connections until it is dropped, except while another process accepts them.
+///
+/// Accepting waits for nothing else, because connections in the kernel's backlog count as accepted. It yields after
+/// each connection, so that evicted ones can close.
 pub async fn accept(node: NodeHandle, listener: &TcpListener) {
     let mut accepted_elsewhere = node.borrow().callers().watch_accepted_elsewhere();
     loop {
@@ -37,8 +39,9 @@
     }
 }
 
-/// Accepts the connections in the kernel's backlog, and closes the listener: a connection that was left there would be
-/// reset, and a request on it lost. Accepts from the socket itself, as the runtime learns of connections later.
+/// Accepts the connections in the kernel's backlog, then closes the listener. A connection left in the backlog would be
+/// reset, and a request on it lost. Accepts from the socket itself, because the runtime is notified of connections
+/// later.
 pub fn accept_backlog(node: &NodeHandle, listener: std::net::TcpListener) {
     while let Ok((stream, _)) = listener.accept() {
         if stream.set_nonblocking(true).is_ok()
@@ -50,10 +53,10 @@
     drop(listener);
 }
 
-/// Serves a connection, or rejects its requests where there are no descriptors for it.
+/// Serves a connection. Rejects its requests, or closes it, if there are no descriptors for it.
 fn start_serving(node: &NodeHandle, stream: TcpStream) {
     let Some(admitted) = node.borrow().admit_caller() else {
-        return; // closed unread: none of it was taken, and the remaining descriptors are for requests that were
+        return; // closed unread: it has no accepted request, and the remaining descriptors are for those that are
     };
     let accepted = admitted.accepted;
     let connection = CallerConnection {
--- a/src/sidecar/server/mod.rs
+++ b/src/sidecar/server/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side of the sidecar: accepts connections, reads requests, and answers each of them once.
+//! The server for callers, which accepts connections, reads requests, and answers each request once.
 
 mod caller_connection;
 mod connection;
--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -1,4 +1,4 @@
-//! Request heads under the settings that they arrived under.
+//! Requests whose heads have been parsed, with the settings that apply to them.
 
 use super::pending_request::ResponseTimeout;
 use super::request::parse_request;
@@ -15,19 +15,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request whose head has been parsed, with the settings that were in force when it arrived.
+/// A request whose head has been parsed, with the settings under which it is valid.
 pub struct ParsedRequest {
-    /// The request as the balancer is given it.
+    /// The request in the form that the balancer takes.
     pub request: PolicyRequest,
+    /// The settings under which the head was parsed.
     settings: Rc<ActiveSettings>,
-    /// The position of its class in the settings.
+    /// The position of its class in `settings`.
     class: usize,
-    /// How long the client waits from the request's last byte on.
+    /// The time for which the client waits after the request's last byte.
     pub time_left: Duration,
 }
 
 impl ParsedRequest {
-    /// Parses a head under the current settings, or else under the previous ones if it began to come before the reload.
+    /// Parses a head under the current settings. If it is invalid under them and started to arrive before the last
+    /// reload or shortly after it, parses it under the previous settings.
     ///
     /// # Errors
     /// The head is invalid under the current settings.
@@ -61,12 +63,12 @@
         })
     }
 
-    /// The request's class in the settings.
+    /// Returns the request's class in its settings.
     pub fn class(&self) -> &Class {
         &self.settings.settings.classes[self.class]
     }
 
-    /// Returns how long to wait for the response. `persistence` is that of the connection apart from the upload.
+    /// Returns the time to wait for the response. `persistence` is that of the connection once an upload is complete.
     pub fn response_timeout(&self, node: &NodeHandle, persistence: Persistence) -> ResponseTimeout {
         let slack = self.settings.settings.rules.answer_slack;
         let answer_deadline = node.borrow().clock().instant(self.request.deadline) + slack;
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Returns the request as endpoints are sent it.
+    /// Returns the request in the form that is sent to endpoints.
     pub fn forwarded(
         &self,
         head: Parts,
--- a/src/sidecar/server/pending_request.rs
+++ b/src/sidecar/server/pending_request.rs
@@ -1,4 +1,4 @@
-//! Requests that the node has accepted, and the wait for their final answer.
+//! Requests that the node has accepted, and the wait for their final answers.
 
 use super::caller_connection::CallerConnection;
 use super::reply::{Reply, final_reply, text_reply};
@@ -16,8 +16,10 @@
 use tokio::sync::oneshot::error::TryRecvError;
 use tokio::time::{Instant, timeout_at};
 
-/// A request that waits for its final answer. Dropped without one, as when its connection ends, it reports to the node that
-/// the client has disconnected. Once answered its id may be in use by another request.
+/// A request that waits for its final answer.
+///
+/// If it is dropped before the answer, as when its connection ends, it reports to the node that the client has
+/// disconnected. After the answer it does not, because another request may then use the same id.
 pub struct PendingRequest<'a> {
     node: &'a NodeHandle,
     id: RequestId,
@@ -40,7 +42,8 @@
         Ok(PendingRequest { node, id, answer })
     }
 
-    /// Returns the response for the answer, or for the lack of one in time.
+    /// Returns the response for the answer. Without an answer, reports to the node that the deadline has passed, and
+    /// returns the response for a timeout.
     pub fn reply(&self, answer: Option<FinalAnswer>) -> Reply {
         if let Some(answer) = answer {
             return final_reply(answer);
@@ -62,26 +65,26 @@
     }
 }
 
-/// How long to wait for the final answer.
+/// The time to wait for a final answer.
 pub struct ResponseTimeout {
-    /// The end of the wait for a request that has arrived completely.
+    /// The end of the wait for a request that was received completely before it was submitted.
     pub answer_deadline: Instant,
-    /// The time from an upload's last byte on.
+    /// The time to wait after the last byte of an upload.
     pub after_upload: Duration,
     /// The connection's persistence once the upload is complete.
     pub persistence: Persistence,
 }
 
 impl ResponseTimeout {
-    /// Waits for the answer to a complete request. Returns none where there was none in time.
+    /// Waits for the answer to a completely received request. Returns `None` if there is none in time.
     pub async fn wait(&self, answer: &mut oneshot::Receiver<FinalAnswer>) -> Option<FinalAnswer> {
         timeout_at(self.answer_deadline, answer).await.ok()?.ok()
     }
 
-    /// Waits for the answer while the request's body still comes. Returns none where there was none in time.
+    /// Waits for the answer while the request's body is still being received. Returns `None` if there is none in time.
     ///
     /// # Errors
-    /// The body did not arrive.
+    /// The body could not be received.
     pub async fn wait_during_upload(
         &self,
         caller: &CallerConnection,
@@ -89,7 +92,8 @@
         answer: &mut oneshot::Receiver<FinalAnswer>,
         tracker: &mut RequestTracker,
     ) -> Result<Option<FinalAnswer>, RequestError> {
-        // With a response ahead of the body's end, the start of the next request is not known.
+        // After an early response, the start of the next request is not known, because the body was not read to its
+        // end.
         caller.state.set_persistence(Persistence::Close);
         let answer = pin!(upload.timeout(self.after_upload, answer));
         let upload_failure = async {
--- a/src/sidecar/server/pending_request_tests.rs
+++ b/src/sidecar/server/pending_request_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of orders of events that no order of bytes on sockets forces.
+//! Tests of event orders that cannot be produced by sending bytes over sockets.
 
 use super::super::request::parse_request;
 use super::*;
@@ -10,14 +10,14 @@
 use hyper::http::uri::PathAndQuery;
 use tokio::task::LocalSet;
 
-/// Submits a request with the same id each time.
+/// Submits a request. Its id is the same in each call.
 fn submit_request(node: &NodeHandle) -> PendingRequest<'_> {
     let now = node.borrow().clock().now();
     let memory = node
         .borrow()
         .request_memory()
         .reserve(0)
-        .expect("there is room");
+        .expect("the memory budget is not exhausted");
     let headers = [("x-request-id", "r"), ("x-class", "c"), ("x-deadline", "9")];
     let headers = headers.map(|(name, value)| {
         (
@@ -42,8 +42,8 @@
         .unwrap_or_else(|_| panic!("the request is accepted"))
 }
 
-/// Guards a request against the end of an earlier one's connection where both have the same id: the earlier one has its
-/// answer, but its connection has not been polled since.
+/// Guards against a request being cancelled when an earlier request with the same id is dropped. The earlier request
+/// has been answered, but its connection has not been polled since the answer.
 #[test]
 fn dropping_an_answered_request_keeps_the_next_one_with_its_id() {
     let config = serde_json::json!({
@@ -66,9 +66,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        let config = Config::parse(&config.to_string()).expect("a configuration");
+        let config = Config::parse(&config.to_string()).expect("the configuration is valid");
         let start = StartOptions {
             config,
             directory: None,
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -20,23 +20,23 @@
 
 /// The body of a response to a caller.
 pub enum ReplyBody {
-    /// A body that is all there.
+    /// A complete body.
     Complete(Full<Bytes>),
-    /// A body that follows as the endpoint sends it.
+    /// A body that is streamed as the endpoint sends it.
     Streamed(Box<StreamedReply>),
 }
 
 /// An endpoint's response whose body is streamed to a caller.
 pub struct StreamedReply {
     response: StreamedResponse,
-    /// The metrics of its request, until the body has ended.
+    /// Tracks the request's metrics until the body has ended.
     tracker: Option<RequestTracker>,
-    /// The state of the caller's connection.
+    /// The state of the caller's connection, which is notified when the body has ended.
     state: Option<Rc<ConnectionState>>,
 }
 
 impl StreamedReply {
-    /// Has the end of the body reported to the metrics of its request and to the connection's state.
+    /// Sets where the end of the body is reported: the request's metrics and the connection's state.
     pub fn report_end_to(&mut self, tracker: RequestTracker, state: &Rc<ConnectionState>) {
         self.tracker = Some(tracker);
         self.state = Some(state.clone());
@@ -60,7 +60,7 @@
     }
 }
 
-/// hyper drops a body at its end, or with its connection.
+/// Reports the end of the stream, because hyper drops a body at its end or with its connection.
 impl Drop for StreamedReply {
     fn drop(&mut self) {
         if let Some(state) = &self.state {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Returns the response for a request's final answer.
+/// Returns the response that reports a final answer.
 pub fn final_reply(answer: FinalAnswer) -> Reply {
     match answer {
         FinalAnswer::Served(served) => {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Returns a response that invites a retry, after this time if one is given.
+/// Returns a response that tells the client that it may retry, after `retry_after` if that is given.
 pub fn rejected(retry_after: Option<Duration>) -> Reply {
     let mut reply = text_reply(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -141,7 +141,7 @@
     reply
 }
 
-/// Returns a response with a status and a text for human readers.
+/// Returns a response with a status and a text for people.
 pub fn text_reply(status: StatusCode, text: &'static str) -> Reply {
     let mut reply = Response::new(ReplyBody::Complete(Full::new(Bytes::from_static(
         text.as_bytes(),
--- a/src/sidecar/server/request.rs
+++ b/src/sidecar/server/request.rs
@@ -8,17 +8,17 @@
 use hyper::{Method, StatusCode};
 use std::time::Duration;
 
-/// The maximum length of an id or key, in bytes.
+/// The maximum length of a request id or key in bytes.
 const MAX_ID_LENGTH: usize = 256;
 const REQUEST_ID: &str = "x-request-id";
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The cookie that holds the key of a request.
 const KEY_COOKIE: &str = "sid=";
 
-/// Parses a request's head. The class of the result is its position in the settings.
+/// Parses a request's head. The result identifies its class by the position in `settings`.
 ///
 /// # Errors
-/// The head is not valid under these settings.
+/// The head is invalid under `settings`.
 pub fn parse_request(
     method: &Method,
     headers: &HeaderMap,
@@ -36,7 +36,7 @@
         return Err(bad_request("Idempotency-Key is missing"));
     }
     let tenant = parse_tenant(text("x-tenant"), settings)?;
-    // No client waits longer than its class allows for all attempts.
+    // The deadline of the class limits how long a client may wait for all attempts together.
     let time_left =
         parse_time_left(text(DEADLINE_HEADER.as_str()))?.min(settings.classes[class].deadline);
     let hint = text("x-cost-hint").and_then(|value| value.trim().parse().ok());
@@ -56,7 +56,7 @@
     RequestError::new(StatusCode::BAD_REQUEST, text)
 }
 
-/// Ids and keys are stored and forwarded, so that their length is limited.
+/// Parses the request id. Limits the lengths of ids and idempotency keys, because both are stored and forwarded.
 fn parse_id(headers: &HeaderMap) -> Result<RequestId, RequestError> {
     let id = headers
         .get(REQUEST_ID)
@@ -116,7 +116,7 @@
     time.ok_or(bad_request("X-Deadline is not a number of seconds"))
 }
 
-/// Returns the key that a cookie gives.
+/// Returns the key from the cookie [`KEY_COOKIE`], or `None` if there is none or it is invalid.
 fn parse_key(cookies: &HeaderValue) -> Option<Key> {
     let mut cookies = cookies.to_str().ok()?.split(';');
     let key = cookies.find_map(|cookie| cookie.trim().strip_prefix(KEY_COOKIE));
--- a/src/sidecar/server/request_error.rs
+++ b/src/sidecar/server/request_error.rs
@@ -1,4 +1,4 @@
-//! Errors in callers' requests, with texts for the callers' developers.
+//! Errors in callers' requests, with texts for the developers of callers.
 
 use super::reply::{Reply, text_reply};
 use crate::sidecar::body::UploadError;
@@ -6,19 +6,20 @@
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
 
-/// An error in a request, for which it is not handed to the node.
+/// An error in a request, which is therefore answered with an error status.
 #[derive(Debug)]
 pub struct RequestError {
     /// The status of the response.
     pub status: StatusCode,
+    /// The body of the response.
     text: &'static str,
     allowed_methods: Option<&'static str>,
-    /// Whether the request's body was not read to the end.
+    /// True if the request's body was not read to its end.
     pub body_is_unread: bool,
 }
 
 impl RequestError {
-    /// An error in a request whose body was not read.
+    /// Creates an error in a request whose body was not read to its end.
     pub fn new(status: StatusCode, text: &'static str) -> Self {
         RequestError {
             status,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The path does not take the request's method, only these.
+    /// Creates the error for a method that the path does not allow. `allowed` lists the methods that it allows.
     pub fn method_not_allowed(allowed: &'static str) -> Self {
         let error = RequestError::new(StatusCode::METHOD_NOT_ALLOWED, "wrong method");
         RequestError {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Sets whether the request's body was not read to the end.
+    /// Sets whether the request's body was not read to its end.
     pub fn with_body_unread(self, body_is_unread: bool) -> Self {
         RequestError {
             body_is_unread,
--- a/src/sidecar/server/service.rs
+++ b/src/sidecar/server/service.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of one caller's connection by their paths.
+//! Answers the requests of one caller's connection according to their paths.
 
 use super::caller_connection::CallerConnection;
 use super::forward;
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 impl CallerConnection {
-    /// Answers one request, and decides whether the connection outlives it.
+    /// Answers one request and decides whether the connection stays open after the response.
     pub async fn serve_one(&self, request: Request<Incoming>) -> Reply {
         let started_at = self.state.request_started();
         let mut reply = self.answer(request, started_at).await;
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Answers an invalid request. Where its body was not read to the end, the start of the next request is not known.
+    /// Answers an invalid request. If its body was not read to its end, the connection closes, because the start of the
+    /// next request is not known.
     fn reply_to_error(&self, error: RequestError) -> Reply {
         if error.body_is_unread {
             self.state.set_persistence(Persistence::Close);
@@ -56,6 +57,7 @@
         error.reply()
     }
 
+    /// Answers a readiness check.
     fn readiness(&self) -> Reply {
         let status = if self.node.borrow().is_ready() {
             StatusCode::OK
@@ -65,7 +67,7 @@
         text_reply(status, "")
     }
 
-    /// Rejects a request without reading its body, and counts it for its class.
+    /// Rejects a request without reading its body, and counts it in the metrics of its class.
     fn reject_early_and_count(&self, request: &Request<Incoming>) -> Reply {
         let reply = self.reject_early();
         let name = request
