--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -22,9 +22,9 @@
     received: u64,
     rejected_early: u64,
     disconnected: u64,
-    connects: u64,
+    connections_opened: u64,
     health_checks: u64,
-    reports: u64,
+    load_reports: u64,
     /// The number of attempts by outcome, in the order of [`OUTCOME_NAMES`].
     outcomes: [u64; OUTCOME_NAMES.len()],
     /// The totals of answered requests at the last line.
@@ -58,18 +58,18 @@
 
     /// Counts a connection opened to an endpoint.
     pub fn connection_opened(&mut self) {
-        self.connects += 1;
+        self.connections_opened += 1;
     }
 
     /// Counts a health check that has ended.
     pub fn health_check_ended(&mut self, report: Option<&LoadReport>) {
         self.health_checks += 1;
-        self.reports += u64::from(report.is_some());
+        self.load_reports += u64::from(report.is_some());
     }
 
     /// Counts an attempt that has ended.
     pub fn attempt_ended(&mut self, outcome: Outcome, report: Option<&LoadReport>) {
-        self.reports += u64::from(report.is_some());
+        self.load_reports += u64::from(report.is_some());
         let position = OUTCOME_NAMES
             .iter()
             .position(|(named, _)| *named == outcome);
@@ -119,9 +119,9 @@
         write!(f, " rejected={}", now.rejected - before.rejected)?;
         write!(f, " failed={}", now.failed - before.failed)?;
         write!(f, " disconnected={}", counters.disconnected)?;
-        write!(f, " connects={}", counters.connects)?;
+        write!(f, " connects={}", counters.connections_opened)?;
         write!(f, " health_checks={}", counters.health_checks)?;
-        write!(f, " reports={}", counters.reports)?;
+        write!(f, " reports={}", counters.load_reports)?;
         for ((_, name), count) in OUTCOME_NAMES.iter().zip(&counters.outcomes) {
             if *count > 0 {
                 write!(f, " attempts_{name}={count}")?;
--- a/src/sidecar/server/request.rs
+++ b/src/sidecar/server/request.rs
@@ -10,8 +10,8 @@
 
 /// The maximum length of a request id or key in bytes.
 const MAX_ID_LENGTH: usize = 256;
-const REQUEST_ID: &str = "x-request-id";
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const REQUEST_ID_HEADER: &str = "x-request-id";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// The cookie that holds the key of a request.
 const KEY_COOKIE: &str = "sid=";
 
@@ -32,7 +32,9 @@
     let class = class.ok_or(bad_request("X-Class is not known"))?;
     let idempotency = settings.classes[class].idempotency;
     check_method(method, idempotency)?;
-    if matches!(idempotency, Idempotency::Keyed { .. }) && !headers.contains_key(IDEMPOTENCY_KEY) {
+    if matches!(idempotency, Idempotency::Keyed { .. })
+        && !headers.contains_key(IDEMPOTENCY_KEY_HEADER)
+    {
         return Err(bad_request("Idempotency-Key is missing"));
     }
     let tenant = parse_tenant(text("x-tenant"), settings)?;
@@ -59,11 +61,12 @@
 /// Parses the request id. Limits the lengths of ids and idempotency keys, because both are stored and forwarded.
 fn parse_id(headers: &HeaderMap) -> Result<RequestId, RequestError> {
     let id = headers
-        .get(REQUEST_ID)
+        .get(REQUEST_ID_HEADER)
         .and_then(|value| value.to_str().ok())
         .filter(|id| !id.is_empty());
     let id = id.ok_or(bad_request("X-Request-Id is missing"))?;
-    let stored = [REQUEST_ID, IDEMPOTENCY_KEY].map(|name| headers.get_all(name).iter());
+    let stored =
+        [REQUEST_ID_HEADER, IDEMPOTENCY_KEY_HEADER].map(|name| headers.get_all(name).iter());
     if stored
         .into_iter()
         .flatten()
@@ -73,7 +76,7 @@
             "X-Request-Id or Idempotency-Key is over 256 bytes",
         ));
     }
-    if headers.get_all(REQUEST_ID).iter().count() > 1 {
+    if headers.get_all(REQUEST_ID_HEADER).iter().count() > 1 {
         return Err(bad_request("X-Request-Id is there twice"));
     }
     Ok(RequestId::from(id))
