--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -72,9 +72,13 @@
     remaining: RefCell<Option<RemainingUpload>>,
     /// The length that the request declares.
     length: Option<u64>,
+    /// The number of bytes received so far.
     received: Cell<u64>,
+    /// The time at which the attempt started, or at which bytes were last received.
     last_progress_at: Cell<Instant>,
+    /// Set once the body is complete or has failed.
     finish: Cell<Option<UploadFinish>>,
+    /// Notified when `finish` is set.
     finished: Notify,
 }
 
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -34,6 +34,7 @@
     drain: Option<DrainState>,
 }
 
+/// The table's entry for one connection.
 #[derive(Debug)]
 struct Caller {
     state: Rc<ConnectionState>,
--- a/src/sidecar/operators/listener.rs
+++ b/src/sidecar/operators/listener.rs
@@ -22,7 +22,7 @@
     TcpListener::bind(address).await
 }
 
-/// Accepts and serves connections until it is dropped.
+/// Accepts and serves connections until the returned future is dropped.
 pub async fn serve(node: NodeHandle, listener: TcpListener) {
     let waiting_connections = WaitingConnections::default();
     let permits = ConnectionPermits::default();
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -48,6 +48,7 @@
 
 /// A sidecar that has started, and its background tasks.
 struct Process {
+    /// The sidecar's name, for the log.
     name: String,
     node: NodeHandle,
     /// The callers' listening socket.
@@ -56,6 +57,7 @@
     directory: Option<Rc<SharedDirectory>>,
     /// Set in a hot restart until this process takes over.
     old_process: Option<OldProcess>,
+    /// The background tasks, which are aborted when this is dropped.
     _tasks: Vec<Task>,
 }
 
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -29,7 +29,7 @@
 /// The action on a connection after an event.
 #[derive(Debug, PartialEq, Eq)]
 enum NextStep {
-    /// The connection is served further.
+    /// Serving continues.
     Continue,
     /// The connection closes once it is idle.
     GracefulShutdown,
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -11,7 +11,7 @@
 /// The delay after a failed accept. Accepting fails, for example, while the process has no free descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Accepts connections until it is dropped, except while another process accepts them.
+/// Accepts connections until the returned future is dropped, except while another process accepts them.
 ///
 /// Accepting waits for nothing else, because connections in the kernel's backlog count as accepted. It yields after
 /// each connection, so that evicted ones can close.
@@ -56,7 +56,7 @@
 /// Serves a connection. Rejects its requests, or closes it, if there are no descriptors for it.
 fn start_serving(node: &NodeHandle, stream: TcpStream) {
     let Some(admitted) = node.borrow().admit_caller() else {
-        return; // closed unread: it has no accepted request, and the remaining descriptors are for those that are
+        return; // closed unread: no request on it is accepted yet, and accepted ones need the remaining descriptors
     };
     let accepted = admitted.accepted;
     let connection = CallerConnection {
