--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -41,7 +41,7 @@
     ReplacementHead { forwarded: usize },
 }
 
-/// The result of a read for a head.
+/// The result of polling for the bytes of a head.
 enum HeadPoll {
     /// The mode has changed, or more bytes have been received and are to be validated.
     Progress,
