--- a/src/sidecar/body/upload_deadline_tests.rs
+++ b/src/sidecar/body/upload_deadline_tests.rs
@@ -1,4 +1,4 @@
-//! The deadline of a client's upload, on paused time.
+//! Tests of the deadline of a client's upload, with tokio's clock paused.
 
 use super::*;
 use tokio::time::advance;
@@ -6,7 +6,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[tokio::test(start_paused = true)]
-async fn deadline_moves_by_the_time_that_received_bytes_may_take() {
+async fn received_bytes_extend_the_deadline() {
     let started_at = Instant::now();
     let mut deadline = UploadDeadline::new(started_at);
     assert_eq!(deadline.resume(), started_at + BASE_TIME);
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn deadline_is_paused_while_the_client_is_not_waited_for() {
+async fn deadline_pauses_while_no_data_is_awaited() {
     let started_at = Instant::now();
     let mut deadline = UploadDeadline::new(started_at);
     deadline.on_received(0);
@@ -29,20 +29,20 @@
     assert_eq!(
         deadline.resume(),
         started_at + BASE_TIME + 10 * SECOND,
-        "it is not paused while the client is waited for"
+        "the deadline is not paused after it was resumed"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_large_piece_leaves_a_client_that_is_late_the_minimum_time() {
+async fn large_frame_leaves_a_late_client_the_minimum_time() {
     let started_at = Instant::now();
     let mut deadline = UploadDeadline::new(started_at);
     advance(10 * SECOND).await;
 
-    deadline.on_received(LARGE_PIECE);
+    deadline.on_received(LARGE_FRAME);
 
     assert_eq!(
         deadline.resume(),
-        Instant::now() + MIN_TIME_AFTER_LARGE_PIECE
+        Instant::now() + MIN_TIME_AFTER_LARGE_FRAME
     );
 }
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -1,10 +1,10 @@
-//! Counters of what has happened since the last counters line of the log.
+//! Counters of events since the last counters line of the log.
 
 use super::metrics::AnsweredRequests;
 use crate::policy::{LoadReport, Outcome};
 use std::fmt;
 
-/// The outcomes of attempts, and their names in the log.
+/// The outcomes of attempts and their names in the log.
 const OUTCOME_NAMES: [(Outcome, &str); 8] = [
     (Outcome::Served, "ok"),
     (Outcome::Error, "error"),
@@ -16,36 +16,37 @@
     (Outcome::NotSent, "not_sent"),
 ];
 
-/// Counters since the last line.
+/// Counters of events since the last counters line.
 #[derive(Debug, Default, PartialEq)]
 pub struct Counters {
     received: u64,
     rejected_early: u64,
     disconnected: u64,
-    connects: u64,
+    connections_opened: u64,
     health_checks: u64,
-    reports: u64,
-    /// In the order of [`OUTCOME_NAMES`].
+    load_reports: u64,
+    /// The number of attempts by outcome, in the order of [`OUTCOME_NAMES`].
     outcomes: [u64; OUTCOME_NAMES.len()],
-    /// How many requests were answered at the last line.
+    /// The totals of answered requests at the last line.
     answered_before: AnsweredRequests,
 }
 
-/// The counters of one line.
+/// The content of one counters line.
 #[derive(Debug, PartialEq)]
 pub struct CountersLine {
     counters: Counters,
-    /// How many requests were answered at this line.
+    /// The totals of answered requests at this line.
     answered: AnsweredRequests,
 }
 
 impl Counters {
-    /// Counts a request that the balancer was given.
+    /// Counts a request that was submitted to the balancer.
     pub fn request_received(&mut self) {
         self.received += 1;
     }
 
-    /// Counts a request that was rejected before the balancer saw it, as its limit was reached, or its connection's.
+    /// Counts a request that was rejected before it reached the balancer, because the limit of open requests, of
+    /// connections or of buffered bytes was reached.
     pub fn request_rejected_early(&mut self) {
         self.rejected_early += 1;
     }
@@ -57,18 +58,18 @@
 
     /// Counts a connection opened to an endpoint.
     pub fn connection_opened(&mut self) {
-        self.connects += 1;
+        self.connections_opened += 1;
     }
 
     /// Counts a health check that has ended.
     pub fn health_check_ended(&mut self, report: Option<&LoadReport>) {
         self.health_checks += 1;
-        self.reports += u64::from(report.is_some());
+        self.load_reports += u64::from(report.is_some());
     }
 
     /// Counts an attempt that has ended.
     pub fn attempt_ended(&mut self, outcome: Outcome, report: Option<&LoadReport>) {
-        self.reports += u64::from(report.is_some());
+        self.load_reports += u64::from(report.is_some());
         let position = OUTCOME_NAMES
             .iter()
             .position(|(named, _)| *named == outcome);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Returns the counters since the last line, and starts over.
+    /// Returns the counters since the last line and resets them. `answered` are the current totals.
     pub fn take(&mut self, answered: AnsweredRequests) -> CountersLine {
         let next = Counters {
             answered_before: answered,
@@ -97,7 +98,7 @@
 }
 
 impl CountersLine {
-    /// Returns whether nothing has happened.
+    /// Returns whether no event was counted.
     pub fn is_empty(&self) -> bool {
         self.counters
             == Counters {
@@ -118,9 +119,9 @@
         write!(f, " rejected={}", now.rejected - before.rejected)?;
         write!(f, " failed={}", now.failed - before.failed)?;
         write!(f, " disconnected={}", counters.disconnected)?;
-        write!(f, " connects={}", counters.connects)?;
+        write!(f, " connects={}", counters.connections_opened)?;
         write!(f, " health_checks={}", counters.health_checks)?;
-        write!(f, " reports={}", counters.reports)?;
+        write!(f, " reports={}", counters.load_reports)?;
         for ((_, name), count) in OUTCOME_NAMES.iter().zip(&counters.outcomes) {
             if *count > 0 {
                 write!(f, " attempts_{name}={count}")?;
--- a/src/sidecar/endpoint/request_body.rs
+++ b/src/sidecar/endpoint/request_body.rs
@@ -101,7 +101,7 @@
     /// Marks an upload as finished once its declared length has been received. hyper stops reading there, before the
     /// upload reports its end.
     fn finish_at_declared_length(&self) {
-        if self.upload.has_declared_length() && !self.upload.is_finished() {
+        if self.upload.has_received_declared_length() && !self.upload.is_finished() {
             self.upload.set_finished(Ok(()));
         }
     }
--- a/src/sidecar/server/forward.rs
+++ b/src/sidecar/server/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards one request: from its head through the node to its response.
+//! Forwards one request through the node and returns its response.
 
 use super::caller_connection::CallerConnection;
 use super::parsed_request::ParsedRequest;
@@ -8,23 +8,23 @@
 use crate::sidecar::body::{buffer_size, receive_request_body};
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::memory::MemoryReservation;
-use crate::sidecar::metrics::RequestCount;
+use crate::sidecar::metrics::RequestTracker;
 use crate::sidecar::node::{NodeHandle, SubmitError};
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
 use tokio::time::Instant;
 
-/// Forwards a request, returns its response, and counts it for its class.
+/// Forwards a request, returns its response, and counts the request in the metrics of its class.
 ///
 /// # Errors
-/// The request is invalid, or its body did not arrive.
+/// The request is invalid, or its body could not be received.
 pub async fn answer(
     caller: &CallerConnection,
     request: Request<Incoming>,
-    begun: Instant,
+    started_at: Instant,
 ) -> Result<Reply, RequestError> {
-    let mut count = None;
-    let mut answer = forward(caller, request, begun, &mut count).await;
+    let mut tracker = None;
+    let mut answer = forward(caller, request, started_at, &mut tracker).await;
     let streamed = answer
         .as_mut()
         .ok()
@@ -32,10 +32,10 @@
             ReplyBody::Streamed(streamed) => Some(streamed),
             ReplyBody::Complete(_) => None,
         });
-    match (count, streamed) {
-        (Some(count), Some(streamed)) => streamed.report_end_to(count, &caller.state),
-        (Some(count), None) => {
-            count.end(
+    match (tracker, streamed) {
+        (Some(tracker), Some(streamed)) => streamed.report_end_to(tracker, &caller.state),
+        (Some(tracker), None) => {
+            tracker.end(
                 answer
                     .as_ref()
                     .map_or_else(|error| error.status, Response::status),
@@ -46,25 +46,26 @@
     answer
 }
 
+/// Forwards a request and returns its response. Sets `tracker` once the request's class is known.
 async fn forward(
     caller: &CallerConnection,
     request: Request<Incoming>,
-    begun: Instant,
-    count: &mut Option<RequestCount>,
+    started_at: Instant,
+    tracker: &mut Option<RequestTracker>,
 ) -> Result<Reply, RequestError> {
     let node = &caller.node;
     let (head, body) = request.into_parts();
-    let mut parsed = ParsedRequest::parse(node, &head, begun)
+    let mut parsed = ParsedRequest::parse(node, &head, started_at)
         .map_err(|error| error.with_body_unread(!body.is_end_stream()))?;
-    let count = count.insert(node.borrow().begin_request(&parsed.class().name));
+    let tracker = tracker.insert(node.borrow().begin_request(&parsed.class().name));
     let Some(memory) = reserve_memory(node, &body) else {
         caller.state.set_persistence(Persistence::Close);
         return Ok(caller.reject_early());
     };
     let persistence = caller.state.persistence();
-    let received = receive_request_body(body, begun).await?;
+    let received = receive_request_body(body, started_at).await?;
     if received.upload.is_none() {
-        count.set_whole();
+        tracker.mark_received();
     }
     parsed.request.deadline = node.borrow().request_deadline(parsed.time_left);
     let timeout = parsed.response_timeout(node, persistence);
@@ -73,25 +74,25 @@
     let mut pending = match PendingRequest::begin(node, parsed.request, forwarded) {
         Ok(pending) => pending,
         Err(SubmitError::TooManyUnanswered) => return Ok(caller.reject_early()),
-        Err(SubmitError::DuplicateId) => return Err(repeated_id()),
+        Err(SubmitError::DuplicateId) => return Err(duplicate_id_error()),
     };
     let answer = match upload {
         None => timeout.wait(&mut pending.answer).await,
         Some(upload) => {
             timeout
-                .wait_during_upload(caller, &upload, &mut pending.answer, count)
+                .wait_during_upload(caller, &upload, &mut pending.answer, tracker)
                 .await?
         }
     };
     Ok(pending.reply(answer))
 }
 
-/// Reserves the memory that buffering a body can take.
+/// Reserves the maximum memory that buffering a body takes.
 fn reserve_memory(node: &NodeHandle, body: &Incoming) -> Option<MemoryReservation> {
     node.borrow().request_memory().reserve(buffer_size(body))
 }
 
-fn repeated_id() -> RequestError {
+fn duplicate_id_error() -> RequestError {
     RequestError::new(StatusCode::CONFLICT, "a request with this id is open")
         .with_body_unread(false)
 }
--- a/src/sidecar/server/service.rs
+++ b/src/sidecar/server/service.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of one caller's connection by their paths.
+//! Answers the requests of one caller's connection according to their paths.
 
 use super::caller_connection::CallerConnection;
 use super::forward;
@@ -11,16 +11,16 @@
 use tokio::time::Instant;
 
 impl CallerConnection {
-    /// Answers one request, and decides whether the connection outlives it.
+    /// Answers one request and decides whether the connection stays open after the response.
     pub async fn serve_one(&self, request: Request<Incoming>) -> Reply {
-        let begun = self.state.request_begun();
-        let mut reply = self.answer(request, begun).await;
+        let started_at = self.state.request_started();
+        let mut reply = self.answer(request, started_at).await;
         self.state.response_ready(match reply.body() {
             ReplyBody::Complete(_) => ResponseKind::Complete,
             ReplyBody::Streamed(_) => ResponseKind::Streamed,
         });
         if self.state.persistence() == Persistence::Close
-            || self.node.borrow().callers().close_after_responses()
+            || self.node.borrow().callers().closes_after_responses()
         {
             reply
                 .headers_mut()
@@ -29,7 +29,7 @@
         reply
     }
 
-    async fn answer(&self, request: Request<Incoming>, begun: Instant) -> Reply {
+    async fn answer(&self, request: Request<Incoming>, started_at: Instant) -> Reply {
         if let Some(error) = self.state.head_error() {
             return RequestError::from(error).reply();
         }
@@ -40,7 +40,7 @@
                 self.reject_early_and_count(&request)
             }
             ("/api", &Method::GET | &Method::POST) => {
-                let answer = forward::answer(self, request, begun).await;
+                let answer = forward::answer(self, request, started_at).await;
                 answer.unwrap_or_else(|error| self.reply_to_error(error))
             }
             ("/api", _) => RequestError::method_not_allowed("GET, POST").reply(),
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Answers an invalid request. Where its body was not read to the end, the start of the next request is not known.
+    /// Answers an invalid request. If its body was not read to its end, the connection closes, because the start of the
+    /// next request is not known.
     fn reply_to_error(&self, error: RequestError) -> Reply {
         if error.body_is_unread {
             self.state.set_persistence(Persistence::Close);
@@ -56,6 +57,7 @@
         error.reply()
     }
 
+    /// Answers a readiness check.
     fn readiness(&self) -> Reply {
         let status = if self.node.borrow().is_ready() {
             StatusCode::OK
@@ -65,7 +67,7 @@
         text_reply(status, "")
     }
 
-    /// Rejects a request without reading its body, and counts it for its class.
+    /// Rejects a request without reading its body, and counts it in the metrics of its class.
     fn reject_early_and_count(&self, request: &Request<Incoming>) -> Reply {
         let reply = self.reject_early();
         let name = request
