--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -12,11 +12,11 @@
         Ok(parsed) => parsed,
         Err(outcome) => return outcome,
     };
-    let admin = match Config::admin_from_environment() {
-        Ok(admin) => admin,
+    let admin_address = match Config::admin_address_from_environment() {
+        Ok(admin_address) => admin_address,
         Err(error) => return bad_input(&error),
     };
-    for value in &effective_values(&parsed, admin) {
+    for value in &effective_values(&parsed, admin_address) {
         print_line(value);
     }
     Outcome::Success
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -85,12 +85,12 @@
     if let Some(address) = options.admin {
         return Ok(address);
     }
-    if let Some(address) = Config::admin_from_environment()? {
+    if let Some(address) = Config::admin_address_from_environment()? {
         return Ok(address);
     }
     let file = options.config.as_ref().ok_or(CommandError::NoAddress)?;
     Config::from_file(file)?
-        .admin
+        .admin_address
         .ok_or(CommandError::NoAddress)
 }
 
--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -22,7 +22,7 @@
     /// The address of discovery.
     pub discovery: SocketAddr,
     /// The address for operators' calls.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The seed of the random numbers, different for each start.
     pub seed: u64,
     /// The maximum number of file descriptors of this process.
@@ -52,7 +52,7 @@
             .map(PathBuf::from)
             .ok_or(ConfigError::NoFile)?;
         let mut config = Self::from_file(&path)?;
-        config.admin = Self::admin_from_environment()?.or(config.admin);
+        config.admin_address = Self::admin_address_from_environment()?.or(config.admin_address);
         Ok(config)
     }
 
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// Returns an error if the value of `ROUTER_ADMIN_ADDR` is not an address.
-    pub fn admin_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
+    pub fn admin_address_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
         let Some(text) = std::env::var_os(ADMIN_VARIABLE).filter(|text| !text.is_empty()) else {
             return Ok(None);
         };
@@ -103,7 +103,7 @@
             name: document.name,
             listen: document.listen,
             discovery: document.discovery,
-            admin: document.admin_addr,
+            admin_address: document.admin_addr,
             seed: document.seed.0,
             max_descriptors: document.limits.max_descriptors,
             max_memory_mb: document.limits.max_memory_mb,
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -54,10 +54,10 @@
 #[must_use]
 pub fn effective_values(
     parsed: &ParsedConfiguration,
-    admin_from_environment: Option<SocketAddr>,
+    admin_address_from_environment: Option<SocketAddr>,
 ) -> Vec<EffectiveValue> {
     let mut values = document_values(parsed);
-    if let Some(address) = admin_from_environment {
+    if let Some(address) = admin_address_from_environment {
         values.retain(|value| value.path != ADMIN_KEY);
         values.push(EffectiveValue {
             path: ADMIN_KEY.to_owned(),
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -118,7 +118,7 @@
     /// Listens for callers and operators, and starts the node and the background tasks.
     async fn start(config: Config, hangup: Signal) -> Result<Self, ProcessError> {
         let (name, address) = (config.name.clone(), config.listen);
-        let operators = match config.admin {
+        let operators = match config.admin_address {
             Some(address) => Some(listen_for_operators(address).await?),
             None => None,
         };
