--- a/src/command_line/configuration_file.rs
+++ b/src/command_line/configuration_file.rs
@@ -1,13 +1,14 @@
 //! Reading the configuration files that are named on the command line.
 
-use super::output::{Outcome, bad_input, print_error};
+use super::output::{Outcome, print_error, report_bad_input};
 use crate::configuration::{self, ParsedConfiguration};
 use std::fs;
 use std::path::Path;
 
 /// Reads the text of a file, or reports why it cannot be read.
 pub(super) fn read_text(path: &Path) -> Result<String, Outcome> {
-    fs::read_to_string(path).map_err(|error| bad_input(&format!("{}: {error}", path.display())))
+    fs::read_to_string(path)
+        .map_err(|error| report_bad_input(&format!("{}: {error}", path.display())))
 }
 
 /// Parses the text of a configuration, or reports all that is wrong with it, one error a line.
--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -1,7 +1,7 @@
 //! The command `diff`.
 
-use super::output::{Outcome, bad_input, print, print_line};
-use crate::configuration::{Config, Effect, differences};
+use super::output::{Outcome, print_line, print_result, report_bad_input};
+use crate::configuration::{ChangeEffect, Config, differences};
 use std::path::Path;
 
 /// Shows what another configuration would change in a running sidecar. Fails where a reload would reject the other
@@ -12,18 +12,18 @@
         Config::from_file(next_path),
     ) {
         (Ok(running), Ok(next)) => (running, next),
-        (Err(error), _) | (_, Err(error)) => return bad_input(&error),
+        (Err(error), _) | (_, Err(error)) => return report_bad_input(&error),
     };
     let differences = differences(&running, &next);
     if differences.is_empty() {
-        return print(&"nothing changes");
+        return print_result(&"nothing changes");
     }
     for difference in &differences {
         print_line(difference);
     }
     let is_rejected = differences
         .iter()
-        .any(|difference| difference.effect == Effect::Rejected);
+        .any(|difference| difference.effect == ChangeEffect::Rejected);
     if is_rejected {
         Outcome::Failure
     } else {
--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -1,7 +1,7 @@
 //! The command `explain`.
 
 use super::configuration_file;
-use super::output::{Outcome, bad_input, print_line};
+use super::output::{Outcome, print_line, report_bad_input};
 use crate::configuration::{Config, effective_values};
 use std::path::Path;
 
@@ -14,7 +14,7 @@
     };
     let admin_address = match Config::admin_address_from_environment() {
         Ok(admin_address) => admin_address,
-        Err(error) => return bad_input(&error),
+        Err(error) => return report_bad_input(&error),
     };
     for value in &effective_values(&parsed, admin_address) {
         print_line(value);
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -113,7 +113,7 @@
         }
         Command::Completions { shell } => write_completions(shell),
         Command::Man => write_manual_page(),
-        Command::Schema => output::print(&format!("{:#}", crate::configuration::schema())),
+        Command::Schema => output::print_result(&format!("{:#}", crate::configuration::schema())),
     }
 }
 
@@ -128,6 +128,6 @@
     let rendered = Man::new(Arguments::command()).render(&mut page);
     match rendered.and_then(|()| io::stdout().write_all(&page)) {
         Ok(()) => Outcome::Success,
-        Err(error) => output::failure(&error),
+        Err(error) => output::report_failure(&error),
     }
 }
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,6 +1,6 @@
 //! The commands that are sent to a running sidecar at its operators' address.
 
-use super::output::{Outcome, bad_input, failure, print, print_line};
+use super::output::{Outcome, print_line, print_result, report_bad_input, report_failure};
 use crate::configuration::{Config, ConfigError, FILE_VARIABLE};
 use crate::sidecar::OperatorCommand;
 use clap::Args;
@@ -48,8 +48,8 @@
 impl CommandError {
     fn report(&self) -> Outcome {
         match self {
-            CommandError::NoAddress | CommandError::Config(_) => bad_input(self),
-            CommandError::Connection { .. } => failure(self),
+            CommandError::NoAddress | CommandError::Config(_) => report_bad_input(self),
+            CommandError::Connection { .. } => report_failure(self),
         }
     }
 }
@@ -57,8 +57,8 @@
 /// Sends one command and prints the answer. Fails if the answer is negative.
 pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> Outcome {
     match operators_address(options).and_then(|address| exchange(address, command)) {
-        Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print(&answer.trim_end()),
-        Ok(answer) => failure(&answer.trim_end()),
+        Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print_result(&answer.trim_end()),
+        Ok(answer) => report_failure(&answer.trim_end()),
         Err(error) => error.report(),
     }
 }
--- a/src/command_line/output.rs
+++ b/src/command_line/output.rs
@@ -42,19 +42,19 @@
 }
 
 /// Prints the result of a command.
-pub(super) fn print(text: &dyn Display) -> Outcome {
+pub(super) fn print_result(text: &dyn Display) -> Outcome {
     print_line(text);
     Outcome::Success
 }
 
 /// Reports that a command failed.
-pub(super) fn failure(error: &dyn Display) -> Outcome {
+pub(super) fn report_failure(error: &dyn Display) -> Outcome {
     print_error(error);
     Outcome::Failure
 }
 
 /// Reports invalid input.
-pub(super) fn bad_input(error: &dyn Display) -> Outcome {
+pub(super) fn report_bad_input(error: &dyn Display) -> Outcome {
     print_error(error);
     Outcome::BadInput
 }
--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -97,8 +97,8 @@
             file_content,
             settings,
         } = parse(text)?;
-        let restart_values = RestartValues::of(&document);
-        let reload_baseline = ReloadBaseline::of(&file_content, &document.limits);
+        let restart_values = RestartValues::from_document(&document);
+        let reload_baseline = ReloadBaseline::new(&file_content, &document.limits);
         Ok(Config {
             name: document.name,
             listen: document.listen,
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -8,7 +8,7 @@
 
 /// How a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum ChangeEffect {
     /// With a reload, on SIGHUP.
     Reload,
     /// With a restart only.
@@ -27,7 +27,7 @@
     /// The value in the next configuration, if any.
     pub next: Option<Value>,
     /// How the change takes effect.
-    pub effect: Effect,
+    pub effect: ChangeEffect,
 }
 
 /// Returns the differences between the configuration that a sidecar runs with and the next one.
@@ -40,16 +40,16 @@
             path,
             running: None,
             next: None,
-            effect: Effect::Rejected,
+            effect: ChangeEffect::Rejected,
         }];
     }
     let running = values_by_path(&running.file_content);
     let next = values_by_path(&next.file_content);
     let paths: BTreeSet<&String> = running.keys().chain(next.keys()).collect();
-    let differing = paths
+    let changed_paths = paths
         .into_iter()
         .filter(|path| running.get(*path) != next.get(*path));
-    differing
+    changed_paths
         .filter_map(|path| {
             Some(Difference {
                 path: path.clone(),
@@ -66,10 +66,10 @@
 }
 
 /// Returns how a change of this value takes effect; none for what a process reads only at its start (`known`, `seed`).
-fn effect(path: &str) -> Option<Effect> {
+fn effect(path: &str) -> Option<ChangeEffect> {
     match path.split(['.', '[']).next() {
-        Some("settings" | "discovery") => Some(Effect::Reload),
-        Some("name" | "listen" | "admin_addr" | "limits") => Some(Effect::Restart),
+        Some("settings" | "discovery") => Some(ChangeEffect::Reload),
+        Some("name" | "listen" | "admin_addr" | "limits") => Some(ChangeEffect::Restart),
         _ => None,
     }
 }
@@ -77,9 +77,9 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let effect = match self.effect {
-            Effect::Reload => "SIGHUP changes",
-            Effect::Restart => "only a restart changes",
-            Effect::Rejected => {
+            ChangeEffect::Reload => "SIGHUP changes",
+            ChangeEffect::Restart => "only a restart changes",
+            ChangeEffect::Rejected => {
                 return write!(
                     f,
                     "turned down: {} is missing, which was there before",
@@ -91,12 +91,12 @@
             f,
             "{effect} {}: {} to {}",
             self.path,
-            shown(self.running.as_ref()),
-            shown(self.next.as_ref())
+            format_value(self.running.as_ref()),
+            format_value(self.next.as_ref())
         )
     }
 }
 
-fn shown(value: Option<&Value>) -> String {
+fn format_value(value: Option<&Value>) -> String {
     value.map_or_else(|| "absent".to_owned(), Value::to_string)
 }
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -12,7 +12,7 @@
 
 /// Where a value comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum ValueOrigin {
     /// The configuration file.
     File,
     /// The default, because the file does not have it.
@@ -31,7 +31,7 @@
     /// The unit, and for times the value in a readable form.
     pub unit: Option<String>,
     /// Where the value comes from.
-    pub origin: Origin,
+    pub origin: ValueOrigin,
 }
 
 /// The units of keys other than times, by the end of the path.
@@ -63,7 +63,7 @@
             path: ADMIN_KEY.to_owned(),
             value: Value::from(address.to_string()),
             unit: None,
-            origin: Origin::Environment,
+            origin: ValueOrigin::Environment,
         });
     }
     values.extend(parsed.document.cached_list.as_ref().map(cached_list_size));
@@ -82,9 +82,9 @@
         .map(|(path, value)| EffectiveValue {
             unit: unit(&path, &value),
             origin: if file_paths.contains(&path) {
-                Origin::File
+                ValueOrigin::File
             } else {
-                Origin::Default
+                ValueOrigin::Default
             },
             path,
             value,
@@ -97,7 +97,7 @@
         path: CACHED_LIST_KEY.to_owned(),
         value: Value::from(list.endpoints.len()),
         unit: Some(format!("endpoints, version {}", list.index)),
-        origin: Origin::File,
+        origin: ValueOrigin::File,
     }
 }
 
@@ -112,12 +112,12 @@
         .map(|(_, unit)| (*unit).to_owned())
 }
 
-impl fmt::Display for Origin {
+impl fmt::Display for ValueOrigin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Origin::File => "file",
-            Origin::Default => "default",
-            Origin::Environment => ADMIN_VARIABLE,
+            ValueOrigin::File => "file",
+            ValueOrigin::Default => "default",
+            ValueOrigin::Environment => ADMIN_VARIABLE,
         })
     }
 }
--- a/src/configuration/leaf_values.rs
+++ b/src/configuration/leaf_values.rs
@@ -6,11 +6,11 @@
 /// `settings.categories[0].worth`.
 pub(super) fn leaf_values(document: &Value) -> Vec<(String, Value)> {
     let mut leaves = Vec::new();
-    collect("", document, &mut leaves);
+    collect_leaves("", document, &mut leaves);
     leaves
 }
 
-fn collect(path: &str, value: &Value, leaves: &mut Vec<(String, Value)>) {
+fn collect_leaves(path: &str, value: &Value, leaves: &mut Vec<(String, Value)>) {
     match value {
         Value::Object(object) => {
             for (key, inner) in object {
@@ -19,12 +19,12 @@
                 } else {
                     format!("{path}.{key}")
                 };
-                collect(&path, inner, leaves);
+                collect_leaves(&path, inner, leaves);
             }
         }
         Value::Array(elements) if elements.iter().any(Value::is_object) => {
             for (position, inner) in elements.iter().enumerate() {
-                collect(&format!("{path}[{position}]"), inner, leaves);
+                collect_leaves(&format!("{path}[{position}]"), inner, leaves);
             }
         }
         leaf => leaves.push((path.to_owned(), leaf.clone())),
--- a/src/configuration/missing_key.rs
+++ b/src/configuration/missing_key.rs
@@ -32,7 +32,7 @@
                 })
         }
         (Value::Array(earlier), Value::Array(later)) => {
-            let common = with_common_keys(earlier)?;
+            let common = object_of_common_keys(earlier)?;
             later.iter().enumerate().find_map(|(position, element)| {
                 missing_key(&common, element).map(|rest| format!("{position}.{rest}"))
             })
@@ -42,7 +42,7 @@
 }
 
 /// Returns the first element with only the keys that all elements have; null where an element is not an object.
-fn with_common_keys(elements: &[Value]) -> Option<Value> {
+fn object_of_common_keys(elements: &[Value]) -> Option<Value> {
     elements
         .iter()
         .cloned()
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -17,9 +17,9 @@
 mod variables;
 
 pub use config::Config;
-pub use difference::{Difference, Effect, differences};
+pub use difference::{ChangeEffect, Difference, differences};
 pub use document::{ConfigurationDocument, ProcessLimitsDocument, Seed, SeedError};
-pub use effective_value::{EffectiveValue, Origin, effective_values};
+pub use effective_value::{EffectiveValue, ValueOrigin, effective_values};
 pub use error::ConfigError;
 pub use parse::{ParsedConfiguration, UnknownKey, parse, unknown_keys};
 pub use reload_baseline::ReloadBaseline;
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -36,14 +36,15 @@
 /// # Errors
 /// Returns all that is wrong with it.
 pub fn parse(text: &str) -> Result<ParsedConfiguration, ValidationErrors> {
-    let json = read_json(text).map_err(|error| ValidationErrors(vec![not_json(&error)]))?;
+    let json =
+        read_json(text).map_err(|error| ValidationErrors(vec![json_syntax_error(&error)]))?;
     let document = read_document(text, &json)?;
     let settings = Settings::try_from(document.settings.clone())
-        .map_err(|error| ValidationErrors(vec![invalid_settings(error.to_string())]))?;
+        .map_err(|error| ValidationErrors(vec![settings_conversion_error(error.to_string())]))?;
     let errors: Vec<ValidationError> = settings
         .validation_errors()
         .iter()
-        .map(invalid_setting)
+        .map(settings_validation_error)
         .collect();
     if !errors.is_empty() {
         return Err(ValidationErrors(errors));
@@ -59,10 +60,11 @@
 #[must_use]
 pub fn unknown_keys(text: &str) -> Vec<UnknownKey> {
     let mut keys = Vec::new();
-    let mut note = |path: serde_ignored::Path<'_>| keys.push(UnknownKey(path.to_string()));
+    let mut record_unknown_key =
+        |path: serde_ignored::Path<'_>| keys.push(UnknownKey(path.to_string()));
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let document: Result<ConfigurationDocument, _> =
-        serde_ignored::deserialize(&mut deserializer, &mut note);
+        serde_ignored::deserialize(&mut deserializer, &mut record_unknown_key);
     drop(document); // errors are reported by `parse`
     keys
 }
@@ -92,30 +94,30 @@
 
 /// Returns all errors of a document. Reading ends at the first error, so the schema is checked for all; the first one is
 /// returned where the schema does not cover it.
-fn all_errors(value: &Value, first: ValidationError) -> Vec<ValidationError> {
+fn all_errors(value: &Value, reading_error: ValidationError) -> Vec<ValidationError> {
     let errors = schema_errors(value);
     if errors.is_empty() {
-        vec![first]
+        vec![reading_error]
     } else {
         errors
     }
 }
 
-fn not_json(error: &serde_json::Error) -> ValidationError {
+fn json_syntax_error(error: &serde_json::Error) -> ValidationError {
     ValidationError {
         path: String::new(),
         message: format!("it is no JSON: {error}"),
     }
 }
 
-fn invalid_settings(message: String) -> ValidationError {
+fn settings_conversion_error(message: String) -> ValidationError {
     ValidationError {
         path: "settings".into(),
         message,
     }
 }
 
-fn invalid_setting(error: &SettingsError) -> ValidationError {
+fn settings_validation_error(error: &SettingsError) -> ValidationError {
     ValidationError {
         path: format!("settings.{}", document_key_path(&error.field)),
         message: error.problem.into(),
--- a/src/configuration/reload_baseline.rs
+++ b/src/configuration/reload_baseline.rs
@@ -10,7 +10,7 @@
 
 impl ReloadBaseline {
     /// Takes the settings as the file has them, so that values with a default count as missing, too.
-    pub(super) fn of(file_content: &Value, limits: &ProcessLimitsDocument) -> Self {
+    pub(super) fn new(file_content: &Value, limits: &ProcessLimitsDocument) -> Self {
         ReloadBaseline(json!({
             "settings": file_content["settings"],
             "limits": limits,
--- a/src/configuration/restart_values.rs
+++ b/src/configuration/restart_values.rs
@@ -10,7 +10,7 @@
 pub struct RestartValues([(&'static str, Value); 4]);
 
 impl RestartValues {
-    pub(super) fn of(document: &ConfigurationDocument) -> Self {
+    pub(super) fn from_document(document: &ConfigurationDocument) -> Self {
         RestartValues([
             ("name", json!(document.name)),
             ("listen", json!(document.listen)),
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -3,9 +3,9 @@
 use super::backoff::Backoff;
 use super::consumer::ListConsumer;
 use super::error::{DiscoveryError, DiscoveryFailure};
-use super::hedged_call::fetch_with_hedging;
+use super::hedged_call::call_with_hedging;
 use super::list::EndpointList;
-use super::list_decoder::{ListDecoder, MAX_LIST_BYTES, Progress};
+use super::list_decoder::{ChunkContent, ListDecoder, MAX_LIST_BYTES};
 use super::source::Source;
 use crate::policy::DISCOVERY_TIMEOUT;
 use bytes::BytesMut;
@@ -47,7 +47,7 @@
             consumer.log(format_args!("the watch on discovery's agent ended: {end}"));
         }
         let call_duration = match end.stage {
-            WatchStage::Opening { took, .. } => took,
+            WatchStage::Opening { elapsed, .. } => elapsed,
             WatchStage::Open { .. } => Duration::ZERO,
         };
         sleep(backoff.delay_after(call_duration)).await;
@@ -55,7 +55,7 @@
 }
 
 /// The longest time that one list may take to arrive: a later answer would be newer.
-const MAX_LIST_TRANSFER: Duration = Duration::from_secs(30);
+const MAX_LIST_TRANSFER_TIME: Duration = Duration::from_secs(30);
 
 /// Fetches the full list once, and reports a failure to the consumer.
 pub async fn fetch<C: ListConsumer>(consumer: C, source: Source) {
@@ -69,7 +69,7 @@
     if let Err(error) = received {
         consumer.fetch_failed(source);
         consumer.log(format_args!("the fetch from discovery failed: {error}"));
-        consumer.discovery_failed(source, error.failure_of_call());
+        consumer.discovery_failed(source, error.call_failure());
     }
 }
 
@@ -79,8 +79,8 @@
     backoff: &mut Backoff,
 ) -> Result<EndpointList, DiscoveryError> {
     let on_hedge = |is_reached| consumer.call_hedged(source, is_reached);
-    let body = fetch_with_hedging(source.address, LIST_PATH, backoff, on_hedge).await?;
-    let body = timeout(MAX_LIST_TRANSFER, collect_list(body)).await??;
+    let body = call_with_hedging(source.address, LIST_PATH, backoff, on_hedge).await?;
+    let body = timeout(MAX_LIST_TRANSFER_TIME, collect_list(body)).await??;
     Ok(serde_json::from_slice(&body)?)
 }
 
@@ -111,14 +111,14 @@
         /// The version from which the watch was to resume, if one was known.
         since: Option<u64>,
         /// The time since the first call.
-        took: Duration,
+        elapsed: Duration,
     },
     /// The watch was open.
     Open {
         /// For how long.
-        lasted: Duration,
+        duration: Duration,
         /// The number of lists received on it.
-        lists: u64,
+        list_count: u64,
         /// When something was last received on it.
         last_received_at: Instant,
     },
@@ -128,7 +128,7 @@
     /// Returns what the failure says of the next call.
     fn failure(&self) -> DiscoveryFailure {
         match self.stage {
-            WatchStage::Opening { .. } => self.error.failure_of_call(),
+            WatchStage::Opening { .. } => self.error.call_failure(),
             WatchStage::Open { .. } => DiscoveryFailure::Lost,
         }
     }
@@ -148,14 +148,21 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.error)?;
         match self.stage {
-            WatchStage::Opening { since, took } => {
+            WatchStage::Opening { since, elapsed } => {
                 let since = since.map_or("no version".into(), |since| format!("version {since}"));
-                let took = took.as_secs_f64();
-                write!(formatter, " (not opened after {took:.3} s, since {since})")
+                let elapsed = elapsed.as_secs_f64();
+                write!(
+                    formatter,
+                    " (not opened after {elapsed:.3} s, since {since})"
+                )
             }
-            WatchStage::Open { lasted, lists, .. } => {
-                let lasted = lasted.as_secs_f64();
-                write!(formatter, " (open for {lasted:.3} s, {lists} lists)")
+            WatchStage::Open {
+                duration,
+                list_count,
+                ..
+            } => {
+                let duration = duration.as_secs_f64();
+                write!(formatter, " (open for {duration:.3} s, {list_count} lists)")
             }
         }
     }
@@ -174,7 +181,7 @@
         Err(error) => {
             let stage = WatchStage::Opening {
                 since: known_version,
-                took: called_at.elapsed(),
+                elapsed: called_at.elapsed(),
             };
             return WatchEnd { error, stage };
         }
@@ -188,8 +195,8 @@
     let mut events = WatchEvents::new(opened_at);
     let Err(error) = events.receive(consumer, source, body).await;
     let stage = WatchStage::Open {
-        lasted: opened_at.elapsed(),
-        lists: events.lists,
+        duration: opened_at.elapsed(),
+        list_count: events.list_count,
         last_received_at: events.last_received_at,
     };
     WatchEnd { error, stage }
@@ -216,7 +223,7 @@
     };
     let path = format!("{LIST_PATH}?follow=1&since={version}");
     let on_hedge = |is_reached| consumer.call_hedged(source, is_reached);
-    let body = fetch_with_hedging(source.address, &path, backoff, on_hedge).await?;
+    let body = call_with_hedging(source.address, &path, backoff, on_hedge).await?;
     consumer.watch_opened(source);
     Ok(body)
 }
@@ -225,7 +232,7 @@
 struct WatchEvents {
     decoder: ListDecoder,
     /// The number of lists received.
-    lists: u64,
+    list_count: u64,
     /// When a list was completed or a heartbeat came; at first, when the watch was opened.
     last_received_at: Instant,
     /// When the last part of an incomplete list came, if that was later.
@@ -236,7 +243,7 @@
     fn new(opened_at: Instant) -> Self {
         WatchEvents {
             decoder: ListDecoder::default(),
-            lists: 0,
+            list_count: 0,
             last_received_at: opened_at,
             last_part_at: opened_at,
         }
@@ -245,7 +252,7 @@
     /// Receives the events of a watch until it fails, ends or is silent for [`DISCOVERY_TIMEOUT`].
     ///
     /// Heartbeats count as silence while a list is incomplete, because its rest may never come. Parts of it do not, for
-    /// [`MAX_LIST_TRANSFER`].
+    /// [`MAX_LIST_TRANSFER_TIME`].
     async fn receive<C: ListConsumer>(
         &mut self,
         consumer: &C,
@@ -259,25 +266,25 @@
             let Ok(chunk) = frame?.into_data() else {
                 continue;
             };
-            let lists = &mut self.lists;
-            let progress = self.decoder.decode(&chunk, |list| {
-                *lists += 1;
+            let list_count = &mut self.list_count;
+            let content = self.decoder.decode(&chunk, |list| {
+                *list_count += 1;
                 consumer.list_received(source, list)
             })?;
-            match progress {
-                Progress::Alive => {
+            match content {
+                ChunkContent::ListOrHeartbeat => {
                     self.last_received_at = Instant::now();
                     consumer.list_confirmed(source);
                 }
-                Progress::Partial => self.last_part_at = Instant::now(),
-                Progress::Incomplete => {}
+                ChunkContent::PartOfList => self.last_part_at = Instant::now(),
+                ChunkContent::NothingNew => {}
             }
         }
     }
 
     fn silence_deadline(&self) -> Instant {
         let last_progress_at = self.last_received_at.max(self.last_part_at);
-        let latest = self.last_received_at + MAX_LIST_TRANSFER;
+        let latest = self.last_received_at + MAX_LIST_TRANSFER_TIME;
         latest.min(last_progress_at + DISCOVERY_TIMEOUT)
     }
 }
--- a/src/discovery/error.rs
+++ b/src/discovery/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the discovery client.
 
-use super::list_scanner::NotAnObject;
+use super::list_scanner::MalformedStreamError;
 use hyper::StatusCode;
 use std::io;
 
@@ -44,7 +44,7 @@
     Json(#[from] serde_json::Error),
     /// The stream is not a sequence of lists.
     #[error(transparent)]
-    NotAnObject(#[from] NotAnObject),
+    MalformedStream(#[from] MalformedStreamError),
     /// A message exceeds the maximum size of a list.
     #[error("the list exceeds the maximum size")]
     TooLong,
@@ -56,7 +56,7 @@
 impl DiscoveryError {
     /// Returns what the failure of a call says of the next one. A crowded discovery answers with an error status or resets
     /// the connection.
-    pub(super) fn failure_of_call(&self) -> DiscoveryFailure {
+    pub(super) fn call_failure(&self) -> DiscoveryFailure {
         match self {
             DiscoveryError::Status(_) | DiscoveryError::Http(_) => DiscoveryFailure::Rejected,
             _ => DiscoveryFailure::Lost,
--- a/src/discovery/hedged_call.rs
+++ b/src/discovery/hedged_call.rs
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// Returns the last error once all outstanding calls have failed.
-pub(super) async fn fetch_with_hedging(
+pub(super) async fn call_with_hedging(
     address: SocketAddr,
     path: &str,
     backoff: &mut Backoff,
--- a/src/discovery/list_decoder.rs
+++ b/src/discovery/list_decoder.rs
@@ -17,18 +17,18 @@
     scanner: ListScanner,
     /// How often a list was parsed.
     #[cfg(test)]
-    pub(super) parses: usize,
+    pub(super) parse_count: usize,
 }
 
 /// What a chunk has added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Progress {
+pub(super) enum ChunkContent {
     /// A list was completed, or no list is incomplete and the chunk is a heartbeat.
-    Alive,
+    ListOrHeartbeat,
     /// A list is incomplete, and the chunk is a part of it.
-    Partial,
+    PartOfList,
     /// A list is incomplete, and the chunk added nothing to it.
-    Incomplete,
+    NothingNew,
 }
 
 impl ListDecoder {
@@ -41,34 +41,34 @@
         &mut self,
         chunk: &[u8],
         mut receive: impl FnMut(EndpointList) -> Result<(), StaleListError>,
-    ) -> Result<Progress, DiscoveryError> {
+    ) -> Result<ChunkContent, DiscoveryError> {
         let mut has_completed_list = false;
         let mut has_content = false;
-        let mut unread_from = 0;
+        let mut uncopied_from = 0;
         for (position, byte) in chunk.iter().enumerate() {
             match self.scanner.scan(*byte)? {
-                ScannedByte::Between => unread_from = position + 1,
+                ScannedByte::BetweenObjects => uncopied_from = position + 1,
                 ScannedByte::Whitespace => {}
                 ScannedByte::Content => has_content = true,
-                ScannedByte::End => {
+                ScannedByte::ObjectEnd => {
                     self.incomplete
-                        .extend_from_slice(&chunk[unread_from..=position]);
-                    unread_from = position + 1;
+                        .extend_from_slice(&chunk[uncopied_from..=position]);
+                    uncopied_from = position + 1;
                     receive(self.parse_list()?)?;
                     has_completed_list = true;
                 }
             }
         }
-        self.incomplete.extend_from_slice(&chunk[unread_from..]);
+        self.incomplete.extend_from_slice(&chunk[uncopied_from..]);
         if self.incomplete.len() > MAX_LIST_BYTES {
             return Err(DiscoveryError::TooLong);
         }
         Ok(if has_completed_list || self.incomplete.is_empty() {
-            Progress::Alive
+            ChunkContent::ListOrHeartbeat
         } else if has_content {
-            Progress::Partial
+            ChunkContent::PartOfList
         } else {
-            Progress::Incomplete
+            ChunkContent::NothingNew
         })
     }
 
@@ -76,7 +76,7 @@
     fn parse_list(&mut self) -> Result<EndpointList, DiscoveryError> {
         #[cfg(test)]
         {
-            self.parses += 1;
+            self.parse_count += 1;
         }
         let list = serde_json::from_slice(&self.incomplete);
         self.incomplete.advance(self.incomplete.len());
--- a/src/discovery/list_decoder_tests.rs
+++ b/src/discovery/list_decoder_tests.rs
@@ -1,63 +1,70 @@
 //! Tests of the decoder of a watch's stream.
 
 use super::error::{DiscoveryError, StaleListError};
-use super::list_decoder::{ListDecoder, MAX_LIST_BYTES, Progress};
+use super::list_decoder::{ChunkContent, ListDecoder, MAX_LIST_BYTES};
 
 const FIRST_LIST: &str = "{\"index\":1,\"snapshot\":true,\"endpoints\":[]}\n";
 const SECOND_LIST: &str = "{\"index\":2,\"snapshot\":false,\"endpoints\":[]}\n";
 
 /// Decodes a chunk and returns the versions of the lists that it completes.
-fn decode(decoder: &mut ListDecoder, chunk: &str) -> (Vec<u64>, Result<Progress, DiscoveryError>) {
+fn decode(
+    decoder: &mut ListDecoder,
+    chunk: &str,
+) -> (Vec<u64>, Result<ChunkContent, DiscoveryError>) {
     let mut versions = Vec::new();
-    let progress = decoder.decode(chunk.as_bytes(), |list| {
+    let content = decoder.decode(chunk.as_bytes(), |list| {
         versions.push(list.index);
         Ok(())
     });
-    (versions, progress)
+    (versions, content)
 }
 
 /// Guards lists that are split: each counts with the chunk that completes it, and an incomplete one has no effect.
 #[test]
-fn list_is_passed_on_with_the_chunk_that_completes_it() {
+fn list_is_decoded_with_its_last_chunk() {
     let mut decoder = ListDecoder::default();
-    let (begin, end) = SECOND_LIST.split_at(SECOND_LIST.len() / 2);
+    let (beginning, end) = SECOND_LIST.split_at(SECOND_LIST.len() / 2);
 
-    let (versions, progress) = decode(&mut decoder, &format!("{FIRST_LIST}{begin}"));
+    let (versions, content) = decode(&mut decoder, &format!("{FIRST_LIST}{beginning}"));
     assert_eq!(versions, [1]);
-    assert_eq!(progress.expect("well-formed"), Progress::Alive);
+    assert_eq!(content.expect("well-formed"), ChunkContent::ListOrHeartbeat);
 
-    let (versions, progress) = decode(&mut decoder, end);
+    let (versions, content) = decode(&mut decoder, end);
     assert_eq!(versions, [2]);
-    assert_eq!(progress.expect("well-formed"), Progress::Alive);
+    assert_eq!(content.expect("well-formed"), ChunkContent::ListOrHeartbeat);
 }
 
 /// Guards the silence time-out: a heartbeat is progress between lists, not within an incomplete one.
 #[test]
-fn heartbeat_is_no_progress_within_an_incomplete_list() {
+fn heartbeat_within_an_incomplete_list_adds_nothing() {
     let mut decoder = ListDecoder::default();
-    let (_, progress) = decode(&mut decoder, "\n");
-    assert_eq!(progress.expect("well-formed"), Progress::Alive);
+    let (_, content) = decode(&mut decoder, "\n");
+    assert_eq!(content.expect("well-formed"), ChunkContent::ListOrHeartbeat);
 
     decode(&mut decoder, "{\"index\":1").1.expect("well-formed");
-    let (versions, progress) = decode(&mut decoder, "\n");
+    let (versions, content) = decode(&mut decoder, "\n");
     assert!(versions.is_empty());
-    assert_eq!(progress.expect("well-formed"), Progress::Incomplete);
+    assert_eq!(content.expect("well-formed"), ChunkContent::NothingNew);
 }
 
 /// Guards long lists that arrive slowly: each part of one is progress, though it completes nothing.
 #[test]
-fn part_of_an_incomplete_list_is_progress() {
+fn part_of_an_incomplete_list_counts() {
     let mut decoder = ListDecoder::default();
     for part in ["{\"index\":1,", "\"snapshot\":", "true,\"endpoints\":["] {
-        let (versions, progress) = decode(&mut decoder, part);
+        let (versions, content) = decode(&mut decoder, part);
         assert!(versions.is_empty());
-        assert_eq!(progress.expect("well-formed"), Progress::Partial, "{part}");
+        assert_eq!(
+            content.expect("well-formed"),
+            ChunkContent::PartOfList,
+            "{part}"
+        );
     }
     assert_eq!(decode(&mut decoder, "]}").0, [1]);
 }
 
 /// Guards the processor against lists of thousands of endpoints in small pieces: each list is parsed once, and not anew with
-/// each piece, which took time by the square of its length.
+/// each chunk, which took time by the square of its length.
 #[test]
 fn long_list_in_small_pieces_is_parsed_once() {
     let entry = "{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\",\
@@ -65,11 +72,11 @@
     let entries = [entry; 200].join(",");
     let list = format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{entries}]}}\n");
     let mut decoder = ListDecoder::default();
-    for piece in list.as_bytes().chunks(64) {
-        let text = std::str::from_utf8(piece).expect("ASCII");
+    for chunk in list.as_bytes().chunks(64) {
+        let text = std::str::from_utf8(chunk).expect("ASCII");
         decode(&mut decoder, text).1.expect("well-formed");
     }
-    assert_eq!(decoder.parses, 1);
+    assert_eq!(decoder.parse_count, 1);
 }
 
 /// Guards every way to split a stream, with brackets and quotes in strings: the lists are the same.
@@ -84,8 +91,8 @@
         let mut versions = Vec::new();
         for chunk in stream.as_bytes().chunks(chunk_bytes) {
             let text = std::str::from_utf8(chunk).expect("ASCII");
-            let (received, progress) = decode(&mut decoder, text);
-            progress.expect("well-formed");
+            let (received, content) = decode(&mut decoder, text);
+            content.expect("well-formed");
             versions.extend(received);
         }
         assert_eq!(versions, [1, 3, 2], "{chunk_bytes} bytes a chunk");
@@ -95,27 +102,27 @@
 /// Guards against a list that broke off and is followed by another one: wherever it broke off, that is noticed with the
 /// list after that at the latest.
 #[test]
-fn list_that_broke_off_is_noticed() {
+fn truncated_list_is_detected() {
     let list = "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"group\":12}]}";
-    for broken_off in 1..list.len() {
+    for truncated_at in 1..list.len() {
         let mut decoder = ListDecoder::default();
-        let chunks = [&list[..broken_off], "\n", FIRST_LIST, SECOND_LIST];
-        let is_noticed = chunks
+        let chunks = [&list[..truncated_at], "\n", FIRST_LIST, SECOND_LIST];
+        let is_detected = chunks
             .iter()
             .any(|chunk| decode(&mut decoder, chunk).1.is_err());
-        assert!(is_noticed, "{}", &list[..broken_off]);
+        assert!(is_detected, "{}", &list[..truncated_at]);
     }
 }
 
 /// Guards the lists before a malformed one: they count.
 #[test]
-fn lists_before_a_malformed_one_are_passed_on() {
-    let (versions, progress) = decode(
+fn lists_before_a_malformed_one_are_decoded() {
+    let (versions, content) = decode(
         &mut ListDecoder::default(),
         &format!("{FIRST_LIST}{{\"index\":2}}\n"),
     );
     assert_eq!(versions, [1]);
-    assert!(matches!(progress, Err(DiscoveryError::Json(_))));
+    assert!(matches!(content, Err(DiscoveryError::Json(_))));
 }
 
 /// Guards the rejection of a list: it ends the stream, and later lists are not passed on.
@@ -123,11 +130,11 @@
 fn rejected_list_ends_the_stream() {
     let mut received = 0;
     let chunk = format!("{FIRST_LIST}{SECOND_LIST}");
-    let progress = ListDecoder::default().decode(chunk.as_bytes(), |_| {
+    let content = ListDecoder::default().decode(chunk.as_bytes(), |_| {
         received += 1;
         Err(StaleListError)
     });
-    assert!(matches!(progress, Err(DiscoveryError::StaleList(_))));
+    assert!(matches!(content, Err(DiscoveryError::StaleList(_))));
     assert_eq!(received, 1);
 }
 
@@ -135,7 +142,7 @@
 #[test]
 fn incomplete_list_above_the_maximum_size_is_an_error() {
     let name = "x".repeat(MAX_LIST_BYTES);
-    let (versions, progress) = decode(&mut ListDecoder::default(), &format!("{{\"{name}"));
+    let (versions, content) = decode(&mut ListDecoder::default(), &format!("{{\"{name}"));
     assert!(versions.is_empty());
-    assert!(matches!(progress, Err(DiscoveryError::TooLong)));
+    assert!(matches!(content, Err(DiscoveryError::TooLong)));
 }
--- a/src/discovery/list_scanner.rs
+++ b/src/discovery/list_scanner.rs
@@ -4,19 +4,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScannedByte {
     /// White space between two objects.
-    Between,
+    BetweenObjects,
     /// A byte within an object that adds to it, as white space between its values does not.
     Content,
     /// White space between the values of an object.
     Whitespace,
     /// The last byte of an object.
-    End,
+    ObjectEnd,
 }
 
 /// The stream is not a sequence of JSON objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a JSON object")]
-pub(super) struct NotAnObject;
+pub(super) struct MalformedStreamError;
 
 /// Scans a sequence of JSON objects.
 ///
@@ -56,8 +56,8 @@
     /// Scans the next byte.
     ///
     /// # Errors
-    /// Returns [`NotAnObject`] if no sequence of objects goes on like this.
-    pub(super) fn scan(&mut self, byte: u8) -> Result<ScannedByte, NotAnObject> {
+    /// Returns [`MalformedStreamError`] if no sequence of objects goes on like this.
+    pub(super) fn scan(&mut self, byte: u8) -> Result<ScannedByte, MalformedStreamError> {
         match self.string {
             StringState::Outside => self.scan_outside_string(byte),
             StringState::Escaped => {
@@ -68,29 +68,29 @@
         }
     }
 
-    fn scan_in_string(&mut self, byte: u8) -> Result<ScannedByte, NotAnObject> {
+    fn scan_in_string(&mut self, byte: u8) -> Result<ScannedByte, MalformedStreamError> {
         match byte {
             b'\\' => self.string = StringState::Escaped,
             b'"' => {
                 self.string = StringState::Outside;
                 self.last_token = Some(Token::ValueEnd);
             }
-            _ if byte.is_ascii_control() => return Err(NotAnObject),
+            _ if byte.is_ascii_control() => return Err(MalformedStreamError),
             _ => {}
         }
         Ok(ScannedByte::Content)
     }
 
-    fn scan_outside_string(&mut self, byte: u8) -> Result<ScannedByte, NotAnObject> {
+    fn scan_outside_string(&mut self, byte: u8) -> Result<ScannedByte, MalformedStreamError> {
         if byte.is_ascii_whitespace() {
             return Ok(if self.depth == 0 {
-                ScannedByte::Between
+                ScannedByte::BetweenObjects
             } else {
                 ScannedByte::Whitespace
             });
         }
         if self.depth == 0 && byte != b'{' {
-            return Err(NotAnObject);
+            return Err(MalformedStreamError);
         }
         match byte {
             b'{' => self.open(Token::OpeningBrace)?,
@@ -101,20 +101,20 @@
             }
             b'"' if self.may_begin_string() => self.string = StringState::Inside,
             b',' | b':' => self.last_token = Some(Token::Separator),
-            b'"' => return Err(NotAnObject),
+            b'"' => return Err(MalformedStreamError),
             _ if self.may_continue_literal() => self.last_token = Some(Token::Literal),
-            _ => return Err(NotAnObject),
+            _ => return Err(MalformedStreamError),
         }
         Ok(if self.depth == 0 {
-            ScannedByte::End
+            ScannedByte::ObjectEnd
         } else {
             ScannedByte::Content
         })
     }
 
-    fn open(&mut self, bracket: Token) -> Result<(), NotAnObject> {
+    fn open(&mut self, bracket: Token) -> Result<(), MalformedStreamError> {
         if self.depth > 0 && !self.may_begin_value() {
-            return Err(NotAnObject);
+            return Err(MalformedStreamError);
         }
         self.depth += 1;
         self.last_token = Some(bracket);
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -16,7 +16,7 @@
     /// The version of the last list from the current source. Versions of different sources are not comparable.
     version: Option<u64>,
     /// Whether the last list from the current source was a full list that was rejected as stale.
-    has_rejected_stale_snapshot: bool,
+    has_rejected_stale_full_list: bool,
 }
 
 /// The last listed state of an endpoint.
@@ -100,11 +100,11 @@
     /// Returns [`StaleListError`] if the list is rejected; it must not be applied then.
     pub fn accept(&mut self, list: &mut EndpointList) -> Result<(), StaleListError> {
         let is_stale = self.version.is_some_and(|version| list.index < version);
-        if is_stale && !(list.snapshot && self.has_rejected_stale_snapshot) {
-            self.has_rejected_stale_snapshot = list.snapshot;
+        if is_stale && !(list.snapshot && self.has_rejected_stale_full_list) {
+            self.has_rejected_stale_full_list = list.snapshot;
             return Err(StaleListError);
         }
-        self.has_rejected_stale_snapshot = false;
+        self.has_rejected_stale_full_list = false;
         let is_first = self.version.replace(list.index).is_none();
         if is_first || is_stale {
             for entry in &mut list.endpoints {
@@ -139,7 +139,7 @@
                 readiness: entry.readiness,
                 started_at: entry.started_at,
             };
-            self.update_member(&entry.endpoint, member, &mut stale_endpoints);
+            self.apply_entry(&entry.endpoint, member, &mut stale_endpoints);
         }
         ListUpdate {
             entries,
@@ -161,7 +161,7 @@
     }
 
     /// Applies one entry of a list.
-    fn update_member(
+    fn apply_entry(
         &mut self,
         endpoint: &EndpointId,
         member: Member,
@@ -194,7 +194,7 @@
         };
         for (endpoint, _) in self.members.extract_if(|_, member| is_replaced(member)) {
             update.entries.retain(|entry| entry.endpoint != endpoint);
-            update.entries.push(removal_of(endpoint.clone()));
+            update.entries.push(removal_entry(endpoint.clone()));
             update.stale_endpoints.push(endpoint);
         }
     }
@@ -212,7 +212,7 @@
 }
 
 /// Returns the entry that removes an endpoint; its other fields have no meaning.
-fn removal_of(endpoint: EndpointId) -> EndpointEntry {
+fn removal_entry(endpoint: EndpointId) -> EndpointEntry {
     EndpointEntry {
         endpoint,
         zone: "".into(),
--- a/src/discovery/subscription_tests.rs
+++ b/src/discovery/subscription_tests.rs
@@ -20,7 +20,7 @@
 /// Guards the endpoints during a move: lists of the previous discovery apply until the current one has sent a list, and
 /// not after.
 #[test]
-fn previous_source_counts_until_the_current_one_has_sent_a_list() {
+fn previous_source_applies_until_the_first_current_list() {
     let mut subscription = Subscription::new(address(1));
     let previous = subscription.source();
     assert_eq!(
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -58,10 +58,10 @@
         if read == 0 {
             break;
         }
-        let progress = adapter
+        let reply_state = adapter
             .handle_line(without_line_end(&text))
             .map_err(|source| AdapterError::Wire { line, source })?;
-        if progress == Progress::ReplyComplete {
+        if reply_state == ReplyState::Complete {
             write_reply(&mut output, &adapter.reply).map_err(AdapterError::Write)?;
             adapter.reply.clear();
         }
@@ -84,9 +84,9 @@
 
 /// Whether a line has completed the reply to its batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Progress {
-    MoreToCome,
-    ReplyComplete,
+enum ReplyState {
+    Incomplete,
+    Complete,
 }
 
 /// One instance of the decision module.
@@ -108,18 +108,18 @@
 }
 
 impl Adapter {
-    fn handle_line(&mut self, line: &str) -> Result<Progress, WireError> {
+    fn handle_line(&mut self, line: &str) -> Result<ReplyState, WireError> {
         let message = match parse_message(line)? {
             Message::ListEntry(entry) => {
                 self.lists.add(entry)?;
-                return Ok(Progress::MoreToCome);
+                return Ok(ReplyState::Incomplete);
             }
             message => message,
         };
         self.lists.require_complete()?;
         if let Message::BatchStart { at } = message {
             self.start_batch(at)?;
-            return Ok(Progress::MoreToCome);
+            return Ok(ReplyState::Incomplete);
         }
         let now = self
             .batch_time
@@ -144,7 +144,7 @@
         &mut self,
         now: Timestamp,
         message: Message<'_>,
-    ) -> Result<Progress, WireError> {
+    ) -> Result<ReplyState, WireError> {
         match message {
             Message::ListStart { list, entries } => self.lists.start(list, entries),
             Message::InstanceStart {
@@ -181,12 +181,12 @@
             Message::BatchEnd => {
                 self.batch_time = None;
                 self.reply.push_str(REPLY_END);
-                return Ok(Progress::ReplyComplete);
+                return Ok(ReplyState::Complete);
             }
             // Handled before, in and outside batches.
             Message::ListEntry(_) | Message::BatchStart { .. } => {}
         }
-        Ok(Progress::MoreToCome)
+        Ok(ReplyState::Incomplete)
     }
 
     fn start_instance(
@@ -195,7 +195,7 @@
         seed: u64,
         settings: Settings,
     ) -> Result<(), WireError> {
-        let ids = IdTable::of(&settings);
+        let ids = IdTable::from_settings(&settings);
         let balancer = Balancer::new(settings, seed)?;
         match self.instances.insert(number, Instance { balancer, ids }) {
             Some(_) => Err(WireError::InstanceAlreadyRunning(number)),
--- a/src/simulator/endpoint_lists.rs
+++ b/src/simulator/endpoint_lists.rs
@@ -15,26 +15,26 @@
 #[derive(Debug)]
 struct PartialList {
     number: usize,
-    announced: usize,
+    entry_count: usize,
     entries: Vec<EndpointEntry>,
 }
 
 impl EndpointLists {
     /// Starts a list of so many entries. It replaces an earlier list with the same number.
-    pub(super) fn start(&mut self, number: usize, announced: usize) {
+    pub(super) fn start(&mut self, number: usize, entry_count: usize) {
         self.partial = Some(PartialList {
             number,
-            announced,
+            entry_count,
             entries: Vec::new(),
         });
-        self.complete_if_full();
+        self.store_if_complete();
     }
 
     /// Adds an entry to the list that was started last.
     pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), WireError> {
         let partial = self.partial.as_mut().ok_or(WireError::EntryOutsideList)?;
         partial.entries.push(entry);
-        self.complete_if_full();
+        self.store_if_complete();
         Ok(())
     }
 
@@ -44,7 +44,7 @@
             Some(partial) => Err(WireError::IncompleteList {
                 list: partial.number,
                 received: partial.entries.len(),
-                announced: partial.announced,
+                announced: partial.entry_count,
             }),
             None => Ok(()),
         }
@@ -56,12 +56,12 @@
         list.cloned().ok_or(WireError::UnknownList(number))
     }
 
-    fn complete_if_full(&mut self) {
-        let full = self
+    fn store_if_complete(&mut self) {
+        let completed = self
             .partial
-            .take_if(|partial| partial.entries.len() >= partial.announced);
-        if let Some(full) = full {
-            self.complete[full.number] = Some(Arc::from(full.entries));
+            .take_if(|partial| partial.entries.len() >= partial.entry_count);
+        if let Some(completed) = completed {
+            self.complete[completed.number] = Some(Arc::from(completed.entries));
         }
     }
 }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -17,7 +17,7 @@
     },
     /// A field is missing.
     #[error("{message}: {field} is missing")]
-    Missing {
+    MissingField {
         /// The name of the message.
         message: String,
         /// The name of the field.
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -26,7 +26,7 @@
 
 impl IdTable {
     /// Returns the table for these settings.
-    pub(super) fn of(settings: &Settings) -> Self {
+    pub(super) fn from_settings(settings: &Settings) -> Self {
         let classes = settings
             .classes
             .iter()
@@ -56,7 +56,7 @@
             request: request_id(fields)?,
             attempt: attempt(fields)?,
             outcome: fields.outcome()?,
-            took: took(fields)?,
+            took: time_taken(fields)?,
             request_ended: fields.flag("terminal")?,
             report: fields.load_report()?,
         }),
@@ -69,7 +69,7 @@
         "probe_result" => Event::HealthCheckEnded {
             endpoint: fields.text("endpoint")?.into(),
             outcome: fields.outcome()?,
-            took: took(fields)?,
+            took: time_taken(fields)?,
             report: fields.load_report()?,
         },
         "peer" => Event::PeerMessage {
@@ -88,7 +88,7 @@
     fields.number("attempt")
 }
 
-fn took(fields: &MessageFields<'_>) -> Result<Duration, WireError> {
+fn time_taken(fields: &MessageFields<'_>) -> Result<Duration, WireError> {
     Ok(Duration::from_nanos(fields.number("timeTakenNs")?))
 }
 
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -92,7 +92,7 @@
     if number < LIST_COUNT {
         Ok(number)
     } else {
-        Err(fields.unknown_value("list", value, "is not from 0 to 15"))
+        Err(fields.unknown_value_error("list", value, "is not from 0 to 15"))
     }
 }
 
@@ -110,7 +110,7 @@
         "C" => ListKind::Cached,
         "D" => ListKind::Changes,
         "X" => return Ok(Message::DiscoveryFailed(fields.instance()?)),
-        other => return Err(fields.unknown_value("kind", other, "is not known")),
+        other => return Err(fields.unknown_value_error("kind", other, "is not known")),
     };
     let list = list_number(fields)?;
     Ok(Message::ListReceived {
@@ -133,7 +133,7 @@
             "U" => Readiness::Serving,
             "L" => Readiness::Draining,
             "D" => Readiness::Removed,
-            other => return Err(fields.unknown_value("readiness", other, "is not known")),
+            other => return Err(fields.unknown_value_error("readiness", other, "is not known")),
         },
         size: fields.require_parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
         started_at: match fields.number_or_zero("upSinceNs")? {
--- a/src/simulator/message_fields.rs
+++ b/src/simulator/message_fields.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Fields whose value extends to the end of the line.
-const TEXT_FIELDS: [&str; 2] = ["params", "noteText"];
+const REST_OF_LINE_FIELDS: [&str; 2] = ["params", "noteText"];
 /// The maximum mean answer time in a load report, in milliseconds. Longer ones are cut to it.
 const MAX_MEAN_MS: f64 = 1e9;
 /// The capacity for the fields of a message, enough for most.
@@ -42,7 +42,7 @@
             if name.is_empty() || name.contains(' ') {
                 return Err(malformed(name));
             }
-            let (value, next) = if TEXT_FIELDS.contains(&name) {
+            let (value, next) = if REST_OF_LINE_FIELDS.contains(&name) {
                 (value, "")
             } else {
                 value.split_once(' ').unwrap_or((value, ""))
@@ -66,7 +66,7 @@
 
     /// Returns the value of a field, or an error if it is missing.
     pub(super) fn text(&self, field: &'static str) -> Result<&'a str, WireError> {
-        self.find(field).ok_or_else(|| WireError::Missing {
+        self.find(field).ok_or_else(|| WireError::MissingField {
             message: self.message.into(),
             field,
         })
@@ -88,7 +88,7 @@
     }
 
     /// Returns the error that a value is not among the allowed ones.
-    pub(super) fn unknown_value(
+    pub(super) fn unknown_value_error(
         &self,
         field: &'static str,
         value: &str,
@@ -153,7 +153,7 @@
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
             249 => Outcome::NotSent,
-            _ => return Err(self.unknown_value("ending", value, "is no completion code")),
+            _ => return Err(self.unknown_value_error("ending", value, "is no completion code")),
         })
     }
 
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -48,7 +48,7 @@
         .remove("sendCap");
     let (code, errors, _) = check(&directory, &document);
     assert_eq!((code, errors.len()), (Some(2), 4), "{errors:?}");
-    for (path, says) in [
+    for (path, expected_message) in [
         ("limits.memory_mb: ", "\"much\" is not of type \"integer\""),
         ("settings.discovery: ", "perhaps"),
         (
@@ -60,8 +60,8 @@
         assert!(
             errors
                 .iter()
-                .any(|error| error.starts_with(path) && error.contains(says)),
-            "{path}{says}: {errors:?}"
+                .any(|error| error.starts_with(path) && error.contains(expected_message)),
+            "{path}{expected_message}: {errors:?}"
         );
     }
 }
@@ -90,7 +90,7 @@
 
 /// Guards what the schema does not cover: addresses and files that are not JSON or not there.
 #[test]
-fn check_reports_one_error_for_an_invalid_address_and_for_broken_json() {
+fn check_reports_errors_that_the_schema_does_not_cover() {
     let directory = TestDirectory::new("check-text");
     let mut document = valid_configuration();
     document["listen"] = json!("nowhere");
@@ -173,13 +173,13 @@
 fn diff_shows_what_a_reload_would_change() {
     let directory = TestDirectory::new("diff");
     let old = directory.write_file("old.json", &valid_configuration().to_string());
-    let against = |document: &Value| {
+    let diff_with = |document: &Value| {
         let new = directory.write_file("new.json", &document.to_string());
         let output = run_program(&["diff", path_text(&old), path_text(&new)]);
         (output.status.code(), stdout(&output))
     };
     assert_eq!(
-        against(&valid_configuration()),
+        diff_with(&valid_configuration()),
         (Some(0), "nothing changes\n".into())
     );
 
@@ -191,28 +191,28 @@
     let expected = "SIGHUP changes discovery: \"127.0.0.1:1\" to \"127.0.0.1:2\"\n\
                     only a restart changes limits.memory_mb: 64 to 128\n\
                     SIGHUP changes settings.rules.coldFrom: 0.3 to 0.5\n";
-    assert_eq!(against(&other), (Some(0), expected.into()));
+    assert_eq!(diff_with(&other), (Some(0), expected.into()));
 
-    let mut shorter = valid_configuration();
-    shorter["settings"]["rules"]
+    let mut incomplete = valid_configuration();
+    incomplete["settings"]["rules"]
         .as_object_mut()
         .expect("rules")
         .remove("coldFrom");
-    shorter["settings"]["rules"]["coldFrom2"] = json!(0.5);
-    let (code, _) = against(&shorter);
+    incomplete["settings"]["rules"]["coldFrom2"] = json!(0.5);
+    let (code, _) = diff_with(&incomplete);
     assert_eq!(code, Some(2), "it cannot be used at all");
-    let mut shorter = valid_configuration();
-    shorter["settings"]
+    let mut incomplete = valid_configuration();
+    incomplete["settings"]
         .as_object_mut()
         .expect("settings")
         .remove("stages");
     let expected = "turned down: settings.stages is missing, which was there before\n";
-    assert_eq!(against(&shorter), (Some(1), expected.into()));
+    assert_eq!(diff_with(&incomplete), (Some(1), expected.into()));
 }
 
 /// Guards that the published schema is up to date. `balancer-sidecar schema` writes it anew.
 #[test]
-fn the_published_schema_is_generated_from_the_types() {
+fn published_schema_is_up_to_date() {
     let output = run_program(&["schema"]);
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
--- a/tests/command_line/help.rs
+++ b/tests/command_line/help.rs
@@ -18,7 +18,7 @@
 
 /// Guards against commands that are missing from a text.
 #[test]
-fn every_command_is_in_the_help_the_completions_and_the_manual() {
+fn texts_name_all_commands() {
     let help = stdout(&run_program(&["--help"]));
     let completions = stdout(&run_program(&["completions", "bash"]));
     let manual = stdout(&run_program(&["man"]));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_version_is_that_of_the_package() {
+fn version_is_that_of_the_package() {
     assert_eq!(
         stdout(&run_program(&["--version"])),
         concat!("balancer-sidecar ", env!("CARGO_PKG_VERSION"), "\n")
--- a/tests/command_line/operator_commands.rs
+++ b/tests/command_line/operator_commands.rs
@@ -33,7 +33,7 @@
 
 /// Guards the calls: each is one line, and a negative answer is printed and makes the exit code 1.
 #[test]
-fn commands_send_their_line_and_fail_after_a_negative_answer() {
+fn commands_send_one_line_and_report_the_answer() {
     for (arguments, call) in [
         (vec!["drain"], "DRAIN\n"),
         (vec!["undrain"], "UNDRAIN\n"),
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -30,7 +30,7 @@
 /// Guards the propagation deadline of changes: the next call begins early enough after the failed one, or soon after it if
 /// that took longer, and after an immediate failure it can still wait the full time-out. Delays have a minimum.
 #[test]
-fn next_call_begins_in_time_whatever_the_duration_of_the_failed_one() {
+fn delay_stays_within_its_bounds() {
     for call_duration in [
         IMMEDIATE,
         Duration::from_secs(2),
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_the_adapter() {
+fn empty_batch_and_empty_input_get_empty_replies() {
     assert_eq!(replies("frame momentNs=5\ngo\n"), ["", ""]);
     assert_eq!(replies(""), [""]);
 }
 
 #[test]
-fn request_is_sent_and_avoids_the_endpoint_that_rejected_it() {
+fn retry_avoids_the_endpoint_that_rejected_the_request() {
     let mut input = format!(
         "frame momentNs=1000000000\n{}go\nframe momentNs=1005000000\n",
         instance_start(0)
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn instance_restarted_within_one_batch_forgets_its_requests() {
+fn restarted_instance_forgets_its_requests() {
     let mut input = format!(
         "frame momentNs=1000000000\n{}go\nframe momentNs=1005000000\n",
         instance_start(0)
@@ -167,8 +167,8 @@
 }
 
 #[test]
-fn instances_act_the_same_in_one_process_and_in_several() {
-    let body = |instances: &[usize]| {
+fn actions_do_not_depend_on_other_instances() {
+    let run = |instances: &[usize]| {
         let mut input = String::from("frame momentNs=1000000000\n");
         for instance in instances {
             input += &instance_start(*instance);
@@ -190,14 +190,14 @@
         replies(&input).concat()
     };
     let lines_of = |text: &str, instance: usize| {
-        let tag = format!("sidecarId=sidecar/{instance} ");
+        let instance_field = format!("sidecarId=sidecar/{instance} ");
         text.lines()
-            .filter(|line| line.contains(&tag))
+            .filter(|line| line.contains(&instance_field))
             .map(str::to_string)
             .collect::<Vec<_>>()
     };
-    let together = body(&[0, 1, 2, 3]);
-    let apart = body(&[0, 2]) + &body(&[1, 3]);
+    let together = run(&[0, 1, 2, 3]);
+    let apart = run(&[0, 2]) + &run(&[1, 3]);
     for instance in 0..4 {
         assert!(lines_of(&together, instance).len() > 40);
         assert_eq!(
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn malformed_input_fails_with_a_message_and_without_actions() {
+fn malformed_input_is_reported_without_actions() {
     let started = format!("frame momentNs=1000000000\n{}", instance_start(0));
     let cases = [
         ("go\n".to_string(), "outside a batch"),
@@ -308,18 +308,18 @@
             "no completion code",
         ),
     ];
-    for (input, says) in cases {
+    for (input, expected_error) in cases {
         let output = run_adapter(&input);
         let error = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(
-            !output.status.success() && error.contains(says),
-            "{says}: {error}"
+            !output.status.success() && error.contains(expected_error),
+            "{expected_error}: {error}"
         );
         assert!(!error.contains("panicked"), "{error}");
         let reply = String::from_utf8_lossy(&output.stdout).to_string();
         assert!(
             reply.is_empty() || reply == "ok\n",
-            "{says}: no guessed action, no half reply: {reply}"
+            "{expected_error}: no guessed action, no half reply: {reply}"
         );
     }
 }
@@ -344,21 +344,21 @@
         written(send),
         "send sidecarId=sidecar/3 xid=r endpoint=e capNs=80000000\n"
     );
-    let refuse = |retry_after| Action::Reject {
+    let reject = |retry_after| Action::Reject {
         request: request.clone(),
         retry_after,
     };
-    assert_eq!(written(refuse(None)), "decline sidecarId=sidecar/3 xid=r\n");
+    assert_eq!(written(reject(None)), "decline sidecarId=sidecar/3 xid=r\n");
     assert_eq!(
-        written(refuse(Some(ms(1)))),
+        written(reject(Some(ms(1)))),
         "decline sidecarId=sidecar/3 xid=r pauseNs=1000000\n"
     );
-    let abandon = Action::Cancel {
+    let cancel = Action::Cancel {
         request: request.clone(),
         attempt: 2,
     };
     assert_eq!(
-        written(abandon),
+        written(cancel),
         "abandon sidecarId=sidecar/3 xid=r attempt=2\n"
     );
     assert_eq!(
@@ -380,12 +380,12 @@
         written(Action::CloseIdleConnections { endpoint }),
         "free_links sidecarId=sidecar/3 endpoint=e\n"
     );
-    let tell = Action::SendPeerMessage {
+    let peer_message = Action::SendPeerMessage {
         to: None,
         data: b"hi 7".to_vec(),
     };
     assert_eq!(
-        written(tell),
+        written(peer_message),
         "notify sidecarId=sidecar/3 neighbourId=-1 data=aGkgNw==\n"
     );
     assert_eq!(
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn optional_rules_and_endpoint_types_are_parsed_and_may_be_absent() {
+fn rules_and_endpoint_types_may_be_absent() {
     use balancer_sidecar::configuration::settings_document::parse_settings;
     use balancer_sidecar::simulator::{Message, parse_message};
     use std::time::Duration;
@@ -412,7 +412,7 @@
         (None, None)
     );
     assert!(plain.classes.iter().all(|class| !class.is_key_ordered));
-    let further = settings_document(0)
+    let extended = settings_document(0)
         .replace(
             "\"rules\": {",
             "\"rules\": {\"drainCloseNs\": 500000000, \"orderPauseNs\": 0, ",
@@ -421,35 +421,38 @@
             "\"effect\": \"guarded\"",
             "\"byArrival\": true, \"effect\": \"guarded\"",
         );
-    let further = parse_settings(&further).expect("settings");
-    assert_eq!(further.rules.drain_close, Some(Duration::from_millis(500)));
-    assert_eq!(further.rules.key_cooldown, Some(Duration::ZERO));
+    let extended = parse_settings(&extended).expect("settings");
+    assert_eq!(extended.rules.drain_close, Some(Duration::from_millis(500)));
+    assert_eq!(extended.rules.key_cooldown, Some(Duration::ZERO));
     assert_eq!(
-        further
+        extended
             .classes
             .iter()
             .map(|class| class.is_key_ordered)
             .collect::<Vec<_>>(),
         [false, true]
     );
-    let kind_of = |line: &str| match parse_message(line).expect("an entry") {
+    let entry_kind = |line: &str| match parse_message(line).expect("an entry") {
         Message::ListEntry(entry) => entry.kind,
         other => panic!("{other:?}"),
     };
     let entry = "entry endpoint=e zone=z pack=0 readiness=U size=1 later=1";
-    assert_eq!(kind_of(entry), "".into());
-    assert_eq!(kind_of(&format!("{entry} familyType=fast")), "fast".into());
+    assert_eq!(entry_kind(entry), "".into());
+    assert_eq!(
+        entry_kind(&format!("{entry} familyType=fast")),
+        "fast".into()
+    );
 }
 
 #[test]
-fn draining_endpoint_has_its_idle_connections_closed() {
-    let set =
+fn idle_connections_to_draining_endpoint_are_closed() {
+    let settings =
         settings_document(0).replace("\"rules\": {", "\"rules\": {\"drainCloseNs\": 500000000, ");
     let input = format!(
         "frame momentNs=1000000000\n{}directory list=1 records=1\n\
          entry endpoint=endpoint.aa zone=z1 familyType=fast pack=0 readiness=L size=1\n\
          members sidecarId=sidecar/0 rev=42 list=1 kind=D\ngo extra=1\n",
-        instance_start(0).replace(&settings_document(0), &set)
+        instance_start(0).replace(&settings_document(0), &settings)
     );
     assert!(replies(&input)[0].contains("free_links sidecarId=sidecar/0 endpoint=endpoint.aa\n"));
 }
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -17,9 +17,9 @@
 
 impl CrateFiles {
     /// All files below a folder whose root module is `lib.rs`. Programs beside it are no modules.
-    fn below(source: &Path) -> Self {
+    fn in_folder(source: &Path) -> Self {
         let mut files = BTreeMap::new();
-        collect(source, &Vec::new(), &mut files);
+        collect_files(source, &Vec::new(), &mut files);
         CrateFiles(files)
     }
 
@@ -68,7 +68,7 @@
     }
 }
 
-fn collect(folder: &Path, module: &ModulePath, files: &mut BTreeMap<ModulePath, PathBuf>) {
+fn collect_files(folder: &Path, module: &ModulePath, files: &mut BTreeMap<ModulePath, PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         let name = path
@@ -79,7 +79,7 @@
         let mut inner = module.clone();
         if path.is_dir() && name != "bin" {
             inner.push(name);
-            collect(&path, &inner, files);
+            collect_files(&path, &inner, files);
         } else if path.extension().is_some_and(|extension| extension == "rs") && name != "main" {
             if !matches!(name.as_str(), "mod" | "lib") {
                 inner.push(name);
@@ -121,21 +121,21 @@
 }
 
 /// Modules that import each other in a circle, if there are any: what is left once all are taken away that import none.
-fn circle(
+fn import_cycles(
     mut imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
 ) -> BTreeMap<ModulePath, BTreeSet<ModulePath>> {
     loop {
-        let free: Vec<ModulePath> = imports
+        let leaves: Vec<ModulePath> = imports
             .iter()
             .filter(|(_, imported)| imported.is_empty())
             .map(|(m, _)| m.clone())
             .collect();
-        if free.is_empty() {
+        if leaves.is_empty() {
             break;
         }
-        imports.retain(|module, _| !free.contains(module));
+        imports.retain(|module, _| !leaves.contains(module));
         for imported in imports.values_mut() {
-            imported.retain(|module| !free.contains(module));
+            imported.retain(|module| !leaves.contains(module));
         }
     }
     // And those that are imported by none of the rest.
@@ -155,15 +155,15 @@
 }
 
 #[test]
-fn no_files_import_each_other_in_a_circle() {
+fn modules_have_no_import_cycles() {
     for source in sources() {
-        let files = CrateFiles::below(&source);
+        let files = CrateFiles::in_folder(&source);
         let imports = files
             .0
             .keys()
             .map(|module| (module.clone(), files.imports(module)));
-        let circle = circle(imports.collect());
-        let lines = circle.iter().map(|(module, imported)| {
+        let cycles = import_cycles(imports.collect());
+        let lines = cycles.iter().map(|(module, imported)| {
             let names: Vec<String> = imported.iter().map(|path| path.join("::")).collect();
             format!("{} imports {}", module.join("::"), names.join(", "))
         });
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn no_source_file_is_long() {
+fn source_files_stay_within_the_line_limit() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let folders = [
         "src",
@@ -183,10 +183,10 @@
         "fleet-lab/tests",
     ]
     .map(|folder| root.join(folder));
-    let mut unread: Vec<PathBuf> = folders.to_vec();
-    while let Some(path) = unread.pop() {
+    let mut pending: Vec<PathBuf> = folders.to_vec();
+    while let Some(path) = pending.pop() {
         if path.is_dir() {
-            unread.extend(
+            pending.extend(
                 fs::read_dir(&path)
                     .expect("a folder")
                     .map(|entry| entry.expect("an entry").path()),
@@ -205,7 +205,7 @@
 #[test]
 fn every_source_file_is_declared() {
     for source in sources() {
-        let files = CrateFiles::below(&source);
+        let files = CrateFiles::in_folder(&source);
         for (module, path) in &files.0 {
             let Some((name, parent)) = module.split_last() else {
                 continue;
@@ -226,11 +226,11 @@
                 text.contains(&format!("mod {name};"))
                     || text.contains(&format!("#[path = \"{name}.rs\"]"))
             };
-            let by_sibling = siblings
+            let is_declared_by_sibling = siblings
                 .filter(|(other, _)| other.starts_with(parent))
                 .any(|(_, file)| declares(&fs::read_to_string(file).expect("a source file")));
             assert!(
-                declares(&text) || by_sibling,
+                declares(&text) || is_declared_by_sibling,
                 "{} is declared nowhere",
                 path.display()
             );
