--- a/src/command_line/check.rs
+++ b/src/command_line/check.rs
@@ -5,7 +5,7 @@
 use crate::configuration::unknown_keys;
 use std::path::Path;
 
-/// Reports all that is wrong with a configuration, and warns of keys that the sidecar does not read.
+/// Reports every error in a configuration and warns of keys that the sidecar does not read.
 pub(super) fn check(path: &Path) -> Outcome {
     let text = match configuration_file::read_text(path) {
         Ok(text) => text,
--- a/src/command_line/configuration_file.rs
+++ b/src/command_line/configuration_file.rs
@@ -1,17 +1,17 @@
-//! Reading the configuration files that are named on the command line.
+//! Reads the configuration files that are named on the command line.
 
 use super::output::{Outcome, print_error, report_bad_input};
 use crate::configuration::{self, ParsedConfiguration};
 use std::fs;
 use std::path::Path;
 
-/// Reads the text of a file, or reports why it cannot be read.
+/// Reads the text of a file. If that fails, prints the reason.
 pub(super) fn read_text(path: &Path) -> Result<String, Outcome> {
     fs::read_to_string(path)
         .map_err(|error| report_bad_input(&format!("{}: {error}", path.display())))
 }
 
-/// Parses the text of a configuration, or reports all that is wrong with it, one error a line.
+/// Parses the text of a configuration. If it is invalid, prints every error on a line of its own.
 pub(super) fn parse(text: &str) -> Result<ParsedConfiguration, Outcome> {
     configuration::parse(text).map_err(|errors| {
         for error in &errors.0 {
--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -4,7 +4,7 @@
 use crate::configuration::{ChangeEffect, Config, differences};
 use std::path::Path;
 
-/// Shows what another configuration would change in a running sidecar. Fails where a reload would reject the other
+/// Shows the changes that another configuration would make in a running sidecar. Fails if a reload would reject that
 /// configuration.
 pub(super) fn diff(running_path: &Path, next_path: &Path) -> Outcome {
     let (running, next) = match (
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of the program. Without a command the program serves.
+//! The command line of the program. Without a command, the program runs as the sidecar.
 
 mod check;
 mod configuration_file;
@@ -23,7 +23,7 @@
 
 /// A sidecar that balances the requests of a service over endpoints, with overload control.
 ///
-/// Without a command it serves, with the configuration that `ROUTER_CONFIG` names.
+/// Without a command it runs as the sidecar, with the configuration file that `ROUTER_CONFIG` names.
 #[derive(Parser)]
 #[command(name = PROGRAM_NAME, version)]
 struct Arguments {
@@ -33,39 +33,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reports all that is wrong with a configuration, one error a line, and warns of unknown keys.
+    /// Reports every error in a configuration, one per line, and warns of unknown keys.
     Check(ConfigurationOptions),
-    /// Shows the configuration in effect: each value with its unit and its origin.
+    /// Shows the configuration in effect: each value with its unit and origin.
     Explain(ConfigurationOptions),
-    /// Shows what another configuration would change in a running sidecar with SIGHUP, what needs a restart, and what
-    /// would be rejected.
+    /// Shows which changes in another configuration SIGHUP would apply, which need a restart, and which a reload would
+    /// reject.
     Diff {
-        /// The configuration that the sidecar runs with.
+        /// The configuration file that the sidecar runs with.
         old: PathBuf,
-        /// The other configuration.
+        /// The configuration file to compare with it.
         new: PathBuf,
     },
     /// Shows whether the sidecar is ready, and its metrics.
     Status(OperatorOptions),
-    /// Drains the sidecar of callers; the process keeps running.
+    /// Drains the sidecar: it accepts no more callers, but its process keeps running.
     Drain(OperatorOptions),
     /// Ends a drain: the sidecar accepts callers again.
     Undrain(OperatorOptions),
-    /// Stops new requests to an endpoint, whatever the endpoint list says.
+    /// Stops sending new requests to an endpoint, regardless of its status in the endpoint list.
     Disable {
         /// The name of the endpoint in discovery.
         endpoint: String,
         #[command(flatten)]
         options: OperatorOptions,
     },
-    /// Allows new requests to an endpoint again.
+    /// Allows new requests to a disabled endpoint again.
     Enable {
         /// The name of the endpoint in discovery.
         endpoint: String,
         #[command(flatten)]
         options: OperatorOptions,
     },
-    /// Writes completions for a shell to standard output.
+    /// Writes a completion script for a shell to standard output.
     Completions {
         /// The shell.
         shell: Shell,
@@ -84,10 +84,10 @@
     config: PathBuf,
 }
 
-/// Runs the command that the arguments name, or serves if they name none.
+/// Runs the command that the arguments name, or the sidecar if they name none.
 #[must_use]
 pub fn main() -> ExitCode {
-    // Without arguments clap is not called at all, which saves the serving process the memory for parsing.
+    // Without arguments, clap is not called: its parser would take memory in the sidecar's process.
     if std::env::args_os().len() <= 1 {
         return crate::sidecar::main();
     }
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that are sent to a running sidecar at its operators' address.
+//! Commands that are sent to the operators' address of a running sidecar.
 
 use super::output::{Outcome, print_line, print_result, report_bad_input, report_failure};
 use crate::configuration::{Config, ConfigError, FILE_VARIABLE};
@@ -9,11 +9,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The time limit of each step of an exchange. The sidecar answers within 1 s.
+/// The time limit for connecting, for each write and for each read. The sidecar answers within 1 s.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The maximum length of an answer, in bytes: enough for the metrics of some hundred classes.
+/// The maximum length of an answer, in bytes. It is enough for the metrics of several hundred classes.
 const MAX_ANSWER_LENGTH: u64 = 1 << 20;
-/// The beginning of an answer of success.
+/// The prefix of an answer that reports success.
 const SUCCESS_PREFIX: &str = "YES";
 /// The last line of the metrics.
 const METRICS_END: &str = "END";
@@ -21,7 +21,7 @@
 /// Options that name the operators' address of a running sidecar.
 #[derive(Args)]
 pub(super) struct OperatorOptions {
-    /// The operators' address of the sidecar. Default: `ROUTER_ADMIN_ADDR`, then `admin_addr` of the configuration.
+    /// The operators' address of the sidecar. Default: `ROUTER_ADMIN_ADDR`, or else `admin_addr` of the configuration.
     #[arg(long, value_name = "ADDRESS")]
     admin: Option<SocketAddr>,
     /// The configuration file.
@@ -29,11 +29,11 @@
     config: Option<PathBuf>,
 }
 
-/// Why a command could not be sent.
+/// The reason why a command could not be sent.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(
-        "no second address: give --admin, ROUTER_ADMIN_ADDR, or a configuration with admin_addr"
+        "no operators' address: give --admin, ROUTER_ADMIN_ADDR, or a configuration with admin_addr"
     )]
     NoAddress,
     #[error(transparent)]
@@ -54,7 +54,7 @@
     }
 }
 
-/// Sends one command and prints the answer. Fails if the answer is negative.
+/// Sends one command and prints the answer. Fails if the answer does not report success.
 pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> Outcome {
     match operators_address(options).and_then(|address| exchange(address, command)) {
         Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print_result(&answer.trim_end()),
@@ -63,7 +63,7 @@
     }
 }
 
-/// Prints whether the sidecar is ready, and its metrics.
+/// Prints the readiness of the sidecar and its metrics.
 pub(super) fn status(options: &OperatorOptions) -> Outcome {
     let answers = operators_address(options).and_then(|address| {
         let readiness = exchange(address, OperatorCommand::Ready)?;
--- a/src/command_line/output.rs
+++ b/src/command_line/output.rs
@@ -9,12 +9,12 @@
 /// The exit code for invalid input; the same as clap's for invalid arguments.
 const BAD_INPUT_CODE: u8 = 2;
 
-/// How a command ended.
+/// The result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
     /// The command succeeded.
     Success,
-    /// The command failed, or the sidecar's answer is negative.
+    /// The command failed, or the sidecar's answer does not report success.
     Failure,
     /// The input is invalid.
     BadInput,
@@ -31,29 +31,29 @@
     }
 }
 
-/// Prints a line to standard output. Errors are ignored, as the reader may have closed the pipe on purpose.
+/// Prints a line to standard output. Write errors are ignored: the reader may have closed the pipe on purpose.
 pub(super) fn print_line(text: &dyn Display) {
     let _ = writeln!(io::stdout(), "{text}");
 }
 
-/// Prints a line to standard error.
+/// Prints a line to standard error. Write errors are ignored.
 pub(super) fn print_error(error: &dyn Display) {
     let _ = writeln!(io::stderr(), "{error}");
 }
 
-/// Prints the result of a command.
+/// Prints the result of a command and returns success.
 pub(super) fn print_result(text: &dyn Display) -> Outcome {
     print_line(text);
     Outcome::Success
 }
 
-/// Reports that a command failed.
+/// Prints an error and returns that the command failed.
 pub(super) fn report_failure(error: &dyn Display) -> Outcome {
     print_error(error);
     Outcome::Failure
 }
 
-/// Reports invalid input.
+/// Prints an error and returns that the input is invalid.
 pub(super) fn report_bad_input(error: &dyn Display) -> Outcome {
     print_error(error);
     Outcome::BadInput
--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the process runs with, loaded at the start and again on SIGHUP.
+//! The configuration of the process, which is loaded at the start and again on SIGHUP.
 
 use super::error::ConfigError;
 use super::parse::{ParsedConfiguration, parse};
@@ -12,41 +12,41 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A configuration, with its settings in the decision module's form.
+/// A loaded configuration. Its settings are converted to the types of the decision module.
 #[derive(Debug)]
 pub struct Config {
     /// The name of the sidecar.
     pub name: String,
     /// The address on which callers connect.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The address for operators' calls.
+    /// The operators' address, if there is one.
     pub admin_address: Option<SocketAddr>,
-    /// The seed of the random numbers, different for each start.
+    /// The seed of the random numbers, which differs at each start.
     pub seed: u64,
     /// The maximum number of file descriptors of this process.
     pub max_descriptors: usize,
     /// The maximum memory of this process, in MB.
     pub max_memory_mb: usize,
-    /// The endpoint list from before the start, possibly out of date.
+    /// The cached list from before the start, which may be out of date.
     pub cached_list: Option<EndpointList>,
     /// The settings of the decision module.
     pub settings: Settings,
     /// The values that only a restart changes.
     pub restart_values: RestartValues,
-    /// The settings and limits with which the next file is compared at a reload.
+    /// The settings and limits of the file, with which the next file is compared at a reload.
     pub reload_baseline: ReloadBaseline,
-    /// All that the file has.
+    /// The content of the file.
     pub file_content: Value,
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names.
+    /// Reads the file that `ROUTER_CONFIG` names. `ROUTER_ADMIN_ADDR` replaces its operators' address.
     ///
     /// # Errors
-    /// Returns an error if no file is named, if it cannot be read, if its content is invalid, or if
-    /// `ROUTER_ADMIN_ADDR` is not an address.
+    /// Returns an error if no file is named, if the file cannot be read, if its content is invalid, or if
+    /// `ROUTER_ADMIN_ADDR` is not an IP address and port.
     pub fn from_environment() -> Result<Self, ConfigError> {
         let path = std::env::var_os(FILE_VARIABLE)
             .map(PathBuf::from)
@@ -71,12 +71,12 @@
         })
     }
 
-    /// Returns the address for operators' calls that the environment names.
+    /// Returns the operators' address that the environment names, if there is one.
     ///
-    /// It takes precedence over the file, because during a hot restart two processes may share one file.
+    /// It takes precedence over the file, because two processes may share one file during a hot restart.
     ///
     /// # Errors
-    /// Returns an error if the value of `ROUTER_ADMIN_ADDR` is not an address.
+    /// Returns an error if the value of `ROUTER_ADMIN_ADDR` is not an IP address and port.
     pub fn admin_address_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
         let Some(text) = std::env::var_os(ADMIN_VARIABLE).filter(|text| !text.is_empty()) else {
             return Ok(None);
@@ -90,7 +90,7 @@
     /// Reads the text of a configuration.
     ///
     /// # Errors
-    /// Returns all that is wrong with it.
+    /// Returns every error in the text.
     pub fn parse(text: &str) -> Result<Self, ValidationErrors> {
         let ParsedConfiguration {
             document,
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -1,4 +1,4 @@
-//! What another configuration would change in a running sidecar.
+//! The differences between a running configuration and the next one.
 
 use super::config::Config;
 use super::leaf_values::leaf_values;
@@ -9,15 +9,15 @@
 /// How a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeEffect {
-    /// With a reload, on SIGHUP.
+    /// A reload on SIGHUP applies the change.
     Reload,
-    /// With a restart only.
+    /// Only a restart applies the change.
     Restart,
-    /// Not at all: a reload rejects the whole file.
+    /// Nothing applies the change: a reload rejects the whole file.
     Rejected,
 }
 
-/// One value that differs.
+/// One value that differs between the configurations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// The path in the document.
@@ -32,7 +32,7 @@
 
 /// Returns the differences between the configuration that a sidecar runs with and the next one.
 ///
-/// If the next one lacks a key for which a reload rejects the whole file, that is the only difference.
+/// If the next one lacks a key without which a reload rejects the whole file, this key is the only difference.
 #[must_use]
 pub fn differences(running: &Config, next: &Config) -> Vec<Difference> {
     if let Some(path) = running.reload_baseline.missing_key(&next.reload_baseline) {
@@ -65,7 +65,8 @@
     leaf_values(document).into_iter().collect()
 }
 
-/// Returns how a change of this value takes effect; none for what a process reads only at its start (`known`, `seed`).
+/// Returns how a change of the value takes effect. Returns `None` for values that a process uses only at its start
+/// (`known`, `seed`).
 fn effect(path: &str) -> Option<ChangeEffect> {
     match path.split(['.', '[']).next() {
         Some("settings" | "discovery") => Some(ChangeEffect::Reload),
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -1,4 +1,4 @@
-//! The document types of the configuration file. Their doc comments are the descriptions in the published JSON Schema.
+//! The types of the configuration file. Their doc comments are the descriptions in the published JSON Schema.
 
 use super::settings_document::SettingsDocument;
 use crate::discovery::EndpointList;
@@ -10,24 +10,24 @@
 /// The configuration of a sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ConfigurationDocument {
-    /// The name of the sidecar, which stays the same over restarts.
+    /// The name of the sidecar, which stays the same across restarts.
     pub name: String,
     /// The IP address and port on which callers connect.
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// The IP address and port of discovery.
+    /// The IP address and port of the discovery service.
     #[schemars(with = "String")]
     pub discovery: SocketAddr,
-    /// The IP address and port for operators' calls. Absent: there is none. The environment variable
+    /// The IP address and port on which operators connect. Absent: there is none. The environment variable
     /// `ROUTER_ADMIN_ADDR` takes precedence.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub admin_addr: Option<SocketAddr>,
-    /// The seed of the random numbers, different for each start.
+    /// The seed of the random numbers, which differs at each start.
     pub seed: Seed,
     /// The resource limits of the process.
     pub limits: ProcessLimitsDocument,
-    /// The endpoint list from before the start, possibly out of date.
+    /// The cached endpoint list from before the start, which may be out of date.
     #[serde(rename = "known", skip_serializing_if = "Option::is_none")]
     pub cached_list: Option<EndpointList>,
     /// The settings of the load balancer.
@@ -44,7 +44,7 @@
     #[serde(rename = "memory_mb")]
     pub max_memory_mb: usize,
     /// The number of processor cores. It has no effect.
-    // It is read so that a reload notices its absence.
+    // The field exists so that a reload notices if the key is missing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cores: Option<f64>,
 }
@@ -55,7 +55,7 @@
 #[schemars(with = "String", extend("pattern" = "^[0-9a-fA-F]{1,16}$"))]
 pub struct Seed(pub u64);
 
-/// The text of a seed is not a hexadecimal number of 64 bits.
+/// The error that the text of a seed is not a hexadecimal number of 64 bits.
 #[derive(Debug, thiserror::Error)]
 #[error("seed {text}: {source}")]
 pub struct SeedError {
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -1,4 +1,4 @@
-//! The configuration in effect, value by value.
+//! The effective values of a configuration, each with its unit and origin.
 
 use super::leaf_values::leaf_values;
 use super::parse::ParsedConfiguration;
@@ -15,26 +15,26 @@
 pub enum ValueOrigin {
     /// The configuration file.
     File,
-    /// The default, because the file does not have it.
+    /// The default, because the file does not have the key.
     Default,
-    /// The environment.
+    /// An environment variable.
     Environment,
 }
 
-/// One value in effect.
+/// One effective value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveValue {
     /// The path in the document.
     pub path: String,
     /// The value.
     pub value: Value,
-    /// The unit, and for times the value in a readable form.
+    /// The unit. For times it is followed by the value in a readable form.
     pub unit: Option<String>,
     /// Where the value comes from.
     pub origin: ValueOrigin,
 }
 
-/// The units of keys other than times, by the end of the path.
+/// The units of values other than times, by the suffix of their path.
 const UNITS: [(&str, &str); 6] = [
     ("memory_mb", "MB"),
     ("limits.sockets", "descriptors"),
@@ -43,14 +43,14 @@
     ("sendCap", "attempts"),
     ("maxOpen", "requests"),
 ];
-/// The end of keys whose values are times in nanoseconds.
+/// The suffix of keys whose values are times in nanoseconds.
 const NANOSECONDS_SUFFIX: &str = "Ns";
-/// The key of the address for operators' calls.
+/// The key of the operators' address.
 const ADMIN_KEY: &str = "admin_addr";
-/// The key of the cached endpoint list, of which only the size is shown.
+/// The key of the cached endpoint list. Only its size is shown.
 const CACHED_LIST_KEY: &str = "known";
 
-/// Returns all values in effect. An address for operators' calls in the environment replaces that of the file.
+/// Returns all effective values. An operators' address from the environment replaces that of the file.
 #[must_use]
 pub fn effective_values(
     parsed: &ParsedConfiguration,
@@ -108,7 +108,7 @@
     }
     UNITS
         .iter()
-        .find(|(path_end, _)| path.ends_with(path_end))
+        .find(|(suffix, _)| path.ends_with(suffix))
         .map(|(_, unit)| (*unit).to_owned())
 }
 
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why a configuration cannot be loaded. The message fits on one line.
+/// The reason why a configuration cannot be loaded. The message fits on one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The environment names no file.
@@ -17,7 +17,7 @@
     Read {
         /// The path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// The reason why it cannot be read.
         source: io::Error,
     },
     /// The content of the file is invalid.
@@ -25,10 +25,10 @@
     Invalid {
         /// The path of the file.
         path: PathBuf,
-        /// All that is wrong with the content.
+        /// The errors in the content.
         source: ValidationErrors,
     },
     /// The value of `ROUTER_ADMIN_ADDR` is not an IP address and port.
-    #[error("{ADMIN_VARIABLE} is no address: {text}", text = .0.display())]
+    #[error("{ADMIN_VARIABLE} is not an IP address and port: {text}", text = .0.display())]
     AdminAddress(OsString),
 }
--- a/src/configuration/json_text.rs
+++ b/src/configuration/json_text.rs
@@ -1,15 +1,15 @@
-//! Reading JSON text, with a check for keys that are there twice.
+//! Reads JSON text and checks it for duplicate keys.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 use std::cell::Cell;
 use std::fmt;
 
-/// A JSON text as a value.
+/// The result of reading a JSON text.
 pub(super) struct JsonText {
-    /// The value; of a key that is there twice, the last value.
+    /// The value. If a key is duplicated, its last value is kept.
     pub value: Value,
-    /// Whether an object of the text has a key twice, which the value does not show.
+    /// Whether any object in the text has a duplicate key. The value does not show that.
     pub has_duplicate_keys: bool,
 }
 
@@ -25,7 +25,7 @@
     })
 }
 
-/// Reads one value and sets the flag at a key that is there twice.
+/// Reads one value and sets the flag if an object in it has a duplicate key.
 #[derive(Clone, Copy)]
 struct ValueReader<'a>(&'a Cell<bool>);
 
--- a/src/configuration/leaf_values.rs
+++ b/src/configuration/leaf_values.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// Returns the values of a document that contain no objects, each with its path, such as
+/// Returns the values of a document that neither are nor contain objects, each with its path, such as
 /// `settings.categories[0].worth`.
 pub(super) fn leaf_values(document: &Value) -> Vec<(String, Value)> {
     let mut leaves = Vec::new();
--- a/src/configuration/missing_key.rs
+++ b/src/configuration/missing_key.rs
@@ -1,9 +1,9 @@
-//! Keys that an earlier document has and a later one lacks.
+//! Finds keys that an earlier document has and a later one lacks.
 
 use serde_json::Value;
 
-/// Keys of settings that a later document may lack. The absence of any other key marks a damaged file, even where
-/// the key has a default at the start.
+/// The keys of the settings that a later document may lack. If any other key is missing, the file counts as damaged,
+/// even if the key has a default at the start.
 const OPTIONAL_KEYS: [&str; 5] = [
     "aimStretch",
     "passesDeadline",
@@ -14,8 +14,8 @@
 
 /// Returns the path of the first key that the earlier document has and the later one lacks.
 ///
-/// Lists may change their length: each element of the later list needs the keys that all elements of the earlier one
-/// have.
+/// The length of an array may change. Each element of the later array needs the keys that all elements of the earlier
+/// one have.
 pub(super) fn missing_key(earlier: &Value, later: &Value) -> Option<String> {
     match (earlier, later) {
         (Value::Object(earlier), Value::Object(later)) => {
@@ -41,7 +41,8 @@
     }
 }
 
-/// Returns the first element with only the keys that all elements have; null where an element is not an object.
+/// Returns the first element, reduced to the keys that all elements have. Returns null if one of several elements is
+/// not an object, and `None` if there are no elements.
 fn object_of_common_keys(elements: &[Value]) -> Option<Value> {
     elements
         .iter()
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The sidecar's configuration: its file format, validation, JSON Schema, and the effect of a change.
+//! The sidecar's configuration: its file format, its validation, its JSON Schema and the effects of changes.
 
 mod config;
 mod difference;
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! Reading and validating the text of a configuration: at the start, on SIGHUP and in the commands.
+//! Reads and validates the text of a configuration, at the start, on SIGHUP and in the commands.
 
 use super::document::ConfigurationDocument;
 use super::json_text::{JsonText, read_json};
@@ -13,11 +13,11 @@
 /// A valid configuration.
 #[derive(Debug)]
 pub struct ParsedConfiguration {
-    /// The document, with defaults for what the file lacks.
+    /// The document. Keys that the file lacks have their defaults.
     pub document: ConfigurationDocument,
     /// The content of the file.
     pub file_content: Value,
-    /// The settings in the decision module's form.
+    /// The settings, converted to the types of the decision module.
     pub settings: Settings,
 }
 
@@ -34,7 +34,7 @@
 /// Reads and validates the text of a configuration.
 ///
 /// # Errors
-/// Returns all that is wrong with it.
+/// Returns every error in the text.
 pub fn parse(text: &str) -> Result<ParsedConfiguration, ValidationErrors> {
     let json =
         read_json(text).map_err(|error| ValidationErrors(vec![json_syntax_error(&error)]))?;
@@ -69,10 +69,10 @@
     keys
 }
 
-/// Converts the value of a text to the document type.
+/// Converts a parsed text to the document type.
 ///
-/// A value knows neither positions in the text nor keys that were there twice. The text is therefore read again where
-/// the conversion fails or a key is there twice.
+/// The parsed value has neither the positions in the text nor duplicate keys. If the conversion fails or there is a
+/// duplicate key, the text is read again for a complete error message.
 fn read_document(text: &str, json: &JsonText) -> Result<ConfigurationDocument, ValidationErrors> {
     match ConfigurationDocument::deserialize(&json.value) {
         Ok(document) if !json.has_duplicate_keys => Ok(document),
@@ -92,8 +92,10 @@
     })
 }
 
-/// Returns all errors of a document. Reading ends at the first error, so the schema is checked for all; the first one is
-/// returned where the schema does not cover it.
+/// Returns all errors of a document.
+///
+/// Reading ends at the first error, so all errors are taken from a check against the schema. If the schema finds none,
+/// the error of reading is returned.
 fn all_errors(value: &Value, reading_error: ValidationError) -> Vec<ValidationError> {
     let errors = schema_errors(value);
     if errors.is_empty() {
--- a/src/configuration/reload_baseline.rs
+++ b/src/configuration/reload_baseline.rs
@@ -9,7 +9,8 @@
 pub struct ReloadBaseline(Value);
 
 impl ReloadBaseline {
-    /// Takes the settings as the file has them, so that values with a default count as missing, too.
+    /// Creates the baseline of a file. It holds the settings as they are written in the file, without defaults. A key
+    /// that the next file lacks therefore counts as missing even if it has a default.
     pub(super) fn new(file_content: &Value, limits: &ProcessLimitsDocument) -> Self {
         ReloadBaseline(json!({
             "settings": file_content["settings"],
@@ -23,7 +24,7 @@
         missing_key(&self.0, &next.0)
     }
 
-    /// Returns the outermost keys of the settings that differ in the next file.
+    /// Returns the top-level keys of the settings whose values differ in the next file.
     #[must_use]
     pub fn changed_settings(&self, next: &ReloadBaseline) -> Vec<String> {
         let (Some(own), Some(others)) = (
--- a/src/configuration/restart_values.rs
+++ b/src/configuration/restart_values.rs
@@ -1,11 +1,11 @@
-//! The values that only a restart changes.
+//! The values that change only with a restart.
 
 use super::document::ConfigurationDocument;
 use serde_json::{Value, json};
 
-/// The values that a reload cannot take over, because the process has opened sockets and sized budgets by them.
+/// The values that a reload cannot apply, because the process opened its sockets and sized its budgets by them.
 ///
-/// The seed is not among them: it differs with each start and is used only there.
+/// The seed is not among them: it differs at each start and is used only there.
 #[derive(Debug, PartialEq)]
 pub struct RestartValues([(&'static str, Value); 4]);
 
--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -1,4 +1,4 @@
-//! Conversion of the document types to the settings of the decision module.
+//! Converts the document types to the settings of the decision module.
 
 use super::error::SettingsDocumentError;
 use super::types::{
--- a/src/configuration/settings_document/key_path.rs
+++ b/src/configuration/settings_document/key_path.rs
@@ -1,6 +1,6 @@
-//! Paths of settings, from fields of the decision module's types to keys of the document.
+//! Converts paths of fields in the decision module's settings to paths of keys in the document.
 
-/// Fields of the decision module's settings whose key in the document has another name, with that key.
+/// The fields of the decision module's settings whose key in the document has another name, each with that key.
 const RENAMED_KEYS: [(&str, &str); 31] = [
     ("classes", "categories"),
     ("objective_per_work", "aimStretch"),
@@ -34,11 +34,12 @@
     ("health_checks", "probes"),
     ("health_check", "probe"),
 ];
-/// The field of a class that the document has in parts, beside the others of the class.
+/// The field of a class whose inner fields are direct keys of the class in the document.
 const FLATTENED_FIELD: &str = "idempotency.";
 
-/// Returns the path in the settings document of a field that the decision module names: `categories[0].worth` for
-/// `classes[0].priority_weight`.
+/// Returns the path in the settings document of a field of the decision module's settings.
+///
+/// For example, `classes[0].priority_weight` becomes `categories[0].worth`.
 #[must_use]
 pub fn document_key_path(field_path: &str) -> String {
     let flattened = field_path.replace(FLATTENED_FIELD, "");
--- a/src/configuration/settings_document/mod.rs
+++ b/src/configuration/settings_document/mod.rs
@@ -1,19 +1,19 @@
 //! The settings as JSON: `params` of the simulator's first message to an instance, and `settings` in a sidecar's
 //! configuration.
 //!
-//! This format keeps the words of the operators' pages. They are turned into the code's terms here and nowhere else:
-//! each field of the document types carries the code's term, and its `serde` name is the key in the document.
+//! The keys of this format are the terms that the operators use. Only this module converts them to the terms of the
+//! code: each field of the document types has the code's name, and its `serde` name is the key in the document.
 //!
 //! | key in the document | term in the code |
 //! | --- | --- |
 //! | `categories`, `customers` | classes, tenants |
 //! | `effect`: `free`, `guarded`, `single_shot` | idempotency: idempotent, keyed, unsafe |
-//! | `hardLimitNs`, `objectiveNs`, `aimStretch` | deadline, latency objective, its growth with a request's work |
+//! | `hardLimitNs`, `objectiveNs`, `aimStretch` | deadline, latency objective, growth of the objective with the work |
 //! | `memorySpanNs`, `keyScope`: `cell` | deduplication window, key scope: group |
 //! | `worth`, `lateShare`, `worthBy` | priority weight, late value, value basis |
 //! | `portion`, `overShareWorth` | quota share, value of a request beyond it |
 //! | `bounds`, `fees` | limits, prices |
-//! | `sendCap`, `parallelTries`, `maxOpen` | maximum of attempts, parallel attempts, maximum of pending requests |
+//! | `sendCap`, `parallelTries`, `maxOpen` | maximum attempts, parallel attempts, maximum pending requests |
 //! | `probes`, `probe`, `on_probe` | health checks |
 //! | `mayTell` | messages between peers |
 //! | `dcs`, `stages`, `myNumber` | zones, tiers, peer ID |
@@ -37,11 +37,11 @@
 
 use crate::policy::Settings;
 
-/// Reads a settings document.
+/// Reads a settings document. [`Settings::validate`] checks the ranges of the values.
 ///
 /// # Errors
 /// Returns an error if the text is not JSON, if a value is missing or has the wrong type, or if a keyed class has no
-/// key scope. Whether the values make sense is checked by [`Settings::validate`].
+/// key scope.
 pub fn parse_settings(json: &str) -> Result<Settings, SettingsDocumentError> {
     let document: SettingsDocument = serde_json::from_str(json)?;
     Settings::try_from(document)
--- a/src/configuration/settings_document/types.rs
+++ b/src/configuration/settings_document/types.rs
@@ -1,7 +1,7 @@
 //! The types of the settings document. Their doc comments are the descriptions in the published JSON Schema.
 //!
-//! Variants of enums have ordinary comments: with doc comments, the schema would describe each variant by a schema of
-//! its own, and a wrong value would no longer be reported with the list of the allowed ones.
+//! Variants of enums have ordinary comments. With doc comments, the schema would describe each variant by a schema of
+//! its own, and the error for an invalid value would no longer list the allowed ones.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -12,13 +12,13 @@
 pub struct SettingsDocument {
     /// The number of sidecars of this tier.
     pub(super) balancers: u32,
-    /// What the platform allows.
+    /// The limits that the platform sets.
     #[serde(rename = "bounds")]
     pub(super) limits: LimitsDocument,
     /// The classes of requests.
     #[serde(rename = "categories")]
     pub(super) classes: Vec<ClassDocument>,
-    /// How clients behave.
+    /// The behaviour of clients.
     #[serde(default, rename = "clientHabits")]
     pub(super) clients: ClientsDocument,
     /// The tenants that requests belong to; may be empty.
@@ -27,7 +27,7 @@
     /// The names of the zones.
     #[serde(default, rename = "dcs")]
     pub(super) zones: Vec<String>,
-    /// How endpoint lists arrive: `automatic`, pushed by discovery, or `subscribe`, only on request.
+    /// How endpoint lists arrive: `automatic` (pushed by discovery) or `subscribe` (only on request).
     pub(super) discovery: DiscoveryModeDocument,
     /// Properties of the service.
     #[serde(default, rename = "familyInfo")]
@@ -35,13 +35,13 @@
     /// The prices of what the balancer spends, as fractions of the result.
     #[serde(default, rename = "fees")]
     pub(super) prices: PricesDocument,
-    /// The least time between two batches of events, in nanoseconds.
+    /// The minimum time between two batches of events, in nanoseconds.
     #[serde(default, rename = "granularityNs")]
     pub(super) tick_ns: u64,
     /// The number of this sidecar in its tier, counted from 0.
     #[serde(rename = "myNumber")]
     pub(super) peer_id: u32,
-    /// The value of a request beyond its tenant's share, as a fraction of its ordinary value, from 0 to 1.
+    /// The value of a request beyond its tenant's quota share, as a fraction of its ordinary value, from 0 to 1.
     #[serde(default, rename = "overShareWorth")]
     pub(super) over_share_value: f64,
     /// How endpoints report their load.
@@ -55,8 +55,8 @@
     /// The tier that this sidecar sends requests to, counted from 0.
     #[serde(default)]
     pub(super) tier: usize,
-    /// What an endpoint's size means: `nominal` (capacity as registered), `rough` (approximately so), `live`
-    /// (capacity under its present load) or `off` (nothing). Default: `off`.
+    /// The meaning of an endpoint's size: `nominal` (its capacity as registered), `rough` (approximately its capacity
+    /// as registered), `live` (its capacity under its present load) or `off` (none). Default: `off`.
     #[serde(rename = "weightSource")]
     pub(super) size_meaning: Option<SizeMeaningDocument>,
     /// Whether a request's value counts by `request` or by the `work` in it. Default: `request`.
@@ -77,7 +77,7 @@
     OnRequest,
 }
 
-/// What an endpoint's size means.
+/// The meaning of an endpoint's size.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum SizeMeaningDocument {
@@ -102,16 +102,16 @@
     Work,
 }
 
-/// What the platform allows.
+/// The limits that the platform sets.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct LimitsDocument {
     /// Whether attempts may be cancelled.
     pub(super) cancel: bool,
-    /// The time after which endpoints close an idle connection, in nanoseconds.
+    /// The idle time after which endpoints close a connection, in nanoseconds.
     #[serde(rename = "connIdleNs")]
     pub(super) idle_timeout_ns: u64,
-    /// The time after which a connection that is not yet established has failed, in nanoseconds.
+    /// The maximum time to establish a connection, in nanoseconds. After it, the connection has failed.
     pub(super) connect_timeout_ns: u64,
     /// The maximum number of pending requests of one sidecar.
     pub(super) max_open: u64,
@@ -127,7 +127,7 @@
     /// Whether a request may have two attempts in flight at once.
     #[serde(rename = "parallelTries")]
     pub(super) parallel_attempts: bool,
-    /// Whether endpoints may be sent health checks.
+    /// Whether the sidecar may send health checks to endpoints.
     #[serde(rename = "probes")]
     pub(super) health_checks: bool,
     /// Whether clients obey the Retry-After of a rejection.
@@ -143,8 +143,8 @@
 pub(super) struct ClassDocument {
     /// The name of the class.
     pub(super) name: String,
-    /// Whether a request may run more than once: `free` (any number of times), `guarded` (endpoints drop repeats) or
-    /// `single_shot` (never twice).
+    /// Whether endpoints may run a request more than once: `free` (any number of times), `guarded` (endpoints drop
+    /// repeats) or `single_shot` (never twice).
     #[serde(rename = "effect")]
     pub(super) idempotency: IdempotencyDocument,
     /// The time after which a client gives up, in nanoseconds, above 0.
@@ -153,15 +153,15 @@
     /// The latency objective: an answer within this time has full value. In nanoseconds, above 0.
     pub(super) objective_ns: u64,
     /// The endpoints that drop each other's repeats of a guarded request: `all`, those of one `zone`, or those of one
-    /// `cell`.
+    /// `cell` (group of endpoints). Required for guarded requests.
     pub(super) key_scope: Option<KeyScopeDocument>,
-    /// How long endpoints drop repeats of a guarded request, in nanoseconds.
+    /// The time for which endpoints drop repeats of a guarded request, in nanoseconds.
     #[serde(default, rename = "memorySpanNs")]
     pub(super) deduplication_window_ns: u64,
-    /// The fraction of its value that an answer after the objective keeps, from 0 to 1.
+    /// The fraction of its value that an answer keeps if it comes after the objective, from 0 to 1.
     #[serde(default, rename = "lateShare")]
     pub(super) late_value: f64,
-    /// The multiple of the request's work by which the objective grows.
+    /// The growth of the objective, as a multiple of the request's work.
     #[serde(default, rename = "aimStretch")]
     pub(super) objective_per_work: f64,
     /// Whether the answer is a stream.
@@ -175,7 +175,7 @@
     pub(super) priority_weight: f64,
 }
 
-/// Whether a request may run more than once.
+/// Whether endpoints may run a request more than once.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) enum IdempotencyDocument {
     // Any number of times.
@@ -202,7 +202,7 @@
     Group,
 }
 
-/// How clients behave.
+/// The behaviour of clients.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct ClientsDocument {
@@ -216,10 +216,10 @@
 pub(super) struct TenantDocument {
     /// The name of the tenant.
     pub(super) name: String,
-    /// The fraction of the service that the tenant has agreed, from 0 to 1.
+    /// The fraction of the service that is agreed with the tenant, from 0 to 1.
     #[serde(rename = "portion")]
     pub(super) quota_share: f64,
-    /// The requests per second within that share, over all sidecars of the tier.
+    /// The rate of requests within that share, per second, over all sidecars of the tier.
     #[serde(default)]
     pub(super) quota_per_s: f64,
 }
@@ -231,7 +231,7 @@
     /// Whether calls carry the remaining time of the request.
     #[serde(rename = "passesDeadline")]
     pub(super) propagates_deadline: bool,
-    /// Whether a request takes an endpoint less work if the endpoint served its key lately.
+    /// Whether a request takes less work at an endpoint that has recently served a request with the same key.
     pub(super) warm_keys: bool,
 }
 
@@ -261,13 +261,13 @@
 /// How endpoints report their load.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) struct ReportingDocument {
-    /// Where load reports come: `inline` (with each answer and health check), `on_probe` (with health checks only) or
-    /// `off` (nowhere).
+    /// When endpoints report their load: `inline` (with each answer and health check), `on_probe` (with health checks
+    /// only) or `off` (never).
     #[serde(rename = "how")]
     pub(super) mode: ReportingModeDocument,
 }
 
-/// Where load reports come.
+/// When endpoints report their load.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) enum ReportingModeDocument {
     // With answers and health checks.
@@ -276,7 +276,7 @@
     // With health checks only.
     #[serde(rename = "on_probe")]
     WithHealthChecks,
-    // Nowhere.
+    // Never.
     #[serde(rename = "off")]
     Off,
 }
@@ -294,20 +294,20 @@
     /// The fraction of its full capacity with which an endpoint starts, from 0 to 1.
     #[serde(rename = "coldFrom")]
     pub(super) initial_capacity: f64,
-    /// The time within which idle connections to a draining endpoint have to be closed, in nanoseconds. Absent: there
-    /// is no such rule.
+    /// The time within which a sidecar must close its idle connections to a draining endpoint, in nanoseconds. Absent:
+    /// there is no such rule.
     pub(super) drain_close_ns: Option<u64>,
     /// The time within which sends to a draining endpoint have to end, in nanoseconds.
     pub(super) drain_grace_ns: u64,
-    /// The multiple of its present capacity beyond which a warming endpoint fails if it is sent so much for
-    /// `fallNs`.
+    /// The overload that makes a warming endpoint fail, as a multiple of its present capacity. The endpoint fails if it
+    /// is sent more than that for `fallNs`.
     #[serde(rename = "fallMultiple")]
     pub(super) overload_multiple: f64,
-    /// The time for which a warming endpoint endures more than `fallMultiple`, in nanoseconds.
+    /// The time after which overload beyond `fallMultiple` makes a warming endpoint fail, in nanoseconds.
     #[serde(rename = "fallNs")]
     pub(super) overload_window_ns: u64,
-    /// The time for which a key is not used after an attempt that may still run, in nanoseconds. Absent: there is no
-    /// such rule.
+    /// The time for which a key is not used after an attempt that may still be running, in nanoseconds. Absent: there
+    /// is no such rule.
     #[serde(rename = "orderPauseNs")]
     pub(super) key_cooldown_ns: Option<u64>,
     /// The time after its start within which an endpoint reaches its full capacity, in nanoseconds.
--- a/src/configuration/validation.rs
+++ b/src/configuration/validation.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a configuration.
+//! The errors of an invalid configuration.
 
 use std::fmt;
 
-/// One thing that is wrong with a configuration.
+/// One error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ValidationError {
     /// The path in the document, such as `settings.categories[0].worth`; empty for the document itself.
     pub path: String,
-    /// What was found there and what is allowed.
+    /// The value found there and the values allowed.
     pub message: String,
 }
 
-/// All that is wrong with a configuration; never empty.
+/// The errors in a configuration; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ValidationErrors(pub Vec<ValidationError>);
 
--- a/src/configuration/variables.rs
+++ b/src/configuration/variables.rs
@@ -2,5 +2,5 @@
 
 /// Names the configuration file.
 pub const FILE_VARIABLE: &str = "ROUTER_CONFIG";
-/// Holds the IP address and port for operators' calls. It takes precedence over the configuration file.
+/// Holds the operators' address as an IP address and port. It takes precedence over the configuration file.
 pub const ADMIN_VARIABLE: &str = "ROUTER_ADMIN_ADDR";
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The messages of the discovery protocol, as they are sent in JSON.
+//! The messages of the discovery protocol in their JSON form.
 
 use crate::policy::{EndpointEntry, GroupId, ListKind, Readiness, Timestamp};
 use schemars::JsonSchema;
@@ -8,16 +8,16 @@
 /// One message of discovery: the full endpoint list, or the changes since an earlier version.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub struct EndpointList {
-    /// The version of the list; it grows with each change.
+    /// The version of the list, which grows with each change.
     pub index: u64,
-    /// Whether `endpoints` is the full list. Otherwise it holds only the entries that have changed.
+    /// Whether `endpoints` is the full list. Otherwise it contains only the entries that have changed.
     pub snapshot: bool,
-    /// The endpoints, or those of them that have changed.
+    /// All endpoints, or only those that have changed.
     pub endpoints: Vec<ListEntry>,
 }
 
 impl EndpointList {
-    /// Returns whether the message is the full list or holds changes, in the form that the decision module takes.
+    /// Returns the kind of the list in the decision module's terms.
     #[must_use]
     pub fn kind(&self) -> ListKind {
         if self.snapshot {
@@ -31,7 +31,7 @@
 /// One endpoint in a message of discovery.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub struct ListEntry {
-    /// The endpoint's name, which is the same at every sidecar.
+    /// The endpoint's name, which is the same for all sidecars.
     pub name: String,
     /// The address at which the endpoint listens; it may differ between sidecars.
     #[schemars(with = "String")]
@@ -43,7 +43,7 @@
     pub kind: String,
     /// The number of the endpoint's group.
     pub group: u64,
-    /// Whether the endpoint takes requests.
+    /// Whether the endpoint accepts requests.
     pub status: EntryStatus,
     /// The endpoint's weight relative to the others.
     pub weight: f64,
@@ -51,13 +51,13 @@
     pub since_ms: u64,
 }
 
-/// Whether an endpoint takes requests, according to discovery.
+/// Whether an endpoint accepts requests, according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EntryStatus {
-    /// The endpoint takes requests.
+    /// The endpoint accepts requests.
     Serving,
-    /// The endpoint finishes its requests and takes no new ones.
+    /// The endpoint finishes its requests and accepts no new ones.
     Draining,
     /// The endpoint has been removed. Only changes contain this status.
     Deleted,
@@ -74,8 +74,8 @@
 }
 
 impl ListEntry {
-    /// Returns the time of the endpoint's last start, or `None` if it started long ago. The clock of the decision
-    /// module gives Unix time here, so the value needs no conversion between clocks.
+    /// Returns the time of the endpoint's last start, or `None` if it started long ago. The decision module's clock is
+    /// set to Unix time, so the value needs no conversion.
     #[must_use]
     pub fn started_at(&self) -> Option<Timestamp> {
         (self.since_ms > 0).then(|| Timestamp::from_nanos(self.since_ms.saturating_mul(1_000_000)))
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -1,4 +1,4 @@
-//! `check`, `explain`, `diff` and `schema`.
+//! Tests of `check`, `explain`, `diff` and `schema`.
 
 use super::{TestDirectory, path_text, run_program, stderr, stdout, valid_configuration};
 use serde_json::{Value, json};
@@ -15,7 +15,7 @@
     )
 }
 
-/// Guards `check` against false errors.
+/// Guards against errors of `check` for a valid configuration.
 #[test]
 fn check_accepts_a_valid_configuration() {
     let directory = TestDirectory::new("check-good");
@@ -29,12 +29,12 @@
     assert_eq!(
         check(&directory, &other),
         (Some(0), vec![], vec![]),
-        "null is as absent"
+        "null counts as absent"
     );
 }
 
-/// Guards against errors that are reported one a run: all are reported at once, each with its path, what was found and
-/// what is allowed.
+/// Guards against errors of which only the first is reported. All must be reported at once, each with its path, the
+/// value found and the values allowed.
 #[test]
 fn check_reports_all_errors_at_once() {
     let directory = TestDirectory::new("check-errors");
@@ -66,7 +66,8 @@
     }
 }
 
-/// Guards against values of the right type that make no sense; they are reported by their keys in the document.
+/// Guards against values of the right type that are out of range. They must be reported under their keys in the
+/// document.
 #[test]
 fn check_reports_invalid_settings_by_their_document_paths() {
     let directory = TestDirectory::new("check-sense");
@@ -88,7 +89,8 @@
     );
 }
 
-/// Guards what the schema does not cover: addresses and files that are not JSON or not there.
+/// Guards against missing reports of errors that the schema does not cover: invalid addresses, files that are not JSON,
+/// missing files, and no named file.
 #[test]
 fn check_reports_errors_that_the_schema_does_not_cover() {
     let directory = TestDirectory::new("check-text");
@@ -118,7 +120,8 @@
     );
 }
 
-/// Guards what a JSON value does not show: a key that is there twice is an error, with its position in the text.
+/// Guards against duplicate keys, which a parsed JSON value does not show. They must be reported with their position in
+/// the text.
 #[test]
 fn check_reports_a_duplicate_key_with_its_position() {
     let directory = TestDirectory::new("check-duplicate");
@@ -134,7 +137,7 @@
     );
 }
 
-/// Guards against misspelt keys: they are warned of, and are no errors.
+/// Guards against misspelt keys that go unnoticed. They must cause a warning, but no error.
 #[test]
 fn check_warns_of_unknown_keys() {
     let directory = TestDirectory::new("check-unknown");
@@ -148,7 +151,7 @@
     );
 }
 
-/// Guards `explain`: it shows each value with its unit and its origin.
+/// Guards the output of `explain`: each value with its unit and origin.
 #[test]
 fn explain_shows_values_units_and_origins() {
     let directory = TestDirectory::new("explain");
@@ -167,8 +170,8 @@
     }
 }
 
-/// Guards that `diff` agrees with SIGHUP: settings and discovery change with it, the rest needs a restart, and without a key
-/// that was there the whole file is rejected.
+/// Guards against a `diff` that disagrees with the effect of SIGHUP. Settings and discovery change with SIGHUP, other
+/// values need a restart, and a missing key makes a reload reject the whole file.
 #[test]
 fn diff_shows_what_a_reload_would_change() {
     let directory = TestDirectory::new("diff");
@@ -200,7 +203,7 @@
         .remove("coldFrom");
     incomplete["settings"]["rules"]["coldFrom2"] = json!(0.5);
     let (code, _) = diff_with(&incomplete);
-    assert_eq!(code, Some(2), "it cannot be used at all");
+    assert_eq!(code, Some(2), "the file is invalid");
     let mut incomplete = valid_configuration();
     incomplete["settings"]
         .as_object_mut()
@@ -210,7 +213,7 @@
     assert_eq!(diff_with(&incomplete), (Some(1), expected.into()));
 }
 
-/// Guards that the published schema is up to date. `balancer-sidecar schema` writes it anew.
+/// Guards against an outdated published schema. `balancer-sidecar schema` prints the present one.
 #[test]
 fn published_schema_is_up_to_date() {
     let output = run_program(&["schema"]);
--- a/tests/command_line/help.rs
+++ b/tests/command_line/help.rs
@@ -1,4 +1,4 @@
-//! The help, the version, the completions and the manual page, all generated from the same definitions.
+//! Tests of the help, the version, the completions and the manual page, which are generated from the same definitions.
 
 use super::{run_program, stdout};
 
@@ -16,7 +16,7 @@
     "schema",
 ];
 
-/// Guards against commands that are missing from a text.
+/// Guards against commands that are missing from the help, the completions or the manual page.
 #[test]
 fn texts_name_all_commands() {
     let help = stdout(&run_program(&["--help"]));
@@ -35,7 +35,10 @@
         );
         assert!(manual.contains(command), "{command}: {manual}");
     }
-    assert!(manual.starts_with(".ie"), "a page in roff: {manual}");
+    assert!(
+        manual.starts_with(".ie"),
+        "the manual page is not roff: {manual}"
+    );
 }
 
 #[test]
@@ -46,7 +49,7 @@
     );
 }
 
-/// Guards scripts: invalid arguments are bad input, and the program does not serve.
+/// Guards against a program that serves when its arguments are invalid. Scripts depend on the exit code 2.
 #[test]
 fn invalid_arguments_are_bad_input() {
     for arguments in [
--- a/tests/command_line/main.rs
+++ b/tests/command_line/main.rs
@@ -1,4 +1,4 @@
-//! The commands of the built program.
+//! Tests of the commands of the built program.
 
 mod configuration;
 mod help;
@@ -60,7 +60,7 @@
     })
 }
 
-/// Runs the program with these arguments and without the environment variables that it reads.
+/// Runs the program with arguments, without the environment variables that it reads.
 #[must_use]
 pub fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
@@ -70,19 +70,19 @@
     command.args(arguments).output().expect("the program runs")
 }
 
-/// Returns a path as an argument.
+/// Returns a path as text for an argument.
 #[must_use]
 pub fn path_text(path: &Path) -> &str {
     path.to_str().expect("a path in UTF-8")
 }
 
-/// Returns what a program wrote to standard output.
+/// Returns the standard output of a program.
 #[must_use]
 pub fn stdout(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).expect("text")
 }
 
-/// Returns what a program wrote to standard error.
+/// Returns the standard error of a program.
 #[must_use]
 pub fn stderr(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).expect("text")
--- a/tests/command_line/operator_commands.rs
+++ b/tests/command_line/operator_commands.rs
@@ -1,4 +1,4 @@
-//! `status`, `drain`, `undrain`, `disable` and `enable`, against a fake sidecar.
+//! Tests of `status`, `drain`, `undrain`, `disable` and `enable` with a fake sidecar.
 
 use super::{TestDirectory, path_text, run_program, stderr, stdout, valid_configuration};
 use serde_json::json;
@@ -6,8 +6,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::thread::{self, JoinHandle};
 
-/// Starts a fake sidecar that takes one call for each answer. Returns its operators' address and, once joined, the lines of
-/// the calls.
+/// Starts a fake sidecar that accepts one call for each answer. Returns its operators' address and a handle that gives
+/// the received lines when joined.
 fn fake_sidecar(answers: &'static [&'static str]) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -31,7 +31,8 @@
     line
 }
 
-/// Guards the calls: each is one line, and a negative answer is printed and makes the exit code 1.
+/// Guards the exchange with the sidecar. Each command must send one line, print the answer, and exit with 1 if the
+/// answer does not report success.
 #[test]
 fn commands_send_one_line_and_report_the_answer() {
     for (arguments, call) in [
@@ -59,7 +60,7 @@
     }
 }
 
-/// Guards `status`, and that it finds the operators' address in the configuration.
+/// Guards the output of `status`, and that it takes the operators' address from the configuration.
 #[test]
 fn status_shows_readiness_and_metrics() {
     let (address, calls) = fake_sidecar(&["YES\n", "app_pending 3\napp_members 2\nEND\n"]);
@@ -78,13 +79,14 @@
     assert_eq!(calls.join().expect("two calls"), ["READY\n", "STATS\n"]);
 }
 
-/// Guards against silent failures: a missing address is bad input, an unreachable sidecar a failure.
+/// Guards against failures without a message. A missing address is invalid input (exit code 2), and an unreachable
+/// sidecar is a failure (exit code 1).
 #[test]
 fn commands_report_a_missing_address_and_an_unreachable_sidecar() {
     let output = run_program(&["status"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        stderr(&output).starts_with("no second address: "),
+        stderr(&output).starts_with("no operators' address: "),
         "{}",
         stderr(&output)
     );
