--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,20 +1,22 @@
-//! Exponential backoff with jitter, for calls that all processes of a fleet may have to repeat at the same time.
+//! Exponential backoff with jitter, for calls that many processes of a fleet may repeat at the same time.
 
-/// The highest factor that jitter applies to the mean delay; the lowest is as much below 1.
+/// The maximum factor that jitter applies to the mean delay. The minimum factor is as far below 1 as this is above it.
 pub(crate) const MAX_JITTER_FACTOR: f64 = 1.5;
 
-/// Delays whose mean doubles with each failure in a row.
+/// A backoff whose mean delay doubles with each consecutive failure.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExponentialBackoff {
-    /// The mean delay after the first failure, in seconds; also the lowest mean.
+    /// The mean delay after the first failure, in seconds. The mean is never shorter.
     pub(crate) initial_mean: f64,
-    /// How often the mean doubles at most.
+    /// The maximum number of times that the mean doubles.
     pub(crate) max_doublings: u32,
 }
 
 impl ExponentialBackoff {
-    /// Returns the delay in seconds after a number of earlier failures in a row. It does not exceed `max_delay`, as far
-    /// as the initial mean allows that. `random` is from 0 to 1.
+    /// Returns the delay in seconds after `earlier_failures` consecutive failures before the latest one. `random` is
+    /// from 0 to 1.
+    ///
+    /// The delay exceeds `max_delay` only if the initial mean does not leave room for jitter below it.
     pub(crate) fn delay(&self, earlier_failures: u32, max_delay: f64, random: f64) -> f64 {
         let doublings = earlier_failures.min(self.max_doublings);
         let doubled_mean = self.initial_mean * f64::from(1 << doublings);
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,11 +1,11 @@
-//! The program that runs the decision module for the simulator: it reads the wire from standard input and writes the
-//! replies to standard output.
+//! Runs instances of the decision module for the simulator. Reads the simulator's messages from standard input and
+//! writes the replies to standard output.
 
 use balancer_sidecar::simulator;
 use std::io::{BufReader, stdin, stdout};
 use std::process::ExitCode;
 
-/// The size of the input buffer, in bytes. Batches are long.
+/// The size of the input buffer, in bytes. It is large because batches are long.
 const INPUT_BUFFER_SIZE: usize = 1 << 20;
 
 fn main() -> ExitCode {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,14 +1,16 @@
-//! The clock that a host runs its balancer by.
+//! The clock that supplies a host's balancer with the time.
 
 use crate::policy::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The longest time from now on that is distinguished: timers and deadlines are limited to it, so that no sum overflows.
+/// The maximum time from now that a timer or a deadline may lie ahead. Longer times are reduced to it so that no sum
+/// overflows.
 pub const MAX_TIME_AHEAD: Duration = Duration::from_secs(3600);
 
-/// A monotonic clock that reads Unix time at its start and advances by the time elapsed since. The starts of endpoints,
-/// which discovery gives in Unix time, need no conversion.
+/// A monotonic clock that is set to Unix time at its start and advances by the time elapsed since.
+///
+/// Discovery gives the start times of endpoints in Unix time. They can be compared with this clock without conversion.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_instant: Instant,
@@ -34,13 +36,13 @@
         self.start_time + self.start_instant.elapsed()
     }
 
-    /// Converts a past instant of the runtime's clock; one before the clock's start is that start.
+    /// Converts a past instant of the runtime's clock. An instant before the clock's start is converted to that start.
     #[must_use]
     pub fn timestamp(&self, instant: Instant) -> Timestamp {
         self.start_time + instant.saturating_duration_since(self.start_instant)
     }
 
-    /// Converts a point in time to an instant of the runtime's timers.
+    /// Converts a point in time to an instant for the runtime's timers, at most [`MAX_TIME_AHEAD`] from now.
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
         Instant::now() + timestamp.since(self.now()).min(MAX_TIME_AHEAD)
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,25 +1,28 @@
-//! Delays between calls of discovery, with jitter because a whole fleet makes them at the same time.
+//! The delays between calls of discovery. They have jitter because all sidecars of a fleet may call at the same time.
 
 use crate::backoff::ExponentialBackoff;
 use crate::policy::random::SeededRandom;
 use crate::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
 use std::time::Duration;
 
-/// The mean delay is 0.3 s after the first failure in a row and doubles twice at most, within [`MAX_DELAY`].
+/// The backoff after failures: the mean delay is 0.3 s after the first consecutive failure and doubles at most twice,
+/// up to [`MAX_DELAY`].
 const FAILURE_BACKOFF: ExponentialBackoff = ExponentialBackoff {
     initial_mean: 0.3,
     max_doublings: 2,
 };
-/// The maximum delay: a call that follows an immediate failure can still wait the full [`DISCOVERY_TIMEOUT`] for its
-/// response before a change has to be in force. Longer delays would only help a discovery that rejects calls, and slow
-/// down the recovery of all sidecars after an outage.
+/// The maximum delay after an immediate failure. It leaves the next call the full [`DISCOVERY_TIMEOUT`] for its
+/// response before the [`CHANGE_PROPAGATION_DEADLINE`] of a change.
+///
+/// Longer delays would reduce the load only on a discovery that rejects calls, and would slow down the recovery of all
+/// sidecars after an outage.
 const MAX_DELAY: Duration = CHANGE_PROPAGATION_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
 
-/// When the next call of discovery is made: with exponential backoff after a failure, and after a hedging delay while a
-/// call has no response.
+/// Schedules calls of discovery: with exponential backoff after a failure, and with a hedge delay while a call has no
+/// response.
 ///
-/// Each caller uses a seed of its own, so that the sidecars of a fleet that lost discovery at the same moment do not call
-/// it again at the same moment.
+/// Each sidecar uses a seed of its own. Sidecars that lose discovery at the same moment therefore call it again at
+/// different moments.
 #[derive(Debug)]
 pub struct Backoff {
     random: SeededRandom,
@@ -27,7 +30,7 @@
 }
 
 impl Backoff {
-    /// Creates a backoff that has seen no failure.
+    /// Creates a backoff without failures.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Backoff {
@@ -36,15 +39,15 @@
         }
     }
 
-    /// Records a response of discovery: the next failure counts as the first in a row.
+    /// Records a response of discovery. The next failure counts as the first consecutive one.
     pub fn reset(&mut self) {
         self.consecutive_failures = 0;
     }
 
     /// Records the failure of a call that took `call_duration`, and returns the delay before the next call.
     ///
-    /// The mean delay doubles with each failure in a row, up to a maximum and as long as the next call still begins within
-    /// [`MAX_CALL_INTERVAL`] of the start of the failed one.
+    /// The mean delay doubles with each consecutive failure up to a maximum. It is shortened, but not below the initial
+    /// mean, so that the next call begins within [`MAX_CALL_INTERVAL`] of the start of the failed one.
     pub fn delay_after(&mut self, call_duration: Duration) -> Duration {
         let max_delay = MAX_DELAY.min(MAX_CALL_INTERVAL.saturating_sub(call_duration));
         let delay = FAILURE_BACKOFF.delay(
@@ -57,8 +60,10 @@
     }
 
     /// Returns the time after which a call without a response is hedged by another one, from [`DISCOVERY_TIMEOUT`] to
-    /// [`MAX_CALL_INTERVAL`]. It does not grow with the number of calls: the outstanding ones may have been lost in the
-    /// network while discovery is reachable again.
+    /// [`MAX_CALL_INTERVAL`].
+    ///
+    /// It does not grow with the number of calls: outstanding calls may have been lost in the network while discovery
+    /// is reachable again.
     pub fn hedge_delay(&mut self) -> Duration {
         let jitter = MAX_CALL_INTERVAL - DISCOVERY_TIMEOUT;
         DISCOVERY_TIMEOUT + jitter.mul_f64(self.random.unit())
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Fetches of the endpoint list and watches on its changes, each on a connection of its own.
+//! Fetches the endpoint list and watches its changes, each call on a connection of its own.
 
 use super::backoff::Backoff;
 use super::consumer::ListConsumer;
@@ -16,11 +16,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The path of the full list; with a query also that of a watch.
+/// The path of the full list. With a query it is the path of a watch.
 const LIST_PATH: &str = "/v1/endpoints";
 
-/// Watches the changes after `known_version` until the watch fails, and reports the failure to the consumer, whose
-/// decision module schedules the next call.
+/// Watches the changes after `known_version` until the watch fails, and reports the failure to the consumer. The
+/// consumer's decision module schedules the next call.
 pub(super) async fn watch<C: ListConsumer>(
     consumer: C,
     source: Source,
@@ -35,8 +35,8 @@
 
 /// Watches an agent that pushes lists, and reopens the watch with backoff whenever it fails.
 ///
-/// The decision module does not schedule these calls and is not notified of failures. An agent is silent while discovery
-/// is down, so time-outs are not logged.
+/// The decision module neither schedules these calls nor is notified of failures. Time-outs are not logged, because an
+/// agent is silent while discovery is down.
 pub(super) async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     loop {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The longest time that one list may take to arrive: a later answer would be newer.
+/// The maximum time to receive one list. After it, a new call would return a newer list.
 const MAX_LIST_TRANSFER_TIME: Duration = Duration::from_secs(30);
 
 /// Fetches the full list once, and reports a failure to the consumer.
@@ -84,7 +84,7 @@
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Receives the body of a full list, which must not be silent for [`DISCOVERY_TIMEOUT`].
+/// Receives the body of a full list. Fails if nothing arrives for [`DISCOVERY_TIMEOUT`] or if the list is too long.
 async fn collect_list(mut body: Incoming) -> Result<BytesMut, DiscoveryError> {
     let mut list = BytesMut::new();
     while let Some(frame) = timeout(DISCOVERY_TIMEOUT, body.frame()).await? {
@@ -98,34 +98,34 @@
     Ok(list)
 }
 
-/// How a watch ended.
+/// The end of a watch.
 struct WatchEnd {
     error: DiscoveryError,
     stage: WatchStage,
 }
 
-/// How far a watch got.
+/// The stage that a watch had reached when it ended.
 enum WatchStage {
-    /// The request was not answered with a watch.
+    /// The watch had not been opened.
     Opening {
-        /// The version from which the watch was to resume, if one was known.
+        /// The known version, from which the watch was to resume; `None` if the full list had to be fetched first.
         since: Option<u64>,
         /// The time since the first call.
         elapsed: Duration,
     },
-    /// The watch was open.
+    /// The watch had been opened.
     Open {
-        /// For how long.
+        /// The time for which the watch was open.
         duration: Duration,
-        /// The number of lists received on it.
+        /// The number of lists received on the watch.
         list_count: u64,
-        /// When something was last received on it.
+        /// The time at which a list or a heartbeat was last received on the watch, or else the time of its opening.
         last_received_at: Instant,
     },
 }
 
 impl WatchEnd {
-    /// Returns what the failure says of the next call.
+    /// Classifies the failure for the schedule of the next call.
     fn failure(&self) -> DiscoveryFailure {
         match self.stage {
             WatchStage::Opening { .. } => self.error.call_failure(),
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Returns when something was last received on the watch, if it was open.
+    /// Returns the time at which a list or a heartbeat was last received on the watch. Returns `None` if the watch was
+    /// not opened.
     fn last_received_at(&self) -> Option<Instant> {
         match self.stage {
             WatchStage::Opening { .. } => None,
@@ -149,11 +150,11 @@
         write!(formatter, "{}", self.error)?;
         match self.stage {
             WatchStage::Opening { since, elapsed } => {
-                let since = since.map_or("no version".into(), |since| format!("version {since}"));
+                let since = since.map_or("none".into(), |since| format!("{since}"));
                 let elapsed = elapsed.as_secs_f64();
                 write!(
                     formatter,
-                    " (not opened after {elapsed:.3} s, since {since})"
+                    " (not opened after {elapsed:.3} s, known version: {since})"
                 )
             }
             WatchStage::Open {
@@ -204,8 +205,8 @@
 
 /// Opens a watch on the changes after `known_version`.
 ///
-/// Without a known version the full list is fetched first: a watch from version 0 may contain only the changes that this
-/// discovery still remembers.
+/// Without a known version the full list is fetched first. A watch from version 0 might return only the changes that
+/// this discovery service still stores.
 async fn open_watch<C: ListConsumer>(
     consumer: &C,
     source: Source,
@@ -228,14 +229,16 @@
     Ok(body)
 }
 
-/// The events of an open watch.
+/// The receiver of the events of an open watch.
 struct WatchEvents {
     decoder: ListDecoder,
     /// The number of lists received.
     list_count: u64,
-    /// When a list was completed or a heartbeat came; at first, when the watch was opened.
+    /// The time at which a list was last completed or a heartbeat last received. Initially the time at which the watch
+    /// was opened.
     last_received_at: Instant,
-    /// When the last part of an incomplete list came, if that was later.
+    /// The time at which a part of an incomplete list was last received. Initially the time at which the watch was
+    /// opened.
     last_part_at: Instant,
 }
 
@@ -251,8 +254,8 @@
 
     /// Receives the events of a watch until it fails, ends or is silent for [`DISCOVERY_TIMEOUT`].
     ///
-    /// Heartbeats count as silence while a list is incomplete, because its rest may never come. Parts of it do not, for
-    /// [`MAX_LIST_TRANSFER_TIME`].
+    /// While a list is incomplete, heartbeats count as silence, because the rest of the list may never come. Further
+    /// parts of the list end the silence, for at most [`MAX_LIST_TRANSFER_TIME`].
     async fn receive<C: ListConsumer>(
         &mut self,
         consumer: &C,
--- a/src/discovery/consumer.rs
+++ b/src/discovery/consumer.rs
@@ -1,4 +1,4 @@
-//! The receiver of lists, watches and failures.
+//! The trait of the receiver of lists, watch states and failures.
 
 use super::error::{DiscoveryFailure, StaleListError};
 use super::list::EndpointList;
@@ -6,39 +6,42 @@
 use std::fmt;
 use tokio::time::Instant;
 
-/// Receives what the discovery client learns.
+/// Receives the results of the discovery client's calls.
 ///
-/// The client calls it from tasks on the current thread, and each call names the source that it concerns: a reload may
-/// have moved discovery since the client's call began.
+/// The client invokes the methods from tasks on the current thread. Each method takes the source that it concerns,
+/// because a reload may have moved discovery since the client's call began.
 pub trait ListConsumer: Clone + 'static {
-    /// Returns the version of the last list from a source, from which a watch can resume; `None` if there is none.
+    /// Returns the version of the last list from a source, from which a watch can resume. Returns `None` if there is no
+    /// such list.
     fn known_version(&self, source: Source) -> Option<u64>;
 
     /// Receives the full list or a watch event.
     ///
     /// # Errors
-    /// Returns [`StaleListError`] if the list is older than the source's last one; the client then gives the watch up.
+    /// Returns [`StaleListError`] if the list is older than the last list of the source. The client then ends the call
+    /// or the watch.
     fn list_received(&self, source: Source, list: EndpointList) -> Result<(), StaleListError>;
 
-    /// Notes that a watch has been opened.
+    /// Records that a watch has been opened.
     fn watch_opened(&self, source: Source);
 
-    /// Notes that a call failed or a watch was lost, so that the decision module schedules the next call. It is not used
-    /// for agents, which the client follows without the module.
+    /// Records that a call failed or a watch was lost. The decision module schedules the next call.
+    ///
+    /// The client does not invoke it for watches on agents, which it reopens without the decision module.
     fn discovery_failed(&self, source: Source, failure: DiscoveryFailure);
 
-    /// Notes that the open watch has shown the list to be current: a list or a heartbeat was received on it.
+    /// Records that the list is current because a list or a heartbeat was received on the open watch.
     fn list_confirmed(&self, _source: Source) {}
 
-    /// Notes that a watch was lost or could not be opened, on an agent too. `last_received_at` is when something was last
-    /// received on it, `None` if it could not be opened.
+    /// Records that a watch, which may be one on an agent, was lost or could not be opened. `last_received_at` is the
+    /// time at which a list or a heartbeat was last received on the watch, or `None` if it could not be opened.
     fn watch_ended(&self, _source: Source, _last_received_at: Option<Instant>) {}
 
-    /// Notes that a fetch of the full list failed. Only for consumers that count failures.
+    /// Records that a fetch of the full list failed, for consumers that count failures.
     fn fetch_failed(&self, _source: Source) {}
 
-    /// Notes that a call has no response yet and is hedged by another one; `is_reached` says whether discovery has accepted
-    /// a connection.
+    /// Records that a call without a response is hedged by another one. `is_reached` is true if discovery has accepted
+    /// the connection of an outstanding call.
     fn call_hedged(&self, _source: Source, _is_reached: bool) {}
 
     /// Returns the seed of the jitter between calls. It must differ between the sidecars of a fleet.
--- a/src/discovery/error.rs
+++ b/src/discovery/error.rs
@@ -4,21 +4,21 @@
 use hyper::StatusCode;
 use std::io;
 
-/// A list was rejected because its version is older than that of its source's last list.
+/// The error that a list is rejected because its version is older than that of the last list from the same source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the list is older than the previous one")]
 pub struct StaleListError;
 
-/// How discovery failed, as far as the next call depends on it.
+/// The kind of a discovery failure, which determines the schedule of the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFailure {
-    /// It was reached and rejected the call.
+    /// Discovery was reached and rejected the call.
     Rejected,
-    /// It could not be reached, or an open watch was lost.
+    /// Discovery could not be reached, or an open watch was lost.
     Lost,
 }
 
-/// Why a call of discovery failed, or a watch ended.
+/// The reason why a call of discovery failed or a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DiscoveryError {
     /// The connection could not be established.
@@ -39,10 +39,10 @@
     /// Discovery ended the watch.
     #[error("closed by discovery")]
     Closed,
-    /// A message is not an endpoint list.
+    /// A message is not a valid endpoint list.
     #[error("malformed list: {0}")]
     Json(#[from] serde_json::Error),
-    /// The stream is not a sequence of lists.
+    /// The stream is not a sequence of JSON objects.
     #[error(transparent)]
     MalformedStream(#[from] MalformedStreamError),
     /// A message exceeds the maximum size of a list.
@@ -54,8 +54,10 @@
 }
 
 impl DiscoveryError {
-    /// Returns what the failure of a call says of the next one. A crowded discovery answers with an error status or resets
-    /// the connection.
+    /// Classifies the failure of a call for the schedule of the next one.
+    ///
+    /// An error status and a reset connection count as rejections, because an overloaded discovery service answers with
+    /// them.
     pub(super) fn call_failure(&self) -> DiscoveryFailure {
         match self {
             DiscoveryError::Status(_) | DiscoveryError::Http(_) => DiscoveryFailure::Rejected,
--- a/src/discovery/hedged_call.rs
+++ b/src/discovery/hedged_call.rs
@@ -1,11 +1,12 @@
-//! Calls of discovery with hedging: a call without a response keeps its place in discovery's queue while another one is
-//! made beside it.
+//! Calls of discovery with hedging: a call without a response keeps its place in discovery's queue, and a hedged call
+//! is made beside it.
 //!
-//! Discovery handles the calls of all sidecars in turn and spends time on abandoned calls as well. If a fleet abandoned
-//! its calls before their turn and repeated them at the end of the queue, discovery would be busy with abandoned calls for
-//! as long as the overload lasts (congestion collapse). On the other hand, a call without a response may have been lost in
-//! the network. So the oldest call is kept for its place in the queue, and the newest one finds out whether discovery can
-//! be reached.
+//! Discovery handles the calls of all sidecars in order of arrival and spends time on abandoned calls, too. If all
+//! sidecars abandoned their calls before discovery reached them and repeated them at the end of the queue, discovery
+//! would handle only abandoned calls for as long as the overload lasts (congestion collapse).
+//!
+//! On the other hand, a call without a response may have been lost in the network. The oldest call is therefore kept
+//! for its place in the queue, and the newest one tests whether discovery can be reached.
 
 use super::backoff::Backoff;
 use super::error::DiscoveryError;
@@ -26,17 +27,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// The maximum number of outstanding calls: the oldest, which is the next in discovery's queue, and the newest.
+/// The maximum number of outstanding calls: the oldest, which is the first of them in discovery's queue, and the
+/// newest.
 const MAX_CONCURRENT_CALLS: usize = 2;
-/// A call without a response is replaced by a newer one after this long: it may have been lost in the network, and as long
-/// as it is kept, the other call is replaced over and over and may never reach the front of a long queue. The value exceeds
-/// the time that 500 sidecars wait for a discovery that answers 20 calls a second.
+/// The age from which a newer call replaces a call without a response, because the old one may have been lost in the
+/// network. While the old one is kept, each new call replaces the other outstanding one, which may then never reach the
+/// front of a long queue.
+///
+/// The value exceeds the time that 500 sidecars wait for a discovery service that answers 20 calls per second.
 const MAX_CALL_AGE: Duration = Duration::from_secs(30);
 
 /// Sends a GET request to discovery and returns the body of the first successful response.
 ///
-/// While there is no response, a further call is made after each [`Backoff::hedge_delay`], and `on_hedge` is called with
-/// whether discovery has accepted a connection.
+/// While there is no response, a further call is made after each [`Backoff::hedge_delay`]. `on_hedge` is then called;
+/// its argument is true if discovery has accepted the connection of an outstanding call.
 ///
 /// # Errors
 /// Returns the last error once all outstanding calls have failed.
@@ -70,7 +74,7 @@
 struct OutstandingCalls(VecDeque<Call>);
 
 impl OutstandingCalls {
-    /// Starts a call and drops those that it replaces: all but the oldest that still has a place in discovery's queue.
+    /// Starts a call. Of the other calls it keeps only the oldest that still has a place in discovery's queue.
     fn start(&mut self, address: SocketAddr, path: &str) {
         self.0.retain(Call::is_queued);
         self.0.truncate(MAX_CONCURRENT_CALLS - 1);
@@ -123,8 +127,8 @@
         }
     }
 
-    /// Returns whether the call keeps its place in discovery's queue. Without a connection it has none, and an old call may
-    /// have been lost.
+    /// Returns whether the call may still have a place in discovery's queue. A call without a connection has none, and
+    /// an old call may have been lost.
     fn is_queued(&self) -> bool {
         self.is_connected.get() && self.started_at.elapsed() < MAX_CALL_AGE
     }
--- a/src/discovery/list_decoder.rs
+++ b/src/discovery/list_decoder.rs
@@ -1,33 +1,35 @@
-//! The decoder of a watch's stream of lists.
+//! Decodes the stream of lists that a watch receives.
 
 use super::error::{DiscoveryError, StaleListError};
 use super::list::EndpointList;
 use super::list_scanner::{ListScanner, ScannedByte};
 use bytes::{Buf, BytesMut};
 
-/// The maximum size of a list in bytes, several times that of the largest fleet's list.
+/// The maximum size of a list, in bytes. It is several times the size of the list of the largest fleet.
 pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Decodes a stream of JSON lists, however they are split into lines and chunks. Each byte is scanned once and each list
-/// is parsed once, so that a long list in many small chunks costs no more than one in a few.
+/// Decodes a stream of JSON lists, regardless of its division into lines and chunks.
+///
+/// Each byte is scanned once and each list is parsed once. The cost of a long list therefore does not depend on the
+/// number of its chunks.
 #[derive(Debug, Default)]
 pub(super) struct ListDecoder {
-    /// The beginning of a list whose end has not been received.
+    /// The received part of an incomplete list.
     incomplete: BytesMut,
     scanner: ListScanner,
-    /// How often a list was parsed.
+    /// The number of lists that were parsed.
     #[cfg(test)]
     pub(super) parse_count: usize,
 }
 
-/// What a chunk has added.
+/// The content of a chunk, as far as the silence time-out depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChunkContent {
-    /// A list was completed, or no list is incomplete and the chunk is a heartbeat.
+    /// The chunk completed a list, or it is a heartbeat between lists.
     ListOrHeartbeat,
-    /// A list is incomplete, and the chunk is a part of it.
+    /// The chunk is a part of a list that is still incomplete.
     PartOfList,
-    /// A list is incomplete, and the chunk added nothing to it.
+    /// A list is incomplete, and the chunk adds nothing to it but white space.
     NothingNew,
 }
 
@@ -35,8 +37,8 @@
     /// Decodes a chunk and passes each list that it completes to `receive`, in order.
     ///
     /// # Errors
-    /// Returns an error if the stream is malformed, a list is too long, or `receive` rejects a list. Earlier lists of the
-    /// chunk have been received nevertheless. The decoder must not be used any more then.
+    /// Returns an error if the stream is malformed, a list is too long, or `receive` rejects a list. Earlier lists of
+    /// the chunk have been passed on by then. After an error the decoder must not be used again.
     pub(super) fn decode(
         &mut self,
         chunk: &[u8],
@@ -72,7 +74,7 @@
         })
     }
 
-    /// Parses the list that has been received completely.
+    /// Parses the list that has been completed.
     fn parse_list(&mut self) -> Result<EndpointList, DiscoveryError> {
         #[cfg(test)]
         {
--- a/src/discovery/list_decoder_tests.rs
+++ b/src/discovery/list_decoder_tests.rs
@@ -19,7 +19,8 @@
     (versions, content)
 }
 
-/// Guards lists that are split: each counts with the chunk that completes it, and an incomplete one has no effect.
+/// Guards the decoding of lists that are split between chunks. A list must be passed on with the chunk that completes
+/// it, and an incomplete list must have no effect.
 #[test]
 fn list_is_decoded_with_its_last_chunk() {
     let mut decoder = ListDecoder::default();
@@ -34,7 +35,8 @@
     assert_eq!(content.expect("well-formed"), ChunkContent::ListOrHeartbeat);
 }
 
-/// Guards the silence time-out: a heartbeat is progress between lists, not within an incomplete one.
+/// Guards the silence time-out. A heartbeat must count as received data between lists, but not within an incomplete
+/// list.
 #[test]
 fn heartbeat_within_an_incomplete_list_adds_nothing() {
     let mut decoder = ListDecoder::default();
@@ -47,7 +49,8 @@
     assert_eq!(content.expect("well-formed"), ChunkContent::NothingNew);
 }
 
-/// Guards long lists that arrive slowly: each part of one is progress, though it completes nothing.
+/// Guards against a time-out of long lists that arrive slowly. Each part of a list must count as received data, even if
+/// it completes no list.
 #[test]
 fn part_of_an_incomplete_list_counts() {
     let mut decoder = ListDecoder::default();
@@ -63,8 +66,8 @@
     assert_eq!(decode(&mut decoder, "]}").0, [1]);
 }
 
-/// Guards the processor against lists of thousands of endpoints in small pieces: each list is parsed once, and not anew with
-/// each chunk, which took time by the square of its length.
+/// Guards against quadratic processing time for lists of thousands of endpoints in small chunks. Each list must be
+/// parsed once, not again with each chunk.
 #[test]
 fn long_list_in_small_pieces_is_parsed_once() {
     let entry = "{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\",\
@@ -79,7 +82,8 @@
     assert_eq!(decoder.parse_count, 1);
 }
 
-/// Guards every way to split a stream, with brackets and quotes in strings: the lists are the same.
+/// Guards against results that depend on the chunks. Every division of a stream, with brackets and quotes in strings,
+/// must give the same lists.
 #[test]
 fn lists_do_not_depend_on_how_the_stream_is_split() {
     let entry = "{\"name\":\"a}]\\\"{[\",\"address\":\"127.0.0.1:1\",\"zone\":\"\\\\\",\"type\":\"m\",\
@@ -99,8 +103,8 @@
     }
 }
 
-/// Guards against a list that broke off and is followed by another one: wherever it broke off, that is noticed with the
-/// list after that at the latest.
+/// Guards against a list that breaks off and is followed by others. At any position, the break must be detected at the
+/// latest with the second list after it.
 #[test]
 fn truncated_list_is_detected() {
     let list = "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"group\":12}]}";
@@ -114,7 +118,7 @@
     }
 }
 
-/// Guards the lists before a malformed one: they count.
+/// Guards against the loss of lists that precede a malformed one in the same chunk.
 #[test]
 fn lists_before_a_malformed_one_are_decoded() {
     let (versions, content) = decode(
@@ -125,7 +129,7 @@
     assert!(matches!(content, Err(DiscoveryError::Json(_))));
 }
 
-/// Guards the rejection of a list: it ends the stream, and later lists are not passed on.
+/// Guards the rejection of a list. It must end the stream, and later lists must not be passed on.
 #[test]
 fn rejected_list_ends_the_stream() {
     let mut received = 0;
@@ -138,7 +142,7 @@
     assert_eq!(received, 1);
 }
 
-/// Guards the memory: an incomplete list may not grow without limit.
+/// Guards against memory growth: an incomplete list must not exceed the maximum size.
 #[test]
 fn incomplete_list_above_the_maximum_size_is_an_error() {
     let name = "x".repeat(MAX_LIST_BYTES);
--- a/src/discovery/list_scanner.rs
+++ b/src/discovery/list_scanner.rs
@@ -1,11 +1,11 @@
-//! Finds where a JSON object ends in a stream, one byte at a time.
+//! Finds the ends of JSON objects in a stream, one byte at a time.
 
-/// Where a scanner is after a byte.
+/// The role of a byte in the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScannedByte {
     /// White space between two objects.
     BetweenObjects,
-    /// A byte within an object that adds to it, as white space between its values does not.
+    /// A byte of an object other than white space between its values.
     Content,
     /// White space between the values of an object.
     Whitespace,
@@ -13,15 +13,15 @@
     ObjectEnd,
 }
 
-/// The stream is not a sequence of JSON objects.
+/// The error that a stream is not a sequence of JSON objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a JSON object")]
+#[error("malformed stream: not a sequence of JSON objects")]
 pub(super) struct MalformedStreamError;
 
 /// Scans a sequence of JSON objects.
 ///
-/// It checks the order of brackets, strings and separators only as far as it shows that an object has broken off and the
-/// next one begins in the middle of it; a parser has to check each object as a whole.
+/// It checks the order of brackets, strings and separators only so far that it detects an object that broke off and is
+/// followed by another one. A parser has to check each complete object.
 #[derive(Debug, Default)]
 pub(super) struct ListScanner {
     depth: usize,
@@ -29,13 +29,13 @@
     last_token: Option<Token>,
 }
 
-/// Whether the scanner is within a string.
+/// The state of the scanner with regard to strings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum StringState {
     #[default]
     Outside,
     Inside,
-    /// After a backslash.
+    /// Inside a string, after a backslash.
     Escaped,
 }
 
@@ -46,7 +46,7 @@
     OpeningBracket,
     /// A comma or a colon.
     Separator,
-    /// A number or a name.
+    /// A number, `true`, `false` or `null`.
     Literal,
     /// The end of a string, an object or an array.
     ValueEnd,
@@ -56,7 +56,7 @@
     /// Scans the next byte.
     ///
     /// # Errors
-    /// Returns [`MalformedStreamError`] if no sequence of objects goes on like this.
+    /// Returns [`MalformedStreamError`] if the byte cannot continue a sequence of objects.
     pub(super) fn scan(&mut self, byte: u8) -> Result<ScannedByte, MalformedStreamError> {
         match self.string {
             StringState::Outside => self.scan_outside_string(byte),
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery lists, and the version of their list.
+//! The endpoints that discovery lists, and the version of the list.
 
 use super::error::StaleListError;
 use super::list::{EndpointList, EntryStatus, ListEntry};
@@ -8,8 +8,8 @@
 
 /// The listed endpoints with their addresses, and the version of the list.
 ///
-/// The decision module has an endpoint table of its own, which knows no addresses; [`Membership::update`] returns what
-/// it has to be notified of.
+/// The decision module has its own endpoint table, without addresses. [`Membership::update`] returns the changes to
+/// report to it.
 #[derive(Debug, Default)]
 pub struct Membership {
     members: HashMap<EndpointId, Member>,
@@ -24,14 +24,14 @@
 pub struct Member {
     /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Whether the endpoint takes requests.
+    /// Whether the endpoint accepts requests.
     pub readiness: Readiness,
-    /// When the endpoint's process started, or `None` if that is long ago.
+    /// The time at which the endpoint's process started, or `None` if it started long ago.
     pub started_at: Option<Timestamp>,
 }
 
 impl Member {
-    /// Returns whether both states are of the same process.
+    /// Returns whether both states belong to the same process.
     fn is_same_process(&self, other: &Member) -> bool {
         self.address == other.address && self.started_at == other.started_at
     }
@@ -40,9 +40,10 @@
 /// The effect of a list on the membership.
 #[derive(Debug)]
 pub struct ListUpdate {
-    /// The changed endpoints, in the form that the decision module takes.
+    /// The changed endpoints, as the decision module takes them.
     pub entries: Vec<EndpointEntry>,
-    /// Endpoints that take no more requests or whose process was replaced. Idle connections to them must be closed.
+    /// The endpoints that accept no more requests or whose process was replaced. Idle connections to them must be
+    /// closed.
     pub stale_endpoints: Vec<EndpointId>,
 }
 
@@ -53,12 +54,12 @@
         self.version
     }
 
-    /// Sets the version of the cached list, which counts as the current source's until that sends a list.
+    /// Sets the version of the cached list. It counts as a version of the current source until the source sends a list.
     pub fn set_cached_version(&mut self, version: u64) {
         self.version = Some(version);
     }
 
-    /// Clears the version because the source has changed, and returns whether there was one.
+    /// Clears the version because the source has changed. Returns whether there was a version.
     pub fn clear_version(&mut self) -> bool {
         self.version.take().is_some()
     }
@@ -92,12 +93,14 @@
 
     /// Checks a list's version against the last one and records it.
     ///
-    /// A stale list is rejected once: it may come from a replica that lags behind. If the next list is a stale full list
-    /// again, discovery itself was reset to an older state, and the list is accepted. In the first list of a source, and
-    /// in the first one after a reset, endpoints that are draining stay so, whatever the list says.
+    /// A stale list is rejected at first, because it may come from a replica that lags behind. If the next list is a
+    /// stale full list again, discovery itself was reset to an older state, and the list is accepted.
+    ///
+    /// In the first list of a source, and in the first list accepted after a reset, draining endpoints keep that status
+    /// even if the list says that they are serving.
     ///
     /// # Errors
-    /// Returns [`StaleListError`] if the list is rejected; it must not be applied then.
+    /// Returns [`StaleListError`] if the list is rejected and must not be applied.
     pub fn accept(&mut self, list: &mut EndpointList) -> Result<(), StaleListError> {
         let is_stale = self.version.is_some_and(|version| list.index < version);
         if is_stale && !(list.snapshot && self.has_rejected_stale_full_list) {
@@ -114,8 +117,8 @@
         Ok(())
     }
 
-    /// Marks an entry as draining if the same process of the endpoint is known to drain: a process that drains does not
-    /// serve again.
+    /// Marks a serving entry as draining if the same process of the endpoint is known to be draining. A draining
+    /// process never serves again.
     fn preserve_draining(&self, entry: &mut ListEntry) {
         let member = self.members.get(&EndpointId::from(entry.name.as_str()));
         let is_draining = member.is_some_and(|member| {
@@ -181,10 +184,10 @@
         }
     }
 
-    /// Removes endpoints at whose address a later process serves under another name.
+    /// Removes endpoints whose address is used by a later serving process under another name.
     ///
-    /// The change that removes the former endpoint may be late or lost. Until then, its requests would reach the new
-    /// process on top of its own share while that is still warming up.
+    /// The change that removes the former endpoint may be late or lost. Until it arrives, requests for the former
+    /// endpoint would reach the new process in addition to its own share, possibly during its warm-up.
     pub fn remove_replaced(&mut self, update: &mut ListUpdate) {
         let latest_starts = self.latest_start_by_address();
         let is_replaced = |member: &Member| {
@@ -199,7 +202,8 @@
         }
     }
 
-    /// Returns the latest start of a serving process for each address. `None`, for long ago, is the earliest start.
+    /// Returns the latest start of a serving process for each address. A start of `None` was long ago and is the
+    /// earliest.
     fn latest_start_by_address(&self) -> HashMap<SocketAddr, Option<Timestamp>> {
         let mut latest_starts: HashMap<SocketAddr, Option<Timestamp>> = HashMap::new();
         let is_serving = |member: &&Member| member.readiness == Readiness::Serving;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -11,9 +11,9 @@
 //!   known, the client fetches the full list before it opens the watch.
 //!
 //! A watch is lost when its connection ends, an event is malformed or stale, or nothing is received for
-//! [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT) (**silence time-out**). A long list may take longer than that to
-//! arrive, as long as more of it comes. A new watch resumes from the last known
-//! version, so no change is missed (**resync**).
+//! [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT) (**silence time-out**). A long list may take longer than the
+//! time-out, as long as further parts of it arrive. A new watch resumes from the last known version, so no change is
+//! missed (**resync**).
 //!
 //! # Hedging
 //!
@@ -22,17 +22,18 @@
 //!
 //! # Failures
 //!
-//! A call fails once all its hedged calls have failed. Who schedules the next call depends on the mode:
+//! A call fails once it and all its hedged calls have failed. The schedule of the next call depends on the mode:
 //!
-//! - Lists are fetched on request: a fetch or a watch reports its failure to the [`ListConsumer`] and ends. The decision
-//!   module schedules the next call, with its own backoff.
-//! - Lists are pushed by an agent: the watch is reopened with a [`Backoff`], without the decision module, for as long as
-//!   the subscription lasts.
+//! - If lists are sent only on request, a fetch or a watch reports its failure to the [`ListConsumer`] and ends. The
+//!   decision module schedules the next call with its own backoff.
+//! - If an agent pushes lists, the client reopens the watch with a [`Backoff`], without the decision module, for as
+//!   long as the subscription lasts.
 //!
 //! # State
 //!
-//! The calls keep no list. They pass what they receive to a [`ListConsumer`], which keeps a [`Subscription`]: the current
-//! [`Source`], the watch on it, and the [`Membership`], which checks versions and rejects stale lists.
+//! The calls keep no list. They pass received lists to a [`ListConsumer`], which keeps a [`Subscription`]. The
+//! subscription holds the current [`Source`], the watch on it, and the [`Membership`], which checks versions and
+//! rejects stale lists.
 //!
 //! All calls run on the current thread and need a [`tokio::task::LocalSet`].
 
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -1,4 +1,4 @@
-//! A subscription to the endpoint list: the endpoints listed, and the watches that keep them up to date.
+//! A subscription to the endpoint list: the listed endpoints and the watches that keep them up to date.
 
 use super::client::{watch, watch_agent};
 use super::consumer::ListConsumer;
@@ -10,16 +10,16 @@
 use crate::task::Task;
 use std::net::SocketAddr;
 
-/// The endpoint list of the current discovery, and the watches on it and on the previous one.
+/// The endpoint list of the current discovery service, and the watches on this service and on the previous one.
 ///
-/// After a move to another discovery service the previous one is watched until the current one has sent a list, so that
-/// no change is missed in between. Watches end when the subscription is dropped.
+/// After a move to another discovery service, the watch on the previous one continues until the current one has sent a
+/// list, so that no change is missed in between. Watches end when the subscription is dropped.
 #[derive(Debug)]
 pub struct Subscription {
     source: Source,
     membership: Membership,
     watch: Option<Task>,
-    /// Set after a move, until the current source has sent a list.
+    /// The watch on the previous source. It is set after a move, until the current source has sent a list.
     previous_watch: Option<Task>,
 }
 
@@ -28,9 +28,9 @@
 pub enum ListOrigin {
     /// The current source sent it.
     Current,
-    /// The previous source sent it before the current one has sent any: it must be applied.
+    /// The previous source sent it, and the current one has sent no list yet. The list must be applied.
     Previous,
-    /// The previous source sent it after the current one had sent a list: it must be ignored.
+    /// An earlier source sent it, but the current one has already sent a list. The list must be ignored.
     Superseded,
 }
 
@@ -71,7 +71,7 @@
         &self.membership
     }
 
-    /// Returns the listed endpoints for an update.
+    /// Returns the listed endpoints for modification.
     pub fn membership_mut(&mut self) -> &mut Membership {
         &mut self.membership
     }
@@ -126,10 +126,10 @@
         Ok(ListOrigin::Previous)
     }
 
-    /// Moves to the discovery service at an address, if it is not the current source.
+    /// Moves to the discovery service at an address, unless it is the current source.
     ///
-    /// The watch on the current source goes on as that on the previous one if the source has sent a list. Otherwise it ends,
-    /// and a watch on a source before it goes on.
+    /// If the current source has sent a list, the watch on it continues as the watch on the previous source. Otherwise
+    /// that watch ends, and a watch on an earlier source continues.
     pub fn move_to(&mut self, address: SocketAddr) -> SourceChange {
         if address == self.source.address {
             return SourceChange::Unchanged;
--- a/src/discovery/subscription_tests.rs
+++ b/src/discovery/subscription_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a subscription that moves to another discovery.
+//! Tests of a subscription that moves to another discovery service.
 
 use super::error::StaleListError;
 use super::list::EndpointList;
@@ -17,8 +17,8 @@
     }
 }
 
-/// Guards the endpoints during a move: lists of the previous discovery apply until the current one has sent a list, and
-/// not after.
+/// Guards against lost changes during a move. Lists of the previous source must apply until the current one has sent a
+/// list, and no longer.
 #[test]
 fn previous_source_applies_until_the_first_current_list() {
     let mut subscription = Subscription::new(address(1));
@@ -46,7 +46,7 @@
     assert_eq!(subscription.known_version(previous), None);
 }
 
-/// Guards the first list after a move: versions of the previous discovery mean nothing at the current one.
+/// Guards the first list after a move. Versions of the previous source must not apply to the current one.
 #[test]
 fn version_is_unknown_after_a_move() {
     let mut subscription = Subscription::new(address(1));
@@ -56,7 +56,7 @@
     assert_eq!(subscription.known_version(subscription.source()), None);
 }
 
-/// Guards a reload that names the same discovery: its version and its source stay.
+/// Guards a reload that names the same discovery service. The source and the version must stay.
 #[test]
 fn move_to_the_same_address_changes_nothing() {
     let mut subscription = Subscription::new(address(1));
@@ -67,7 +67,7 @@
     assert_eq!(subscription.known_version(source), Some(5));
 }
 
-/// Guards against a discovery that answers with an old list: it is rejected, and the version stays.
+/// Guards against a discovery service that sends an old list. The list must be rejected, and the version must stay.
 #[test]
 fn stale_list_of_the_current_source_is_rejected() {
     let mut subscription = Subscription::new(address(1));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | [`policy`] | every decision, sans I/O: a [`policy::Balancer`] takes events and returns actions |
-//! | [`discovery`] | the client of discovery |
-//! | [`configuration`] | the configuration's document, validation and schema |
+//! | [`policy`] | the decision module, without I/O: a [`policy::Balancer`] takes events and returns actions |
+//! | [`discovery`] | the client of the discovery service |
+//! | [`configuration`] | the format, validation and JSON Schema of the configuration |
 //! | [`command_line`] | the commands of the program |
-//! | [`simulator`] | the simulator's wire and its adapter |
-//! | [`sidecar`] | the sidecar: sockets, HTTP, connection pools, time |
-//! | [`clock`] | the clock that a host runs its balancer by |
-//! | [`task`] | local tasks that stop with their owner |
+//! | [`simulator`] | the simulator's protocol and the adapter that serves it |
+//! | [`sidecar`] | the host of the decision module: sockets, HTTP, connection pools, timers |
+//! | [`clock`] | the clock that supplies a host's balancer with the time |
+//! | [`task`] | tasks on the current thread that are aborted when dropped |
 //!
 //! ```
 //! use balancer_sidecar::policy::*;
@@ -22,7 +22,7 @@
 //! let mut actions = Vec::new();
 //! let now = Timestamp::from_nanos(1_000_000_000);
 //!
-//! // The endpoint list comes first, then a request.
+//! // Pass an endpoint list first, then a request.
 //! let entries = vec![EndpointEntry {
 //!     endpoint: "box-1".into(),
 //!     zone: "here".into(),
--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -6,9 +6,9 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use std::fmt::{self, Write as _};
 
-/// The value of a peer message without data.
+/// The value of the field `data` in a peer message without data.
 const NO_DATA: &str = "-";
-/// The value of a peer message to all peers.
+/// The value of the field `neighbourId` in a message to all peers.
 const ALL_PEERS: i64 = -1;
 
 /// Appends the line of an action to a reply.
@@ -123,7 +123,7 @@
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
 
-/// Replaces line ends, which would end the message.
+/// Replaces line breaks, which would end the message, by spaces.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts many instances of the decision module: reads the simulator's lines and writes the replies.
+//! Hosts many instances of the decision module: reads the simulator's lines, passes the events on and writes the
+//! replies.
 
 use super::action::{format_action, format_internal_error};
 use super::endpoint_lists::EndpointLists;
@@ -15,7 +16,7 @@
 /// The last line of each reply.
 const REPLY_END: &str = "ok\n";
 
-/// Why the adapter ended before the end of its input.
+/// The reason why the adapter ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// A line could not be read.
@@ -23,7 +24,7 @@
     Read {
         /// The number of the line, from 1.
         line: u64,
-        /// Why it could not be read.
+        /// The reason why it could not be read.
         source: io::Error,
     },
     /// A reply could not be written.
@@ -34,15 +35,15 @@
     Wire {
         /// The number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// The error in the line.
         source: WireError,
     },
     /// The input ended within a batch.
-    #[error("input ends inside a batch")]
+    #[error("the input ends inside a batch")]
     UnfinishedBatch,
 }
 
-/// Answers batches until the input ends.
+/// Replies to batches until the input ends.
 ///
 /// # Errors
 /// Returns an error if a line cannot be read or is invalid, if the input ends within a batch, or if a reply cannot be
@@ -82,7 +83,7 @@
     output.flush()
 }
 
-/// Whether a line has completed the reply to its batch.
+/// The state of the reply to a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReplyState {
     Incomplete,
@@ -99,10 +100,10 @@
 struct Adapter {
     instances: HashMap<InstanceNumber, Instance>,
     lists: EndpointLists,
-    /// The time of the current batch; none between batches.
+    /// The time of the current batch; `None` between batches.
     batch_time: Option<Timestamp>,
     last_batch_time: Timestamp,
-    /// Reused for the actions of each event.
+    /// The actions of one event. The buffer is reused for each event.
     actions: Vec<Action>,
     reply: String,
 }
@@ -183,7 +184,7 @@
                 self.reply.push_str(REPLY_END);
                 return Ok(ReplyState::Complete);
             }
-            // Handled before, in and outside batches.
+            // Handled by `handle_line`.
             Message::ListEntry(_) | Message::BatchStart { .. } => {}
         }
         Ok(ReplyState::Incomplete)
@@ -209,8 +210,9 @@
             .ok_or(WireError::InstanceNotRunning(number))
     }
 
-    /// Passes an event to an instance and adds its actions to the reply. If the instance panics, the reply reports that
-    /// in place of its actions, and the other instances go on.
+    /// Passes an event to an instance and adds its actions to the reply.
+    ///
+    /// If the instance panics, the reply reports the panic instead of its actions, and the other instances continue.
     fn handle_event(
         &mut self,
         now: Timestamp,
--- a/src/simulator/endpoint_lists.rs
+++ b/src/simulator/endpoint_lists.rs
@@ -1,11 +1,11 @@
-//! The endpoint lists that the simulator has sent, by their numbers.
+//! Stores the endpoint lists that the simulator has sent, by their numbers.
 
 use super::error::WireError;
 use super::message::LIST_COUNT;
 use crate::policy::EndpointEntry;
 use std::sync::Arc;
 
-/// The complete lists, and the one of which entries are still to come.
+/// The complete lists, and the one whose entries are still being received.
 #[derive(Debug, Default)]
 pub(super) struct EndpointLists {
     complete: [Option<Arc<[EndpointEntry]>>; LIST_COUNT],
@@ -15,12 +15,13 @@
 #[derive(Debug)]
 struct PartialList {
     number: usize,
+    /// The number of entries in the complete list.
     entry_count: usize,
     entries: Vec<EndpointEntry>,
 }
 
 impl EndpointLists {
-    /// Starts a list of so many entries. It replaces an earlier list with the same number.
+    /// Starts a list with this number of entries. It replaces an earlier list of the same number.
     pub(super) fn start(&mut self, number: usize, entry_count: usize) {
         self.partial = Some(PartialList {
             number,
@@ -38,7 +39,7 @@
         Ok(())
     }
 
-    /// Returns an error if a list lacks entries. No other message may come before a list is complete.
+    /// Returns an error if the last list is incomplete. Only entries may follow until it is complete.
     pub(super) fn require_complete(&self) -> Result<(), WireError> {
         match &self.partial {
             Some(partial) => Err(WireError::IncompleteList {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Returns the list that was sent last with this number.
+    /// Returns the list that was last completed under this number.
     pub(super) fn get(&self, number: usize) -> Result<Arc<[EndpointEntry]>, WireError> {
         let list = self.complete.get(number).and_then(Option::as_ref);
         list.cloned().ok_or(WireError::UnknownList(number))
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,10 +1,10 @@
-//! Errors in the messages of the wire.
+//! Errors in messages from the simulator.
 
 use super::instance::InstanceNumber;
 use crate::configuration::settings_document::SettingsDocumentError;
 use crate::policy::SettingsError;
 
-/// What is wrong with a message.
+/// The error in a message from the simulator.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// A part of the line is not of the form `name=value`.
@@ -12,7 +12,7 @@
     MalformedField {
         /// The name of the message.
         message: String,
-        /// That part.
+        /// The malformed part.
         text: String,
     },
     /// A field is missing.
@@ -23,7 +23,7 @@
         /// The name of the field.
         field: &'static str,
     },
-    /// The value of a field has the wrong type.
+    /// The value of a field cannot be parsed.
     #[error("{message}: {field}={value} cannot be read")]
     InvalidValue {
         /// The name of the message.
@@ -42,27 +42,27 @@
         field: &'static str,
         /// The value.
         value: String,
-        /// Why it is not allowed.
+        /// The reason why it is not allowed.
         problem: &'static str,
     },
-    /// The wire has no such message.
-    #[error("'{0}' is no message of this wire")]
+    /// The name of the message is unknown.
+    #[error("unknown message '{0}'")]
     UnknownMessage(String),
     /// The settings of a new instance cannot be read.
     #[error("new_instance: params: {0}")]
     SettingsDocument(#[from] SettingsDocumentError),
-    /// The settings of a new instance make no sense.
+    /// The settings of a new instance have invalid values.
     #[error("new_instance: params: {0}")]
     Settings(#[from] SettingsError),
-    /// An entry came outside a list.
+    /// An entry was received outside a list.
     #[error("entry: no directory is open")]
     EntryOutsideList,
-    /// A list is incomplete.
-    #[error("directory list={list}: {received} of {announced} entries came")]
+    /// A list is incomplete when another message follows.
+    #[error("directory list={list}: received {received} of {announced} entries")]
     IncompleteList {
         /// The number of the list.
         list: usize,
-        /// The number of entries that came.
+        /// The number of entries that were received.
         received: usize,
         /// The number of entries that were announced.
         announced: usize,
@@ -70,19 +70,19 @@
     /// The message names a list that was never sent.
     #[error("members: list={0} was never sent")]
     UnknownList(usize),
-    /// A batch starts within another.
-    #[error("frame: the batch before has no 'go'")]
+    /// A batch starts before the previous one has ended.
+    #[error("frame: the previous batch has no 'go'")]
     NestedBatch,
     /// The time of a batch is before that of the previous one.
-    #[error("frame: momentNs is before that of the last batch")]
+    #[error("frame: momentNs is before that of the previous batch")]
     TimeGoesBackwards,
-    /// A message came between batches.
+    /// A message was received between batches.
     #[error("'{0}' is outside a batch")]
     OutsideBatch(String),
-    /// An instance of this number is already running.
-    #[error("new_instance: sidecar/{} runs already", .0.0)]
+    /// An instance with this number is already running.
+    #[error("new_instance: sidecar/{} is already running", .0.0)]
     InstanceAlreadyRunning(InstanceNumber),
-    /// No instance of this number is running.
-    #[error("sidecar/{} does not run", .0.0)]
+    /// No instance with this number is running.
+    #[error("sidecar/{} is not running", .0.0)]
     InstanceNotRunning(InstanceNumber),
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -1,4 +1,4 @@
-//! Parses the events of an instance, with the class and tenant names of its settings.
+//! Parses the events of an instance. Class and tenant names are resolved with the settings of the instance.
 
 use super::error::WireError;
 use super::message_fields::MessageFields;
@@ -10,14 +10,14 @@
 
 /// The bit of a request's attributes that marks its cost hint as valid.
 const HAS_COST_HINT: u64 = 1;
-/// The bit that marks a retry by the client.
+/// The bit of a request's attributes that marks a retry by the client.
 const IS_CLIENT_RETRY: u64 = 2;
-/// The bit that marks a write.
+/// The bit of a request's attributes that marks a write.
 const IS_WRITE: u64 = 4;
 /// The tenant name of a request without a tenant.
 const NO_TENANT: &str = "0";
 
-/// The IDs of classes and tenants by their names, for one instance.
+/// The IDs of an instance's classes and tenants by their names.
 #[derive(Debug)]
 pub(super) struct IdTable {
     classes: HashMap<String, ClassId>,
@@ -25,7 +25,7 @@
 }
 
 impl IdTable {
-    /// Returns the table for these settings.
+    /// Returns the table for the settings of an instance.
     pub(super) fn from_settings(settings: &Settings) -> Self {
         let classes = settings
             .classes
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -1,5 +1,5 @@
-//! The numbers by which the wire names instances.
+//! The numbers that identify instances.
 
-/// The number `N` of an instance, which the wire names `sidecar/N`.
+/// The number `N` of the instance `sidecar/N`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceNumber(pub u64);
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the wire.
+//! The messages from the simulator.
 
 use super::error::WireError;
 use super::instance::InstanceNumber;
@@ -6,10 +6,10 @@
 use crate::configuration::settings_document::parse_settings;
 use crate::policy::{EndpointEntry, GroupId, ListKind, Readiness, Settings, Timestamp};
 
-/// The number of endpoint lists that can be sent, numbered from 0.
+/// The number of endpoint lists that the adapter stores, numbered from 0.
 pub(super) const LIST_COUNT: usize = 16;
 
-/// One line from the simulator.
+/// One message, which is one line of the input.
 #[derive(Debug)]
 pub enum Message<'a> {
     /// `frame`: a batch starts.
@@ -21,7 +21,7 @@
     ListStart {
         /// The number of the list.
         list: usize,
-        /// The number of entries to come.
+        /// The number of entries that follow.
         entries: usize,
     },
     /// `entry`: one endpoint of the list.
@@ -45,12 +45,12 @@
         version: u64,
         /// The number of the list.
         list: usize,
-        /// Whether the list is full, cached, or holds changes only.
+        /// The kind of the list: full, cached or changes only.
         kind: ListKind,
     },
     /// `members` with `kind=X`: a discovery call of an instance has failed.
     DiscoveryFailed(InstanceNumber),
-    /// Any other event for an instance. It is parsed with the class and tenant names of the instance.
+    /// Any other event for an instance. `parse_event` parses it with the class and tenant names of the instance.
     Event(InstanceNumber, MessageFields<'a>),
     /// `go`: the batch is complete.
     BatchEnd,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Parses the seed of 64 bits, which may be written as a signed number.
+/// Parses the seed of 64 bits, which may be written as an unsigned or a signed number.
 fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, WireError> {
     let text = fields.text("nonce64")?;
     let signed = || text.parse::<i64>().ok().map(i64::cast_unsigned);
--- a/src/simulator/message_fields.rs
+++ b/src/simulator/message_fields.rs
@@ -1,4 +1,4 @@
-//! The fields of one message, and the parsing of each kind of value.
+//! The fields of one message, with a parser for each kind of value.
 
 use super::error::WireError;
 use super::instance::InstanceNumber;
@@ -8,11 +8,11 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Fields whose value extends to the end of the line.
+/// The fields whose value extends to the end of the line.
 const REST_OF_LINE_FIELDS: [&str; 2] = ["params", "noteText"];
-/// The maximum mean answer time in a load report, in milliseconds. Longer ones are cut to it.
+/// The maximum mean time in a load report, in milliseconds. Longer times are reduced to it.
 const MAX_MEAN_MS: f64 = 1e9;
-/// The capacity for the fields of a message, enough for most.
+/// The initial capacity for the fields of a message. It is enough for most messages.
 const TYPICAL_FIELD_COUNT: usize = 8;
 
 /// The name and the fields of a message.
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Returns a parsed value, or an error if parsing gave none.
+    /// Returns a parsed value, or an error if parsing failed.
     pub(super) fn require_parsed<T>(
         &self,
         field: &'static str,
@@ -87,7 +87,7 @@
         parsed.ok_or_else(invalid)
     }
 
-    /// Returns the error that a value is not among the allowed ones.
+    /// Returns the error for a value that is not among the allowed ones.
     pub(super) fn unknown_value_error(
         &self,
         field: &'static str,
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Parses a whole number that fits the type.
+    /// Parses an integer of the type.
     pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, WireError> {
         let value = self.text(field)?;
         self.require_parsed(field, value, value.parse().ok())
     }
 
-    /// Parses a whole number; 0 if the field is missing.
+    /// Parses an integer. Returns 0 if the field is missing.
     pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, WireError> {
         if self.find(field).is_some() {
             self.number(field)
@@ -153,7 +153,7 @@
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
             249 => Outcome::NotSent,
-            _ => return Err(self.unknown_value_error("ending", value, "is no completion code")),
+            _ => return Err(self.unknown_value_error("ending", value, "is not a completion code")),
         })
     }
 
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,10 +1,10 @@
-//! The simulator's wire and its adapter, which hosts many instances of the decision module in one process.
+//! The simulator's protocol and its adapter, which hosts many instances of the decision module in one process.
 //!
-//! The wire consists of lines of text, `message name=value name=value`. Messages come in batches, from `frame` to `go`.
-//! Each batch gets one reply: a line for each action, then `ok`.
+//! The protocol consists of lines of text, `message name=value name=value`. Messages come in batches, from `frame` to
+//! `go`. Each batch gets one reply: a line for each action, then `ok`.
 //!
-//! The wire keeps the words of the operators' pages, which are turned into the decision module's terms in `message`,
-//! `event` and `message_fields`, and back in `action`.
+//! The names in the messages are the terms that the operators use. `message`, `event` and `message_fields` convert them
+//! to the terms of the decision module, and `action` converts those back.
 
 mod action;
 mod adapter;
--- a/src/task.rs
+++ b/src/task.rs
@@ -1,4 +1,4 @@
-//! Local tasks that stop when their owner drops them.
+//! Tasks on the current thread that are aborted when their owner drops them.
 
 use tokio::task::{AbortHandle, spawn_local, yield_now};
 
@@ -19,7 +19,7 @@
         self.0.is_finished()
     }
 
-    /// Aborts the task and waits until everything that it owned is dropped.
+    /// Aborts the task and waits until all that it owned has been dropped.
     pub async fn stop(self) {
         self.0.abort();
         while !self.is_finished() {
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -1,4 +1,4 @@
-//! The delays between calls of discovery.
+//! Tests of the delays between calls of discovery.
 
 use balancer_sidecar::discovery::Backoff;
 use balancer_sidecar::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
@@ -7,13 +7,13 @@
 
 const SEEDS: Range<u64> = 0..200;
 const FAILURES: usize = 20;
-/// The duration of a call that failed immediately.
+/// The duration of a call that fails immediately.
 const IMMEDIATE: Duration = Duration::ZERO;
-/// The delay after the first failure in a row lies between these bounds.
+/// The bounds of the delay after the first consecutive failure.
 const MIN_FIRST_DELAY: Duration = Duration::from_millis(150);
 const MAX_FIRST_DELAY: Duration = Duration::from_millis(450);
 
-/// The delays after failures in a row of calls that each took this long.
+/// Returns the delays after consecutive failures of calls that each took `call_duration`.
 fn delays(seed: u64, call_duration: Duration) -> Vec<Duration> {
     let mut backoff = Backoff::new(seed);
     (0..FAILURES)
@@ -21,14 +21,15 @@
         .collect()
 }
 
-/// The mean over all seeds of the delay after this number of earlier failures.
+/// Returns the mean over all seeds of the delay that follows this number of earlier failures.
 fn mean_delay(earlier_failures: usize, call_duration: Duration) -> Duration {
     let delays = SEEDS.map(|seed| delays(seed, call_duration)[earlier_failures]);
     delays.sum::<Duration>() / SEEDS.end as u32
 }
 
-/// Guards the propagation deadline of changes: the next call begins early enough after the failed one, or soon after it if
-/// that took longer, and after an immediate failure it can still wait the full time-out. Delays have a minimum.
+/// Guards against a next call that is too late to meet the propagation deadline of changes. It must begin early enough
+/// after the failed call began, or soon after a failed call that took longer. After an immediate failure it must have
+/// time for the full time-out. Delays also have a minimum.
 #[test]
 fn delay_stays_within_its_bounds() {
     for call_duration in [
@@ -55,8 +56,8 @@
     }
 }
 
-/// Guards discovery against the calls of an outage: the mean delay doubles, up to four times the first, and starts again
-/// after a response.
+/// Guards against overload of discovery by repeated calls during an outage. The mean delay must double up to four times
+/// the first one, and start again after a response.
 #[test]
 fn delays_grow_until_a_response_resets_them() {
     for earlier_failures in 1..3 {
@@ -75,7 +76,8 @@
     }
 }
 
-/// Guards against sidecars that call in step: each seed has delays of its own, and they are reproducible.
+/// Guards against sidecars that call at the same moments. Each seed must give delays of its own, and the same ones each
+/// time.
 #[test]
 fn jitter_differs_by_seed_and_is_reproducible() {
     for seed in SEEDS {
@@ -95,8 +97,8 @@
     }
 }
 
-/// Guards a late call: it has the full time-out before it is hedged, and the hedged call begins in time however many there
-/// were before.
+/// Guards the time at which a call is hedged. The call must have the full time-out first, and the hedged call must
+/// begin in time, regardless of the number of earlier ones.
 #[test]
 fn hedge_delay_stays_within_its_bounds() {
     for seed in SEEDS {
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,9 +1,9 @@
-//! The built adapter: transcripts of the wire, and its errors for malformed input.
+//! Tests of the built adapter: input and replies of whole runs, and errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Returns the settings of an instance that sends into a tier.
+/// Returns the settings of an instance that sends requests to a tier.
 fn settings_document(tier: usize) -> String {
     format!(
         r#"{{"balancers": 4, "bounds": {{"cancel": true, "connIdleNs": 5000000000, "connectTimeoutNs": 250000000, "cpuUsPerRequest": 0.0, "cpuUsPerS": 1076120, "maxOpen": 43044, "maxRetryAfterNs": 2000000000, "maxStreams": 1, "mayTell": true, "parallelTries": false, "probes": true, "retryAfter": true, "sendCap": 3}}, "categories": [{{"effect": "free", "hardLimitNs": 900000000, "keyScope": "all", "lateShare": 0.0, "memorySpanNs": 5000000000, "name": "look", "objectiveNs": 300000000, "stream": false, "worth": 1.0}}, {{"effect": "guarded", "hardLimitNs": 900000000, "keyScope": "cell", "lateShare": 0.5, "memorySpanNs": 5000000000, "name": "book", "objectiveNs": 300000000, "stream": true, "worth": 3.0}}], "clientHabits": {{"marksRetry": false}}, "customers": [{{"name": "north", "portion": 0.5, "quotaPerS": 50.0}}], "dcs": ["z1", "z2"], "discovery": "subscribe", "family": "chain", "familyInfo": {{"passesDeadline": true, "newKey": 3}}, "fees": {{"crossZone": 0.015, "waste": 0.05, "fleet": 1}}, "granularityNs": 5000000, "models": ["fast"], "myNumber": 0, "overShareWorth": 0.05, "report": {{"fields": ["err_ps", "depth"], "how": "inline"}}, "rules": {{"answerSlackNs": 20000000, "askWithinNs": 10000000000, "coldFrom": 0.38, "drainGraceNs": 2000000000, "fallMultiple": 3.0, "fallNs": 1000000000, "warmWithinNs": 8900000000}}, "scoringMix": {{"whole": 1.0}}, "stages": ["front", "back"], "tier": {tier}, "weightSource": "rough", "worthBy": "request", "zone": "z1", "unheardOf": [1, 2]}}"#
@@ -18,7 +18,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may have exited already, because of a malformed line.
+    // Writing fails if the adapter has already exited because of a malformed line.
     let _ = child
         .stdin
         .take()
@@ -27,7 +27,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// Runs the adapter on a valid input and returns its replies, one a batch.
+/// Runs the adapter on a valid input. Returns its replies, one per batch, and the empty text after the last one.
 fn replies(input: &str) -> Vec<String> {
     let output = run_adapter(input);
     assert!(
@@ -89,10 +89,14 @@
     );
     let send =
         "send sidecarId=sidecar/0 xid=5d3a91c4-f723-4cdb-ab99-2b0a2499a382 endpoint=endpoint.aa";
-    assert!(all[1].starts_with(send), "own zone first: {}", all[1]);
+    assert!(
+        all[1].starts_with(send),
+        "an endpoint in the own zone is preferred: {}",
+        all[1]
+    );
     assert!(
         !all[2].contains("endpoint.aa"),
-        "not where it was full: {}",
+        "the endpoint that rejected the request is avoided: {}",
         all[2]
     );
 }
@@ -121,7 +125,7 @@
     input += "go\n";
     assert!(
         !replies(&input)[2].contains("r1"),
-        "a stream that has started is left alone"
+        "a started stream is not sent again"
     );
 }
 
@@ -218,11 +222,11 @@
         ("frame momentNs=1\nframe momentNs=2\n".into(), "has no 'go'"),
         (
             "frame momentNs=1\nhello there=1\n".into(),
-            "'hello' is no message",
+            "unknown message 'hello'",
         ),
         (
             "frame momentNs=1\ndestroy sidecarId=sidecar/9\n".into(),
-            "does not run",
+            "is not running",
         ),
         (
             "frame momentNs=1\ndestroy sidecarId=box/9\n".into(),
@@ -234,7 +238,7 @@
         ),
         (
             "frame momentNs=1\ndirectory list=1 records=2\ngo\n".into(),
-            "0 of 2 entries",
+            "received 0 of 2 entries",
         ),
         (
             "frame momentNs=1\nentry endpoint=a zone=z readiness=U size=1\n".into(),
@@ -247,7 +251,7 @@
         ("frame momentNs=1\n".into(), "inside a batch"),
         (
             "frame momentNs=9\ngo\nframe momentNs=8\n".into(),
-            "before that of the last batch",
+            "before that of the previous batch",
         ),
         (
             format!(
@@ -276,7 +280,7 @@
         ),
         (
             started.clone() + "due sidecarId=sidecar/7 name=1\n",
-            "sidecar/7 does not run",
+            "sidecar/7 is not running",
         ),
         (
             started.clone() + &request(0, "r1", "unknown", 5),
@@ -305,7 +309,7 @@
         (
             started
                 + "report_back sidecarId=sidecar/0 xid=r attempt=0 ending=7 timeTakenNs=1 terminal=0\n",
-            "no completion code",
+            "is not a completion code",
         ),
     ];
     for (input, expected_error) in cases {
@@ -319,7 +323,7 @@
         let reply = String::from_utf8_lossy(&output.stdout).to_string();
         assert!(
             reply.is_empty() || reply == "ok\n",
-            "{expected_error}: no guessed action, no half reply: {reply}"
+            "{expected_error}: neither an action nor a partial reply: {reply}"
         );
     }
 }
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,4 +1,4 @@
-//! The layout of the sources: small files, and none that import each other in a circle.
+//! Tests of the source layout: files are short, all are declared, and their modules have no import cycles.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -6,24 +6,24 @@
 use syn::visit::Visit;
 use syn::{ItemUse, UseTree};
 
-/// The longest source file.
+/// The maximum number of lines of a source file.
 const MAX_LINES: usize = 500;
 
-/// A module's path below its crate.
+/// The path of a module in its crate.
 type ModulePath = Vec<String>;
 
-/// The files of one crate, by their modules.
+/// The source files of one crate by the paths of their modules.
 struct CrateFiles(BTreeMap<ModulePath, PathBuf>);
 
 impl CrateFiles {
-    /// All files below a folder whose root module is `lib.rs`. Programs beside it are no modules.
+    /// Returns all files below the folder that contains the root module, `lib.rs`. The programs in it are not modules.
     fn in_folder(source: &Path) -> Self {
         let mut files = BTreeMap::new();
         collect_files(source, &Vec::new(), &mut files);
         CrateFiles(files)
     }
 
-    /// The module that a path leads to or into.
+    /// Returns the module that a path names or whose item it names.
     fn module_at(&self, path: &[String]) -> Option<&ModulePath> {
         let lengths = (0..=path.len()).rev();
         lengths
@@ -32,7 +32,7 @@
             .next()
     }
 
-    /// The modules that a file imports from.
+    /// Returns the modules from which a module imports.
     fn imports(&self, module: &ModulePath) -> BTreeSet<ModulePath> {
         let text = fs::read_to_string(&self.0[module]).expect("a source file");
         let file = syn::parse_file(&text).expect("a source file that parses");
@@ -59,7 +59,7 @@
             }
             child => {
                 base.push(child.to_owned());
-                self.0.get(&base)?; // else another crate's
+                self.0.get(&base)?; // otherwise it is a path in another crate
                 rest = &rest[1..];
             }
         }
@@ -89,7 +89,7 @@
     }
 }
 
-/// The paths of a file's `use` declarations, but for those of its tests.
+/// The paths in a file's `use` declarations, except those in inline modules, which hold its tests.
 #[derive(Default)]
 struct UsedPaths(Vec<ModulePath>);
 
@@ -120,7 +120,10 @@
     }
 }
 
-/// Modules that import each other in a circle, if there are any: what is left once all are taken away that import none.
+/// Returns the modules on import cycles, with the modules that they import. Modules between two cycles are returned,
+/// too.
+///
+/// It repeatedly removes the modules that import nothing from the rest.
 fn import_cycles(
     mut imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
 ) -> BTreeMap<ModulePath, BTreeSet<ModulePath>> {
@@ -138,7 +141,7 @@
             imported.retain(|module| !leaves.contains(module));
         }
     }
-    // And those that are imported by none of the rest.
+    // Removes the modules that nothing in the rest imports.
     loop {
         let imported: BTreeSet<ModulePath> = imports.values().flatten().cloned().collect();
         let before = imports.len();
@@ -201,7 +204,7 @@
     }
 }
 
-/// Guards against files that no module declares, which the compiler never sees.
+/// Guards against files that no module declares: the compiler would ignore them.
 #[test]
 fn every_source_file_is_declared() {
     for source in sources() {
@@ -231,7 +234,7 @@
                 .any(|(_, file)| declares(&fs::read_to_string(file).expect("a source file")));
             assert!(
                 declares(&text) || is_declared_by_sibling,
-                "{} is declared nowhere",
+                "{} is not declared by any module",
                 path.display()
             );
         }
