--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -3,7 +3,7 @@
 
 use super::action::{format_action, format_internal_error};
 use super::endpoint_lists::EndpointLists;
-use super::error::WireError;
+use super::error::MessageError;
 use super::event::{IdTable, parse_event};
 use super::instance::InstanceNumber;
 use super::message::{Message, parse_message};
@@ -32,11 +32,11 @@
     Write(io::Error),
     /// A line is invalid.
     #[error("line {line}: {source}")]
-    Wire {
+    InvalidMessage {
         /// The number of the line, from 1.
         line: u64,
         /// The error in the line.
-        source: WireError,
+        source: MessageError,
     },
     /// The input ended within a batch.
     #[error("the input ends inside a batch")]
@@ -61,7 +61,7 @@
         }
         let reply_state = adapter
             .handle_line(without_line_end(&text))
-            .map_err(|source| AdapterError::Wire { line, source })?;
+            .map_err(|source| AdapterError::InvalidMessage { line, source })?;
         if reply_state == ReplyState::Complete {
             write_reply(&mut output, &adapter.reply).map_err(AdapterError::Write)?;
             adapter.reply.clear();
@@ -109,7 +109,7 @@
 }
 
 impl Adapter {
-    fn handle_line(&mut self, line: &str) -> Result<ReplyState, WireError> {
+    fn handle_line(&mut self, line: &str) -> Result<ReplyState, MessageError> {
         let message = match parse_message(line)? {
             Message::ListEntry(entry) => {
                 self.lists.add(entry)?;
@@ -124,16 +124,16 @@
         }
         let now = self
             .batch_time
-            .ok_or_else(|| WireError::OutsideBatch(line.into()))?;
+            .ok_or_else(|| MessageError::OutsideBatch(line.into()))?;
         self.handle_message(now, message)
     }
 
-    fn start_batch(&mut self, at: Timestamp) -> Result<(), WireError> {
+    fn start_batch(&mut self, at: Timestamp) -> Result<(), MessageError> {
         if self.batch_time.is_some() {
-            return Err(WireError::NestedBatch);
+            return Err(MessageError::NestedBatch);
         }
         if at < self.last_batch_time {
-            return Err(WireError::TimeGoesBackwards);
+            return Err(MessageError::TimeGoesBackwards);
         }
         self.batch_time = Some(at);
         self.last_batch_time = at;
@@ -145,7 +145,7 @@
         &mut self,
         now: Timestamp,
         message: Message<'_>,
-    ) -> Result<ReplyState, WireError> {
+    ) -> Result<ReplyState, MessageError> {
         match message {
             Message::ListStart { list, entries } => self.lists.start(list, entries),
             Message::InstanceStart {
@@ -156,7 +156,7 @@
             Message::InstanceEnd(instance) => {
                 self.instances
                     .remove(&instance)
-                    .ok_or(WireError::InstanceNotRunning(instance))?;
+                    .ok_or(MessageError::InstanceNotRunning(instance))?;
             }
             Message::ListReceived {
                 instance,
@@ -195,19 +195,19 @@
         number: InstanceNumber,
         seed: u64,
         settings: Settings,
-    ) -> Result<(), WireError> {
+    ) -> Result<(), MessageError> {
         let ids = IdTable::from_settings(&settings);
         let balancer = Balancer::new(settings, seed)?;
         match self.instances.insert(number, Instance { balancer, ids }) {
-            Some(_) => Err(WireError::InstanceAlreadyRunning(number)),
+            Some(_) => Err(MessageError::InstanceAlreadyRunning(number)),
             None => Ok(()),
         }
     }
 
-    fn instance(&mut self, number: InstanceNumber) -> Result<&mut Instance, WireError> {
+    fn instance(&mut self, number: InstanceNumber) -> Result<&mut Instance, MessageError> {
         self.instances
             .get_mut(&number)
-            .ok_or(WireError::InstanceNotRunning(number))
+            .ok_or(MessageError::InstanceNotRunning(number))
     }
 
     /// Passes an event to an instance and adds its actions to the reply.
@@ -218,7 +218,7 @@
         now: Timestamp,
         number: InstanceNumber,
         event: Event,
-    ) -> Result<(), WireError> {
+    ) -> Result<(), MessageError> {
         let mut actions = std::mem::take(&mut self.actions);
         let balancer = &mut self.instance(number)?.balancer;
         let handled = catch_unwind(AssertUnwindSafe(|| {
--- a/src/simulator/endpoint_lists.rs
+++ b/src/simulator/endpoint_lists.rs
@@ -1,6 +1,6 @@
 //! Stores the endpoint lists that the simulator has sent, by their numbers.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::message::LIST_COUNT;
 use crate::policy::EndpointEntry;
 use std::sync::Arc;
@@ -32,17 +32,20 @@
     }
 
     /// Adds an entry to the list that was started last.
-    pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), WireError> {
-        let partial = self.partial.as_mut().ok_or(WireError::EntryOutsideList)?;
+    pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), MessageError> {
+        let partial = self
+            .partial
+            .as_mut()
+            .ok_or(MessageError::EntryOutsideList)?;
         partial.entries.push(entry);
         self.store_if_complete();
         Ok(())
     }
 
     /// Returns an error if the last list is incomplete. Only entries may follow until it is complete.
-    pub(super) fn require_complete(&self) -> Result<(), WireError> {
+    pub(super) fn require_complete(&self) -> Result<(), MessageError> {
         match &self.partial {
-            Some(partial) => Err(WireError::IncompleteList {
+            Some(partial) => Err(MessageError::IncompleteList {
                 list: partial.number,
                 received: partial.entries.len(),
                 announced: partial.entry_count,
@@ -52,9 +55,9 @@
     }
 
     /// Returns the list that was last completed under this number.
-    pub(super) fn get(&self, number: usize) -> Result<Arc<[EndpointEntry]>, WireError> {
+    pub(super) fn get(&self, number: usize) -> Result<Arc<[EndpointEntry]>, MessageError> {
         let list = self.complete.get(number).and_then(Option::as_ref);
-        list.cloned().ok_or(WireError::UnknownList(number))
+        list.cloned().ok_or(MessageError::UnknownList(number))
     }
 
     fn store_if_complete(&mut self) {
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -6,7 +6,7 @@
 
 /// The error in a message from the simulator.
 #[derive(Debug, thiserror::Error)]
-pub enum WireError {
+pub enum MessageError {
     /// A part of the line is not of the form `name=value`.
     #[error("{message}: '{text}' is not name=value")]
     MalformedField {
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -1,6 +1,6 @@
 //! Parses the events of an instance. Class and tenant names are resolved with the settings of the instance.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::message_fields::MessageFields;
 use crate::policy::{
     AttemptEnd, AttemptNumber, ClassId, Event, Key, PeerId, Request, RequestId, Settings, TenantId,
@@ -45,7 +45,10 @@
 }
 
 /// Parses an event.
-pub(super) fn parse_event(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Event, WireError> {
+pub(super) fn parse_event(
+    fields: &MessageFields<'_>,
+    ids: &IdTable,
+) -> Result<Event, MessageError> {
     Ok(match fields.message() {
         "call" => Event::Request(parse_request(fields, ids)?),
         "started" => Event::StreamStarted {
@@ -76,23 +79,23 @@
             from: PeerId(fields.number("who")?),
             data: fields.data()?,
         },
-        other => return Err(WireError::UnknownMessage(other.into())),
+        other => return Err(MessageError::UnknownMessage(other.into())),
     })
 }
 
-fn request_id(fields: &MessageFields<'_>) -> Result<RequestId, WireError> {
+fn request_id(fields: &MessageFields<'_>) -> Result<RequestId, MessageError> {
     Ok(fields.text("xid")?.into())
 }
 
-fn attempt(fields: &MessageFields<'_>) -> Result<AttemptNumber, WireError> {
+fn attempt(fields: &MessageFields<'_>) -> Result<AttemptNumber, MessageError> {
     fields.number("attempt")
 }
 
-fn time_taken(fields: &MessageFields<'_>) -> Result<Duration, WireError> {
+fn time_taken(fields: &MessageFields<'_>) -> Result<Duration, MessageError> {
     Ok(Duration::from_nanos(fields.number("timeTakenNs")?))
 }
 
-fn parse_request(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Request, WireError> {
+fn parse_request(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Request, MessageError> {
     let class = fields.text("priority")?;
     let attributes = fields.number_or_zero("attrs")?;
     let hint = fields.number_or_zero("expectedNs")?;
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,6 +1,6 @@
 //! The messages from the simulator.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::instance::InstanceNumber;
 use super::message_fields::MessageFields;
 use crate::configuration::settings_document::parse_settings;
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// Returns an error if the message is unknown, or if a field is missing or invalid.
-pub fn parse_message(line: &str) -> Result<Message<'_>, WireError> {
+pub fn parse_message(line: &str) -> Result<Message<'_>, MessageError> {
     let fields = MessageFields::split(line)?;
     Ok(match fields.message() {
         "frame" => Message::BatchStart {
@@ -82,11 +82,11 @@
         "call" | "started" | "report_back" | "client_gone" | "due" | "probe_result" | "peer" => {
             Message::Event(fields.instance()?, fields)
         }
-        other => return Err(WireError::UnknownMessage(other.into())),
+        other => return Err(MessageError::UnknownMessage(other.into())),
     })
 }
 
-fn list_number(fields: &MessageFields<'_>) -> Result<usize, WireError> {
+fn list_number(fields: &MessageFields<'_>) -> Result<usize, MessageError> {
     let value = fields.text("list")?;
     let number: usize = fields.number("list")?;
     if number < LIST_COUNT {
@@ -97,13 +97,13 @@
 }
 
 /// Parses the seed of 64 bits, which may be written as an unsigned or a signed number.
-fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, WireError> {
+fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, MessageError> {
     let text = fields.text("nonce64")?;
     let signed = || text.parse::<i64>().ok().map(i64::cast_unsigned);
     fields.require_parsed("nonce64", text, text.parse::<u64>().ok().or_else(signed))
 }
 
-fn parse_members<'a>(fields: &MessageFields<'_>) -> Result<Message<'a>, WireError> {
+fn parse_members<'a>(fields: &MessageFields<'_>) -> Result<Message<'a>, MessageError> {
     let version = fields.number_or_zero("rev")?;
     let kind = match fields.text("kind")? {
         "F" => ListKind::Full,
@@ -121,7 +121,7 @@
     })
 }
 
-fn parse_entry(fields: &MessageFields<'_>) -> Result<EndpointEntry, WireError> {
+fn parse_entry(fields: &MessageFields<'_>) -> Result<EndpointEntry, MessageError> {
     let size = fields.find("size").unwrap_or("1");
     let is_size = |size: &f64| size.is_finite() && *size >= 0.0;
     Ok(EndpointEntry {
--- a/src/simulator/message_fields.rs
+++ b/src/simulator/message_fields.rs
@@ -1,6 +1,6 @@
 //! The fields of one message, with a parser for each kind of value.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::instance::InstanceNumber;
 use crate::policy::{LoadReport, Outcome, Timestamp};
 use base64::Engine as _;
@@ -30,9 +30,9 @@
 
 impl<'a> MessageFields<'a> {
     /// Splits a line into its name and fields.
-    pub(super) fn split(line: &'a str) -> Result<Self, WireError> {
+    pub(super) fn split(line: &'a str) -> Result<Self, MessageError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
-        let malformed = |text: &str| WireError::MalformedField {
+        let malformed = |text: &str| MessageError::MalformedField {
             message: message.into(),
             text: text.into(),
         };
@@ -65,8 +65,8 @@
     }
 
     /// Returns the value of a field, or an error if it is missing.
-    pub(super) fn text(&self, field: &'static str) -> Result<&'a str, WireError> {
-        self.find(field).ok_or_else(|| WireError::MissingField {
+    pub(super) fn text(&self, field: &'static str) -> Result<&'a str, MessageError> {
+        self.find(field).ok_or_else(|| MessageError::MissingField {
             message: self.message.into(),
             field,
         })
@@ -78,8 +78,8 @@
         field: &'static str,
         value: &str,
         parsed: Option<T>,
-    ) -> Result<T, WireError> {
-        let invalid = || WireError::InvalidValue {
+    ) -> Result<T, MessageError> {
+        let invalid = || MessageError::InvalidValue {
             message: self.message.into(),
             field,
             value: value.into(),
@@ -93,8 +93,8 @@
         field: &'static str,
         value: &str,
         problem: &'static str,
-    ) -> WireError {
-        WireError::UnknownValue {
+    ) -> MessageError {
+        MessageError::UnknownValue {
             message: self.message.into(),
             field,
             value: value.into(),
@@ -103,13 +103,13 @@
     }
 
     /// Parses an integer of the type.
-    pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, WireError> {
+    pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, MessageError> {
         let value = self.text(field)?;
         self.require_parsed(field, value, value.parse().ok())
     }
 
     /// Parses an integer. Returns 0 if the field is missing.
-    pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, WireError> {
+    pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, MessageError> {
         if self.find(field).is_some() {
             self.number(field)
         } else {
@@ -118,7 +118,7 @@
     }
 
     /// Parses 0 or 1.
-    pub(super) fn flag(&self, field: &'static str) -> Result<bool, WireError> {
+    pub(super) fn flag(&self, field: &'static str) -> Result<bool, MessageError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
@@ -127,12 +127,12 @@
     }
 
     /// Parses a time in nanoseconds.
-    pub(super) fn timestamp(&self, field: &'static str) -> Result<Timestamp, WireError> {
+    pub(super) fn timestamp(&self, field: &'static str) -> Result<Timestamp, MessageError> {
         Ok(Timestamp::from_nanos(self.number(field)?))
     }
 
     /// Parses the instance that the message is for.
-    pub(super) fn instance(&self) -> Result<InstanceNumber, WireError> {
+    pub(super) fn instance(&self) -> Result<InstanceNumber, MessageError> {
         let value = self.text("sidecarId")?;
         let number = value
             .strip_prefix("sidecar/")
@@ -141,7 +141,7 @@
     }
 
     /// Parses the outcome of an attempt or a health check.
-    pub(super) fn outcome(&self) -> Result<Outcome, WireError> {
+    pub(super) fn outcome(&self) -> Result<Outcome, MessageError> {
         let value = self.text("ending")?;
         let code: u64 = self.require_parsed("ending", value, value.parse().ok())?;
         Ok(match code {
@@ -158,7 +158,7 @@
     }
 
     /// Parses the load report, if the message has one. Unknown measures are ignored.
-    pub(super) fn load_report(&self) -> Result<Option<LoadReport>, WireError> {
+    pub(super) fn load_report(&self) -> Result<Option<LoadReport>, MessageError> {
         let Some(text) = self.find("pressure") else {
             return Ok(None);
         };
@@ -189,7 +189,7 @@
     }
 
     /// Parses the data of a peer message.
-    pub(super) fn data(&self) -> Result<Vec<u8>, WireError> {
+    pub(super) fn data(&self) -> Result<Vec<u8>, MessageError> {
         match self.text("data")? {
             "-" => Ok(Vec::new()),
             text => self.require_parsed("data", text, BASE64.decode(text).ok()),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -17,6 +17,6 @@
 
 pub use action::format_action;
 pub use adapter::{AdapterError, serve};
-pub use error::WireError;
+pub use error::MessageError;
 pub use instance::InstanceNumber;
 pub use message::{Message, parse_message};
