--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -152,14 +152,14 @@
     }
 }
 
-fn sources() -> [PathBuf; 2] {
+fn source_folders() -> [PathBuf; 2] {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     [root.join("src"), root.join("fleet-lab/src")]
 }
 
 #[test]
 fn modules_have_no_import_cycles() {
-    for source in sources() {
+    for source in source_folders() {
         let files = CrateFiles::in_folder(&source);
         let imports = files
             .0
@@ -207,7 +207,7 @@
 /// Guards against files that no module declares: the compiler would ignore them.
 #[test]
 fn every_source_file_is_declared() {
-    for source in sources() {
+    for source in source_folders() {
         let files = CrateFiles::in_folder(&source);
         for (module, path) in &files.0 {
             let Some((name, parent)) = module.split_last() else {
