--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How a change takes effect.
+/// The way in which a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeEffect {
     /// A reload on SIGHUP applies the change.
@@ -26,7 +26,7 @@
     pub running: Option<Value>,
     /// The value in the next configuration, if any.
     pub next: Option<Value>,
-    /// How the change takes effect.
+    /// The way in which the change takes effect.
     pub effect: ChangeEffect,
 }
 
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where a value comes from.
+/// The origin of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueOrigin {
     /// The configuration file.
@@ -30,7 +30,7 @@
     pub value: Value,
     /// The unit. For times it is followed by the value in a readable form.
     pub unit: Option<String>,
-    /// Where the value comes from.
+    /// The origin of the value.
     pub origin: ValueOrigin,
 }
 
--- a/src/configuration/settings_document/types.rs
+++ b/src/configuration/settings_document/types.rs
@@ -27,12 +27,12 @@
     /// The names of the zones.
     #[serde(default, rename = "dcs")]
     pub(super) zones: Vec<String>,
-    /// How endpoint lists arrive: `automatic` (pushed by discovery) or `subscribe` (only on request).
+    /// The delivery of endpoint lists: `automatic` (pushed by discovery) or `subscribe` (only on request).
     pub(super) discovery: DiscoveryModeDocument,
     /// Properties of the service.
     #[serde(default, rename = "familyInfo")]
     pub(super) service: ServiceDocument,
-    /// The prices of what the balancer spends, as fractions of the result.
+    /// The prices of the resources that the balancer uses, as fractions of the result.
     #[serde(default, rename = "fees")]
     pub(super) prices: PricesDocument,
     /// The minimum time between two batches of events, in nanoseconds.
@@ -44,7 +44,7 @@
     /// The value of a request beyond its tenant's quota share, as a fraction of its ordinary value, from 0 to 1.
     #[serde(default, rename = "overShareWorth")]
     pub(super) over_share_value: f64,
-    /// How endpoints report their load.
+    /// The load reports of endpoints.
     #[serde(rename = "report")]
     pub(super) reporting: ReportingDocument,
     /// Times and multiples that the platform's rules set.
@@ -59,14 +59,15 @@
     /// as registered), `live` (its capacity under its present load) or `off` (none). Default: `off`.
     #[serde(rename = "weightSource")]
     pub(super) size_meaning: Option<SizeMeaningDocument>,
-    /// Whether a request's value counts by `request` or by the `work` in it. Default: `request`.
+    /// The basis of a request's value: `request` (the same value for all requests of a class) or `work` (a value that
+    /// grows with the request's work). Default: `request`.
     #[serde(rename = "worthBy")]
     pub(super) value_basis: Option<ValueBasisDocument>,
     /// The zone of this sidecar.
     pub(super) zone: String,
 }
 
-/// How endpoint lists arrive.
+/// The delivery of endpoint lists.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) enum DiscoveryModeDocument {
     // Discovery pushes them.
@@ -93,7 +94,7 @@
     Live,
 }
 
-/// Whether a request's value counts by request or by the work in it.
+/// The basis of a request's value.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum ValueBasisDocument {
@@ -235,7 +236,7 @@
     pub(super) warm_keys: bool,
 }
 
-/// The prices of what the balancer spends, as fractions of the result.
+/// The prices of the resources that the balancer uses, as fractions of the result.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct PricesDocument {
@@ -247,7 +248,7 @@
     pub(super) discovery: f64,
     /// The price of new connections, per first attempt.
     pub(super) handshake: f64,
-    /// The price of value that is still unserved after its objective.
+    /// The price of the value of requests that are not served and fail after their objective.
     pub(super) late_fail: f64,
     /// The price of messages between sidecars, per first attempt.
     pub(super) peer: f64,
@@ -258,7 +259,7 @@
     pub(super) waste: f64,
 }
 
-/// How endpoints report their load.
+/// The load reports of endpoints.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) struct ReportingDocument {
     /// When endpoints report their load: `inline` (with each answer and health check), `on_probe` (with health checks
@@ -287,7 +288,7 @@
 pub(super) struct RulesDocument {
     /// The time after a client's deadline within which a final answer still counts, in nanoseconds.
     pub(super) answer_slack_ns: u64,
-    /// The maximum time between two calls of discovery, in nanoseconds. A sidecar that has made no call for longer
+    /// The maximum time between two calls of discovery, in nanoseconds. If a sidecar has made no call for longer, it
     /// counts as notified of all changes.
     #[serde(default, rename = "askWithinNs")]
     pub(super) poll_interval_ns: u64,
@@ -297,7 +298,8 @@
     /// The time within which a sidecar must close its idle connections to a draining endpoint, in nanoseconds. Absent:
     /// there is no such rule.
     pub(super) drain_close_ns: Option<u64>,
-    /// The time within which sends to a draining endpoint have to end, in nanoseconds.
+    /// The time within which a sidecar must stop sending requests to an endpoint after the notice of its drain or
+    /// removal, in nanoseconds.
     pub(super) drain_grace_ns: u64,
     /// The overload that makes a warming endpoint fail, as a multiple of its present capacity. The endpoint fails if it
     /// is sent more than that for `fallNs`.
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -110,7 +110,7 @@
     Opening {
         /// The known version, from which the watch was to resume; `None` if the full list had to be fetched first.
         since: Option<u64>,
-        /// The time since the first call.
+        /// The time from the first call to the failure.
         elapsed: Duration,
     },
     /// The watch had been opened.
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -40,7 +40,7 @@
 /// The effect of a list on the membership.
 #[derive(Debug)]
 pub struct ListUpdate {
-    /// The changed endpoints, as the decision module takes them.
+    /// The changed endpoints, as entries for the decision module.
     pub entries: Vec<EndpointEntry>,
     /// The endpoints that accept no more requests or whose process was replaced. Idle connections to them must be
     /// closed.
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Applies a list and returns what it changes.
+    /// Applies a list and returns its effect.
     pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
         let entries: Vec<EndpointEntry> = list.endpoints.iter().map(EndpointEntry::from).collect();
         let mut stale_endpoints = Vec::new();
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -76,7 +76,8 @@
         &mut self.membership
     }
 
-    /// Returns the version of the last list from the current source; `None` for any other source.
+    /// Returns the last known version of a source. Returns `None` if it is not the current source or has no known
+    /// version.
     #[must_use]
     pub fn known_version(&self, source: Source) -> Option<u64> {
         self.membership.version().filter(|_| source == self.source)
