--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -96,7 +96,7 @@
                 .borrow()
                 .subscription
                 .membership_mut()
-                .set_cached_version(cached_list.index);
+                .set_cached_version(cached_list.version);
             sidecar.apply_list(cached_list, ListKind::Cached);
         }
         if follows_at_once {
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -23,7 +23,7 @@
             .into();
         let Incarnation { index, restarts } = sidecar.incarnation;
         let milestones = &sidecar.fleet.milestones[index];
-        milestones.record_version(restarts, list.index);
+        milestones.record_version(restarts, list.version);
         let is_ready = sidecar.subscription.membership().serving().next().is_some();
         milestones.record_readiness(restarts, is_ready);
         if is_ready && !sidecar.callers_started {
@@ -32,7 +32,7 @@
         }
         drop(sidecar);
         self.handle_event(Event::EndpointList {
-            version: list.index,
+            version: list.version,
             kind,
             entries,
         });
--- a/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -51,8 +51,8 @@
 /// Converts a snapshot into the form of the discovery client.
 fn endpoint_list(snapshot: &ListSnapshot) -> EndpointList {
     EndpointList {
-        index: snapshot.version,
-        snapshot: true,
+        version: snapshot.version,
+        is_full: true,
         endpoints: snapshot.endpoints.iter().map(list_entry).collect(),
     }
 }
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -96,7 +96,7 @@
     EffectiveValue {
         path: CACHED_LIST_KEY.to_owned(),
         value: Value::from(list.endpoints.len()),
-        unit: Some(format!("endpoints, version {}", list.index)),
+        unit: Some(format!("endpoints, version {}", list.version)),
         origin: ValueOrigin::File,
     }
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -217,7 +217,7 @@
         Some(version) => version,
         None => {
             let list = fetch_full_list(consumer, source, backoff).await?;
-            let version = list.index;
+            let version = list.version;
             consumer.list_received(source, list)?;
             version
         }
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -9,9 +9,11 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub struct EndpointList {
     /// The version of the list, which grows with each change.
-    pub index: u64,
+    #[serde(rename = "index")]
+    pub version: u64,
     /// Whether `endpoints` is the full list. Otherwise it contains only the entries that have changed.
-    pub snapshot: bool,
+    #[serde(rename = "snapshot")]
+    pub is_full: bool,
     /// All endpoints, or only those that have changed.
     pub endpoints: Vec<ListEntry>,
 }
@@ -20,7 +22,7 @@
     /// Returns the kind of the list in the decision module's terms.
     #[must_use]
     pub fn kind(&self) -> ListKind {
-        if self.snapshot {
+        if self.is_full {
             ListKind::Full
         } else {
             ListKind::Changes
--- a/src/discovery/list_decoder_tests.rs
+++ b/src/discovery/list_decoder_tests.rs
@@ -13,7 +13,7 @@
 ) -> (Vec<u64>, Result<ChunkContent, DiscoveryError>) {
     let mut versions = Vec::new();
     let content = decoder.decode(chunk.as_bytes(), |list| {
-        versions.push(list.index);
+        versions.push(list.version);
         Ok(())
     });
     (versions, content)
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -102,13 +102,13 @@
     /// # Errors
     /// Returns [`StaleListError`] if the list is rejected and must not be applied.
     pub fn accept(&mut self, list: &mut EndpointList) -> Result<(), StaleListError> {
-        let is_stale = self.version.is_some_and(|version| list.index < version);
-        if is_stale && !(list.snapshot && self.has_rejected_stale_full_list) {
-            self.has_rejected_stale_full_list = list.snapshot;
+        let is_stale = self.version.is_some_and(|version| list.version < version);
+        if is_stale && !(list.is_full && self.has_rejected_stale_full_list) {
+            self.has_rejected_stale_full_list = list.is_full;
             return Err(StaleListError);
         }
         self.has_rejected_stale_full_list = false;
-        let is_first = self.version.replace(list.index).is_none();
+        let is_first = self.version.replace(list.version).is_none();
         if is_first || is_stale {
             for entry in &mut list.endpoints {
                 self.preserve_draining(entry);
--- a/src/discovery/subscription_tests.rs
+++ b/src/discovery/subscription_tests.rs
@@ -11,8 +11,8 @@
 
 fn full_list(version: u64) -> EndpointList {
     EndpointList {
-        index: version,
-        snapshot: true,
+        version,
+        is_full: true,
         endpoints: Vec::new(),
     }
 }
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -21,7 +21,7 @@
         }
         drop(node);
         self.handle(Event::EndpointList {
-            version: list.index,
+            version: list.version,
             kind,
             entries: update.entries.into(),
         });
@@ -37,7 +37,7 @@
     log!(
         "endpoint list: version {version}, {kind}: {serving} serving, {draining} draining, {deleted} deleted; \
          {listed} listed",
-        version = list.index,
+        version = list.version,
         kind = match kind {
             ListKind::Full => "full",
             ListKind::Cached => "cached",
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -86,7 +86,7 @@
         let node = NodeHandle(Rc::new(RefCell::new(Node::new(options)?)));
         node.restore_disabled_endpoints();
         if let Some(list) = &cached_list {
-            node.borrow().endpoints.set_cached_version(list.index);
+            node.borrow().endpoints.set_cached_version(list.version);
             node.apply_list(list, ListKind::Cached);
         }
         if cached_list.is_none() || node.borrow().follows_at_once(mode) {
