--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -103,7 +103,7 @@
 
 impl UsedPaths {
     fn add(&mut self, tree: &UseTree, prefix: &ModulePath) {
-        let with = |segment: String| {
+        let prefixed = |segment: String| {
             prefix
                 .iter()
                 .cloned()
@@ -111,9 +111,9 @@
                 .collect::<ModulePath>()
         };
         match tree {
-            UseTree::Path(path) => self.add(&path.tree, &with(path.ident.to_string())),
-            UseTree::Name(name) => self.0.push(with(name.ident.to_string())),
-            UseTree::Rename(rename) => self.0.push(with(rename.ident.to_string())),
+            UseTree::Path(path) => self.add(&path.tree, &prefixed(path.ident.to_string())),
+            UseTree::Name(name) => self.0.push(prefixed(name.ident.to_string())),
+            UseTree::Rename(rename) => self.0.push(prefixed(rename.ident.to_string())),
             UseTree::Glob(_) => self.0.push(prefix.clone()),
             UseTree::Group(group) => group.items.iter().for_each(|tree| self.add(tree, prefix)),
         }
@@ -131,7 +131,7 @@
         let leaves: Vec<ModulePath> = imports
             .iter()
             .filter(|(_, imported)| imported.is_empty())
-            .map(|(m, _)| m.clone())
+            .map(|(module, _)| module.clone())
             .collect();
         if leaves.is_empty() {
             break;
