--- a/src/configuration/settings_document/mod.rs
+++ b/src/configuration/settings_document/mod.rs
@@ -23,7 +23,7 @@
 //! | `coldFrom`, `warmWithinNs` | initial capacity, warm-up time |
 //! | `fallMultiple`, `fallNs` | overload multiple, overload window |
 //! | `askWithinNs` | poll interval |
-//! | `orderPauseNs` | key cool-down |
+//! | `orderPauseNs` | key cooldown |
 //! | `granularityNs` | tick |
 
 mod conversion;
--- a/src/discovery/hedged_call.rs
+++ b/src/discovery/hedged_call.rs
@@ -31,7 +31,7 @@
 /// newest.
 const MAX_CONCURRENT_CALLS: usize = 2;
 /// The age from which a newer call replaces a call without a response, because the old one may have been lost in the
-/// network. While the old one is kept, each new call replaces the other outstanding one, which may then never reach the
+/// network. While the old one is kept, each new call replaces the only other one, and none of them may ever reach the
 /// front of a long queue.
 ///
 /// The value exceeds the time that 500 sidecars wait for a discovery service that answers 20 calls per second.
