--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -1,22 +1,22 @@
 //! The command `explain`.
 
 use super::configuration_file;
-use super::output::{Outcome, bad_input, print_line};
+use super::output::{Outcome, print_line, report_bad_input};
 use crate::configuration::{Config, effective_values};
 use std::path::Path;
 
-/// Shows the configuration in effect.
+/// Shows the effective value of each key with its unit and origin.
 pub(super) fn explain(path: &Path) -> Outcome {
     let text = configuration_file::read_text(path);
     let parsed = match text.and_then(|text| configuration_file::parse(&text)) {
         Ok(parsed) => parsed,
         Err(outcome) => return outcome,
     };
-    let admin = match Config::admin_from_environment() {
-        Ok(admin) => admin,
-        Err(error) => return bad_input(&error),
+    let admin_address = match Config::admin_address_from_environment() {
+        Ok(admin_address) => admin_address,
+        Err(error) => return report_bad_input(&error),
     };
-    for value in &effective_values(&parsed, admin) {
+    for value in &effective_values(&parsed, admin_address) {
         print_line(value);
     }
     Outcome::Success
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -1,4 +1,4 @@
-//! What another configuration would change in a running sidecar.
+//! The differences between a running configuration and the next one.
 
 use super::config::Config;
 use super::leaf_values::leaf_values;
@@ -6,18 +6,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How a change takes effect.
+/// The way in which a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// With a reload, on SIGHUP.
+pub enum ChangeEffect {
+    /// A reload on SIGHUP applies the change.
     Reload,
-    /// With a restart only.
+    /// Only a restart applies the change.
     Restart,
-    /// Not at all: a reload rejects the whole file.
+    /// Nothing applies the change: a reload rejects the whole file.
     Rejected,
 }
 
-/// One value that differs.
+/// One value that differs between the configurations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// The path in the document.
@@ -26,13 +26,13 @@
     pub running: Option<Value>,
     /// The value in the next configuration, if any.
     pub next: Option<Value>,
-    /// How the change takes effect.
-    pub effect: Effect,
+    /// The way in which the change takes effect.
+    pub effect: ChangeEffect,
 }
 
 /// Returns the differences between the configuration that a sidecar runs with and the next one.
 ///
-/// If the next one lacks a key for which a reload rejects the whole file, that is the only difference.
+/// If the next one lacks a key without which a reload rejects the whole file, this key is the only difference.
 #[must_use]
 pub fn differences(running: &Config, next: &Config) -> Vec<Difference> {
     if let Some(path) = running.reload_baseline.missing_key(&next.reload_baseline) {
@@ -40,16 +40,16 @@
             path,
             running: None,
             next: None,
-            effect: Effect::Rejected,
+            effect: ChangeEffect::Rejected,
         }];
     }
     let running = values_by_path(&running.file_content);
     let next = values_by_path(&next.file_content);
     let paths: BTreeSet<&String> = running.keys().chain(next.keys()).collect();
-    let differing = paths
+    let changed_paths = paths
         .into_iter()
         .filter(|path| running.get(*path) != next.get(*path));
-    differing
+    changed_paths
         .filter_map(|path| {
             Some(Difference {
                 path: path.clone(),
@@ -65,11 +65,12 @@
     leaf_values(document).into_iter().collect()
 }
 
-/// Returns how a change of this value takes effect; none for what a process reads only at its start (`known`, `seed`).
-fn effect(path: &str) -> Option<Effect> {
+/// Returns how a change of the value takes effect. Returns `None` for values that a process uses only at its start
+/// (`known`, `seed`).
+fn effect(path: &str) -> Option<ChangeEffect> {
     match path.split(['.', '[']).next() {
-        Some("settings" | "discovery") => Some(Effect::Reload),
-        Some("name" | "listen" | "admin_addr" | "limits") => Some(Effect::Restart),
+        Some("settings" | "discovery") => Some(ChangeEffect::Reload),
+        Some("name" | "listen" | "admin_addr" | "limits") => Some(ChangeEffect::Restart),
         _ => None,
     }
 }
@@ -77,9 +78,9 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let effect = match self.effect {
-            Effect::Reload => "SIGHUP changes",
-            Effect::Restart => "only a restart changes",
-            Effect::Rejected => {
+            ChangeEffect::Reload => "SIGHUP changes",
+            ChangeEffect::Restart => "only a restart changes",
+            ChangeEffect::Rejected => {
                 return write!(
                     f,
                     "turned down: {} is missing, which was there before",
@@ -91,12 +92,12 @@
             f,
             "{effect} {}: {} to {}",
             self.path,
-            shown(self.running.as_ref()),
-            shown(self.next.as_ref())
+            format_value(self.running.as_ref()),
+            format_value(self.next.as_ref())
         )
     }
 }
 
-fn shown(value: Option<&Value>) -> String {
+fn format_value(value: Option<&Value>) -> String {
     value.map_or_else(|| "absent".to_owned(), Value::to_string)
 }
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -1,4 +1,4 @@
-//! The configuration in effect, value by value.
+//! The effective values of a configuration, each with its unit and origin.
 
 use super::leaf_values::leaf_values;
 use super::parse::ParsedConfiguration;
@@ -10,31 +10,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where a value comes from.
+/// The origin of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum ValueOrigin {
     /// The configuration file.
     File,
-    /// The default, because the file does not have it.
+    /// The default, because the file does not have the key.
     Default,
-    /// The environment.
+    /// An environment variable.
     Environment,
 }
 
-/// One value in effect.
+/// One effective value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveValue {
     /// The path in the document.
     pub path: String,
     /// The value.
     pub value: Value,
-    /// The unit, and for times the value in a readable form.
+    /// The unit. For times it is followed by the value in a readable form.
     pub unit: Option<String>,
-    /// Where the value comes from.
-    pub origin: Origin,
+    /// The origin of the value.
+    pub origin: ValueOrigin,
 }
 
-/// The units of keys other than times, by the end of the path.
+/// The units of values other than times, by the suffix of their path.
 const UNITS: [(&str, &str); 6] = [
     ("memory_mb", "MB"),
     ("limits.sockets", "descriptors"),
@@ -43,27 +43,27 @@
     ("sendCap", "attempts"),
     ("maxOpen", "requests"),
 ];
-/// The end of keys whose values are times in nanoseconds.
+/// The suffix of keys whose values are times in nanoseconds.
 const NANOSECONDS_SUFFIX: &str = "Ns";
-/// The key of the address for operators' calls.
+/// The key of the operators' address.
 const ADMIN_KEY: &str = "admin_addr";
-/// The key of the cached endpoint list, of which only the size is shown.
+/// The key of the cached endpoint list. Only its size is shown.
 const CACHED_LIST_KEY: &str = "known";
 
-/// Returns all values in effect. An address for operators' calls in the environment replaces that of the file.
+/// Returns all effective values. An operators' address from the environment replaces that of the file.
 #[must_use]
 pub fn effective_values(
     parsed: &ParsedConfiguration,
-    admin_from_environment: Option<SocketAddr>,
+    admin_address_from_environment: Option<SocketAddr>,
 ) -> Vec<EffectiveValue> {
     let mut values = document_values(parsed);
-    if let Some(address) = admin_from_environment {
+    if let Some(address) = admin_address_from_environment {
         values.retain(|value| value.path != ADMIN_KEY);
         values.push(EffectiveValue {
             path: ADMIN_KEY.to_owned(),
             value: Value::from(address.to_string()),
             unit: None,
-            origin: Origin::Environment,
+            origin: ValueOrigin::Environment,
         });
     }
     values.extend(parsed.document.cached_list.as_ref().map(cached_list_size));
@@ -82,9 +82,9 @@
         .map(|(path, value)| EffectiveValue {
             unit: unit(&path, &value),
             origin: if file_paths.contains(&path) {
-                Origin::File
+                ValueOrigin::File
             } else {
-                Origin::Default
+                ValueOrigin::Default
             },
             path,
             value,
@@ -96,8 +96,8 @@
     EffectiveValue {
         path: CACHED_LIST_KEY.to_owned(),
         value: Value::from(list.endpoints.len()),
-        unit: Some(format!("endpoints, version {}", list.index)),
-        origin: Origin::File,
+        unit: Some(format!("endpoints, version {}", list.version)),
+        origin: ValueOrigin::File,
     }
 }
 
@@ -108,16 +108,16 @@
     }
     UNITS
         .iter()
-        .find(|(path_end, _)| path.ends_with(path_end))
+        .find(|(suffix, _)| path.ends_with(suffix))
         .map(|(_, unit)| (*unit).to_owned())
 }
 
-impl fmt::Display for Origin {
+impl fmt::Display for ValueOrigin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Origin::File => "file",
-            Origin::Default => "default",
-            Origin::Environment => ADMIN_VARIABLE,
+            ValueOrigin::File => "file",
+            ValueOrigin::Default => "default",
+            ValueOrigin::Environment => ADMIN_VARIABLE,
         })
     }
 }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The sidecar's configuration: its file format, validation, JSON Schema, and the effect of a change.
+//! The sidecar's configuration: its file format, its validation, its JSON Schema and the effects of changes.
 
 mod config;
 mod difference;
@@ -17,9 +17,9 @@
 mod variables;
 
 pub use config::Config;
-pub use difference::{Difference, Effect, differences};
+pub use difference::{ChangeEffect, Difference, differences};
 pub use document::{ConfigurationDocument, ProcessLimitsDocument, Seed, SeedError};
-pub use effective_value::{EffectiveValue, Origin, effective_values};
+pub use effective_value::{EffectiveValue, ValueOrigin, effective_values};
 pub use error::ConfigError;
 pub use parse::{ParsedConfiguration, UnknownKey, parse, unknown_keys};
 pub use reload_baseline::ReloadBaseline;
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! Reading and validating the text of a configuration: at the start, on SIGHUP and in the commands.
+//! Reads and validates the text of a configuration, at the start, on SIGHUP and in the commands.
 
 use super::document::ConfigurationDocument;
 use super::json_text::{JsonText, read_json};
@@ -13,11 +13,11 @@
 /// A valid configuration.
 #[derive(Debug)]
 pub struct ParsedConfiguration {
-    /// The document, with defaults for what the file lacks.
+    /// The document. Keys that the file lacks have their defaults.
     pub document: ConfigurationDocument,
     /// The content of the file.
     pub file_content: Value,
-    /// The settings in the decision module's form.
+    /// The settings, converted to the types of the decision module.
     pub settings: Settings,
 }
 
@@ -34,16 +34,17 @@
 /// Reads and validates the text of a configuration.
 ///
 /// # Errors
-/// Returns all that is wrong with it.
+/// Returns every error in the text.
 pub fn parse(text: &str) -> Result<ParsedConfiguration, ValidationErrors> {
-    let json = read_json(text).map_err(|error| ValidationErrors(vec![not_json(&error)]))?;
+    let json =
+        read_json(text).map_err(|error| ValidationErrors(vec![json_syntax_error(&error)]))?;
     let document = read_document(text, &json)?;
     let settings = Settings::try_from(document.settings.clone())
-        .map_err(|error| ValidationErrors(vec![invalid_settings(error.to_string())]))?;
+        .map_err(|error| ValidationErrors(vec![settings_conversion_error(error.to_string())]))?;
     let errors: Vec<ValidationError> = settings
         .validation_errors()
         .iter()
-        .map(invalid_setting)
+        .map(settings_validation_error)
         .collect();
     if !errors.is_empty() {
         return Err(ValidationErrors(errors));
@@ -59,18 +60,19 @@
 #[must_use]
 pub fn unknown_keys(text: &str) -> Vec<UnknownKey> {
     let mut keys = Vec::new();
-    let mut note = |path: serde_ignored::Path<'_>| keys.push(UnknownKey(path.to_string()));
+    let mut record_unknown_key =
+        |path: serde_ignored::Path<'_>| keys.push(UnknownKey(path.to_string()));
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let document: Result<ConfigurationDocument, _> =
-        serde_ignored::deserialize(&mut deserializer, &mut note);
+        serde_ignored::deserialize(&mut deserializer, &mut record_unknown_key);
     drop(document); // errors are reported by `parse`
     keys
 }
 
-/// Converts the value of a text to the document type.
+/// Converts a parsed text to the document type.
 ///
-/// A value knows neither positions in the text nor keys that were there twice. The text is therefore read again where
-/// the conversion fails or a key is there twice.
+/// The parsed value has neither the positions in the text nor duplicate keys. If the conversion fails or there is a
+/// duplicate key, the text is read again for a complete error message.
 fn read_document(text: &str, json: &JsonText) -> Result<ConfigurationDocument, ValidationErrors> {
     match ConfigurationDocument::deserialize(&json.value) {
         Ok(document) if !json.has_duplicate_keys => Ok(document),
@@ -90,32 +92,34 @@
     })
 }
 
-/// Returns all errors of a document. Reading ends at the first error, so the schema is checked for all; the first one is
-/// returned where the schema does not cover it.
-fn all_errors(value: &Value, first: ValidationError) -> Vec<ValidationError> {
+/// Returns all errors of a document.
+///
+/// Reading ends at the first error, so all errors are taken from a check against the schema. If the schema finds none,
+/// the error of reading is returned.
+fn all_errors(value: &Value, reading_error: ValidationError) -> Vec<ValidationError> {
     let errors = schema_errors(value);
     if errors.is_empty() {
-        vec![first]
+        vec![reading_error]
     } else {
         errors
     }
 }
 
-fn not_json(error: &serde_json::Error) -> ValidationError {
+fn json_syntax_error(error: &serde_json::Error) -> ValidationError {
     ValidationError {
         path: String::new(),
         message: format!("it is no JSON: {error}"),
     }
 }
 
-fn invalid_settings(message: String) -> ValidationError {
+fn settings_conversion_error(message: String) -> ValidationError {
     ValidationError {
         path: "settings".into(),
         message,
     }
 }
 
-fn invalid_setting(error: &SettingsError) -> ValidationError {
+fn settings_validation_error(error: &SettingsError) -> ValidationError {
     ValidationError {
         path: format!("settings.{}", document_key_path(&error.field)),
         message: error.problem.into(),
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,11 +1,11 @@
-//! Fetches of the endpoint list and watches on its changes, each on a connection of its own.
+//! Fetches the endpoint list and watches its changes, each call on a connection of its own.
 
 use super::backoff::Backoff;
 use super::consumer::ListConsumer;
 use super::error::{DiscoveryError, DiscoveryFailure};
-use super::hedged_call::fetch_with_hedging;
+use super::hedged_call::call_with_hedging;
 use super::list::EndpointList;
-use super::list_decoder::{ListDecoder, MAX_LIST_BYTES, Progress};
+use super::list_decoder::{ChunkContent, ListDecoder, MAX_LIST_BYTES};
 use super::source::Source;
 use crate::policy::DISCOVERY_TIMEOUT;
 use bytes::BytesMut;
@@ -16,11 +16,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The path of the full list; with a query also that of a watch.
+/// The path of the full list. With a query it is the path of a watch.
 const LIST_PATH: &str = "/v1/endpoints";
 
-/// Watches the changes after `known_version` until the watch fails, and reports the failure to the consumer, whose
-/// decision module schedules the next call.
+/// Watches the changes after `known_version` until the watch fails, and reports the failure to the consumer. The
+/// consumer's decision module schedules the next call.
 pub(super) async fn watch<C: ListConsumer>(
     consumer: C,
     source: Source,
@@ -35,8 +35,8 @@
 
 /// Watches an agent that pushes lists, and reopens the watch with backoff whenever it fails.
 ///
-/// The decision module does not schedule these calls and is not notified of failures. An agent is silent while discovery
-/// is down, so time-outs are not logged.
+/// The decision module neither schedules these calls nor is notified of failures. Time-outs are not logged, because an
+/// agent is silent while discovery is down.
 pub(super) async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     loop {
@@ -47,15 +47,15 @@
             consumer.log(format_args!("the watch on discovery's agent ended: {end}"));
         }
         let call_duration = match end.stage {
-            WatchStage::Opening { took, .. } => took,
+            WatchStage::Opening { elapsed, .. } => elapsed,
             WatchStage::Open { .. } => Duration::ZERO,
         };
         sleep(backoff.delay_after(call_duration)).await;
     }
 }
 
-/// The longest time that one list may take to arrive: a later answer would be newer.
-const MAX_LIST_TRANSFER: Duration = Duration::from_secs(30);
+/// The maximum time to receive one list. After it, a new call would return a newer list.
+const MAX_LIST_TRANSFER_TIME: Duration = Duration::from_secs(30);
 
 /// Fetches the full list once, and reports a failure to the consumer.
 pub async fn fetch<C: ListConsumer>(consumer: C, source: Source) {
@@ -69,7 +69,7 @@
     if let Err(error) = received {
         consumer.fetch_failed(source);
         consumer.log(format_args!("the fetch from discovery failed: {error}"));
-        consumer.discovery_failed(source, error.failure_of_call());
+        consumer.discovery_failed(source, error.call_failure());
     }
 }
 
@@ -79,12 +79,12 @@
     backoff: &mut Backoff,
 ) -> Result<EndpointList, DiscoveryError> {
     let on_hedge = |is_reached| consumer.call_hedged(source, is_reached);
-    let body = fetch_with_hedging(source.address, LIST_PATH, backoff, on_hedge).await?;
-    let body = timeout(MAX_LIST_TRANSFER, collect_list(body)).await??;
+    let body = call_with_hedging(source.address, LIST_PATH, backoff, on_hedge).await?;
+    let body = timeout(MAX_LIST_TRANSFER_TIME, collect_list(body)).await??;
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Receives the body of a full list, which must not be silent for [`DISCOVERY_TIMEOUT`].
+/// Receives the body of a full list. Fails if nothing arrives for [`DISCOVERY_TIMEOUT`] or if the list is too long.
 async fn collect_list(mut body: Incoming) -> Result<BytesMut, DiscoveryError> {
     let mut list = BytesMut::new();
     while let Some(frame) = timeout(DISCOVERY_TIMEOUT, body.frame()).await? {
@@ -98,42 +98,43 @@
     Ok(list)
 }
 
-/// How a watch ended.
+/// The end of a watch.
 struct WatchEnd {
     error: DiscoveryError,
     stage: WatchStage,
 }
 
-/// How far a watch got.
+/// The stage that a watch had reached when it ended.
 enum WatchStage {
-    /// The request was not answered with a watch.
+    /// The watch had not been opened.
     Opening {
-        /// The version from which the watch was to resume, if one was known.
+        /// The known version, from which the watch was to resume; `None` if the full list had to be fetched first.
         since: Option<u64>,
-        /// The time since the first call.
-        took: Duration,
+        /// The time from the first call to the failure.
+        elapsed: Duration,
     },
-    /// The watch was open.
+    /// The watch had been opened.
     Open {
-        /// For how long.
-        lasted: Duration,
-        /// The number of lists received on it.
-        lists: u64,
-        /// When something was last received on it.
+        /// The time for which the watch was open.
+        duration: Duration,
+        /// The number of lists received on the watch.
+        list_count: u64,
+        /// The time at which a list or a heartbeat was last received on the watch, or else the time of its opening.
         last_received_at: Instant,
     },
 }
 
 impl WatchEnd {
-    /// Returns what the failure says of the next call.
+    /// Classifies the failure for the schedule of the next call.
     fn failure(&self) -> DiscoveryFailure {
         match self.stage {
-            WatchStage::Opening { .. } => self.error.failure_of_call(),
+            WatchStage::Opening { .. } => self.error.call_failure(),
             WatchStage::Open { .. } => DiscoveryFailure::Lost,
         }
     }
 
-    /// Returns when something was last received on the watch, if it was open.
+    /// Returns the time at which a list or a heartbeat was last received on the watch. Returns `None` if the watch was
+    /// not opened.
     fn last_received_at(&self) -> Option<Instant> {
         match self.stage {
             WatchStage::Opening { .. } => None,
@@ -148,14 +149,21 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.error)?;
         match self.stage {
-            WatchStage::Opening { since, took } => {
-                let since = since.map_or("no version".into(), |since| format!("version {since}"));
-                let took = took.as_secs_f64();
-                write!(formatter, " (not opened after {took:.3} s, since {since})")
+            WatchStage::Opening { since, elapsed } => {
+                let since = since.map_or("none".into(), |since| format!("{since}"));
+                let elapsed = elapsed.as_secs_f64();
+                write!(
+                    formatter,
+                    " (not opened after {elapsed:.3} s, known version: {since})"
+                )
             }
-            WatchStage::Open { lasted, lists, .. } => {
-                let lasted = lasted.as_secs_f64();
-                write!(formatter, " (open for {lasted:.3} s, {lists} lists)")
+            WatchStage::Open {
+                duration,
+                list_count,
+                ..
+            } => {
+                let duration = duration.as_secs_f64();
+                write!(formatter, " (open for {duration:.3} s, {list_count} lists)")
             }
         }
     }
@@ -174,7 +182,7 @@
         Err(error) => {
             let stage = WatchStage::Opening {
                 since: known_version,
-                took: called_at.elapsed(),
+                elapsed: called_at.elapsed(),
             };
             return WatchEnd { error, stage };
         }
@@ -188,8 +196,8 @@
     let mut events = WatchEvents::new(opened_at);
     let Err(error) = events.receive(consumer, source, body).await;
     let stage = WatchStage::Open {
-        lasted: opened_at.elapsed(),
-        lists: events.lists,
+        duration: opened_at.elapsed(),
+        list_count: events.list_count,
         last_received_at: events.last_received_at,
     };
     WatchEnd { error, stage }
@@ -197,8 +205,8 @@
 
 /// Opens a watch on the changes after `known_version`.
 ///
-/// Without a known version the full list is fetched first: a watch from version 0 may contain only the changes that this
-/// discovery still remembers.
+/// Without a known version the full list is fetched first. A watch from version 0 might return only the changes that
+/// this discovery service still stores.
 async fn open_watch<C: ListConsumer>(
     consumer: &C,
     source: Source,
@@ -209,26 +217,28 @@
         Some(version) => version,
         None => {
             let list = fetch_full_list(consumer, source, backoff).await?;
-            let version = list.index;
+            let version = list.version;
             consumer.list_received(source, list)?;
             version
         }
     };
     let path = format!("{LIST_PATH}?follow=1&since={version}");
     let on_hedge = |is_reached| consumer.call_hedged(source, is_reached);
-    let body = fetch_with_hedging(source.address, &path, backoff, on_hedge).await?;
+    let body = call_with_hedging(source.address, &path, backoff, on_hedge).await?;
     consumer.watch_opened(source);
     Ok(body)
 }
 
-/// The events of an open watch.
+/// The receiver of the events of an open watch.
 struct WatchEvents {
     decoder: ListDecoder,
     /// The number of lists received.
-    lists: u64,
-    /// When a list was completed or a heartbeat came; at first, when the watch was opened.
+    list_count: u64,
+    /// The time at which a list was last completed or a heartbeat last received. Initially the time at which the watch
+    /// was opened.
     last_received_at: Instant,
-    /// When the last part of an incomplete list came, if that was later.
+    /// The time at which a part of an incomplete list was last received. Initially the time at which the watch was
+    /// opened.
     last_part_at: Instant,
 }
 
@@ -236,7 +246,7 @@
     fn new(opened_at: Instant) -> Self {
         WatchEvents {
             decoder: ListDecoder::default(),
-            lists: 0,
+            list_count: 0,
             last_received_at: opened_at,
             last_part_at: opened_at,
         }
@@ -244,8 +254,8 @@
 
     /// Receives the events of a watch until it fails, ends or is silent for [`DISCOVERY_TIMEOUT`].
     ///
-    /// Heartbeats count as silence while a list is incomplete, because its rest may never come. Parts of it do not, for
-    /// [`MAX_LIST_TRANSFER`].
+    /// While a list is incomplete, heartbeats count as silence, because the rest of the list may never come. Further
+    /// parts of the list end the silence, for at most [`MAX_LIST_TRANSFER_TIME`].
     async fn receive<C: ListConsumer>(
         &mut self,
         consumer: &C,
@@ -259,25 +269,25 @@
             let Ok(chunk) = frame?.into_data() else {
                 continue;
             };
-            let lists = &mut self.lists;
-            let progress = self.decoder.decode(&chunk, |list| {
-                *lists += 1;
+            let list_count = &mut self.list_count;
+            let content = self.decoder.decode(&chunk, |list| {
+                *list_count += 1;
                 consumer.list_received(source, list)
             })?;
-            match progress {
-                Progress::Alive => {
+            match content {
+                ChunkContent::ListOrHeartbeat => {
                     self.last_received_at = Instant::now();
                     consumer.list_confirmed(source);
                 }
-                Progress::Partial => self.last_part_at = Instant::now(),
-                Progress::Incomplete => {}
+                ChunkContent::PartOfList => self.last_part_at = Instant::now(),
+                ChunkContent::NothingNew => {}
             }
         }
     }
 
     fn silence_deadline(&self) -> Instant {
         let last_progress_at = self.last_received_at.max(self.last_part_at);
-        let latest = self.last_received_at + MAX_LIST_TRANSFER;
+        let latest = self.last_received_at + MAX_LIST_TRANSFER_TIME;
         latest.min(last_progress_at + DISCOVERY_TIMEOUT)
     }
 }
--- a/src/discovery/list_decoder.rs
+++ b/src/discovery/list_decoder.rs
@@ -1,82 +1,84 @@
-//! The decoder of a watch's stream of lists.
+//! Decodes the stream of lists that a watch receives.
 
 use super::error::{DiscoveryError, StaleListError};
 use super::list::EndpointList;
 use super::list_scanner::{ListScanner, ScannedByte};
 use bytes::{Buf, BytesMut};
 
-/// The maximum size of a list in bytes, several times that of the largest fleet's list.
+/// The maximum size of a list, in bytes. It is several times the size of the list of the largest fleet.
 pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Decodes a stream of JSON lists, however they are split into lines and chunks. Each byte is scanned once and each list
-/// is parsed once, so that a long list in many small chunks costs no more than one in a few.
+/// Decodes a stream of JSON lists, regardless of its division into lines and chunks.
+///
+/// Each byte is scanned once and each list is parsed once. The cost of a long list therefore does not depend on the
+/// number of its chunks.
 #[derive(Debug, Default)]
 pub(super) struct ListDecoder {
-    /// The beginning of a list whose end has not been received.
+    /// The received part of an incomplete list.
     incomplete: BytesMut,
     scanner: ListScanner,
-    /// How often a list was parsed.
+    /// The number of lists that were parsed.
     #[cfg(test)]
-    pub(super) parses: usize,
+    pub(super) parse_count: usize,
 }
 
-/// What a chunk has added.
+/// The content of a chunk, as far as the silence time-out depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Progress {
-    /// A list was completed, or no list is incomplete and the chunk is a heartbeat.
-    Alive,
-    /// A list is incomplete, and the chunk is a part of it.
-    Partial,
-    /// A list is incomplete, and the chunk added nothing to it.
-    Incomplete,
+pub(super) enum ChunkContent {
+    /// The chunk completed a list, or it is a heartbeat between lists.
+    ListOrHeartbeat,
+    /// The chunk is a part of a list that is still incomplete.
+    PartOfList,
+    /// A list is incomplete, and the chunk adds nothing to it but white space.
+    NothingNew,
 }
 
 impl ListDecoder {
     /// Decodes a chunk and passes each list that it completes to `receive`, in order.
     ///
     /// # Errors
-    /// Returns an error if the stream is malformed, a list is too long, or `receive` rejects a list. Earlier lists of the
-    /// chunk have been received nevertheless. The decoder must not be used any more then.
+    /// Returns an error if the stream is malformed, a list is too long, or `receive` rejects a list. Earlier lists of
+    /// the chunk have been passed on by then. After an error the decoder must not be used again.
     pub(super) fn decode(
         &mut self,
         chunk: &[u8],
         mut receive: impl FnMut(EndpointList) -> Result<(), StaleListError>,
-    ) -> Result<Progress, DiscoveryError> {
+    ) -> Result<ChunkContent, DiscoveryError> {
         let mut has_completed_list = false;
         let mut has_content = false;
-        let mut unread_from = 0;
+        let mut uncopied_from = 0;
         for (position, byte) in chunk.iter().enumerate() {
             match self.scanner.scan(*byte)? {
-                ScannedByte::Between => unread_from = position + 1,
+                ScannedByte::BetweenObjects => uncopied_from = position + 1,
                 ScannedByte::Whitespace => {}
                 ScannedByte::Content => has_content = true,
-                ScannedByte::End => {
+                ScannedByte::ObjectEnd => {
                     self.incomplete
-                        .extend_from_slice(&chunk[unread_from..=position]);
-                    unread_from = position + 1;
+                        .extend_from_slice(&chunk[uncopied_from..=position]);
+                    uncopied_from = position + 1;
                     receive(self.parse_list()?)?;
                     has_completed_list = true;
                 }
             }
         }
-        self.incomplete.extend_from_slice(&chunk[unread_from..]);
+        self.incomplete.extend_from_slice(&chunk[uncopied_from..]);
         if self.incomplete.len() > MAX_LIST_BYTES {
             return Err(DiscoveryError::TooLong);
         }
         Ok(if has_completed_list || self.incomplete.is_empty() {
-            Progress::Alive
+            ChunkContent::ListOrHeartbeat
         } else if has_content {
-            Progress::Partial
+            ChunkContent::PartOfList
         } else {
-            Progress::Incomplete
+            ChunkContent::NothingNew
         })
     }
 
-    /// Parses the list that has been received completely.
+    /// Parses the list that has been completed.
     fn parse_list(&mut self) -> Result<EndpointList, DiscoveryError> {
         #[cfg(test)]
         {
-            self.parses += 1;
+            self.parse_count += 1;
         }
         let list = serde_json::from_slice(&self.incomplete);
         self.incomplete.advance(self.incomplete.len());
--- a/src/discovery/list_scanner.rs
+++ b/src/discovery/list_scanner.rs
@@ -1,27 +1,27 @@
-//! Finds where a JSON object ends in a stream, one byte at a time.
+//! Finds the ends of JSON objects in a stream, one byte at a time.
 
-/// Where a scanner is after a byte.
+/// The role of a byte in the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScannedByte {
     /// White space between two objects.
-    Between,
-    /// A byte within an object that adds to it, as white space between its values does not.
+    BetweenObjects,
+    /// A byte of an object other than white space between its values.
     Content,
     /// White space between the values of an object.
     Whitespace,
     /// The last byte of an object.
-    End,
+    ObjectEnd,
 }
 
-/// The stream is not a sequence of JSON objects.
+/// The error that a stream is not a sequence of JSON objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a JSON object")]
-pub(super) struct NotAnObject;
+#[error("malformed stream: not a sequence of JSON objects")]
+pub(super) struct MalformedStreamError;
 
 /// Scans a sequence of JSON objects.
 ///
-/// It checks the order of brackets, strings and separators only as far as it shows that an object has broken off and the
-/// next one begins in the middle of it; a parser has to check each object as a whole.
+/// It checks the order of brackets, strings and separators only so far that it detects an object that broke off and is
+/// followed by another one. A parser has to check each complete object.
 #[derive(Debug, Default)]
 pub(super) struct ListScanner {
     depth: usize,
@@ -29,13 +29,13 @@
     last_token: Option<Token>,
 }
 
-/// Whether the scanner is within a string.
+/// The state of the scanner with regard to strings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum StringState {
     #[default]
     Outside,
     Inside,
-    /// After a backslash.
+    /// Inside a string, after a backslash.
     Escaped,
 }
 
@@ -46,7 +46,7 @@
     OpeningBracket,
     /// A comma or a colon.
     Separator,
-    /// A number or a name.
+    /// A number, `true`, `false` or `null`.
     Literal,
     /// The end of a string, an object or an array.
     ValueEnd,
@@ -56,8 +56,8 @@
     /// Scans the next byte.
     ///
     /// # Errors
-    /// Returns [`NotAnObject`] if no sequence of objects goes on like this.
-    pub(super) fn scan(&mut self, byte: u8) -> Result<ScannedByte, NotAnObject> {
+    /// Returns [`MalformedStreamError`] if the byte cannot continue a sequence of objects.
+    pub(super) fn scan(&mut self, byte: u8) -> Result<ScannedByte, MalformedStreamError> {
         match self.string {
             StringState::Outside => self.scan_outside_string(byte),
             StringState::Escaped => {
@@ -68,29 +68,29 @@
         }
     }
 
-    fn scan_in_string(&mut self, byte: u8) -> Result<ScannedByte, NotAnObject> {
+    fn scan_in_string(&mut self, byte: u8) -> Result<ScannedByte, MalformedStreamError> {
         match byte {
             b'\\' => self.string = StringState::Escaped,
             b'"' => {
                 self.string = StringState::Outside;
                 self.last_token = Some(Token::ValueEnd);
             }
-            _ if byte.is_ascii_control() => return Err(NotAnObject),
+            _ if byte.is_ascii_control() => return Err(MalformedStreamError),
             _ => {}
         }
         Ok(ScannedByte::Content)
     }
 
-    fn scan_outside_string(&mut self, byte: u8) -> Result<ScannedByte, NotAnObject> {
+    fn scan_outside_string(&mut self, byte: u8) -> Result<ScannedByte, MalformedStreamError> {
         if byte.is_ascii_whitespace() {
             return Ok(if self.depth == 0 {
-                ScannedByte::Between
+                ScannedByte::BetweenObjects
             } else {
                 ScannedByte::Whitespace
             });
         }
         if self.depth == 0 && byte != b'{' {
-            return Err(NotAnObject);
+            return Err(MalformedStreamError);
         }
         match byte {
             b'{' => self.open(Token::OpeningBrace)?,
@@ -101,20 +101,20 @@
             }
             b'"' if self.may_begin_string() => self.string = StringState::Inside,
             b',' | b':' => self.last_token = Some(Token::Separator),
-            b'"' => return Err(NotAnObject),
+            b'"' => return Err(MalformedStreamError),
             _ if self.may_continue_literal() => self.last_token = Some(Token::Literal),
-            _ => return Err(NotAnObject),
+            _ => return Err(MalformedStreamError),
         }
         Ok(if self.depth == 0 {
-            ScannedByte::End
+            ScannedByte::ObjectEnd
         } else {
             ScannedByte::Content
         })
     }
 
-    fn open(&mut self, bracket: Token) -> Result<(), NotAnObject> {
+    fn open(&mut self, bracket: Token) -> Result<(), MalformedStreamError> {
         if self.depth > 0 && !self.may_begin_value() {
-            return Err(NotAnObject);
+            return Err(MalformedStreamError);
         }
         self.depth += 1;
         self.last_token = Some(bracket);
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,8 +1,9 @@
-//! Hosts many instances of the decision module: reads the simulator's lines and writes the replies.
+//! Hosts many instances of the decision module: reads the simulator's lines, passes the events on and writes the
+//! replies.
 
 use super::action::{format_action, format_internal_error};
 use super::endpoint_lists::EndpointLists;
-use super::error::WireError;
+use super::error::MessageError;
 use super::event::{IdTable, parse_event};
 use super::instance::InstanceNumber;
 use super::message::{Message, parse_message};
@@ -15,7 +16,7 @@
 /// The last line of each reply.
 const REPLY_END: &str = "ok\n";
 
-/// Why the adapter ended before the end of its input.
+/// The reason why the adapter ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// A line could not be read.
@@ -23,7 +24,7 @@
     Read {
         /// The number of the line, from 1.
         line: u64,
-        /// Why it could not be read.
+        /// The reason why it could not be read.
         source: io::Error,
     },
     /// A reply could not be written.
@@ -31,18 +32,18 @@
     Write(io::Error),
     /// A line is invalid.
     #[error("line {line}: {source}")]
-    Wire {
+    InvalidMessage {
         /// The number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
-        source: WireError,
+        /// The error in the line.
+        source: MessageError,
     },
     /// The input ended within a batch.
-    #[error("input ends inside a batch")]
+    #[error("the input ends inside a batch")]
     UnfinishedBatch,
 }
 
-/// Answers batches until the input ends.
+/// Replies to batches until the input ends.
 ///
 /// # Errors
 /// Returns an error if a line cannot be read or is invalid, if the input ends within a batch, or if a reply cannot be
@@ -58,10 +59,10 @@
         if read == 0 {
             break;
         }
-        let progress = adapter
+        let reply_state = adapter
             .handle_line(without_line_end(&text))
-            .map_err(|source| AdapterError::Wire { line, source })?;
-        if progress == Progress::ReplyComplete {
+            .map_err(|source| AdapterError::InvalidMessage { line, source })?;
+        if reply_state == ReplyState::Complete {
             write_reply(&mut output, &adapter.reply).map_err(AdapterError::Write)?;
             adapter.reply.clear();
         }
@@ -82,11 +83,11 @@
     output.flush()
 }
 
-/// Whether a line has completed the reply to its batch.
+/// The state of the reply to a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Progress {
-    MoreToCome,
-    ReplyComplete,
+enum ReplyState {
+    Incomplete,
+    Complete,
 }
 
 /// One instance of the decision module.
@@ -99,40 +100,40 @@
 struct Adapter {
     instances: HashMap<InstanceNumber, Instance>,
     lists: EndpointLists,
-    /// The time of the current batch; none between batches.
+    /// The time of the current batch; `None` between batches.
     batch_time: Option<Timestamp>,
     last_batch_time: Timestamp,
-    /// Reused for the actions of each event.
+    /// The actions of one event. The buffer is reused for each event.
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Adapter {
-    fn handle_line(&mut self, line: &str) -> Result<Progress, WireError> {
+    fn handle_line(&mut self, line: &str) -> Result<ReplyState, MessageError> {
         let message = match parse_message(line)? {
             Message::ListEntry(entry) => {
                 self.lists.add(entry)?;
-                return Ok(Progress::MoreToCome);
+                return Ok(ReplyState::Incomplete);
             }
             message => message,
         };
         self.lists.require_complete()?;
         if let Message::BatchStart { at } = message {
             self.start_batch(at)?;
-            return Ok(Progress::MoreToCome);
+            return Ok(ReplyState::Incomplete);
         }
         let now = self
             .batch_time
-            .ok_or_else(|| WireError::OutsideBatch(line.into()))?;
+            .ok_or_else(|| MessageError::OutsideBatch(line.into()))?;
         self.handle_message(now, message)
     }
 
-    fn start_batch(&mut self, at: Timestamp) -> Result<(), WireError> {
+    fn start_batch(&mut self, at: Timestamp) -> Result<(), MessageError> {
         if self.batch_time.is_some() {
-            return Err(WireError::NestedBatch);
+            return Err(MessageError::NestedBatch);
         }
         if at < self.last_batch_time {
-            return Err(WireError::TimeGoesBackwards);
+            return Err(MessageError::TimeGoesBackwards);
         }
         self.batch_time = Some(at);
         self.last_batch_time = at;
@@ -144,7 +145,7 @@
         &mut self,
         now: Timestamp,
         message: Message<'_>,
-    ) -> Result<Progress, WireError> {
+    ) -> Result<ReplyState, MessageError> {
         match message {
             Message::ListStart { list, entries } => self.lists.start(list, entries),
             Message::InstanceStart {
@@ -155,7 +156,7 @@
             Message::InstanceEnd(instance) => {
                 self.instances
                     .remove(&instance)
-                    .ok_or(WireError::InstanceNotRunning(instance))?;
+                    .ok_or(MessageError::InstanceNotRunning(instance))?;
             }
             Message::ListReceived {
                 instance,
@@ -181,12 +182,12 @@
             Message::BatchEnd => {
                 self.batch_time = None;
                 self.reply.push_str(REPLY_END);
-                return Ok(Progress::ReplyComplete);
+                return Ok(ReplyState::Complete);
             }
-            // Handled before, in and outside batches.
+            // Handled by `handle_line`.
             Message::ListEntry(_) | Message::BatchStart { .. } => {}
         }
-        Ok(Progress::MoreToCome)
+        Ok(ReplyState::Incomplete)
     }
 
     fn start_instance(
@@ -194,29 +195,30 @@
         number: InstanceNumber,
         seed: u64,
         settings: Settings,
-    ) -> Result<(), WireError> {
-        let ids = IdTable::of(&settings);
+    ) -> Result<(), MessageError> {
+        let ids = IdTable::from_settings(&settings);
         let balancer = Balancer::new(settings, seed)?;
         match self.instances.insert(number, Instance { balancer, ids }) {
-            Some(_) => Err(WireError::InstanceAlreadyRunning(number)),
+            Some(_) => Err(MessageError::InstanceAlreadyRunning(number)),
             None => Ok(()),
         }
     }
 
-    fn instance(&mut self, number: InstanceNumber) -> Result<&mut Instance, WireError> {
+    fn instance(&mut self, number: InstanceNumber) -> Result<&mut Instance, MessageError> {
         self.instances
             .get_mut(&number)
-            .ok_or(WireError::InstanceNotRunning(number))
+            .ok_or(MessageError::InstanceNotRunning(number))
     }
 
-    /// Passes an event to an instance and adds its actions to the reply. If the instance panics, the reply reports that
-    /// in place of its actions, and the other instances go on.
+    /// Passes an event to an instance and adds its actions to the reply.
+    ///
+    /// If the instance panics, the reply reports the panic instead of its actions, and the other instances continue.
     fn handle_event(
         &mut self,
         now: Timestamp,
         number: InstanceNumber,
         event: Event,
-    ) -> Result<(), WireError> {
+    ) -> Result<(), MessageError> {
         let mut actions = std::mem::take(&mut self.actions);
         let balancer = &mut self.instance(number)?.balancer;
         let handled = catch_unwind(AssertUnwindSafe(|| {
--- a/src/simulator/endpoint_lists.rs
+++ b/src/simulator/endpoint_lists.rs
@@ -1,11 +1,11 @@
-//! The endpoint lists that the simulator has sent, by their numbers.
+//! Stores the endpoint lists that the simulator has sent, by their numbers.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::message::LIST_COUNT;
 use crate::policy::EndpointEntry;
 use std::sync::Arc;
 
-/// The complete lists, and the one of which entries are still to come.
+/// The complete lists, and the one whose entries are still being received.
 #[derive(Debug, Default)]
 pub(super) struct EndpointLists {
     complete: [Option<Arc<[EndpointEntry]>>; LIST_COUNT],
@@ -15,53 +15,57 @@
 #[derive(Debug)]
 struct PartialList {
     number: usize,
-    announced: usize,
+    /// The number of entries in the complete list.
+    entry_count: usize,
     entries: Vec<EndpointEntry>,
 }
 
 impl EndpointLists {
-    /// Starts a list of so many entries. It replaces an earlier list with the same number.
-    pub(super) fn start(&mut self, number: usize, announced: usize) {
+    /// Starts a list with this number of entries. It replaces an earlier list of the same number.
+    pub(super) fn start(&mut self, number: usize, entry_count: usize) {
         self.partial = Some(PartialList {
             number,
-            announced,
+            entry_count,
             entries: Vec::new(),
         });
-        self.complete_if_full();
+        self.store_if_complete();
     }
 
     /// Adds an entry to the list that was started last.
-    pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), WireError> {
-        let partial = self.partial.as_mut().ok_or(WireError::EntryOutsideList)?;
+    pub(super) fn add(&mut self, entry: EndpointEntry) -> Result<(), MessageError> {
+        let partial = self
+            .partial
+            .as_mut()
+            .ok_or(MessageError::EntryOutsideList)?;
         partial.entries.push(entry);
-        self.complete_if_full();
+        self.store_if_complete();
         Ok(())
     }
 
-    /// Returns an error if a list lacks entries. No other message may come before a list is complete.
-    pub(super) fn require_complete(&self) -> Result<(), WireError> {
+    /// Returns an error if the last list is incomplete. Only entries may follow until it is complete.
+    pub(super) fn require_complete(&self) -> Result<(), MessageError> {
         match &self.partial {
-            Some(partial) => Err(WireError::IncompleteList {
+            Some(partial) => Err(MessageError::IncompleteList {
                 list: partial.number,
                 received: partial.entries.len(),
-                announced: partial.announced,
+                announced: partial.entry_count,
             }),
             None => Ok(()),
         }
     }
 
-    /// Returns the list that was sent last with this number.
-    pub(super) fn get(&self, number: usize) -> Result<Arc<[EndpointEntry]>, WireError> {
+    /// Returns the list that was last completed under this number.
+    pub(super) fn get(&self, number: usize) -> Result<Arc<[EndpointEntry]>, MessageError> {
         let list = self.complete.get(number).and_then(Option::as_ref);
-        list.cloned().ok_or(WireError::UnknownList(number))
+        list.cloned().ok_or(MessageError::UnknownList(number))
     }
 
-    fn complete_if_full(&mut self) {
-        let full = self
+    fn store_if_complete(&mut self) {
+        let completed = self
             .partial
-            .take_if(|partial| partial.entries.len() >= partial.announced);
-        if let Some(full) = full {
-            self.complete[full.number] = Some(Arc::from(full.entries));
+            .take_if(|partial| partial.entries.len() >= partial.entry_count);
+        if let Some(completed) = completed {
+            self.complete[completed.number] = Some(Arc::from(completed.entries));
         }
     }
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -1,6 +1,6 @@
-//! Parses the events of an instance, with the class and tenant names of its settings.
+//! Parses the events of an instance. Class and tenant names are resolved with the settings of the instance.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::message_fields::MessageFields;
 use crate::policy::{
     AttemptEnd, AttemptNumber, ClassId, Event, Key, PeerId, Request, RequestId, Settings, TenantId,
@@ -10,14 +10,14 @@
 
 /// The bit of a request's attributes that marks its cost hint as valid.
 const HAS_COST_HINT: u64 = 1;
-/// The bit that marks a retry by the client.
+/// The bit of a request's attributes that marks a retry by the client.
 const IS_CLIENT_RETRY: u64 = 2;
-/// The bit that marks a write.
+/// The bit of a request's attributes that marks a write.
 const IS_WRITE: u64 = 4;
 /// The tenant name of a request without a tenant.
 const NO_TENANT: &str = "0";
 
-/// The IDs of classes and tenants by their names, for one instance.
+/// The IDs of an instance's classes and tenants by their names.
 #[derive(Debug)]
 pub(super) struct IdTable {
     classes: HashMap<String, ClassId>,
@@ -25,8 +25,8 @@
 }
 
 impl IdTable {
-    /// Returns the table for these settings.
-    pub(super) fn of(settings: &Settings) -> Self {
+    /// Returns the table for the settings of an instance.
+    pub(super) fn from_settings(settings: &Settings) -> Self {
         let classes = settings
             .classes
             .iter()
@@ -45,7 +45,10 @@
 }
 
 /// Parses an event.
-pub(super) fn parse_event(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Event, WireError> {
+pub(super) fn parse_event(
+    fields: &MessageFields<'_>,
+    ids: &IdTable,
+) -> Result<Event, MessageError> {
     Ok(match fields.message() {
         "call" => Event::Request(parse_request(fields, ids)?),
         "started" => Event::StreamStarted {
@@ -56,7 +59,7 @@
             request: request_id(fields)?,
             attempt: attempt(fields)?,
             outcome: fields.outcome()?,
-            took: took(fields)?,
+            took: time_taken(fields)?,
             request_ended: fields.flag("terminal")?,
             report: fields.load_report()?,
         }),
@@ -69,30 +72,30 @@
         "probe_result" => Event::HealthCheckEnded {
             endpoint: fields.text("endpoint")?.into(),
             outcome: fields.outcome()?,
-            took: took(fields)?,
+            took: time_taken(fields)?,
             report: fields.load_report()?,
         },
         "peer" => Event::PeerMessage {
             from: PeerId(fields.number("who")?),
             data: fields.data()?,
         },
-        other => return Err(WireError::UnknownMessage(other.into())),
+        other => return Err(MessageError::UnknownMessage(other.into())),
     })
 }
 
-fn request_id(fields: &MessageFields<'_>) -> Result<RequestId, WireError> {
+fn request_id(fields: &MessageFields<'_>) -> Result<RequestId, MessageError> {
     Ok(fields.text("xid")?.into())
 }
 
-fn attempt(fields: &MessageFields<'_>) -> Result<AttemptNumber, WireError> {
+fn attempt(fields: &MessageFields<'_>) -> Result<AttemptNumber, MessageError> {
     fields.number("attempt")
 }
 
-fn took(fields: &MessageFields<'_>) -> Result<Duration, WireError> {
+fn time_taken(fields: &MessageFields<'_>) -> Result<Duration, MessageError> {
     Ok(Duration::from_nanos(fields.number("timeTakenNs")?))
 }
 
-fn parse_request(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Request, WireError> {
+fn parse_request(fields: &MessageFields<'_>, ids: &IdTable) -> Result<Request, MessageError> {
     let class = fields.text("priority")?;
     let attributes = fields.number_or_zero("attrs")?;
     let hint = fields.number_or_zero("expectedNs")?;
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,15 +1,15 @@
-//! The messages of the wire.
+//! The messages from the simulator.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::instance::InstanceNumber;
 use super::message_fields::MessageFields;
 use crate::configuration::settings_document::parse_settings;
 use crate::policy::{EndpointEntry, GroupId, ListKind, Readiness, Settings, Timestamp};
 
-/// The number of endpoint lists that can be sent, numbered from 0.
+/// The number of endpoint lists that the adapter stores, numbered from 0.
 pub(super) const LIST_COUNT: usize = 16;
 
-/// One line from the simulator.
+/// One message, which is one line of the input.
 #[derive(Debug)]
 pub enum Message<'a> {
     /// `frame`: a batch starts.
@@ -21,7 +21,7 @@
     ListStart {
         /// The number of the list.
         list: usize,
-        /// The number of entries to come.
+        /// The number of entries that follow.
         entries: usize,
     },
     /// `entry`: one endpoint of the list.
@@ -45,12 +45,12 @@
         version: u64,
         /// The number of the list.
         list: usize,
-        /// Whether the list is full, cached, or holds changes only.
+        /// The kind of the list: full, cached or changes only.
         kind: ListKind,
     },
     /// `members` with `kind=X`: a discovery call of an instance has failed.
     DiscoveryFailed(InstanceNumber),
-    /// Any other event for an instance. It is parsed with the class and tenant names of the instance.
+    /// Any other event for an instance. `parse_event` parses it with the class and tenant names of the instance.
     Event(InstanceNumber, MessageFields<'a>),
     /// `go`: the batch is complete.
     BatchEnd,
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// Returns an error if the message is unknown, or if a field is missing or invalid.
-pub fn parse_message(line: &str) -> Result<Message<'_>, WireError> {
+pub fn parse_message(line: &str) -> Result<Message<'_>, MessageError> {
     let fields = MessageFields::split(line)?;
     Ok(match fields.message() {
         "frame" => Message::BatchStart {
@@ -82,35 +82,35 @@
         "call" | "started" | "report_back" | "client_gone" | "due" | "probe_result" | "peer" => {
             Message::Event(fields.instance()?, fields)
         }
-        other => return Err(WireError::UnknownMessage(other.into())),
+        other => return Err(MessageError::UnknownMessage(other.into())),
     })
 }
 
-fn list_number(fields: &MessageFields<'_>) -> Result<usize, WireError> {
+fn list_number(fields: &MessageFields<'_>) -> Result<usize, MessageError> {
     let value = fields.text("list")?;
     let number: usize = fields.number("list")?;
     if number < LIST_COUNT {
         Ok(number)
     } else {
-        Err(fields.unknown_value("list", value, "is not from 0 to 15"))
+        Err(fields.unknown_value_error("list", value, "is not from 0 to 15"))
     }
 }
 
-/// Parses the seed of 64 bits, which may be written as a signed number.
-fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, WireError> {
+/// Parses the seed of 64 bits, which may be written as an unsigned or a signed number.
+fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, MessageError> {
     let text = fields.text("nonce64")?;
     let signed = || text.parse::<i64>().ok().map(i64::cast_unsigned);
     fields.require_parsed("nonce64", text, text.parse::<u64>().ok().or_else(signed))
 }
 
-fn parse_members<'a>(fields: &MessageFields<'_>) -> Result<Message<'a>, WireError> {
+fn parse_members<'a>(fields: &MessageFields<'_>) -> Result<Message<'a>, MessageError> {
     let version = fields.number_or_zero("rev")?;
     let kind = match fields.text("kind")? {
         "F" => ListKind::Full,
         "C" => ListKind::Cached,
         "D" => ListKind::Changes,
         "X" => return Ok(Message::DiscoveryFailed(fields.instance()?)),
-        other => return Err(fields.unknown_value("kind", other, "is not known")),
+        other => return Err(fields.unknown_value_error("kind", other, "is not known")),
     };
     let list = list_number(fields)?;
     Ok(Message::ListReceived {
@@ -121,7 +121,7 @@
     })
 }
 
-fn parse_entry(fields: &MessageFields<'_>) -> Result<EndpointEntry, WireError> {
+fn parse_entry(fields: &MessageFields<'_>) -> Result<EndpointEntry, MessageError> {
     let size = fields.find("size").unwrap_or("1");
     let is_size = |size: &f64| size.is_finite() && *size >= 0.0;
     Ok(EndpointEntry {
@@ -133,7 +133,7 @@
             "U" => Readiness::Serving,
             "L" => Readiness::Draining,
             "D" => Readiness::Removed,
-            other => return Err(fields.unknown_value("readiness", other, "is not known")),
+            other => return Err(fields.unknown_value_error("readiness", other, "is not known")),
         },
         size: fields.require_parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
         started_at: match fields.number_or_zero("upSinceNs")? {
--- a/src/simulator/message_fields.rs
+++ b/src/simulator/message_fields.rs
@@ -1,6 +1,6 @@
-//! The fields of one message, and the parsing of each kind of value.
+//! The fields of one message, with a parser for each kind of value.
 
-use super::error::WireError;
+use super::error::MessageError;
 use super::instance::InstanceNumber;
 use crate::policy::{LoadReport, Outcome, Timestamp};
 use base64::Engine as _;
@@ -8,11 +8,11 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Fields whose value extends to the end of the line.
-const TEXT_FIELDS: [&str; 2] = ["params", "noteText"];
-/// The maximum mean answer time in a load report, in milliseconds. Longer ones are cut to it.
+/// The fields whose value extends to the end of the line.
+const REST_OF_LINE_FIELDS: [&str; 2] = ["params", "noteText"];
+/// The maximum mean time in a load report, in milliseconds. Longer times are reduced to it.
 const MAX_MEAN_MS: f64 = 1e9;
-/// The capacity for the fields of a message, enough for most.
+/// The initial capacity for the fields of a message. It is enough for most messages.
 const TYPICAL_FIELD_COUNT: usize = 8;
 
 /// The name and the fields of a message.
@@ -30,9 +30,9 @@
 
 impl<'a> MessageFields<'a> {
     /// Splits a line into its name and fields.
-    pub(super) fn split(line: &'a str) -> Result<Self, WireError> {
+    pub(super) fn split(line: &'a str) -> Result<Self, MessageError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
-        let malformed = |text: &str| WireError::MalformedField {
+        let malformed = |text: &str| MessageError::MalformedField {
             message: message.into(),
             text: text.into(),
         };
@@ -42,7 +42,7 @@
             if name.is_empty() || name.contains(' ') {
                 return Err(malformed(name));
             }
-            let (value, next) = if TEXT_FIELDS.contains(&name) {
+            let (value, next) = if REST_OF_LINE_FIELDS.contains(&name) {
                 (value, "")
             } else {
                 value.split_once(' ').unwrap_or((value, ""))
@@ -65,21 +65,21 @@
     }
 
     /// Returns the value of a field, or an error if it is missing.
-    pub(super) fn text(&self, field: &'static str) -> Result<&'a str, WireError> {
-        self.find(field).ok_or_else(|| WireError::Missing {
+    pub(super) fn text(&self, field: &'static str) -> Result<&'a str, MessageError> {
+        self.find(field).ok_or_else(|| MessageError::MissingField {
             message: self.message.into(),
             field,
         })
     }
 
-    /// Returns a parsed value, or an error if parsing gave none.
+    /// Returns a parsed value, or an error if parsing failed.
     pub(super) fn require_parsed<T>(
         &self,
         field: &'static str,
         value: &str,
         parsed: Option<T>,
-    ) -> Result<T, WireError> {
-        let invalid = || WireError::InvalidValue {
+    ) -> Result<T, MessageError> {
+        let invalid = || MessageError::InvalidValue {
             message: self.message.into(),
             field,
             value: value.into(),
@@ -87,14 +87,14 @@
         parsed.ok_or_else(invalid)
     }
 
-    /// Returns the error that a value is not among the allowed ones.
-    pub(super) fn unknown_value(
+    /// Returns the error for a value that is not among the allowed ones.
+    pub(super) fn unknown_value_error(
         &self,
         field: &'static str,
         value: &str,
         problem: &'static str,
-    ) -> WireError {
-        WireError::UnknownValue {
+    ) -> MessageError {
+        MessageError::UnknownValue {
             message: self.message.into(),
             field,
             value: value.into(),
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Parses a whole number that fits the type.
-    pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, WireError> {
+    /// Parses an integer of the type.
+    pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, MessageError> {
         let value = self.text(field)?;
         self.require_parsed(field, value, value.parse().ok())
     }
 
-    /// Parses a whole number; 0 if the field is missing.
-    pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, WireError> {
+    /// Parses an integer. Returns 0 if the field is missing.
+    pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, MessageError> {
         if self.find(field).is_some() {
             self.number(field)
         } else {
@@ -118,7 +118,7 @@
     }
 
     /// Parses 0 or 1.
-    pub(super) fn flag(&self, field: &'static str) -> Result<bool, WireError> {
+    pub(super) fn flag(&self, field: &'static str) -> Result<bool, MessageError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
@@ -127,12 +127,12 @@
     }
 
     /// Parses a time in nanoseconds.
-    pub(super) fn timestamp(&self, field: &'static str) -> Result<Timestamp, WireError> {
+    pub(super) fn timestamp(&self, field: &'static str) -> Result<Timestamp, MessageError> {
         Ok(Timestamp::from_nanos(self.number(field)?))
     }
 
     /// Parses the instance that the message is for.
-    pub(super) fn instance(&self) -> Result<InstanceNumber, WireError> {
+    pub(super) fn instance(&self) -> Result<InstanceNumber, MessageError> {
         let value = self.text("sidecarId")?;
         let number = value
             .strip_prefix("sidecar/")
@@ -141,7 +141,7 @@
     }
 
     /// Parses the outcome of an attempt or a health check.
-    pub(super) fn outcome(&self) -> Result<Outcome, WireError> {
+    pub(super) fn outcome(&self) -> Result<Outcome, MessageError> {
         let value = self.text("ending")?;
         let code: u64 = self.require_parsed("ending", value, value.parse().ok())?;
         Ok(match code {
@@ -153,12 +153,12 @@
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
             249 => Outcome::NotSent,
-            _ => return Err(self.unknown_value("ending", value, "is no completion code")),
+            _ => return Err(self.unknown_value_error("ending", value, "is not a completion code")),
         })
     }
 
     /// Parses the load report, if the message has one. Unknown measures are ignored.
-    pub(super) fn load_report(&self) -> Result<Option<LoadReport>, WireError> {
+    pub(super) fn load_report(&self) -> Result<Option<LoadReport>, MessageError> {
         let Some(text) = self.find("pressure") else {
             return Ok(None);
         };
@@ -189,7 +189,7 @@
     }
 
     /// Parses the data of a peer message.
-    pub(super) fn data(&self) -> Result<Vec<u8>, WireError> {
+    pub(super) fn data(&self) -> Result<Vec<u8>, MessageError> {
         match self.text("data")? {
             "-" => Ok(Vec::new()),
             text => self.require_parsed("data", text, BASE64.decode(text).ok()),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,10 +1,10 @@
-//! The simulator's wire and its adapter, which hosts many instances of the decision module in one process.
+//! The simulator's protocol and its adapter, which hosts many instances of the decision module in one process.
 //!
-//! The wire consists of lines of text, `message name=value name=value`. Messages come in batches, from `frame` to `go`.
-//! Each batch gets one reply: a line for each action, then `ok`.
+//! The protocol consists of lines of text, `message name=value name=value`. Messages come in batches, from `frame` to
+//! `go`. Each batch gets one reply: a line for each action, then `ok`.
 //!
-//! The wire keeps the words of the operators' pages, which are turned into the decision module's terms in `message`,
-//! `event` and `message_fields`, and back in `action`.
+//! The names in the messages are the terms that the operators use. `message`, `event` and `message_fields` convert them
+//! to the terms of the decision module, and `action` converts those back.
 
 mod action;
 mod adapter;
@@ -17,6 +17,6 @@
 
 pub use action::format_action;
 pub use adapter::{AdapterError, serve};
-pub use error::WireError;
+pub use error::MessageError;
 pub use instance::InstanceNumber;
 pub use message::{Message, parse_message};
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -1,4 +1,4 @@
-//! `check`, `explain`, `diff` and `schema`.
+//! Tests of `check`, `explain`, `diff` and `schema`.
 
 use super::{TestDirectory, path_text, run_program, stderr, stdout, valid_configuration};
 use serde_json::{Value, json};
@@ -15,7 +15,7 @@
     )
 }
 
-/// Guards `check` against false errors.
+/// Guards against errors of `check` for a valid configuration.
 #[test]
 fn check_accepts_a_valid_configuration() {
     let directory = TestDirectory::new("check-good");
@@ -29,12 +29,12 @@
     assert_eq!(
         check(&directory, &other),
         (Some(0), vec![], vec![]),
-        "null is as absent"
+        "null counts as absent"
     );
 }
 
-/// Guards against errors that are reported one a run: all are reported at once, each with its path, what was found and
-/// what is allowed.
+/// Guards against errors of which only the first is reported. All must be reported at once, each with its path, the
+/// value found and the values allowed.
 #[test]
 fn check_reports_all_errors_at_once() {
     let directory = TestDirectory::new("check-errors");
@@ -48,7 +48,7 @@
         .remove("sendCap");
     let (code, errors, _) = check(&directory, &document);
     assert_eq!((code, errors.len()), (Some(2), 4), "{errors:?}");
-    for (path, says) in [
+    for (path, expected_message) in [
         ("limits.memory_mb: ", "\"much\" is not of type \"integer\""),
         ("settings.discovery: ", "perhaps"),
         (
@@ -60,13 +60,14 @@
         assert!(
             errors
                 .iter()
-                .any(|error| error.starts_with(path) && error.contains(says)),
-            "{path}{says}: {errors:?}"
+                .any(|error| error.starts_with(path) && error.contains(expected_message)),
+            "{path}{expected_message}: {errors:?}"
         );
     }
 }
 
-/// Guards against values of the right type that make no sense; they are reported by their keys in the document.
+/// Guards against values of the right type that are out of range. They must be reported under their keys in the
+/// document.
 #[test]
 fn check_reports_invalid_settings_by_their_document_paths() {
     let directory = TestDirectory::new("check-sense");
@@ -88,9 +89,10 @@
     );
 }
 
-/// Guards what the schema does not cover: addresses and files that are not JSON or not there.
+/// Guards against missing reports of errors that the schema does not cover: invalid addresses, files that are not JSON,
+/// missing files, and no named file.
 #[test]
-fn check_reports_one_error_for_an_invalid_address_and_for_broken_json() {
+fn check_reports_errors_that_the_schema_does_not_cover() {
     let directory = TestDirectory::new("check-text");
     let mut document = valid_configuration();
     document["listen"] = json!("nowhere");
@@ -118,7 +120,8 @@
     );
 }
 
-/// Guards what a JSON value does not show: a key that is there twice is an error, with its position in the text.
+/// Guards against duplicate keys, which a parsed JSON value does not show. They must be reported with their position in
+/// the text.
 #[test]
 fn check_reports_a_duplicate_key_with_its_position() {
     let directory = TestDirectory::new("check-duplicate");
@@ -134,7 +137,7 @@
     );
 }
 
-/// Guards against misspelt keys: they are warned of, and are no errors.
+/// Guards against misspelt keys that go unnoticed. They must cause a warning, but no error.
 #[test]
 fn check_warns_of_unknown_keys() {
     let directory = TestDirectory::new("check-unknown");
@@ -148,7 +151,7 @@
     );
 }
 
-/// Guards `explain`: it shows each value with its unit and its origin.
+/// Guards the output of `explain`: each value with its unit and origin.
 #[test]
 fn explain_shows_values_units_and_origins() {
     let directory = TestDirectory::new("explain");
@@ -167,19 +170,19 @@
     }
 }
 
-/// Guards that `diff` agrees with SIGHUP: settings and discovery change with it, the rest needs a restart, and without a key
-/// that was there the whole file is rejected.
+/// Guards against a `diff` that disagrees with the effect of SIGHUP. Settings and discovery change with SIGHUP, other
+/// values need a restart, and a missing key makes a reload reject the whole file.
 #[test]
 fn diff_shows_what_a_reload_would_change() {
     let directory = TestDirectory::new("diff");
     let old = directory.write_file("old.json", &valid_configuration().to_string());
-    let against = |document: &Value| {
+    let diff_with = |document: &Value| {
         let new = directory.write_file("new.json", &document.to_string());
         let output = run_program(&["diff", path_text(&old), path_text(&new)]);
         (output.status.code(), stdout(&output))
     };
     assert_eq!(
-        against(&valid_configuration()),
+        diff_with(&valid_configuration()),
         (Some(0), "nothing changes\n".into())
     );
 
@@ -191,28 +194,28 @@
     let expected = "SIGHUP changes discovery: \"127.0.0.1:1\" to \"127.0.0.1:2\"\n\
                     only a restart changes limits.memory_mb: 64 to 128\n\
                     SIGHUP changes settings.rules.coldFrom: 0.3 to 0.5\n";
-    assert_eq!(against(&other), (Some(0), expected.into()));
+    assert_eq!(diff_with(&other), (Some(0), expected.into()));
 
-    let mut shorter = valid_configuration();
-    shorter["settings"]["rules"]
+    let mut incomplete = valid_configuration();
+    incomplete["settings"]["rules"]
         .as_object_mut()
         .expect("rules")
         .remove("coldFrom");
-    shorter["settings"]["rules"]["coldFrom2"] = json!(0.5);
-    let (code, _) = against(&shorter);
-    assert_eq!(code, Some(2), "it cannot be used at all");
-    let mut shorter = valid_configuration();
-    shorter["settings"]
+    incomplete["settings"]["rules"]["coldFrom2"] = json!(0.5);
+    let (code, _) = diff_with(&incomplete);
+    assert_eq!(code, Some(2), "the file is invalid");
+    let mut incomplete = valid_configuration();
+    incomplete["settings"]
         .as_object_mut()
         .expect("settings")
         .remove("stages");
     let expected = "turned down: settings.stages is missing, which was there before\n";
-    assert_eq!(against(&shorter), (Some(1), expected.into()));
+    assert_eq!(diff_with(&incomplete), (Some(1), expected.into()));
 }
 
-/// Guards that the published schema is up to date. `balancer-sidecar schema` writes it anew.
+/// Guards against an outdated published schema. `balancer-sidecar schema` prints the present one.
 #[test]
-fn the_published_schema_is_generated_from_the_types() {
+fn published_schema_is_up_to_date() {
     let output = run_program(&["schema"]);
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
--- a/tests/command_line/help.rs
+++ b/tests/command_line/help.rs
@@ -1,4 +1,4 @@
-//! The help, the version, the completions and the manual page, all generated from the same definitions.
+//! Tests of the help, the version, the completions and the manual page, which are generated from the same definitions.
 
 use super::{run_program, stdout};
 
@@ -16,9 +16,9 @@
     "schema",
 ];
 
-/// Guards against commands that are missing from a text.
+/// Guards against commands that are missing from the help, the completions or the manual page.
 #[test]
-fn every_command_is_in_the_help_the_completions_and_the_manual() {
+fn texts_name_all_commands() {
     let help = stdout(&run_program(&["--help"]));
     let completions = stdout(&run_program(&["completions", "bash"]));
     let manual = stdout(&run_program(&["man"]));
@@ -35,18 +35,21 @@
         );
         assert!(manual.contains(command), "{command}: {manual}");
     }
-    assert!(manual.starts_with(".ie"), "a page in roff: {manual}");
+    assert!(
+        manual.starts_with(".ie"),
+        "the manual page is not roff: {manual}"
+    );
 }
 
 #[test]
-fn the_version_is_that_of_the_package() {
+fn version_is_that_of_the_package() {
     assert_eq!(
         stdout(&run_program(&["--version"])),
         concat!("balancer-sidecar ", env!("CARGO_PKG_VERSION"), "\n")
     );
 }
 
-/// Guards scripts: invalid arguments are bad input, and the program does not serve.
+/// Guards against a program that serves when its arguments are invalid. Scripts depend on the exit code 2.
 #[test]
 fn invalid_arguments_are_bad_input() {
     for arguments in [
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,9 +1,9 @@
-//! The built adapter: transcripts of the wire, and its errors for malformed input.
+//! Tests of the built adapter: input and replies of whole runs, and errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Returns the settings of an instance that sends into a tier.
+/// Returns the settings of an instance that sends requests to a tier.
 fn settings_document(tier: usize) -> String {
     format!(
         r#"{{"balancers": 4, "bounds": {{"cancel": true, "connIdleNs": 5000000000, "connectTimeoutNs": 250000000, "cpuUsPerRequest": 0.0, "cpuUsPerS": 1076120, "maxOpen": 43044, "maxRetryAfterNs": 2000000000, "maxStreams": 1, "mayTell": true, "parallelTries": false, "probes": true, "retryAfter": true, "sendCap": 3}}, "categories": [{{"effect": "free", "hardLimitNs": 900000000, "keyScope": "all", "lateShare": 0.0, "memorySpanNs": 5000000000, "name": "look", "objectiveNs": 300000000, "stream": false, "worth": 1.0}}, {{"effect": "guarded", "hardLimitNs": 900000000, "keyScope": "cell", "lateShare": 0.5, "memorySpanNs": 5000000000, "name": "book", "objectiveNs": 300000000, "stream": true, "worth": 3.0}}], "clientHabits": {{"marksRetry": false}}, "customers": [{{"name": "north", "portion": 0.5, "quotaPerS": 50.0}}], "dcs": ["z1", "z2"], "discovery": "subscribe", "family": "chain", "familyInfo": {{"passesDeadline": true, "newKey": 3}}, "fees": {{"crossZone": 0.015, "waste": 0.05, "fleet": 1}}, "granularityNs": 5000000, "models": ["fast"], "myNumber": 0, "overShareWorth": 0.05, "report": {{"fields": ["err_ps", "depth"], "how": "inline"}}, "rules": {{"answerSlackNs": 20000000, "askWithinNs": 10000000000, "coldFrom": 0.38, "drainGraceNs": 2000000000, "fallMultiple": 3.0, "fallNs": 1000000000, "warmWithinNs": 8900000000}}, "scoringMix": {{"whole": 1.0}}, "stages": ["front", "back"], "tier": {tier}, "weightSource": "rough", "worthBy": "request", "zone": "z1", "unheardOf": [1, 2]}}"#
@@ -18,7 +18,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may have exited already, because of a malformed line.
+    // Writing fails if the adapter has already exited because of a malformed line.
     let _ = child
         .stdin
         .take()
@@ -27,7 +27,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// Runs the adapter on a valid input and returns its replies, one a batch.
+/// Runs the adapter on a valid input. Returns its replies, one per batch, and the empty text after the last one.
 fn replies(input: &str) -> Vec<String> {
     let output = run_adapter(input);
     assert!(
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_the_adapter() {
+fn empty_batch_and_empty_input_get_empty_replies() {
     assert_eq!(replies("frame momentNs=5\ngo\n"), ["", ""]);
     assert_eq!(replies(""), [""]);
 }
 
 #[test]
-fn request_is_sent_and_avoids_the_endpoint_that_rejected_it() {
+fn retry_avoids_the_endpoint_that_rejected_the_request() {
     let mut input = format!(
         "frame momentNs=1000000000\n{}go\nframe momentNs=1005000000\n",
         instance_start(0)
@@ -89,10 +89,14 @@
     );
     let send =
         "send sidecarId=sidecar/0 xid=5d3a91c4-f723-4cdb-ab99-2b0a2499a382 endpoint=endpoint.aa";
-    assert!(all[1].starts_with(send), "own zone first: {}", all[1]);
+    assert!(
+        all[1].starts_with(send),
+        "an endpoint in the own zone is preferred: {}",
+        all[1]
+    );
     assert!(
         !all[2].contains("endpoint.aa"),
-        "not where it was full: {}",
+        "the endpoint that rejected the request is avoided: {}",
         all[2]
     );
 }
@@ -121,7 +125,7 @@
     input += "go\n";
     assert!(
         !replies(&input)[2].contains("r1"),
-        "a stream that has started is left alone"
+        "a started stream is not sent again"
     );
 }
 
@@ -151,7 +155,7 @@
 }
 
 #[test]
-fn instance_restarted_within_one_batch_forgets_its_requests() {
+fn restarted_instance_forgets_its_requests() {
     let mut input = format!(
         "frame momentNs=1000000000\n{}go\nframe momentNs=1005000000\n",
         instance_start(0)
@@ -167,8 +171,8 @@
 }
 
 #[test]
-fn instances_act_the_same_in_one_process_and_in_several() {
-    let body = |instances: &[usize]| {
+fn actions_do_not_depend_on_other_instances() {
+    let run = |instances: &[usize]| {
         let mut input = String::from("frame momentNs=1000000000\n");
         for instance in instances {
             input += &instance_start(*instance);
@@ -190,14 +194,14 @@
         replies(&input).concat()
     };
     let lines_of = |text: &str, instance: usize| {
-        let tag = format!("sidecarId=sidecar/{instance} ");
+        let instance_field = format!("sidecarId=sidecar/{instance} ");
         text.lines()
-            .filter(|line| line.contains(&tag))
+            .filter(|line| line.contains(&instance_field))
             .map(str::to_string)
             .collect::<Vec<_>>()
     };
-    let together = body(&[0, 1, 2, 3]);
-    let apart = body(&[0, 2]) + &body(&[1, 3]);
+    let together = run(&[0, 1, 2, 3]);
+    let apart = run(&[0, 2]) + &run(&[1, 3]);
     for instance in 0..4 {
         assert!(lines_of(&together, instance).len() > 40);
         assert_eq!(
@@ -209,7 +213,7 @@
 }
 
 #[test]
-fn malformed_input_fails_with_a_message_and_without_actions() {
+fn malformed_input_is_reported_without_actions() {
     let started = format!("frame momentNs=1000000000\n{}", instance_start(0));
     let cases = [
         ("go\n".to_string(), "outside a batch"),
@@ -218,11 +222,11 @@
         ("frame momentNs=1\nframe momentNs=2\n".into(), "has no 'go'"),
         (
             "frame momentNs=1\nhello there=1\n".into(),
-            "'hello' is no message",
+            "unknown message 'hello'",
         ),
         (
             "frame momentNs=1\ndestroy sidecarId=sidecar/9\n".into(),
-            "does not run",
+            "is not running",
         ),
         (
             "frame momentNs=1\ndestroy sidecarId=box/9\n".into(),
@@ -234,7 +238,7 @@
         ),
         (
             "frame momentNs=1\ndirectory list=1 records=2\ngo\n".into(),
-            "0 of 2 entries",
+            "received 0 of 2 entries",
         ),
         (
             "frame momentNs=1\nentry endpoint=a zone=z readiness=U size=1\n".into(),
@@ -247,7 +251,7 @@
         ("frame momentNs=1\n".into(), "inside a batch"),
         (
             "frame momentNs=9\ngo\nframe momentNs=8\n".into(),
-            "before that of the last batch",
+            "before that of the previous batch",
         ),
         (
             format!(
@@ -276,7 +280,7 @@
         ),
         (
             started.clone() + "due sidecarId=sidecar/7 name=1\n",
-            "sidecar/7 does not run",
+            "sidecar/7 is not running",
         ),
         (
             started.clone() + &request(0, "r1", "unknown", 5),
@@ -305,21 +309,21 @@
         (
             started
                 + "report_back sidecarId=sidecar/0 xid=r attempt=0 ending=7 timeTakenNs=1 terminal=0\n",
-            "no completion code",
+            "is not a completion code",
         ),
     ];
-    for (input, says) in cases {
+    for (input, expected_error) in cases {
         let output = run_adapter(&input);
         let error = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(
-            !output.status.success() && error.contains(says),
-            "{says}: {error}"
+            !output.status.success() && error.contains(expected_error),
+            "{expected_error}: {error}"
         );
         assert!(!error.contains("panicked"), "{error}");
         let reply = String::from_utf8_lossy(&output.stdout).to_string();
         assert!(
             reply.is_empty() || reply == "ok\n",
-            "{says}: no guessed action, no half reply: {reply}"
+            "{expected_error}: neither an action nor a partial reply: {reply}"
         );
     }
 }
@@ -344,21 +348,21 @@
         written(send),
         "send sidecarId=sidecar/3 xid=r endpoint=e capNs=80000000\n"
     );
-    let refuse = |retry_after| Action::Reject {
+    let reject = |retry_after| Action::Reject {
         request: request.clone(),
         retry_after,
     };
-    assert_eq!(written(refuse(None)), "decline sidecarId=sidecar/3 xid=r\n");
+    assert_eq!(written(reject(None)), "decline sidecarId=sidecar/3 xid=r\n");
     assert_eq!(
-        written(refuse(Some(ms(1)))),
+        written(reject(Some(ms(1)))),
         "decline sidecarId=sidecar/3 xid=r pauseNs=1000000\n"
     );
-    let abandon = Action::Cancel {
+    let cancel = Action::Cancel {
         request: request.clone(),
         attempt: 2,
     };
     assert_eq!(
-        written(abandon),
+        written(cancel),
         "abandon sidecarId=sidecar/3 xid=r attempt=2\n"
     );
     assert_eq!(
@@ -380,12 +384,12 @@
         written(Action::CloseIdleConnections { endpoint }),
         "free_links sidecarId=sidecar/3 endpoint=e\n"
     );
-    let tell = Action::SendPeerMessage {
+    let peer_message = Action::SendPeerMessage {
         to: None,
         data: b"hi 7".to_vec(),
     };
     assert_eq!(
-        written(tell),
+        written(peer_message),
         "notify sidecarId=sidecar/3 neighbourId=-1 data=aGkgNw==\n"
     );
     assert_eq!(
@@ -402,7 +406,7 @@
 }
 
 #[test]
-fn optional_rules_and_endpoint_types_are_parsed_and_may_be_absent() {
+fn rules_and_endpoint_types_may_be_absent() {
     use balancer_sidecar::configuration::settings_document::parse_settings;
     use balancer_sidecar::simulator::{Message, parse_message};
     use std::time::Duration;
@@ -412,7 +416,7 @@
         (None, None)
     );
     assert!(plain.classes.iter().all(|class| !class.is_key_ordered));
-    let further = settings_document(0)
+    let extended = settings_document(0)
         .replace(
             "\"rules\": {",
             "\"rules\": {\"drainCloseNs\": 500000000, \"orderPauseNs\": 0, ",
@@ -421,35 +425,38 @@
             "\"effect\": \"guarded\"",
             "\"byArrival\": true, \"effect\": \"guarded\"",
         );
-    let further = parse_settings(&further).expect("settings");
-    assert_eq!(further.rules.drain_close, Some(Duration::from_millis(500)));
-    assert_eq!(further.rules.key_cooldown, Some(Duration::ZERO));
+    let extended = parse_settings(&extended).expect("settings");
+    assert_eq!(extended.rules.drain_close, Some(Duration::from_millis(500)));
+    assert_eq!(extended.rules.key_cooldown, Some(Duration::ZERO));
     assert_eq!(
-        further
+        extended
             .classes
             .iter()
             .map(|class| class.is_key_ordered)
             .collect::<Vec<_>>(),
         [false, true]
     );
-    let kind_of = |line: &str| match parse_message(line).expect("an entry") {
+    let entry_kind = |line: &str| match parse_message(line).expect("an entry") {
         Message::ListEntry(entry) => entry.kind,
         other => panic!("{other:?}"),
     };
     let entry = "entry endpoint=e zone=z pack=0 readiness=U size=1 later=1";
-    assert_eq!(kind_of(entry), "".into());
-    assert_eq!(kind_of(&format!("{entry} familyType=fast")), "fast".into());
+    assert_eq!(entry_kind(entry), "".into());
+    assert_eq!(
+        entry_kind(&format!("{entry} familyType=fast")),
+        "fast".into()
+    );
 }
 
 #[test]
-fn draining_endpoint_has_its_idle_connections_closed() {
-    let set =
+fn idle_connections_to_draining_endpoint_are_closed() {
+    let settings =
         settings_document(0).replace("\"rules\": {", "\"rules\": {\"drainCloseNs\": 500000000, ");
     let input = format!(
         "frame momentNs=1000000000\n{}directory list=1 records=1\n\
          entry endpoint=endpoint.aa zone=z1 familyType=fast pack=0 readiness=L size=1\n\
          members sidecarId=sidecar/0 rev=42 list=1 kind=D\ngo extra=1\n",
-        instance_start(0).replace(&settings_document(0), &set)
+        instance_start(0).replace(&settings_document(0), &settings)
     );
     assert!(replies(&input)[0].contains("free_links sidecarId=sidecar/0 endpoint=endpoint.aa\n"));
 }
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,4 +1,4 @@
-//! The layout of the sources: small files, and none that import each other in a circle.
+//! Tests of the source layout: files are short, all are declared, and their modules have no import cycles.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -6,24 +6,24 @@
 use syn::visit::Visit;
 use syn::{ItemUse, UseTree};
 
-/// The longest source file.
+/// The maximum number of lines of a source file.
 const MAX_LINES: usize = 500;
 
-/// A module's path below its crate.
+/// The path of a module in its crate.
 type ModulePath = Vec<String>;
 
-/// The files of one crate, by their modules.
+/// The source files of one crate by the paths of their modules.
 struct CrateFiles(BTreeMap<ModulePath, PathBuf>);
 
 impl CrateFiles {
-    /// All files below a folder whose root module is `lib.rs`. Programs beside it are no modules.
-    fn below(source: &Path) -> Self {
+    /// Returns all files below the folder that contains the root module, `lib.rs`. The programs in it are not modules.
+    fn in_folder(source: &Path) -> Self {
         let mut files = BTreeMap::new();
-        collect(source, &Vec::new(), &mut files);
+        collect_files(source, &Vec::new(), &mut files);
         CrateFiles(files)
     }
 
-    /// The module that a path leads to or into.
+    /// Returns the module that a path names or whose item it names.
     fn module_at(&self, path: &[String]) -> Option<&ModulePath> {
         let lengths = (0..=path.len()).rev();
         lengths
@@ -32,7 +32,7 @@
             .next()
     }
 
-    /// The modules that a file imports from.
+    /// Returns the modules from which a module imports.
     fn imports(&self, module: &ModulePath) -> BTreeSet<ModulePath> {
         let text = fs::read_to_string(&self.0[module]).expect("a source file");
         let file = syn::parse_file(&text).expect("a source file that parses");
@@ -59,7 +59,7 @@
             }
             child => {
                 base.push(child.to_owned());
-                self.0.get(&base)?; // else another crate's
+                self.0.get(&base)?; // otherwise it is a path in another crate
                 rest = &rest[1..];
             }
         }
@@ -68,7 +68,7 @@
     }
 }
 
-fn collect(folder: &Path, module: &ModulePath, files: &mut BTreeMap<ModulePath, PathBuf>) {
+fn collect_files(folder: &Path, module: &ModulePath, files: &mut BTreeMap<ModulePath, PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         let name = path
@@ -79,7 +79,7 @@
         let mut inner = module.clone();
         if path.is_dir() && name != "bin" {
             inner.push(name);
-            collect(&path, &inner, files);
+            collect_files(&path, &inner, files);
         } else if path.extension().is_some_and(|extension| extension == "rs") && name != "main" {
             if !matches!(name.as_str(), "mod" | "lib") {
                 inner.push(name);
@@ -89,7 +89,7 @@
     }
 }
 
-/// The paths of a file's `use` declarations, but for those of its tests.
+/// The paths in a file's `use` declarations, except those in inline modules, which hold its tests.
 #[derive(Default)]
 struct UsedPaths(Vec<ModulePath>);
 
@@ -103,7 +103,7 @@
 
 impl UsedPaths {
     fn add(&mut self, tree: &UseTree, prefix: &ModulePath) {
-        let with = |segment: String| {
+        let prefixed = |segment: String| {
             prefix
                 .iter()
                 .cloned()
@@ -111,34 +111,37 @@
                 .collect::<ModulePath>()
         };
         match tree {
-            UseTree::Path(path) => self.add(&path.tree, &with(path.ident.to_string())),
-            UseTree::Name(name) => self.0.push(with(name.ident.to_string())),
-            UseTree::Rename(rename) => self.0.push(with(rename.ident.to_string())),
+            UseTree::Path(path) => self.add(&path.tree, &prefixed(path.ident.to_string())),
+            UseTree::Name(name) => self.0.push(prefixed(name.ident.to_string())),
+            UseTree::Rename(rename) => self.0.push(prefixed(rename.ident.to_string())),
             UseTree::Glob(_) => self.0.push(prefix.clone()),
             UseTree::Group(group) => group.items.iter().for_each(|tree| self.add(tree, prefix)),
         }
     }
 }
 
-/// Modules that import each other in a circle, if there are any: what is left once all are taken away that import none.
-fn circle(
+/// Returns the modules on import cycles, with the modules that they import. Modules between two cycles are returned,
+/// too.
+///
+/// It repeatedly removes the modules that import nothing from the rest.
+fn import_cycles(
     mut imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
 ) -> BTreeMap<ModulePath, BTreeSet<ModulePath>> {
     loop {
-        let free: Vec<ModulePath> = imports
+        let leaves: Vec<ModulePath> = imports
             .iter()
             .filter(|(_, imported)| imported.is_empty())
-            .map(|(m, _)| m.clone())
+            .map(|(module, _)| module.clone())
             .collect();
-        if free.is_empty() {
+        if leaves.is_empty() {
             break;
         }
-        imports.retain(|module, _| !free.contains(module));
+        imports.retain(|module, _| !leaves.contains(module));
         for imported in imports.values_mut() {
-            imported.retain(|module| !free.contains(module));
+            imported.retain(|module| !leaves.contains(module));
         }
     }
-    // And those that are imported by none of the rest.
+    // Removes the modules that nothing in the rest imports.
     loop {
         let imported: BTreeSet<ModulePath> = imports.values().flatten().cloned().collect();
         let before = imports.len();
@@ -149,21 +152,21 @@
     }
 }
 
-fn sources() -> [PathBuf; 2] {
+fn source_folders() -> [PathBuf; 2] {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     [root.join("src"), root.join("fleet-lab/src")]
 }
 
 #[test]
-fn no_files_import_each_other_in_a_circle() {
-    for source in sources() {
-        let files = CrateFiles::below(&source);
+fn modules_have_no_import_cycles() {
+    for source in source_folders() {
+        let files = CrateFiles::in_folder(&source);
         let imports = files
             .0
             .keys()
             .map(|module| (module.clone(), files.imports(module)));
-        let circle = circle(imports.collect());
-        let lines = circle.iter().map(|(module, imported)| {
+        let cycles = import_cycles(imports.collect());
+        let lines = cycles.iter().map(|(module, imported)| {
             let names: Vec<String> = imported.iter().map(|path| path.join("::")).collect();
             format!("{} imports {}", module.join("::"), names.join(", "))
         });
@@ -173,7 +176,7 @@
 }
 
 #[test]
-fn no_source_file_is_long() {
+fn source_files_stay_within_the_line_limit() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let folders = [
         "src",
@@ -183,10 +186,10 @@
         "fleet-lab/tests",
     ]
     .map(|folder| root.join(folder));
-    let mut unread: Vec<PathBuf> = folders.to_vec();
-    while let Some(path) = unread.pop() {
+    let mut pending: Vec<PathBuf> = folders.to_vec();
+    while let Some(path) = pending.pop() {
         if path.is_dir() {
-            unread.extend(
+            pending.extend(
                 fs::read_dir(&path)
                     .expect("a folder")
                     .map(|entry| entry.expect("an entry").path()),
@@ -201,11 +204,11 @@
     }
 }
 
-/// Guards against files that no module declares, which the compiler never sees.
+/// Guards against files that no module declares: the compiler would ignore them.
 #[test]
 fn every_source_file_is_declared() {
-    for source in sources() {
-        let files = CrateFiles::below(&source);
+    for source in source_folders() {
+        let files = CrateFiles::in_folder(&source);
         for (module, path) in &files.0 {
             let Some((name, parent)) = module.split_last() else {
                 continue;
@@ -226,12 +229,12 @@
                 text.contains(&format!("mod {name};"))
                     || text.contains(&format!("#[path = \"{name}.rs\"]"))
             };
-            let by_sibling = siblings
+            let is_declared_by_sibling = siblings
                 .filter(|(other, _)| other.starts_with(parent))
                 .any(|(_, file)| declares(&fs::read_to_string(file).expect("a source file")));
             assert!(
-                declares(&text) || by_sibling,
-                "{} is declared nowhere",
+                declares(&text) || is_declared_by_sibling,
+                "{} is not declared by any module",
                 path.display()
             );
         }
