--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// A configuration with one endpoint and a limit on descriptors.
-fn config_with_descriptors(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
+fn config_with_descriptor_limit(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
     let mut config = config(
         discovery.address,
         &[entry("e0", endpoint.address, "SERVING")],
@@ -36,7 +36,7 @@
 /// Guards against request smuggling: where a body ends must not depend on who reads it. The request gets one response,
 /// nothing after it is read as a request, and no endpoint receives any of it.
 #[test]
-fn request_with_ambiguous_body_length_is_rejected() {
+fn ambiguous_body_length_gets_400() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let hidden = get_request("5");
@@ -108,7 +108,7 @@
         ("\u{1}\u{2} what is this".into(), "HTTP/1.1 400 "),
         (String::new(), ""),
     ];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         for (text, start) in &texts {
             let sidecar = &sidecar;
@@ -122,9 +122,9 @@
         }
     });
     assert!(
-        begun.elapsed() < Duration::from_secs(5),
+        started_at.elapsed() < Duration::from_secs(5),
         "the requests' own deadline: {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     assert_eq!(endpoint.take_request_count(), 0);
 }
@@ -132,7 +132,7 @@
 /// Guards the response to a request that is rejected while its body comes: closing with bytes unread would reset the
 /// connection, and the response would be lost. The 60 MB are not buffered, either.
 #[test]
-fn early_error_response_is_readable_while_the_body_is_unread() {
+fn early_error_response_is_readable() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let body = "x".repeat(60_000_000);
@@ -157,42 +157,45 @@
 
 /// Guards what is stored of a request: ids and keys have a maximum length, and a deadline is capped by its class.
 #[test]
-fn long_ids_are_rejected_and_deadlines_are_capped() {
+fn long_ids_get_400_and_deadlines_are_capped() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
-    let long = "i".repeat(300);
-    let with = |id: &str, line: &str| {
+    let long_id = "i".repeat(300);
+    let request_with = |id: &str, line: &str| {
         get_request("1e9")
             .replace("X-Class", &format!("{line}X-Class"))
             .replace("id-", id)
     };
-    assert_eq!(client.exchange(&with(&long, "")).status(), 400);
+    assert_eq!(client.exchange(&request_with(&long_id, "")).status(), 400);
     assert_eq!(
         client
-            .exchange(&with("id-", &format!("Idempotency-Key: {long}\r\n")))
+            .exchange(&request_with(
+                "id-",
+                &format!("Idempotency-Key: {long_id}\r\n")
+            ))
             .status(),
         400
     );
     assert_eq!(
         client
-            .exchange(&with("id-", "X-Request-Id: other\r\n"))
+            .exchange(&request_with("id-", "X-Request-Id: other\r\n"))
             .status(),
         400
     );
     assert_eq!(endpoint.take_request_count(), 0);
-    assert_eq!(client.exchange(&with("id-", "")).status(), 200);
-    let left = endpoint
+    assert_eq!(client.exchange(&request_with("id-", "")).status(), 200);
+    let time_left = endpoint
         .next_request()
         .message
         .header("x-deadline")
         .and_then(|d| d.parse::<f64>().ok());
-    assert!(left.expect("a deadline") <= 10.0, "{left:?}");
+    assert!(time_left.expect("a deadline") <= 10.0, "{time_left:?}");
 }
 
 /// Guards a request against a second one with its id, which is rejected.
 #[test]
-fn repeated_id_is_rejected_and_the_first_request_is_served() {
+fn repeated_id_gets_409() {
     let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |_| {
         gate.wait();
@@ -215,12 +218,12 @@
 /// Guards the descriptors against clients that connect and send nothing, or part of a request: with hundreds of them a
 /// caller is still served, over new connections to endpoints, and the watch can be opened again.
 #[test]
-fn requests_are_served_while_clients_flood_the_descriptors() {
+fn requests_are_served_during_connection_flood() {
     let endpoint = Endpoint::start(|_| {
         EndpointAction::RespondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
     });
     let discovery = Discovery::start();
-    let config = config_with_descriptors(&discovery, &endpoint, 256);
+    let config = config_with_descriptor_limit(&discovery, &endpoint, 256);
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
     let mut flood = Vec::new();
@@ -251,10 +254,10 @@
 
 /// Guards slow callers among many idle clients: one whose head comes in pieces is not evicted while others are idle.
 #[test]
-fn slow_head_is_served_while_idle_connections_are_evicted() {
+fn eviction_spares_slow_head() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let config = config_with_descriptors(&discovery, &endpoint, 96);
+    let config = config_with_descriptor_limit(&discovery, &endpoint, 96);
     let sidecar = Sidecar::start(&config);
     let mut slow = TcpStream::connect(sidecar.address).expect("it accepts");
     slow.set_read_timeout(Some(TEST_TIMEOUT))
@@ -283,10 +286,10 @@
 /// Guards new callers among many idle clients: those that connect at the same time do not evict each other before their
 /// requests come, while others are idle. A stall of the machine may spoil one round, not five.
 #[test]
-fn new_connections_are_served_while_older_idle_ones_are_evicted() {
+fn eviction_spares_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let config = config_with_descriptors(&discovery, &endpoint, 96);
+    let config = config_with_descriptor_limit(&discovery, &endpoint, 96);
     let served = |_| {
         let sidecar = Sidecar::start(&config);
         let mut idle: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
--- a/tests/sidecar/cancellation_support/connection_close.rs
+++ b/tests/sidecar/cancellation_support/connection_close.rs
@@ -16,7 +16,7 @@
 }
 
 /// Every kind of close.
-pub const ALL_CLOSES: [CloseKind; 3] = [CloseKind::Full, CloseKind::Half, CloseKind::Reset];
+pub const CLOSE_KINDS: [CloseKind; 3] = [CloseKind::Full, CloseKind::Half, CloseKind::Reset];
 
 /// Closes a connection. The result keeps the other direction of a half-closed one open.
 pub fn close(stream: TcpStream, kind: CloseKind) -> Option<TcpStream> {
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -9,7 +9,7 @@
 /// An endpoint to which connections are not established until the test accepts some, as its backlog is full.
 pub struct FullBacklogEndpoint {
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    filling_connections: Vec<TcpStream>,
 }
 
 impl FullBacklogEndpoint {
@@ -18,9 +18,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
-        let fillers = std::iter::from_fn(|| fill().ok()).collect();
+        let filling_connections = std::iter::from_fn(|| fill().ok()).collect();
         listener.set_nonblocking(true).expect("an option");
-        FullBacklogEndpoint { listener, fillers }
+        FullBacklogEndpoint {
+            listener,
+            filling_connections,
+        }
     }
 
     /// Its entry in the endpoint list.
@@ -34,13 +37,13 @@
 
     /// Accepts a connection of the sidecar's, if one is established.
     pub fn try_accept(&self) -> Option<TcpStream> {
-        let is_filler = |peer| {
-            self.fillers
+        let is_filling = |peer| {
+            self.filling_connections
                 .iter()
-                .any(|filler| filler.local_addr().expect("an address") == peer)
+                .any(|filling| filling.local_addr().expect("an address") == peer)
         };
         while let Ok((stream, peer)) = self.listener.accept() {
-            if !is_filler(peer) {
+            if !is_filling(peer) {
                 stream.set_nonblocking(false).expect("an option");
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
--- a/tests/sidecar/cancellation_support/lifecycle.rs
+++ b/tests/sidecar/cancellation_support/lifecycle.rs
@@ -38,9 +38,9 @@
             &serving_entries(&[endpoint]),
         ));
         config["listen"] = json!(sidecar.address.to_string());
-        let next = Sidecar::start_in_directory(directory, &config);
+        let new_process = Sidecar::start_in_directory(directory, &config);
         sidecar.wait_for_log("the new process accepts callers");
-        return Some(next);
+        return Some(new_process);
     }
     if change == LifecycleChange::Drain {
         assert!(sidecar.call_is_yes("DRAIN"));
@@ -72,27 +72,27 @@
     pub queueing: QueueingSidecar,
     directory: PathBuf,
     /// The new process of a hot restart.
-    next: Option<Sidecar>,
+    new_process: Option<Sidecar>,
 }
 
 impl LifecycleSidecar {
     /// Starts the sidecar with a changed configuration.
-    pub fn start(change: impl FnOnce(&mut Value)) -> Self {
+    pub fn start(configure: impl FnOnce(&mut Value)) -> Self {
         let directory = temporary_directory();
-        let queueing = QueueingSidecar::start(change, |config| {
+        let queueing = QueueingSidecar::start(configure, |config| {
             Sidecar::start_in_directory(&directory, config)
         });
         LifecycleSidecar {
             queueing,
             directory,
-            next: None,
+            new_process: None,
         }
     }
 
     /// Applies the change of this phase, if there is one.
     pub fn enter_phase(&mut self, phase: Option<LifecycleChange>) {
         let Some(change) = phase else { return };
-        self.next = apply_change(
+        self.new_process = apply_change(
             change,
             &self.queueing.sidecar,
             &self.directory,
@@ -102,8 +102,9 @@
 
     /// Returns how many attempts the old process and the new one have written to endpoints.
     pub fn attempts(&self) -> u64 {
-        let written = |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a figure");
-        written(&self.queueing.sidecar) + self.next.as_ref().map_or(0, written)
+        let attempts_of =
+            |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a figure");
+        attempts_of(&self.queueing.sidecar) + self.new_process.as_ref().map_or(0, attempts_of)
     }
 }
 
--- a/tests/sidecar/cancellation_support/queueing_sidecar.rs
+++ b/tests/sidecar/cancellation_support/queueing_sidecar.rs
@@ -15,12 +15,15 @@
 
 impl QueueingSidecar {
     /// Starts the sidecar with a changed configuration.
-    pub fn with(change: impl FnOnce(&mut Value)) -> Self {
-        Self::start(change, Sidecar::start)
+    pub fn with_config(configure: impl FnOnce(&mut Value)) -> Self {
+        Self::start(configure, Sidecar::start)
     }
 
     /// Starts the sidecar with a changed configuration by `start`.
-    pub fn start(change: impl FnOnce(&mut Value), start: impl FnOnce(&Value) -> Sidecar) -> Self {
+    pub fn start(
+        configure: impl FnOnce(&mut Value),
+        start: impl FnOnce(&Value) -> Sidecar,
+    ) -> Self {
         let discovery = Discovery::start();
         let mut config = with_admin_address(config(discovery.address, &[]));
         config["settings"]["categories"]
@@ -31,7 +34,7 @@
                 class["objectiveNs"] = json!(60_000_000_000u64);
                 class["hardLimitNs"] = json!(60_000_000_000u64);
             });
-        change(&mut config);
+        configure(&mut config);
         let sidecar = start(&config);
         let watch = discovery.next_watch();
         QueueingSidecar {
--- a/tests/sidecar/cancellation_support/tcp_table.rs
+++ b/tests/sidecar/cancellation_support/tcp_table.rs
@@ -5,32 +5,32 @@
 
 /// A TCP socket, its ports and state in the kernel's notation.
 struct Socket {
-    local: String,
-    peer: String,
+    local_port: String,
+    peer_port: String,
     state: String,
 }
 
 /// All TCP sockets over IPv4.
-fn sockets() -> impl Iterator<Item = Socket> {
+fn tcp_sockets() -> impl Iterator<Item = Socket> {
     let listed = std::fs::read_to_string("/proc/net/tcp").expect("the sockets are listed");
-    let sockets: Vec<Socket> = listed.lines().skip(1).filter_map(socket).collect();
+    let sockets: Vec<Socket> = listed.lines().skip(1).filter_map(parse_socket).collect();
     sockets.into_iter()
 }
 
 /// Parses one line of the kernel's list; none where the line is cut short.
-fn socket(line: &str) -> Option<Socket> {
+fn parse_socket(line: &str) -> Option<Socket> {
     let mut fields = line.split_whitespace().skip(1);
     let mut port = || Some(fields.next()?.split_once(':')?.1.to_string());
-    let (local, peer) = (port()?, port()?);
+    let (local_port, peer_port) = (port()?, port()?);
     Some(Socket {
-        local,
-        peer,
+        local_port,
+        peer_port,
         state: fields.next()?.to_string(),
     })
 }
 
 /// A port in the kernel's notation.
-fn port(address: SocketAddr) -> String {
+fn hex_port(address: SocketAddr) -> String {
     format!("{:04X}", address.port())
 }
 
@@ -40,10 +40,10 @@
     let entry = endpoint.entry();
     let address: SocketAddr = entry["address"]
         .as_str()
-        .and_then(|a| a.parse().ok())
+        .and_then(|text| text.parse().ok())
         .expect("an address");
-    sockets()
-        .filter(|socket| socket.peer == port(address) && socket.state == SYN_SENT)
+    tcp_sockets()
+        .filter(|socket| socket.peer_port == hex_port(address) && socket.state == SYN_SENT)
         .count()
 }
 
@@ -51,7 +51,9 @@
 pub fn has_received_close(client: SocketAddr, server: SocketAddr) -> bool {
     const CLOSE_WAIT: &str = "08";
     // A connection that was reset is not listed any more.
-    sockets()
-        .find(|socket| socket.local == port(server) && socket.peer == port(client))
+    tcp_sockets()
+        .find(|socket| {
+            socket.local_port == hex_port(server) && socket.peer_port == hex_port(client)
+        })
         .is_none_or(|socket| socket.state == CLOSE_WAIT)
 }
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -25,7 +25,7 @@
     /// A second request.
     CompleteRequest,
     /// More than the sidecar buffers while it answers a request.
-    MoreThanIsRead,
+    MoreThanBuffer,
 }
 
 /// Every way to disconnect, with every kind of pipelined bytes.
@@ -33,11 +33,11 @@
     Disconnect::ByFin(PipelinedBytes::Nothing),
     Disconnect::ByFin(PipelinedBytes::PartialHead),
     Disconnect::ByFin(PipelinedBytes::CompleteRequest),
-    Disconnect::ByFin(PipelinedBytes::MoreThanIsRead),
+    Disconnect::ByFin(PipelinedBytes::MoreThanBuffer),
     Disconnect::ByReset(PipelinedBytes::Nothing),
     Disconnect::ByReset(PipelinedBytes::PartialHead),
     Disconnect::ByReset(PipelinedBytes::CompleteRequest),
-    Disconnect::ByReset(PipelinedBytes::MoreThanIsRead),
+    Disconnect::ByReset(PipelinedBytes::MoreThanBuffer),
 ];
 
 /// A client that has written a complete or partial request.
@@ -45,7 +45,7 @@
 
 impl WaitingClient {
     /// Connects to the sidecar and writes a request.
-    pub fn with(sidecar: &Sidecar, request: &str) -> Self {
+    pub fn send(sidecar: &Sidecar, request: &str) -> Self {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
@@ -61,7 +61,7 @@
             PipelinedBytes::Nothing => String::new(),
             PipelinedBytes::PartialHead => "GET /api HTTP/1.1\r\nX-Ha".into(),
             PipelinedBytes::CompleteRequest => get_request("10"),
-            PipelinedBytes::MoreThanIsRead => get_request("10").repeat(400),
+            PipelinedBytes::MoreThanBuffer => get_request("10").repeat(400),
         };
         self.0.write_all(text.as_bytes()).expect("it is open");
         if let Disconnect::ByReset(_) = how {
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -6,7 +6,7 @@
 //! over.
 
 use crate::cancellation_support::{
-    ALL_CLOSES, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
+    CLOSE_KINDS, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
     close, count_connecting, has_received_close, in_every_lifecycle_phase, request_id,
 };
 use crate::stubs::*;
@@ -92,17 +92,17 @@
             config["settings"]["bounds"]["cancel"] = json!(cancel);
             config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         });
-        let mut earns = sidecar.queueing.sidecar.client();
+        let mut earning_client = sidecar.queueing.sidecar.client();
         for _ in 0..RETRY_EARNING_REQUESTS {
-            assert_eq!(earns.exchange(&get_request("60")).status(), 200);
+            assert_eq!(earning_client.exchange(&get_request("60")).status(), 200);
             rejecting.endpoint.next_request();
         }
         let request = post_request("unsafe", "60", STAYING_BODY);
-        let closing = WaitingClient::with(
+        let closing = WaitingClient::send(
             &sidecar.queueing.sidecar,
             &post_request("unsafe", "60", CLOSING_BODY),
         );
-        let staying = WaitingClient::with(&sidecar.queueing.sidecar, &request);
+        let staying = WaitingClient::send(&sidecar.queueing.sidecar, &request);
         (0..2).for_each(|_| drop(rejecting.endpoint.next_request()));
         sidecar.queueing.wait_for_pending(2);
         let attempts = sidecar.attempts();
@@ -126,9 +126,9 @@
     /// Closes one client's connection, and waits until the sidecar has noticed.
     fn close_client(&mut self, close_kind: CloseKind) -> Option<TcpStream> {
         let closing = self.closing.take().expect("it has not closed yet");
-        let half = close(closing.0, close_kind);
+        let half_closed = close(closing.0, close_kind);
         self.sidecar.queueing.wait_for_pending(1);
-        half
+        half_closed
     }
 
     /// Lists an endpoint to which retries can be sent.
@@ -140,7 +140,7 @@
         });
     }
 
-    fn list_queueing_endpoint(&mut self) {
+    fn list_unused_endpoint(&mut self) {
         let address = self.sidecar.queueing.endpoint.address;
         self.list_other_endpoint(entry("other", address, "SERVING"));
     }
@@ -159,14 +159,14 @@
 
 /// Guards a retry that is queued for lack of an endpoint when its client closes.
 #[test]
-fn queued_retry_is_not_sent_after_the_client_closes() {
+fn client_close_cancels_queued_retry() {
     in_every_lifecycle_phase(|phase| {
-        for close_kind in ALL_CLOSES {
+        for close_kind in CLOSE_KINDS {
             let mut requests = FirstAttempts::start(true);
             requests.reject_both();
             requests.sidecar.enter_phase(phase);
-            let _half = requests.close_client(close_kind);
-            requests.list_queueing_endpoint();
+            let _half_closed = requests.close_client(close_kind);
+            requests.list_unused_endpoint();
             requests.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
         }
     });
@@ -174,13 +174,13 @@
 
 /// Guards a first attempt that may not be cancelled: it fails after its client has closed, and is not retried.
 #[test]
-fn attempt_that_fails_after_the_client_closes_is_not_retried() {
+fn client_close_prevents_retry_of_failed_attempt() {
     in_every_lifecycle_phase(|phase| {
-        for close_kind in ALL_CLOSES {
+        for close_kind in CLOSE_KINDS {
             let mut requests = FirstAttempts::start(false);
             requests.sidecar.enter_phase(phase);
-            let _half = requests.close_client(close_kind);
-            requests.list_queueing_endpoint();
+            let _half_closed = requests.close_client(close_kind);
+            requests.list_unused_endpoint();
             requests.rejecting.reject_closing();
             requests.rejecting.reject_staying();
             requests.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
@@ -189,7 +189,7 @@
 }
 
 /// Reads what has been written on any of these connections.
-fn written(connections: &mut [TcpStream]) -> String {
+fn read_written(connections: &mut [TcpStream]) -> String {
     let mut all = Vec::new();
     for connection in connections {
         connection.set_nonblocking(true).expect("an option");
@@ -205,7 +205,7 @@
 /// Guards a retry whose connection is established after the close: nothing is written on it, whether or not attempts may
 /// be cancelled.
 #[test]
-fn connecting_retry_is_not_written_after_the_client_closes() {
+fn client_close_cancels_connecting_retry() {
     in_every_lifecycle_phase(|phase| {
         for cancel in [true, false] {
             let mut requests = FirstAttempts::start(cancel);
@@ -216,7 +216,7 @@
                 count_connecting(&full_backlog_endpoint) == 2
             });
             requests.sidecar.enter_phase(phase);
-            let _half = requests.close_client(CloseKind::Full);
+            let _half_closed = requests.close_client(CloseKind::Full);
             // A cancelled retry's connection is never established.
             let expected_connections = if cancel { 1 } else { 2 };
             let mut connections = Vec::new();
@@ -227,7 +227,7 @@
             });
             let mut seen = String::new();
             wait_until("the retry of the client that stays is written", || {
-                seen += &written(&mut connections);
+                seen += &read_written(&mut connections);
                 seen.contains(STAYING_BODY)
             });
             assert_eq!(
@@ -235,7 +235,7 @@
                 requests.attempts + 1,
                 "{phase:?}, cancel {cancel}"
             );
-            seen += &written(&mut connections);
+            seen += &read_written(&mut connections);
             assert!(!seen.contains(CLOSING_BODY), "{phase:?}, cancel {cancel}");
         }
     });
@@ -244,48 +244,48 @@
 // ---- Waiting for a gap -----------------------------------------------------------------------------------
 
 /// A response whose load report puts the class of the higher priority into the gapping state, short of discarding.
-const THROTTLED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\
+const THROTTLING_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\
                          X-Load: TEXT concurrent=3, depth=2.3, load_share=0.5\r\n\r\nx";
 
 /// After this time without a request the sidecar measures a low rate, so that gaps last some seconds.
-const QUIET: Duration = Duration::from_secs(3);
+const QUIET_TIME: Duration = Duration::from_secs(3);
 
 /// Guards requests that wait for the end of the only endpoint's gap.
 #[test]
-fn request_queued_for_a_gap_is_not_sent_after_the_client_closes() {
+fn client_close_cancels_request_waiting_for_gap() {
     in_every_lifecycle_phase(|phase| {
         let throttled = Endpoint::start(|message| {
             if message.body == b"throttles" {
-                thread::sleep(QUIET);
-                return EndpointAction::Respond(THROTTLED.into());
+                thread::sleep(QUIET_TIME);
+                return EndpointAction::Respond(THROTTLING_RESPONSE.into());
             }
             respond_ok("x")
         });
         let mut sidecar = LifecycleSidecar::start(|config| {
             config["known"]["endpoints"] = json!(serving_entries(&[&throttled]));
         });
-        let throttles =
+        let throttling_response =
             sidecar
                 .queueing
                 .sidecar
                 .client()
                 .exchange(&post_request("unsafe", "60", "throttles"));
-        assert_eq!(throttles.status(), 200);
+        assert_eq!(throttling_response.status(), 200);
         throttled.next_request();
-        let leavers = ALL_CLOSES.map(|close_kind| {
+        let closing_clients = CLOSE_KINDS.map(|close_kind| {
             (
                 close_kind,
-                WaitingClient::with(
+                WaitingClient::send(
                     &sidecar.queueing.sidecar,
                     &post_request("unsafe", "60", CLOSING_BODY),
                 ),
             )
         });
         let request = post_request("unsafe", "60", STAYING_BODY);
-        let mut staying = WaitingClient::with(&sidecar.queueing.sidecar, &request);
-        sidecar.queueing.wait_for_pending(ALL_CLOSES.len() + 1);
+        let mut staying = WaitingClient::send(&sidecar.queueing.sidecar, &request);
+        sidecar.queueing.wait_for_pending(CLOSE_KINDS.len() + 1);
         sidecar.enter_phase(phase);
-        let _half = leavers.map(|(close_kind, client)| close(client.0, close_kind));
+        let _half_closed = closing_clients.map(|(close_kind, client)| close(client.0, close_kind));
         sidecar.queueing.wait_for_pending(1);
         assert_eq!(
             throttled.take_request_count(),
@@ -305,13 +305,13 @@
 // ---- Closes that come together with the request ----------------------------------------------------------
 
 /// What arrives on a connection at once, directly before the close.
-fn pipelined_arrivals() -> Vec<(&'static str, String)> {
+fn texts_before_close() -> Vec<(&'static str, String)> {
     let chunked = |end: &str| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
         format!("{head}5\r\nhello\r\n{end}")
     };
-    let part_of_a_body = |length: usize, written: usize| {
+    let partial_body = |length: usize, written: usize| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", &format!("Content-Length: {length}"));
         format!("{head}{}", "x".repeat(written))
@@ -332,12 +332,12 @@
         ),
         (
             "a request and part of the next one's body",
-            format!("{}{}", get_request("60"), part_of_a_body(9, 4)),
+            format!("{}{}", get_request("60"), partial_body(9, 4)),
         ),
-        ("part of a body", part_of_a_body(1000, 10)),
+        ("part of a body", partial_body(1000, 10)),
         (
             "part of a body that is not kept",
-            part_of_a_body(300_000, 90_000),
+            partial_body(300_000, 90_000),
         ),
         ("a body in chunks", chunked("0\r\n\r\n")),
         ("part of a body in chunks", chunked("5\r\nhel")),
@@ -345,7 +345,7 @@
 }
 
 /// Sends a request and reads its whole response: a close with unread bytes would be a reset.
-fn complete_exchange(connection: &mut TcpStream) {
+fn exchange_readiness_check(connection: &mut TcpStream) {
     connection
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
@@ -359,7 +359,7 @@
 /// Guards the moment in which a request is read: with its client's close already there, no attempt is written, on new and
 /// on reused connections, whether or not attempts may be cancelled.
 #[test]
-fn request_read_together_with_its_close_is_not_sent() {
+fn request_read_with_client_close_is_not_sent() {
     for cancel in [true, false] {
         let endpoint = Endpoint::start(|_| respond_ok("x"));
         let discovery = Discovery::start();
@@ -367,19 +367,19 @@
             with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         let sidecar = Sidecar::start(&config);
-        for close_kind in ALL_CLOSES {
-            for (what, text) in pipelined_arrivals() {
-                for is_kept in [true, false] {
+        for close_kind in CLOSE_KINDS {
+            for (description, text) in texts_before_close() {
+                for is_reused in [true, false] {
                     let context =
-                        format!("{what}, {close_kind:?}, kept {is_kept}, cancel {cancel}");
+                        format!("{description}, {close_kind:?}, kept {is_reused}, cancel {cancel}");
                     let mut closing = TcpStream::connect(sidecar.address).expect("it accepts");
-                    if is_kept {
-                        complete_exchange(&mut closing);
+                    if is_reused {
+                        exchange_readiness_check(&mut closing);
                     }
                     let from = closing.local_addr().expect("an address");
                     sidecar.suspend();
                     closing.write_all(text.as_bytes()).expect("it is open");
-                    let _half = close(closing, close_kind);
+                    let _half_closed = close(closing, close_kind);
                     wait_until("the close is there", || {
                         has_received_close(from, sidecar.address)
                     });
@@ -408,16 +408,16 @@
 /// Guards a later tier against its caller's end: a queued request ends with the process of the earlier tier that sent it,
 /// and with that one's client.
 #[test]
-fn request_queued_in_a_later_tier_ends_with_its_caller() {
+fn caller_end_cancels_request_in_later_tier() {
     for caller_dies in [true, false] {
-        let mut later = QueueingSidecar::with(|config| {
+        let mut later = QueueingSidecar::with_config(|config| {
             config["settings"]["tier"] = json!(1);
             config["settings"]["stages"] = json!(["one", "two"]);
         });
         let discovery = Discovery::start();
         let known = [entry("later", later.sidecar.address, "SERVING")];
         let mut earlier = Sidecar::start(&with_admin_address(config(discovery.address, &known)));
-        let closing = WaitingClient::with(&earlier, &get_request("10"));
+        let closing = WaitingClient::send(&earlier, &get_request("10"));
         later.wait_for_pending(1);
         let _open = if caller_dies {
             earlier.kill();
@@ -427,7 +427,7 @@
         };
         later.wait_for_pending(0);
         let request = get_request("60");
-        let mut staying = WaitingClient::with(&later.sidecar, &request);
+        let mut staying = WaitingClient::send(&later.sidecar, &request);
         later.wait_for_pending(1);
         later.list_endpoint();
         assert!(staying.is_served());
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -11,16 +11,16 @@
 
 /// Queues requests of clients that disconnect, each in another way, and of clients that stay, and then lists an endpoint.
 /// Each disconnect is counted once, and only the requests of those that stay are sent.
-fn check_queued_requests_of_disconnecting_clients(change: impl FnOnce(&mut Value)) {
-    let mut queueing = QueueingSidecar::with(change);
+fn assert_disconnect_cancels_queued_request(configure: impl FnOnce(&mut Value)) {
+    let mut queueing = QueueingSidecar::with_config(configure);
     let (mut staying, mut disconnecting, mut ids) = (Vec::new(), Vec::new(), Vec::new());
     for how in ALL_DISCONNECTS {
         let request = get_request("60");
-        disconnecting.push((how, WaitingClient::with(&queueing.sidecar, &request)));
+        disconnecting.push((how, WaitingClient::send(&queueing.sidecar, &request)));
         if let Disconnect::ByFin(_) = how {
             let request = post_request("unsafe", "60", "x");
             ids.push(request_id(&request));
-            staying.push(WaitingClient::with(&queueing.sidecar, &request));
+            staying.push(WaitingClient::send(&queueing.sidecar, &request));
         }
     }
     let all = disconnecting.len() + staying.len();
@@ -63,14 +63,14 @@
 
 /// Guards queued requests in the first tier.
 #[test]
-fn queued_request_is_not_sent_after_its_client_disconnects() {
-    check_queued_requests_of_disconnecting_clients(|_| {});
+fn disconnect_cancels_queued_request() {
+    assert_disconnect_cancels_queued_request(|_| {});
 }
 
 /// Guards later tiers, whose client is an endpoint that drops its call, and sites that do not allow attempts to be cancelled.
 #[test]
-fn queued_request_in_a_later_tier_without_cancel_is_not_sent_after_its_client_disconnects() {
-    check_queued_requests_of_disconnecting_clients(|config| {
+fn disconnect_cancels_queued_request_in_later_tier() {
+    assert_disconnect_cancels_queued_request(|config| {
         config["settings"]["tier"] = json!(1);
         config["settings"]["stages"] = json!(["one", "two"]);
         config["settings"]["bounds"]["cancel"] = json!(false);
@@ -80,7 +80,7 @@
 /// Guards requests that wait for a busy endpoint: two attempts in flight there make a queue in which the class of the
 /// lowest priority waits. It is sent when they are answered.
 #[test]
-fn request_queued_for_a_busy_endpoint_is_not_sent_after_its_client_disconnects() {
+fn disconnect_cancels_request_waiting_for_busy_endpoint() {
     let (opener, gate) = response_gate();
     let busy = Endpoint::start(move |message| {
         if message.header("x-class") == Some("unsafe") {
@@ -88,21 +88,21 @@
         }
         respond_ok("x")
     });
-    let mut queueing = QueueingSidecar::with(|config| {
+    let mut queueing = QueueingSidecar::with_config(|config| {
         config["known"]["endpoints"] = json!(serving_entries(&[&busy]));
     });
     let mut in_flight = [0, 1].map(|_| {
-        let client = WaitingClient::with(&queueing.sidecar, &post_request("unsafe", "60", "x"));
+        let client = WaitingClient::send(&queueing.sidecar, &post_request("unsafe", "60", "x"));
         busy.next_request();
         client
     });
     let requests = ALL_DISCONNECTS.map(|how| (how, get_request("60")));
     let disconnecting: Vec<_> = requests
         .iter()
-        .map(|(how, request)| (*how, WaitingClient::with(&queueing.sidecar, request)))
+        .map(|(how, request)| (*how, WaitingClient::send(&queueing.sidecar, request)))
         .collect();
     let request = get_request("60");
-    let mut staying_client = WaitingClient::with(&queueing.sidecar, &request);
+    let mut staying_client = WaitingClient::send(&queueing.sidecar, &request);
     queueing.wait_for_pending(2 + ALL_DISCONNECTS.len() + 1);
     for (how, client) in disconnecting {
         client.disconnect(how);
@@ -128,8 +128,8 @@
 /// Guards requests whose body is unread or incomplete, so that no read notices the disconnect, and chunked ones, which are
 /// read together with the bytes after them.
 #[test]
-fn request_with_unread_or_partial_body_is_not_sent_after_its_client_disconnects() {
-    let mut queueing = QueueingSidecar::with(|_| {});
+fn disconnect_cancels_request_with_unread_or_partial_body() {
+    let mut queueing = QueueingSidecar::with_config(|_| {});
     let large = |length: usize, written: usize| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", &format!("Content-Length: {length}"));
@@ -140,7 +140,7 @@
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
         format!("{head}5\r\nhello\r\n{end}")
     };
-    let alone = [
+    let without_pipelined_bytes = [
         Disconnect::ByFin(PipelinedBytes::Nothing),
         Disconnect::ByReset(PipelinedBytes::Nothing),
     ];
@@ -155,42 +155,42 @@
     ];
     let mut disconnecting: Vec<_> = Vec::new();
     for request in &accepted {
-        for how in alone {
+        for how in without_pipelined_bytes {
             let text = request.replace(
                 &request_id(request),
                 &format!("{}-{}", request_id(request), disconnecting.len()),
             );
-            disconnecting.push((how, WaitingClient::with(&queueing.sidecar, &text)));
+            disconnecting.push((how, WaitingClient::send(&queueing.sidecar, &text)));
         }
     }
     for how in with_second_request {
         let second = get_request("60");
         disconnecting.push((
             how,
-            WaitingClient::with(
+            WaitingClient::send(
                 &queueing.sidecar,
                 &format!("{}{second}", chunked("0\r\n\r\n")),
             ),
         ));
     }
     // The balancer is given requests that are complete or large; part of a small one is not pending.
-    let mut partial: Vec<_> = alone
+    let mut partial: Vec<_> = without_pipelined_bytes
         .map(|how| {
             (
                 how,
-                WaitingClient::with(&queueing.sidecar, &large(50_000, 10)),
+                WaitingClient::send(&queueing.sidecar, &large(50_000, 10)),
             )
         })
         .into_iter()
         .collect();
-    partial.extend(alone.map(|how| {
+    partial.extend(without_pipelined_bytes.map(|how| {
         (
             how,
-            WaitingClient::with(&queueing.sidecar, &chunked("5\r\nhel")),
+            WaitingClient::send(&queueing.sidecar, &chunked("5\r\nhel")),
         )
     }));
     let request = post_request("unsafe", "60", &"y".repeat(90_000));
-    let mut staying_client = WaitingClient::with(&queueing.sidecar, &request);
+    let mut staying_client = WaitingClient::send(&queueing.sidecar, &request);
     // A large body is not read while it is queued, so that it does not count as pending yet.
     queueing.wait_for_pending(4);
     queueing.wait_until("all large requests are accepted", |sidecar| {
@@ -212,7 +212,7 @@
 /// Guards attempts whose connection is established late: nothing is written once the client has disconnected, whether or
 /// not attempts may be cancelled.
 #[test]
-fn late_endpoint_connection_carries_nothing_after_the_client_disconnects() {
+fn disconnect_cancels_connecting_request() {
     for cancel in [true, false] {
         let full_backlog_endpoint = FullBacklogEndpoint::start();
         let discovery = Discovery::start();
@@ -228,10 +228,10 @@
         };
         let disconnecting: Vec<_> = ALL_DISCONNECTS
             .into_iter()
-            .map(|how| (how, WaitingClient::with(&sidecar, &get_request("10"))))
+            .map(|how| (how, WaitingClient::send(&sidecar, &get_request("10"))))
             .collect();
         let request = get_request("10");
-        let staying_client = WaitingClient::with(&sidecar, &request);
+        let staying_client = WaitingClient::send(&sidecar, &request);
         pending(9);
         for (how, client) in disconnecting {
             client.disconnect(how);
@@ -260,21 +260,21 @@
 
 /// Guards a queued retry: a request that failed once waits for another endpoint when its client disconnects.
 #[test]
-fn queued_retry_is_not_sent_after_its_client_disconnects() {
+fn disconnect_cancels_queued_retry() {
     let failing = Endpoint::start(|message| match message.header("x-class") {
         Some("safe") => {
             EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
         }
         _ => respond_ok("x"),
     });
-    let mut queueing = QueueingSidecar::with(|config| {
+    let mut queueing = QueueingSidecar::with_config(|config| {
         config["known"]["endpoints"] = json!(serving_entries(&[&failing]));
     });
     // These requests earn the retry budget.
-    let mut earning = queueing.sidecar.client();
+    let mut earning_client = queueing.sidecar.client();
     for _ in 0..20 {
         assert_eq!(
-            earning
+            earning_client
                 .exchange(&post_request("unsafe", "10", "x"))
                 .status(),
             200
@@ -286,7 +286,7 @@
         Disconnect::ByReset(PipelinedBytes::Nothing),
     ] {
         let request = get_request("60");
-        let client = WaitingClient::with(&queueing.sidecar, &request);
+        let client = WaitingClient::send(&queueing.sidecar, &request);
         assert_eq!(
             failing.next_request().message.header("x-request-id"),
             Some(&*request_id(&request))
@@ -305,7 +305,7 @@
     queueing.wait_until("the other endpoint is listed", |sidecar| {
         sidecar.metric("members") == Some(2)
     });
-    let mut next_client = WaitingClient::with(&queueing.sidecar, &get_request("60"));
+    let mut next_client = WaitingClient::send(&queueing.sidecar, &get_request("60"));
     assert!(next_client.is_served(), "its retry is sent there");
     assert_eq!(
         queueing.received_request_ids().len(),
@@ -316,7 +316,7 @@
 
 /// Guards requests that stay queued in the balancer for lack of an endpoint during a drain, a shutdown or a hot restart.
 #[test]
-fn queued_request_is_not_sent_after_a_disconnect_during_a_lifecycle_change() {
+fn disconnect_cancels_queued_request_during_lifecycle_change() {
     for change in LIFECYCLE_CHANGES {
         let directory = temporary_directory();
         let mut queueing = QueueingSidecar::start(
@@ -328,14 +328,14 @@
             .map(|how| {
                 (
                     how,
-                    WaitingClient::with(&queueing.sidecar, &get_request("60")),
+                    WaitingClient::send(&queueing.sidecar, &get_request("60")),
                 )
             })
             .collect();
         let request = get_request("60");
-        let mut staying_client = WaitingClient::with(&queueing.sidecar, &request); // the last, so that the others would be sent first
+        let mut staying_client = WaitingClient::send(&queueing.sidecar, &request); // the last, so that the others would be sent first
         queueing.wait_for_pending(9);
-        let next = apply_change(change, &queueing.sidecar, &directory, &queueing.endpoint);
+        let new_process = apply_change(change, &queueing.sidecar, &directory, &queueing.endpoint);
         for (how, client) in disconnecting {
             client.disconnect(how);
         }
@@ -348,7 +348,7 @@
             "{change:?}"
         );
         assert_eq!(
-            next.map_or(0, |next| next
+            new_process.map_or(0, |new_process| new_process
                 .metric("upstream_requests")
                 .expect("a metric")),
             0
@@ -359,7 +359,7 @@
 
 /// Guards requests whose connection to an endpoint is being established during a drain, a shutdown or a hot restart.
 #[test]
-fn connecting_request_is_not_sent_after_a_disconnect_during_a_lifecycle_change() {
+fn disconnect_cancels_connecting_request_during_lifecycle_change() {
     for change in LIFECYCLE_CHANGES {
         let directory = temporary_directory();
         let discovery = Discovery::start();
@@ -375,13 +375,13 @@
             });
         };
         let request = get_request("10");
-        let staying_client = WaitingClient::with(&sidecar, &request);
+        let staying_client = WaitingClient::send(&sidecar, &request);
         let disconnecting: Vec<_> = ALL_DISCONNECTS
             .into_iter()
-            .map(|how| (how, WaitingClient::with(&sidecar, &get_request("10"))))
+            .map(|how| (how, WaitingClient::send(&sidecar, &get_request("10"))))
             .collect();
         pending(9);
-        let next = apply_change(change, &sidecar, &directory, &endpoint);
+        let new_process = apply_change(change, &sidecar, &directory, &endpoint);
         for (how, client) in disconnecting {
             client.disconnect(how);
         }
@@ -394,7 +394,7 @@
         );
         assert_eq!(sidecar.metric("upstream_requests"), Some(1), "{change:?}");
         assert_eq!(
-            next.map_or(0, |next| next
+            new_process.map_or(0, |new_process| new_process
                 .metric("upstream_requests")
                 .expect("a metric")),
             0
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -25,7 +25,7 @@
 const SILENT_CLIENTS: usize = 50;
 /// Connections to the operators' address with an incomplete call. With as many as fit, each new one would close another,
 /// and also a complete call that is written slowly.
-const PARTIAL_CALLS: usize = 12;
+const INCOMPLETE_OPERATOR_CALLS: usize = 12;
 /// Reconnects after which every descriptor that was freed is certainly taken again.
 const SATURATION_RECONNECTS: usize = 300;
 /// Pause between two rounds over the connections, which leaves processor time to the sidecar.
@@ -80,7 +80,7 @@
         let kinds = [
             (IDLE_CLIENTS, sidecar.address, readiness_check),
             (SILENT_CLIENTS, sidecar.address, ""),
-            (PARTIAL_CALLS, sidecar.admin(), "STA"),
+            (INCOMPLETE_OPERATOR_CALLS, sidecar.admin(), "STA"),
         ];
         let clients = kinds.into_iter().flat_map(|(count, address, request)| {
             (0..count).map(move |_| ReconnectingClient::new(address, request))
@@ -186,7 +186,7 @@
 
 /// Guards the descriptors that are reserved from callers: while discovery is down clients take all others, also the one of
 /// the watch. Operators' calls, requests and endpoints get descriptors throughout, and the watch does once discovery is back.
-fn check_with_every_descriptor_held_by_clients(network_address: &str, mode: &str) {
+fn assert_reserved_descriptors_suffice(network_address: &str, mode: &str) {
     // No other test uses this network address, so that the port stays free while discovery is down.
     let start = format!("{network_address}:0").parse().expect("an address");
     let respond = |message: &Message| {
@@ -210,8 +210,8 @@
     idle_clients.wait_until_saturated(&sidecar);
     assert_operators_are_answered(&sidecar);
     assert_request_is_served(&sidecar);
-    let started = Endpoint::start(|_| respond_ok(""));
-    let changed: Vec<Value> = vec![entry("started", started.address, "SERVING")];
+    let new_endpoint = Endpoint::start(|_| respond_ok(""));
+    let changed: Vec<Value> = vec![entry("started", new_endpoint.address, "SERVING")];
     let discovery = ManualDiscovery::start_at(address);
     let mut watch = discovery.next_open_call();
     assert!(watch.is_watch_since(41), "{}", watch.request_line);
@@ -223,25 +223,25 @@
     idle_clients.wait_until_saturated(&sidecar);
     assert_operators_are_answered(&sidecar);
     assert_request_is_served(&sidecar);
-    started.next_request();
+    new_endpoint.next_request();
     let log = sidecar.log().join("\n");
     assert!(!log.contains("Too many open files"), "{log}");
 }
 
 #[test]
-fn agent_reconnects_while_clients_hold_every_descriptor() {
-    check_with_every_descriptor_held_by_clients("127.21.0.1", "automatic");
+fn reserved_descriptors_suffice_in_pushed_mode() {
+    assert_reserved_descriptors_suffice("127.21.0.1", "automatic");
 }
 
 #[test]
-fn discovery_reconnects_while_clients_hold_every_descriptor() {
-    check_with_every_descriptor_held_by_clients("127.21.0.2", "subscribe");
+fn reserved_descriptors_suffice_in_on_request_mode() {
+    assert_reserved_descriptors_suffice("127.21.0.2", "subscribe");
 }
 
 /// Guards the descriptors of attempts against queued requests: with as many queued as the callers' limit allows, each is
 /// served once endpoints are listed.
 #[test]
-fn attempts_connect_while_queued_requests_hold_the_callers_descriptors() {
+fn attempts_get_descriptors_while_callers_hold_theirs() {
     let discovery = ManualDiscovery::start();
     let sidecar = start_limited(&discovery, &[], "automatic");
     let mut watch = discovery.next_call();
@@ -282,7 +282,7 @@
 /// Guards the descriptors against connections in a lingering close after an early response: they are evicted like others.
 /// All requests arrive before the sidecar reads the first, and no client closes.
 #[test]
-fn operators_are_answered_while_early_responses_linger() {
+fn connections_in_lingering_close_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = ManualDiscovery::start();
     let sidecar = start_limited(&discovery, &[&endpoint], "automatic");
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -20,8 +20,8 @@
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     let (mut busy, mut idle, mut waiting) = (sidecar.client(), sidecar.client(), sidecar.client());
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
-    let mut front = sidecar.client();
-    assert_eq!(front.exchange(READY_REQUEST).status(), 200);
+    let mut readiness_client = sidecar.client();
+    assert_eq!(readiness_client.exchange(READY_REQUEST).status(), 200);
     waiting.write(&post_request("unsafe", "15", "x"));
     while endpoint.next_request().message.header("x-class") != Some("unsafe") {}
     assert!(sidecar.call_is_yes("DRAIN"));
@@ -31,7 +31,7 @@
         "a second command changes nothing"
     );
     assert!(!sidecar.call_is_yes("READY"));
-    assert_eq!(front.exchange(READY_REQUEST).status(), 503);
+    assert_eq!(readiness_client.exchange(READY_REQUEST).status(), 503);
     assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 503);
     // The caller sends requests until a response closes its connection.
     loop {
@@ -77,7 +77,7 @@
 
 /// `UNDRAIN` cancels the remaining steps of a drain, and changes nothing without one.
 #[test]
-fn undrain_cancels_the_remaining_steps_of_a_drain() {
+fn undrain_cancels_remaining_drain_steps() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -12,13 +12,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// An endpoint with a full accept queue, so that no further connection is established for now.
-struct FullEndpoint {
+struct FullQueueEndpoint {
     listener: TcpListener,
     address: SocketAddr,
     _queued: TcpStream,
 }
 
-impl FullEndpoint {
+impl FullQueueEndpoint {
     fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -27,7 +27,7 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
         let queued = TcpStream::connect(address).expect("the queue takes one");
-        FullEndpoint {
+        FullQueueEndpoint {
             listener,
             address,
             _queued: queued,
@@ -72,7 +72,7 @@
     requests
 }
 
-fn start_sidecar(endpoint: &FullEndpoint) -> (Sidecar, Discovery) {
+fn start_sidecar(endpoint: &FullQueueEndpoint) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -85,9 +85,9 @@
 /// When the first dial is late, a further one that is established carries the request, which is written once. The first
 /// alone would take 1 s.
 #[test]
-fn a_request_is_sent_once_over_the_first_established_dial() {
+fn request_is_sent_once_on_first_established_dial() {
     for request in [get_request("5"), post_request("unsafe", "5", "hello")] {
-        let endpoint = FullEndpoint::start();
+        let endpoint = FullQueueEndpoint::start();
         let (sidecar, _discovery) = start_sidecar(&endpoint);
         let mut client = sidecar.client();
         client.write(&request);
@@ -112,8 +112,8 @@
 /// Dials are limited in number, so that they flood neither endpoints nor descriptors, and in time by the connect
 /// timeout.
 #[test]
-fn a_request_is_rejected_at_the_connect_timeout_after_three_dials() {
-    let endpoint = FullEndpoint::start();
+fn dials_are_limited_in_number_and_time() {
+    let endpoint = FullQueueEndpoint::start();
     let (mut sidecar, _discovery) = start_sidecar(&endpoint);
     let sent_at = Instant::now();
     assert_eq!(
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -96,7 +96,7 @@
 
 /// A client that waits for `100 Continue` gets it, and its body is forwarded.
 #[test]
-fn a_client_that_expects_100_continue_gets_it() {
+fn expect_100_continue_is_answered() {
     let endpoint = RawEndpoint::start(|head, stream| {
         let is_complete = read_body(head, stream).is_some();
         assert!(is_complete && header(head, "expect").is_none(), "{head}");
@@ -125,7 +125,7 @@
 /// Once some of a body that is not buffered has been forwarded there is no second attempt, whatever the class. As the
 /// request never ran, it is rejected: trying again is harmless.
 #[test]
-fn a_streamed_request_is_not_sent_twice() {
+fn partly_forwarded_request_is_not_retried() {
     for class in ["keyed", "unsafe"] {
         let endpoints = [0, 1].map(|_| {
             RawEndpoint::start(|_, stream| {
@@ -163,7 +163,7 @@
 /// When the first attempt fails before its first byte, all that has been received is still buffered, and the next
 /// endpoint gets the complete body.
 #[test]
-fn a_large_request_whose_first_attempt_never_began_is_retried() {
+fn large_request_is_retried_after_refused_connection() {
     let endpoint = RawEndpoint::start(|head, stream| {
         let is_complete = read_body(head, stream).is_some_and(|body| body == pattern(body.len()));
         let response = if is_complete { OK } else { INTERNAL_ERROR };
@@ -233,10 +233,10 @@
 /// When a client stops in the middle of a large body, sends a malformed chunk or disconnects, its request ends, and so
 /// does the connection to the endpoint.
 #[test]
-fn an_incomplete_large_request_ends_with_its_attempt() {
+fn incomplete_large_request_ends_its_attempt() {
     let (endpoint, is_complete) = endpoint_reporting_completeness();
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
-    let is_received = || {
+    let is_body_complete = || {
         is_complete
             .recv_timeout(TEST_TIMEOUT)
             .expect("the endpoint's connection ends")
@@ -251,15 +251,15 @@
     // The client stops.
     let mut client = begin("Content-Length: 500000", &pattern(100_000));
     assert_eq!(status(&read_head(&mut client).expect("a response")), "408");
-    assert!(!is_received());
+    assert!(!is_body_complete());
     // The client sends a malformed chunk size.
     let mut client = begin("Transfer-Encoding: chunked", &chunk(&pattern(100_000)));
     send(&mut client, b"not a size\r\n");
     let _ = read_head(&mut client); // a response or a close
-    assert!(!is_received());
+    assert!(!is_body_complete());
     // The client disconnects.
     drop(begin("Content-Length: 500000", &pattern(100_000)));
-    assert!(!is_received());
+    assert!(!is_body_complete());
     wait_until("no request is pending", || {
         sidecar.metric("pending") == Some(0)
     });
@@ -269,7 +269,7 @@
 
 /// A large body at 64 kB a second is received, although it takes longer than a small one may.
 #[test]
-fn a_slow_client_above_the_minimum_rate_is_served() {
+fn slow_client_above_minimum_rate_is_served() {
     let body = Arc::new(pattern(320_000));
     let endpoint = endpoint_expecting(body.clone());
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -13,8 +13,8 @@
 #[test]
 fn large_responses_are_streamed_unchanged() {
     let body = Arc::new(pattern(3 * MB));
-    let (rest_allowed, allow_rest) = channel::<()>();
-    let allow_rest = Mutex::new(allow_rest);
+    let (rest_release, rest_gate) = channel::<()>();
+    let rest_gate = Mutex::new(rest_gate);
     let response_body = body.clone();
     let endpoint = RawEndpoint::start(move |head, stream| {
         let framing = ["content-length", "chunked", "close"]
@@ -35,7 +35,7 @@
         let (first, rest) = response_body.split_at(MB);
         for (number, part) in [first, rest].into_iter().enumerate() {
             if number == 1 {
-                allow_rest
+                rest_gate
                     .lock()
                     .expect("the only user")
                     .recv()
@@ -74,7 +74,7 @@
             Some(1),
             "the response is not complete"
         );
-        rest_allowed.send(()).expect("the endpoint waits");
+        rest_release.send(()).expect("the endpoint waits");
         assert!(
             read_body(&head, &mut client).expect("a complete body") == **body,
             "{framing}"
@@ -94,7 +94,7 @@
 
 /// Many large responses at once, which their clients do not read for a while, wait at the endpoints and not in memory.
 #[test]
-fn responses_that_clients_do_not_read_take_no_memory() {
+fn unread_responses_are_not_buffered() {
     const LARGE: usize = 32 * MB;
     let endpoint = RawEndpoint::start(move |_, stream| {
         let piece = vec![b'x'; MB];
@@ -137,7 +137,7 @@
 /// When a response breaks off after its beginning was forwarded, the client can tell, the request is counted as failed,
 /// and it is not tried again.
 #[test]
-fn a_large_response_that_breaks_off_is_visible_to_its_client() {
+fn truncated_large_response_fails_its_request() {
     for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
         let endpoints = [0, 1].map(|_| {
             RawEndpoint::start(move |_, stream| {
@@ -179,7 +179,7 @@
 
 /// With no memory to buffer a response it is streamed, and arrives completely.
 #[test]
-fn responses_are_streamed_when_the_memory_budget_is_exhausted() {
+fn exhausted_memory_budget_streams_responses() {
     let body = Arc::new(pattern(50_000));
     let response_body = body.clone();
     let endpoint = RawEndpoint::start(move |_, stream| {
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -10,7 +10,7 @@
 /// An endpoint that reports a long queue gets hardly any requests while another one is clear. Implausible values are no
 /// report.
 #[test]
-fn requests_avoid_an_endpoint_with_a_valid_report_of_a_long_queue() {
+fn valid_load_report_of_long_queue_diverts_requests() {
     for (load, is_valid) in [
         ("X-Load: TEXT concurrent=9, depth=8, load_share=1.0", true),
         (
@@ -27,10 +27,10 @@
         ),
     ] {
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{load}\r\n\r\n");
-        let clear = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Load: TEXT concurrent=0, depth=0, load_share=0\r\n\r\n";
+        let idle_response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Load: TEXT concurrent=0, depth=0, load_share=0\r\n\r\n";
         let endpoints = [
             Endpoint::start(move |_| EndpointAction::Respond(response.clone())),
-            Endpoint::start(|_| EndpointAction::Respond(clear.into())),
+            Endpoint::start(|_| EndpointAction::Respond(idle_response.into())),
         ];
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
@@ -45,7 +45,7 @@
 /// Where a response's end cannot be known, or is not worth waiting for, the request may have run. It fails at once and
 /// not at its timeout, and the connection is closed.
 #[test]
-fn a_malformed_response_fails_the_request_at_once() {
+fn malformed_response_fails_its_request_at_once() {
     let long_headers = "X-Pad: pppppppppppppppppppppppppppppp\r\n".repeat(2000);
     let hints = "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(200);
     for response in [
@@ -82,7 +82,7 @@
 /// Informational responses may precede a response, and extra bytes may follow it. The response is served, and the extra
 /// bytes are not taken for the next request's response.
 #[test]
-fn a_valid_response_with_extra_bytes_is_served() {
+fn valid_response_with_extra_bytes_is_served() {
     let response_with = |id: &str| {
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
@@ -121,7 +121,7 @@
 /// Once a response has reached the client its endpoint sends a second one, or closes the connection. The next request,
 /// which is sent meanwhile, must not be on that connection.
 #[test]
-fn a_late_second_response_does_not_reach_the_next_request() {
+fn late_second_response_does_not_reach_next_request() {
     for closes_connection in [false, true] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -43,7 +43,7 @@
 
 /// A connection that has carried one attempt carries the next one that may be repeated.
 #[test]
-fn a_repeatable_request_reuses_an_idle_connection() {
+fn repeatable_request_reuses_idle_connection() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
@@ -60,7 +60,7 @@
 
 /// The connections that a burst needed carry the next burst. Once the endpoint is quiet the surplus ones are closed.
 #[test]
-fn connections_of_a_burst_are_reused_and_surplus_ones_close_when_quiet() {
+fn burst_connections_are_reused_until_endpoint_is_quiet() {
     const BURST: usize = 8;
     const MAX_IDLE_WHEN_QUIET: usize = 4;
     let all_received = Barrier::new(BURST);
@@ -104,7 +104,7 @@
 
 /// A closed connection does not stay in the pool: an unsafe request that is written to one would be lost.
 #[test]
-fn a_connection_closed_by_the_endpoint_is_not_reused() {
+fn closed_connection_is_not_reused() {
     let endpoint = Endpoint::start(|_| EndpointAction::RespondThenClose(OK_RESPONSE.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
@@ -120,7 +120,7 @@
 /// An endpoint may reset an idle connection at the next request, which may have run by then. A request that must not
 /// run twice is therefore never written to one.
 #[test]
-fn an_unsafe_request_gets_a_new_connection() {
+fn unsafe_request_gets_new_connection() {
     let endpoint = Endpoint::start(|_| EndpointAction::RespondThenReset(OK_RESPONSE.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
@@ -136,7 +136,7 @@
 
 /// An idle connection is closed by the sidecar before its endpoint's idle timeout.
 #[test]
-fn an_idle_connection_is_closed_before_the_endpoint_closes_it() {
+fn idle_connection_is_closed_before_endpoint_timeout() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
@@ -155,7 +155,7 @@
 /// Once written, an unsafe request without a valid response may have run. It is neither sent again nor rejected, as a
 /// rejection says that trying again is harmless.
 #[test]
-fn an_unsafe_request_that_may_have_run_fails() {
+fn unsafe_request_that_may_have_run_fails() {
     for answer in [
         "",                                                                    // closed without a response
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",                   // a truncated body
@@ -183,7 +183,7 @@
 
 /// A rejected attempt never ran, so an unsafe request may be sent again. The endpoint's own status is not forwarded.
 #[test]
-fn an_unsafe_request_that_the_endpoint_rejected_is_retried() {
+fn rejected_unsafe_request_is_retried() {
     for status in ["503", "504"] {
         let is_first_unsafe = Arc::new(AtomicBool::new(true));
         let endpoints = [0, 1].map(|_| {
@@ -223,7 +223,7 @@
 /// Nothing runs where the connection is refused, so an unsafe request may be tried again: it is rejected and does not
 /// fail.
 #[test]
-fn a_refused_connection_rejects_an_unsafe_request() {
+fn refused_connection_rejects_unsafe_request() {
     let discovery = Discovery::start();
     // The local port of an open connection: nobody listens on it, and it is assigned to nobody else.
     let connection = TcpStream::connect(discovery.address).expect("a connection");
@@ -244,7 +244,7 @@
 /// An attempt without a response times out after the latency objective, closes its connection and is not repeated. The
 /// decision module ends the request, and not the fallback at the deadline, which writes a log line.
 #[test]
-fn an_attempt_without_response_times_out_once() {
+fn attempt_without_response_times_out_once() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
@@ -273,7 +273,7 @@
 
 /// When a client disconnects its attempt is cancelled, which closes the attempt's connection.
 #[test]
-fn a_disconnected_client_cancels_its_attempt() {
+fn client_disconnect_cancels_attempt() {
     for request in [get_request("10"), post_request("unsafe", "10", "x")] {
         let endpoint = Endpoint::start(|_| EndpointAction::Hang);
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
@@ -293,7 +293,7 @@
 
 /// A request that cannot be answered by its deadline is rejected at once, with a Retry-After header.
 #[test]
-fn a_request_with_too_short_a_deadline_is_rejected_with_retry_after() {
+fn too_short_deadline_is_rejected_with_retry_after() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let reply = sidecar
@@ -309,7 +309,7 @@
 /// An invalid request gets a status that says what is wrong, on a connection that stays open. It is never rejected,
 /// which would have the client try again.
 #[test]
-fn an_invalid_request_fails_and_its_connection_stays_open() {
+fn invalid_request_leaves_connection_open() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let request_with =
@@ -389,7 +389,7 @@
 
 /// A second request with the id of a pending one would never be answered, so it gets a conflict.
 #[test]
-fn the_id_of_a_pending_request_is_a_conflict() {
+fn id_of_pending_request_is_a_conflict() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let request = get_request("3");
--- a/tests/sidecar/settings_isolation.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A configuration without tenants and keys.
-fn bakery_config(mut config: Value) -> Value {
+fn single_tenant_config(mut config: Value) -> Value {
     let settings = &mut config["settings"];
     settings["categories"] = json!([
         {"name": "menu", "effect": "free", "keyScope": "all", "memorySpanNs": 1u64, "worth": 1.0, "lateShare": 0.0,
@@ -22,7 +22,7 @@
 }
 
 /// A configuration with tenants, keys and other limits.
-fn archive_config(mut config: Value) -> Value {
+fn multi_tenant_config(mut config: Value) -> Value {
     let settings = &mut config["settings"];
     settings["categories"] = json!([
         {"name": "fetch", "effect": "free", "keyScope": "all", "memorySpanNs": 1u64, "worth": 3.0, "lateShare": 0.5,
@@ -39,7 +39,7 @@
     config
 }
 
-fn read_request(class: &str, deadline: &str, headers: &str) -> String {
+fn class_request(class: &str, deadline: &str, headers: &str) -> String {
     get_request(deadline).replace("X-Class: safe", &format!("X-Class: {class}{headers}"))
 }
 
@@ -52,11 +52,11 @@
         .expect("a deadline")
 }
 
-fn assert_bakery_in_force(sidecar: &Sidecar, endpoint: &Endpoint) {
+fn assert_single_tenant_in_force(sidecar: &Sidecar, endpoint: &Endpoint) {
     let mut client = sidecar.client();
     endpoint.take_request_count();
     assert_eq!(
-        client.exchange(&read_request("menu", "9", "")).status(),
+        client.exchange(&class_request("menu", "9", "")).status(),
         200,
         "no tenant is required"
     );
@@ -67,40 +67,42 @@
         "nor a key"
     );
     assert!(next_time_left(endpoint) > 7.0);
-    let rejected = client.exchange(&read_request("menu", "0", ""));
+    let rejected = client.exchange(&class_request("menu", "0", ""));
     assert_eq!(
         (rejected.status(), rejected.header("retry-after")),
         (503, Some("3.5"))
     );
     assert_eq!(
         client
-            .exchange(&read_request("fetch", "9", "\r\nX-Tenant: north"))
+            .exchange(&class_request("fetch", "9", "\r\nX-Tenant: north"))
             .status(),
         400
     );
 }
 
-fn assert_archive_in_force(sidecar: &Sidecar, endpoint: &Endpoint) {
+fn assert_multi_tenant_in_force(sidecar: &Sidecar, endpoint: &Endpoint) {
     let mut client = sidecar.client();
     let north = "\r\nX-Tenant: north";
     wait_until("requests sent before the reload are over", || {
-        client.exchange(&read_request("menu", "9", north)).status() == 400
+        client.exchange(&class_request("menu", "9", north)).status() == 400
     });
     endpoint.take_request_count();
     assert_eq!(
-        client.exchange(&read_request("fetch", "9", north)).status(),
+        client
+            .exchange(&class_request("fetch", "9", north))
+            .status(),
         200
     );
     let time_left = next_time_left(endpoint);
     assert!(time_left <= 5.0 && time_left > 3.0, "{time_left}");
     assert_eq!(
-        client.exchange(&read_request("fetch", "9", "")).status(),
+        client.exchange(&class_request("fetch", "9", "")).status(),
         400,
         "the tenant is required"
     );
     assert_eq!(
         client
-            .exchange(&read_request("fetch", "9", "\r\nX-Tenant: west"))
+            .exchange(&class_request("fetch", "9", "\r\nX-Tenant: west"))
             .status(),
         400
     );
@@ -109,7 +111,7 @@
     let keyed =
         post_request("pay", "9", "x").replace("pay", &format!("pay{north}\r\nIdempotency-Key: k"));
     assert_eq!(client.exchange(&keyed).status(), 200);
-    let rejected = client.exchange(&read_request("fetch", "0", north));
+    let rejected = client.exchange(&class_request("fetch", "0", north));
     assert_eq!(
         (rejected.status(), rejected.header("retry-after")),
         (503, None)
@@ -119,7 +121,7 @@
 /// Guards early rejections, which the balancer does not see: they carry Retry-After as all others do, if the settings allow
 /// it. One request may be open, and there is no memory for any body.
 #[test]
-fn early_rejections_carry_retry_after_where_settings_allow_it() {
+fn early_rejections_carry_allowed_retry_after() {
     for (allowed, retry_after) in [(true, Some("2")), (false, None)] {
         let endpoint = Endpoint::start(|_| EndpointAction::Hang);
         let discovery = Discovery::start();
@@ -150,7 +152,7 @@
 /// Guards against names or values of one deployment in the code: two unlike sets of settings from the start, and each after
 /// the other by SIGHUP. Only an open request keeps its class, and idle connections are kept as the new limits say.
 #[test]
-fn reload_to_unlike_settings_leaves_nothing_of_the_first_behind() {
+fn reload_replaces_all_settings() {
     let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |message| {
         if message.body == b"blocks" {
@@ -160,10 +162,13 @@
     });
     let discovery = Discovery::start();
     let plain = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
-    let (bakery, archive) = (bakery_config(plain.clone()), archive_config(plain));
-    assert_archive_in_force(&Sidecar::start(&archive), &endpoint);
+    let (single_tenant, multi_tenant) = (
+        single_tenant_config(plain.clone()),
+        multi_tenant_config(plain),
+    );
+    assert_multi_tenant_in_force(&Sidecar::start(&multi_tenant), &endpoint);
 
-    let path = temporary_file(&bakery.to_string());
+    let path = temporary_file(&single_tenant.to_string());
     let sidecar = Sidecar::start_with_file(&path);
     let reload = |config: &Value, reload_count| {
         std::fs::write(&path, config.to_string()).expect("the file is written");
@@ -172,7 +177,7 @@
             sidecar.metric("config_reloads") == Some(reload_count)
         });
     };
-    assert_bakery_in_force(&sidecar, &endpoint);
+    assert_single_tenant_in_force(&sidecar, &endpoint);
     let mut pending = sidecar.client();
     pending.write(&post_request("pay", "19", "blocks"));
     assert!(next_time_left(&endpoint) > 15.0);
@@ -180,22 +185,25 @@
     assert_eq!(
         sidecar
             .client()
-            .exchange(&read_request("menu", "9", ""))
+            .exchange(&class_request("menu", "9", ""))
             .status(),
         200
     );
     let idle_connection = endpoint.next_request().connection;
-    reload(&archive, 1);
+    reload(&multi_tenant, 1);
     std::thread::sleep(Duration::from_millis(800)); // past 0.7 s, for which the second limits keep it
-    let archive_request = post_request("pay", "9", "x")
+    let multi_tenant_request = post_request("pay", "9", "x")
         .replace("pay", "pay\r\nX-Tenant: north\r\nIdempotency-Key: k");
-    assert_eq!(sidecar.client().exchange(&archive_request).status(), 200);
+    assert_eq!(
+        sidecar.client().exchange(&multi_tenant_request).status(),
+        200
+    );
     assert_ne!(
         endpoint.next_request().connection,
         idle_connection,
         "it was idle for too long"
     );
-    assert_archive_in_force(&sidecar, &endpoint);
+    assert_multi_tenant_in_force(&sidecar, &endpoint);
     opener.release_one();
     assert_eq!(
         pending
@@ -204,14 +212,14 @@
             .status(),
         200
     );
-    reload(&bakery, 2);
+    reload(&single_tenant, 2);
     wait_until("requests sent before the reload are over", || {
         sidecar
             .client()
-            .exchange(&read_request("fetch", "9", "\r\nX-Tenant: north"))
+            .exchange(&class_request("fetch", "9", "\r\nX-Tenant: north"))
             .status()
             == 400
     });
-    assert_bakery_in_force(&sidecar, &endpoint);
+    assert_single_tenant_in_force(&sidecar, &endpoint);
     std::fs::remove_file(path).expect("the file goes");
 }
