--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -121,7 +121,8 @@
 /// run twice is therefore never written to one.
 #[test]
 fn unsafe_request_gets_new_connection() {
-    let endpoint = Endpoint::start(|_| EndpointAction::RespondThenReset(OK_RESPONSE.into()));
+    let endpoint =
+        Endpoint::start(|_| EndpointAction::RespondThenCloseOnNextRequest(OK_RESPONSE.into()));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
     for _ in 0..8 {
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -14,7 +14,7 @@
     /// Writes this response and closes the connection.
     RespondThenClose(String),
     /// Writes this response, and resets the connection at the next request on it.
-    RespondThenReset(String),
+    RespondThenCloseOnNextRequest(String),
     /// Writes nothing until the sidecar closes the connection.
     Hang,
 }
@@ -118,8 +118,8 @@
     respond: &dyn Fn(&Message) -> EndpointAction,
 ) {
     let mut reader = BufReader::new(stream);
-    let mut resets_at_next_request = false;
-    while let Some(message) = read_message(&mut reader).filter(|_| !resets_at_next_request) {
+    let mut closes_on_next_request = false;
+    while let Some(message) = read_message(&mut reader).filter(|_| !closes_on_next_request) {
         let _ = events.send(EndpointEvent::Request(ReceivedRequest {
             connection,
             message: message.clone(),
@@ -127,8 +127,8 @@
         let (response, closes) = match respond(&message) {
             EndpointAction::Respond(response) => (response, false),
             EndpointAction::RespondThenClose(response) => (response, true),
-            EndpointAction::RespondThenReset(response) => {
-                resets_at_next_request = true;
+            EndpointAction::RespondThenCloseOnNextRequest(response) => {
+                closes_on_next_request = true;
                 (response, false)
             }
             EndpointAction::Hang => continue, // the next read waits until the connection is closed
