--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Callers that send invalid, incomplete or oversized requests, or nothing, or that are too many.
+//! Callers that send invalid, incomplete or oversized requests or none at all, and callers that are too many.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -16,7 +16,7 @@
     config
 }
 
-/// Writes a text on a new connection and reads until its end; an error where it was reset.
+/// Writes a text on a new connection and reads until its end. Returns an error if the connection is reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
@@ -33,8 +33,8 @@
     )
 }
 
-/// Guards against request smuggling: where a body ends must not depend on who reads it. The request gets one response,
-/// nothing after it is read as a request, and no endpoint receives any of it.
+/// Guards against request smuggling, which needs two readers that disagree on the end of a body. A request with an
+/// ambiguous length gets one response, nothing after it is read as a request, and no endpoint receives any of it.
 #[test]
 fn ambiguous_body_length_gets_400() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -82,8 +82,8 @@
     }
 }
 
-/// Guards against requests that do not end: incomplete heads and bodies get an error, and a silent connection is closed, long
-/// before the requests' deadline. A head that is too long or malformed is answered at once.
+/// Guards against requests that do not end. Long before the requests' deadline, incomplete heads and bodies get an
+/// error and a silent connection is closed. A head that is too long or malformed is answered at once.
 #[test]
 fn incomplete_requests_and_silent_connections_time_out() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -123,14 +123,14 @@
     });
     assert!(
         started_at.elapsed() < Duration::from_secs(5),
-        "the requests' own deadline: {:?}",
+        "not before the requests' deadline: {:?}",
         started_at.elapsed()
     );
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the response to a request that is rejected while its body comes: closing with bytes unread would reset the
-/// connection, and the response would be lost. The 60 MB are not buffered, either.
+/// Guards an error response that is sent while the request's body still arrives. Closing the connection with unread
+/// bytes would reset it, and the response would be lost. The 60 MB are not buffered, either.
 #[test]
 fn early_error_response_is_readable() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -155,7 +155,8 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards what is stored of a request: ids and keys have a maximum length, and a deadline is capped by its class.
+/// Guards the size of the data stored for a request. Ids and keys have a maximum length, and a deadline is capped by
+/// its class.
 #[test]
 fn long_ids_get_400_and_deadlines_are_capped() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -193,7 +194,7 @@
     assert!(time_left.expect("a deadline") <= 10.0, "{time_left:?}");
 }
 
-/// Guards a request against a second one with its id, which is rejected.
+/// Guards a pending request against a second one with the same id. The second gets 409, and the first is served.
 #[test]
 fn repeated_id_gets_409() {
     let (opener, gate) = response_gate();
@@ -215,8 +216,8 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the descriptors against clients that connect and send nothing, or part of a request: with hundreds of them a
-/// caller is still served, over new connections to endpoints, and the watch can be opened again.
+/// Guards the descriptors against clients that connect and send nothing or part of a request. With hundreds of them
+/// callers are still served, over new connections to endpoints, and the watch can be opened again.
 #[test]
 fn requests_are_served_during_connection_flood() {
     let endpoint = Endpoint::start(|_| {
@@ -252,7 +253,7 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards slow callers among many idle clients: one whose head comes in pieces is not evicted while others are idle.
+/// Guards slow callers among many idle clients: one whose head arrives in pieces is not evicted while others are idle.
 #[test]
 fn eviction_spares_slow_head() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -266,7 +267,7 @@
     let mut idle = Vec::new();
     for piece in request.as_bytes().chunks(request.len().div_ceil(5)) {
         slow.write_all(piece).expect("it is open");
-        // In all more than the callers' limit on descriptors.
+        // All rounds together open more connections than the callers' limit on descriptors.
         for _ in 0..20 {
             let mut client = sidecar.client();
             assert_eq!(
@@ -283,8 +284,8 @@
     assert_eq!(&answer, b"HTTP/1.1 200");
 }
 
-/// Guards new callers among many idle clients: those that connect at the same time do not evict each other before their
-/// requests come, while others are idle. A stall of the machine may spoil one round, not five.
+/// Guards new callers among many idle clients. As long as others are idle, callers that connect at the same time do not
+/// evict each other before their requests arrive. A stall of the machine may spoil one round, but not all five.
 #[test]
 fn eviction_spares_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
--- a/tests/sidecar/cancellation_support/connection_close.rs
+++ b/tests/sidecar/cancellation_support/connection_close.rs
@@ -7,18 +7,19 @@
 /// How a client closes its connection.
 #[derive(Clone, Copy, Debug)]
 pub enum CloseKind {
-    /// Both directions, after the written bytes.
+    /// Closes both directions by FIN, after the written bytes.
     Full,
-    /// The sending direction alone, by FIN.
+    /// Closes the sending direction alone, by FIN.
     Half,
-    /// Both directions, by a reset.
+    /// Closes both directions by a reset.
     Reset,
 }
 
 /// Every kind of close.
 pub const CLOSE_KINDS: [CloseKind; 3] = [CloseKind::Full, CloseKind::Half, CloseKind::Reset];
 
-/// Closes a connection. The result keeps the other direction of a half-closed one open.
+/// Closes a connection. Returns the stream after a half close, which keeps the other direction open until it is
+/// dropped.
 pub fn close(stream: TcpStream, kind: CloseKind) -> Option<TcpStream> {
     match kind {
         CloseKind::Full => None,
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -6,14 +6,15 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An endpoint to which connections are not established until the test accepts some, as its backlog is full.
+/// An endpoint whose backlog is full: further connections are not established until the test accepts some.
 pub struct FullBacklogEndpoint {
     listener: TcpListener,
+    /// The connections that fill the backlog.
     filling_connections: Vec<TcpStream>,
 }
 
 impl FullBacklogEndpoint {
-    /// Listens on a free port, and fills the backlog.
+    /// Listens on a free port and fills the backlog: connects until a connection is not established within 300 ms.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Its entry in the endpoint list.
+    /// Returns the endpoint's entry in the endpoint list.
     pub fn entry(&self) -> Value {
         entry(
             "late",
@@ -35,7 +36,7 @@
         )
     }
 
-    /// Accepts a connection of the sidecar's, if one is established.
+    /// Accepts the next connection of the sidecar, if one is established.
     pub fn try_accept(&self) -> Option<TcpStream> {
         let is_filling = |peer| {
             self.filling_connections
@@ -54,7 +55,7 @@
         None
     }
 
-    /// Accepts connections until the sidecar has written on one; returns the text in lower case.
+    /// Accepts connections until the sidecar has written on one. Returns the text in lower case.
     pub fn next_written_text(&self) -> String {
         let mut written = String::new();
         wait_until("something is written", || {
--- a/tests/sidecar/cancellation_support/lifecycle.rs
+++ b/tests/sidecar/cancellation_support/lifecycle.rs
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 
-/// A change in a sidecar's life during which requests stay queued.
+/// A change of a sidecar's state during which requests stay queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleChange {
-    /// The operators' DRAIN.
+    /// The operators' command `DRAIN`.
     Drain,
     /// Graceful shutdown by SIGTERM.
     Shutdown,
@@ -51,12 +51,12 @@
     None
 }
 
-/// What happens to the sidecar between a request and its client's close: nothing, or one of [`LIFECYCLE_CHANGES`].
+/// The lifecycle change between a request and its client's close: `None`, or one of [`LIFECYCLE_CHANGES`].
 fn phases() -> impl Iterator<Item = Option<LifecycleChange>> {
     std::iter::once(None).chain(LIFECYCLE_CHANGES.map(Some))
 }
 
-/// Runs a test in every phase concurrently, each with a sidecar of its own.
+/// Runs a test concurrently for every phase. It starts a sidecar of its own in each.
 pub fn in_every_lifecycle_phase(test: impl Fn(Option<LifecycleChange>) + Sync) {
     thread::scope(|scope| {
         for phase in phases() {
@@ -76,7 +76,7 @@
 }
 
 impl LifecycleSidecar {
-    /// Starts the sidecar with a changed configuration.
+    /// Starts the sidecar with a configuration that `configure` has changed.
     pub fn start(configure: impl FnOnce(&mut Value)) -> Self {
         let directory = temporary_directory();
         let queueing = QueueingSidecar::start(configure, |config| {
--- a/tests/sidecar/cancellation_support/queueing_sidecar.rs
+++ b/tests/sidecar/cancellation_support/queueing_sidecar.rs
@@ -3,7 +3,7 @@
 use crate::stubs::*;
 use serde_json::{Value, json};
 
-/// A sidecar without endpoints, so that it queues all requests, and an endpoint that can be listed.
+/// A sidecar without endpoints, which therefore queues all requests, and an endpoint that the test can list.
 pub struct QueueingSidecar {
     /// The sidecar under test.
     pub sidecar: Sidecar,
@@ -14,12 +14,12 @@
 }
 
 impl QueueingSidecar {
-    /// Starts the sidecar with a changed configuration.
+    /// Starts the sidecar with a configuration that `configure` has changed.
     pub fn with_config(configure: impl FnOnce(&mut Value)) -> Self {
         Self::start(configure, Sidecar::start)
     }
 
-    /// Starts the sidecar with a changed configuration by `start`.
+    /// Starts the sidecar by `start`, with a configuration that `configure` has changed.
     pub fn start(
         configure: impl FnOnce(&mut Value),
         start: impl FnOnce(&Value) -> Sidecar,
@@ -60,12 +60,12 @@
 
     /// Waits until this number of requests is pending.
     pub fn wait_for_pending(&mut self, count: usize) {
-        self.wait_until(&format!("{count} are pending"), |sidecar| {
+        self.wait_until(&format!("{count} requests are pending"), |sidecar| {
             sidecar.metric("pending") == Some(count as u64)
         });
     }
 
-    /// Lists the endpoint, so that queued requests are sent there.
+    /// Lists the endpoint, which causes queued requests to be sent there.
     pub fn list_endpoint(&mut self) {
         self.write_list(&list(42, false, &serving_entries(&[&self.endpoint])));
     }
--- a/tests/sidecar/cancellation_support/tcp_table.rs
+++ b/tests/sidecar/cancellation_support/tcp_table.rs
@@ -1,23 +1,23 @@
-//! The states of TCP connections as the kernel lists them.
+//! The states of TCP connections, read from `/proc/net/tcp`.
 
 use super::full_backlog_endpoint::FullBacklogEndpoint;
 use std::net::SocketAddr;
 
-/// A TCP socket, its ports and state in the kernel's notation.
+/// A TCP socket, with its ports and state in the notation of `/proc/net/tcp`.
 struct Socket {
     local_port: String,
     peer_port: String,
     state: String,
 }
 
-/// All TCP sockets over IPv4.
+/// Returns all TCP sockets over IPv4.
 fn tcp_sockets() -> impl Iterator<Item = Socket> {
     let listed = std::fs::read_to_string("/proc/net/tcp").expect("the sockets are listed");
     let sockets: Vec<Socket> = listed.lines().skip(1).filter_map(parse_socket).collect();
     sockets.into_iter()
 }
 
-/// Parses one line of the kernel's list; none where the line is cut short.
+/// Parses one line of `/proc/net/tcp`. Returns `None` if the line is incomplete.
 fn parse_socket(line: &str) -> Option<Socket> {
     let mut fields = line.split_whitespace().skip(1);
     let mut port = || Some(fields.next()?.split_once(':')?.1.to_string());
@@ -29,7 +29,7 @@
     })
 }
 
-/// A port in the kernel's notation.
+/// Returns a port in the notation of `/proc/net/tcp`.
 fn hex_port(address: SocketAddr) -> String {
     format!("{:04X}", address.port())
 }
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How a client disconnects, and what it has written after its request by then.
+/// How a client disconnects, and the bytes that it has written after its request by then.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
     /// It closes the connection.
@@ -15,7 +15,7 @@
     ByReset(PipelinedBytes),
 }
 
-/// What a client has written after its request when it disconnects.
+/// The bytes that a client has written after its request when it disconnects.
 #[derive(Clone, Copy, Debug)]
 pub enum PipelinedBytes {
     /// No bytes.
@@ -65,7 +65,7 @@
         };
         self.0.write_all(text.as_bytes()).expect("it is open");
         if let Disconnect::ByReset(_) = how {
-            // The written bytes arrive first, so that they may be unread when the reset comes.
+            // Lets the written bytes arrive first: some may still be unread when the reset arrives.
             std::thread::sleep(Duration::from_millis(20));
             SockRef::from(&self.0)
                 .set_linger(Some(Duration::ZERO))
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns whether a response with status 200 comes.
+    /// Returns whether a response with status 200 arrives.
     pub fn is_served(&mut self) -> bool {
         let mut start = [0; 13];
         self.0.read_exact(&mut start).is_ok() && &start == b"HTTP/1.1 200 "
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -1,9 +1,10 @@
-//! Cancellation by the client: once it has closed its connection no attempt of its request begins, first or retry.
+//! Cancellation by the client: once it has closed its connection no attempt of its request begins, neither the first
+//! nor a retry.
 //!
 //! `client_disconnects.rs` covers first attempts that are queued or connecting. This file covers retries, requests that
-//! wait for the gap of a throttled endpoint, closes that arrive together with the request, and callers that die in an
-//! earlier tier. Each test has a second request in the same place whose client stays: as that one is served, the wait was
-//! over.
+//! wait for the gap of a throttled endpoint, closes that arrive together with the request, and callers in an earlier
+//! tier that end. Each test has a second request in the same place whose client stays. That request is served, which
+//! shows that the wait was over.
 
 use crate::cancellation_support::{
     CLOSE_KINDS, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
@@ -25,10 +26,13 @@
 /// The number of safe requests that earn a test's retry budget.
 const RETRY_EARNING_REQUESTS: usize = 20;
 
-/// An endpoint that serves safe requests, and rejects unsafe ones when the test releases them, by their body.
+/// An endpoint that rejects requests with [`CLOSING_BODY`] or [`STAYING_BODY`] when the test releases them, and serves
+/// all others.
 struct RejectingEndpoint {
     endpoint: Endpoint,
+    /// Releases the rejection of the request with [`CLOSING_BODY`].
     closing: Sender<()>,
+    /// Releases the rejection of the request with [`STAYING_BODY`].
     staying: Sender<()>,
 }
 
@@ -76,7 +80,7 @@
 struct FirstAttempts {
     sidecar: LifecycleSidecar,
     rejecting: RejectingEndpoint,
-    /// The client that closes; none once it has.
+    /// The client that closes its connection; `None` once it has.
     closing: Option<WaitingClient>,
     staying: WaitingClient,
     staying_id: String,
@@ -123,7 +127,7 @@
         self.sidecar.queueing.wait_for_pending(2);
     }
 
-    /// Closes one client's connection, and waits until the sidecar has noticed.
+    /// Closes one client's connection, and waits until the sidecar has noticed. Returns the stream after a half close.
     fn close_client(&mut self, close_kind: CloseKind) -> Option<TcpStream> {
         let closing = self.closing.take().expect("it has not closed yet");
         let half_closed = close(closing.0, close_kind);
@@ -145,7 +149,7 @@
         self.list_other_endpoint(entry("other", address, "SERVING"));
     }
 
-    /// Asserts that the retry of the client that stays is served by the other endpoint, and that no other attempt is made.
+    /// Asserts that the other endpoint serves the retry of the client that stays, and that no other attempt is made.
     fn assert_only_staying_is_retried(&mut self, context: &str) {
         assert!(self.staying.is_served(), "{context}");
         assert_eq!(self.sidecar.attempts(), self.attempts + 1, "{context}");
@@ -188,7 +192,7 @@
     });
 }
 
-/// Reads what has been written on any of these connections.
+/// Reads the text that has been written on these connections.
 fn read_written(connections: &mut [TcpStream]) -> String {
     let mut all = Vec::new();
     for connection in connections {
@@ -202,8 +206,8 @@
     String::from_utf8(all).expect("text")
 }
 
-/// Guards a retry whose connection is established after the close: nothing is written on it, whether or not attempts may
-/// be cancelled.
+/// Guards a retry whose connection is established after the close: nothing is written on it, with or without permission
+/// to cancel attempts.
 #[test]
 fn client_close_cancels_connecting_retry() {
     in_every_lifecycle_phase(|phase| {
@@ -247,7 +251,7 @@
 const THROTTLING_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\
                          X-Load: TEXT concurrent=3, depth=2.3, load_share=0.5\r\n\r\nx";
 
-/// After this time without a request the sidecar measures a low rate, so that gaps last some seconds.
+/// After this time without a request the sidecar measures a low rate, which makes gaps last some seconds.
 const QUIET_TIME: Duration = Duration::from_secs(3);
 
 /// Guards requests that wait for the end of the only endpoint's gap.
@@ -302,9 +306,9 @@
     });
 }
 
-// ---- Closes that come together with the request ----------------------------------------------------------
+// ---- Closes that arrive together with the request --------------------------------------------------------
 
-/// What arrives on a connection at once, directly before the close.
+/// Descriptions and texts of the bytes that arrive on a connection at once, directly before the close.
 fn texts_before_close() -> Vec<(&'static str, String)> {
     let chunked = |end: &str| {
         let head = post_request("unsafe", "60", "")
@@ -336,7 +340,7 @@
         ),
         ("part of a body", partial_body(1000, 10)),
         (
-            "part of a body that is not kept",
+            "part of a body that is not buffered",
             partial_body(300_000, 90_000),
         ),
         ("a body in chunks", chunked("0\r\n\r\n")),
@@ -344,7 +348,7 @@
     ]
 }
 
-/// Sends a request and reads its whole response: a close with unread bytes would be a reset.
+/// Sends a readiness check and reads its whole response, because a close with unread bytes would be a reset.
 fn exchange_readiness_check(connection: &mut TcpStream) {
     connection
         .set_read_timeout(Some(TEST_TIMEOUT))
@@ -356,8 +360,8 @@
     assert_eq!(answer.status(), 200);
 }
 
-/// Guards the moment in which a request is read: with its client's close already there, no attempt is written, on new and
-/// on reused connections, whether or not attempts may be cancelled.
+/// Guards a request that is read when its client's close has already arrived: no attempt is written. The client's
+/// connection is new or reused, and attempts may be cancelled or not.
 #[test]
 fn request_read_with_client_close_is_not_sent() {
     for cancel in [true, false] {
@@ -370,8 +374,9 @@
         for close_kind in CLOSE_KINDS {
             for (description, text) in texts_before_close() {
                 for is_reused in [true, false] {
-                    let context =
-                        format!("{description}, {close_kind:?}, kept {is_reused}, cancel {cancel}");
+                    let context = format!(
+                        "{description}, {close_kind:?}, reused {is_reused}, cancel {cancel}"
+                    );
                     let mut closing = TcpStream::connect(sidecar.address).expect("it accepts");
                     if is_reused {
                         exchange_readiness_check(&mut closing);
@@ -380,7 +385,7 @@
                     sidecar.suspend();
                     closing.write_all(text.as_bytes()).expect("it is open");
                     let _half_closed = close(closing, close_kind);
-                    wait_until("the close is there", || {
+                    wait_until("the close has arrived", || {
                         has_received_close(from, sidecar.address)
                     });
                     sidecar.resume();
@@ -405,8 +410,8 @@
 
 // ---- Later tiers -----------------------------------------------------------------------------------------
 
-/// Guards a later tier against its caller's end: a queued request ends with the process of the earlier tier that sent it,
-/// and with that one's client.
+/// Guards a request queued in a later tier. It is cancelled when the process of the earlier tier that sent it is
+/// killed, and when the client of that process closes its connection.
 #[test]
 fn caller_end_cancels_request_in_later_tier() {
     for caller_dies in [true, false] {
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request waits: wherever it waits, it is not sent, and other requests are served.
+//! Clients that disconnect while their request waits. It is not sent, wherever it waits, and other requests are served.
 
 use crate::cancellation_support::{
     ALL_DISCONNECTS, Disconnect, FullBacklogEndpoint, LIFECYCLE_CHANGES, PipelinedBytes,
@@ -9,8 +9,8 @@
 use std::io::Read;
 use std::time::Duration;
 
-/// Queues requests of clients that disconnect, each in another way, and of clients that stay, and then lists an endpoint.
-/// Each disconnect is counted once, and only the requests of those that stay are sent.
+/// Queues requests of clients that disconnect, each in another way, and of clients that stay, and then lists an
+/// endpoint. Asserts that each disconnect is counted once and that only the requests of clients that stay are sent.
 fn assert_disconnect_cancels_queued_request(configure: impl FnOnce(&mut Value)) {
     let mut queueing = QueueingSidecar::with_config(configure);
     let (mut staying, mut disconnecting, mut ids) = (Vec::new(), Vec::new(), Vec::new());
@@ -67,7 +67,8 @@
     assert_disconnect_cancels_queued_request(|_| {});
 }
 
-/// Guards later tiers, whose client is an endpoint that drops its call, and sites that do not allow attempts to be cancelled.
+/// Guards later tiers, whose client is an endpoint that drops its call, and settings that do not allow attempts to be
+/// cancelled.
 #[test]
 fn disconnect_cancels_queued_request_in_later_tier() {
     assert_disconnect_cancels_queued_request(|config| {
@@ -77,8 +78,8 @@
     });
 }
 
-/// Guards requests that wait for a busy endpoint: two attempts in flight there make a queue in which the class of the
-/// lowest priority waits. It is sent when they are answered.
+/// Guards requests that wait for a busy endpoint. While two attempts are in flight there, requests of the class with
+/// the lowest priority are queued. They are sent when the two attempts are answered.
 #[test]
 fn disconnect_cancels_request_waiting_for_busy_endpoint() {
     let (opener, gate) = response_gate();
@@ -125,8 +126,8 @@
     assert_eq!(received_request_ids, [request_id(&request)]);
 }
 
-/// Guards requests whose body is unread or incomplete, so that no read notices the disconnect, and chunked ones, which are
-/// read together with the bytes after them.
+/// Guards two kinds of requests: those with an unread or incomplete body, for which no read notices the disconnect, and
+/// chunked ones, which are read together with the bytes after them.
 #[test]
 fn disconnect_cancels_request_with_unread_or_partial_body() {
     let mut queueing = QueueingSidecar::with_config(|_| {});
@@ -173,7 +174,7 @@
             ),
         ));
     }
-    // The balancer is given requests that are complete or large; part of a small one is not pending.
+    // Only complete or large requests are passed to the balancer. An incomplete small one is not pending.
     let mut partial: Vec<_> = without_pipelined_bytes
         .map(|how| {
             (
@@ -191,7 +192,7 @@
     }));
     let request = post_request("unsafe", "60", &"y".repeat(90_000));
     let mut staying_client = WaitingClient::send(&queueing.sidecar, &request);
-    // A large body is not read while it is queued, so that it does not count as pending yet.
+    // A large body is not read while its request is queued. Such a request does not count as pending yet.
     queueing.wait_for_pending(4);
     queueing.wait_until("all large requests are accepted", |sidecar| {
         sidecar.logged_count("requests") == 9
@@ -209,8 +210,8 @@
     assert_eq!(queueing.received_request_ids(), [request_id(&request)]);
 }
 
-/// Guards attempts whose connection is established late: nothing is written once the client has disconnected, whether or
-/// not attempts may be cancelled.
+/// Guards attempts whose connection is established late: nothing is written on it once the client has disconnected,
+/// with or without permission to cancel attempts.
 #[test]
 fn disconnect_cancels_connecting_request() {
     for cancel in [true, false] {
@@ -222,7 +223,7 @@
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start(&config);
         let pending = |n| {
-            wait_until(&format!("{n} pending"), || {
+            wait_until(&format!("{n} requests are pending"), || {
                 sidecar.metric("pending") == Some(n)
             });
         };
@@ -291,7 +292,7 @@
             failing.next_request().message.header("x-request-id"),
             Some(&*request_id(&request))
         );
-        // It stays pending after its failure, and waits for an endpoint that has not failed it.
+        // The request stays pending after the failure, and waits for an endpoint that has not failed it.
         queueing.wait_for_pending(1);
         client.disconnect(how);
         queueing.wait_for_pending(0);
@@ -314,7 +315,8 @@
     );
 }
 
-/// Guards requests that stay queued in the balancer for lack of an endpoint during a drain, a shutdown or a hot restart.
+/// Guards requests that stay queued in the balancer for lack of an endpoint during a drain, a shutdown or a hot
+/// restart.
 #[test]
 fn disconnect_cancels_queued_request_during_lifecycle_change() {
     for change in LIFECYCLE_CHANGES {
@@ -333,7 +335,8 @@
             })
             .collect();
         let request = get_request("60");
-        let mut staying_client = WaitingClient::send(&queueing.sidecar, &request); // the last, so that the others would be sent first
+        // This request is the last in the queue: the others would be sent first.
+        let mut staying_client = WaitingClient::send(&queueing.sidecar, &request);
         queueing.wait_for_pending(9);
         let new_process = apply_change(change, &queueing.sidecar, &directory, &queueing.endpoint);
         for (how, client) in disconnecting {
@@ -370,7 +373,7 @@
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start_in_directory(&directory, &config);
         let pending = |n| {
-            wait_until(&format!("{change:?}: {n} pending"), || {
+            wait_until(&format!("{change:?}: {n} requests are pending"), || {
                 sidecar.metric("pending") == Some(n)
             });
         };
@@ -390,7 +393,7 @@
             full_backlog_endpoint
                 .next_written_text()
                 .contains(&request_id(&request)),
-            "{change:?}: it is that of the one that stays"
+            "{change:?}: the request is that of the client that stays"
         );
         assert_eq!(sidecar.metric("upstream_requests"), Some(1), "{change:?}");
         assert_eq!(
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -1,4 +1,4 @@
-//! A sidecar that is short of descriptors, as many idle clients and pending requests hold as many as they may.
+//! A sidecar that is short of descriptors: many idle clients and pending requests hold as many as they may.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -9,24 +9,25 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::Duration;
 
-/// The limit on the process's descriptors, by its configuration and by the system.
+/// The limit on the process's descriptors, both in its configuration and in the system.
 const DESCRIPTOR_LIMIT: usize = 256;
-/// Requests that stay in flight: each holds its caller's connection and the endpoint's.
+/// Requests that stay in flight. Each holds its caller's connection and the one to the endpoint.
 const OPEN_REQUESTS: usize = 100;
-/// Enough endpoints for a few requests each.
+/// The number of endpoints, enough for each to get only a few of the open requests.
 const ENDPOINTS: usize = 50;
-/// The least number of queued requests, most of what the callers' limit allows.
+/// The minimum number of queued requests, which is most of what the callers' limit allows.
 const MIN_QUEUED_REQUESTS: usize = 120;
-/// Descriptors in use from which on the sidecar is saturated: idle clients hold what the open requests leave.
+/// The number of descriptors in use at which the sidecar is saturated: idle clients hold all that the open requests
+/// leave.
 const SATURATED_DESCRIPTORS: usize = 205;
-/// Clients that connect, send one request and stay; more than fit.
+/// Clients that connect, send one request and stay. There are more of them than fit.
 const IDLE_CLIENTS: usize = 150;
 /// Clients that connect and send nothing.
 const SILENT_CLIENTS: usize = 50;
-/// Connections to the operators' address with an incomplete call. With as many as fit, each new one would close another,
-/// and also a complete call that is written slowly.
+/// Connections to the operators' address with an incomplete call. If there were as many as fit, each new one would
+/// close another, possibly one with a complete call that is written slowly.
 const INCOMPLETE_OPERATOR_CALLS: usize = 12;
-/// Reconnects after which every descriptor that was freed is certainly taken again.
+/// The number of reconnects after which every freed descriptor is certainly taken again.
 const SATURATION_RECONNECTS: usize = 300;
 /// Pause between two rounds over the connections, which leaves processor time to the sidecar.
 const ROUND_PAUSE: Duration = Duration::from_millis(5);
@@ -165,7 +166,8 @@
     clients
 }
 
-/// Asserts that a request is served. Like other clients it tries again on a new connection where one was closed unread.
+/// Asserts that a request is served. Like other clients, sends it again on a new connection if one was closed before
+/// the request was read.
 fn assert_request_is_served(sidecar: &Sidecar) {
     wait_until("a request is served", || {
         let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
@@ -184,10 +186,11 @@
     assert_eq!(sidecar.metric("pending"), Some(OPEN_REQUESTS as u64));
 }
 
-/// Guards the descriptors that are reserved from callers: while discovery is down clients take all others, also the one of
-/// the watch. Operators' calls, requests and endpoints get descriptors throughout, and the watch does once discovery is back.
+/// Asserts that the descriptors that callers cannot take suffice for all other uses. While discovery is down, clients
+/// take all the rest, also the one of the watch. Operators' calls, requests and endpoints get descriptors throughout,
+/// and the watch gets one once discovery is back.
 fn assert_reserved_descriptors_suffice(network_address: &str, mode: &str) {
-    // No other test uses this network address, so that the port stays free while discovery is down.
+    // No other test uses this network address: the port stays free while discovery is down.
     let start = format!("{network_address}:0").parse().expect("an address");
     let respond = |message: &Message| {
         if message.body == OPEN_REQUEST_BODY {
@@ -228,18 +231,20 @@
     assert!(!log.contains("Too many open files"), "{log}");
 }
 
+/// Guards the descriptors of a sidecar to which an agent pushes lists.
 #[test]
 fn reserved_descriptors_suffice_in_pushed_mode() {
     assert_reserved_descriptors_suffice("127.21.0.1", "automatic");
 }
 
+/// Guards the descriptors of a sidecar that fetches lists on request.
 #[test]
 fn reserved_descriptors_suffice_in_on_request_mode() {
     assert_reserved_descriptors_suffice("127.21.0.2", "subscribe");
 }
 
-/// Guards the descriptors of attempts against queued requests: with as many queued as the callers' limit allows, each is
-/// served once endpoints are listed.
+/// Guards the descriptors of attempts against queued requests: with as many queued as the callers' limit allows, each
+/// is served once endpoints are listed.
 #[test]
 fn attempts_get_descriptors_while_callers_hold_theirs() {
     let discovery = ManualDiscovery::start();
@@ -255,8 +260,8 @@
     sidecar.suspend();
     let mut clients: Vec<Client> = (0..DESCRIPTOR_LIMIT).map(connect).collect();
     sidecar.resume();
-    // Each has been rejected or closed by then, or is queued.
-    wait_until("all have been read", || {
+    // By then each client is queued, or was rejected or closed.
+    wait_until("all requests have been read", || {
         let silent = clients.iter().filter(|client| client.is_silent()).count();
         sidecar.metric("pending") == Some(silent as u64)
     });
@@ -279,8 +284,8 @@
     }
 }
 
-/// Guards the descriptors against connections in a lingering close after an early response: they are evicted like others.
-/// All requests arrive before the sidecar reads the first, and no client closes.
+/// Guards the descriptors against connections in a lingering close after an early response: they are evicted like
+/// others. All requests arrive before the sidecar reads the first, and no client closes.
 #[test]
 fn connections_in_lingering_close_are_evicted() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -294,7 +299,7 @@
     sidecar.suspend();
     let clients: Vec<Client> = (0..2 * DESCRIPTOR_LIMIT).map(connect).collect();
     sidecar.resume();
-    wait_until("all are answered or closed", || {
+    wait_until("all clients are answered or closed", || {
         clients.iter().all(|client| !client.is_silent())
     });
     assert!(sidecar.call_is_yes("READY"));
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -3,11 +3,11 @@
 use crate::stubs::*;
 use std::time::{Duration, Instant};
 
-/// When a drain must have closed idle connections, after the command.
+/// The time after the command by which a drain must have closed idle connections.
 const IDLE_CLOSE_DEADLINE: Duration = Duration::from_secs(4);
 
-/// The sidecar is not ready from the command on; callers that still come are served, then connections close with their
-/// responses, and idle ones close; a request in flight is answered; and `UNDRAIN` undoes it all.
+/// From the command on the sidecar is not ready. Callers that still come are served. Later, busy connections close with
+/// their responses, and idle ones close too. A request in flight is answered. `UNDRAIN` undoes all of this.
 #[test]
 fn drained_sidecar_closes_connections_and_answers_every_request() {
     let (opener, gate) = response_gate();
@@ -42,13 +42,13 @@
         }
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "its connection never closes"
+            "no response closes the connection"
         );
     }
     assert!(busy.is_closed());
     assert!(
         idle.is_closed() && started_at.elapsed() < IDLE_CLOSE_DEADLINE,
-        "an idle one closes in time"
+        "an idle connection closes in time"
     );
     let mut late = sidecar.client();
     assert_eq!(
@@ -75,7 +75,7 @@
     }
 }
 
-/// `UNDRAIN` cancels the remaining steps of a drain, and changes nothing without one.
+/// `UNDRAIN` cancels the remaining steps of a drain. Without a drain it changes nothing.
 #[test]
 fn undrain_cancels_remaining_drain_steps() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -1,4 +1,4 @@
-//! Hedged dials: connections to endpoints that are established late, or never.
+//! Hedged dials, made when a connection to an endpoint is established late or never.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -11,7 +11,7 @@
 /// Less than the time after which the kernel repeats the handshake by itself, which is 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// An endpoint with a full accept queue, so that no further connection is established for now.
+/// An endpoint whose accept queue is full: no further connection is established until it accepts some.
 struct FullQueueEndpoint {
     listener: TcpListener,
     address: SocketAddr,
@@ -82,8 +82,8 @@
     (Sidecar::start(&config), discovery)
 }
 
-/// When the first dial is late, a further one that is established carries the request, which is written once. The first
-/// alone would take 1 s.
+/// When the first dial is late, the request is written once, on a further dial that is established earlier. The first
+/// dial alone would take 1 s.
 #[test]
 fn request_is_sent_once_on_first_established_dial() {
     for request in [get_request("5"), post_request("unsafe", "5", "hello")] {
@@ -109,8 +109,8 @@
     }
 }
 
-/// Dials are limited in number, so that they flood neither endpoints nor descriptors, and in time by the connect
-/// timeout.
+/// A request makes three dials at most, which keeps dials from flooding endpoints and descriptors. It is rejected at
+/// the connect timeout.
 #[test]
 fn dials_are_limited_in_number_and_time() {
     let endpoint = FullQueueEndpoint::start();
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -22,7 +22,8 @@
     })
 }
 
-/// Starts an endpoint that reports of each request whether its body was complete, and does not respond.
+/// Starts an endpoint that does not respond. The receiver gets true for each complete request body and false for each
+/// incomplete one.
 fn endpoint_reporting_completeness() -> (RawEndpoint, Receiver<bool>) {
     let (sender, is_complete) = channel();
     let sender = Mutex::new(sender);
@@ -71,7 +72,7 @@
         assert_eq!(
             sidecar.metric("pending"),
             Some(0),
-            "it has not been received either"
+            "it has not been received completely either"
         );
         send(
             &mut client,
@@ -122,8 +123,8 @@
     }
 }
 
-/// Once some of a body that is not buffered has been forwarded there is no second attempt, whatever the class. As the
-/// request never ran, it is rejected: trying again is harmless.
+/// Once part of a body that is not buffered has been forwarded there is no second attempt, whatever the class. The
+/// request never ran and is therefore rejected: trying again is harmless.
 #[test]
 fn partly_forwarded_request_is_not_retried() {
     for class in ["keyed", "unsafe"] {
@@ -160,8 +161,8 @@
     }
 }
 
-/// When the first attempt fails before its first byte, all that has been received is still buffered, and the next
-/// endpoint gets the complete body.
+/// When the first attempt fails before its first byte is written, all that has been received is still buffered. The
+/// next endpoint gets the complete body.
 #[test]
 fn large_request_is_retried_after_refused_connection() {
     let endpoint = RawEndpoint::start(|head, stream| {
@@ -182,7 +183,7 @@
         let answer = status(&read_head(&mut client).expect("a response")).to_string();
         assert!(
             answer == "200" || answer == "503",
-            "rejected where the retry budget is spent: {answer}"
+            "200, or 503 if the retry budget is spent: {answer}"
         );
     }
     assert!(
@@ -192,8 +193,8 @@
     );
 }
 
-/// A request whose declared length is over the limit gets 413 at once, another one when it exceeds the limit. No
-/// endpoint gets a complete body.
+/// A request whose declared length is over the limit gets 413 at once. One without a declared length gets it when its
+/// body exceeds the limit. No endpoint gets a complete body.
 #[test]
 fn requests_over_the_size_limit_get_413() {
     let (endpoint, is_complete) = endpoint_reporting_completeness();
@@ -248,7 +249,7 @@
         endpoint.next_head();
         client
     };
-    // The client stops.
+    // The client stops in the middle of the body.
     let mut client = begin("Content-Length: 500000", &pattern(100_000));
     assert_eq!(status(&read_head(&mut client).expect("a response")), "408");
     assert!(!is_body_complete());
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -92,7 +92,7 @@
     );
 }
 
-/// Many large responses at once, which their clients do not read for a while, wait at the endpoints and not in memory.
+/// Large responses that many clients do not read for a while wait at the endpoints and not in the sidecar's memory.
 #[test]
 fn unread_responses_are_not_buffered() {
     const LARGE: usize = 32 * MB;
@@ -134,8 +134,8 @@
     });
 }
 
-/// When a response breaks off after its beginning was forwarded, the client can tell, the request is counted as failed,
-/// and it is not tried again.
+/// When a response breaks off after its beginning was forwarded, the client gets a truncated body. The request is
+/// counted as failed and not tried again.
 #[test]
 fn truncated_large_response_fails_its_request() {
     for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
@@ -177,7 +177,7 @@
     }
 }
 
-/// With no memory to buffer a response it is streamed, and arrives completely.
+/// Without memory to buffer it, a response is streamed and arrives complete.
 #[test]
 fn exhausted_memory_budget_streams_responses() {
     let body = Arc::new(pattern(50_000));
--- a/tests/sidecar/main.rs
+++ b/tests/sidecar/main.rs
@@ -1,4 +1,5 @@
-//! The built program over loopback sockets. Each test says what of the code it guards.
+//! Tests that run the built program and talk to it over loopback sockets. The doc comment of a test names the behaviour
+//! that it guards.
 
 mod caller_limits;
 mod cancellation_support;
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// An endpoint that reports a long queue gets hardly any requests while another one is clear. Implausible values are no
-/// report.
+/// An endpoint that reports a long queue gets hardly any requests while another one is idle. A report with implausible
+/// values is ignored.
 #[test]
 fn valid_load_report_of_long_queue_diverts_requests() {
     for (load, is_valid) in [
@@ -42,8 +42,8 @@
     }
 }
 
-/// Where a response's end cannot be known, or is not worth waiting for, the request may have run. It fails at once and
-/// not at its timeout, and the connection is closed.
+/// The end of these responses cannot be known or is not worth waiting for, and the request may have run. It fails at
+/// once and not at its timeout, and the connection is closed.
 #[test]
 fn malformed_response_fails_its_request_at_once() {
     let long_headers = "X-Pad: pppppppppppppppppppppppppppppp\r\n".repeat(2000);
@@ -113,13 +113,13 @@
                 (200, id),
                 "{kind}"
             );
-            std::thread::sleep(Duration::from_millis(60)); // the idle connection settles
+            std::thread::sleep(Duration::from_millis(60)); // past the settling time of the idle connection
         }
     }
 }
 
-/// Once a response has reached the client its endpoint sends a second one, or closes the connection. The next request,
-/// which is sent meanwhile, must not be on that connection.
+/// Once a response has reached the client, its endpoint sends a second one or closes the connection. The next request
+/// is sent at that moment and must not be on that connection.
 #[test]
 fn late_second_response_does_not_reach_next_request() {
     for closes_connection in [false, true] {
@@ -156,7 +156,7 @@
             &[entry("e0", address, "SERVING")],
         ));
         let mut client = sidecar.client();
-        // The second request comes with the first, so that it is sent as soon as the first has its response.
+        // The second request is pipelined after the first, and is sent as soon as the first has its response.
         let requests = [0, 1, 2, 3].map(|_| get_request("5"));
         client.write(&requests[..2].concat());
         for (number, request) in requests.iter().enumerate() {
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -41,7 +41,7 @@
     assert!(time_left > 0.0 && time_left <= 2.5, "{time_left}");
 }
 
-/// A connection that has carried one attempt carries the next one that may be repeated.
+/// A connection that has carried an attempt is reused for the next request that may be sent twice.
 #[test]
 fn repeatable_request_reuses_idle_connection() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -54,7 +54,7 @@
             0,
             "its first connection"
         );
-        std::thread::sleep(Duration::from_millis(100)); // the connection settles
+        std::thread::sleep(Duration::from_millis(100)); // past the settling time of the connection
     }
 }
 
@@ -70,7 +70,7 @@
     });
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
-    // The highest priority weight and a further tier let the whole burst be in flight at once.
+    // With the highest priority weight and a further tier, the whole burst can be in flight at once.
     config["settings"]["stages"] = json!(["one", "two"]);
     config["settings"]["categories"][0]["worth"] = json!(3.0);
     let sidecar = Sidecar::start(&config);
@@ -92,7 +92,7 @@
         BURST,
         "one exchange at a time on each connection"
     );
-    std::thread::sleep(Duration::from_millis(100)); // the connections settle
+    std::thread::sleep(Duration::from_millis(100)); // past the settling time of the connections
     assert_eq!(burst(), first_burst);
     let surplus: BTreeSet<usize> = (MAX_IDLE_WHEN_QUIET..BURST)
         .map(|_| endpoint.next_connection_close())
@@ -117,8 +117,8 @@
     }
 }
 
-/// An endpoint may reset an idle connection at the next request, which may have run by then. A request that must not
-/// run twice is therefore never written to one.
+/// An endpoint may close an idle connection when the next request arrives on it, which may have run by then. A request
+/// that must not run twice is therefore never written on an idle connection.
 #[test]
 fn unsafe_request_gets_new_connection() {
     let endpoint =
@@ -130,7 +130,7 @@
             client.exchange(&post_request("unsafe", "2", "x")).status(),
             200
         );
-        std::thread::sleep(Duration::from_millis(60)); // an idle connection settles
+        std::thread::sleep(Duration::from_millis(60)); // past the settling time of an idle connection
     }
     assert_eq!(endpoint.take_request_count(), 8);
 }
@@ -153,8 +153,8 @@
     }
 }
 
-/// Once written, an unsafe request without a valid response may have run. It is neither sent again nor rejected, as a
-/// rejection says that trying again is harmless.
+/// An unsafe request that was written and got no valid response may have run. It is not sent again. It is not rejected
+/// either, because a rejection says that trying again is harmless.
 #[test]
 fn unsafe_request_that_may_have_run_fails() {
     for answer in [
@@ -203,7 +203,7 @@
         });
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
-        // So many requests earn a retry.
+        // This number of requests earns a retry.
         for _ in 0..10 {
             assert_eq!(client.exchange(&get_request("2")).status(), 200);
         }
@@ -221,8 +221,8 @@
     }
 }
 
-/// Nothing runs where the connection is refused, so an unsafe request may be tried again: it is rejected and does not
-/// fail.
+/// A request whose connection is refused has not run and may be tried again, even an unsafe one. It is rejected and
+/// does not fail.
 #[test]
 fn refused_connection_rejects_unsafe_request() {
     let discovery = Discovery::start();
@@ -243,7 +243,7 @@
 }
 
 /// An attempt without a response times out after the latency objective, closes its connection and is not repeated. The
-/// decision module ends the request, and not the fallback at the deadline, which writes a log line.
+/// request is ended by the decision module and not by the fallback at the deadline, which would write a log line.
 #[test]
 fn attempt_without_response_times_out_once() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
@@ -307,8 +307,8 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// An invalid request gets a status that says what is wrong, on a connection that stays open. It is never rejected,
-/// which would have the client try again.
+/// An invalid request gets a status that says what is wrong, and its connection stays open. It is never rejected,
+/// because the client would try again.
 #[test]
 fn invalid_request_leaves_connection_open() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
--- a/tests/sidecar/settings_isolation.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -1,5 +1,5 @@
-//! Two sets of settings that have little in common: each determines all behaviour, and a reload leaves nothing of the
-//! first behind.
+//! Two sets of settings that have little in common. Each determines all behaviour, and a reload keeps nothing of the
+//! previous one.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -39,11 +39,12 @@
     config
 }
 
+/// Returns a GET request of a class, with further headers that each begin with a line break.
 fn class_request(class: &str, deadline: &str, headers: &str) -> String {
     get_request(deadline).replace("X-Class: safe", &format!("X-Class: {class}{headers}"))
 }
 
-/// The time left that the next request at an endpoint carries.
+/// Returns the time left, in seconds, in the next request at an endpoint.
 fn next_time_left(endpoint: &Endpoint) -> f64 {
     let request = endpoint.next_request().message;
     request
@@ -118,8 +119,8 @@
     );
 }
 
-/// Guards early rejections, which the balancer does not see: they carry Retry-After as all others do, if the settings allow
-/// it. One request may be open, and there is no memory for any body.
+/// Guards early rejections, which the balancer does not see: they carry Retry-After like all others if the settings
+/// allow it. They are caused by a limit of one open request, and by a memory limit that leaves no room for a body.
 #[test]
 fn early_rejections_carry_allowed_retry_after() {
     for (allowed, retry_after) in [(true, Some("2")), (false, None)] {
@@ -132,7 +133,9 @@
         let sidecar = Sidecar::start(&config);
         let mut pending = sidecar.client();
         pending.write(&post_request("unsafe", "9", "x"));
-        wait_until("it is pending", || sidecar.metric("pending") == Some(1));
+        wait_until("the request is pending", || {
+            sidecar.metric("pending") == Some(1)
+        });
         let rejected = sidecar.client().exchange(&get_request("9"));
         assert_eq!(
             (rejected.status(), rejected.header("retry-after")),
@@ -149,8 +152,9 @@
     }
 }
 
-/// Guards against names or values of one deployment in the code: two unlike sets of settings from the start, and each after
-/// the other by SIGHUP. Only an open request keeps its class, and idle connections are kept as the new limits say.
+/// Guards against names or values of one deployment in the code. Each of two unlike sets of settings is checked from
+/// the start and after a reload from the other by SIGHUP. Only an open request keeps its class. Idle connections are
+/// kept for the time that the new settings allow.
 #[test]
 fn reload_replaces_all_settings() {
     let (opener, gate) = response_gate();
@@ -173,7 +177,7 @@
     let reload = |config: &Value, reload_count| {
         std::fs::write(&path, config.to_string()).expect("the file is written");
         sidecar.send_signal("HUP");
-        wait_until("it is applied", || {
+        wait_until("the reload is applied", || {
             sidecar.metric("config_reloads") == Some(reload_count)
         });
     };
@@ -181,7 +185,7 @@
     let mut pending = sidecar.client();
     pending.write(&post_request("pay", "19", "blocks"));
     assert!(next_time_left(&endpoint) > 15.0);
-    // This connection is idle from here on; the first limits would keep it for 42 s.
+    // This connection is idle from here on. The first settings would keep it for 42 s.
     assert_eq!(
         sidecar
             .client()
@@ -191,7 +195,7 @@
     );
     let idle_connection = endpoint.next_request().connection;
     reload(&multi_tenant, 1);
-    std::thread::sleep(Duration::from_millis(800)); // past 0.7 s, for which the second limits keep it
+    std::thread::sleep(Duration::from_millis(800)); // past 0.7 s, for which the second settings keep it
     let multi_tenant_request = post_request("pay", "9", "x")
         .replace("pay", "pay\r\nX-Tenant: north\r\nIdempotency-Key: k");
     assert_eq!(
--- a/tests/sidecar/stubs/caller.rs
+++ b/tests/sidecar/stubs/caller.rs
@@ -30,7 +30,7 @@
             .expect("the request is written");
     }
 
-    /// Reads a response; `None` where the connection ends before it is complete.
+    /// Reads a response. Returns `None` if the connection ends before the response is complete.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.stream)
     }
@@ -46,7 +46,8 @@
         is_open_and_silent(self.stream.get_ref())
     }
 
-    /// Waits for more from the sidecar, and returns whether it closes the connection without sending anything.
+    /// Reads until the sidecar closes the connection. Returns whether it does so in order, without sending anything
+    /// more.
     pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         self.stream.read_to_end(&mut rest).is_ok() && rest.is_empty()
--- a/tests/sidecar/stubs/config.rs
+++ b/tests/sidecar/stubs/config.rs
@@ -1,4 +1,4 @@
-//! Configurations of sidecars, and the files that the tests put them in.
+//! Configurations of sidecars, and temporary files and directories.
 
 use super::caller::*;
 use super::discovery::*;
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The settings of one sidecar in tier 0 with three classes: `safe` is idempotent, `keyed` is deduplicated by its key, and
-/// `unsafe` must not run twice.
+/// The settings of one sidecar in tier 0 with three classes: `safe` is idempotent, `keyed` is deduplicated by its key,
+/// and `unsafe` must not run twice.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, priority_weight: f64| {
         json!({"name": name, "effect": effect, "keyScope": "all", "memorySpanNs": 5_000_000_000u64, "worth": priority_weight,
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that opens every watch at once and leaves its events to the test.
+//! A discovery that answers every call at once with the head of a chunked response. The test writes the lines after it.
 
 use super::message::*;
 use serde_json::{Value, json};
@@ -13,18 +13,18 @@
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// An endpoint list: the full one if it is a snapshot, else changes.
+/// An endpoint list of the version `index`: the full list if it is a snapshot, else a list of changes.
 pub fn list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
     json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
 }
 
-/// A discovery that answers every call with a chunked response. Watches are received in the order of their calls.
+/// A discovery that answers every call with the head of a chunked response, and hands the calls over in their order.
 pub struct Discovery {
     pub address: SocketAddr,
     watches: Receiver<Watch>,
 }
 
-/// A call of discovery whose response has begun; a watch, or a fetch of the full list.
+/// A call of discovery: a watch, or a fetch of the full list. The head of its response has been written.
 pub struct Watch {
     pub request_line: String,
     stream: TcpStream,
@@ -60,7 +60,7 @@
 }
 
 impl Watch {
-    /// Reads the request on a connection; returns `None` if the connection was closed before.
+    /// Reads the request on a connection. Returns `None` if the connection ends before the request is complete.
     fn read(stream: TcpStream) -> Option<Self> {
         let mut reader = BufReader::new(stream);
         let request_line = read_message(&mut reader)?.start_line;
@@ -78,7 +78,8 @@
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    /// Writes a line, on the next watch if the sidecar has closed this one because it was silent.
+    /// Writes a line. If the sidecar has closed this watch because it was silent, waits for the next one and writes it
+    /// there.
     pub fn write_line_reconnecting(&mut self, discovery: &Discovery, line: &str) {
         if !self.is_open() {
             *self = discovery.next_watch();
@@ -91,7 +92,7 @@
         is_open_and_silent(&self.stream)
     }
 
-    /// Ends the response in order, as that to a fetch.
+    /// Ends the response with its last chunk, which completes the answer to a fetch.
     pub fn finish(&mut self) {
         self.stream.write_all(b"0\r\n\r\n").expect("it is open");
     }
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that respond as the test decides, and record what they receive.
+//! Endpoints that respond as the test decides, and record the requests that they receive.
 
 use super::message::*;
 use std::io::{BufReader, Write};
@@ -7,19 +7,19 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// What an endpoint does with a request.
+/// How an endpoint reacts to a request.
 pub enum EndpointAction {
     /// Writes this response and keeps the connection open.
     Respond(String),
     /// Writes this response and closes the connection.
     RespondThenClose(String),
-    /// Writes this response, and resets the connection at the next request on it.
+    /// Writes this response. Closes the connection without a response when the next request arrives on it.
     RespondThenCloseOnNextRequest(String),
     /// Writes nothing until the sidecar closes the connection.
     Hang,
 }
 
-/// What an endpoint has observed. Connections are numbered in the order in which they were accepted.
+/// An event at an endpoint. Connections are numbered from 0 in the order in which they are accepted.
 #[derive(Debug)]
 pub enum EndpointEvent {
     /// A request arrived.
@@ -50,7 +50,7 @@
 }
 
 impl Endpoint {
-    /// Starts an endpoint that does with each request what `respond` returns.
+    /// Starts an endpoint that reacts to each request by the action that `respond` returns for it.
     pub fn start(respond: impl Fn(&Message) -> EndpointAction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -96,12 +96,13 @@
         }
     }
 
-    /// Takes the requests that have arrived since they were last taken, and returns their number.
+    /// Takes the requests that have arrived and were not taken yet, and returns their number. Drops all other events so
+    /// far.
     pub fn take_request_count(&self) -> usize {
         self.take_requests().len()
     }
 
-    /// Takes the requests that have arrived since they were last taken.
+    /// Takes the requests that have arrived and were not taken yet. Drops all other events so far.
     pub fn take_requests(&self) -> Vec<Message> {
         let requests = |event| match event {
             EndpointEvent::Request(request) => Some(request.message),
--- a/tests/sidecar/stubs/manual_discovery.rs
+++ b/tests/sidecar/stubs/manual_discovery.rs
@@ -7,9 +7,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The settings' name of the mode in which lists are fetched on request.
+/// The value of the setting `discovery` with which lists are fetched on request.
 pub const ON_REQUEST_MODE: &str = "subscribe";
-/// The settings' name of the mode in which an agent pushes lists.
+/// The value of the setting `discovery` with which an agent pushes lists.
 pub const PUSHED_MODE: &str = "automatic";
 pub const DISCOVERY_MODES: [&str; 2] = [ON_REQUEST_MODE, PUSHED_MODE];
 
@@ -18,7 +18,7 @@
 /// A discovery that accepts calls and leaves their answers to the test.
 pub struct ManualDiscovery(TcpListener);
 
-/// A call of discovery and its connection. Dropped, it closes the connection.
+/// A call of discovery and its connection, which is closed on drop.
 pub struct DiscoveryCall {
     pub request_line: String,
     pub stream: TcpStream,
@@ -51,7 +51,7 @@
         calls.into_iter().filter(DiscoveryCall::is_open).collect()
     }
 
-    /// Waits for a call that the sidecar has not closed; earlier ones are discarded.
+    /// Waits for calls that the sidecar has not closed, and returns the newest. Drops the others.
     pub fn next_open_call(&self) -> DiscoveryCall {
         let mut call = None;
         wait_until("a call", || {
@@ -71,7 +71,7 @@
         call.expect("a call")
     }
 
-    /// Returns the next call, if there is one.
+    /// Returns the next call, if one is pending.
     pub fn try_next_call(&self) -> Option<DiscoveryCall> {
         let (stream, _) = self.0.accept().ok()?;
         Some(DiscoveryCall::read(stream).expect("a request"))
@@ -79,7 +79,7 @@
 }
 
 impl DiscoveryCall {
-    /// Reads the request on a connection; returns `None` if the connection was closed before.
+    /// Reads the request on a connection. Returns `None` if the connection ends before the request is complete.
     fn read(stream: TcpStream) -> Option<Self> {
         stream.set_nonblocking(false).expect("an option");
         let mut reader = BufReader::new(stream);
@@ -118,7 +118,7 @@
         ));
     }
 
-    /// Opens the watch, without an event.
+    /// Writes the head of a watch's response, without a line.
     pub fn open_watch(&mut self) {
         self.write(WATCH_RESPONSE_HEAD);
     }
@@ -128,22 +128,23 @@
         self.write(&format!("{WATCH_RESPONSE_HEAD}0\r\n\r\n"));
     }
 
-    /// Writes a piece of the watch.
+    /// Writes a chunk of the watch's response.
     pub fn write_chunk(&mut self, text: &str) {
         self.write(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
 
-    /// Writes a line of the watch.
+    /// Writes a line of the watch as one chunk.
     pub fn write_line(&mut self, line: &str) {
         self.write_chunk(&format!("{line}\n"));
     }
 
-    /// Writes an empty line, unless the sidecar has closed the call.
+    /// Writes a heartbeat, which is an empty line. Does nothing if the sidecar has closed the call.
     pub fn try_write_heartbeat(&mut self) {
         let _ = self.stream.write_all(b"1\r\n\n\r\n");
     }
 
-    /// Answers late with a watch that holds one event; the sidecar may have closed the call.
+    /// Answers a late call: opens the watch and writes a list in one write. Does nothing if the sidecar has closed the
+    /// call.
     pub fn try_write_late_watch(&mut self, list: &str) {
         let line = format!("{list}\n");
         let response = format!("{WATCH_RESPONSE_HEAD}{:x}\r\n{line}\r\n", line.len());
--- a/tests/sidecar/stubs/message.rs
+++ b/tests/sidecar/stubs/message.rs
@@ -1,11 +1,11 @@
-//! HTTP messages as the stubs read them, and waiting for conditions.
+//! HTTP messages that the stubs read, and waits for conditions.
 
 use std::io::{BufRead, ErrorKind};
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than any step of a test takes. A wait that times out fails the test.
+/// The longest time of a wait, far longer than any step of a test takes. A wait that times out fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How often a condition is checked while it is waited for.
@@ -25,7 +25,7 @@
 pub fn wait_until(description: &str, mut is_met: impl FnMut() -> bool) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !is_met() {
-        assert!(Instant::now() < deadline, "not in time: {description}");
+        assert!(Instant::now() < deadline, "timed out: {description}");
         thread::sleep(CHECK_INTERVAL);
     }
 }
@@ -57,8 +57,8 @@
     }
 }
 
-/// Reads a message, whose body has a `Content-Length` or none. Returns `None` where the connection ends before the message
-/// is complete.
+/// Reads a message that has a `Content-Length` or no body. Returns `None` if the connection ends before the message is
+/// complete.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut read_line = || {
         let mut line = String::new();
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -77,7 +77,7 @@
         sidecar
     }
 
-    /// Starts a sidecar that may open so many descriptors.
+    /// Starts a sidecar whose process may open this number of descriptors.
     pub fn start_with_descriptor_limit(path: &Path, descriptors: usize) -> Self {
         let script = format!(
             "ulimit -n {descriptors}; exec {}",
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Starts a sidecar with an address for operators' calls and these endpoints in its cached list, and a discovery that
-    /// sends nothing.
+    /// Starts a sidecar with an address for operators' calls and these endpoints in its cached list, and a discovery
+    /// that sends nothing.
     pub fn start_with_admin(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
@@ -154,7 +154,8 @@
         self.admin.expect("it has an address for operators' calls")
     }
 
-    /// Writes these bytes to a new operators' connection, and returns what comes back until it is closed.
+    /// Writes these bytes on a new connection to the operators' address. Returns the text that is read until it is
+    /// closed.
     pub fn call_raw(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.admin()).expect("the sidecar accepts");
         stream
@@ -162,11 +163,11 @@
             .expect("a timeout");
         stream.write_all(bytes).expect("the call is written");
         let mut answer = Vec::new();
-        let _ = stream.read_to_end(&mut answer); // a connection closed with unread bytes is reset
+        let _ = stream.read_to_end(&mut answer); // fails after a reset, which a close with unread bytes causes
         String::from_utf8(answer).expect("text")
     }
 
-    /// Makes an operators' call: a word, and for some an endpoint's id.
+    /// Makes an operators' call, a command and for some an endpoint's id. Returns the answer.
     pub fn call(&self, call: &str) -> String {
         self.call_raw(format!("{call}\n").as_bytes())
     }
@@ -181,7 +182,7 @@
         answer.starts_with("YES")
     }
 
-    /// Returns one of the metrics in `STATS`, if it is there.
+    /// Returns the value of a metric, named without the prefix `app_`, if it is in the answer to `STATS`.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let stats = self.call("STATS");
         assert!(stats.ends_with("\nEND\n"), "{stats}");
@@ -203,7 +204,7 @@
         send_signal(&self.child, name);
     }
 
-    /// Stops the process until [`Sidecar::resume`], so that it sees all that arrives meanwhile at once.
+    /// Stops the process until [`Sidecar::resume`]. It then finds all that has arrived meanwhile at once.
     pub fn suspend(&self) {
         self.send_signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -219,7 +220,7 @@
         self.send_signal("CONT");
     }
 
-    /// Returns what its open descriptors refer to.
+    /// Returns the targets of the process's open descriptors, as `/proc` lists them.
     fn open_files(&self) -> Vec<String> {
         let descriptors =
             std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the process runs");
@@ -227,12 +228,12 @@
         links.map(|link| link.display().to_string()).collect()
     }
 
-    /// Returns the number of its open descriptors.
+    /// Returns the number of the process's open descriptors.
     pub fn descriptor_count(&self) -> usize {
         self.open_files().len()
     }
 
-    /// Returns the number of its listening sockets.
+    /// Returns the number of the process's listening sockets.
     pub fn listener_count(&self) -> usize {
         let sockets = std::fs::read_to_string(format!("/proc/{}/net/tcp", self.child.id()))
             .expect("the process runs");
@@ -247,7 +248,7 @@
             .count()
     }
 
-    /// Returns its resident memory.
+    /// Returns the process's resident memory.
     pub fn memory_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("the process runs");
@@ -272,7 +273,7 @@
         self.send_signal("TERM");
     }
 
-    /// Returns the sum of one of the log counters over all lines of counts so far.
+    /// Returns the sum of a counter over all `counts` lines in the log so far.
     pub fn logged_count(&self, name: &str) -> u64 {
         let value = |field: &str| {
             field
@@ -301,7 +302,7 @@
         self.child.wait().expect("the process ends")
     }
 
-    /// Returns the log lines so far, without those before it listened.
+    /// Returns the lines that the sidecar has logged since it began to listen.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().expect("the log").clone()
     }
--- a/tests/sidecar/stubs/raw_http.rs
+++ b/tests/sidecar/stubs/raw_http.rs
@@ -1,4 +1,4 @@
-//! An endpoint scripted on the byte stream of each connection, and helpers that read and write HTTP/1.1 by hand.
+//! An endpoint that gives the test the byte stream of each connection, and functions that read and write HTTP/1.1.
 
 use super::caller::*;
 use super::config::*;
@@ -13,7 +13,7 @@
 
 /// An endpoint that hands each connection to the test once a request's head has arrived on it.
 pub struct RawEndpoint {
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
     /// The heads of requests, in the order of their arrival.
     pub heads: Receiver<String>,
@@ -23,7 +23,8 @@
 pub type BufferedStream = BufReader<TcpStream>;
 
 impl RawEndpoint {
-    /// Starts an endpoint. `respond` gets the head of each request, and the connection to read its body from and respond on.
+    /// Starts an endpoint. It calls `respond` for each request with its head and the connection, which `respond` reads
+    /// the body from and writes the response to.
     pub fn start(respond: impl Fn(&str, &mut BufferedStream) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -53,7 +54,7 @@
     }
 }
 
-/// Reads a head up to its empty line. Returns `None` where the connection ends first.
+/// Reads a head up to its empty line. Returns `None` if the connection ends first.
 pub fn read_head(stream: &mut BufferedStream) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -73,7 +74,7 @@
         .map(|(_, value)| value)
 }
 
-/// Reads a body that is framed as the head says. Returns `None` where it breaks off.
+/// Reads the body that follows a head. Returns `None` if the connection ends before the body is complete.
 pub fn read_body(head: &str, stream: &mut BufferedStream) -> Option<Vec<u8>> {
     if let Some(length) = header(head, "content-length") {
         let mut body = vec![0; length.parse().expect("a length")];
@@ -151,7 +152,7 @@
     [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
 }
 
-/// Returns the head of a request whose body has this framing.
+/// Returns the head of a request with an idempotency key. `framing` holds the headers that frame the body.
 pub fn request_head(class: &str, framing: &str) -> String {
     post_request(class, "15", "").replace(
         "Content-Length: 0",
--- a/tests/sidecar/stubs/response_gate.rs
+++ b/tests/sidecar/stubs/response_gate.rs
@@ -1,12 +1,12 @@
-//! A gate at which responses of an endpoint stub wait for the test.
+//! A gate at which responses of an endpoint stub wait until the test releases them.
 
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// The test's side: lets waiting responses through.
+/// The test's side, which releases responses.
 pub struct GateOpener(Sender<()>);
 
-/// The endpoint's side.
+/// The endpoint's side, where responses wait.
 pub struct ResponseGate(Mutex<Receiver<()>>);
 
 /// Creates a closed gate.
@@ -16,14 +16,14 @@
 }
 
 impl GateOpener {
-    /// Lets one response through, now or when it arrives.
+    /// Releases one response: one that waits, or else the next one.
     pub fn release_one(&self) {
         self.0.send(()).expect("the endpoint waits");
     }
 }
 
 impl ResponseGate {
-    /// Blocks until the test lets a response through, or has dropped the opener.
+    /// Blocks until the test releases a response or drops the opener.
     pub fn wait(&self) {
         let _ = self.0.lock().expect("the only one").recv();
     }
--- a/tests/sidecar/stubs/restartable_endpoint.rs
+++ b/tests/sidecar/stubs/restartable_endpoint.rs
@@ -9,11 +9,11 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the threads of a process look whether it has ended.
+/// How often the threads of a process check if it has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// An endpoint that answers each request with 200 while it runs. When it ends, its connections are reset and new ones are
-/// refused.
+/// An endpoint that answers each request with 200 while it runs. When it ends, its connections are reset and new ones
+/// are refused.
 pub struct RestartableEndpoint {
     pub address: SocketAddr,
     after_response: AfterResponse,
@@ -22,14 +22,14 @@
     _reservation: Socket,
 }
 
-/// What becomes of a connection after a response.
+/// What the endpoint does with a connection after a response.
 #[derive(Clone, Copy, PartialEq)]
 pub enum AfterResponse {
     KeepOpen,
     Close,
 }
 
-/// What stands in for one process of the endpoint.
+/// The thread that stands in for one process of the endpoint.
 struct EndpointProcess {
     state: Arc<ProcessState>,
     accepting: JoinHandle<()>,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Binds a socket to an address that other sockets of the endpoint are bound to as well, but no one else's.
+/// Binds a socket to an address that it shares with other sockets of the endpoint, but not with those of other tests.
 fn bind_shared(address: SocketAddr) -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_reuse_port(true).expect("an option");
--- a/tests/sidecar/stubs/scripted_endpoint.rs
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose responses the test sends one by one, and a sidecar with a short deadline.
+//! An endpoint whose responses the test sets one by one, and a configuration with a short deadline.
 
 use super::caller::*;
 use super::config::*;
@@ -9,10 +9,10 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// The readiness check of a front.
+/// A readiness check of the front end, which sends callers to the sidecars that are ready.
 pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
-/// Requests for which the retry budget earns a few retries.
+/// The number of requests that add a few retries to the retry budget.
 const REQUESTS_THAT_EARN_RETRIES: usize = 10;
 
 /// An endpoint that responds to each request once the test has set the response.
@@ -51,7 +51,7 @@
     }
 }
 
-/// A configuration in which every class has this deadline, which also bounds the steps of a graceful shutdown.
+/// A configuration in which every class has this deadline. It also bounds the steps of a graceful shutdown.
 pub fn config_with_deadline(
     discovery: &Discovery,
     endpoints: &[&Endpoint],
