--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -54,7 +54,7 @@
         "Content-Length:\r\n",
     ] {
         let text = format!("{}0\r\n\r\n{hidden}{hidden}", head(lines));
-        let read = exchange(&sidecar, text.as_bytes()).expect("an answer, no reset");
+        let read = exchange(&sidecar, text.as_bytes()).expect("a response, no reset");
         assert!(read.starts_with("HTTP/1.1 400 "), "{lines}: {read}");
         assert_eq!(read.matches("HTTP/1.1 ").count(), 1, "{lines}: {read}");
     }
@@ -66,7 +66,7 @@
     );
     assert!(
         exchange(&sidecar, chunked.as_bytes())
-            .expect("an answer")
+            .expect("a response")
             .starts_with("HTTP/1.1 200 ")
     );
     assert_eq!(endpoint.next_request().message.body, b"hello");
@@ -77,7 +77,7 @@
         post_request("unsafe", "5", "second")
     ));
     for body in ["first", "second"] {
-        assert_eq!(client.read().expect("an answer").status(), 200);
+        assert_eq!(client.read().expect("a response").status(), 200);
         assert_eq!(endpoint.next_request().message.body, body.as_bytes());
     }
 }
@@ -212,7 +212,7 @@
         assert_eq!(second.exchange(&request).status(), 409);
     }
     opener.release_one();
-    assert_eq!(first.read().expect("an answer").body, b"first");
+    assert_eq!(first.read().expect("a response").body, b"first");
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
@@ -260,13 +260,13 @@
     let discovery = Discovery::start();
     let config = config_with_descriptor_limit(&discovery, &endpoint, 96);
     let sidecar = Sidecar::start(&config);
-    let mut slow = TcpStream::connect(sidecar.address).expect("it accepts");
+    let mut slow = TcpStream::connect(sidecar.address).expect("the sidecar accepts");
     slow.set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the timeout is set");
     let request = get_request("5");
     let mut idle = Vec::new();
     for piece in request.as_bytes().chunks(request.len().div_ceil(5)) {
-        slow.write_all(piece).expect("it is open");
+        slow.write_all(piece).expect("the connection is open");
         // All rounds together open more connections than the callers' limit on descriptors.
         for _ in 0..20 {
             let mut client = sidecar.client();
@@ -280,7 +280,7 @@
         }
     }
     let mut answer = [0; 12];
-    slow.read_exact(&mut answer).expect("an answer");
+    slow.read_exact(&mut answer).expect("a response");
     assert_eq!(&answer, b"HTTP/1.1 200");
 }
 
@@ -299,14 +299,14 @@
         }
         std::thread::sleep(Duration::from_millis(50));
         let mut new: Vec<TcpStream> = (0..12)
-            .map(|_| TcpStream::connect(sidecar.address).expect("it accepts"))
+            .map(|_| TcpStream::connect(sidecar.address).expect("the sidecar accepts"))
             .collect();
         std::thread::sleep(Duration::from_millis(50));
         let is_served = |stream: &mut TcpStream| {
             let mut answer = [0; 12];
             stream
                 .set_read_timeout(Some(TEST_TIMEOUT))
-                .expect("a time-out");
+                .expect("the timeout is set");
             let written = stream.write_all(get_request("5").as_bytes());
             written
                 .and_then(|()| stream.read_exact(&mut answer))
--- a/tests/sidecar/cancellation_support/connection_close.rs
+++ b/tests/sidecar/cancellation_support/connection_close.rs
@@ -24,13 +24,15 @@
     match kind {
         CloseKind::Full => None,
         CloseKind::Half => {
-            stream.shutdown(Shutdown::Write).expect("it is open");
+            stream
+                .shutdown(Shutdown::Write)
+                .expect("the connection is open");
             Some(stream)
         }
         CloseKind::Reset => {
             SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
-                .expect("an option");
+                .expect("the option is set");
             None
         }
     }
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -16,11 +16,11 @@
 impl FullBacklogEndpoint {
     /// Listens on a free port and fills the backlog: connects until a connection is not established within 300 ms.
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
         let filling_connections = std::iter::from_fn(|| fill().ok()).collect();
-        listener.set_nonblocking(true).expect("an option");
+        listener.set_nonblocking(true).expect("the option is set");
         FullBacklogEndpoint {
             listener,
             filling_connections,
@@ -31,7 +31,7 @@
     pub fn entry(&self) -> Value {
         entry(
             "late",
-            self.listener.local_addr().expect("an address"),
+            self.listener.local_addr().expect("a bound address"),
             "SERVING",
         )
     }
@@ -41,14 +41,14 @@
         let is_filling = |peer| {
             self.filling_connections
                 .iter()
-                .any(|filling| filling.local_addr().expect("an address") == peer)
+                .any(|filling| filling.local_addr().expect("a bound address") == peer)
         };
         while let Ok((stream, peer)) = self.listener.accept() {
             if !is_filling(peer) {
-                stream.set_nonblocking(false).expect("an option");
+                stream.set_nonblocking(false).expect("the option is set");
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a time-out");
+                    .expect("the timeout is set");
                 return Some(stream);
             }
         }
--- a/tests/sidecar/cancellation_support/lifecycle.rs
+++ b/tests/sidecar/cancellation_support/lifecycle.rs
@@ -103,7 +103,7 @@
     /// Returns how many attempts the old process and the new one have written to endpoints.
     pub fn attempts(&self) -> u64 {
         let attempts_of =
-            |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a figure");
+            |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a metric");
         attempts_of(&self.queueing.sidecar) + self.new_process.as_ref().map_or(0, attempts_of)
     }
 }
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -46,11 +46,13 @@
 impl WaitingClient {
     /// Connects to the sidecar and writes a request.
     pub fn send(sidecar: &Sidecar, request: &str) -> Self {
-        let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
+        let mut stream = TcpStream::connect(sidecar.address).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        stream.write_all(request.as_bytes()).expect("it is written");
+            .expect("the timeout is set");
+        stream
+            .write_all(request.as_bytes())
+            .expect("the request is written");
         WaitingClient(stream)
     }
 
@@ -63,13 +65,15 @@
             PipelinedBytes::CompleteRequest => get_request("10"),
             PipelinedBytes::MoreThanBuffer => get_request("10").repeat(400),
         };
-        self.0.write_all(text.as_bytes()).expect("it is open");
+        self.0
+            .write_all(text.as_bytes())
+            .expect("the connection is open");
         if let Disconnect::ByReset(_) = how {
             // Lets the written bytes arrive first: some may still be unread when the reset arrives.
             std::thread::sleep(Duration::from_millis(20));
             SockRef::from(&self.0)
                 .set_linger(Some(Duration::ZERO))
-                .expect("an option");
+                .expect("the option is set");
         }
     }
 
@@ -82,6 +86,9 @@
 
 /// Returns the value of a request's `X-Request-Id` header.
 pub fn request_id(request: &str) -> String {
-    let value = request.split("X-Request-Id: ").nth(1).expect("it has one");
+    let value = request
+        .split("X-Request-Id: ")
+        .nth(1)
+        .expect("the request has an id");
     value.split("\r\n").next().expect("a line").to_string()
 }
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -54,7 +54,7 @@
             let Some((_, gate)) = gate else {
                 return respond_ok("x");
             };
-            let _ = gate.lock().expect("the only one").recv();
+            let _ = gate.lock().expect("the lock is not poisoned").recv();
             EndpointAction::RespondThenClose(NOT_RUN_RESPONSE.into())
         });
         RejectingEndpoint {
@@ -66,12 +66,12 @@
 
     /// Rejects the request of the client that closes. The response has been written when this returns.
     fn reject_closing(&self) {
-        self.closing.send(()).expect("it waits");
+        self.closing.send(()).expect("the endpoint waits");
         self.endpoint.next_connection_close();
     }
 
     fn reject_staying(&self) {
-        self.staying.send(()).expect("it waits");
+        self.staying.send(()).expect("the endpoint waits");
         self.endpoint.next_connection_close();
     }
 }
@@ -129,7 +129,7 @@
 
     /// Closes one client's connection, and waits until the sidecar has noticed. Returns the stream after a half close.
     fn close_client(&mut self, close_kind: CloseKind) -> Option<TcpStream> {
-        let closing = self.closing.take().expect("it has not closed yet");
+        let closing = self.closing.take().expect("the client has not closed yet");
         let half_closed = close(closing.0, close_kind);
         self.sidecar.queueing.wait_for_pending(1);
         half_closed
@@ -196,7 +196,7 @@
 fn read_written(connections: &mut [TcpStream]) -> String {
     let mut all = Vec::new();
     for connection in connections {
-        connection.set_nonblocking(true).expect("an option");
+        connection.set_nonblocking(true).expect("the option is set");
         let mut bytes = [0; 4096];
         match connection.read(&mut bytes) {
             Ok(length) => all.extend_from_slice(&bytes[..length]),
@@ -352,11 +352,11 @@
 fn exchange_readiness_check(connection: &mut TcpStream) {
     connection
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the timeout is set");
     connection
         .write_all(b"GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
-        .expect("it is open");
-    let answer = read_message(&mut BufReader::new(connection)).expect("an answer");
+        .expect("the connection is open");
+    let answer = read_message(&mut BufReader::new(connection)).expect("a response");
     assert_eq!(answer.status(), 200);
 }
 
@@ -377,13 +377,16 @@
                     let context = format!(
                         "{description}, {close_kind:?}, reused {is_reused}, cancel {cancel}"
                     );
-                    let mut closing = TcpStream::connect(sidecar.address).expect("it accepts");
+                    let mut closing =
+                        TcpStream::connect(sidecar.address).expect("the sidecar accepts");
                     if is_reused {
                         exchange_readiness_check(&mut closing);
                     }
-                    let from = closing.local_addr().expect("an address");
+                    let from = closing.local_addr().expect("a bound address");
                     sidecar.suspend();
-                    closing.write_all(text.as_bytes()).expect("it is open");
+                    closing
+                        .write_all(text.as_bytes())
+                        .expect("the connection is open");
                     let _half_closed = close(closing, close_kind);
                     wait_until("the close has arrived", || {
                         has_received_close(from, sidecar.address)
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -247,7 +247,7 @@
         );
         std::thread::sleep(Duration::from_secs(3)); // SYN is retransmitted after 1 s, and again 2 s later
         while let Some(mut stream) = full_backlog_endpoint.try_accept() {
-            stream.set_nonblocking(true).expect("an option");
+            stream.set_nonblocking(true).expect("the option is set");
             assert!(
                 !matches!(stream.read(&mut [0; 64]), Ok(1..)),
                 "nothing is written on other connections"
@@ -353,7 +353,7 @@
         assert_eq!(
             new_process.map_or(0, |new_process| new_process
                 .metric("upstream_requests")
-                .expect("a metric")),
+                .expect("the metric is reported")),
             0
         );
         let _ = std::fs::remove_dir_all(directory);
@@ -399,7 +399,7 @@
         assert_eq!(
             new_process.map_or(0, |new_process| new_process
                 .metric("upstream_requests")
-                .expect("a metric")),
+                .expect("the metric is reported")),
             0
         );
         drop(staying_client);
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -63,7 +63,7 @@
     fn connect(&mut self) {
         let mut stream = TcpStream::connect(self.address).expect("the backlog has room");
         let _ = stream.write_all(self.request.as_bytes()); // the sidecar may have closed it already
-        stream.set_nonblocking(true).expect("an option");
+        stream.set_nonblocking(true).expect("the option is set");
         self.stream = Some(stream);
     }
 }
@@ -170,10 +170,10 @@
 /// the request was read.
 fn assert_request_is_served(sidecar: &Sidecar) {
     wait_until("a request is served", || {
-        let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
+        let mut stream = TcpStream::connect(sidecar.address).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("the timeout is set");
         let is_written = stream.write_all(get_request("20").as_bytes()).is_ok();
         let answer = read_message(&mut BufReader::new(stream));
         is_written && answer.is_some_and(|answer| answer.status() == 200)
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -59,7 +59,7 @@
     assert!(late.is_closed());
     assert_eq!(sidecar.metric("pending"), Some(1));
     opener.release_one();
-    assert_eq!(waiting.read().expect("its answer").status(), 200);
+    assert_eq!(waiting.read().expect("a response").status(), 200);
     assert!(waiting.is_closed());
 
     assert!(sidecar.call_is_yes("UNDRAIN"));
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -22,10 +22,12 @@
     fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        socket.bind(&SockAddr::from(any_port)).expect("a port");
-        socket.listen(0).expect("it listens");
+        socket
+            .bind(&SockAddr::from(any_port))
+            .expect("the port is bound");
+        socket.listen(0).expect("the socket listens");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("a bound address");
         let queued = TcpStream::connect(address).expect("the queue takes one");
         FullQueueEndpoint {
             listener,
@@ -59,7 +61,7 @@
     stream.set_nonblocking(false).expect("a blocking socket");
     stream
         .set_read_timeout(Some(idle_timeout))
-        .expect("a timeout");
+        .expect("the timeout is set");
     let mut reader = BufReader::new(stream);
     let mut requests = 0;
     while read_message(&mut reader).is_some() {
@@ -94,7 +96,7 @@
         thread::sleep(Duration::from_millis(30)); // the first dial is dropped by the full queue
         let endpoint = thread::spawn(move || endpoint.accept_and_respond(Duration::from_secs(2)));
         let accepting_since = Instant::now();
-        let answer = client.read().expect("an answer");
+        let answer = client.read().expect("a response");
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, b"late".as_slice())
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -31,7 +31,7 @@
         let body = read_body(head, stream);
         sender
             .lock()
-            .expect("the only user")
+            .expect("the lock is not poisoned")
             .send(body.is_some())
             .expect("the test is running");
     });
@@ -86,7 +86,9 @@
         assert_eq!(sidecar.metric("upstream_requests"), Some(number as u64 + 1));
         if !chunked {
             let mut two = [0; 2];
-            client.read_exact(&mut two).expect("the answer's body");
+            client
+                .read_exact(&mut two)
+                .expect("the body of the response");
             // The connection stays open.
             send(&mut client, b"GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
             assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
@@ -171,7 +173,7 @@
         send(stream, response.as_bytes());
     });
     let connection = TcpStream::connect(endpoint.address).expect("a connection");
-    let closed = connection.local_addr().expect("an address"); // nobody listens on it
+    let closed = connection.local_addr().expect("a bound address"); // nobody listens on it
     let (sidecar, _discovery) = start_sidecar(&[closed, endpoint.address]);
     for _ in 0..12 {
         let mut client = connect(&sidecar);
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -37,7 +37,7 @@
             if number == 1 {
                 rest_gate
                     .lock()
-                    .expect("the only user")
+                    .expect("the lock is not poisoned")
                     .recv()
                     .expect("the test is running");
             }
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -123,8 +123,8 @@
 #[test]
 fn late_second_response_does_not_reach_next_request() {
     for closes_connection in [false, true] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let (next_request_sent, next_request) = channel::<()>();
         let next_request = Arc::new(Mutex::new(next_request));
         std::thread::spawn(move || {
@@ -140,7 +140,10 @@
                         );
                         let _ = stream.get_mut().write_all(text.as_bytes());
                         if connection == 0 {
-                            let _ = next_request.lock().expect("the only user").recv();
+                            let _ = next_request
+                                .lock()
+                                .expect("the lock is not poisoned")
+                                .recv();
                             if closes_connection {
                                 return drop(stream.get_mut().shutdown(Shutdown::Both));
                             }
@@ -163,7 +166,7 @@
             if number >= 2 {
                 client.write(request);
             }
-            let reply = client.read().expect("an answer");
+            let reply = client.read().expect("a response");
             let body = String::from_utf8(reply.body.clone()).expect("text");
             let is_own_response = request.contains(&format!("X-Request-Id: {body}\r\n"));
             assert!(
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -80,7 +80,7 @@
             client.write(&get_request("10"));
         }
         for client in &mut clients {
-            assert_eq!(client.read().expect("an answer").status(), 200);
+            assert_eq!(client.read().expect("a response").status(), 200);
         }
         (0..BURST)
             .map(|_| endpoint.next_request().connection)
@@ -228,7 +228,7 @@
     let discovery = Discovery::start();
     // The local port of an open connection: nobody listens on it, and it is assigned to nobody else.
     let connection = TcpStream::connect(discovery.address).expect("a connection");
-    let closed = connection.local_addr().expect("an address");
+    let closed = connection.local_addr().expect("a bound address");
     let sidecar = Sidecar::start(&config(
         discovery.address,
         &[entry("dead", closed, "SERVING")],
--- a/tests/sidecar/settings_isolation.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -225,5 +225,5 @@
             == 400
     });
     assert_single_tenant_in_force(&sidecar, &endpoint);
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
--- a/tests/sidecar/stubs/caller.rs
+++ b/tests/sidecar/stubs/caller.rs
@@ -16,7 +16,7 @@
         let stream = TcpStream::connect(address).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a timeout");
+            .expect("the timeout is set");
         Client {
             stream: BufReader::new(stream),
         }
--- a/tests/sidecar/stubs/config.rs
+++ b/tests/sidecar/stubs/config.rs
@@ -55,7 +55,7 @@
 pub fn temporary_directory() -> PathBuf {
     let name = format!("tmp-{}-{}", std::process::id(), unique_id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir(&path).expect("a directory");
+    std::fs::create_dir(&path).expect("the directory is created");
     path
 }
 
@@ -63,6 +63,6 @@
 pub fn temporary_file(text: &str) -> PathBuf {
     let name = format!("config-{}-{}.json", std::process::id(), unique_id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("the file is written");
     path
 }
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -32,8 +32,8 @@
 
 impl Discovery {
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let (opened, watches) = channel();
         thread::spawn(move || accept_calls(&listener, &opened));
         Discovery { address, watches }
@@ -74,7 +74,7 @@
     pub fn is_closed(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("the timeout is set");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
@@ -94,7 +94,9 @@
 
     /// Ends the response with its last chunk, which completes the answer to a fetch.
     pub fn finish(&mut self) {
-        self.stream.write_all(b"0\r\n\r\n").expect("it is open");
+        self.stream
+            .write_all(b"0\r\n\r\n")
+            .expect("the connection is open");
     }
 
     /// Writes a line of the watch, empty for a heartbeat.
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -52,8 +52,8 @@
 impl Endpoint {
     /// Starts an endpoint that reacts to each request by the action that `respond` returns for it.
     pub fn start(respond: impl Fn(&Message) -> EndpointAction + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let (sender, events) = channel();
         let respond = Arc::new(respond);
         thread::spawn(move || {
--- a/tests/sidecar/stubs/manual_discovery.rs
+++ b/tests/sidecar/stubs/manual_discovery.rs
@@ -30,16 +30,16 @@
     }
 
     pub fn start_at(address: SocketAddr) -> Self {
-        Self::from_listener(TcpListener::bind(address).expect("a port"))
+        Self::from_listener(TcpListener::bind(address).expect("the port is bound"))
     }
 
     pub fn from_listener(listener: TcpListener) -> Self {
-        listener.set_nonblocking(true).expect("an option");
+        listener.set_nonblocking(true).expect("the option is set");
         ManualDiscovery(listener)
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.0.local_addr().expect("an address")
+        self.0.local_addr().expect("a bound address")
     }
 
     /// Accepts all pending connections and returns the calls that the sidecar has not closed.
@@ -81,7 +81,7 @@
 impl DiscoveryCall {
     /// Reads the request on a connection. Returns `None` if the connection ends before the request is complete.
     fn read(stream: TcpStream) -> Option<Self> {
-        stream.set_nonblocking(false).expect("an option");
+        stream.set_nonblocking(false).expect("the option is set");
         let mut reader = BufReader::new(stream);
         let request_line = read_message(&mut reader)?.start_line;
         Some(DiscoveryCall {
@@ -107,7 +107,9 @@
     }
 
     pub fn write(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it is open");
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("the connection is open");
     }
 
     /// Answers a fetch with a list.
@@ -155,7 +157,7 @@
     pub fn reset(self) {
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("an option");
+            .expect("the option is set");
     }
 }
 
--- a/tests/sidecar/stubs/message.rs
+++ b/tests/sidecar/stubs/message.rs
@@ -13,11 +13,11 @@
 
 /// Returns whether a connection is open and has no unread bytes.
 pub fn is_open_and_silent(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("an option");
+    stream.set_nonblocking(true).expect("the option is set");
     let is_silent = stream
         .peek(&mut [0])
         .is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
-    stream.set_nonblocking(false).expect("an option");
+    stream.set_nonblocking(false).expect("the option is set");
     is_silent
 }
 
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -48,7 +48,7 @@
     let status = Command::new("kill")
         .args(["-s", name, &child.id().to_string()])
         .status();
-    assert!(status.expect("kill runs").success());
+    assert!(status.expect("`kill` runs").success());
 }
 
 impl Sidecar {
@@ -95,7 +95,7 @@
 
     /// Takes over a process that has been started, and waits until it listens.
     pub fn from_child(mut child: Child) -> Self {
-        let mut lines = BufReader::new(child.stderr.take().expect("its log"))
+        let mut lines = BufReader::new(child.stderr.take().expect("the log is piped"))
             .lines()
             .map_while(Result::ok);
         let address_after = |line: &str, text: &str| {
@@ -151,7 +151,8 @@
 
     /// Returns the address for operators' calls.
     pub fn admin(&self) -> SocketAddr {
-        self.admin.expect("it has an address for operators' calls")
+        self.admin
+            .expect("the sidecar has an address for operators' calls")
     }
 
     /// Writes these bytes on a new connection to the operators' address. Returns the text that is read until it is
@@ -160,7 +161,7 @@
         let mut stream = TcpStream::connect(self.admin()).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a timeout");
+            .expect("the timeout is set");
         stream.write_all(bytes).expect("the call is written");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer); // fails after a reset, which a close with unread bytes causes
@@ -255,7 +256,7 @@
         let line = status
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:"))
-            .expect("its memory");
+            .expect("a line with the resident memory");
         line.trim()
             .trim_end_matches(" kB")
             .parse()
--- a/tests/sidecar/stubs/raw_http.rs
+++ b/tests/sidecar/stubs/raw_http.rs
@@ -26,8 +26,8 @@
     /// Starts an endpoint. It calls `respond` for each request with its head and the connection, which `respond` reads
     /// the body from and writes the response to.
     pub fn start(respond: impl Fn(&str, &mut BufferedStream) + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let (sender, heads) = channel();
         let respond = Arc::new(respond);
         thread::spawn(move || {
@@ -35,7 +35,7 @@
                 let (sender, respond) = (sender.clone(), respond.clone());
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a timeout");
+                    .expect("the timeout is set");
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while let Some(head) = read_head(&mut stream) {
@@ -130,7 +130,7 @@
     let stream = TcpStream::connect(sidecar.address).expect("the sidecar accepts");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a timeout");
+        .expect("the timeout is set");
     BufReader::new(stream)
 }
 
--- a/tests/sidecar/stubs/response_gate.rs
+++ b/tests/sidecar/stubs/response_gate.rs
@@ -25,6 +25,6 @@
 impl ResponseGate {
     /// Blocks until the test releases a response or drops the opener.
     pub fn wait(&self) {
-        let _ = self.0.lock().expect("the only one").recv();
+        let _ = self.0.lock().expect("the lock is not poisoned").recv();
     }
 }
--- a/tests/sidecar/stubs/restartable_endpoint.rs
+++ b/tests/sidecar/stubs/restartable_endpoint.rs
@@ -44,7 +44,7 @@
 impl RestartableEndpoint {
     pub fn start(after_response: AfterResponse) -> Self {
         let reservation = bind_shared("127.0.0.1:0".parse().expect("an address"));
-        let address = reservation.local_addr().expect("it is bound");
+        let address = reservation.local_addr().expect("the socket is bound");
         let address = address.as_socket().expect("an address");
         RestartableEndpoint {
             address,
@@ -56,21 +56,21 @@
 
     /// Ends the process, and returns once its connections are reset and it does not listen any more.
     pub fn end(&mut self) {
-        let process = self.process.take().expect("it runs");
+        let process = self.process.take().expect("the process runs");
         process.state.has_ended.store(true, Ordering::SeqCst);
-        process.accepting.join().expect("it ends");
+        process.accepting.join().expect("the thread ends");
     }
 
     /// Starts a new process at the same address.
     pub fn start_again(&mut self) {
-        assert!(self.process.is_none(), "it has ended");
+        assert!(self.process.is_none(), "the previous process has ended");
         let listener = listen(self.address);
         self.process = Some(EndpointProcess::start(listener, self.after_response));
     }
 
     /// Returns how many requests the present process has received.
     pub fn request_count(&self) -> usize {
-        let process = self.process.as_ref().expect("it runs");
+        let process = self.process.as_ref().expect("the process runs");
         process.state.requests.load(Ordering::SeqCst)
     }
 }
@@ -89,14 +89,14 @@
 /// Binds a socket to an address that it shares with other sockets of the endpoint, but not with those of other tests.
 fn bind_shared(address: SocketAddr) -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_reuse_port(true).expect("an option");
-    socket.bind(&address.into()).expect("a port");
+    socket.set_reuse_port(true).expect("the option is set");
+    socket.bind(&address.into()).expect("the port is bound");
     socket
 }
 
 fn listen(address: SocketAddr) -> TcpListener {
     let socket = bind_shared(address);
-    socket.listen(128).expect("it listens");
+    socket.listen(128).expect("the socket listens");
     socket.into()
 }
 
@@ -105,7 +105,7 @@
     state: &Arc<ProcessState>,
     after_response: AfterResponse,
 ) {
-    listener.set_nonblocking(true).expect("an option");
+    listener.set_nonblocking(true).expect("the option is set");
     let mut connections = Vec::new();
     while !state.has_ended.load(Ordering::SeqCst) {
         let Ok((stream, _)) = listener.accept() else {
@@ -118,16 +118,16 @@
         }));
     }
     for connection in connections {
-        connection.join().expect("it ends");
+        connection.join().expect("the thread ends");
     }
 }
 
 /// Answers the requests on a connection, and resets it when the process ends.
 fn serve_until_ended(stream: TcpStream, state: &ProcessState, after_response: AfterResponse) {
-    stream.set_nonblocking(false).expect("an option");
+    stream.set_nonblocking(false).expect("the option is set");
     SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
-        .expect("an option");
+        .expect("the option is set");
     let mut reader = BufReader::new(stream);
     while wait_for_request(reader.get_ref(), state) {
         if read_message(&mut reader).is_none() {
@@ -138,7 +138,7 @@
         let is_written = reader.get_mut().write_all(response).is_ok();
         if is_written && after_response == AfterResponse::Close {
             let linger = SockRef::from(reader.get_ref()).set_linger(None);
-            return linger.expect("an option");
+            return linger.expect("the option is set");
         }
         if !is_written {
             return;
@@ -148,7 +148,7 @@
 
 /// Waits until something can be read; returns false if the process has ended first.
 fn wait_for_request(stream: &TcpStream, state: &ProcessState) -> bool {
-    let set_timeout = |timeout| stream.set_read_timeout(timeout).expect("an option");
+    let set_timeout = |timeout| stream.set_read_timeout(timeout).expect("the option is set");
     set_timeout(Some(CHECK_INTERVAL));
     while !state.has_ended.load(Ordering::SeqCst) {
         let is_silent = stream.peek(&mut [0]).is_err_and(|error| {
--- a/tests/sidecar/stubs/scripted_endpoint.rs
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -28,7 +28,7 @@
         let endpoint = Endpoint::start(move |_| {
             script
                 .lock()
-                .expect("the only one")
+                .expect("the lock is not poisoned")
                 .recv()
                 .unwrap_or(EndpointAction::Hang)
         });
@@ -37,7 +37,7 @@
 
     /// Sets the response to the next request, which may be waiting already.
     pub fn respond_next(&self, action: EndpointAction) {
-        self.actions.send(action).expect("it waits");
+        self.actions.send(action).expect("the endpoint waits");
     }
 
     /// Serves enough requests to earn a few retries.
@@ -45,7 +45,7 @@
         for _ in 0..REQUESTS_THAT_EARN_RETRIES {
             client.write(&get_request("5"));
             self.respond_next(respond_ok("x"));
-            assert_eq!(client.read().expect("an answer").status(), 200);
+            assert_eq!(client.read().expect("a response").status(), 200);
             self.endpoint.next_request();
         }
     }
