--- a/tests/sidecar/cancellation_support/tcp_table.rs
+++ b/tests/sidecar/cancellation_support/tcp_table.rs
@@ -20,8 +20,8 @@
 /// Parses one line of `/proc/net/tcp`. Returns `None` if the line is incomplete.
 fn parse_socket(line: &str) -> Option<Socket> {
     let mut fields = line.split_whitespace().skip(1);
-    let mut port = || Some(fields.next()?.split_once(':')?.1.to_string());
-    let (local_port, peer_port) = (port()?, port()?);
+    let mut next_port = || Some(fields.next()?.split_once(':')?.1.to_string());
+    let (local_port, peer_port) = (next_port()?, next_port()?);
     Some(Socket {
         local_port,
         peer_port,
@@ -30,7 +30,7 @@
 }
 
 /// Returns a port in the notation of `/proc/net/tcp`.
-fn hex_port(address: SocketAddr) -> String {
+fn port(address: SocketAddr) -> String {
     format!("{:04X}", address.port())
 }
 
@@ -43,7 +43,7 @@
         .and_then(|text| text.parse().ok())
         .expect("an address");
     tcp_sockets()
-        .filter(|socket| socket.peer_port == hex_port(address) && socket.state == SYN_SENT)
+        .filter(|socket| socket.peer_port == port(address) && socket.state == SYN_SENT)
         .count()
 }
 
@@ -52,8 +52,6 @@
     const CLOSE_WAIT: &str = "08";
     // A connection that was reset is not listed any more.
     tcp_sockets()
-        .find(|socket| {
-            socket.local_port == hex_port(server) && socket.peer_port == hex_port(client)
-        })
+        .find(|socket| socket.local_port == port(server) && socket.peer_port == port(client))
         .is_none_or(|socket| socket.state == CLOSE_WAIT)
 }
