--- a/tests/sidecar/settings_isolation.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -133,9 +133,7 @@
         let sidecar = Sidecar::start(&config);
         let mut pending = sidecar.client();
         pending.write(&post_request("unsafe", "9", "x"));
-        wait_until("the request is pending", || {
-            sidecar.metric("pending") == Some(1)
-        });
+        wait_until("it is pending", || sidecar.metric("pending") == Some(1));
         let rejected = sidecar.client().exchange(&get_request("9"));
         assert_eq!(
             (rejected.status(), rejected.header("retry-after")),
