--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Callers that send invalid, incomplete or oversized requests, or nothing, or that are too many.
+//! Callers that send invalid, incomplete or oversized requests or none at all, and callers that are too many.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// A configuration with one endpoint and a limit on descriptors.
-fn config_with_descriptors(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
+fn config_with_descriptor_limit(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
     let mut config = config(
         discovery.address,
         &[entry("e0", endpoint.address, "SERVING")],
@@ -16,7 +16,7 @@
     config
 }
 
-/// Writes a text on a new connection and reads until its end; an error where it was reset.
+/// Writes a text on a new connection and reads until its end. Returns an error if the connection is reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
@@ -33,10 +33,10 @@
     )
 }
 
-/// Guards against request smuggling: where a body ends must not depend on who reads it. The request gets one response,
-/// nothing after it is read as a request, and no endpoint receives any of it.
+/// Guards against request smuggling, which needs two readers that disagree on the end of a body. A request with an
+/// ambiguous length gets one response, nothing after it is read as a request, and no endpoint receives any of it.
 #[test]
-fn request_with_ambiguous_body_length_is_rejected() {
+fn ambiguous_body_length_gets_400() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let hidden = get_request("5");
@@ -54,7 +54,7 @@
         "Content-Length:\r\n",
     ] {
         let text = format!("{}0\r\n\r\n{hidden}{hidden}", head(lines));
-        let read = exchange(&sidecar, text.as_bytes()).expect("an answer, no reset");
+        let read = exchange(&sidecar, text.as_bytes()).expect("a response, no reset");
         assert!(read.starts_with("HTTP/1.1 400 "), "{lines}: {read}");
         assert_eq!(read.matches("HTTP/1.1 ").count(), 1, "{lines}: {read}");
     }
@@ -66,7 +66,7 @@
     );
     assert!(
         exchange(&sidecar, chunked.as_bytes())
-            .expect("an answer")
+            .expect("a response")
             .starts_with("HTTP/1.1 200 ")
     );
     assert_eq!(endpoint.next_request().message.body, b"hello");
@@ -77,13 +77,13 @@
         post_request("unsafe", "5", "second")
     ));
     for body in ["first", "second"] {
-        assert_eq!(client.read().expect("an answer").status(), 200);
+        assert_eq!(client.read().expect("a response").status(), 200);
         assert_eq!(endpoint.next_request().message.body, body.as_bytes());
     }
 }
 
-/// Guards against requests that do not end: incomplete heads and bodies get an error, and a silent connection is closed, long
-/// before the requests' deadline. A head that is too long or malformed is answered at once.
+/// Guards against requests that do not end. Long before the requests' deadline, incomplete heads and bodies get an
+/// error and a silent connection is closed. A head that is too long or malformed is answered at once.
 #[test]
 fn incomplete_requests_and_silent_connections_time_out() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -108,7 +108,7 @@
         ("\u{1}\u{2} what is this".into(), "HTTP/1.1 400 "),
         (String::new(), ""),
     ];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         for (text, start) in &texts {
             let sidecar = &sidecar;
@@ -122,17 +122,17 @@
         }
     });
     assert!(
-        begun.elapsed() < Duration::from_secs(5),
-        "the requests' own deadline: {:?}",
-        begun.elapsed()
+        started_at.elapsed() < Duration::from_secs(5),
+        "not before the requests' deadline: {:?}",
+        started_at.elapsed()
     );
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the response to a request that is rejected while its body comes: closing with bytes unread would reset the
-/// connection, and the response would be lost. The 60 MB are not buffered, either.
+/// Guards an error response that is sent while the request's body still arrives. Closing the connection with unread
+/// bytes would reset it, and the response would be lost. The 60 MB are not buffered, either.
 #[test]
-fn early_error_response_is_readable_while_the_body_is_unread() {
+fn early_error_response_is_readable() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let body = "x".repeat(60_000_000);
@@ -155,44 +155,48 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards what is stored of a request: ids and keys have a maximum length, and a deadline is capped by its class.
+/// Guards the size of the data stored for a request. Ids and keys have a maximum length, and a deadline is capped by
+/// its class.
 #[test]
-fn long_ids_are_rejected_and_deadlines_are_capped() {
+fn long_ids_get_400_and_deadlines_are_capped() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut client = sidecar.client();
-    let long = "i".repeat(300);
-    let with = |id: &str, line: &str| {
+    let long_id = "i".repeat(300);
+    let request_with = |id: &str, line: &str| {
         get_request("1e9")
             .replace("X-Class", &format!("{line}X-Class"))
             .replace("id-", id)
     };
-    assert_eq!(client.exchange(&with(&long, "")).status(), 400);
+    assert_eq!(client.exchange(&request_with(&long_id, "")).status(), 400);
     assert_eq!(
         client
-            .exchange(&with("id-", &format!("Idempotency-Key: {long}\r\n")))
+            .exchange(&request_with(
+                "id-",
+                &format!("Idempotency-Key: {long_id}\r\n")
+            ))
             .status(),
         400
     );
     assert_eq!(
         client
-            .exchange(&with("id-", "X-Request-Id: other\r\n"))
+            .exchange(&request_with("id-", "X-Request-Id: other\r\n"))
             .status(),
         400
     );
     assert_eq!(endpoint.take_request_count(), 0);
-    assert_eq!(client.exchange(&with("id-", "")).status(), 200);
-    let left = endpoint
+    assert_eq!(client.exchange(&request_with("id-", "")).status(), 200);
+    let time_left = endpoint
         .next_request()
         .message
         .header("x-deadline")
         .and_then(|d| d.parse::<f64>().ok());
-    assert!(left.expect("a deadline") <= 10.0, "{left:?}");
+    assert!(time_left.expect("a deadline") <= 10.0, "{time_left:?}");
 }
 
-/// Guards a request against a second one with its id, which is rejected.
+/// Guards a pending request against a second one with the same id. The second gets 409, and the first is served.
 #[test]
-fn repeated_id_is_rejected_and_the_first_request_is_served() {
+fn repeated_id_gets_409() {
     let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |_| {
         gate.wait();
@@ -208,19 +212,19 @@
         assert_eq!(second.exchange(&request).status(), 409);
     }
     opener.release_one();
-    assert_eq!(first.read().expect("an answer").body, b"first");
+    assert_eq!(first.read().expect("a response").body, b"first");
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the descriptors against clients that connect and send nothing, or part of a request: with hundreds of them a
-/// caller is still served, over new connections to endpoints, and the watch can be opened again.
+/// Guards the descriptors against clients that connect and send nothing or part of a request. With hundreds of them
+/// callers are still served, over new connections to endpoints, and the watch can be opened again.
 #[test]
-fn requests_are_served_while_clients_flood_the_descriptors() {
+fn requests_are_served_during_connection_flood() {
     let endpoint = Endpoint::start(|_| {
         EndpointAction::RespondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
     });
     let discovery = Discovery::start();
-    let config = config_with_descriptors(&discovery, &endpoint, 256);
+    let config = config_with_descriptor_limit(&discovery, &endpoint, 256);
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
     let mut flood = Vec::new();
@@ -249,21 +253,21 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards slow callers among many idle clients: one whose head comes in pieces is not evicted while others are idle.
+/// Guards slow callers among many idle clients: one whose head arrives in pieces is not evicted while others are idle.
 #[test]
-fn slow_head_is_served_while_idle_connections_are_evicted() {
+fn eviction_spares_slow_head() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let config = config_with_descriptors(&discovery, &endpoint, 96);
+    let config = config_with_descriptor_limit(&discovery, &endpoint, 96);
     let sidecar = Sidecar::start(&config);
-    let mut slow = TcpStream::connect(sidecar.address).expect("it accepts");
+    let mut slow = TcpStream::connect(sidecar.address).expect("the sidecar accepts");
     slow.set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the timeout is set");
     let request = get_request("5");
     let mut idle = Vec::new();
     for piece in request.as_bytes().chunks(request.len().div_ceil(5)) {
-        slow.write_all(piece).expect("it is open");
-        // In all more than the callers' limit on descriptors.
+        slow.write_all(piece).expect("the connection is open");
+        // All rounds together open more connections than the callers' limit on descriptors.
         for _ in 0..20 {
             let mut client = sidecar.client();
             assert_eq!(
@@ -276,17 +280,17 @@
         }
     }
     let mut answer = [0; 12];
-    slow.read_exact(&mut answer).expect("an answer");
+    slow.read_exact(&mut answer).expect("a response");
     assert_eq!(&answer, b"HTTP/1.1 200");
 }
 
-/// Guards new callers among many idle clients: those that connect at the same time do not evict each other before their
-/// requests come, while others are idle. A stall of the machine may spoil one round, not five.
+/// Guards new callers among many idle clients. As long as others are idle, callers that connect at the same time do not
+/// evict each other before their requests arrive. A stall of the machine may spoil one round, but not all five.
 #[test]
-fn new_connections_are_served_while_older_idle_ones_are_evicted() {
+fn eviction_spares_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
-    let config = config_with_descriptors(&discovery, &endpoint, 96);
+    let config = config_with_descriptor_limit(&discovery, &endpoint, 96);
     let served = |_| {
         let sidecar = Sidecar::start(&config);
         let mut idle: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
@@ -295,14 +299,14 @@
         }
         std::thread::sleep(Duration::from_millis(50));
         let mut new: Vec<TcpStream> = (0..12)
-            .map(|_| TcpStream::connect(sidecar.address).expect("it accepts"))
+            .map(|_| TcpStream::connect(sidecar.address).expect("the sidecar accepts"))
             .collect();
         std::thread::sleep(Duration::from_millis(50));
         let is_served = |stream: &mut TcpStream| {
             let mut answer = [0; 12];
             stream
                 .set_read_timeout(Some(TEST_TIMEOUT))
-                .expect("a time-out");
+                .expect("the timeout is set");
             let written = stream.write_all(get_request("5").as_bytes());
             written
                 .and_then(|()| stream.read_exact(&mut answer))
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -6,52 +6,56 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An endpoint to which connections are not established until the test accepts some, as its backlog is full.
+/// An endpoint whose backlog is full: further connections are not established until the test accepts some.
 pub struct FullBacklogEndpoint {
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    /// The connections that fill the backlog.
+    filling_connections: Vec<TcpStream>,
 }
 
 impl FullBacklogEndpoint {
-    /// Listens on a free port, and fills the backlog.
+    /// Listens on a free port and fills the backlog: connects until a connection is not established within 300 ms.
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
-        let fillers = std::iter::from_fn(|| fill().ok()).collect();
-        listener.set_nonblocking(true).expect("an option");
-        FullBacklogEndpoint { listener, fillers }
+        let filling_connections = std::iter::from_fn(|| fill().ok()).collect();
+        listener.set_nonblocking(true).expect("the option is set");
+        FullBacklogEndpoint {
+            listener,
+            filling_connections,
+        }
     }
 
-    /// Its entry in the endpoint list.
+    /// Returns the endpoint's entry in the endpoint list.
     pub fn entry(&self) -> Value {
         entry(
             "late",
-            self.listener.local_addr().expect("an address"),
+            self.listener.local_addr().expect("a bound address"),
             "SERVING",
         )
     }
 
-    /// Accepts a connection of the sidecar's, if one is established.
+    /// Accepts the next connection of the sidecar, if one is established.
     pub fn try_accept(&self) -> Option<TcpStream> {
-        let is_filler = |peer| {
-            self.fillers
+        let is_filling = |peer| {
+            self.filling_connections
                 .iter()
-                .any(|filler| filler.local_addr().expect("an address") == peer)
+                .any(|filling| filling.local_addr().expect("a bound address") == peer)
         };
         while let Ok((stream, peer)) = self.listener.accept() {
-            if !is_filler(peer) {
-                stream.set_nonblocking(false).expect("an option");
+            if !is_filling(peer) {
+                stream.set_nonblocking(false).expect("the option is set");
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a time-out");
+                    .expect("the timeout is set");
                 return Some(stream);
             }
         }
         None
     }
 
-    /// Accepts connections until the sidecar has written on one; returns the text in lower case.
+    /// Accepts connections until the sidecar has written on one. Returns the text in lower case.
     pub fn next_written_text(&self) -> String {
         let mut written = String::new();
         wait_until("something is written", || {
--- a/tests/sidecar/cancellation_support/lifecycle.rs
+++ b/tests/sidecar/cancellation_support/lifecycle.rs
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 
-/// A change in a sidecar's life during which requests stay queued.
+/// A change of a sidecar's state during which requests stay queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleChange {
-    /// The operators' DRAIN.
+    /// The operators' command `DRAIN`.
     Drain,
     /// Graceful shutdown by SIGTERM.
     Shutdown,
@@ -38,9 +38,9 @@
             &serving_entries(&[endpoint]),
         ));
         config["listen"] = json!(sidecar.address.to_string());
-        let next = Sidecar::start_in_directory(directory, &config);
+        let new_process = Sidecar::start_in_directory(directory, &config);
         sidecar.wait_for_log("the new process accepts callers");
-        return Some(next);
+        return Some(new_process);
     }
     if change == LifecycleChange::Drain {
         assert!(sidecar.call_is_yes("DRAIN"));
@@ -51,12 +51,12 @@
     None
 }
 
-/// What happens to the sidecar between a request and its client's close: nothing, or one of [`LIFECYCLE_CHANGES`].
+/// The lifecycle change between a request and its client's close: `None`, or one of [`LIFECYCLE_CHANGES`].
 fn phases() -> impl Iterator<Item = Option<LifecycleChange>> {
     std::iter::once(None).chain(LIFECYCLE_CHANGES.map(Some))
 }
 
-/// Runs a test in every phase concurrently, each with a sidecar of its own.
+/// Runs a test concurrently for every phase. It starts a sidecar of its own in each.
 pub fn in_every_lifecycle_phase(test: impl Fn(Option<LifecycleChange>) + Sync) {
     thread::scope(|scope| {
         for phase in phases() {
@@ -72,27 +72,27 @@
     pub queueing: QueueingSidecar,
     directory: PathBuf,
     /// The new process of a hot restart.
-    next: Option<Sidecar>,
+    new_process: Option<Sidecar>,
 }
 
 impl LifecycleSidecar {
-    /// Starts the sidecar with a changed configuration.
-    pub fn start(change: impl FnOnce(&mut Value)) -> Self {
+    /// Starts the sidecar with a configuration that `configure` has changed.
+    pub fn start(configure: impl FnOnce(&mut Value)) -> Self {
         let directory = temporary_directory();
-        let queueing = QueueingSidecar::start(change, |config| {
+        let queueing = QueueingSidecar::start(configure, |config| {
             Sidecar::start_in_directory(&directory, config)
         });
         LifecycleSidecar {
             queueing,
             directory,
-            next: None,
+            new_process: None,
         }
     }
 
     /// Applies the change of this phase, if there is one.
     pub fn enter_phase(&mut self, phase: Option<LifecycleChange>) {
         let Some(change) = phase else { return };
-        self.next = apply_change(
+        self.new_process = apply_change(
             change,
             &self.queueing.sidecar,
             &self.directory,
@@ -102,8 +102,9 @@
 
     /// Returns how many attempts the old process and the new one have written to endpoints.
     pub fn attempts(&self) -> u64 {
-        let written = |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a figure");
-        written(&self.queueing.sidecar) + self.next.as_ref().map_or(0, written)
+        let attempts_of =
+            |sidecar: &Sidecar| sidecar.metric("upstream_requests").expect("a metric");
+        attempts_of(&self.queueing.sidecar) + self.new_process.as_ref().map_or(0, attempts_of)
     }
 }
 
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How a client disconnects, and what it has written after its request by then.
+/// How a client disconnects, and the bytes that it has written after its request by then.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
     /// It closes the connection.
@@ -15,7 +15,7 @@
     ByReset(PipelinedBytes),
 }
 
-/// What a client has written after its request when it disconnects.
+/// The bytes that a client has written after its request when it disconnects.
 #[derive(Clone, Copy, Debug)]
 pub enum PipelinedBytes {
     /// No bytes.
@@ -25,7 +25,7 @@
     /// A second request.
     CompleteRequest,
     /// More than the sidecar buffers while it answers a request.
-    MoreThanIsRead,
+    MoreThanBuffer,
 }
 
 /// Every way to disconnect, with every kind of pipelined bytes.
@@ -33,11 +33,11 @@
     Disconnect::ByFin(PipelinedBytes::Nothing),
     Disconnect::ByFin(PipelinedBytes::PartialHead),
     Disconnect::ByFin(PipelinedBytes::CompleteRequest),
-    Disconnect::ByFin(PipelinedBytes::MoreThanIsRead),
+    Disconnect::ByFin(PipelinedBytes::MoreThanBuffer),
     Disconnect::ByReset(PipelinedBytes::Nothing),
     Disconnect::ByReset(PipelinedBytes::PartialHead),
     Disconnect::ByReset(PipelinedBytes::CompleteRequest),
-    Disconnect::ByReset(PipelinedBytes::MoreThanIsRead),
+    Disconnect::ByReset(PipelinedBytes::MoreThanBuffer),
 ];
 
 /// A client that has written a complete or partial request.
@@ -45,12 +45,14 @@
 
 impl WaitingClient {
     /// Connects to the sidecar and writes a request.
-    pub fn with(sidecar: &Sidecar, request: &str) -> Self {
-        let mut stream = TcpStream::connect(sidecar.address).expect("it accepts");
+    pub fn send(sidecar: &Sidecar, request: &str) -> Self {
+        let mut stream = TcpStream::connect(sidecar.address).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        stream.write_all(request.as_bytes()).expect("it is written");
+            .expect("the timeout is set");
+        stream
+            .write_all(request.as_bytes())
+            .expect("the request is written");
         WaitingClient(stream)
     }
 
@@ -61,19 +63,21 @@
             PipelinedBytes::Nothing => String::new(),
             PipelinedBytes::PartialHead => "GET /api HTTP/1.1\r\nX-Ha".into(),
             PipelinedBytes::CompleteRequest => get_request("10"),
-            PipelinedBytes::MoreThanIsRead => get_request("10").repeat(400),
+            PipelinedBytes::MoreThanBuffer => get_request("10").repeat(400),
         };
-        self.0.write_all(text.as_bytes()).expect("it is open");
+        self.0
+            .write_all(text.as_bytes())
+            .expect("the connection is open");
         if let Disconnect::ByReset(_) = how {
-            // The written bytes arrive first, so that they may be unread when the reset comes.
+            // Lets the written bytes arrive first: some may still be unread when the reset arrives.
             std::thread::sleep(Duration::from_millis(20));
             SockRef::from(&self.0)
                 .set_linger(Some(Duration::ZERO))
-                .expect("an option");
+                .expect("the option is set");
         }
     }
 
-    /// Returns whether a response with status 200 comes.
+    /// Returns whether a response with status 200 arrives.
     pub fn is_served(&mut self) -> bool {
         let mut start = [0; 13];
         self.0.read_exact(&mut start).is_ok() && &start == b"HTTP/1.1 200 "
@@ -82,6 +86,9 @@
 
 /// Returns the value of a request's `X-Request-Id` header.
 pub fn request_id(request: &str) -> String {
-    let value = request.split("X-Request-Id: ").nth(1).expect("it has one");
+    let value = request
+        .split("X-Request-Id: ")
+        .nth(1)
+        .expect("the request has an id");
     value.split("\r\n").next().expect("a line").to_string()
 }
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -1,12 +1,13 @@
-//! Cancellation by the client: once it has closed its connection no attempt of its request begins, first or retry.
+//! Cancellation by the client: once it has closed its connection no attempt of its request begins, neither the first
+//! nor a retry.
 //!
 //! `client_disconnects.rs` covers first attempts that are queued or connecting. This file covers retries, requests that
-//! wait for the gap of a throttled endpoint, closes that arrive together with the request, and callers that die in an
-//! earlier tier. Each test has a second request in the same place whose client stays: as that one is served, the wait was
-//! over.
+//! wait for the gap of a throttled endpoint, closes that arrive together with the request, and callers in an earlier
+//! tier that end. Each test has a second request in the same place whose client stays. That request is served, which
+//! shows that the wait was over.
 
 use crate::cancellation_support::{
-    ALL_CLOSES, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
+    CLOSE_KINDS, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
     close, count_connecting, has_received_close, in_every_lifecycle_phase, request_id,
 };
 use crate::stubs::*;
@@ -25,10 +26,13 @@
 /// The number of safe requests that earn a test's retry budget.
 const RETRY_EARNING_REQUESTS: usize = 20;
 
-/// An endpoint that serves safe requests, and rejects unsafe ones when the test releases them, by their body.
+/// An endpoint that rejects requests with [`CLOSING_BODY`] or [`STAYING_BODY`] when the test releases them, and serves
+/// all others.
 struct RejectingEndpoint {
     endpoint: Endpoint,
+    /// Releases the rejection of the request with [`CLOSING_BODY`].
     closing: Sender<()>,
+    /// Releases the rejection of the request with [`STAYING_BODY`].
     staying: Sender<()>,
 }
 
@@ -50,7 +54,7 @@
             let Some((_, gate)) = gate else {
                 return respond_ok("x");
             };
-            let _ = gate.lock().expect("the only one").recv();
+            let _ = gate.lock().expect("the lock is not poisoned").recv();
             EndpointAction::RespondThenClose(NOT_RUN_RESPONSE.into())
         });
         RejectingEndpoint {
@@ -62,12 +66,12 @@
 
     /// Rejects the request of the client that closes. The response has been written when this returns.
     fn reject_closing(&self) {
-        self.closing.send(()).expect("it waits");
+        self.closing.send(()).expect("the endpoint waits");
         self.endpoint.next_connection_close();
     }
 
     fn reject_staying(&self) {
-        self.staying.send(()).expect("it waits");
+        self.staying.send(()).expect("the endpoint waits");
         self.endpoint.next_connection_close();
     }
 }
@@ -76,7 +80,7 @@
 struct FirstAttempts {
     sidecar: LifecycleSidecar,
     rejecting: RejectingEndpoint,
-    /// The client that closes; none once it has.
+    /// The client that closes its connection; `None` once it has.
     closing: Option<WaitingClient>,
     staying: WaitingClient,
     staying_id: String,
@@ -92,17 +96,17 @@
             config["settings"]["bounds"]["cancel"] = json!(cancel);
             config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         });
-        let mut earns = sidecar.queueing.sidecar.client();
+        let mut earning_client = sidecar.queueing.sidecar.client();
         for _ in 0..RETRY_EARNING_REQUESTS {
-            assert_eq!(earns.exchange(&get_request("60")).status(), 200);
+            assert_eq!(earning_client.exchange(&get_request("60")).status(), 200);
             rejecting.endpoint.next_request();
         }
         let request = post_request("unsafe", "60", STAYING_BODY);
-        let closing = WaitingClient::with(
+        let closing = WaitingClient::send(
             &sidecar.queueing.sidecar,
             &post_request("unsafe", "60", CLOSING_BODY),
         );
-        let staying = WaitingClient::with(&sidecar.queueing.sidecar, &request);
+        let staying = WaitingClient::send(&sidecar.queueing.sidecar, &request);
         (0..2).for_each(|_| drop(rejecting.endpoint.next_request()));
         sidecar.queueing.wait_for_pending(2);
         let attempts = sidecar.attempts();
@@ -123,12 +127,12 @@
         self.sidecar.queueing.wait_for_pending(2);
     }
 
-    /// Closes one client's connection, and waits until the sidecar has noticed.
+    /// Closes one client's connection, and waits until the sidecar has noticed. Returns the stream after a half close.
     fn close_client(&mut self, close_kind: CloseKind) -> Option<TcpStream> {
-        let closing = self.closing.take().expect("it has not closed yet");
-        let half = close(closing.0, close_kind);
+        let closing = self.closing.take().expect("the client has not closed yet");
+        let half_closed = close(closing.0, close_kind);
         self.sidecar.queueing.wait_for_pending(1);
-        half
+        half_closed
     }
 
     /// Lists an endpoint to which retries can be sent.
@@ -140,12 +144,12 @@
         });
     }
 
-    fn list_queueing_endpoint(&mut self) {
+    fn list_unused_endpoint(&mut self) {
         let address = self.sidecar.queueing.endpoint.address;
         self.list_other_endpoint(entry("other", address, "SERVING"));
     }
 
-    /// Asserts that the retry of the client that stays is served by the other endpoint, and that no other attempt is made.
+    /// Asserts that the other endpoint serves the retry of the client that stays, and that no other attempt is made.
     fn assert_only_staying_is_retried(&mut self, context: &str) {
         assert!(self.staying.is_served(), "{context}");
         assert_eq!(self.sidecar.attempts(), self.attempts + 1, "{context}");
@@ -159,14 +163,14 @@
 
 /// Guards a retry that is queued for lack of an endpoint when its client closes.
 #[test]
-fn queued_retry_is_not_sent_after_the_client_closes() {
+fn client_close_cancels_queued_retry() {
     in_every_lifecycle_phase(|phase| {
-        for close_kind in ALL_CLOSES {
+        for close_kind in CLOSE_KINDS {
             let mut requests = FirstAttempts::start(true);
             requests.reject_both();
             requests.sidecar.enter_phase(phase);
-            let _half = requests.close_client(close_kind);
-            requests.list_queueing_endpoint();
+            let _half_closed = requests.close_client(close_kind);
+            requests.list_unused_endpoint();
             requests.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
         }
     });
@@ -174,13 +178,13 @@
 
 /// Guards a first attempt that may not be cancelled: it fails after its client has closed, and is not retried.
 #[test]
-fn attempt_that_fails_after_the_client_closes_is_not_retried() {
+fn client_close_prevents_retry_of_failed_attempt() {
     in_every_lifecycle_phase(|phase| {
-        for close_kind in ALL_CLOSES {
+        for close_kind in CLOSE_KINDS {
             let mut requests = FirstAttempts::start(false);
             requests.sidecar.enter_phase(phase);
-            let _half = requests.close_client(close_kind);
-            requests.list_queueing_endpoint();
+            let _half_closed = requests.close_client(close_kind);
+            requests.list_unused_endpoint();
             requests.rejecting.reject_closing();
             requests.rejecting.reject_staying();
             requests.assert_only_staying_is_retried(&format!("{phase:?} {close_kind:?}"));
@@ -188,11 +192,11 @@
     });
 }
 
-/// Reads what has been written on any of these connections.
-fn written(connections: &mut [TcpStream]) -> String {
+/// Reads the text that has been written on these connections.
+fn read_written(connections: &mut [TcpStream]) -> String {
     let mut all = Vec::new();
     for connection in connections {
-        connection.set_nonblocking(true).expect("an option");
+        connection.set_nonblocking(true).expect("the option is set");
         let mut bytes = [0; 4096];
         match connection.read(&mut bytes) {
             Ok(length) => all.extend_from_slice(&bytes[..length]),
@@ -202,10 +206,10 @@
     String::from_utf8(all).expect("text")
 }
 
-/// Guards a retry whose connection is established after the close: nothing is written on it, whether or not attempts may
-/// be cancelled.
+/// Guards a retry whose connection is established after the close: nothing is written on it, with or without permission
+/// to cancel attempts.
 #[test]
-fn connecting_retry_is_not_written_after_the_client_closes() {
+fn client_close_cancels_connecting_retry() {
     in_every_lifecycle_phase(|phase| {
         for cancel in [true, false] {
             let mut requests = FirstAttempts::start(cancel);
@@ -216,7 +220,7 @@
                 count_connecting(&full_backlog_endpoint) == 2
             });
             requests.sidecar.enter_phase(phase);
-            let _half = requests.close_client(CloseKind::Full);
+            let _half_closed = requests.close_client(CloseKind::Full);
             // A cancelled retry's connection is never established.
             let expected_connections = if cancel { 1 } else { 2 };
             let mut connections = Vec::new();
@@ -227,7 +231,7 @@
             });
             let mut seen = String::new();
             wait_until("the retry of the client that stays is written", || {
-                seen += &written(&mut connections);
+                seen += &read_written(&mut connections);
                 seen.contains(STAYING_BODY)
             });
             assert_eq!(
@@ -235,7 +239,7 @@
                 requests.attempts + 1,
                 "{phase:?}, cancel {cancel}"
             );
-            seen += &written(&mut connections);
+            seen += &read_written(&mut connections);
             assert!(!seen.contains(CLOSING_BODY), "{phase:?}, cancel {cancel}");
         }
     });
@@ -244,48 +248,48 @@
 // ---- Waiting for a gap -----------------------------------------------------------------------------------
 
 /// A response whose load report puts the class of the higher priority into the gapping state, short of discarding.
-const THROTTLED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\
+const THROTTLING_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\
                          X-Load: TEXT concurrent=3, depth=2.3, load_share=0.5\r\n\r\nx";
 
-/// After this time without a request the sidecar measures a low rate, so that gaps last some seconds.
-const QUIET: Duration = Duration::from_secs(3);
+/// After this time without a request the sidecar measures a low rate, which makes gaps last some seconds.
+const QUIET_TIME: Duration = Duration::from_secs(3);
 
 /// Guards requests that wait for the end of the only endpoint's gap.
 #[test]
-fn request_queued_for_a_gap_is_not_sent_after_the_client_closes() {
+fn client_close_cancels_request_waiting_for_gap() {
     in_every_lifecycle_phase(|phase| {
         let throttled = Endpoint::start(|message| {
             if message.body == b"throttles" {
-                thread::sleep(QUIET);
-                return EndpointAction::Respond(THROTTLED.into());
+                thread::sleep(QUIET_TIME);
+                return EndpointAction::Respond(THROTTLING_RESPONSE.into());
             }
             respond_ok("x")
         });
         let mut sidecar = LifecycleSidecar::start(|config| {
             config["known"]["endpoints"] = json!(serving_entries(&[&throttled]));
         });
-        let throttles =
+        let throttling_response =
             sidecar
                 .queueing
                 .sidecar
                 .client()
                 .exchange(&post_request("unsafe", "60", "throttles"));
-        assert_eq!(throttles.status(), 200);
+        assert_eq!(throttling_response.status(), 200);
         throttled.next_request();
-        let leavers = ALL_CLOSES.map(|close_kind| {
+        let closing_clients = CLOSE_KINDS.map(|close_kind| {
             (
                 close_kind,
-                WaitingClient::with(
+                WaitingClient::send(
                     &sidecar.queueing.sidecar,
                     &post_request("unsafe", "60", CLOSING_BODY),
                 ),
             )
         });
         let request = post_request("unsafe", "60", STAYING_BODY);
-        let mut staying = WaitingClient::with(&sidecar.queueing.sidecar, &request);
-        sidecar.queueing.wait_for_pending(ALL_CLOSES.len() + 1);
+        let mut staying = WaitingClient::send(&sidecar.queueing.sidecar, &request);
+        sidecar.queueing.wait_for_pending(CLOSE_KINDS.len() + 1);
         sidecar.enter_phase(phase);
-        let _half = leavers.map(|(close_kind, client)| close(client.0, close_kind));
+        let _half_closed = closing_clients.map(|(close_kind, client)| close(client.0, close_kind));
         sidecar.queueing.wait_for_pending(1);
         assert_eq!(
             throttled.take_request_count(),
@@ -302,16 +306,16 @@
     });
 }
 
-// ---- Closes that come together with the request ----------------------------------------------------------
+// ---- Closes that arrive together with the request --------------------------------------------------------
 
-/// What arrives on a connection at once, directly before the close.
-fn pipelined_arrivals() -> Vec<(&'static str, String)> {
+/// Descriptions and texts of the bytes that arrive on a connection at once, directly before the close.
+fn texts_before_close() -> Vec<(&'static str, String)> {
     let chunked = |end: &str| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
         format!("{head}5\r\nhello\r\n{end}")
     };
-    let part_of_a_body = |length: usize, written: usize| {
+    let partial_body = |length: usize, written: usize| {
         let head = post_request("unsafe", "60", "")
             .replace("Content-Length: 0", &format!("Content-Length: {length}"));
         format!("{head}{}", "x".repeat(written))
@@ -332,34 +336,34 @@
         ),
         (
             "a request and part of the next one's body",
-            format!("{}{}", get_request("60"), part_of_a_body(9, 4)),
+            format!("{}{}", get_request("60"), partial_body(9, 4)),
         ),
-        ("part of a body", part_of_a_body(1000, 10)),
+        ("part of a body", partial_body(1000, 10)),
         (
-            "part of a body that is not kept",
-            part_of_a_body(300_000, 90_000),
+            "part of a body that is not buffered",
+            partial_body(300_000, 90_000),
         ),
         ("a body in chunks", chunked("0\r\n\r\n")),
         ("part of a body in chunks", chunked("5\r\nhel")),
     ]
 }
 
-/// Sends a request and reads its whole response: a close with unread bytes would be a reset.
-fn complete_exchange(connection: &mut TcpStream) {
+/// Sends a readiness check and reads its whole response, because a close with unread bytes would be a reset.
+fn exchange_readiness_check(connection: &mut TcpStream) {
     connection
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the timeout is set");
     connection
         .write_all(b"GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
-        .expect("it is open");
-    let answer = read_message(&mut BufReader::new(connection)).expect("an answer");
+        .expect("the connection is open");
+    let answer = read_message(&mut BufReader::new(connection)).expect("a response");
     assert_eq!(answer.status(), 200);
 }
 
-/// Guards the moment in which a request is read: with its client's close already there, no attempt is written, on new and
-/// on reused connections, whether or not attempts may be cancelled.
+/// Guards a request that is read when its client's close has already arrived: no attempt is written. The client's
+/// connection is new or reused, and attempts may be cancelled or not.
 #[test]
-fn request_read_together_with_its_close_is_not_sent() {
+fn request_read_with_client_close_is_not_sent() {
     for cancel in [true, false] {
         let endpoint = Endpoint::start(|_| respond_ok("x"));
         let discovery = Discovery::start();
@@ -367,20 +371,24 @@
             with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         let sidecar = Sidecar::start(&config);
-        for close_kind in ALL_CLOSES {
-            for (what, text) in pipelined_arrivals() {
-                for is_kept in [true, false] {
-                    let context =
-                        format!("{what}, {close_kind:?}, kept {is_kept}, cancel {cancel}");
-                    let mut closing = TcpStream::connect(sidecar.address).expect("it accepts");
-                    if is_kept {
-                        complete_exchange(&mut closing);
+        for close_kind in CLOSE_KINDS {
+            for (description, text) in texts_before_close() {
+                for is_reused in [true, false] {
+                    let context = format!(
+                        "{description}, {close_kind:?}, reused {is_reused}, cancel {cancel}"
+                    );
+                    let mut closing =
+                        TcpStream::connect(sidecar.address).expect("the sidecar accepts");
+                    if is_reused {
+                        exchange_readiness_check(&mut closing);
                     }
-                    let from = closing.local_addr().expect("an address");
+                    let from = closing.local_addr().expect("a bound address");
                     sidecar.suspend();
-                    closing.write_all(text.as_bytes()).expect("it is open");
-                    let _half = close(closing, close_kind);
-                    wait_until("the close is there", || {
+                    closing
+                        .write_all(text.as_bytes())
+                        .expect("the connection is open");
+                    let _half_closed = close(closing, close_kind);
+                    wait_until("the close has arrived", || {
                         has_received_close(from, sidecar.address)
                     });
                     sidecar.resume();
@@ -405,19 +413,19 @@
 
 // ---- Later tiers -----------------------------------------------------------------------------------------
 
-/// Guards a later tier against its caller's end: a queued request ends with the process of the earlier tier that sent it,
-/// and with that one's client.
+/// Guards a request queued in a later tier. It is cancelled when the process of the earlier tier that sent it is
+/// killed, and when the client of that process closes its connection.
 #[test]
-fn request_queued_in_a_later_tier_ends_with_its_caller() {
+fn caller_end_cancels_request_in_later_tier() {
     for caller_dies in [true, false] {
-        let mut later = QueueingSidecar::with(|config| {
+        let mut later = QueueingSidecar::with_config(|config| {
             config["settings"]["tier"] = json!(1);
             config["settings"]["stages"] = json!(["one", "two"]);
         });
         let discovery = Discovery::start();
         let known = [entry("later", later.sidecar.address, "SERVING")];
         let mut earlier = Sidecar::start(&with_admin_address(config(discovery.address, &known)));
-        let closing = WaitingClient::with(&earlier, &get_request("10"));
+        let closing = WaitingClient::send(&earlier, &get_request("10"));
         later.wait_for_pending(1);
         let _open = if caller_dies {
             earlier.kill();
@@ -427,7 +435,7 @@
         };
         later.wait_for_pending(0);
         let request = get_request("60");
-        let mut staying = WaitingClient::with(&later.sidecar, &request);
+        let mut staying = WaitingClient::send(&later.sidecar, &request);
         later.wait_for_pending(1);
         later.list_endpoint();
         assert!(staying.is_served());
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -3,11 +3,11 @@
 use crate::stubs::*;
 use std::time::{Duration, Instant};
 
-/// When a drain must have closed idle connections, after the command.
+/// The time after the command by which a drain must have closed idle connections.
 const IDLE_CLOSE_DEADLINE: Duration = Duration::from_secs(4);
 
-/// The sidecar is not ready from the command on; callers that still come are served, then connections close with their
-/// responses, and idle ones close; a request in flight is answered; and `UNDRAIN` undoes it all.
+/// From the command on the sidecar is not ready. Callers that still come are served. Later, busy connections close with
+/// their responses, and idle ones close too. A request in flight is answered. `UNDRAIN` undoes all of this.
 #[test]
 fn drained_sidecar_closes_connections_and_answers_every_request() {
     let (opener, gate) = response_gate();
@@ -20,8 +20,8 @@
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     let (mut busy, mut idle, mut waiting) = (sidecar.client(), sidecar.client(), sidecar.client());
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
-    let mut front = sidecar.client();
-    assert_eq!(front.exchange(READY_REQUEST).status(), 200);
+    let mut readiness_client = sidecar.client();
+    assert_eq!(readiness_client.exchange(READY_REQUEST).status(), 200);
     waiting.write(&post_request("unsafe", "15", "x"));
     while endpoint.next_request().message.header("x-class") != Some("unsafe") {}
     assert!(sidecar.call_is_yes("DRAIN"));
@@ -31,7 +31,7 @@
         "a second command changes nothing"
     );
     assert!(!sidecar.call_is_yes("READY"));
-    assert_eq!(front.exchange(READY_REQUEST).status(), 503);
+    assert_eq!(readiness_client.exchange(READY_REQUEST).status(), 503);
     assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 503);
     // The caller sends requests until a response closes its connection.
     loop {
@@ -42,13 +42,13 @@
         }
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "its connection never closes"
+            "no response closes the connection"
         );
     }
     assert!(busy.is_closed());
     assert!(
         idle.is_closed() && started_at.elapsed() < IDLE_CLOSE_DEADLINE,
-        "an idle one closes in time"
+        "an idle connection closes in time"
     );
     let mut late = sidecar.client();
     assert_eq!(
@@ -59,7 +59,7 @@
     assert!(late.is_closed());
     assert_eq!(sidecar.metric("pending"), Some(1));
     opener.release_one();
-    assert_eq!(waiting.read().expect("its answer").status(), 200);
+    assert_eq!(waiting.read().expect("a response").status(), 200);
     assert!(waiting.is_closed());
 
     assert!(sidecar.call_is_yes("UNDRAIN"));
@@ -75,9 +75,9 @@
     }
 }
 
-/// `UNDRAIN` cancels the remaining steps of a drain, and changes nothing without one.
+/// `UNDRAIN` cancels the remaining steps of a drain. Without a drain it changes nothing.
 #[test]
-fn undrain_cancels_the_remaining_steps_of_a_drain() {
+fn undrain_cancels_remaining_drain_steps() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -1,4 +1,4 @@
-//! Hedged dials: connections to endpoints that are established late, or never.
+//! Hedged dials, made when a connection to an endpoint is established late or never.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -11,23 +11,25 @@
 /// Less than the time after which the kernel repeats the handshake by itself, which is 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// An endpoint with a full accept queue, so that no further connection is established for now.
-struct FullEndpoint {
+/// An endpoint whose accept queue is full: no further connection is established until it accepts some.
+struct FullQueueEndpoint {
     listener: TcpListener,
     address: SocketAddr,
     _queued: TcpStream,
 }
 
-impl FullEndpoint {
+impl FullQueueEndpoint {
     fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        socket.bind(&SockAddr::from(any_port)).expect("a port");
-        socket.listen(0).expect("it listens");
+        socket
+            .bind(&SockAddr::from(any_port))
+            .expect("the port is bound");
+        socket.listen(0).expect("the socket listens");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("a bound address");
         let queued = TcpStream::connect(address).expect("the queue takes one");
-        FullEndpoint {
+        FullQueueEndpoint {
             listener,
             address,
             _queued: queued,
@@ -59,7 +61,7 @@
     stream.set_nonblocking(false).expect("a blocking socket");
     stream
         .set_read_timeout(Some(idle_timeout))
-        .expect("a timeout");
+        .expect("the timeout is set");
     let mut reader = BufReader::new(stream);
     let mut requests = 0;
     while read_message(&mut reader).is_some() {
@@ -72,7 +74,7 @@
     requests
 }
 
-fn start_sidecar(endpoint: &FullEndpoint) -> (Sidecar, Discovery) {
+fn start_sidecar(endpoint: &FullQueueEndpoint) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -82,19 +84,19 @@
     (Sidecar::start(&config), discovery)
 }
 
-/// When the first dial is late, a further one that is established carries the request, which is written once. The first
-/// alone would take 1 s.
+/// When the first dial is late, the request is written once, on a further dial that is established earlier. The first
+/// dial alone would take 1 s.
 #[test]
-fn a_request_is_sent_once_over_the_first_established_dial() {
+fn request_is_sent_once_on_first_established_dial() {
     for request in [get_request("5"), post_request("unsafe", "5", "hello")] {
-        let endpoint = FullEndpoint::start();
+        let endpoint = FullQueueEndpoint::start();
         let (sidecar, _discovery) = start_sidecar(&endpoint);
         let mut client = sidecar.client();
         client.write(&request);
         thread::sleep(Duration::from_millis(30)); // the first dial is dropped by the full queue
         let endpoint = thread::spawn(move || endpoint.accept_and_respond(Duration::from_secs(2)));
         let accepting_since = Instant::now();
-        let answer = client.read().expect("an answer");
+        let answer = client.read().expect("a response");
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, b"late".as_slice())
@@ -109,11 +111,11 @@
     }
 }
 
-/// Dials are limited in number, so that they flood neither endpoints nor descriptors, and in time by the connect
-/// timeout.
+/// A request makes three dials at most, which keeps dials from flooding endpoints and descriptors. It is rejected at
+/// the connect timeout.
 #[test]
-fn a_request_is_rejected_at_the_connect_timeout_after_three_dials() {
-    let endpoint = FullEndpoint::start();
+fn dials_are_limited_in_number_and_time() {
+    let endpoint = FullQueueEndpoint::start();
     let (mut sidecar, _discovery) = start_sidecar(&endpoint);
     let sent_at = Instant::now();
     assert_eq!(
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -22,7 +22,8 @@
     })
 }
 
-/// Starts an endpoint that reports of each request whether its body was complete, and does not respond.
+/// Starts an endpoint that does not respond. The receiver gets true for each complete request body and false for each
+/// incomplete one.
 fn endpoint_reporting_completeness() -> (RawEndpoint, Receiver<bool>) {
     let (sender, is_complete) = channel();
     let sender = Mutex::new(sender);
@@ -30,7 +31,7 @@
         let body = read_body(head, stream);
         sender
             .lock()
-            .expect("the only user")
+            .expect("the lock is not poisoned")
             .send(body.is_some())
             .expect("the test is running");
     });
@@ -71,7 +72,7 @@
         assert_eq!(
             sidecar.metric("pending"),
             Some(0),
-            "it has not been received either"
+            "it has not been received completely either"
         );
         send(
             &mut client,
@@ -85,7 +86,9 @@
         assert_eq!(sidecar.metric("upstream_requests"), Some(number as u64 + 1));
         if !chunked {
             let mut two = [0; 2];
-            client.read_exact(&mut two).expect("the answer's body");
+            client
+                .read_exact(&mut two)
+                .expect("the body of the response");
             // The connection stays open.
             send(&mut client, b"GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
             assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
@@ -96,7 +99,7 @@
 
 /// A client that waits for `100 Continue` gets it, and its body is forwarded.
 #[test]
-fn a_client_that_expects_100_continue_gets_it() {
+fn expect_100_continue_is_answered() {
     let endpoint = RawEndpoint::start(|head, stream| {
         let is_complete = read_body(head, stream).is_some();
         assert!(is_complete && header(head, "expect").is_none(), "{head}");
@@ -122,10 +125,10 @@
     }
 }
 
-/// Once some of a body that is not buffered has been forwarded there is no second attempt, whatever the class. As the
-/// request never ran, it is rejected: trying again is harmless.
+/// Once part of a body that is not buffered has been forwarded there is no second attempt, whatever the class. The
+/// request never ran and is therefore rejected: trying again is harmless.
 #[test]
-fn a_streamed_request_is_not_sent_twice() {
+fn partly_forwarded_request_is_not_retried() {
     for class in ["keyed", "unsafe"] {
         let endpoints = [0, 1].map(|_| {
             RawEndpoint::start(|_, stream| {
@@ -160,17 +163,17 @@
     }
 }
 
-/// When the first attempt fails before its first byte, all that has been received is still buffered, and the next
-/// endpoint gets the complete body.
+/// When the first attempt fails before its first byte is written, all that has been received is still buffered. The
+/// next endpoint gets the complete body.
 #[test]
-fn a_large_request_whose_first_attempt_never_began_is_retried() {
+fn large_request_is_retried_after_refused_connection() {
     let endpoint = RawEndpoint::start(|head, stream| {
         let is_complete = read_body(head, stream).is_some_and(|body| body == pattern(body.len()));
         let response = if is_complete { OK } else { INTERNAL_ERROR };
         send(stream, response.as_bytes());
     });
     let connection = TcpStream::connect(endpoint.address).expect("a connection");
-    let closed = connection.local_addr().expect("an address"); // nobody listens on it
+    let closed = connection.local_addr().expect("a bound address"); // nobody listens on it
     let (sidecar, _discovery) = start_sidecar(&[closed, endpoint.address]);
     for _ in 0..12 {
         let mut client = connect(&sidecar);
@@ -182,7 +185,7 @@
         let answer = status(&read_head(&mut client).expect("a response")).to_string();
         assert!(
             answer == "200" || answer == "503",
-            "rejected where the retry budget is spent: {answer}"
+            "200, or 503 if the retry budget is spent: {answer}"
         );
     }
     assert!(
@@ -192,8 +195,8 @@
     );
 }
 
-/// A request whose declared length is over the limit gets 413 at once, another one when it exceeds the limit. No
-/// endpoint gets a complete body.
+/// A request whose declared length is over the limit gets 413 at once. One without a declared length gets it when its
+/// body exceeds the limit. No endpoint gets a complete body.
 #[test]
 fn requests_over_the_size_limit_get_413() {
     let (endpoint, is_complete) = endpoint_reporting_completeness();
@@ -233,10 +236,10 @@
 /// When a client stops in the middle of a large body, sends a malformed chunk or disconnects, its request ends, and so
 /// does the connection to the endpoint.
 #[test]
-fn an_incomplete_large_request_ends_with_its_attempt() {
+fn incomplete_large_request_ends_its_attempt() {
     let (endpoint, is_complete) = endpoint_reporting_completeness();
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
-    let is_received = || {
+    let is_body_complete = || {
         is_complete
             .recv_timeout(TEST_TIMEOUT)
             .expect("the endpoint's connection ends")
@@ -248,18 +251,18 @@
         endpoint.next_head();
         client
     };
-    // The client stops.
+    // The client stops in the middle of the body.
     let mut client = begin("Content-Length: 500000", &pattern(100_000));
     assert_eq!(status(&read_head(&mut client).expect("a response")), "408");
-    assert!(!is_received());
+    assert!(!is_body_complete());
     // The client sends a malformed chunk size.
     let mut client = begin("Transfer-Encoding: chunked", &chunk(&pattern(100_000)));
     send(&mut client, b"not a size\r\n");
     let _ = read_head(&mut client); // a response or a close
-    assert!(!is_received());
+    assert!(!is_body_complete());
     // The client disconnects.
     drop(begin("Content-Length: 500000", &pattern(100_000)));
-    assert!(!is_received());
+    assert!(!is_body_complete());
     wait_until("no request is pending", || {
         sidecar.metric("pending") == Some(0)
     });
@@ -269,7 +272,7 @@
 
 /// A large body at 64 kB a second is received, although it takes longer than a small one may.
 #[test]
-fn a_slow_client_above_the_minimum_rate_is_served() {
+fn slow_client_above_minimum_rate_is_served() {
     let body = Arc::new(pattern(320_000));
     let endpoint = endpoint_expecting(body.clone());
     let (sidecar, _discovery) = start_sidecar(&[endpoint.address]);
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// An endpoint that reports a long queue gets hardly any requests while another one is clear. Implausible values are no
-/// report.
+/// An endpoint that reports a long queue gets hardly any requests while another one is idle. A report with implausible
+/// values is ignored.
 #[test]
-fn requests_avoid_an_endpoint_with_a_valid_report_of_a_long_queue() {
+fn valid_load_report_of_long_queue_diverts_requests() {
     for (load, is_valid) in [
         ("X-Load: TEXT concurrent=9, depth=8, load_share=1.0", true),
         (
@@ -27,10 +27,10 @@
         ),
     ] {
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{load}\r\n\r\n");
-        let clear = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Load: TEXT concurrent=0, depth=0, load_share=0\r\n\r\n";
+        let idle_response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Load: TEXT concurrent=0, depth=0, load_share=0\r\n\r\n";
         let endpoints = [
             Endpoint::start(move |_| EndpointAction::Respond(response.clone())),
-            Endpoint::start(|_| EndpointAction::Respond(clear.into())),
+            Endpoint::start(|_| EndpointAction::Respond(idle_response.into())),
         ];
         let (sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
         let mut client = sidecar.client();
@@ -42,10 +42,10 @@
     }
 }
 
-/// Where a response's end cannot be known, or is not worth waiting for, the request may have run. It fails at once and
-/// not at its timeout, and the connection is closed.
+/// The end of these responses cannot be known or is not worth waiting for, and the request may have run. It fails at
+/// once and not at its timeout, and the connection is closed.
 #[test]
-fn a_malformed_response_fails_the_request_at_once() {
+fn malformed_response_fails_its_request_at_once() {
     let long_headers = "X-Pad: pppppppppppppppppppppppppppppp\r\n".repeat(2000);
     let hints = "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(200);
     for response in [
@@ -82,7 +82,7 @@
 /// Informational responses may precede a response, and extra bytes may follow it. The response is served, and the extra
 /// bytes are not taken for the next request's response.
 #[test]
-fn a_valid_response_with_extra_bytes_is_served() {
+fn valid_response_with_extra_bytes_is_served() {
     let response_with = |id: &str| {
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
@@ -113,18 +113,18 @@
                 (200, id),
                 "{kind}"
             );
-            std::thread::sleep(Duration::from_millis(60)); // the idle connection settles
+            std::thread::sleep(Duration::from_millis(60)); // past the settling time of the idle connection
         }
     }
 }
 
-/// Once a response has reached the client its endpoint sends a second one, or closes the connection. The next request,
-/// which is sent meanwhile, must not be on that connection.
+/// Once a response has reached the client, its endpoint sends a second one or closes the connection. The next request
+/// is sent at that moment and must not be on that connection.
 #[test]
-fn a_late_second_response_does_not_reach_the_next_request() {
+fn late_second_response_does_not_reach_next_request() {
     for closes_connection in [false, true] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let (next_request_sent, next_request) = channel::<()>();
         let next_request = Arc::new(Mutex::new(next_request));
         std::thread::spawn(move || {
@@ -140,7 +140,10 @@
                         );
                         let _ = stream.get_mut().write_all(text.as_bytes());
                         if connection == 0 {
-                            let _ = next_request.lock().expect("the only user").recv();
+                            let _ = next_request
+                                .lock()
+                                .expect("the lock is not poisoned")
+                                .recv();
                             if closes_connection {
                                 return drop(stream.get_mut().shutdown(Shutdown::Both));
                             }
@@ -156,14 +159,14 @@
             &[entry("e0", address, "SERVING")],
         ));
         let mut client = sidecar.client();
-        // The second request comes with the first, so that it is sent as soon as the first has its response.
+        // The second request is pipelined after the first, and is sent as soon as the first has its response.
         let requests = [0, 1, 2, 3].map(|_| get_request("5"));
         client.write(&requests[..2].concat());
         for (number, request) in requests.iter().enumerate() {
             if number >= 2 {
                 client.write(request);
             }
-            let reply = client.read().expect("an answer");
+            let reply = client.read().expect("a response");
             let body = String::from_utf8(reply.body.clone()).expect("text");
             let is_own_response = request.contains(&format!("X-Request-Id: {body}\r\n"));
             assert!(
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that opens every watch at once and leaves its events to the test.
+//! A discovery that answers every call at once with the head of a chunked response. The test writes the lines after it.
 
 use super::message::*;
 use serde_json::{Value, json};
@@ -13,18 +13,18 @@
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// An endpoint list: the full one if it is a snapshot, else changes.
+/// An endpoint list of the version `index`: the full list if it is a snapshot, else a list of changes.
 pub fn list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
     json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
 }
 
-/// A discovery that answers every call with a chunked response. Watches are received in the order of their calls.
+/// A discovery that answers every call with the head of a chunked response, and hands the calls over in their order.
 pub struct Discovery {
     pub address: SocketAddr,
     watches: Receiver<Watch>,
 }
 
-/// A call of discovery whose response has begun; a watch, or a fetch of the full list.
+/// A call of discovery: a watch, or a fetch of the full list. The head of its response has been written.
 pub struct Watch {
     pub request_line: String,
     stream: TcpStream,
@@ -32,8 +32,8 @@
 
 impl Discovery {
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let (opened, watches) = channel();
         thread::spawn(move || accept_calls(&listener, &opened));
         Discovery { address, watches }
@@ -60,7 +60,7 @@
 }
 
 impl Watch {
-    /// Reads the request on a connection; returns `None` if the connection was closed before.
+    /// Reads the request on a connection. Returns `None` if the connection ends before the request is complete.
     fn read(stream: TcpStream) -> Option<Self> {
         let mut reader = BufReader::new(stream);
         let request_line = read_message(&mut reader)?.start_line;
@@ -74,11 +74,12 @@
     pub fn is_closed(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("the timeout is set");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    /// Writes a line, on the next watch if the sidecar has closed this one because it was silent.
+    /// Writes a line. If the sidecar has closed this watch because it was silent, waits for the next one and writes it
+    /// there.
     pub fn write_line_reconnecting(&mut self, discovery: &Discovery, line: &str) {
         if !self.is_open() {
             *self = discovery.next_watch();
@@ -91,9 +92,11 @@
         is_open_and_silent(&self.stream)
     }
 
-    /// Ends the response in order, as that to a fetch.
+    /// Ends the response with its last chunk, which completes the answer to a fetch.
     pub fn finish(&mut self) {
-        self.stream.write_all(b"0\r\n\r\n").expect("it is open");
+        self.stream
+            .write_all(b"0\r\n\r\n")
+            .expect("the connection is open");
     }
 
     /// Writes a line of the watch, empty for a heartbeat.
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that respond as the test decides, and record what they receive.
+//! Endpoints that respond as the test decides, and record the requests that they receive.
 
 use super::message::*;
 use std::io::{BufReader, Write};
@@ -7,19 +7,19 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// What an endpoint does with a request.
+/// How an endpoint reacts to a request.
 pub enum EndpointAction {
     /// Writes this response and keeps the connection open.
     Respond(String),
     /// Writes this response and closes the connection.
     RespondThenClose(String),
-    /// Writes this response, and resets the connection at the next request on it.
-    RespondThenReset(String),
+    /// Writes this response. Closes the connection without a response when the next request arrives on it.
+    RespondThenCloseOnNextRequest(String),
     /// Writes nothing until the sidecar closes the connection.
     Hang,
 }
 
-/// What an endpoint has observed. Connections are numbered in the order in which they were accepted.
+/// An event at an endpoint. Connections are numbered from 0 in the order in which they are accepted.
 #[derive(Debug)]
 pub enum EndpointEvent {
     /// A request arrived.
@@ -50,10 +50,10 @@
 }
 
 impl Endpoint {
-    /// Starts an endpoint that does with each request what `respond` returns.
+    /// Starts an endpoint that reacts to each request by the action that `respond` returns for it.
     pub fn start(respond: impl Fn(&Message) -> EndpointAction + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+        let address = listener.local_addr().expect("a bound address");
         let (sender, events) = channel();
         let respond = Arc::new(respond);
         thread::spawn(move || {
@@ -96,12 +96,13 @@
         }
     }
 
-    /// Takes the requests that have arrived since they were last taken, and returns their number.
+    /// Takes the requests that have arrived and were not taken yet, and returns their number. Drops all other events so
+    /// far.
     pub fn take_request_count(&self) -> usize {
         self.take_requests().len()
     }
 
-    /// Takes the requests that have arrived since they were last taken.
+    /// Takes the requests that have arrived and were not taken yet. Drops all other events so far.
     pub fn take_requests(&self) -> Vec<Message> {
         let requests = |event| match event {
             EndpointEvent::Request(request) => Some(request.message),
@@ -118,8 +119,8 @@
     respond: &dyn Fn(&Message) -> EndpointAction,
 ) {
     let mut reader = BufReader::new(stream);
-    let mut resets_at_next_request = false;
-    while let Some(message) = read_message(&mut reader).filter(|_| !resets_at_next_request) {
+    let mut closes_on_next_request = false;
+    while let Some(message) = read_message(&mut reader).filter(|_| !closes_on_next_request) {
         let _ = events.send(EndpointEvent::Request(ReceivedRequest {
             connection,
             message: message.clone(),
@@ -127,8 +128,8 @@
         let (response, closes) = match respond(&message) {
             EndpointAction::Respond(response) => (response, false),
             EndpointAction::RespondThenClose(response) => (response, true),
-            EndpointAction::RespondThenReset(response) => {
-                resets_at_next_request = true;
+            EndpointAction::RespondThenCloseOnNextRequest(response) => {
+                closes_on_next_request = true;
                 (response, false)
             }
             EndpointAction::Hang => continue, // the next read waits until the connection is closed
