--- a/tests/sidecar/crowded_discovery.rs
+++ b/tests/sidecar/crowded_discovery.rs
@@ -75,7 +75,7 @@
     }
 
     /// Opens the next watch with a list that names the new process of the endpoint, and waits until it is used.
-    fn expect_use_once_listed(&self) {
+    fn expect_requests_once_listed(&self) {
         let mut watch = self.discovery.next_call();
         watch.open_watch();
         watch.write_line(&list(42, false, &[self.restarted_entry()]));
@@ -103,7 +103,7 @@
 /// Guards against sends to a removed endpoint while discovery is crowded: once an endpoint has refused a connection, a process
 /// at its address is another one, of which the old list says nothing. No connection is idle, so the refusal is all that shows its end.
 #[test]
-fn endpoint_that_refused_a_connection_gets_no_request_until_the_list_is_current() {
+fn endpoint_is_suspended_after_a_refused_connection() {
     in_each_mode(|mode| {
         let mut fixture = Fixture::start(mode, AfterResponse::Close);
         fixture.use_restartable_endpoint();
@@ -119,14 +119,14 @@
         fixture.send_while_calls_are_rejected();
 
         assert_eq!(fixture.restartable.request_count(), 0, "{mode}");
-        fixture.expect_use_once_listed();
+        fixture.expect_requests_once_listed();
     });
 }
 
 /// Guards the same where no request is sent while the endpoint is away: the reset of its idle connections is all that shows
 /// its end.
 #[test]
-fn endpoint_that_reset_idle_connections_gets_no_request_until_the_list_is_current() {
+fn endpoint_is_suspended_after_its_idle_connections_were_reset() {
     in_each_mode(|mode| {
         let mut fixture = Fixture::start(mode, AfterResponse::KeepOpen);
         fixture.use_restartable_endpoint();
@@ -136,35 +136,35 @@
         fixture.send_while_calls_are_rejected();
 
         assert_eq!(fixture.restartable.request_count(), 0, "{mode}");
-        fixture.expect_use_once_listed();
+        fixture.expect_requests_once_listed();
     });
 }
 
 /// The time after which a change counts as received, with the grace for sends of the test's settings, in milliseconds.
-const CHANGE_IN_FORCE_MS: u64 = 6_250;
+const CHANGE_IN_FORCE_DEADLINE_MS: u64 = 6_250;
 /// Requests that are sent once the list is overdue.
 const REQUESTS_UNDER_AN_OVERDUE_LIST: usize = 300;
 
 /// Guards the same where nothing shows the end: no connection was open, and none was attempted. Once a change would have to be
 /// in force, the list is overdue, and only a process with a connection from before is known to be the listed one.
 #[test]
-fn endpoint_without_a_connection_gets_no_request_while_the_list_is_overdue() {
+fn endpoint_without_a_connection_is_suspended_while_the_list_is_overdue() {
     let mut fixture = Fixture::start(ON_REQUEST_MODE, AfterResponse::Close);
     fixture.use_restartable_endpoint();
     fixture.restartable.end();
     fixture.restartable.start_again();
     wait_until("a change would have to be in force", || {
         fixture.reject_call();
-        fixture.sidecar.metric("list_unconfirmed_ms") >= Some(CHANGE_IN_FORCE_MS)
+        fixture.sidecar.metric("list_unconfirmed_ms") >= Some(CHANGE_IN_FORCE_DEADLINE_MS)
     });
 
-    let before = fixture.restartable.request_count();
+    let count_before = fixture.restartable.request_count();
     let mut client = fixture.sidecar.client();
     for _ in 0..REQUESTS_UNDER_AN_OVERDUE_LIST {
         fixture.reject_call();
         assert_eq!(client.exchange(&get_request("5")).status(), 200);
     }
 
-    assert_eq!(fixture.restartable.request_count(), before);
-    fixture.expect_use_once_listed();
+    assert_eq!(fixture.restartable.request_count(), count_before);
+    fixture.expect_requests_once_listed();
 }
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -158,12 +158,12 @@
     let unavailable = |sidecar: &Sidecar| sidecar.metric("members_unavailable");
     for (index, process) in [&first, &second, &third].into_iter().enumerate() {
         assert!(process.call_is_yes(&format!("DISABLE e{index}")));
-        let all_follow = || {
+        let have_all_applied_it = || {
             [&first, &second, &third]
                 .into_iter()
                 .all(|process| unavailable(process) == Some(index as u64 + 1))
         };
-        wait_until("all processes follow", all_follow);
+        wait_until("all processes follow", have_all_applied_it);
     }
     drop(first);
     second.wait_for_log("the old process has ended");
--- a/tests/sidecar/discovery_hedging.rs
+++ b/tests/sidecar/discovery_hedging.rs
@@ -49,7 +49,7 @@
 /// Guards the place of a call in discovery's queue: its late response counts although another call was made beside it.
 /// The other call is closed, and no further one is made.
 #[test]
-fn late_response_to_the_first_call_counts_and_closes_the_hedged_call() {
+fn late_response_to_the_first_call_closes_the_hedged_call() {
     for mode in DISCOVERY_MODES {
         let fixture = Fixture::start(mode);
         let mut first = fixture.next_watch();
@@ -67,7 +67,7 @@
 
 /// Guards a discovery that only new calls can reach: the response to the hedged call closes the first one.
 #[test]
-fn response_to_the_hedged_call_counts_and_closes_the_first_call() {
+fn response_to_the_hedged_call_closes_the_first_call() {
     for mode in DISCOVERY_MODES {
         let fixture = Fixture::start(mode);
         let first = fixture.next_watch();
@@ -86,7 +86,7 @@
 /// Guards discovery, and the sidecar's descriptors, during a long silence: only the oldest and the newest call are
 /// outstanding. When one fails the other stays, as the oldest.
 #[test]
-fn at_most_two_calls_are_outstanding_while_discovery_is_silent() {
+fn at_most_two_calls_are_outstanding() {
     for mode in DISCOVERY_MODES {
         let fixture = Fixture::start(mode);
         let first = fixture.next_watch();
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -155,7 +155,7 @@
 
 /// Guards the retries after refused calls: however many there were, discovery is called once it is back.
 #[test]
-fn watch_is_opened_once_discovery_stops_refusing_connections() {
+fn watch_is_opened_after_refused_connections() {
     for mode in DISCOVERY_MODES {
         let stopped = StoppedDiscovery::reserve();
         let fixture = Fixture::start(mode, stopped.address());
@@ -196,7 +196,7 @@
 
 /// Guards the silence time-out: heartbeats do not put it off while a list is incomplete.
 #[test]
-fn watch_is_reopened_when_only_heartbeats_follow_an_incomplete_list() {
+fn incomplete_list_times_out_despite_heartbeats() {
     for mode in DISCOVERY_MODES {
         let discovery = ManualDiscovery::start();
         let fixture = Fixture::start(mode, discovery.address());
@@ -248,7 +248,7 @@
 /// Guards the fetch after a reload has moved discovery, with each kind of failure first: refused, 503, no response, half a
 /// list that ends and half a list that stays open. Meanwhile the known list stays in force.
 #[test]
-fn full_list_of_a_moved_discovery_is_fetched_until_it_is_complete() {
+fn fetch_from_a_new_discovery_is_retried_until_complete() {
     for mode in DISCOVERY_MODES {
         let (old, stopped) = (ManualDiscovery::start(), StoppedDiscovery::reserve());
         let mut fixture = Fixture::start(mode, old.address());
@@ -285,7 +285,7 @@
 /// Guards a reload that moves away from a discovery that recovers at this moment: its response to the outstanding call is
 /// in force until the new one has sent a list, and the older list of the new one does not undo the drain.
 #[test]
-fn previous_discovery_counts_until_the_new_one_has_sent_a_list() {
+fn response_of_the_previous_discovery_is_applied_before_a_new_list() {
     for mode in DISCOVERY_MODES {
         let (old, stopped) = (ManualDiscovery::start(), StoppedDiscovery::reserve());
         let mut fixture = Fixture::start(mode, old.address());
@@ -310,7 +310,7 @@
 /// Guards a discovery that starts while the reload that moves to it is not handled yet, with calls to the old one refused
 /// and another one due.
 #[test]
-fn new_discovery_is_called_if_it_starts_before_the_reload_is_handled() {
+fn new_discovery_may_start_before_the_reload_is_handled() {
     for mode in DISCOVERY_MODES {
         let (old, stopped) = (StoppedDiscovery::reserve(), StoppedDiscovery::reserve());
         let mut fixture = Fixture::start(mode, old.address());
--- a/tests/sidecar/discovery_watch.rs
+++ b/tests/sidecar/discovery_watch.rs
@@ -135,15 +135,15 @@
 
     // The first pause is a twentieth of the poll interval with a jitter of a half; with earlier failures still counted it
     // would be sixteen times as long.
-    let pause = lost_at.elapsed();
-    assert!(pause < Duration::from_millis(3_500), "{pause:?}");
+    let delay = lost_at.elapsed();
+    assert!(delay < Duration::from_millis(3_500), "{delay:?}");
 }
 
 /// Guards the list against older versions, in late changes or in the full list of a replica that lags behind: they have no
 /// effect, and the watch is reopened. If a stale full list comes again, discovery was reset and the list is accepted, but
 /// endpoints that drain go on doing so.
 #[test]
-fn stale_list_is_rejected_until_it_comes_again() {
+fn stale_list_is_accepted_only_when_sent_again() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = ManualDiscovery::start();
     let sidecar = start_sidecar(&discovery, &[&endpoints[0], &endpoints[1], &endpoints[2]]);
@@ -157,31 +157,39 @@
     wait_for_unavailable(&sidecar, 1);
 
     watch.write_line(&list(45, false, &old_entries));
-    let mut lagging = discovery.next_call();
-    assert!(lagging.is_watch_since(50), "{}", lagging.request_line);
-    lagging.open_watch();
+    let mut lagging_watch = discovery.next_call();
+    assert!(
+        lagging_watch.is_watch_since(50),
+        "{}",
+        lagging_watch.request_line
+    );
+    lagging_watch.open_watch();
     // Changes of the same version are not stale; the full list that follows is.
-    lagging.write_line(&list(50, false, &[]));
-    lagging.write_line(&list(44, true, &old_entries));
-    let mut reset = discovery.next_call();
-    assert!(reset.is_watch_since(50), "{}", reset.request_line);
+    lagging_watch.write_line(&list(50, false, &[]));
+    lagging_watch.write_line(&list(44, true, &old_entries));
+    let mut watch_after_reset = discovery.next_call();
+    assert!(
+        watch_after_reset.is_watch_since(50),
+        "{}",
+        watch_after_reset.request_line
+    );
     assert_eq!(sidecar.metric("members"), Some(2));
     wait_for_unavailable(&sidecar, 1);
 
-    reset.open_watch();
-    reset.write_line(&list(44, true, &old_entries));
+    watch_after_reset.open_watch();
+    watch_after_reset.write_line(&list(44, true, &old_entries));
     wait_until("the list is accepted", || {
         sidecar.metric("members") == Some(3)
     });
     wait_for_unavailable(&sidecar, 1);
-    drop(reset);
+    drop(watch_after_reset);
     assert!(discovery.next_call().is_watch_since(44));
 }
 
 /// Guards a reload that moves discovery while a call is outstanding: once the new source has answered, the answer of the
 /// previous one has no effect.
 #[test]
-fn late_answer_of_the_previous_source_is_ignored() {
+fn response_of_the_previous_discovery_is_ignored_after_a_new_list() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let (old, new) = (ManualDiscovery::start(), ManualDiscovery::start());
     let old_entries = serving_entries(&[&endpoints[0], &endpoints[1]]);
@@ -217,7 +225,7 @@
 
 /// Guards the operators' view of the list: its version, how long it has been unconfirmed, and the calls that failed.
 #[test]
-fn metrics_tell_how_current_the_list_is() {
+fn metrics_show_how_current_the_list_is() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = ManualDiscovery::start();
     let sidecar = start_sidecar(&discovery, &[&endpoint]);
@@ -225,9 +233,9 @@
     rejected.write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
 
     let mut watch = discovery.next_call();
-    let before = ["list_version", "discovery_watches", "discovery_failures"];
+    let metric_names = ["list_version", "discovery_watches", "discovery_failures"];
     assert_eq!(
-        before.map(|name| sidecar.metric(name)),
+        metric_names.map(|name| sidecar.metric(name)),
         [41, 0, 1].map(Some)
     );
     assert_ne!(sidecar.metric("list_unconfirmed_ms"), Some(0));
@@ -238,7 +246,7 @@
         sidecar.metric("list_unconfirmed_ms") == Some(0)
     });
     assert_eq!(
-        before.map(|name| sidecar.metric(name)),
+        metric_names.map(|name| sidecar.metric(name)),
         [42, 1, 1].map(Some)
     );
     sidecar.wait_for_log("endpoint list: current again after");
@@ -277,7 +285,7 @@
 /// Guards lists of thousands of endpoints: one that arrives slowly but steadily on a watch is received, and the watch is not
 /// given up and opened again, which would have discovery send all of it again.
 #[test]
-fn long_list_that_arrives_steadily_on_a_watch_is_received() {
+fn slow_long_list_on_a_watch_is_received() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = ManualDiscovery::start();
     let sidecar = start_sidecar(&discovery, &[&endpoint]);
@@ -294,7 +302,7 @@
 
 /// Guards the same for a list that is fetched.
 #[test]
-fn long_list_that_arrives_steadily_on_a_fetch_is_received() {
+fn slow_long_list_on_a_fetch_is_received() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = ManualDiscovery::start();
     let mut config = with_admin_address(config(discovery.address(), &[]));
--- a/tests/sidecar/endpoint_churn.rs
+++ b/tests/sidecar/endpoint_churn.rs
@@ -15,25 +15,25 @@
         |deadline: &str| sidecar.client().exchange(&get_request(deadline)).status();
     // A list with an older version than the last one is ignored.
     let mut versions = 42..;
-    let mut churn = |from: usize, to: usize| {
+    let mut replace_endpoints = |from: usize, to: usize| {
         let mut version = || versions.next().expect("an unbounded range");
-        for line in from..to {
-            let batch = |line: usize, status: &str| -> Vec<Value> {
+        for batch_number in from..to {
+            let batch = |batch_number: usize, status: &str| -> Vec<Value> {
                 let entry = |number| {
                     entry(
-                        &format!("endpoint-number-{line}-{number}"),
+                        &format!("endpoint-number-{batch_number}-{number}"),
                         "127.0.0.1:1".parse().expect("an address"),
                         status,
                     )
                 };
                 (0..200).map(entry).collect()
             };
-            let removed = batch(line - 1, "DELETED");
+            let removed = batch(batch_number - 1, "DELETED");
             // They drain from the start, so that they get no requests.
             watch.write_line(&list(
                 version(),
                 false,
-                &[removed, batch(line, "DRAINING")].concat(),
+                &[removed, batch(batch_number, "DRAINING")].concat(),
             ));
         }
         // Once this change affects requests, all lists before it have been read.
@@ -51,7 +51,7 @@
         while request_status("2") != 200 {}
         sidecar.memory_kb()
     };
-    let (early, late) = (churn(1, 30), churn(30, 230));
+    let (early, late) = (replace_endpoints(1, 30), replace_endpoints(30, 230));
     assert!(
         late < early + 8_000,
         "{early} kB after 6,000 endpoints, {late} kB after 46,000"
@@ -61,18 +61,20 @@
 /// When an address is listed for another endpoint before the earlier one's removal is, idle connections to the earlier
 /// one are not used for the new one.
 #[test]
-fn an_address_reused_by_another_endpoint_gets_new_connections() {
+fn reused_address_gets_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
-    let mut old = entry("old", endpoint.address, "SERVING");
-    old["since_ms"] = json!(1_000);
-    let sidecar = Sidecar::start(&config(discovery.address, &[old]));
+    let mut old_entry = entry("old", endpoint.address, "SERVING");
+    old_entry["since_ms"] = json!(1_000);
+    let sidecar = Sidecar::start(&config(discovery.address, &[old_entry]));
     let mut client = sidecar.client();
     assert_eq!(client.exchange(&get_request("2")).status(), 200);
     assert_eq!(endpoint.next_request().connection, 0);
-    let mut new = entry("new", endpoint.address, "SERVING");
-    new["since_ms"] = json!(2_000_000);
-    discovery.next_watch().write_line(&list(42, false, &[new]));
+    let mut new_entry = entry("new", endpoint.address, "SERVING");
+    new_entry["since_ms"] = json!(2_000_000);
+    discovery
+        .next_watch()
+        .write_line(&list(42, false, &[new_entry]));
     assert_eq!(
         endpoint.next_connection_close(),
         0,
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -44,7 +44,7 @@
 /// Guards against malformed events: the watch is lost, the event has no effect, and the next watch resumes from the last
 /// version.
 #[test]
-fn malformed_event_ends_the_watch_and_the_next_resumes_from_the_last_version() {
+fn malformed_event_ends_the_watch_and_has_no_effect() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_watch();
@@ -62,7 +62,7 @@
 
 /// Guards lists that an agent pushes: the sidecar watches the agent from the start, and again after a watch has ended.
 #[test]
-fn agent_is_watched_from_the_start_and_after_a_watch_has_ended() {
+fn agent_watch_is_opened_at_the_start_and_reopened() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Discovery::start();
     let mut config = config(
@@ -99,7 +99,7 @@
 /// Guards the check before the first byte of a request: if the endpoint drains while the connection is established, nothing
 /// is written, and the request counts as not run. The connection waits for a slot in the endpoint's full backlog.
 #[test]
-fn nothing_is_written_to_an_endpoint_that_drains_while_the_connection_is_established() {
+fn nothing_is_written_to_an_endpoint_that_drains_during_the_connect() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
@@ -121,13 +121,13 @@
         discovery.next_watch().request_line.contains("since=42 "),
         "the drain is known"
     );
-    let backlog_peers: Vec<_> = backlog
+    let backlog_addresses: Vec<_> = backlog
         .iter()
         .map(|stream| stream.local_addr().expect("an address"))
         .collect();
     let mut sidecar_stream = loop {
         let (stream, peer) = listener.accept().expect("a connection");
-        if !backlog_peers.contains(&peer) {
+        if !backlog_addresses.contains(&peer) {
             break stream;
         }
     };
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -36,7 +36,7 @@
 /// Guards a response that a reset follows: a complete one is served, an incomplete one fails, and a request that must not
 /// run twice is sent once either way.
 #[test]
-fn complete_response_is_served_when_a_reset_follows_it() {
+fn complete_response_before_a_reset_is_served() {
     let complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     for (text, status) in [
         (complete, 200),
@@ -104,7 +104,7 @@
 /// Guards a timeout that races the response: one of them ends the request, the client gets one response, and nothing is
 /// sent again. The connection that timed out is not reused.
 #[test]
-fn timeout_that_races_the_response_ends_the_request_once() {
+fn timeout_racing_the_response_ends_the_request_once() {
     let (listener, endpoint_entry) = raw_endpoint();
     let discovery = Discovery::start();
     let mut config = config_with_deadline(&discovery, &[], Duration::from_secs(1));
@@ -212,7 +212,7 @@
 /// Guards an attempt in flight against a reload that makes its class idempotent: a request keeps the class that it came
 /// with, so that one that must not run twice is not retried.
 #[test]
-fn reload_of_idempotency_leaves_an_attempt_in_flight_unchanged() {
+fn attempt_in_flight_keeps_its_class_after_a_reload() {
     let (mut reloadable, other) = (
         ReloadableSidecar::start(),
         Endpoint::start(|_| respond_ok("other")),
@@ -239,14 +239,14 @@
 /// Guards attempts in flight against a reload with fewer priority levels: a request keeps its rank among the remaining ones
 /// when it is retried, and when its client disconnects.
 #[test]
-fn reload_with_fewer_priority_levels_leaves_attempts_in_flight_unchanged() {
+fn attempts_in_flight_survive_a_reload_with_fewer_priority_levels() {
     let (mut reloadable, other) = (
         ReloadableSidecar::start(),
         Endpoint::start(|_| respond_ok("other")),
     );
     let keyed =
         || post_request("keyed", "9", "x").replace("X-Class", "Idempotency-Key: k\r\nX-Class");
-    let (mut client, disconnecting) = (
+    let (mut client, disconnecting_client) = (
         reloadable.send_to_endpoint(&keyed()),
         reloadable.send_to_endpoint(&keyed()),
     );
@@ -267,7 +267,7 @@
         classes.truncate(1);
         classes[0]["worth"] = json!(2.0);
     });
-    drop(disconnecting);
+    drop(disconnecting_client);
     wait_until("the client has disconnected", || {
         reloadable.sidecar.metric("pending") == Some(1)
     });
@@ -298,27 +298,28 @@
 /// Guards an eviction that races the connection's next request: each caller gets a complete response, or a close without a
 /// byte of one, and then its request was not sent.
 #[test]
-fn eviction_that_races_the_next_request_answers_it_or_sends_nothing() {
+fn eviction_racing_the_next_request_answers_it_or_sends_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
     config["limits"]["sockets"] = json!(64);
     let sidecar = Sidecar::start(&config);
-    let mut idle: Vec<Client> = (0..16).map(|_| sidecar.client()).collect();
-    for client in &mut idle {
+    let mut idle_clients: Vec<Client> = (0..16).map(|_| sidecar.client()).collect();
+    for client in &mut idle_clients {
         assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     }
     sidecar.suspend();
-    let mut new: Vec<TcpStream> = (0..24)
+    let mut new_connections: Vec<TcpStream> = (0..24)
         .map(|_| TcpStream::connect(sidecar.address).expect("the backlog has room"))
         .collect();
-    let requests: Vec<String> = idle.iter().map(|_| get_request("9")).collect();
-    idle.iter_mut()
+    let requests: Vec<String> = idle_clients.iter().map(|_| get_request("9")).collect();
+    idle_clients
+        .iter_mut()
         .zip(&requests)
         .for_each(|(client, request)| client.write(request));
     sidecar.resume();
     let mut answered = 0;
-    for client in &mut idle {
+    for client in &mut idle_clients {
         match client.read() {
             Some(answer) => {
                 assert_eq!(answer.status(), 200);
@@ -332,7 +333,7 @@
         answered,
         "requests on evicted connections are not sent"
     );
-    for stream in &mut new {
+    for stream in &mut new_connections {
         let _ = stream.write_all(b"x");
     }
 }
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -65,7 +65,7 @@
 /// Two hot restarts in a row: each request of the whole time is answered, and the old process ends by itself once its
 /// callers have moved.
 #[test]
-fn new_process_takes_over_under_load_without_losing_a_request() {
+fn new_process_takes_over_under_load() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let deployment = Deployment::with_endpoints(&[&endpoint]);
     let mut serving_process = deployment.start(None);
@@ -153,17 +153,17 @@
     let old_process = deployment.start(None);
     let mut idle_client = old_process.client();
     assert_eq!(idle_client.exchange(&get_request("5")).status(), 200);
-    let logged_lines = |what: &str| {
+    let count_logged_lines = |text: &str| {
         old_process
             .log()
             .iter()
-            .filter(|line| line.contains(what))
+            .filter(|line| line.contains(text))
             .count()
     };
     for restarts in 1..=2 {
         let mut new_process = deployment.start(Some(old_process.address));
         wait_until("the new process accepts callers", || {
-            logged_lines("the new process accepts callers") == restarts
+            count_logged_lines("the new process accepts callers") == restarts
         });
         assert_eq!(
             old_process.client().exchange(&get_request("5")).status(),
@@ -172,7 +172,7 @@
         );
         new_process.kill();
         wait_until("the old process accepts callers again", || {
-            logged_lines("accepting callers again") == restarts
+            count_logged_lines("accepting callers again") == restarts
         });
         assert_eq!(
             old_process.client().exchange(&get_request("5")).status(),
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -24,7 +24,7 @@
 
 /// The golden messages.
 struct MessageLines {
-    holds: &'static str,
+    connection_count: &'static str,
     serving: &'static str,
     stopping: &'static str,
     disabled: &'static str,
@@ -33,11 +33,11 @@
 
 fn golden_messages() -> MessageLines {
     let lines: Vec<&str> = MESSAGES.split_inclusive('\n').collect();
-    let [holds, serving, stopping, disabled, enabled] = lines[..] else {
+    let [connection_count, serving, stopping, disabled, enabled] = lines[..] else {
         panic!("five messages in {MESSAGES:?}");
     };
     MessageLines {
-        holds,
+        connection_count,
         serving,
         stopping,
         disabled,
@@ -153,7 +153,7 @@
         self.expect_line(golden.enabled);
         let mut client = sidecar.client();
         assert_eq!(client.exchange(&get_request("5")).status(), 200);
-        self.expect_line(golden.holds); // the client's connection and an idle one to an endpoint
+        self.expect_line(golden.connection_count); // the client's connection and an idle one to an endpoint
         drop(client);
         sidecar.terminate();
         self.expect_line(golden.stopping);
@@ -294,7 +294,7 @@
     wait_until("all requests are pending", || {
         alone.pending() == Some(CLIENTS as u64)
     });
-    let beside_another = LoadedSidecar::start(&[golden_messages().holds]);
+    let beside_another = LoadedSidecar::start(&[golden_messages().connection_count]);
     wait_until("some requests are pending", || {
         beside_another.pending() > Some(0)
     });
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -24,7 +24,7 @@
     }
 
     /// Waits for the sidecar's only outstanding call. A second one would cost discovery a response for nothing.
-    fn only_call(&self) -> DiscoveryCall {
+    fn expect_only_call(&self) -> DiscoveryCall {
         let mut calls = Vec::new();
         wait_until("a call", || {
             calls = self.discovery.take_open_calls();
@@ -47,7 +47,7 @@
 }
 
 /// Starts a process for each configuration before it waits for any of them.
-fn start_at_once(configs: &[Value]) -> Vec<Sidecar> {
+fn start_concurrently(configs: &[Value]) -> Vec<Sidecar> {
     let paths: Vec<_> = configs
         .iter()
         .map(|config| temporary_file(&config.to_string()))
@@ -83,7 +83,7 @@
         config
     };
     let configs: Vec<Value> = discoveries.iter().enumerate().map(configure).collect();
-    let sidecars = start_at_once(&configs);
+    let sidecars = start_concurrently(&configs);
     let members = sidecars.into_iter().zip(discoveries).zip(configs);
     members
         .map(|((sidecar, discovery), config)| FleetMember {
@@ -95,13 +95,13 @@
 }
 
 /// Kills all processes and starts them again at their addresses. Their calls of discovery end with them.
-fn restart_at_once(fleet: &mut [FleetMember]) {
+fn restart_concurrently(fleet: &mut [FleetMember]) {
     for member in fleet.iter_mut() {
         member.config["listen"] = json!(member.sidecar.address.to_string());
         member.sidecar.kill();
     }
     let configs: Vec<Value> = fleet.iter().map(|member| member.config.clone()).collect();
-    for (member, sidecar) in fleet.iter_mut().zip(start_at_once(&configs)) {
+    for (member, sidecar) in fleet.iter_mut().zip(start_concurrently(&configs)) {
         member.sidecar = sidecar;
     }
 }
@@ -117,29 +117,29 @@
     let cached_list = cached_list(&serving_entries(&[&endpoint]));
     let mut fleet = start_fleet(network_address, mode, &cached_list);
     let clients: Vec<Client> = fleet.iter().map(|member| member.sidecar.client()).collect();
-    restart_at_once(&mut fleet);
+    restart_concurrently(&mut fleet);
     drop(clients);
 
     for member in &fleet {
         member.assert_serves(mode);
     }
     for member in &fleet {
-        let mut call = member.only_call();
+        let mut call = member.expect_only_call();
         assert!(call.is_watch_since(41), "{mode}: {}", call.request_line);
         call.write(OVERLOADED);
     }
     let mut watches = Vec::new();
     for member in &fleet {
-        let mut watch = member.only_call();
+        let mut watch = member.expect_only_call();
         assert!(watch.is_watch_since(41), "{mode}: {}", watch.request_line);
         member.assert_serves(mode);
         watch.open_watch();
-        let started = entry(
+        let new_entry = entry(
             "started",
             Endpoint::start(|_| respond_ok("")).address,
             "SERVING",
         );
-        watch.write_line(&list(42, false, &[started]));
+        watch.write_line(&list(42, false, &[new_entry]));
         wait_until("the list is current", || {
             member.sidecar.metric("members") == Some(2)
         });
@@ -153,12 +153,12 @@
 }
 
 #[test]
-fn sidecars_with_a_cached_list_serve_before_their_agents_answer() {
+fn sidecars_with_a_cached_list_serve_before_agents_respond() {
     assert_cached_list_suffices("127.20.0.1", PUSHED_MODE);
 }
 
 #[test]
-fn sidecars_with_a_cached_list_serve_before_discovery_answers() {
+fn sidecars_with_a_cached_list_serve_before_discovery_responds() {
     assert_cached_list_suffices("127.20.0.2", ON_REQUEST_MODE);
 }
 
@@ -167,11 +167,11 @@
 fn assert_one_fetch_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let mut fleet = start_fleet(network_address, mode, &Value::Null);
-    restart_at_once(&mut fleet);
+    restart_concurrently(&mut fleet);
     assert!(fleet.iter().all(|member| !member.is_ready()));
 
     for (responses, member) in fleet.iter().enumerate() {
-        let mut call = member.only_call();
+        let mut call = member.expect_only_call();
         assert!(call.is_fetch(), "{mode}: {}", call.request_line);
         let ready_count = fleet.iter().filter(|member| member.is_ready()).count();
         assert_eq!(ready_count, responses);
@@ -181,17 +181,17 @@
             member.sidecar.client().exchange(&get_request("5")).status(),
             200
         );
-        let watch = member.only_call();
+        let watch = member.expect_only_call();
         assert!(watch.is_watch_since(42), "{mode}: {}", watch.request_line);
     }
 }
 
 #[test]
-fn sidecars_without_a_cached_list_are_ready_after_one_response_of_their_agents() {
+fn one_response_of_its_agent_makes_a_sidecar_ready() {
     assert_one_fetch_suffices("127.20.0.3", PUSHED_MODE);
 }
 
 #[test]
-fn sidecars_without_a_cached_list_are_ready_after_one_response_of_discovery() {
+fn one_response_of_discovery_makes_a_sidecar_ready() {
     assert_one_fetch_suffices("127.20.0.4", ON_REQUEST_MODE);
 }
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -12,8 +12,8 @@
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert!(sidecar.call_is_yes("READY"));
-    let mut waiting = sidecar.client();
-    waiting.write(&post_request("unsafe", "10", "x"));
+    let mut waiting_client = sidecar.client();
+    waiting_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
     wait_until("it is not ready once it shuts down", || {
@@ -68,15 +68,15 @@
             .status(),
         503
     );
-    let mut waiting = sidecar.client();
-    waiting.write(
+    let mut waiting_client = sidecar.client();
+    waiting_client.write(
         &post_request("keyed", "15", "x").replace("Host: s", "Host: s\r\nIdempotency-Key: k"),
     );
     while endpoint.next_request().message.header("x-class") != Some("keyed") {}
     assert_eq!(sidecar.metric("pending"), Some(1));
     assert_eq!(sidecar.metric("upstream_requests"), Some(6));
     opener.release_one();
-    assert_eq!(waiting.read().expect("an answer").status(), 200);
+    assert_eq!(waiting_client.read().expect("an answer").status(), 200);
     let ended = |outcome| {
         ["safe", "unsafe", "keyed"]
             .map(|class| sidecar.requests_ended(outcome, class).expect("a count"))
@@ -105,11 +105,11 @@
 fn disconnected_and_incomplete_requests_are_not_pending() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    let mut disconnecting = sidecar.client();
-    disconnecting.write(&post_request("unsafe", "10", "x"));
+    let mut disconnecting_client = sidecar.client();
+    disconnecting_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     assert_eq!(sidecar.metric("pending"), Some(1));
-    drop(disconnecting);
+    drop(disconnecting_client);
     wait_until("no request is pending", || {
         sidecar.metric("pending") == Some(0)
     });
@@ -117,10 +117,11 @@
         sidecar.client().exchange(&get_request("soon")).status(),
         400
     );
-    let mut incomplete = sidecar.client();
-    incomplete.write(&post_request("unsafe", "10", "whole").replace("Length: 5", "Length: 50"));
+    let mut incomplete_client = sidecar.client();
+    incomplete_client
+        .write(&post_request("unsafe", "10", "whole").replace("Length: 5", "Length: 50"));
     assert_eq!(sidecar.metric("pending"), Some(0), "its body is incomplete");
-    drop(incomplete);
+    drop(incomplete_client);
     assert_eq!(sidecar.requests_ended("failed", "safe"), Some(0));
     assert_eq!(sidecar.requests_ended("failed", "unsafe"), Some(0));
 }
@@ -157,16 +158,16 @@
         response.is_empty() || response.starts_with("NO"),
         "{response:?}"
     );
-    let mut cut_off = TcpStream::connect(sidecar.admin()).expect("it accepts");
-    cut_off.write_all(b"STA").expect("it is open");
-    cut_off
+    let mut half_closed_stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
+    half_closed_stream.write_all(b"STA").expect("it is open");
+    half_closed_stream
         .shutdown(std::net::Shutdown::Write)
         .expect("it is open");
-    cut_off
+    half_closed_stream
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
     response.clear();
-    cut_off
+    half_closed_stream
         .read_to_string(&mut response)
         .expect("a whole answer");
     assert!(response.starts_with("NO"), "{response:?}");
@@ -216,7 +217,7 @@
 
 /// The address may come from the environment; one that cannot be bound fails the start with one plain line.
 #[test]
-fn address_may_come_from_the_environment_and_must_be_free() {
+fn operators_address_may_come_from_the_environment() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let path =
@@ -228,15 +229,17 @@
             .env("ROUTER_ADMIN_ADDR", "127.0.0.1:0"),
     );
     assert!(sidecar.call_is_yes("READY"));
-    for wrong in [sidecar.admin().to_string(), "nowhere".into()] {
+    for unusable_address in [sidecar.admin().to_string(), "nowhere".into()] {
         let output = sidecar_command()
             .env("ROUTER_CONFIG", &path)
-            .env("ROUTER_ADMIN_ADDR", &wrong)
+            .env("ROUTER_ADMIN_ADDR", &unusable_address)
             .output();
         let output = output.expect("the program starts");
         let error = String::from_utf8(output.stderr).expect("text");
         assert!(
-            !output.status.success() && error.lines().count() == 1 && error.contains(&wrong),
+            !output.status.success()
+                && error.lines().count() == 1
+                && error.contains(&unusable_address),
             "{error}"
         );
     }
@@ -272,7 +275,7 @@
 
 /// Commands are answered while the callers' side is busy.
 #[test]
-fn commands_are_answered_beside_many_requests() {
+fn commands_are_answered_under_load() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     let done = std::sync::atomic::AtomicBool::new(false);
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -16,13 +16,13 @@
     );
     config["limits"]["sockets"] = json!(48);
     let sidecar = Sidecar::start(&config);
-    let mut kept = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..150 {
         let mut client = sidecar.client();
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
-        kept.push(client);
+        idle_clients.push(client);
     }
-    assert!(kept[0].is_closed(), "the oldest was evicted");
+    assert!(idle_clients[0].is_closed(), "the oldest was evicted");
 }
 
 /// Guards SIGTERM: open requests are answered, also on connections accepted after it; idle connections close; the process
@@ -37,36 +37,37 @@
         respond_ok("late")
     });
     let (mut sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let mut idle = sidecar.client();
+    let mut idle_client = sidecar.client();
     assert_eq!(
-        idle.exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+        idle_client
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
-    let mut pending = sidecar.client();
-    pending.write(&post_request("unsafe", "10", "x"));
+    let mut pending_client = sidecar.client();
+    pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle.is_closed(), "it was idle");
+    assert!(idle_client.is_closed(), "it was idle");
     assert_eq!(
         sidecar.client().exchange(&get_request("2")).status(),
         200,
         "a connection accepted after SIGTERM"
     );
     opener.release_one();
-    let answer = pending.read().expect("the open request is answered");
+    let answer = pending_client.read().expect("the open request is answered");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         (200, "late".as_bytes())
     );
-    assert!(pending.is_closed());
+    assert!(pending_client.is_closed());
     assert!(sidecar.wait().success());
 }
 
 /// Guards load reports that only health checks bring: these go to the endpoint's own path, without a request id, and the
 /// reports in their responses reach the balancer. Where health checks are forbidden none is sent.
 #[test]
-fn health_checks_collect_load_reports_where_responses_carry_none() {
+fn health_checks_collect_load_reports() {
     for (allowed, report) in [
         (true, "TEXT load_share=0.1, depth=0"),
         (true, "no report"),
@@ -107,7 +108,7 @@
         assert!(
             health_checks
                 .iter()
-                .all(|first| first == "GET /status/load HTTP/1.1"),
+                .all(|start_line| start_line == "GET /status/load HTTP/1.1"),
             "{health_checks:?}"
         );
         let expected_reports = if report.starts_with("TEXT") {
@@ -124,7 +125,7 @@
 
 /// Guards the counters line of the log: requests, final answers, attempts and connections are counted.
 #[test]
-fn log_counts_requests_and_how_they_ended() {
+fn log_counts_requests_and_outcomes() {
     let endpoint = Endpoint::start(|_| {
         EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
     });
@@ -198,9 +199,9 @@
         }
     });
     let (mut sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let (mut first, mut second) = (sidecar.client(), sidecar.client());
-    assert_eq!(first.exchange(&get_request("2")).status(), 200);
-    assert_eq!(second.exchange(&get_request("2")).status(), 200);
+    let (mut first_client, mut second_client) = (sidecar.client(), sidecar.client());
+    assert_eq!(first_client.exchange(&get_request("2")).status(), 200);
+    assert_eq!(second_client.exchange(&get_request("2")).status(), 200);
     sidecar.terminate();
     let ready = || {
         sidecar
@@ -211,12 +212,14 @@
     wait_until("it is not ready", || ready() == 503);
     let shutdown_begun = Instant::now();
     assert_eq!(
-        first.exchange(&get_request("2")).status(),
+        first_client.exchange(&get_request("2")).status(),
         200,
         "its connection was kept"
     );
     assert_eq!(
-        second.exchange(&post_request("unsafe", "10", "x")).status(),
+        second_client
+            .exchange(&post_request("unsafe", "10", "x"))
+            .status(),
         504,
         "answered before the process exits"
     );
@@ -224,7 +227,7 @@
         shutdown_begun.elapsed() < Duration::from_secs(9),
         "ahead of the request's own deadline"
     );
-    assert!(first.is_closed());
+    assert!(first_client.is_closed());
     assert!(sidecar.wait().success());
 }
 
@@ -232,19 +235,19 @@
 #[test]
 fn invalid_configuration_fails_the_start_with_one_line() {
     let discovery = "127.0.0.1:1".parse().expect("an address");
-    let mut invalid = config(discovery, &[]);
-    invalid["settings"]["bounds"]["sendCap"] = json!(0);
-    let mut unknown = config(discovery, &[]);
-    unknown["settings"]["discovery"] = json!("hearsay");
-    let mut seedless = config(discovery, &[]);
-    seedless["seed"] = json!("no number");
+    let mut zero_send_cap = config(discovery, &[]);
+    zero_send_cap["settings"]["bounds"]["sendCap"] = json!(0);
+    let mut unknown_discovery_mode = config(discovery, &[]);
+    unknown_discovery_mode["settings"]["discovery"] = json!("hearsay");
+    let mut invalid_seed = config(discovery, &[]);
+    invalid_seed["seed"] = json!("no number");
     let mut files = vec![None, Some("/nowhere/config.json".into())];
     for text in [
         "",
         "{",
-        &invalid.to_string(),
-        &unknown.to_string(),
-        &seedless.to_string(),
+        &zero_send_cap.to_string(),
+        &unknown_discovery_mode.to_string(),
+        &invalid_seed.to_string(),
     ] {
         files.push(Some(temporary_file(text)));
     }
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -18,7 +18,7 @@
 fn previous_discovery_is_followed_until_the_new_one_has_sent_a_list() {
     let (opener, gate) = response_gate();
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
-    let slow = Endpoint::start(move |_| {
+    let slow_endpoint = Endpoint::start(move |_| {
         gate.wait();
         respond_ok("late")
     });
@@ -31,33 +31,38 @@
         entries[0]["status"] = json!(status);
         entries
     };
-    let path =
-        temporary_file(&config(old.address, &[entry("slow", slow.address, "SERVING")]).to_string());
+    let path = temporary_file(
+        &config(
+            old.address,
+            &[entry("slow", slow_endpoint.address, "SERVING")],
+        )
+        .to_string(),
+    );
     let sidecar = Sidecar::start_with_file(&path);
     let mut old_watch = old.next_watch();
-    let mut pending = sidecar.client();
-    pending.write(&post_request("unsafe", "15", "x"));
-    slow.next_request();
+    let mut pending_client = sidecar.client();
+    pending_client.write(&post_request("unsafe", "15", "x"));
+    slow_endpoint.next_request();
 
     write_config(&path, &config(new.address, &entries_with_first("SERVING")));
     sidecar.send_signal("HUP");
-    let mut next = new.next_watch();
+    let mut new_watch = new.next_watch();
     assert!(
-        next.request_line.starts_with("GET /v1/endpoints "),
+        new_watch.request_line.starts_with("GET /v1/endpoints "),
         "the whole list: {}",
-        next.request_line
+        new_watch.request_line
     );
     // The old one still sends a change.
     old_watch.write_line(&list(42, true, &entries_with_first("DRAINING")));
     let mut client = sidecar.client();
     while client.exchange(&get_request("2")).status() != 200 {}
-    next.write_line(&list(7, true, &entries_with_first("SERVING")));
-    next.finish();
-    let mut next = new.next_watch();
+    new_watch.write_line(&list(7, true, &entries_with_first("SERVING")));
+    new_watch.finish();
+    let mut new_watch = new.next_watch();
     assert!(
-        next.request_line.contains("?follow=1&since=7 "),
+        new_watch.request_line.contains("?follow=1&since=7 "),
         "the new discovery's version is in force: {}",
-        next.request_line
+        new_watch.request_line
     );
     assert!(
         old_watch.is_closed(),
@@ -71,13 +76,16 @@
         0,
         "it drains, whatever an older list or the file says"
     );
-    next.write_line(&list(8, false, &[]));
-    drop(next);
+    new_watch.write_line(&list(8, false, &[]));
+    drop(new_watch);
     assert!(new.next_watch().request_line.contains("since=8 "));
 
     opener.release_one();
     assert_eq!(
-        pending.read().expect("the open request is answered").body,
+        pending_client
+            .read()
+            .expect("the open request is answered")
+            .body,
         b"late"
     );
     std::fs::remove_file(path).expect("the file goes");
@@ -86,14 +94,14 @@
 /// Guards the log: a configuration that cannot be read, and one that only a restart can apply, are a line each, and the
 /// old one stays in force. Two signals in a row count as one.
 #[test]
-fn reload_logs_what_it_cannot_apply() {
+fn reload_logs_changes_that_it_cannot_apply() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
-    let good = config(
+    let valid = config(
         discovery.address,
         &[entry("e0", endpoint.address, "SERVING")],
     );
-    let path = temporary_file(&good.to_string());
+    let path = temporary_file(&valid.to_string());
     let sidecar = Sidecar::start_with_file(&path);
     let _watch = discovery.next_watch();
     std::fs::write(&path, "{").expect("the file is written");
@@ -101,10 +109,10 @@
     sidecar.wait_for_log("reload rejected, the configuration is unchanged");
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 
-    let mut other = good;
-    other["listen"] = json!("127.0.0.1:1");
-    other["settings"]["bounds"]["sendCap"] = json!(2);
-    write_config(&path, &other);
+    let mut changed = valid;
+    changed["listen"] = json!("127.0.0.1:1");
+    changed["settings"]["bounds"]["sendCap"] = json!(2);
+    write_config(&path, &changed);
     sidecar.send_signal("HUP");
     sidecar.send_signal("HUP");
     sidecar
@@ -115,28 +123,29 @@
 
 /// Guards the graceful shutdown: a reload during it neither ends nor lengthens it, and open requests are answered.
 #[test]
-fn reload_during_shutdown_is_applied_and_open_requests_are_answered() {
+fn reload_during_shutdown_is_applied() {
     let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |_| {
         gate.wait();
         respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
-    let known = [entry("e0", endpoint.address, "SERVING")];
-    let path = temporary_file(&config(old.address, &known).to_string());
+    let cached_entries = [entry("e0", endpoint.address, "SERVING")];
+    let path = temporary_file(&config(old.address, &cached_entries).to_string());
     let mut sidecar = Sidecar::start_with_file(&path);
-    let mut idle = sidecar.client();
+    let mut idle_client = sidecar.client();
     assert_eq!(
-        idle.exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+        idle_client
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
-    let mut pending = sidecar.client();
-    pending.write(&post_request("unsafe", "10", "x"));
+    let mut pending_client = sidecar.client();
+    pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle.is_closed(), "it shuts down");
-    write_config(&path, &config(new.address, &known));
+    assert!(idle_client.is_closed(), "it shuts down");
+    write_config(&path, &config(new.address, &cached_entries));
     sidecar.send_signal("HUP");
     assert!(
         new.next_watch()
@@ -145,7 +154,10 @@
     );
     opener.release_one();
     assert_eq!(
-        pending.read().expect("the open request is answered").body,
+        pending_client
+            .read()
+            .expect("the open request is answered")
+            .body,
         b"late"
     );
     assert!(sidecar.wait().success());
@@ -158,8 +170,8 @@
         .expect("a list")
 }
 
-fn class_like(name: &str, like: &Value) -> Value {
-    let mut class = like.clone();
+fn copy_class(name: &str, template: &Value) -> Value {
+    let mut class = template.clone();
     class["name"] = json!(name);
     class
 }
@@ -167,19 +179,19 @@
 /// Guards changed settings: a class that is added is served, one that is removed is not but keeps its count, a stricter
 /// effect holds for later requests, and open requests keep the settings that they came under.
 #[test]
-fn changed_settings_apply_to_later_requests_alone() {
+fn changed_settings_apply_to_later_requests_only() {
     let (opener, gate) = response_gate();
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("x")));
-    let slow = Endpoint::start(move |message| {
+    let slow_endpoint = Endpoint::start(move |message| {
         if message.header("x-class") == Some("keyed") {
             gate.wait();
         }
         respond_ok("late")
     });
     let discovery = Discovery::start();
-    let mut known = serving_entries(&[&endpoints[0], &endpoints[1]]);
-    known.push(entry("slow", slow.address, "SERVING"));
-    let mut config = with_admin_address(config(discovery.address, &known));
+    let mut cached_entries = serving_entries(&[&endpoints[0], &endpoints[1]]);
+    cached_entries.push(entry("slow", slow_endpoint.address, "SERVING"));
+    let mut config = with_admin_address(config(discovery.address, &cached_entries));
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_file(&path);
     let reloads = || sidecar.metric("config_reloads").expect("a figure");
@@ -194,7 +206,7 @@
         200
     );
     // Open while its class changes.
-    let mut waits: Vec<Client> = (0..12)
+    let mut waiting_clients: Vec<Client> = (0..12)
         .map(|_| {
             let mut client = sidecar.client();
             client.write(&keyed("keyed"));
@@ -205,8 +217,8 @@
         sidecar.metric("pending").is_some_and(|n| n > 0)
     });
 
-    let new = class_like("new", &classes_of(&mut config)[0]);
-    classes_of(&mut config).push(new);
+    let new_class = copy_class("new", &classes_of(&mut config)[0]);
+    classes_of(&mut config).push(new_class);
     classes_of(&mut config)[2]["effect"] = json!("single_shot"); // `keyed`
     config["settings"]["bounds"]["sendCap"] = json!(1);
     write_config(&path, &config);
@@ -230,7 +242,7 @@
     for _ in 0..12 {
         opener.release_one();
     }
-    for client in &mut waits {
+    for client in &mut waiting_clients {
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
 
@@ -266,17 +278,17 @@
 #[test]
 fn invalid_configuration_changes_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
-    let (discovery, other) = (Discovery::start(), Discovery::start());
-    let good = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
-    let path = temporary_file(&good.to_string());
+    let (discovery, other_discovery) = (Discovery::start(), Discovery::start());
+    let valid = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
+    let path = temporary_file(&valid.to_string());
     let sidecar = Sidecar::start_with_file(&path);
     let errors = || sidecar.metric("config_reload_errors").expect("a figure");
     let changed_by = |change: &dyn Fn(&mut Value)| {
-        let mut broken = good.clone();
+        let mut broken = valid.clone();
         // Valid changes beside the invalid one must not be applied either.
-        broken["discovery"] = json!(other.address.to_string());
-        let new = class_like("new", &classes_of(&mut broken)[0]);
-        classes_of(&mut broken).push(new);
+        broken["discovery"] = json!(other_discovery.address.to_string());
+        let new_class = copy_class("new", &classes_of(&mut broken)[0]);
+        classes_of(&mut broken).push(new_class);
         change(&mut broken);
         broken.to_string()
     };
@@ -372,7 +384,7 @@
     write_config(&path, &serde_json::from_str(&text).expect("it is good"));
     sidecar.send_signal("HUP");
     assert!(
-        other
+        other_discovery
             .next_watch()
             .request_line
             .starts_with("GET /v1/endpoints "),
@@ -415,10 +427,12 @@
             .env("ROUTER_CONFIG", &pipe)
             .spawn()
             .expect("the program starts");
-        let mut write = open_pipe();
+        let mut pipe_writer = open_pipe();
         send_signal(&child, name);
-        write.write_all(config.as_bytes()).expect("it is read");
-        drop(write);
+        pipe_writer
+            .write_all(config.as_bytes())
+            .expect("it is read");
+        drop(pipe_writer);
         Sidecar::from_child(child)
     };
     let sidecar = start_and_signal("HUP");
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -56,7 +56,7 @@
 
 /// Connections in the kernel's backlog when the listener closes are accepted and answered, not reset.
 #[test]
-fn shutdown_answers_connections_in_the_backlog_of_the_closing_listener() {
+fn shutdown_answers_the_backlog_of_the_closing_listener() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let (mut sidecar, mut idle_client) =
@@ -88,7 +88,7 @@
 /// Callers that connected while the process was suspended past its last step of accepting, and send a request soon after it
 /// resumes, are answered. One that sends none does not delay the shutdown.
 #[test]
-fn shutdown_answers_callers_accepted_at_its_last_step() {
+fn shutdown_answers_requests_sent_after_a_late_accept() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     // Soon is within 0.3 s, for which a busy machine may take longer; then all is repeated.
     wait_until("they send requests in time", || {
@@ -102,7 +102,7 @@
         let mut late_clients: Vec<Client> = (0..12).map(|_| sidecar.client()).collect();
         let mut silent_client = sidecar.client();
         std::thread::sleep(Duration::from_millis(900)); // past the last step
-        let from = Instant::now();
+        let resumed_at = Instant::now();
         sidecar.resume();
         wait_until("they are accepted", || {
             sidecar.descriptor_count() > descriptors_before + 11
@@ -110,7 +110,7 @@
         for client in &mut late_clients {
             client.write(&get_request("3"));
         }
-        let in_time = from.elapsed() < Duration::from_millis(250);
+        let in_time = resumed_at.elapsed() < Duration::from_millis(250);
         for client in &mut late_clients {
             let response = client.read().map(|response| response.status());
             assert!(
@@ -195,7 +195,7 @@
 /// A process stores an administrative state before it answers the command, and may die before it has sent it to the others:
 /// these read what is stored. The test plays the process that dies.
 #[test]
-fn disabled_endpoint_stays_disabled_after_the_process_that_stored_it_died() {
+fn state_stored_by_a_process_that_died_is_applied() {
     let shared_directory = temporary_directory();
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Discovery::start();
@@ -339,7 +339,7 @@
 /// The queue deadline of a request that has left the queue does nothing: a request in flight is the endpoint's to answer,
 /// and one that was answered gets no second response.
 #[test]
-fn queue_deadline_of_a_sent_request_answers_nobody() {
+fn queue_deadline_of_a_sent_request_has_no_effect() {
     let scripted_endpoint = ScriptedEndpoint::start();
     let discovery = Discovery::start();
     let mut config = with_admin_address(config(discovery.address, &[]));
--- a/tests/sidecar/warming_endpoint.rs
+++ b/tests/sidecar/warming_endpoint.rs
@@ -7,7 +7,7 @@
 
 const SIDECARS: usize = 6;
 const WARM_ENDPOINTS: usize = 5;
-const REQUESTS_EACH: usize = 100;
+const REQUESTS_PER_SIDECAR: usize = 100;
 /// The fraction of its full capacity that an endpoint starts with.
 const INITIAL_CAPACITY: f64 = 0.1;
 /// Sent more than this multiple of its capacity, a warming endpoint fails.
@@ -34,7 +34,7 @@
 
 fn send_burst(sidecar: &Sidecar) {
     let mut client = sidecar.client();
-    for _ in 0..REQUESTS_EACH {
+    for _ in 0..REQUESTS_PER_SIDECAR {
         let answer = client.exchange(&get_request("10"));
         assert_eq!(answer.status(), 200);
         if answer.header("connection") == Some("close") {
@@ -46,16 +46,16 @@
 /// Slow start holds for all sidecars together: of a burst that the warm endpoints serve, a warming one gets some
 /// requests, but no more than its capacity.
 #[test]
-fn several_sidecars_together_keep_a_warming_endpoint_within_its_capacity() {
+fn slow_start_holds_for_several_sidecars_together() {
     let discovery = Discovery::start();
-    let warm: Vec<Endpoint> = (0..WARM_ENDPOINTS)
+    let warm_endpoints: Vec<Endpoint> = (0..WARM_ENDPOINTS)
         .map(|_| Endpoint::start(|_| respond_ok("")))
         .collect();
-    let warming = Endpoint::start(|_| respond_ok(""));
-    let mut entries = serving_entries(&warm.iter().collect::<Vec<_>>());
-    let mut started_now = entry("cold", warming.address, "SERVING");
-    started_now["since_ms"] = json!(now_ms());
-    entries.push(started_now);
+    let warming_endpoint = Endpoint::start(|_| respond_ok(""));
+    let mut entries = serving_entries(&warm_endpoints.iter().collect::<Vec<_>>());
+    let mut warming_entry = entry("cold", warming_endpoint.address, "SERVING");
+    warming_entry["since_ms"] = json!(now_ms());
+    entries.push(warming_entry);
     let start = |sidecar| Sidecar::start(&sidecar_config(sidecar, &discovery, &entries));
     let sidecars: Vec<Sidecar> = (0..SIDECARS).map(start).collect();
     thread::scope(|scope| {
@@ -63,8 +63,8 @@
             scope.spawn(|| send_burst(sidecar));
         }
     });
-    let received = warming.take_request_count();
-    let fair_share = (SIDECARS * REQUESTS_EACH) as f64 / (WARM_ENDPOINTS + 1) as f64;
+    let received = warming_endpoint.take_request_count();
+    let fair_share = (SIDECARS * REQUESTS_PER_SIDECAR) as f64 / (WARM_ENDPOINTS + 1) as f64;
     let allowed = OVERLOAD_MULTIPLE * INITIAL_CAPACITY * fair_share;
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
     assert!(received > 0, "the warming endpoint is not starved");
