--- a/tests/sidecar/crowded_discovery.rs
+++ b/tests/sidecar/crowded_discovery.rs
@@ -1,16 +1,18 @@
-//! A discovery that is crowded: it accepts every call and rejects it, so that the endpoint list grows old.
+//! A crowded discovery, which accepts every call and rejects it: the sidecar's endpoint list becomes outdated.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 use std::thread;
 use std::time::Duration;
 
-/// Calls of discovery that are rejected after an endpoint was restarted. The one failure that it has shown decays meanwhile,
-/// so that outlier detection lets requests through.
+/// Discovery calls that are rejected after an endpoint has restarted. Meanwhile the endpoint's only failure decays, and
+/// outlier detection lets requests through again.
 const REJECTED_CALLS: usize = 14;
-/// Endpoints beside the one that is restarted. With many of them, one failure makes an outlier for a few seconds only.
+/// Endpoints in addition to the one that is restarted. With many endpoints, a single failure makes an endpoint an
+/// outlier for a few seconds only.
 const OTHER_ENDPOINTS: usize = 10;
-/// Between two requests: enough of them for each endpoint, without taking the processor.
+/// The pause between two requests: short enough for every endpoint to get requests, long enough to leave the processor
+/// to others.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A sidecar with several endpoints, of which the first can be restarted, and its discovery.
@@ -41,16 +43,16 @@
         }
     }
 
-    /// Sends requests until the first endpoint has received some.
+    /// Sends requests until the restartable endpoint has received at least three.
     fn use_restartable_endpoint(&self) {
         let mut client = self.sidecar.client();
-        wait_until("the endpoint is used", || {
+        wait_until("the restartable endpoint gets requests", || {
             assert_eq!(client.exchange(&get_request("5")).status(), 200);
             self.restartable.request_count() >= 3
         });
     }
 
-    /// Sends requests while discovery rejects a number of calls.
+    /// Sends requests until discovery has rejected [`REJECTED_CALLS`] calls.
     fn send_while_calls_are_rejected(&self) {
         let mut client = self.sidecar.client();
         let mut rejected = 0;
@@ -67,20 +69,21 @@
         call.map(reject).is_some()
     }
 
-    /// The entry of the restarted endpoint, as discovery lists it.
+    /// The list entry of the restarted endpoint's new process.
     fn restarted_entry(&self) -> Value {
         let mut entry = entry("e0", self.restartable.address, "SERVING");
         entry["since_ms"] = json!(1_700_000_000_000u64);
         entry
     }
 
-    /// Opens the next watch with a list that names the new process of the endpoint, and waits until it is used.
+    /// Opens the next watch with a list that names the new process of the endpoint, and waits until that process
+    /// receives a request.
     fn expect_requests_once_listed(&self) {
         let mut watch = self.discovery.next_call();
         watch.open_watch();
         watch.write_line(&list(42, false, &[self.restarted_entry()]));
         let mut client = self.sidecar.client();
-        wait_until("the new process is used", || {
+        wait_until("the new process gets a request", || {
             assert_eq!(client.exchange(&get_request("5")).status(), 200);
             self.restartable.request_count() > 0
         });
@@ -91,7 +94,7 @@
     call.write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
 }
 
-/// Runs a test in each mode of discovery, at the same time.
+/// Runs a test in all discovery modes concurrently.
 fn in_each_mode(test: impl Fn(&str) + Sync) {
     thread::scope(|scope| {
         for mode in DISCOVERY_MODES {
@@ -100,8 +103,9 @@
     });
 }
 
-/// Guards against sends to a removed endpoint while discovery is crowded: once an endpoint has refused a connection, a process
-/// at its address is another one, of which the old list says nothing. No connection is idle, so the refusal is all that shows its end.
+/// Guards against requests to a removed endpoint while discovery is crowded. Once an endpoint has refused a connection,
+/// the process at its address is a different one, about which the outdated list says nothing. No connection is idle, so
+/// the refusal is the only sign that the process has ended.
 #[test]
 fn endpoint_is_suspended_after_a_refused_connection() {
     in_each_mode(|mode| {
@@ -123,8 +127,8 @@
     });
 }
 
-/// Guards the same where no request is sent while the endpoint is away: the reset of its idle connections is all that shows
-/// its end.
+/// Guards against the same fault when no request is sent while the endpoint is down: the reset of its idle connections
+/// is the only sign that the process has ended.
 #[test]
 fn endpoint_is_suspended_after_its_idle_connections_were_reset() {
     in_each_mode(|mode| {
@@ -140,20 +144,22 @@
     });
 }
 
-/// The time after which a change counts as received, with the grace for sends of the test's settings, in milliseconds.
+/// The time after which any change of the list would be in force, in milliseconds: 6 s, and the `drainGraceNs` of the
+/// test's settings.
 const CHANGE_IN_FORCE_DEADLINE_MS: u64 = 6_250;
-/// Requests that are sent once the list is overdue.
+/// Requests that are sent while the list is overdue.
 const REQUESTS_UNDER_AN_OVERDUE_LIST: usize = 300;
 
-/// Guards the same where nothing shows the end: no connection was open, and none was attempted. Once a change would have to be
-/// in force, the list is overdue, and only a process with a connection from before is known to be the listed one.
+/// Guards against the same fault when there is no sign that the process has ended: no connection was open, and none was
+/// attempted. Once any change would be in force, the list is overdue. From then on only a process with a connection
+/// from before is known to be the one that the list names.
 #[test]
 fn endpoint_without_a_connection_is_suspended_while_the_list_is_overdue() {
     let mut fixture = Fixture::start(ON_REQUEST_MODE, AfterResponse::Close);
     fixture.use_restartable_endpoint();
     fixture.restartable.end();
     fixture.restartable.start_again();
-    wait_until("a change would have to be in force", || {
+    wait_until("any change would be in force", || {
         fixture.reject_call();
         fixture.sidecar.metric("list_unconfirmed_ms") >= Some(CHANGE_IN_FORCE_DEADLINE_MS)
     });
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -18,8 +18,9 @@
     endpoint.take_request_count()
 }
 
-/// From the response to `DISABLE` on the endpoint receives nothing, whatever its list entry says, and its idle connections
-/// close; a second `DISABLE` changes nothing; the metrics count it as unavailable; `ENABLE` undoes it all.
+/// Once `DISABLE` is answered, the endpoint receives nothing, whatever its list entry says, and its idle connections
+/// are closed. A second `DISABLE` changes nothing. The metrics count the endpoint as unavailable. `ENABLE` undoes all
+/// of this.
 #[test]
 fn disabled_endpoint_receives_nothing_until_enabled() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -77,7 +78,7 @@
     assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
 }
 
-/// Starts a process, at the address of the one that it is to replace.
+/// Starts a process. One that replaces an old process listens on the old one's address.
 fn start_process(
     shared_directory: &Path,
     discovery: &Discovery,
@@ -90,8 +91,8 @@
     Sidecar::start_in_directory(shared_directory, &config)
 }
 
-/// A new process starts with the stored state, each of two processes follows a command to the other, and a later process
-/// starts with what they stored.
+/// A new process starts with the stored state. While two processes run, each applies the commands that the other
+/// receives. A later process starts with the state that they stored.
 #[test]
 fn disabled_endpoints_stay_disabled_over_a_hot_restart() {
     let (shared_directory, discovery) = (temporary_directory(), Discovery::start());
@@ -114,11 +115,11 @@
         "as stored"
     );
     assert!(old_process.call_is_yes("DISABLE e1"));
-    wait_until("the new process follows", || {
+    wait_until("the new process applies the command", || {
         new_process.metric("members_unavailable") == Some(2)
     });
     assert!(new_process.call_is_yes("ENABLE e0"));
-    wait_until("the old process follows", || {
+    wait_until("the old process applies the command", || {
         old_process.metric("members_unavailable") == Some(1)
     });
     old_process.terminate();
@@ -132,8 +133,8 @@
     std::fs::remove_dir_all(shared_directory).expect("it is removed");
 }
 
-/// Two hot restarts follow so fast that three processes run: each follows a command to any of them, and none takes the end
-/// of one process for the end of another.
+/// After two hot restarts in quick succession three processes run. Each applies a command that any of them receives,
+/// and none takes the end of one process for the end of another.
 #[test]
 fn three_processes_share_disabled_endpoints() {
     let (shared_directory, discovery) = (temporary_directory(), Discovery::start());
@@ -163,12 +164,15 @@
                 .into_iter()
                 .all(|process| unavailable(process) == Some(index as u64 + 1))
         };
-        wait_until("all processes follow", have_all_applied_it);
+        wait_until(
+            "all processes have applied the command",
+            have_all_applied_it,
+        );
     }
     drop(first);
     second.wait_for_log("the old process has ended");
     assert!(second.call_is_yes("ENABLE e2"));
-    wait_until("the third process follows", || {
+    wait_until("the third process applies the command", || {
         unavailable(&third) == Some(2)
     });
     drop(third);
@@ -183,7 +187,7 @@
     std::fs::remove_dir_all(shared_directory).expect("it is removed");
 }
 
-/// A stored file that cannot be read is ignored, and replaced at the next command.
+/// A stored file that cannot be read is ignored, and the next command replaces it.
 #[test]
 fn malformed_file_of_disabled_endpoints_is_ignored() {
     let (shared_directory, discovery) = (temporary_directory(), Discovery::start());
--- a/tests/sidecar/discovery_hedging.rs
+++ b/tests/sidecar/discovery_hedging.rs
@@ -1,5 +1,5 @@
-//! Hedged calls of discovery while it is late with its responses: the oldest call keeps its place in discovery's queue,
-//! both when lists are fetched and when an agent pushes them.
+//! Hedged calls to a discovery that responds late: the oldest call keeps its place in discovery's queue. The tests run
+//! for lists that are fetched and for lists that an agent pushes.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Waits for the next call, which must be a watch from the cached list on.
+    /// Waits for the next call, which must be a watch on the changes after the cached list.
     fn next_watch(&self) -> DiscoveryCall {
         let call = self.discovery.next_call();
         assert!(call.is_watch_since(41), "{}", call.request_line);
         call
     }
 
-    /// Answers a call with a watch whose first event drains the endpoint, and waits until that is applied.
+    /// Answers a call with a watch whose first event drains the endpoint, and waits until the drain is applied.
     fn drain_endpoint_on(&self, call: &mut DiscoveryCall) {
         call.open_watch();
         let draining = entry("e0", self.endpoint.address, "DRAINING");
@@ -46,8 +46,8 @@
     wait_until("the call is closed", || !call.is_open());
 }
 
-/// Guards the place of a call in discovery's queue: its late response counts although another call was made beside it.
-/// The other call is closed, and no further one is made.
+/// Guards the first call's place in discovery's queue: its late response is applied although a hedged call has been
+/// made. The hedged call is closed, and no further call is made.
 #[test]
 fn late_response_to_the_first_call_closes_the_hedged_call() {
     for mode in DISCOVERY_MODES {
@@ -65,7 +65,8 @@
     }
 }
 
-/// Guards a discovery that only new calls can reach: the response to the hedged call closes the first one.
+/// Guards the case that only new calls reach discovery: the response to the hedged call is applied and closes the first
+/// call.
 #[test]
 fn response_to_the_hedged_call_closes_the_first_call() {
     for mode in DISCOVERY_MODES {
@@ -83,8 +84,8 @@
     }
 }
 
-/// Guards discovery, and the sidecar's descriptors, during a long silence: only the oldest and the newest call are
-/// outstanding. When one fails the other stays, as the oldest.
+/// Guards discovery and the sidecar's descriptors while discovery is silent for long: only the oldest and the newest
+/// call are outstanding. When one of them fails, the other stays open as the oldest.
 #[test]
 fn at_most_two_calls_are_outstanding() {
     for mode in DISCOVERY_MODES {
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery after failures of discovery: whatever failed before, the changes are applied once discovery can be reached,
-//! both when lists are fetched and when an agent pushes them.
+//! Recovery from failures of discovery: after any kind of failure, changes are applied once discovery can be reached.
+//! The tests run for lists that are fetched and for lists that an agent pushes.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -7,10 +7,10 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
-/// Failed calls in a row after which the backoff has reached its maximum.
+/// The number of failed calls in a row after which the backoff has reached its maximum.
 const FAILURES_TO_MAX_BACKOFF: usize = 6;
 
-/// The beginning of a list whose rest never comes.
+/// The beginning of a list that is never completed.
 const INCOMPLETE_LIST: &str = "{\"index\":50,\"snapshot\":true,\"endpoints\":[";
 
 /// A discovery that is down: its port is reserved and refuses connections.
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Reloads with another address of discovery.
+    /// Reloads the configuration with another address of discovery.
     fn move_discovery(&mut self, address: SocketAddr) {
         self.config["discovery"] = json!(address.to_string());
         self.reload();
@@ -75,7 +75,7 @@
         self.sidecar.send_signal("HUP");
     }
 
-    /// Waits until enough lines of the log report a refused call.
+    /// Waits until the log reports enough refused calls for the backoff to have reached its maximum.
     fn wait_for_refused_calls(&self, is_refused: impl Fn(&str) -> bool) {
         wait_until("calls are refused", || {
             let log = self.sidecar.log();
@@ -84,7 +84,7 @@
         });
     }
 
-    /// The entries that change: the first endpoint drains, and the third one is new.
+    /// The entries that change: the first endpoint is draining, and the third one is new.
     fn changed_entries(&self) -> [Value; 2] {
         [
             entry("e0", self.endpoints[0].address, "DRAINING"),
@@ -99,7 +99,7 @@
         list(version, true, &[draining, unchanged, new])
     }
 
-    /// Waits until the change is applied: the third endpoint gets requests and the first one does not.
+    /// Waits until the change is applied: the third endpoint gets requests, and the first one does not.
     fn wait_for_change(&self) {
         wait_for_unavailable(&self.sidecar, 1);
         wait_until("the third endpoint is listed", || {
@@ -117,7 +117,7 @@
         assert_eq!(
             self.endpoints[0].take_request_count(),
             0,
-            "{}: the first drains",
+            "{}: the first endpoint is draining",
             self.mode
         );
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// Waits for a watch from this version on, and opens it.
+/// Waits for a watch on the changes after this version, and opens it.
 fn open_next_watch(discovery: &ManualDiscovery, version: u64) -> DiscoveryCall {
     let mut watch = discovery.next_call();
     assert!(watch.is_watch_since(version), "{}", watch.request_line);
@@ -144,7 +144,7 @@
     call
 }
 
-/// Rejects a call with a body that is a list, which must not be applied.
+/// Rejects a call with a list as the body, which must not be applied.
 fn reject_with_list(call: &mut DiscoveryCall) {
     let body = list(99, true, &[]);
     call.write(&format!(
@@ -153,7 +153,7 @@
     ));
 }
 
-/// Guards the retries after refused calls: however many there were, discovery is called once it is back.
+/// Guards the retries after refused calls: however many calls were refused, discovery is called once it is back.
 #[test]
 fn watch_is_opened_after_refused_connections() {
     for mode in DISCOVERY_MODES {
@@ -171,8 +171,9 @@
     }
 }
 
-/// Guards the watch on an agent against each kind of failure: 503, a reset, an end before the response or within a list,
-/// malformed JSON, silence before and after the head of the response. `discovery_watch.rs` covers lists that are fetched.
+/// Guards the watch on an agent against each kind of failure: a 503, a reset, an end before the response or within a
+/// list, malformed JSON, and silence before and after the head of the response. `discovery_watch.rs` covers lists that
+/// are fetched.
 #[test]
 fn agent_watch_is_reopened_after_each_kind_of_failure() {
     let discovery = ManualDiscovery::start();
@@ -184,7 +185,7 @@
     drop(discovery.next_call());
     open_next_watch(&discovery, 41).write_chunk(INCOMPLETE_LIST);
     let mut malformed = open_next_watch(&discovery, 41);
-    malformed.write_chunk("no JSON\n"); // it stays open, so that only the text can have ended it
+    malformed.write_chunk("no JSON\n"); // stays open, so only this text can have ended the watch
     let unanswered = discovery.next_call();
     let silent = open_next_watch(&discovery, 41);
     let mut watch = open_next_watch(&discovery, 41);
@@ -194,7 +195,7 @@
     drop((rejected, malformed, unanswered, silent));
 }
 
-/// Guards the silence time-out: heartbeats do not put it off while a list is incomplete.
+/// Guards the silence timeout: while a list is incomplete, heartbeats do not postpone the timeout.
 #[test]
 fn incomplete_list_times_out_despite_heartbeats() {
     for mode in DISCOVERY_MODES {
@@ -218,8 +219,8 @@
     }
 }
 
-/// Guards an outstanding call against a reload that leaves discovery as it is: the call goes on, and its response is
-/// applied without a further call.
+/// Guards an outstanding call against a reload that leaves discovery unchanged: the call stays open, and its response
+/// is applied without another call.
 #[test]
 fn outstanding_call_survives_a_reload_that_keeps_discovery() {
     for mode in DISCOVERY_MODES {
@@ -245,8 +246,8 @@
     }
 }
 
-/// Guards the fetch after a reload has moved discovery, with each kind of failure first: refused, 503, no response, half a
-/// list that ends and half a list that stays open. Meanwhile the known list stays in force.
+/// Guards the fetch after a reload that moved discovery. Each kind of failure comes first: a refused call, a 503, no
+/// response, half a list that ends, and half a list that stays open. Meanwhile the known list stays in force.
 #[test]
 fn fetch_from_a_new_discovery_is_retried_until_complete() {
     for mode in DISCOVERY_MODES {
@@ -282,8 +283,8 @@
     }
 }
 
-/// Guards a reload that moves away from a discovery that recovers at this moment: its response to the outstanding call is
-/// in force until the new one has sent a list, and the older list of the new one does not undo the drain.
+/// Guards a reload that moves away from a discovery that recovers at that moment. Its response to the outstanding call
+/// is in force until the new discovery has sent a list, and an older list of the new one does not undo the drain.
 #[test]
 fn response_of_the_previous_discovery_is_applied_before_a_new_list() {
     for mode in DISCOVERY_MODES {
@@ -307,8 +308,8 @@
     }
 }
 
-/// Guards a discovery that starts while the reload that moves to it is not handled yet, with calls to the old one refused
-/// and another one due.
+/// Guards a discovery that starts before the reload that moves to it is handled, while calls to the old discovery are
+/// refused and another one is due.
 #[test]
 fn new_discovery_may_start_before_the_reload_is_handled() {
     for mode in DISCOVERY_MODES {
--- a/tests/sidecar/discovery_watch.rs
+++ b/tests/sidecar/discovery_watch.rs
@@ -11,14 +11,14 @@
     )))
 }
 
-/// A list in JSON that is spread over many lines.
+/// A list in JSON that spans many lines.
 fn indented_list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
     let list = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
     format!("{}\n", serde_json::to_string_pretty(&list).expect("JSON"))
 }
 
-/// Guards the parser of the watch against lists that are spread over lines and chunks: a complete list counts at once,
-/// even if a part of the next one came with it, and an incomplete list has no effect.
+/// Guards the parser of the watch against lists that span several lines and chunks: a complete list is applied at once,
+/// even if a part of the next one arrives with it, and an incomplete list has no effect.
 #[test]
 fn list_is_read_when_indented_or_split_across_chunks() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -40,12 +40,12 @@
     watch.write_chunk(&format!("\n{first}{second_begin}"));
     wait_for_unavailable(&sidecar, 1);
 
-    let last_brace = second_rest.rfind('}').expect("its end");
+    let last_brace = second_rest.rfind('}').expect("a closing brace");
     let (second_middle, second_end) = second_rest.split_at(last_brace);
     for piece in second_middle.as_bytes().chunks(7) {
         watch.write_chunk(std::str::from_utf8(piece).expect("text"));
     }
-    // The sidecar has read all of this before it answers a later call.
+    // The sidecar reads all of these chunks before it answers a later call.
     assert_eq!(sidecar.metric("members_unavailable"), Some(1));
 
     watch.write_chunk(second_end);
@@ -55,12 +55,12 @@
     drop(watch);
     assert!(
         discovery.next_call().is_watch_since(44),
-        "and the watch was not lost before"
+        "the watch was not lost before"
     );
 }
 
-/// Guards the watch against each kind of failure, each followed by a failure of the next call, and the drain in the first
-/// event after discovery has recovered.
+/// Guards the watch against each kind of failure, followed each time by a failure of the next call. The drain in the
+/// first event after discovery has recovered is applied.
 #[test]
 fn watch_is_reopened_after_each_kind_of_failure() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -78,7 +78,7 @@
         assert!(watch.is_watch_since(41), "{text}: {}", watch.request_line);
         watch.open_watch();
         watch.write_chunk(text);
-        // The watch stays open meanwhile, so that only the text can have ended it.
+        // The watch stays open meanwhile, so only the text can have ended it.
         let mut next = discovery.next_call();
         assert!(next.is_watch_since(41), "{text}: {}", next.request_line);
         next.write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
@@ -111,8 +111,8 @@
     assert_eq!(endpoints[0].take_request_count(), 0);
 }
 
-/// Guards the backoff: a watch that was opened resets it, even if the watch is lost without an event. Changes that are
-/// missed meanwhile are due within a fixed time after the loss.
+/// Guards the backoff: opening a watch resets it, even if the watch is lost without an event. Changes that are missed
+/// meanwhile must be in force within a fixed time after the loss.
 #[test]
 fn opened_watch_resets_the_backoff() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -133,15 +133,15 @@
     let lost_at = Instant::now();
     open_and_lose_watch();
 
-    // The first pause is a twentieth of the poll interval with a jitter of a half; with earlier failures still counted it
-    // would be sixteen times as long.
+    // The first delay is a twentieth of the poll interval with a jitter of a half. If earlier failures still counted,
+    // it would be sixteen times as long.
     let delay = lost_at.elapsed();
     assert!(delay < Duration::from_millis(3_500), "{delay:?}");
 }
 
-/// Guards the list against older versions, in late changes or in the full list of a replica that lags behind: they have no
-/// effect, and the watch is reopened. If a stale full list comes again, discovery was reset and the list is accepted, but
-/// endpoints that drain go on doing so.
+/// Guards the list against older versions in late changes or in the full list of a replica that lags behind: they have
+/// no effect, and the watch is reopened. A stale full list that is sent again shows that discovery was reset: it is
+/// accepted, but draining endpoints keep draining.
 #[test]
 fn stale_list_is_accepted_only_when_sent_again() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -164,7 +164,7 @@
         lagging_watch.request_line
     );
     lagging_watch.open_watch();
-    // Changes of the same version are not stale; the full list that follows is.
+    // Changes of the same version are not stale, but the full list that follows them is.
     lagging_watch.write_line(&list(50, false, &[]));
     lagging_watch.write_line(&list(44, true, &old_entries));
     let mut watch_after_reset = discovery.next_call();
@@ -186,8 +186,8 @@
     assert!(discovery.next_call().is_watch_since(44));
 }
 
-/// Guards a reload that moves discovery while a call is outstanding: once the new source has answered, the answer of the
-/// previous one has no effect.
+/// Guards a reload that moves discovery while a call is outstanding: once the new discovery has responded, the response
+/// of the previous one has no effect.
 #[test]
 fn response_of_the_previous_discovery_is_ignored_after_a_new_list() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -220,10 +220,11 @@
         ),
         (0, Some(1))
     );
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the operators' view of the list: its version, how long it has been unconfirmed, and the calls that failed.
+/// Guards the operators' metrics of the list: its version, how long it has been unconfirmed, and the number of failed
+/// calls.
 #[test]
 fn metrics_show_how_current_the_list_is() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -259,13 +260,14 @@
     sidecar.wait_for_log("s, 1 lists)");
 }
 
-/// Entries of a fleet of the largest size.
+/// The number of entries in the list of the largest fleet.
 const LONG_LIST_ENTRIES: usize = 3_200;
-/// Pieces of a long list, and the pause between two. They come steadily, and take longer than a watch may be silent.
+/// The number of pieces of a long list, and the pause after each. The pieces arrive steadily, but together they take
+/// longer than a watch may be silent.
 const LONG_LIST_PIECES: usize = 7;
 const PAUSE_BETWEEN_PIECES: Duration = Duration::from_millis(900);
 
-/// Writes a text in pieces with pauses between them.
+/// Writes a text in pieces, with a pause after each.
 fn write_slowly(text: &str, mut write: impl FnMut(&str)) {
     let piece_bytes = text.len().div_ceil(LONG_LIST_PIECES);
     for piece in text.as_bytes().chunks(piece_bytes) {
@@ -282,8 +284,8 @@
     list(50, true, &entries)
 }
 
-/// Guards lists of thousands of endpoints: one that arrives slowly but steadily on a watch is received, and the watch is not
-/// given up and opened again, which would have discovery send all of it again.
+/// Guards lists of thousands of endpoints: one that arrives slowly but steadily on a watch is received. The watch is
+/// not given up and reopened, which would make discovery send the whole list again.
 #[test]
 fn slow_long_list_on_a_watch_is_received() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -300,7 +302,7 @@
     assert!(discovery.try_next_call().is_none(), "no other call is made");
 }
 
-/// Guards the same for a list that is fetched.
+/// Guards the same for a fetched list.
 #[test]
 fn slow_long_list_on_a_fetch_is_received() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
--- a/tests/sidecar/endpoint_churn.rs
+++ b/tests/sidecar/endpoint_churn.rs
@@ -4,13 +4,14 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Nothing is stored for removed endpoints, of which there are tens of thousands.
+/// Guards against memory that is kept for removed endpoints, of which there are tens of thousands.
 #[test]
 fn memory_does_not_grow_with_removed_endpoints() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_watch();
-    // Each request has a connection of its own: one that is idle while the lists are read may reach its idle timeout.
+    // Each request uses a new connection, because a connection that is idle while the lists are read may reach its idle
+    // timeout.
     let request_status =
         |deadline: &str| sidecar.client().exchange(&get_request(deadline)).status();
     // A list with an older version than the last one is ignored.
@@ -29,7 +30,7 @@
                 (0..200).map(entry).collect()
             };
             let removed = batch(batch_number - 1, "DELETED");
-            // They drain from the start, so that they get no requests.
+            // They are listed as draining from the start and therefore get no requests.
             watch.write_line(&list(
                 version(),
                 false,
@@ -58,8 +59,8 @@
     );
 }
 
-/// When an address is listed for another endpoint before the earlier one's removal is, idle connections to the earlier
-/// one are not used for the new one.
+/// An address may be listed for a new endpoint before the removal of the earlier one is listed: idle connections to the
+/// earlier endpoint are not used for the new one.
 #[test]
 fn reused_address_gets_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -83,6 +84,6 @@
     for _ in 0..5 {
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
         assert_eq!(endpoint.next_request().connection, 1);
-        std::thread::sleep(Duration::from_millis(100)); // the connection settles
+        std::thread::sleep(Duration::from_millis(100)); // the settling time of the connection
     }
 }
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -6,8 +6,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Guards rule 3: when an endpoint is listed as draining or is removed, its idle connections are closed and it gets no new
-/// request.
+/// Guards rule 3 of `tests/policy/legal_model.rs`: when an endpoint is listed as draining or is removed, its idle
+/// connections are closed and it gets no new request.
 #[test]
 fn draining_or_removed_endpoint_gets_no_request() {
     let listed_statuses = [Some("DRAINING"), Some("DELETED"), None];
@@ -41,8 +41,8 @@
     }
 }
 
-/// Guards against malformed events: the watch is lost, the event has no effect, and the next watch resumes from the last
-/// version.
+/// Guards against malformed events: the watch is closed, the event has no effect, and the next watch resumes from the
+/// last version.
 #[test]
 fn malformed_event_ends_the_watch_and_has_no_effect() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -60,7 +60,8 @@
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 }
 
-/// Guards lists that an agent pushes: the sidecar watches the agent from the start, and again after a watch has ended.
+/// Guards lists that an agent pushes: the sidecar opens a watch on the agent at the start, and again after a watch has
+/// ended.
 #[test]
 fn agent_watch_is_opened_at_the_start_and_reopened() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -87,7 +88,7 @@
     assert!(discovery.next_watch().request_line.contains("since=42 "));
 }
 
-/// Guards against a discovery whose machine has vanished: it sends nothing, and its connection stays open.
+/// Guards against a discovery whose machine is gone: it sends nothing, and its connection stays open.
 #[test]
 fn silent_watch_is_reopened() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -96,8 +97,9 @@
     assert!(discovery.next_watch().request_line.contains("since=41 "));
 }
 
-/// Guards the check before the first byte of a request: if the endpoint drains while the connection is established, nothing
-/// is written, and the request counts as not run. The connection waits for a slot in the endpoint's full backlog.
+/// Guards the check before the first byte of a request is written: if the endpoint starts to drain while the connection
+/// is being established, nothing is written and the request counts as not run. The endpoint's backlog is full, and the
+/// connection waits for a slot in it.
 #[test]
 fn nothing_is_written_to_an_endpoint_that_drains_during_the_connect() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -112,7 +114,7 @@
     let mut watch = discovery.next_watch();
     let mut client = sidecar.client();
     client.write(&post_request("unsafe", "15", "x"));
-    // The sidecar has taken the request before it answers a later caller.
+    // The sidecar has accepted the request before it answers a later caller.
     assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 200);
 
     watch.write_line(&list(42, false, &[entry("e0", address, "DRAINING")]));
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -1,6 +1,6 @@
 //! Races between two events, each in its less usual order. `docs/event-races.md` lists them.
 //!
-//! The order is forced: a stub waits at a step for the test, or the sidecar is suspended while the events arrive.
+//! The order is forced: a stub waits for the test before a step, or the sidecar is suspended while the events arrive.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -10,7 +10,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A listener whose connections the test writes and closes itself, and its entry in the endpoint list.
+/// Returns a listener in the place of an endpoint, and its entry in the endpoint list. The test itself writes to its
+/// connections and closes them.
 fn raw_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let endpoint_entry = entry("raw", listener.local_addr().expect("an address"), "SERVING");
@@ -33,8 +34,8 @@
     drop(stream);
 }
 
-/// Guards a response that a reset follows: a complete one is served, an incomplete one fails, and a request that must not
-/// run twice is sent once either way.
+/// Guards a response that is followed by a reset: a complete response is served, and an incomplete one fails. In both
+/// cases a request that must not run twice is sent only once.
 #[test]
 fn complete_response_before_a_reset_is_served() {
     let complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -62,8 +63,8 @@
     }
 }
 
-/// Guards responses without a length, which last until the connection is closed: a reset is no such end, whatever has come
-/// by then, and the request fails.
+/// Guards responses without a length, which end when the connection is closed. A reset is no such end: the request
+/// fails, whatever has arrived by then.
 #[test]
 fn reset_fails_a_response_without_a_length() {
     for (is_reset, status) in [(true, 502), (false, 200)] {
@@ -101,8 +102,8 @@
     }
 }
 
-/// Guards a timeout that races the response: one of them ends the request, the client gets one response, and nothing is
-/// sent again. The connection that timed out is not reused.
+/// Guards a timeout that races the response: one of the two ends the request, the client gets one response, and nothing
+/// is sent again. The connection on which the timeout occurred is not reused.
 #[test]
 fn timeout_racing_the_response_ends_the_request_once() {
     let (listener, endpoint_entry) = raw_endpoint();
@@ -137,7 +138,7 @@
     assert_eq!(ends, 1);
 }
 
-/// A sidecar whose settings can be reloaded, with a scripted endpoint and some retry budget.
+/// A sidecar whose settings can be reloaded, with a scripted endpoint and retry budget for a few retries.
 struct ReloadableSidecar {
     scripted: ScriptedEndpoint,
     sidecar: Sidecar,
@@ -176,12 +177,12 @@
         client
     }
 
-    /// Has discovery send a list.
+    /// Sends a list from discovery.
     fn write_list(&mut self, line: &str) {
         self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
-    /// Reloads the configuration with changed classes.
+    /// Reloads the configuration with changed request classes.
     fn reload_classes(&mut self, change: impl FnOnce(&mut Vec<Value>)) {
         change(
             self.config["settings"]["categories"]
@@ -195,7 +196,7 @@
         });
     }
 
-    /// Has the endpoint fail the next attempt.
+    /// Makes the endpoint fail the next attempt.
     fn fail_next_attempt(&self) {
         self.scripted.respond_next(EndpointAction::Respond(
             "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
@@ -209,8 +210,8 @@
     }
 }
 
-/// Guards an attempt in flight against a reload that makes its class idempotent: a request keeps the class that it came
-/// with, so that one that must not run twice is not retried.
+/// Guards an attempt in flight against a reload that makes its class idempotent: a request keeps the class that it
+/// arrived with, and one that must not run twice is not retried.
 #[test]
 fn attempt_in_flight_keeps_its_class_after_a_reload() {
     let (mut reloadable, other) = (
@@ -236,8 +237,8 @@
     );
 }
 
-/// Guards attempts in flight against a reload with fewer priority levels: a request keeps its rank among the remaining ones
-/// when it is retried, and when its client disconnects.
+/// Guards attempts in flight against a reload with fewer priority levels: a request keeps its rank among the remaining
+/// levels, both when it is retried and when its client disconnects.
 #[test]
 fn attempts_in_flight_survive_a_reload_with_fewer_priority_levels() {
     let (mut reloadable, other) = (
@@ -263,7 +264,7 @@
         reloadable.sidecar.metric("members_unavailable") == Some(1)
     });
     reloadable.reload_classes(|classes| {
-        // Only one class remains beside that of the requests, with the same priority weight.
+        // Only one class remains besides that of the requests, with the same priority weight.
         classes.truncate(1);
         classes[0]["worth"] = json!(2.0);
     });
@@ -293,10 +294,8 @@
     );
 }
 
-// ---- Idle connections ------------------------------------------------------------------------------------
-
-/// Guards an eviction that races the connection's next request: each caller gets a complete response, or a close without a
-/// byte of one, and then its request was not sent.
+/// Guards an eviction that races the next request on the connection: each caller gets a complete response, or a close
+/// without any byte of a response. In the second case its request was not sent.
 #[test]
 fn eviction_racing_the_next_request_answers_it_or_sends_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
