--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -9,7 +9,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the processes of one sidecar have in common: the shared directory, discovery and the cached list of endpoints.
+/// The resources that the processes of one sidecar share: the shared directory, discovery and the cached list of
+/// endpoints.
 struct Deployment {
     shared_directory: PathBuf,
     discovery: Discovery,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Starts a process, at the address of the one that it is to replace.
+    /// Starts a process. One that replaces an old process listens on the old one's address.
     fn start(&self, address_of_old_process: Option<SocketAddr>) -> Sidecar {
         let mut config = with_admin_address(config(self.discovery.address, &self.cached_entries));
         if let Some(address) = address_of_old_process {
@@ -48,7 +49,7 @@
     }
 }
 
-/// Sends requests until `done`, as clients do: on one connection until a response closes it.
+/// Sends requests until `done`. Like other clients, it uses one connection until a response closes it.
 fn send_requests_until(address: SocketAddr, done: &AtomicBool, served: &AtomicUsize) {
     let mut client = Client::connect(address);
     while !done.load(Ordering::Relaxed) {
@@ -62,8 +63,8 @@
     }
 }
 
-/// Two hot restarts in a row: each request of the whole time is answered, and the old process ends by itself once its
-/// callers have moved.
+/// Two hot restarts in a row under load: every request is answered, and after SIGTERM the old process ends once its
+/// callers have moved to the new one.
 #[test]
 fn new_process_takes_over_under_load() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -96,8 +97,9 @@
     assert!(served.into_inner() > 40);
 }
 
-/// The cached list may be outdated, so a new process is not ready before the list from discovery, nor with no endpoint in
-/// it; callers stay with the old process. Terminated before that, the new process just ends.
+/// The cached list may be outdated, so a new process is ready neither before it has a list from discovery, nor while
+/// that list has no endpoint that serves. Callers stay with the old process. A new process that is terminated before it
+/// is ready ends without a take-over.
 #[test]
 fn new_process_is_not_ready_before_its_first_list() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -123,7 +125,7 @@
         new_process.call_is_yes("READY")
     });
     old_process.wait_for_log("the new process accepts callers");
-    // Once the old process has ended, a new one that knows no endpoint takes over all the same.
+    // Once the old process has ended, a new one takes over even if it knows no endpoint that serves.
     new_process.kill();
     old_process.wait_for_log("accepting callers again");
     let mut new_process = deployment.start(Some(old_process.address));
@@ -145,7 +147,7 @@
     );
 }
 
-/// After the new process was killed the old one accepts callers again, and another new process can take over.
+/// After the new process was killed, the old one accepts callers again, and another new process can take over.
 #[test]
 fn old_process_accepts_callers_again_after_new_process_was_killed() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -182,12 +184,12 @@
     assert_eq!(
         idle_client.exchange(&get_request("5")).status(),
         200,
-        "its connection was idle all the time"
+        "its connection was idle throughout"
     );
 }
 
-/// Connections that arrive between the old process's SIGTERM and the new one's readiness wait in the backlog for
-/// whichever process accepts them, and each request is answered.
+/// Connections that arrive between the old process's SIGTERM and the new one's readiness wait in the backlog until one
+/// of the two processes accepts them, and every request is answered.
 #[test]
 fn sigterm_before_new_process_is_ready_loses_no_request() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -212,15 +214,15 @@
     new_process.wait_for_log("the old process has ended");
 }
 
-/// The new process shuts down while the old one still runs, and an attempt in flight keeps it from ending: the old one
-/// accepts callers from the SIGTERM on, and can be replaced once more.
+/// The new process shuts down while the old one still runs, and an attempt in flight keeps it from ending. The old
+/// process accepts callers again from the SIGTERM on, and can be replaced once more.
 #[test]
 fn old_process_accepts_callers_again_while_new_process_shuts_down() {
     let respond = |message: &Message| match message.header("x-class") {
         Some("unsafe") => EndpointAction::Hang,
         _ => respond_ok("x"),
     };
-    let endpoints = [0, 1].map(|_| Endpoint::start(respond)); // one for the request that hangs, and one for the others
+    let endpoints = [0, 1].map(|_| Endpoint::start(respond)); // one for the hanging request, and one for the others
     let deployment = Deployment::with_endpoints(&[&endpoints[0], &endpoints[1]]);
     let old_process = deployment.start(None);
     let mut new_process = deployment.start(Some(old_process.address));
@@ -255,8 +257,8 @@
     );
 }
 
-/// A process starts whatever it finds in the shared directory: a plain file, a stale or silent socket, or a directory in
-/// the socket's place.
+/// A process starts whatever is in the shared directory at the path of the socket: a plain file, a stale or silent
+/// socket, or a directory. It also starts if the shared directory does not exist.
 #[test]
 fn process_starts_with_foreign_files_in_shared_directory() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -312,19 +314,20 @@
         (0..count).map(send).collect()
     };
     let _old_clients = send_hanging_requests(&old_process, 100);
-    wait_until("the old process has their requests", || {
+    wait_until("all requests are pending at the old process", || {
         old_process.metric("pending") == Some(100)
     });
     let new_process = start(Some(old_process.address));
     old_process.wait_for_log("the new process accepts callers");
     thread::sleep(Duration::from_millis(200)); // several heartbeats
     let _new_clients = send_hanging_requests(&new_process, 200);
-    wait_until("the new process has some requests", || {
+    wait_until("some requests are pending at the new process", || {
         new_process
             .metric("pending")
             .is_some_and(|count| count > 10)
     });
-    // It would exceed the limit within this time, which ends long before the first requests' deadline.
+    // If the budget were not shared, the limit would be exceeded within this time, which ends long before the deadline
+    // of the first requests.
     for _ in 0..30 {
         let descriptors = old_process.descriptor_count() + new_process.descriptor_count();
         assert!(descriptors <= 256, "{descriptors}");
@@ -333,6 +336,6 @@
     assert_eq!(
         old_process.metric("pending"),
         Some(100),
-        "none of them has ended"
+        "no request has ended"
     );
 }
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -1,6 +1,8 @@
-//! The formats that processes of different releases share during a hot restart: messages, file names and the stored file.
+//! The formats that processes of different releases share during a hot restart: messages, file names and the stored
+//! file.
 //!
-//! The golden files were written by an earlier release, which must be able to restart into this one and back.
+//! The golden files were written by an earlier release. A hot restart from that release to this one, and back, must
+//! work.
 
 use crate::stubs::*;
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
@@ -17,12 +19,12 @@
 const HANDOVER_BYTE: &[u8] = include_bytes!("../golden/hot_restart/handover_byte");
 /// One message of each kind, one line each, in the order of [`MessageLines`].
 const MESSAGES: &str = include_str!("../golden/hot_restart/messages.jsonl");
-/// The names of the files in the shared directory, one a line, sorted.
+/// The names of the files in the shared directory, one per line, sorted.
 const FILE_NAMES: &str = include_str!("../golden/hot_restart/file_names");
 /// The stored file while endpoints e0 and e1 are disabled.
 const DISABLED_FILE: &[u8] = include_bytes!("../golden/hot_restart/disabled_file");
 
-/// The golden messages.
+/// The golden messages, each with its line end.
 struct MessageLines {
     connection_count: &'static str,
     serving: &'static str,
@@ -45,7 +47,7 @@
     }
 }
 
-/// The file names of the golden list: the stored file's, then the socket's.
+/// The golden file names: that of the stored file, then that of the socket.
 fn golden_file_names() -> (&'static str, &'static str) {
     let names: Vec<&str> = FILE_NAMES.lines().collect();
     let [disabled_file, socket] = names[..] else {
@@ -70,7 +72,7 @@
         self.0.join(golden_file_names().0)
     }
 
-    /// The names of its files, one a line, sorted.
+    /// The names of its files, one per line, sorted.
     fn file_names(&self) -> String {
         let entries = std::fs::read_dir(&self.0).expect("a directory");
         let mut names: Vec<String> = entries
@@ -92,7 +94,7 @@
 struct OtherProcess(BufReader<UnixStream>);
 
 impl OtherProcess {
-    /// The test is the new process: it connects and receives the byte that comes with the listening socket.
+    /// Acts as the new process: connects, and receives the byte that comes with the listening socket.
     fn connect_as_new(socket: &Path) -> Self {
         wait_until("the process listens for a new one", || socket.exists());
         let stream = UnixStream::connect(socket).expect("a connection");
@@ -105,7 +107,7 @@
         OtherProcess(BufReader::new(stream))
     }
 
-    /// The test is the old process: it hands its listening socket over to the one that connects.
+    /// Acts as the old process: hands its listening socket over to the process that connects.
     fn accept_as_old(socket: &UnixListener, listener: &TcpListener) -> Self {
         let (stream, _) = socket.accept().expect("the new process connects");
         stream
@@ -126,7 +128,7 @@
         stream.write_all(line.as_bytes()).expect("it is open");
     }
 
-    /// Reads up to a line of exactly these bytes; only heartbeats with other numbers may come before it.
+    /// Reads up to a line of exactly these bytes. Only heartbeats with other numbers may precede it.
     fn expect_line(&mut self, expected: &str) {
         loop {
             let mut line = String::new();
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Has a sidecar send a message of each kind that both an old and a new process send.
+    /// Makes a sidecar send a message of each kind that both old and new processes send, and expects the golden bytes.
     fn expect_messages_of(&mut self, sidecar: &Sidecar) {
         let golden = golden_messages();
         assert!(sidecar.call_is_yes("DISABLE e0"));
@@ -160,7 +162,7 @@
     }
 }
 
-/// The test plays the new process.
+/// The test acts as the new process.
 #[test]
 fn old_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -173,7 +175,7 @@
     new_process.expect_messages_of(&sidecar);
 }
 
-/// The test plays the old process.
+/// The test acts as the old process.
 #[test]
 fn new_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -185,7 +187,10 @@
     let (sidecar, mut old_process) = std::thread::scope(|scope| {
         let accepted = scope.spawn(|| OtherProcess::accept_as_old(&socket, &listener));
         let sidecar = Sidecar::start_in_directory(&directory.0, &config);
-        (sidecar, accepted.join().expect("it is handed over"))
+        (
+            sidecar,
+            accepted.join().expect("the listener is handed over"),
+        )
     });
     let mut watch = discovery.next_watch();
     watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
@@ -195,7 +200,8 @@
     old_process.expect_messages_of(&sidecar);
 }
 
-/// The test plays the new process, and observes the effect of each message but the number of connections.
+/// The test acts as the new process and observes the effect of each message.
+/// `golden_connection_count_reduces_the_budget` covers the number of connections.
 #[test]
 fn golden_messages_are_understood() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -213,14 +219,15 @@
     wait_until("the endpoint is enabled", || {
         sidecar.metric("members_unavailable") == Some(0)
     });
-    // A new process would accept callers from now on: the old one closes each connection with its next response.
+    // The `serving` message says that the new process accepts callers: the old one then closes each connection with its
+    // next response.
     let mut caller = sidecar.client();
     assert_eq!(
         caller.exchange(&get_request("5")).header("connection"),
         None
     );
     new_process.send(golden.serving);
-    wait_until("connections close with their answers", || {
+    wait_until("connections close with their responses", || {
         let is_closing = caller.exchange(&get_request("5")).header("connection") == Some("close");
         std::thread::sleep(Duration::from_millis(10));
         is_closing
@@ -233,10 +240,11 @@
     );
 }
 
-/// More clients with a pending request than a sidecar of 128 descriptors serves beside another process.
+/// The number of clients with a pending request: more than a sidecar with 128 descriptors serves beside another
+/// process.
 const CLIENTS: usize = 30;
 
-/// A sidecar with few descriptors after these messages of a new process, and clients with a request each.
+/// A sidecar with few descriptors that has received messages of a new process, and clients with one request each.
 struct LoadedSidecar {
     sidecar: Sidecar,
     _clients: Vec<Client>,
@@ -258,7 +266,7 @@
         for message in messages_of_new_process {
             new_process.send(message);
         }
-        // Messages are read in order, so the ones before these count once these do.
+        // Messages are read in order: once this message and the next have taken effect, so have those before them.
         new_process.send(golden_messages().disabled);
         wait_until("the messages are read", || {
             sidecar.metric("members_unavailable") == Some(1)
@@ -287,7 +295,8 @@
     }
 }
 
-/// The effect of the number of connections: another process and its reserve take from the limit that both share.
+/// The effect of the message with the number of connections: the other process's connections and its reserve are
+/// deducted from the limit that both share.
 #[test]
 fn golden_connection_count_reduces_the_budget() {
     let alone = LoadedSidecar::start(&[]);
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -1,15 +1,15 @@
-//! Many sidecars that restart at the same time while discovery answers few calls: no sidecar becomes ready later because
-//! of the others' calls, and none makes more calls than it has to.
+//! Many sidecars that restart at the same time while discovery answers few calls: no sidecar becomes ready later
+//! because of the others' calls, and none makes more calls than necessary.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 use std::process::Child;
 
-/// The size of the fleet, large enough for its calls to queue.
+/// The number of sidecars in the fleet, large enough for their calls to queue.
 const SIDECARS: usize = 20;
 const OVERLOADED: &str = "HTTP/1.1 503 Overloaded\r\nContent-Length: 0\r\n\r\n";
 
-/// A sidecar with a discovery stub of its own, which shows whose a call is.
+/// A sidecar with a discovery stub of its own, which shows which sidecar made a call.
 struct FleetMember {
     sidecar: Sidecar,
     discovery: ManualDiscovery,
@@ -23,7 +23,8 @@
         status == 200
     }
 
-    /// Waits for the sidecar's only outstanding call. A second one would cost discovery a response for nothing.
+    /// Waits for a call, and asserts that it is the sidecar's only outstanding one. A second call would cost discovery
+    /// a response without any use.
     fn expect_only_call(&self) -> DiscoveryCall {
         let mut calls = Vec::new();
         wait_until("a call", || {
@@ -35,7 +36,7 @@
         calls.remove(0)
     }
 
-    /// Asserts that the sidecar is ready, by HTTP and for the operators, and serves a request.
+    /// Asserts that the sidecar is ready, over HTTP and at the operators' address, and serves a request.
     fn assert_serves(&self, mode: &str) {
         assert!(self.is_ready(), "{mode}: {:?}", self.sidecar.log());
         assert!(self.sidecar.call_is_yes("READY"));
@@ -46,7 +47,7 @@
     }
 }
 
-/// Starts a process for each configuration before it waits for any of them.
+/// Starts a process for each configuration before it waits for any of the processes.
 fn start_concurrently(configs: &[Value]) -> Vec<Sidecar> {
     let paths: Vec<_> = configs
         .iter()
@@ -61,15 +62,16 @@
     let children: Vec<Child> = paths.iter().map(start).collect();
     let sidecars = children.into_iter().map(Sidecar::from_child).collect();
     for path in &paths {
-        std::fs::remove_file(path).expect("the file goes");
+        std::fs::remove_file(path).expect("the file is removed");
     }
     sidecars
 }
 
-/// Starts a fleet, none of whose calls has been answered.
+/// Starts a fleet whose discovery calls have not been answered.
 ///
-/// The network address must be that of one test alone, so that the port of a killed process stays free: processes with
-/// operators' calls share listening ports, and one that took the port would go unnoticed.
+/// Each test needs a network address of its own, which keeps the port of a killed process free for its restart:
+/// processes with an operators' address share listening ports, and another process that took the port would go
+/// unnoticed.
 fn start_fleet(network_address: &str, mode: &str, cached_list: &Value) -> Vec<FleetMember> {
     let discoveries: Vec<ManualDiscovery> =
         (0..SIDECARS).map(|_| ManualDiscovery::start()).collect();
@@ -94,7 +96,7 @@
         .collect()
 }
 
-/// Kills all processes and starts them again at their addresses. Their calls of discovery end with them.
+/// Kills all processes and starts them again at their addresses. Their discovery calls end with them.
 fn restart_concurrently(fleet: &mut [FleetMember]) {
     for member in fleet.iter_mut() {
         member.config["listen"] = json!(member.sidecar.address.to_string());
@@ -110,8 +112,9 @@
     json!({"index": 41, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Guards the start with a cached list: all sidecars serve before discovery has answered any call, a failed call leaves
-/// them serving, and the first response to each makes its list current. Each sidecar has one outstanding call at a time.
+/// Guards the start with a cached list: all sidecars serve before discovery has answered any call. After a failed call
+/// they still serve, and the first response to each sidecar makes its list current. Each sidecar has one outstanding
+/// call at a time.
 fn assert_cached_list_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let cached_list = cached_list(&serving_entries(&[&endpoint]));
@@ -146,7 +149,7 @@
         assert_eq!(
             member.discovery.take_open_calls().len(),
             0,
-            "{mode}: it makes no further call"
+            "{mode}: the sidecar makes no further call"
         );
         watches.push(watch);
     }
@@ -162,8 +165,8 @@
     assert_cached_list_suffices("127.20.0.2", ON_REQUEST_MODE);
 }
 
-/// Guards the start without a cached list: each sidecar is ready once its one fetch is answered and does not wait for the
-/// watch that follows. So each response makes one sidecar ready.
+/// Guards the start without a cached list: each sidecar is ready once its only fetch is answered, without waiting for
+/// the watch that follows. Each response therefore makes one sidecar ready.
 fn assert_one_fetch_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let mut fleet = start_fleet(network_address, mode, &Value::Null);
@@ -176,7 +179,7 @@
         let ready_count = fleet.iter().filter(|member| member.is_ready()).count();
         assert_eq!(ready_count, responses);
         call.respond_with_list(&list(42, true, &serving_entries(&[&endpoint])));
-        wait_until("it is ready", || member.is_ready());
+        wait_until("the sidecar is ready", || member.is_ready());
         assert_eq!(
             member.sidecar.client().exchange(&get_request("5")).status(),
             200
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -6,7 +6,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// `READY` is yes while the sidecar serves, and no once it shuts down with a request still pending.
+/// `READY` is answered with yes while the sidecar serves, and with no once it shuts down, even if a request is still
+/// pending.
 #[test]
 fn ready_turns_to_no_on_sigterm() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
@@ -16,7 +17,7 @@
     waiting_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    wait_until("it is not ready once it shuts down", || {
+    wait_until("the sidecar is not ready once it shuts down", || {
         !sidecar.call_is_yes("READY")
     });
 }
@@ -30,11 +31,11 @@
     discovery
         .next_watch()
         .write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
-    wait_until("it knows an endpoint", || sidecar.call_is_yes("READY"));
+    wait_until("the sidecar is ready", || sidecar.call_is_yes("READY"));
 }
 
-/// Each request counts under one outcome of its class, as its client saw it, each attempt as endpoints saw it, and a
-/// pending request for as long as it is.
+/// Each request is counted under one outcome of its class, as its client saw it. Each attempt is counted as endpoints
+/// saw it, and a request counts as pending for as long as it is.
 #[test]
 fn metrics_count_each_request_under_one_outcome() {
     let (opener, gate) = response_gate();
@@ -100,7 +101,7 @@
     });
 }
 
-/// `pending` counts neither requests of disconnected clients nor what never was a whole request.
+/// `pending` counts neither requests of disconnected clients nor requests that never arrived completely.
 #[test]
 fn disconnected_and_incomplete_requests_are_not_pending() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
@@ -126,7 +127,8 @@
     assert_eq!(sidecar.requests_ended("failed", "unsafe"), Some(0));
 }
 
-/// What is not a command of one line is refused or its connection closed, and neither callers nor later commands suffer.
+/// Input other than a one-line command is refused, or its connection is closed. Neither callers nor later commands are
+/// affected.
 #[test]
 fn invalid_commands_are_refused_or_closed() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -149,7 +151,7 @@
             "{bytes:?}: {response:?}"
         );
     }
-    // So long a line may be reset by the close, and the response with it.
+    // The connection of so long a line may be reset when it is closed, which can lose the response.
     let mut stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
     let _ = stream.write_all(&long_line);
     let mut response = String::new();
@@ -169,7 +171,7 @@
     response.clear();
     half_closed_stream
         .read_to_string(&mut response)
-        .expect("a whole answer");
+        .expect("a complete response");
     assert!(response.starts_with("NO"), "{response:?}");
     assert_eq!(
         sidecar.call_raw(b"READY\r\n"),
@@ -179,7 +181,7 @@
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 }
 
-/// Connections that never send a whole command delay no command, and take no descriptors from callers.
+/// Connections that never send a complete command neither delay other commands nor take descriptors from callers.
 #[test]
 fn idle_connections_neither_delay_commands_nor_accumulate() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -206,7 +208,7 @@
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
         let mut response = String::new();
-        let _ = stream.read_to_string(&mut response); // it closes, or is reset
+        let _ = stream.read_to_string(&mut response); // the connection is closed or reset
         assert!(
             response.is_empty() || response.starts_with("NO"),
             "{response:?}"
@@ -215,7 +217,7 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// The address may come from the environment; one that cannot be bound fails the start with one plain line.
+/// The address may come from the environment. An address that cannot be bound fails the start with a single line.
 #[test]
 fn operators_address_may_come_from_the_environment() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -246,7 +248,7 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Without an operators' address the sidecar listens at the callers' address alone.
+/// Without an operators' address, the sidecar listens on the callers' address only.
 #[test]
 fn sidecar_without_an_operators_address_opens_one_listener() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -273,7 +275,7 @@
     );
 }
 
-/// Commands are answered while the callers' side is busy.
+/// Commands are answered while callers keep the sidecar busy.
 #[test]
 fn commands_are_answered_under_load() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -292,7 +294,7 @@
             });
         }
         for _ in 0..20 {
-            let pending = sidecar.metric("pending").expect("a figure");
+            let pending = sidecar.metric("pending").expect("a number");
             assert!(pending <= 4, "{pending}");
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
 
-/// Guards the descriptor budget: idle connections are evicted, so that every caller is accepted and served.
+/// Guards the descriptor budget: idle connections are evicted, and every caller is accepted and served.
 #[test]
 fn idle_connections_are_evicted_for_new_ones() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -25,8 +25,8 @@
     assert!(idle_clients[0].is_closed(), "the oldest was evicted");
 }
 
-/// Guards SIGTERM: open requests are answered, also on connections accepted after it; idle connections close; the process
-/// exits successfully.
+/// Guards SIGTERM: open requests are answered, including those on connections accepted after it. Idle connections are
+/// closed, and the process exits successfully.
 #[test]
 fn shutdown_answers_every_open_request() {
     let (opener, gate) = response_gate();
@@ -48,7 +48,7 @@
     pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "it was idle");
+    assert!(idle_client.is_closed(), "its connection was idle");
     assert_eq!(
         sidecar.client().exchange(&get_request("2")).status(),
         200,
@@ -64,8 +64,9 @@
     assert!(sidecar.wait().success());
 }
 
-/// Guards load reports that only health checks bring: these go to the endpoint's own path, without a request id, and the
-/// reports in their responses reach the balancer. Where health checks are forbidden none is sent.
+/// Guards load reports that arrive only in responses to health checks. Health checks are sent to the path for load
+/// reports, without a request id, and the reports in their responses reach the balancer. If the settings forbid health
+/// checks, none is sent.
 #[test]
 fn health_checks_collect_load_reports() {
     for (allowed, report) in [
@@ -123,7 +124,7 @@
     }
 }
 
-/// Guards the counters line of the log: requests, final answers, attempts and connections are counted.
+/// Guards the counters line of the log, which counts requests, final answers, attempts and connections.
 #[test]
 fn log_counts_requests_and_outcomes() {
     let endpoint = Endpoint::start(|_| {
@@ -153,7 +154,7 @@
     );
 }
 
-/// Guards service against a closed log: lines that cannot be written are dropped, and the shutdown is graceful.
+/// Guards service while the log is closed: lines that cannot be written are dropped, and the shutdown is graceful.
 #[test]
 fn sidecar_serves_while_nobody_reads_its_log() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -173,7 +174,7 @@
     let mut client = Client::connect(address.expect("it logs where it listens"));
     assert_eq!(client.exchange(&get_request("5")).status(), 200);
     for _ in 0..2 {
-        drop(discovery.next_watch()); // each is logged
+        drop(discovery.next_watch()); // each lost watch is logged
     }
     send_signal(&child, "HUP");
     discovery.next_watch();
@@ -184,11 +185,11 @@
         "connections are served during a shutdown"
     );
     assert!(child.wait().expect("it ends").success());
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards callers while another sidecar is down too: after SIGTERM the sidecar is not ready, but connections are served for
-/// a while, and requests on them are answered well before the process may be killed.
+/// Guards callers while another sidecar is down as well: after SIGTERM the sidecar is not ready, but it serves
+/// connections for a while. Requests on them are answered well before the process may be killed.
 #[test]
 fn connections_are_served_for_a_while_after_sigterm() {
     let endpoint = Endpoint::start(|message| {
@@ -231,7 +232,7 @@
     assert!(sidecar.wait().success());
 }
 
-/// Guards the start: an invalid configuration is one line of the log and a failure.
+/// Guards the start: an invalid configuration makes it fail, with a single line in the log.
 #[test]
 fn invalid_configuration_fails_the_start_with_one_line() {
     let discovery = "127.0.0.1:1".parse().expect("an address");
@@ -265,6 +266,6 @@
         );
         path.filter(|p| p.is_file())
             .iter()
-            .for_each(|p| std::fs::remove_file(p).expect("the file goes"));
+            .for_each(|p| std::fs::remove_file(p).expect("the file is removed"));
     }
 }
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -11,9 +11,9 @@
     std::fs::write(path, config.to_string()).expect("the file is written");
 }
 
-/// Guards the move to another discovery: the new one is asked for the full list, as versions of the old one mean nothing
-/// there; the old one is followed until the new one has sent a list, and dropped then; neither an older list of the new
-/// one nor the cached list of the file ends a drain; requests are served all the time.
+/// Guards the move to another discovery. The new one is asked for the full list, because versions of the old one mean
+/// nothing there. The old one is followed until the new one has sent a list; then its watch is closed. Neither an older
+/// list of the new discovery nor the cached list of the file ends a drain. Requests are served throughout.
 #[test]
 fn previous_discovery_is_followed_until_the_new_one_has_sent_a_list() {
     let (opener, gate) = response_gate();
@@ -49,10 +49,10 @@
     let mut new_watch = new.next_watch();
     assert!(
         new_watch.request_line.starts_with("GET /v1/endpoints "),
-        "the whole list: {}",
+        "a fetch of the full list: {}",
         new_watch.request_line
     );
-    // The old one still sends a change.
+    // The old discovery still sends a change.
     old_watch.write_line(&list(42, true, &entries_with_first("DRAINING")));
     let mut client = sidecar.client();
     while client.exchange(&get_request("2")).status() != 200 {}
@@ -88,11 +88,11 @@
             .body,
         b"late"
     );
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the log: a configuration that cannot be read, and one that only a restart can apply, are a line each, and the
-/// old one stays in force. Two signals in a row count as one.
+/// Guards the log: a configuration that cannot be read, and one that only a restart can apply, are logged with one line
+/// each, and the old one stays in force. Two signals in a row count as one.
 #[test]
 fn reload_logs_changes_that_it_cannot_apply() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -118,10 +118,10 @@
     sidecar
         .wait_for_log("discovery stays, settings change in bounds; only a restart changes: listen");
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the graceful shutdown: a reload during it neither ends nor lengthens it, and open requests are answered.
+/// Guards the graceful shutdown: a reload during it neither ends nor prolongs it, and open requests are answered.
 #[test]
 fn reload_during_shutdown_is_applied() {
     let (opener, gate) = response_gate();
@@ -144,7 +144,7 @@
     pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "it shuts down");
+    assert!(idle_client.is_closed(), "the sidecar shuts down");
     write_config(&path, &config(new.address, &cached_entries));
     sidecar.send_signal("HUP");
     assert!(
@@ -161,7 +161,7 @@
         b"late"
     );
     assert!(sidecar.wait().success());
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
 fn classes_of(config: &mut Value) -> &mut Vec<Value> {
@@ -176,8 +176,8 @@
     class
 }
 
-/// Guards changed settings: a class that is added is served, one that is removed is not but keeps its count, a stricter
-/// effect holds for later requests, and open requests keep the settings that they came under.
+/// Guards changed settings: an added class is served. A removed class is not served but keeps its count. A stricter
+/// effect holds for later requests, and open requests keep the settings under which they arrived.
 #[test]
 fn changed_settings_apply_to_later_requests_only() {
     let (opener, gate) = response_gate();
@@ -194,7 +194,7 @@
     let mut config = with_admin_address(config(discovery.address, &cached_entries));
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_file(&path);
-    let reloads = || sidecar.metric("config_reloads").expect("a figure");
+    let reloads = || sidecar.metric("config_reloads").expect("a number");
     let mut client = sidecar.client();
     let keyed = |class: &str| {
         post_request(class, "15", "x").replace("Host: s", "Host: s\r\nIdempotency-Key: k")
@@ -205,7 +205,7 @@
             .status(),
         200
     );
-    // Open while its class changes.
+    // These requests are open while their class changes.
     let mut waiting_clients: Vec<Client> = (0..12)
         .map(|_| {
             let mut client = sidecar.client();
@@ -213,7 +213,7 @@
             client
         })
         .collect();
-    wait_until("some are pending", || {
+    wait_until("some requests are pending", || {
         sidecar.metric("pending").is_some_and(|n| n > 0)
     });
 
@@ -223,7 +223,7 @@
     config["settings"]["bounds"]["sendCap"] = json!(1);
     write_config(&path, &config);
     sidecar.send_signal("HUP");
-    wait_until("it is applied", || reloads() == 1);
+    wait_until("the reload is applied", || reloads() == 1);
     sidecar.wait_for_log("settings change in bounds, categories");
     assert_eq!(sidecar.requests_ended("completed", "new"), Some(0));
     assert_eq!(
@@ -237,7 +237,7 @@
             .exchange(&post_request("keyed", "0.001", "x"))
             .status(),
         400,
-        "it needs no key any more"
+        "the class no longer needs a key"
     );
     for _ in 0..12 {
         opener.release_one();
@@ -246,11 +246,11 @@
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
 
-    // `safe` is removed; a moment later its requests are rejected.
+    // `safe` is removed. A moment later its requests are rejected.
     classes_of(&mut config).remove(0);
     write_config(&path, &config);
     sidecar.send_signal("HUP");
-    wait_until("it is applied", || reloads() == 2);
+    wait_until("the reload is applied", || reloads() == 2);
     wait_until("requests sent before the reload are over", || {
         client.exchange(&get_request("5")).status() == 400
     });
@@ -266,15 +266,15 @@
             .is_some_and(|n| n >= 1),
         "its count stays"
     );
-    // The same file again is applied, and changes nothing.
+    // A reload of the unchanged file is applied and changes nothing.
     sidecar.send_signal("HUP");
-    wait_until("it is applied", || reloads() == 3);
+    wait_until("the reload is applied", || reloads() == 3);
     assert_eq!(sidecar.metric("config_reload_errors"), Some(0));
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the settings in force against every kind of broken file: they stay complete, with their discovery, and the log
-/// says what is wrong.
+/// Guards the settings in force against every kind of broken file: they and the discovery in force stay complete, and
+/// the log says what is wrong.
 #[test]
 fn invalid_configuration_changes_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -282,10 +282,10 @@
     let valid = with_admin_address(config(discovery.address, &serving_entries(&[&endpoint])));
     let path = temporary_file(&valid.to_string());
     let sidecar = Sidecar::start_with_file(&path);
-    let errors = || sidecar.metric("config_reload_errors").expect("a figure");
+    let errors = || sidecar.metric("config_reload_errors").expect("a number");
     let changed_by = |change: &dyn Fn(&mut Value)| {
         let mut broken = valid.clone();
-        // Valid changes beside the invalid one must not be applied either.
+        // Valid changes next to the invalid one must not be applied either.
         broken["discovery"] = json!(other_discovery.address.to_string());
         let new_class = copy_class("new", &classes_of(&mut broken)[0]);
         classes_of(&mut broken).push(new_class);
@@ -298,7 +298,7 @@
             drop(
                 broken
                     .pointer_mut(at)
-                    .expect("it is there")
+                    .expect("the key exists")
                     .as_object_mut()
                     .expect("an object")
                     .remove(key),
@@ -306,7 +306,7 @@
         })
     };
     let set = |at: &'static str, to: Value| {
-        changed_by(&move |broken| *broken.pointer_mut(at).expect("it is there") = to.clone())
+        changed_by(&move |broken| *broken.pointer_mut(at).expect("the key exists") = to.clone())
     };
     let mut files = vec![
         String::new(),
@@ -354,7 +354,7 @@
     for (earlier_errors, text) in files.iter().enumerate() {
         std::fs::write(&path, text).expect("the file is written");
         sidecar.send_signal("HUP");
-        wait_until(&format!("it is rejected: {text}"), || {
+        wait_until(&format!("the reload is rejected: {text}"), || {
             errors() == earlier_errors as u64 + 1
         });
         assert_eq!(client.exchange(&get_request("5")).status(), 200);
@@ -365,7 +365,7 @@
             400
         );
     }
-    std::fs::remove_file(&path).expect("the file goes");
+    std::fs::remove_file(&path).expect("the file is removed");
     sidecar.send_signal("HUP");
     wait_until("a missing file is rejected", || {
         errors() == files.len() as u64 + 1
@@ -374,21 +374,21 @@
     // The log is read on another thread, and may lag behind the metrics.
     let is_rejection =
         |line: &&String| line.contains("reload rejected, the configuration is unchanged: ");
-    wait_until("each is logged", || {
+    wait_until("each rejection is logged", || {
         sidecar.log().iter().filter(is_rejection).count() > files.len()
     });
     assert_eq!(
         sidecar.log().iter().filter(is_rejection).count(),
         files.len() + 1
     );
-    write_config(&path, &serde_json::from_str(&text).expect("it is good"));
+    write_config(&path, &serde_json::from_str(&text).expect("it is valid"));
     sidecar.send_signal("HUP");
     assert!(
         other_discovery
             .next_watch()
             .request_line
             .starts_with("GET /v1/endpoints "),
-        "all of it is applied"
+        "the whole configuration is applied"
     );
     wait_until("the class is served", || {
         client
@@ -396,11 +396,12 @@
             .status()
             == 200
     });
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the start against signals that arrive while the configuration is being read: SIGHUP has it reloaded, and SIGTERM
-/// shuts the process down gracefully. The file is a pipe, so that the program waits for it as long as the test does.
+/// Guards the start against signals that arrive while the configuration is being read: SIGHUP makes the program read it
+/// again, and SIGTERM shuts the process down gracefully. The file is a pipe, so the program goes on reading until the
+/// test has written the configuration.
 #[test]
 fn signals_during_the_start_are_handled() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -415,7 +416,7 @@
             .expect("mkfifo runs")
             .success()
     );
-    // Opening blocks until the program has opened it, too.
+    // Opening the pipe blocks until the program has opened it too.
     let open_pipe = || {
         OpenOptions::new()
             .write(true)
@@ -439,10 +440,10 @@
     open_pipe()
         .write_all(config.as_bytes())
         .expect("it is reloaded");
-    wait_until("it is applied", || {
+    wait_until("the reload is applied", || {
         sidecar.metric("config_reloads") == Some(1)
     });
     assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
     assert!(start_and_signal("TERM").wait().success());
-    std::fs::remove_dir_all(pipe.parent().expect("its folder")).expect("it goes");
+    std::fs::remove_dir_all(pipe.parent().expect("its directory")).expect("it is removed");
 }
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -1,4 +1,4 @@
-//! A shutdown or a listener hand-over that races other events. `docs/event-races.md` lists the pairs.
+//! Races of a shutdown or a listener hand-over with other events. `docs/event-races.md` lists the pairs.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Starts a sidecar whose requests have a deadline, and a client that is idle after its first response.
+/// Starts a sidecar whose requests have this deadline, and a client that is idle after its first response.
 fn start_with_idle_client(
     discovery: &Discovery,
     endpoint: &Endpoint,
@@ -20,8 +20,8 @@
     (sidecar, idle_client)
 }
 
-/// SIGTERM while requests are partly read: each is answered once it is complete. A second SIGTERM, a `DRAIN` and an
-/// `UNDRAIN` in between change nothing.
+/// SIGTERM while requests are partly read: each request is answered once it is complete. A second SIGTERM, a `DRAIN`
+/// and an `UNDRAIN` in between change nothing.
 #[test]
 fn shutdown_waits_for_partly_read_requests() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -31,7 +31,7 @@
     let requests = [get_request("1"), post_request("unsafe", "1", "hello")];
     let mut partial_requests: Vec<(Client, &str)> = Vec::new();
     sidecar.terminate();
-    wait_until("it shuts down", || {
+    wait_until("the sidecar shuts down", || {
         sidecar.client().exchange(READY_REQUEST).status() == 503
     });
     for (request, split_at) in requests.iter().zip([20, requests[1].len() - 3]) {
@@ -43,7 +43,7 @@
     assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
     assert!(
         sidecar.call_is_yes("UNDRAIN") && !sidecar.call_is_yes("READY"),
-        "it shuts down all the same"
+        "the shutdown continues"
     );
     assert!(idle_client.is_closed(), "idle connections close");
     for (client, rest) in &mut partial_requests {
@@ -71,10 +71,10 @@
             client
         })
         .collect();
-    std::thread::sleep(Duration::from_millis(900)); // past the last step
+    std::thread::sleep(Duration::from_millis(900)); // past the time in which the shutdown accepts connections
     sidecar.resume();
     for client in &mut late_clients {
-        // Served, or rejected as the request time of the shutdown is over.
+        // Served, or rejected because the shutdown's time for requests is over.
         let response = client.read().map(|response| response.status());
         assert!(
             matches!(response, Some(200 | 503)),
@@ -85,13 +85,14 @@
     assert!(sidecar.wait().success());
 }
 
-/// Callers that connected while the process was suspended past its last step of accepting, and send a request soon after it
-/// resumes, are answered. One that sends none does not delay the shutdown.
+/// The process is suspended until the time is over in which its shutdown accepts connections. Callers that connected
+/// meanwhile, and send a request soon after the process resumes, are answered. A caller that sends none does not delay
+/// the shutdown.
 #[test]
 fn shutdown_answers_requests_sent_after_a_late_accept() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
-    // Soon is within 0.3 s, for which a busy machine may take longer; then all is repeated.
-    wait_until("they send requests in time", || {
+    // Requests must arrive within 0.3 s. A busy machine may take longer, and then the whole procedure is repeated.
+    wait_until("the late clients send their requests in time", || {
         let discovery = Discovery::start();
         let (mut sidecar, mut idle_client) =
             start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
@@ -101,10 +102,10 @@
         let descriptors_before = sidecar.descriptor_count();
         let mut late_clients: Vec<Client> = (0..12).map(|_| sidecar.client()).collect();
         let mut silent_client = sidecar.client();
-        std::thread::sleep(Duration::from_millis(900)); // past the last step
+        std::thread::sleep(Duration::from_millis(900)); // past the time in which the shutdown accepts connections
         let resumed_at = Instant::now();
         sidecar.resume();
-        wait_until("they are accepted", || {
+        wait_until("the late clients are accepted", || {
             sidecar.descriptor_count() > descriptors_before + 11
         });
         for client in &mut late_clients {
@@ -125,8 +126,8 @@
     });
 }
 
-/// SIGTERM while requests are queued, in flight or waiting for a retry: each is answered once, and the process ends after
-/// the last response.
+/// SIGTERM while requests are queued, in flight or waiting for a retry: each is answered once, and the process ends
+/// after the last response.
 #[test]
 fn shutdown_answers_queued_in_flight_and_retried_requests() {
     let scripted_endpoint = ScriptedEndpoint::start();
@@ -174,7 +175,7 @@
         false,
         &[entry("e1", other_endpoint.address, "SERVING")],
     ));
-    // Either of the two may be answered first; each is recognised by its class.
+    // Either of the two requests at the endpoint may be answered first. The expected bodies depend on its class.
     for (client, bodies) in [
         (&mut retried_client, ["other", "out"]),
         (&mut in_flight_client, ["out", ""]),
@@ -192,8 +193,8 @@
     assert!(sidecar.wait().success());
 }
 
-/// A process stores an administrative state before it answers the command, and may die before it has sent it to the others:
-/// these read what is stored. The test plays the process that dies.
+/// A process stores an administrative state before it answers the command, and may die before it has sent the state to
+/// the other processes. These then read the stored file. The test acts as the process that dies.
 #[test]
 fn state_stored_by_a_process_that_died_is_applied() {
     let shared_directory = temporary_directory();
@@ -205,29 +206,29 @@
         &with_admin_address(config(discovery.address, &entries)),
     );
     let socket = shared_directory.join("pipittray.sock");
-    wait_until("it listens for a new process", || socket.exists());
+    wait_until("the sidecar listens for a new process", || socket.exists());
     let new_process = UnixStream::connect(&socket).expect("it accepts a new process");
     let mut byte = [0];
     (&new_process)
         .read_exact(&mut byte)
-        .expect("the socket comes with a byte");
+        .expect("the hand-over byte");
     let disabled_file = shared_directory.join("pipittray.disabled");
     let unavailable = || sidecar.metric("members_unavailable");
     std::fs::write(&disabled_file, "[\"e1\"]").expect("the file is written");
     assert_eq!(unavailable(), Some(0));
     drop(new_process);
-    wait_until("it is disabled here too", || unavailable() == Some(1));
+    wait_until("the endpoint is disabled", || unavailable() == Some(1));
     let mut client = sidecar.client();
     for _ in 0..20 {
         assert_eq!(client.exchange(&get_request("5")).status(), 200);
     }
     assert_eq!(endpoints[1].take_request_count(), 0);
-    // Enabled again by the next new process; but a file that cannot be read changes nothing.
+    // A file that cannot be read changes nothing. The next new process enables the endpoint again.
     let mut connect_store_and_die = |text: &str, command: &str| {
         let new_process = UnixStream::connect(&socket).expect("it accepts a new process");
         (&new_process)
             .read_exact(&mut byte)
-            .expect("the socket comes with a byte");
+            .expect("the hand-over byte");
         std::fs::write(&disabled_file, text).expect("the file is written");
         assert_eq!(unavailable(), Some(1));
         if !command.is_empty() {
@@ -239,8 +240,8 @@
     sidecar.wait_for_log("disabled endpoints: the stored file is ignored");
     assert_eq!(unavailable(), Some(1));
     connect_store_and_die("[]", "");
-    wait_until("it is enabled here too", || unavailable() == Some(0));
-    // Each of the two processes receives a command of its own at the same time.
+    wait_until("the endpoint is enabled", || unavailable() == Some(0));
+    // Each of the two processes receives a command at the same time.
     assert!(sidecar.call_is_yes("DISABLE e1"));
     connect_store_and_die("[\"e0\",\"e1\"]", "ENABLE e1");
     sidecar.wait_for_log("endpoint e0 is disabled by the operators");
@@ -252,8 +253,9 @@
     std::fs::remove_dir_all(shared_directory).expect("it is removed");
 }
 
-/// Returns a sidecar that may be replaced and is shutting down, and the client of an attempt in flight that keeps it from
-/// ending: it has accepted its last caller, and its own descriptor of the listener is closed.
+/// Starts a replaceable sidecar, and shuts it down while an attempt is in flight, which keeps it from ending.
+/// Returns the sidecar and the client of the attempt once the sidecar has accepted its last caller and closed its own
+/// descriptor of the listener.
 fn shut_down_with_request_in_flight(
     scripted_endpoint: &ScriptedEndpoint,
     discovery: &Discovery,
@@ -267,7 +269,7 @@
     );
     let sidecar = Sidecar::start_in_directory(&shared_directory, &config);
     let socket = shared_directory.join("pipittray.sock");
-    wait_until("it listens for a new process", || socket.exists());
+    wait_until("the sidecar listens for a new process", || socket.exists());
     connect_new_process(&socket);
     let mut in_flight_client = sidecar.client();
     in_flight_client.write(&post_request("unsafe", "15", "x"));
@@ -281,8 +283,8 @@
     (sidecar, in_flight_client)
 }
 
-/// With no new process, the descriptor of the listener kept for a hand-over closes with the other one, so that callers are
-/// refused and go elsewhere instead of waiting up to the process's end.
+/// Without a new process, the descriptor of the listener that is kept for a hand-over is closed together with the other
+/// one. Callers are then refused and go elsewhere, instead of waiting until the process ends.
 #[test]
 fn shutdown_closes_a_listener_that_nobody_took_over() {
     let (scripted_endpoint, discovery) = (ScriptedEndpoint::start(), Discovery::start());
@@ -290,15 +292,15 @@
         shut_down_with_request_in_flight(&scripted_endpoint, &discovery, |_| {});
     assert!(
         TcpStream::connect(sidecar.address).is_err(),
-        "no process accepts it"
+        "no process accepts the connection"
     );
     scripted_endpoint.respond_next(respond_ok("x"));
     assert_eq!(in_flight_client.read().expect("an answer").status(), 200);
     assert!(sidecar.wait().success());
 }
 
-/// The new process dies while the old one shuts down: the old one accepts and answers what waits in the backlog of the
-/// listener that both have. The test plays the new process.
+/// The new process dies while the old one shuts down: the old one accepts and answers the connections in the backlog of
+/// the listener that both processes have. The test acts as the new process.
 #[test]
 fn shutdown_answers_the_backlog_of_a_new_process_that_died() {
     let (scripted_endpoint, discovery) = (ScriptedEndpoint::start(), Discovery::start());
@@ -306,9 +308,7 @@
     let (mut sidecar, mut in_flight_client) =
         shut_down_with_request_in_flight(&scripted_endpoint, &discovery, |socket| {
             let mut stream = UnixStream::connect(socket).expect("it accepts a new process");
-            stream
-                .read_exact(&mut [0])
-                .expect("the socket comes with a byte");
+            stream.read_exact(&mut [0]).expect("the hand-over byte");
             new_process = Some(stream);
         });
     let mut backlog_clients: Vec<Client> = (0..3)
@@ -320,7 +320,7 @@
         .collect();
     drop(new_process);
     for client in &mut backlog_clients {
-        // Served, or rejected: the request time of the shutdown is nearly over.
+        // Served, or rejected because the shutdown's time for requests is nearly over.
         let response = client.read().map(|response| response.status());
         assert!(
             matches!(response, Some(200 | 503)),
@@ -336,14 +336,14 @@
     assert!(sidecar.wait().success());
 }
 
-/// The queue deadline of a request that has left the queue does nothing: a request in flight is the endpoint's to answer,
-/// and one that was answered gets no second response.
+/// The queue deadline of a request that has left the queue has no effect: a request in flight waits for its endpoint,
+/// and an answered request gets no second response.
 #[test]
 fn queue_deadline_of_a_sent_request_has_no_effect() {
     let scripted_endpoint = ScriptedEndpoint::start();
     let discovery = Discovery::start();
     let mut config = with_admin_address(config(discovery.address, &[]));
-    // Queued for up to 2 s, though a late answer has value too.
+    // Requests are queued for up to 2 s, although a later response has some value too.
     config["settings"]["categories"][0]["objectiveNs"] = json!(2_000_000_000u64);
     config["settings"]["categories"][0]["lateShare"] = json!(0.5);
     let sidecar = Sidecar::start(&config);
@@ -351,7 +351,7 @@
     let [mut answered_client, mut in_flight_client] = [0, 1].map(|already_pending| {
         let mut client = sidecar.client();
         client.write(&get_request("9"));
-        wait_until("it is queued", || {
+        wait_until("the request is queued", || {
             sidecar.metric("pending") == Some(already_pending + 1)
         });
         client
@@ -375,7 +375,7 @@
     assert_eq!(
         answered_client.exchange(READY_REQUEST).status(),
         200,
-        "no second response came before"
+        "no second response came first"
     );
     let outcomes =
         ["completed", "rejected", "failed"].map(|outcome| sidecar.requests_ended(outcome, "safe"));
--- a/tests/sidecar/warming_endpoint.rs
+++ b/tests/sidecar/warming_endpoint.rs
@@ -1,4 +1,4 @@
-//! A warming endpoint behind several sidecars that share no state.
+//! A warming endpoint that several sidecars without shared state send requests to.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -10,17 +10,17 @@
 const REQUESTS_PER_SIDECAR: usize = 100;
 /// The fraction of its full capacity that an endpoint starts with.
 const INITIAL_CAPACITY: f64 = 0.1;
-/// Sent more than this multiple of its capacity, a warming endpoint fails.
+/// A warming endpoint that is sent more than this multiple of its capacity fails.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
 
 fn now_ms() -> u64 {
     let since_1970 = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("the clock is set");
-    u64::try_from(since_1970.as_millis()).expect("a time in this era")
+    u64::try_from(since_1970.as_millis()).expect("a time that fits in 64 bits")
 }
 
-/// The configuration of one of the sidecars. Warming up takes an hour, so capacity stays the same during the test.
+/// The configuration of one of the sidecars. The warm-up takes an hour, so the capacity stays the same during the test.
 fn sidecar_config(sidecar: usize, discovery: &Discovery, endpoints: &[Value]) -> Value {
     let mut config = config(discovery.address, endpoints);
     config["seed"] = json!(format!("{:016x}", 1000 + sidecar));
@@ -43,7 +43,7 @@
     }
 }
 
-/// Slow start holds for all sidecars together: of a burst that the warm endpoints serve, a warming one gets some
+/// Slow start limits what all sidecars together send: of a burst that the warm endpoints serve, a warming one gets some
 /// requests, but no more than its capacity.
 #[test]
 fn slow_start_holds_for_several_sidecars_together() {
