--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -6,8 +6,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Guards rule 3: when an endpoint is listed as draining or is removed, its idle connections are closed and it gets no new
-/// request.
+/// Guards rule 3 of `tests/policy/legal_model.rs`: when an endpoint is listed as draining or is removed, its idle
+/// connections are closed and it gets no new request.
 #[test]
 fn draining_or_removed_endpoint_gets_no_request() {
     let listed_statuses = [Some("DRAINING"), Some("DELETED"), None];
@@ -41,10 +41,10 @@
     }
 }
 
-/// Guards against malformed events: the watch is lost, the event has no effect, and the next watch resumes from the last
-/// version.
+/// Guards against malformed events: the watch is closed, the event has no effect, and the next watch resumes from the
+/// last version.
 #[test]
-fn malformed_event_ends_the_watch_and_the_next_resumes_from_the_last_version() {
+fn malformed_event_ends_the_watch_and_has_no_effect() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_watch();
@@ -60,9 +60,10 @@
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 }
 
-/// Guards lists that an agent pushes: the sidecar watches the agent from the start, and again after a watch has ended.
+/// Guards lists that an agent pushes: the sidecar opens a watch on the agent at the start, and again after a watch has
+/// ended.
 #[test]
-fn agent_is_watched_from_the_start_and_after_a_watch_has_ended() {
+fn agent_watch_is_opened_at_the_start_and_reopened() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let discovery = Discovery::start();
     let mut config = config(
@@ -87,7 +88,7 @@
     assert!(discovery.next_watch().request_line.contains("since=42 "));
 }
 
-/// Guards against a discovery whose machine has vanished: it sends nothing, and its connection stays open.
+/// Guards against a discovery whose machine is gone: it sends nothing, and its connection stays open.
 #[test]
 fn silent_watch_is_reopened() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -96,10 +97,11 @@
     assert!(discovery.next_watch().request_line.contains("since=41 "));
 }
 
-/// Guards the check before the first byte of a request: if the endpoint drains while the connection is established, nothing
-/// is written, and the request counts as not run. The connection waits for a slot in the endpoint's full backlog.
+/// Guards the check before the first byte of a request is written: if the endpoint starts to drain while the connection
+/// is being established, nothing is written and the request counts as not run. The endpoint's backlog is full, and the
+/// connection waits for a slot in it.
 #[test]
-fn nothing_is_written_to_an_endpoint_that_drains_while_the_connection_is_established() {
+fn nothing_is_written_to_an_endpoint_that_drains_during_the_connect() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
@@ -112,7 +114,7 @@
     let mut watch = discovery.next_watch();
     let mut client = sidecar.client();
     client.write(&post_request("unsafe", "15", "x"));
-    // The sidecar has taken the request before it answers a later caller.
+    // The sidecar has accepted the request before it answers a later caller.
     assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 200);
 
     watch.write_line(&list(42, false, &[entry("e0", address, "DRAINING")]));
@@ -121,13 +123,13 @@
         discovery.next_watch().request_line.contains("since=42 "),
         "the drain is known"
     );
-    let backlog_peers: Vec<_> = backlog
+    let backlog_addresses: Vec<_> = backlog
         .iter()
         .map(|stream| stream.local_addr().expect("an address"))
         .collect();
     let mut sidecar_stream = loop {
         let (stream, peer) = listener.accept().expect("a connection");
-        if !backlog_peers.contains(&peer) {
+        if !backlog_addresses.contains(&peer) {
             break stream;
         }
     };
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -1,6 +1,6 @@
 //! Races between two events, each in its less usual order. `docs/event-races.md` lists them.
 //!
-//! The order is forced: a stub waits at a step for the test, or the sidecar is suspended while the events arrive.
+//! The order is forced: a stub waits for the test before a step, or the sidecar is suspended while the events arrive.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -10,7 +10,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A listener whose connections the test writes and closes itself, and its entry in the endpoint list.
+/// Returns a listener in the place of an endpoint, and its entry in the endpoint list. The test itself writes to its
+/// connections and closes them.
 fn raw_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let endpoint_entry = entry("raw", listener.local_addr().expect("an address"), "SERVING");
@@ -33,10 +34,10 @@
     drop(stream);
 }
 
-/// Guards a response that a reset follows: a complete one is served, an incomplete one fails, and a request that must not
-/// run twice is sent once either way.
+/// Guards a response that is followed by a reset: a complete response is served, and an incomplete one fails. In both
+/// cases a request that must not run twice is sent only once.
 #[test]
-fn complete_response_is_served_when_a_reset_follows_it() {
+fn complete_response_before_a_reset_is_served() {
     let complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     for (text, status) in [
         (complete, 200),
@@ -62,8 +63,8 @@
     }
 }
 
-/// Guards responses without a length, which last until the connection is closed: a reset is no such end, whatever has come
-/// by then, and the request fails.
+/// Guards responses without a length, which end when the connection is closed. A reset is no such end: the request
+/// fails, whatever has arrived by then.
 #[test]
 fn reset_fails_a_response_without_a_length() {
     for (is_reset, status) in [(true, 502), (false, 200)] {
@@ -101,10 +102,10 @@
     }
 }
 
-/// Guards a timeout that races the response: one of them ends the request, the client gets one response, and nothing is
-/// sent again. The connection that timed out is not reused.
+/// Guards a timeout that races the response: one of the two ends the request, the client gets one response, and nothing
+/// is sent again. The connection on which the timeout occurred is not reused.
 #[test]
-fn timeout_that_races_the_response_ends_the_request_once() {
+fn timeout_racing_the_response_ends_the_request_once() {
     let (listener, endpoint_entry) = raw_endpoint();
     let discovery = Discovery::start();
     let mut config = config_with_deadline(&discovery, &[], Duration::from_secs(1));
@@ -137,7 +138,7 @@
     assert_eq!(ends, 1);
 }
 
-/// A sidecar whose settings can be reloaded, with a scripted endpoint and some retry budget.
+/// A sidecar whose settings can be reloaded, with a scripted endpoint and retry budget for a few retries.
 struct ReloadableSidecar {
     scripted: ScriptedEndpoint,
     sidecar: Sidecar,
@@ -176,12 +177,12 @@
         client
     }
 
-    /// Has discovery send a list.
+    /// Sends a list from discovery.
     fn write_list(&mut self, line: &str) {
         self.watch.write_line_reconnecting(&self.discovery, line);
     }
 
-    /// Reloads the configuration with changed classes.
+    /// Reloads the configuration with changed request classes.
     fn reload_classes(&mut self, change: impl FnOnce(&mut Vec<Value>)) {
         change(
             self.config["settings"]["categories"]
@@ -195,7 +196,7 @@
         });
     }
 
-    /// Has the endpoint fail the next attempt.
+    /// Makes the endpoint fail the next attempt.
     fn fail_next_attempt(&self) {
         self.scripted.respond_next(EndpointAction::Respond(
             "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
@@ -209,10 +210,10 @@
     }
 }
 
-/// Guards an attempt in flight against a reload that makes its class idempotent: a request keeps the class that it came
-/// with, so that one that must not run twice is not retried.
+/// Guards an attempt in flight against a reload that makes its class idempotent: a request keeps the class that it
+/// arrived with, and one that must not run twice is not retried.
 #[test]
-fn reload_of_idempotency_leaves_an_attempt_in_flight_unchanged() {
+fn attempt_in_flight_keeps_its_class_after_a_reload() {
     let (mut reloadable, other) = (
         ReloadableSidecar::start(),
         Endpoint::start(|_| respond_ok("other")),
@@ -236,17 +237,17 @@
     );
 }
 
-/// Guards attempts in flight against a reload with fewer priority levels: a request keeps its rank among the remaining ones
-/// when it is retried, and when its client disconnects.
+/// Guards attempts in flight against a reload with fewer priority levels: a request keeps its rank among the remaining
+/// levels, both when it is retried and when its client disconnects.
 #[test]
-fn reload_with_fewer_priority_levels_leaves_attempts_in_flight_unchanged() {
+fn attempts_in_flight_survive_a_reload_with_fewer_priority_levels() {
     let (mut reloadable, other) = (
         ReloadableSidecar::start(),
         Endpoint::start(|_| respond_ok("other")),
     );
     let keyed =
         || post_request("keyed", "9", "x").replace("X-Class", "Idempotency-Key: k\r\nX-Class");
-    let (mut client, disconnecting) = (
+    let (mut client, disconnecting_client) = (
         reloadable.send_to_endpoint(&keyed()),
         reloadable.send_to_endpoint(&keyed()),
     );
@@ -263,11 +264,11 @@
         reloadable.sidecar.metric("members_unavailable") == Some(1)
     });
     reloadable.reload_classes(|classes| {
-        // Only one class remains beside that of the requests, with the same priority weight.
+        // Only one class remains besides that of the requests, with the same priority weight.
         classes.truncate(1);
         classes[0]["worth"] = json!(2.0);
     });
-    drop(disconnecting);
+    drop(disconnecting_client);
     wait_until("the client has disconnected", || {
         reloadable.sidecar.metric("pending") == Some(1)
     });
@@ -293,32 +294,31 @@
     );
 }
 
-// ---- Idle connections ------------------------------------------------------------------------------------
-
-/// Guards an eviction that races the connection's next request: each caller gets a complete response, or a close without a
-/// byte of one, and then its request was not sent.
+/// Guards an eviction that races the next request on the connection: each caller gets a complete response, or a close
+/// without any byte of a response. In the second case its request was not sent.
 #[test]
-fn eviction_that_races_the_next_request_answers_it_or_sends_nothing() {
+fn eviction_racing_the_next_request_answers_it_or_sends_nothing() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
     config["limits"]["sockets"] = json!(64);
     let sidecar = Sidecar::start(&config);
-    let mut idle: Vec<Client> = (0..16).map(|_| sidecar.client()).collect();
-    for client in &mut idle {
+    let mut idle_clients: Vec<Client> = (0..16).map(|_| sidecar.client()).collect();
+    for client in &mut idle_clients {
         assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     }
     sidecar.suspend();
-    let mut new: Vec<TcpStream> = (0..24)
+    let mut new_connections: Vec<TcpStream> = (0..24)
         .map(|_| TcpStream::connect(sidecar.address).expect("the backlog has room"))
         .collect();
-    let requests: Vec<String> = idle.iter().map(|_| get_request("9")).collect();
-    idle.iter_mut()
+    let requests: Vec<String> = idle_clients.iter().map(|_| get_request("9")).collect();
+    idle_clients
+        .iter_mut()
         .zip(&requests)
         .for_each(|(client, request)| client.write(request));
     sidecar.resume();
     let mut answered = 0;
-    for client in &mut idle {
+    for client in &mut idle_clients {
         match client.read() {
             Some(answer) => {
                 assert_eq!(answer.status(), 200);
@@ -332,7 +332,7 @@
         answered,
         "requests on evicted connections are not sent"
     );
-    for stream in &mut new {
+    for stream in &mut new_connections {
         let _ = stream.write_all(b"x");
     }
 }
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -1,15 +1,15 @@
-//! Many sidecars that restart at the same time while discovery answers few calls: no sidecar becomes ready later because
-//! of the others' calls, and none makes more calls than it has to.
+//! Many sidecars that restart at the same time while discovery answers few calls: no sidecar becomes ready later
+//! because of the others' calls, and none makes more calls than necessary.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 use std::process::Child;
 
-/// The size of the fleet, large enough for its calls to queue.
+/// The number of sidecars in the fleet, large enough for their calls to queue.
 const SIDECARS: usize = 20;
 const OVERLOADED: &str = "HTTP/1.1 503 Overloaded\r\nContent-Length: 0\r\n\r\n";
 
-/// A sidecar with a discovery stub of its own, which shows whose a call is.
+/// A sidecar with a discovery stub of its own, which shows which sidecar made a call.
 struct FleetMember {
     sidecar: Sidecar,
     discovery: ManualDiscovery,
@@ -23,8 +23,9 @@
         status == 200
     }
 
-    /// Waits for the sidecar's only outstanding call. A second one would cost discovery a response for nothing.
-    fn only_call(&self) -> DiscoveryCall {
+    /// Waits for a call, and asserts that it is the sidecar's only outstanding one. A second call would cost discovery
+    /// a response without any use.
+    fn expect_only_call(&self) -> DiscoveryCall {
         let mut calls = Vec::new();
         wait_until("a call", || {
             calls = self.discovery.take_open_calls();
@@ -35,7 +36,7 @@
         calls.remove(0)
     }
 
-    /// Asserts that the sidecar is ready, by HTTP and for the operators, and serves a request.
+    /// Asserts that the sidecar is ready, over HTTP and at the operators' address, and serves a request.
     fn assert_serves(&self, mode: &str) {
         assert!(self.is_ready(), "{mode}: {:?}", self.sidecar.log());
         assert!(self.sidecar.call_is_yes("READY"));
@@ -46,8 +47,8 @@
     }
 }
 
-/// Starts a process for each configuration before it waits for any of them.
-fn start_at_once(configs: &[Value]) -> Vec<Sidecar> {
+/// Starts a process for each configuration before it waits for any of the processes.
+fn start_concurrently(configs: &[Value]) -> Vec<Sidecar> {
     let paths: Vec<_> = configs
         .iter()
         .map(|config| temporary_file(&config.to_string()))
@@ -61,15 +62,16 @@
     let children: Vec<Child> = paths.iter().map(start).collect();
     let sidecars = children.into_iter().map(Sidecar::from_child).collect();
     for path in &paths {
-        std::fs::remove_file(path).expect("the file goes");
+        std::fs::remove_file(path).expect("the file is removed");
     }
     sidecars
 }
 
-/// Starts a fleet, none of whose calls has been answered.
+/// Starts a fleet whose discovery calls have not been answered.
 ///
-/// The network address must be that of one test alone, so that the port of a killed process stays free: processes with
-/// operators' calls share listening ports, and one that took the port would go unnoticed.
+/// Each test needs a network address of its own, which keeps the port of a killed process free for its restart:
+/// processes with an operators' address share listening ports, and another process that took the port would go
+/// unnoticed.
 fn start_fleet(network_address: &str, mode: &str, cached_list: &Value) -> Vec<FleetMember> {
     let discoveries: Vec<ManualDiscovery> =
         (0..SIDECARS).map(|_| ManualDiscovery::start()).collect();
@@ -83,7 +85,7 @@
         config
     };
     let configs: Vec<Value> = discoveries.iter().enumerate().map(configure).collect();
-    let sidecars = start_at_once(&configs);
+    let sidecars = start_concurrently(&configs);
     let members = sidecars.into_iter().zip(discoveries).zip(configs);
     members
         .map(|((sidecar, discovery), config)| FleetMember {
@@ -94,14 +96,14 @@
         .collect()
 }
 
-/// Kills all processes and starts them again at their addresses. Their calls of discovery end with them.
-fn restart_at_once(fleet: &mut [FleetMember]) {
+/// Kills all processes and starts them again at their addresses. Their discovery calls end with them.
+fn restart_concurrently(fleet: &mut [FleetMember]) {
     for member in fleet.iter_mut() {
         member.config["listen"] = json!(member.sidecar.address.to_string());
         member.sidecar.kill();
     }
     let configs: Vec<Value> = fleet.iter().map(|member| member.config.clone()).collect();
-    for (member, sidecar) in fleet.iter_mut().zip(start_at_once(&configs)) {
+    for (member, sidecar) in fleet.iter_mut().zip(start_concurrently(&configs)) {
         member.sidecar = sidecar;
     }
 }
@@ -110,88 +112,89 @@
     json!({"index": 41, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Guards the start with a cached list: all sidecars serve before discovery has answered any call, a failed call leaves
-/// them serving, and the first response to each makes its list current. Each sidecar has one outstanding call at a time.
+/// Guards the start with a cached list: all sidecars serve before discovery has answered any call. After a failed call
+/// they still serve, and the first response to each sidecar makes its list current. Each sidecar has one outstanding
+/// call at a time.
 fn assert_cached_list_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let cached_list = cached_list(&serving_entries(&[&endpoint]));
     let mut fleet = start_fleet(network_address, mode, &cached_list);
     let clients: Vec<Client> = fleet.iter().map(|member| member.sidecar.client()).collect();
-    restart_at_once(&mut fleet);
+    restart_concurrently(&mut fleet);
     drop(clients);
 
     for member in &fleet {
         member.assert_serves(mode);
     }
     for member in &fleet {
-        let mut call = member.only_call();
+        let mut call = member.expect_only_call();
         assert!(call.is_watch_since(41), "{mode}: {}", call.request_line);
         call.write(OVERLOADED);
     }
     let mut watches = Vec::new();
     for member in &fleet {
-        let mut watch = member.only_call();
+        let mut watch = member.expect_only_call();
         assert!(watch.is_watch_since(41), "{mode}: {}", watch.request_line);
         member.assert_serves(mode);
         watch.open_watch();
-        let started = entry(
+        let new_entry = entry(
             "started",
             Endpoint::start(|_| respond_ok("")).address,
             "SERVING",
         );
-        watch.write_line(&list(42, false, &[started]));
+        watch.write_line(&list(42, false, &[new_entry]));
         wait_until("the list is current", || {
             member.sidecar.metric("members") == Some(2)
         });
         assert_eq!(
             member.discovery.take_open_calls().len(),
             0,
-            "{mode}: it makes no further call"
+            "{mode}: the sidecar makes no further call"
         );
         watches.push(watch);
     }
 }
 
 #[test]
-fn sidecars_with_a_cached_list_serve_before_their_agents_answer() {
+fn sidecars_with_a_cached_list_serve_before_agents_respond() {
     assert_cached_list_suffices("127.20.0.1", PUSHED_MODE);
 }
 
 #[test]
-fn sidecars_with_a_cached_list_serve_before_discovery_answers() {
+fn sidecars_with_a_cached_list_serve_before_discovery_responds() {
     assert_cached_list_suffices("127.20.0.2", ON_REQUEST_MODE);
 }
 
-/// Guards the start without a cached list: each sidecar is ready once its one fetch is answered and does not wait for the
-/// watch that follows. So each response makes one sidecar ready.
+/// Guards the start without a cached list: each sidecar is ready once its only fetch is answered, without waiting for
+/// the watch that follows. Each response therefore makes one sidecar ready.
 fn assert_one_fetch_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let mut fleet = start_fleet(network_address, mode, &Value::Null);
-    restart_at_once(&mut fleet);
+    restart_concurrently(&mut fleet);
     assert!(fleet.iter().all(|member| !member.is_ready()));
 
     for (responses, member) in fleet.iter().enumerate() {
-        let mut call = member.only_call();
+        let mut call = member.expect_only_call();
         assert!(call.is_fetch(), "{mode}: {}", call.request_line);
         let ready_count = fleet.iter().filter(|member| member.is_ready()).count();
         assert_eq!(ready_count, responses);
         call.respond_with_list(&list(42, true, &serving_entries(&[&endpoint])));
-        wait_until("it is ready", || member.is_ready());
+        wait_until("the sidecar is ready", || member.is_ready());
         assert_eq!(
             member.sidecar.client().exchange(&get_request("5")).status(),
             200
         );
-        let watch = member.only_call();
+        let watch = member.expect_only_call();
         assert!(watch.is_watch_since(42), "{mode}: {}", watch.request_line);
     }
 }
 
 #[test]
-fn sidecars_without_a_cached_list_are_ready_after_one_response_of_their_agents() {
+fn one_response_of_its_agent_makes_a_sidecar_ready() {
     assert_one_fetch_suffices("127.20.0.3", PUSHED_MODE);
 }
 
 #[test]
-fn sidecars_without_a_cached_list_are_ready_after_one_response_of_discovery() {
+fn one_response_of_discovery_makes_a_sidecar_ready() {
     assert_one_fetch_suffices("127.20.0.4", ON_REQUEST_MODE);
 }
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -6,17 +6,18 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// `READY` is yes while the sidecar serves, and no once it shuts down with a request still pending.
+/// `READY` is answered with yes while the sidecar serves, and with no once it shuts down, even if a request is still
+/// pending.
 #[test]
 fn ready_turns_to_no_on_sigterm() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert!(sidecar.call_is_yes("READY"));
-    let mut waiting = sidecar.client();
-    waiting.write(&post_request("unsafe", "10", "x"));
+    let mut waiting_client = sidecar.client();
+    waiting_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    wait_until("it is not ready once it shuts down", || {
+    wait_until("the sidecar is not ready once it shuts down", || {
         !sidecar.call_is_yes("READY")
     });
 }
@@ -30,11 +31,11 @@
     discovery
         .next_watch()
         .write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
-    wait_until("it knows an endpoint", || sidecar.call_is_yes("READY"));
+    wait_until("the sidecar is ready", || sidecar.call_is_yes("READY"));
 }
 
-/// Each request counts under one outcome of its class, as its client saw it, each attempt as endpoints saw it, and a
-/// pending request for as long as it is.
+/// Each request is counted under one outcome of its class, as its client saw it. Each attempt is counted as endpoints
+/// saw it, and a request counts as pending for as long as it is.
 #[test]
 fn metrics_count_each_request_under_one_outcome() {
     let (opener, gate) = response_gate();
@@ -68,15 +69,15 @@
             .status(),
         503
     );
-    let mut waiting = sidecar.client();
-    waiting.write(
+    let mut waiting_client = sidecar.client();
+    waiting_client.write(
         &post_request("keyed", "15", "x").replace("Host: s", "Host: s\r\nIdempotency-Key: k"),
     );
     while endpoint.next_request().message.header("x-class") != Some("keyed") {}
     assert_eq!(sidecar.metric("pending"), Some(1));
     assert_eq!(sidecar.metric("upstream_requests"), Some(6));
     opener.release_one();
-    assert_eq!(waiting.read().expect("an answer").status(), 200);
+    assert_eq!(waiting_client.read().expect("an answer").status(), 200);
     let ended = |outcome| {
         ["safe", "unsafe", "keyed"]
             .map(|class| sidecar.requests_ended(outcome, class).expect("a count"))
@@ -100,16 +101,16 @@
     });
 }
 
-/// `pending` counts neither requests of disconnected clients nor what never was a whole request.
+/// `pending` counts neither requests of disconnected clients nor requests that never arrived completely.
 #[test]
 fn disconnected_and_incomplete_requests_are_not_pending() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    let mut disconnecting = sidecar.client();
-    disconnecting.write(&post_request("unsafe", "10", "x"));
+    let mut disconnecting_client = sidecar.client();
+    disconnecting_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     assert_eq!(sidecar.metric("pending"), Some(1));
-    drop(disconnecting);
+    drop(disconnecting_client);
     wait_until("no request is pending", || {
         sidecar.metric("pending") == Some(0)
     });
@@ -117,15 +118,17 @@
         sidecar.client().exchange(&get_request("soon")).status(),
         400
     );
-    let mut incomplete = sidecar.client();
-    incomplete.write(&post_request("unsafe", "10", "whole").replace("Length: 5", "Length: 50"));
+    let mut incomplete_client = sidecar.client();
+    incomplete_client
+        .write(&post_request("unsafe", "10", "whole").replace("Length: 5", "Length: 50"));
     assert_eq!(sidecar.metric("pending"), Some(0), "its body is incomplete");
-    drop(incomplete);
+    drop(incomplete_client);
     assert_eq!(sidecar.requests_ended("failed", "safe"), Some(0));
     assert_eq!(sidecar.requests_ended("failed", "unsafe"), Some(0));
 }
 
-/// What is not a command of one line is refused or its connection closed, and neither callers nor later commands suffer.
+/// Input other than a one-line command is refused, or its connection is closed. Neither callers nor later commands are
+/// affected.
 #[test]
 fn invalid_commands_are_refused_or_closed() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -148,7 +151,7 @@
             "{bytes:?}: {response:?}"
         );
     }
-    // So long a line may be reset by the close, and the response with it.
+    // The connection of so long a line may be reset when it is closed, which can lose the response.
     let mut stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
     let _ = stream.write_all(&long_line);
     let mut response = String::new();
@@ -157,18 +160,18 @@
         response.is_empty() || response.starts_with("NO"),
         "{response:?}"
     );
-    let mut cut_off = TcpStream::connect(sidecar.admin()).expect("it accepts");
-    cut_off.write_all(b"STA").expect("it is open");
-    cut_off
+    let mut half_closed_stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
+    half_closed_stream.write_all(b"STA").expect("it is open");
+    half_closed_stream
         .shutdown(std::net::Shutdown::Write)
         .expect("it is open");
-    cut_off
+    half_closed_stream
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
     response.clear();
-    cut_off
+    half_closed_stream
         .read_to_string(&mut response)
-        .expect("a whole answer");
+        .expect("a complete response");
     assert!(response.starts_with("NO"), "{response:?}");
     assert_eq!(
         sidecar.call_raw(b"READY\r\n"),
@@ -178,7 +181,7 @@
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 }
 
-/// Connections that never send a whole command delay no command, and take no descriptors from callers.
+/// Connections that never send a complete command neither delay other commands nor take descriptors from callers.
 #[test]
 fn idle_connections_neither_delay_commands_nor_accumulate() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -205,7 +208,7 @@
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
         let mut response = String::new();
-        let _ = stream.read_to_string(&mut response); // it closes, or is reset
+        let _ = stream.read_to_string(&mut response); // the connection is closed or reset
         assert!(
             response.is_empty() || response.starts_with("NO"),
             "{response:?}"
@@ -214,9 +217,9 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// The address may come from the environment; one that cannot be bound fails the start with one plain line.
+/// The address may come from the environment. An address that cannot be bound fails the start with a single line.
 #[test]
-fn address_may_come_from_the_environment_and_must_be_free() {
+fn operators_address_may_come_from_the_environment() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let path =
@@ -228,22 +231,24 @@
             .env("ROUTER_ADMIN_ADDR", "127.0.0.1:0"),
     );
     assert!(sidecar.call_is_yes("READY"));
-    for wrong in [sidecar.admin().to_string(), "nowhere".into()] {
+    for unusable_address in [sidecar.admin().to_string(), "nowhere".into()] {
         let output = sidecar_command()
             .env("ROUTER_CONFIG", &path)
-            .env("ROUTER_ADMIN_ADDR", &wrong)
+            .env("ROUTER_ADMIN_ADDR", &unusable_address)
             .output();
         let output = output.expect("the program starts");
         let error = String::from_utf8(output.stderr).expect("text");
         assert!(
-            !output.status.success() && error.lines().count() == 1 && error.contains(&wrong),
+            !output.status.success()
+                && error.lines().count() == 1
+                && error.contains(&unusable_address),
             "{error}"
         );
     }
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Without an operators' address the sidecar listens at the callers' address alone.
+/// Without an operators' address, the sidecar listens on the callers' address only.
 #[test]
 fn sidecar_without_an_operators_address_opens_one_listener() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -270,9 +275,9 @@
     );
 }
 
-/// Commands are answered while the callers' side is busy.
+/// Commands are answered while callers keep the sidecar busy.
 #[test]
-fn commands_are_answered_beside_many_requests() {
+fn commands_are_answered_under_load() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     let done = std::sync::atomic::AtomicBool::new(false);
@@ -289,7 +294,7 @@
             });
         }
         for _ in 0..20 {
-            let pending = sidecar.metric("pending").expect("a figure");
+            let pending = sidecar.metric("pending").expect("a number");
             assert!(pending <= 4, "{pending}");
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
 
-/// Guards the descriptor budget: idle connections are evicted, so that every caller is accepted and served.
+/// Guards the descriptor budget: idle connections are evicted, and every caller is accepted and served.
 #[test]
 fn idle_connections_are_evicted_for_new_ones() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -16,17 +16,17 @@
     );
     config["limits"]["sockets"] = json!(48);
     let sidecar = Sidecar::start(&config);
-    let mut kept = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..150 {
         let mut client = sidecar.client();
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
-        kept.push(client);
+        idle_clients.push(client);
     }
-    assert!(kept[0].is_closed(), "the oldest was evicted");
+    assert!(idle_clients[0].is_closed(), "the oldest was evicted");
 }
 
-/// Guards SIGTERM: open requests are answered, also on connections accepted after it; idle connections close; the process
-/// exits successfully.
+/// Guards SIGTERM: open requests are answered, including those on connections accepted after it. Idle connections are
+/// closed, and the process exits successfully.
 #[test]
 fn shutdown_answers_every_open_request() {
     let (opener, gate) = response_gate();
@@ -37,36 +37,38 @@
         respond_ok("late")
     });
     let (mut sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let mut idle = sidecar.client();
+    let mut idle_client = sidecar.client();
     assert_eq!(
-        idle.exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
+        idle_client
+            .exchange("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
-    let mut pending = sidecar.client();
-    pending.write(&post_request("unsafe", "10", "x"));
+    let mut pending_client = sidecar.client();
+    pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle.is_closed(), "it was idle");
+    assert!(idle_client.is_closed(), "its connection was idle");
     assert_eq!(
         sidecar.client().exchange(&get_request("2")).status(),
         200,
         "a connection accepted after SIGTERM"
     );
     opener.release_one();
-    let answer = pending.read().expect("the open request is answered");
+    let answer = pending_client.read().expect("the open request is answered");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         (200, "late".as_bytes())
     );
-    assert!(pending.is_closed());
+    assert!(pending_client.is_closed());
     assert!(sidecar.wait().success());
 }
 
-/// Guards load reports that only health checks bring: these go to the endpoint's own path, without a request id, and the
-/// reports in their responses reach the balancer. Where health checks are forbidden none is sent.
+/// Guards load reports that arrive only in responses to health checks. Health checks are sent to the path for load
+/// reports, without a request id, and the reports in their responses reach the balancer. If the settings forbid health
+/// checks, none is sent.
 #[test]
-fn health_checks_collect_load_reports_where_responses_carry_none() {
+fn health_checks_collect_load_reports() {
     for (allowed, report) in [
         (true, "TEXT load_share=0.1, depth=0"),
         (true, "no report"),
@@ -107,7 +109,7 @@
         assert!(
             health_checks
                 .iter()
-                .all(|first| first == "GET /status/load HTTP/1.1"),
+                .all(|start_line| start_line == "GET /status/load HTTP/1.1"),
             "{health_checks:?}"
         );
         let expected_reports = if report.starts_with("TEXT") {
@@ -122,9 +124,9 @@
     }
 }
 
-/// Guards the counters line of the log: requests, final answers, attempts and connections are counted.
+/// Guards the counters line of the log, which counts requests, final answers, attempts and connections.
 #[test]
-fn log_counts_requests_and_how_they_ended() {
+fn log_counts_requests_and_outcomes() {
     let endpoint = Endpoint::start(|_| {
         EndpointAction::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into())
     });
@@ -152,7 +154,7 @@
     );
 }
 
-/// Guards service against a closed log: lines that cannot be written are dropped, and the shutdown is graceful.
+/// Guards service while the log is closed: lines that cannot be written are dropped, and the shutdown is graceful.
 #[test]
 fn sidecar_serves_while_nobody_reads_its_log() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -172,7 +174,7 @@
     let mut client = Client::connect(address.expect("it logs where it listens"));
     assert_eq!(client.exchange(&get_request("5")).status(), 200);
     for _ in 0..2 {
-        drop(discovery.next_watch()); // each is logged
+        drop(discovery.next_watch()); // each lost watch is logged
     }
     send_signal(&child, "HUP");
     discovery.next_watch();
@@ -183,11 +185,11 @@
         "connections are served during a shutdown"
     );
     assert!(child.wait().expect("it ends").success());
-    std::fs::remove_file(path).expect("the file goes");
+    std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards callers while another sidecar is down too: after SIGTERM the sidecar is not ready, but connections are served for
-/// a while, and requests on them are answered well before the process may be killed.
+/// Guards callers while another sidecar is down as well: after SIGTERM the sidecar is not ready, but it serves
+/// connections for a while. Requests on them are answered well before the process may be killed.
 #[test]
 fn connections_are_served_for_a_while_after_sigterm() {
     let endpoint = Endpoint::start(|message| {
@@ -198,9 +200,9 @@
         }
     });
     let (mut sidecar, _discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let (mut first, mut second) = (sidecar.client(), sidecar.client());
-    assert_eq!(first.exchange(&get_request("2")).status(), 200);
-    assert_eq!(second.exchange(&get_request("2")).status(), 200);
+    let (mut first_client, mut second_client) = (sidecar.client(), sidecar.client());
+    assert_eq!(first_client.exchange(&get_request("2")).status(), 200);
+    assert_eq!(second_client.exchange(&get_request("2")).status(), 200);
     sidecar.terminate();
     let ready = || {
         sidecar
@@ -211,12 +213,14 @@
     wait_until("it is not ready", || ready() == 503);
     let shutdown_begun = Instant::now();
     assert_eq!(
-        first.exchange(&get_request("2")).status(),
+        first_client.exchange(&get_request("2")).status(),
         200,
         "its connection was kept"
     );
     assert_eq!(
-        second.exchange(&post_request("unsafe", "10", "x")).status(),
+        second_client
+            .exchange(&post_request("unsafe", "10", "x"))
+            .status(),
         504,
         "answered before the process exits"
     );
@@ -224,27 +228,27 @@
         shutdown_begun.elapsed() < Duration::from_secs(9),
         "ahead of the request's own deadline"
     );
-    assert!(first.is_closed());
+    assert!(first_client.is_closed());
     assert!(sidecar.wait().success());
 }
 
-/// Guards the start: an invalid configuration is one line of the log and a failure.
+/// Guards the start: an invalid configuration makes it fail, with a single line in the log.
 #[test]
 fn invalid_configuration_fails_the_start_with_one_line() {
     let discovery = "127.0.0.1:1".parse().expect("an address");
-    let mut invalid = config(discovery, &[]);
-    invalid["settings"]["bounds"]["sendCap"] = json!(0);
-    let mut unknown = config(discovery, &[]);
-    unknown["settings"]["discovery"] = json!("hearsay");
-    let mut seedless = config(discovery, &[]);
-    seedless["seed"] = json!("no number");
+    let mut zero_send_cap = config(discovery, &[]);
+    zero_send_cap["settings"]["bounds"]["sendCap"] = json!(0);
+    let mut unknown_discovery_mode = config(discovery, &[]);
+    unknown_discovery_mode["settings"]["discovery"] = json!("hearsay");
+    let mut invalid_seed = config(discovery, &[]);
+    invalid_seed["seed"] = json!("no number");
     let mut files = vec![None, Some("/nowhere/config.json".into())];
     for text in [
         "",
         "{",
-        &invalid.to_string(),
-        &unknown.to_string(),
-        &seedless.to_string(),
+        &zero_send_cap.to_string(),
+        &unknown_discovery_mode.to_string(),
+        &invalid_seed.to_string(),
     ] {
         files.push(Some(temporary_file(text)));
     }
@@ -262,6 +266,6 @@
         );
         path.filter(|p| p.is_file())
             .iter()
-            .for_each(|p| std::fs::remove_file(p).expect("the file goes"));
+            .for_each(|p| std::fs::remove_file(p).expect("the file is removed"));
     }
 }
