--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// Fails where it cannot listen at its address again or its host has ended.
-    pub fn start_again(&self) -> io::Result<()> {
+    pub fn restart(&self) -> io::Result<()> {
         self.stop();
         self.state.record_restart();
         self.listen()
--- a/fleet-lab/src/main.rs
+++ b/fleet-lab/src/main.rs
@@ -19,7 +19,7 @@
     let arguments = Arguments::parse();
     start_log();
     limits::raise_descriptor_limit();
-    signals::watch();
+    signals::start_handler();
     match arguments.run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/fleet-lab/src/signals.rs
+++ b/fleet-lab/src/signals.rs
@@ -17,7 +17,7 @@
 static IS_STOPPING: AtomicBool = AtomicBool::new(false);
 
 /// Starts a thread that waits for the signals. They are handled from the return of this function on.
-pub fn watch() {
+pub fn start_handler() {
     if let Err(cause) = catch_signals() {
         error!(%cause, "cannot handle signals");
     }
--- a/fleet-lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -292,13 +292,13 @@
     assert_eq!(endpoint.usage().connections_open, 0);
     assert_eq!(endpoint.entry().since_ms, 0);
 
-    endpoint.start_again().unwrap();
+    endpoint.restart().unwrap();
     assert_eq!(endpoint.entry().address, address);
     assert!(endpoint.entry().since_ms > 0);
     assert_eq!(Connection::open(address).call(&get("2f")).status(), "200");
     assert_eq!(endpoint.usage().served, 2);
     drop(host);
-    assert!(endpoint.start_again().is_err());
+    assert!(endpoint.restart().is_err());
 }
 
 #[test]
