--- a/fleet-lab/src/caller/connection.rs
+++ b/fleet-lab/src/caller/connection.rs
@@ -1,6 +1,6 @@
 //! One non-blocking connection, which carries one request at a time.
 
-use super::response::{Answer, ResponseError, ResponseParser};
+use super::response::{Response, ResponseError, ResponseParser};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,9 +12,9 @@
     #[error("it never came up: {0}")]
     NotConnected(io::Error),
     #[error("it ended before an answer's first byte")]
-    ClosedBeforeAnswer,
+    ClosedBeforeResponse,
     #[error("it ended within an answer")]
-    ClosedWithinAnswer,
+    ClosedWithinResponse,
     #[error("the answer cannot be read: {0}")]
     Unreadable(#[from] ResponseError),
 }
@@ -78,12 +78,12 @@
         &mut self,
         buffer: &mut [u8],
         has_hung_up: bool,
-    ) -> Result<Option<Answer>, ConnectionError> {
+    ) -> Result<Option<Response>, ConnectionError> {
         self.finish_connecting()?;
         self.write()?;
-        let answer = self.read(buffer, has_hung_up)?;
-        self.is_reused |= answer.is_some();
-        Ok(answer)
+        let response = self.read(buffer, has_hung_up)?;
+        self.is_reused |= response.is_some();
+        Ok(response)
     }
 
     fn finish_connecting(&mut self) -> Result<(), ConnectionError> {
@@ -101,7 +101,7 @@
                 Ok(written) => drop(self.outgoing.drain(..written)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Err(self.closed()),
+                Err(_) => return Err(self.closed_error()),
             }
         }
         Ok(())
@@ -113,41 +113,41 @@
         &mut self,
         buffer: &mut [u8],
         has_hung_up: bool,
-    ) -> Result<Option<Answer>, ConnectionError> {
-        let mut answer = None;
+    ) -> Result<Option<Response>, ConnectionError> {
+        let mut response = None;
         loop {
             match self.stream.read(buffer) {
-                Ok(0) => return self.end(answer),
+                Ok(0) => return self.handle_end(response),
                 Ok(length) => {
-                    if answer.is_some() {
+                    if response.is_some() {
                         return Err(ResponseError::ExcessBytes.into());
                     }
-                    answer = self.parser.push(&buffer[..length])?;
+                    response = self.parser.push(&buffer[..length])?;
                     if length < buffer.len() && !has_hung_up {
-                        return Ok(answer);
+                        return Ok(response);
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(answer),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(response),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.end(answer),
+                Err(_) => return self.handle_end(response),
             }
         }
     }
 
     /// Handles the end of the connection: an answer that was complete before is the last one, and none is an error.
-    fn end(&self, answer: Option<Answer>) -> Result<Option<Answer>, ConnectionError> {
-        let answer = answer.ok_or_else(|| self.closed())?;
-        Ok(Some(Answer {
+    fn handle_end(&self, response: Option<Response>) -> Result<Option<Response>, ConnectionError> {
+        let response = response.ok_or_else(|| self.closed_error())?;
+        Ok(Some(Response {
             keep_alive: false,
-            ..answer
+            ..response
         }))
     }
 
-    fn closed(&self) -> ConnectionError {
+    fn closed_error(&self) -> ConnectionError {
         if self.parser.has_started() {
-            ConnectionError::ClosedWithinAnswer
+            ConnectionError::ClosedWithinResponse
         } else {
-            ConnectionError::ClosedBeforeAnswer
+            ConnectionError::ClosedBeforeResponse
         }
     }
 }
--- a/fleet-lab/src/caller/connection_table.rs
+++ b/fleet-lab/src/caller/connection_table.rs
@@ -28,7 +28,7 @@
 
 /// A pending request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Exchange {
+pub(super) struct PendingRequest {
     /// The request's number within the run.
     pub number: u64,
     /// The index of its target in the plan.
@@ -46,7 +46,7 @@
     pub connection: Connection,
     pub target: usize,
     /// The request in flight; none while the connection is idle.
-    pub exchange: Option<Exchange>,
+    pub pending: Option<PendingRequest>,
 }
 
 struct Slot {
@@ -85,7 +85,7 @@
         slot_entry.open = Some(OpenConnection {
             connection,
             target,
-            exchange: None,
+            pending: None,
         });
         Token {
             slot,
@@ -103,8 +103,8 @@
         let open = slot
             .filter(|slot| slot.generation == token.generation)
             .and_then(|slot| slot.open.as_ref());
-        let exchange = open.and_then(|open| open.exchange);
-        exchange.is_some_and(|exchange| exchange.number == number)
+        let pending = open.and_then(|open| open.pending);
+        pending.is_some_and(|pending| pending.number == number)
     }
 
     /// Removes a connection, which closes it when it is dropped.
@@ -113,7 +113,7 @@
         let open = slot.open.take()?;
         slot.generation = slot.generation.wrapping_add(1);
         self.free.push(token.slot);
-        if open.exchange.is_none() {
+        if open.pending.is_none() {
             self.idle[open.target].retain(|idle| *idle != token);
         }
         Some(open)
@@ -122,7 +122,7 @@
     /// Marks a connection as idle.
     pub fn mark_idle(&mut self, token: Token) {
         if let Some(open) = self.get_mut(token) {
-            open.exchange = None;
+            open.pending = None;
             let target = open.target;
             self.idle[target].push(token);
         }
--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -1,11 +1,11 @@
 //! The event loop: sends requests that are due, receives answers, and expires requests past their deadline.
 
 use super::connection::{Connection, ConnectionError};
-use super::connection_table::{ConnectionTable, Exchange, Token};
+use super::connection_table::{ConnectionTable, PendingRequest, Token};
 use super::plan::LoadPlan;
 use super::poller::{Poller, Readiness};
 use super::request::{RequestIds, RequestTemplate};
-use super::response::Answer;
+use super::response::Response;
 use super::result::TargetResult;
 use super::schedule::{Arrival, Schedule};
 use std::cmp::Reverse;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// How long after its deadline a request expires.
-const GRACE: Duration = Duration::from_millis(500);
+const EXPIRY_GRACE: Duration = Duration::from_millis(500);
 /// Bytes that are read at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
@@ -46,7 +46,7 @@
     expiries: BinaryHeap<Reverse<Expiry>>,
     ids: RequestIds,
     templates: Vec<RequestTemplate>,
-    requests: u64,
+    requests_started: u64,
     measured_in_flight: usize,
     results: Vec<TargetResult>,
     buffer: Box<[u8]>,
@@ -64,7 +64,7 @@
             expiries: BinaryHeap::new(),
             ids: RequestIds::new(plan.seed),
             templates: plan.targets.iter().map(RequestTemplate::new).collect(),
-            requests: 0,
+            requests_started: 0,
             measured_in_flight: 0,
             results: plan.targets.iter().map(|_| TargetResult::new()).collect(),
             buffer: vec![0; READ_BUFFER_BYTES].into(),
@@ -127,24 +127,24 @@
             result.max_send_delay = result.max_send_delay.max(now - arrival.due);
             self.measured_in_flight += 1;
         }
-        self.requests += 1;
-        let exchange = Exchange {
-            number: self.requests,
+        self.requests_started += 1;
+        let pending = PendingRequest {
+            number: self.requests_started,
             target: arrival.target,
             due: arrival.due,
             is_measured,
             is_resent: false,
         };
         match self.table.take_idle(arrival.target) {
-            Some(token) => self.send(token, exchange),
-            None => self.send_on_new_connection(exchange),
+            Some(token) => self.send(token, pending),
+            None => self.send_on_new_connection(pending),
         }
     }
 
-    fn send_on_new_connection(&mut self, exchange: Exchange) {
-        match self.open(exchange.target) {
-            Ok(token) => self.send(token, exchange),
-            Err(_) => self.end(exchange, Outcome::Failed),
+    fn send_on_new_connection(&mut self, pending: PendingRequest) {
+        match self.open(pending.target) {
+            Ok(token) => self.send(token, pending),
+            Err(_) => self.record_outcome(pending, Outcome::Failed),
         }
     }
 
@@ -162,19 +162,19 @@
         Ok(token)
     }
 
-    fn send(&mut self, token: Token, exchange: Exchange) {
+    fn send(&mut self, token: Token, pending: PendingRequest) {
         let Some(open) = self.table.get_mut(token) else {
             return;
         };
-        open.exchange = Some(exchange);
-        let id = self.ids.id(exchange.number);
-        let request = self.templates[exchange.target].render(&id);
+        open.pending = Some(pending);
+        let id = self.ids.id(pending.number);
+        let request = self.templates[pending.target].render(&id);
         let sent = open.connection.send(request);
-        let at = exchange.due + self.plan.targets[exchange.target].deadline + GRACE;
+        let at = pending.due + self.plan.targets[pending.target].deadline + EXPIRY_GRACE;
         self.expiries.push(Reverse(Expiry {
             at,
             token,
-            number: exchange.number,
+            number: pending.number,
         }));
         if let Err(error) = sent {
             self.lose_connection(token, &error);
@@ -191,25 +191,25 @@
             .advance(&mut self.buffer, readiness.has_hung_up)
         {
             Ok(None) => {}
-            Ok(Some(answer)) => self.take_answer(token, answer),
+            Ok(Some(response)) => self.handle_response(token, response),
             Err(error) => self.lose_connection(token, &error),
         }
     }
 
-    fn take_answer(&mut self, token: Token, answer: Answer) {
-        let exchange = self.table.get_mut(token).and_then(|open| open.exchange);
-        if exchange.is_some() && answer.keep_alive {
+    fn handle_response(&mut self, token: Token, response: Response) {
+        let pending = self.table.get_mut(token).and_then(|open| open.pending);
+        if pending.is_some() && response.keep_alive {
             self.table.mark_idle(token);
         } else {
             self.table.remove(token); // also after an answer to nothing
         }
-        let Some(exchange) = exchange else { return };
-        let outcome = match answer.status {
+        let Some(pending) = pending else { return };
+        let outcome = match response.status {
             200 => Outcome::Served,
             429 | 503 => Outcome::Rejected,
             _ => Outcome::Failed,
         };
-        self.end(exchange, outcome);
+        self.record_outcome(pending, outcome);
     }
 
     /// Handles the loss of a connection. A request on a reused connection that was closed before the first byte of the
@@ -218,18 +218,18 @@
         let Some(lost) = self.table.remove(token) else {
             return;
         };
-        let Some(exchange) = lost.exchange else {
+        let Some(pending) = lost.pending else {
             return;
         };
         let was_idle_close =
-            matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_reused();
-        if was_idle_close && !exchange.is_resent {
-            self.send_on_new_connection(Exchange {
+            matches!(error, ConnectionError::ClosedBeforeResponse) && lost.connection.is_reused();
+        if was_idle_close && !pending.is_resent {
+            self.send_on_new_connection(PendingRequest {
                 is_resent: true,
-                ..exchange
+                ..pending
             });
         } else {
-            self.end(exchange, Outcome::Failed);
+            self.record_outcome(pending, Outcome::Failed);
         }
     }
 
@@ -246,19 +246,19 @@
                 continue;
             }
             let expired = self.table.remove(expiry.token);
-            if let Some(exchange) = expired.and_then(|open| open.exchange) {
-                self.end(exchange, Outcome::Unanswered);
+            if let Some(pending) = expired.and_then(|open| open.pending) {
+                self.record_outcome(pending, Outcome::Unanswered);
             }
         }
     }
 
-    fn end(&mut self, exchange: Exchange, outcome: Outcome) {
-        if !exchange.is_measured {
+    fn record_outcome(&mut self, pending: PendingRequest, outcome: Outcome) {
+        if !pending.is_measured {
             return;
         }
         self.measured_in_flight -= 1;
-        let latency = self.now().saturating_sub(exchange.due);
-        let result = &mut self.results[exchange.target];
+        let latency = self.now().saturating_sub(pending.due);
+        let result = &mut self.results[pending.target];
         match outcome {
             Outcome::Served => result.record_served(latency),
             Outcome::Rejected => result.rejected += 1,
--- a/fleet-lab/src/caller/poller.rs
+++ b/fleet-lab/src/caller/poller.rs
@@ -18,12 +18,12 @@
 /// The largest number of events of one wait.
 const MAX_EVENTS: usize = 256;
 /// The event data of the timer, in place of a token.
-const TIMER: u64 = u64::MAX;
+const TIMER_DATA: u64 = u64::MAX;
 /// The shortest wait, as a time of zero would disarm the timer.
 const MIN_WAIT: Duration = Duration::from_nanos(1);
 /// The longest wait; longer ones end early.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
-const ZERO: Timespec = Timespec {
+const ZERO_TIME: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 0,
 };
@@ -52,7 +52,12 @@
         )?;
         // The timer is edge-triggered and need not be read, as arming it again clears it.
         let interest = epoll::EventFlags::IN | epoll::EventFlags::ET;
-        epoll::add(&epoll, &timer, epoll::EventData::new_u64(TIMER), interest)?;
+        epoll::add(
+            &epoll,
+            &timer,
+            epoll::EventData::new_u64(TIMER_DATA),
+            interest,
+        )?;
         Ok(Poller {
             epoll,
             timer,
@@ -77,7 +82,7 @@
     pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Readiness>) -> io::Result<()> {
         ready.clear();
         self.events.clear();
-        let epoll_timeout = timeout.is_zero().then_some(&ZERO);
+        let epoll_timeout = timeout.is_zero().then_some(&ZERO_TIME);
         if !timeout.is_zero() {
             self.set_timer(timeout)?;
         }
@@ -85,7 +90,10 @@
             Ok(_) | Err(Errno::INTR) => {}
             Err(error) => return Err(error.into()),
         }
-        let sockets = self.events.iter().filter(|event| event.data.u64() != TIMER);
+        let sockets = self
+            .events
+            .iter()
+            .filter(|event| event.data.u64() != TIMER_DATA);
         ready.extend(sockets.map(readiness));
         Ok(())
     }
@@ -97,7 +105,7 @@
             tv_nsec: delay.subsec_nanos().into(),
         };
         let once = Itimerspec {
-            it_interval: ZERO,
+            it_interval: ZERO_TIME,
             it_value,
         };
         timerfd_settime(&self.timer, TimerfdTimerFlags::empty(), &once)?;
--- a/fleet-lab/src/caller/request.rs
+++ b/fleet-lab/src/caller/request.rs
@@ -7,7 +7,7 @@
 const BODY_BYTES: usize = 32;
 
 /// The number of loads that this process has run.
-static RUNS: AtomicU32 = AtomicU32::new(0);
+static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// A source of request ids that are unique also among the runs of a process with one seed.
 pub(super) struct RequestIds {
@@ -19,7 +19,7 @@
     pub fn new(seed: u64) -> Self {
         RequestIds {
             seed,
-            run: RUNS.fetch_add(1, Ordering::Relaxed),
+            run: RUN_COUNT.fetch_add(1, Ordering::Relaxed),
         }
     }
 
@@ -45,7 +45,7 @@
             prefix: format!("{method} /api HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: "),
             suffix: format!(
                 "\r\nX-Class: {class}\r\nX-Deadline: {deadline:.6}\r\n{}",
-                mark_idle(target)
+                head_end_and_body(target)
             ),
         }
     }
@@ -56,7 +56,7 @@
 }
 
 /// Returns the end of the head, and the body.
-fn mark_idle(target: &LoadTarget) -> String {
+fn head_end_and_body(target: &LoadTarget) -> String {
     if target.is_unsafe {
         format!(
             "Content-Length: {BODY_BYTES}\r\n\r\n{}",
--- a/fleet-lab/src/caller/response.rs
+++ b/fleet-lab/src/caller/response.rs
@@ -7,7 +7,7 @@
 
 /// A complete answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Answer {
+pub(super) struct Response {
     pub status: u16,
     /// Whether the connection can carry another request.
     pub keep_alive: bool,
@@ -38,7 +38,7 @@
 /// An answer whose head is complete.
 #[derive(Clone, Copy)]
 struct Body {
-    answer: Answer,
+    response: Response,
     remaining: usize,
 }
 
@@ -49,22 +49,22 @@
     }
 
     /// Parses the next bytes; returns the answer if they complete it.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Answer>, ResponseError> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Response>, ResponseError> {
         let Some(mut body) = self.body.take() else {
-            return self.feed_head(bytes);
+            return self.push_head(bytes);
         };
         body.remaining = body
             .remaining
             .checked_sub(bytes.len())
             .ok_or(ResponseError::ExcessBytes)?;
         if body.remaining == 0 {
-            return Ok(Some(body.answer));
+            return Ok(Some(body.response));
         }
         self.body = Some(body);
         Ok(None)
     }
 
-    fn feed_head(&mut self, bytes: &[u8]) -> Result<Option<Answer>, ResponseError> {
+    fn push_head(&mut self, bytes: &[u8]) -> Result<Option<Response>, ResponseError> {
         self.head.extend_from_slice(bytes);
         let Some((head_length, body)) = parse_head(&self.head)? else {
             let is_too_long = self.head.len() > MAX_HEAD_BYTES;
@@ -84,27 +84,33 @@
 /// Parses the head; returns its length and the answer without its body, or none while the head is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<(usize, Body)>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut response = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(length) = response.parse(bytes)? else {
+    let mut parsed = httparse::Response::new(&mut headers);
+    let httparse::Status::Complete(length) = parsed.parse(bytes)? else {
         return Ok(None);
     };
     let mut remaining = None;
-    let mut keep_alive = response.version == Some(1);
-    for header in response.headers.iter() {
+    let mut keep_alive = parsed.version == Some(1);
+    for header in parsed.headers.iter() {
         if header.name.eq_ignore_ascii_case("content-length") {
-            remaining = text(header.value).parse().ok();
+            remaining = header_text(header.value).parse().ok();
         } else if header.name.eq_ignore_ascii_case("connection") {
-            keep_alive &= !text(header.value).eq_ignore_ascii_case("close");
+            keep_alive &= !header_text(header.value).eq_ignore_ascii_case("close");
         }
     }
     let remaining = remaining.ok_or(ResponseError::NoContentLength)?;
-    let answer = Answer {
-        status: response.code.unwrap_or_default(),
+    let response = Response {
+        status: parsed.code.unwrap_or_default(),
         keep_alive,
     };
-    Ok(Some((length, Body { answer, remaining })))
+    Ok(Some((
+        length,
+        Body {
+            response,
+            remaining,
+        },
+    )))
 }
 
-fn text(value: &[u8]) -> &str {
+fn header_text(value: &[u8]) -> &str {
     std::str::from_utf8(value).unwrap_or_default().trim()
 }
--- a/fleet-lab/src/caller/schedule.rs
+++ b/fleet-lab/src/caller/schedule.rs
@@ -19,7 +19,7 @@
 /// The arrivals at all targets until the end of the load. They depend only on the rates and the seed, not on the
 /// targets' answers.
 pub(super) struct Schedule {
-    sources: Vec<Option<Source>>,
+    sources: Vec<Option<ArrivalSource>>,
     /// The next arrival at each target.
     next: BinaryHeap<Reverse<(Duration, usize)>>,
     end: Duration,
@@ -28,10 +28,10 @@
 impl Schedule {
     /// Creates the schedule for these rates, in calls a second. A target with a rate of zero has no arrivals.
     pub fn new(rates: impl IntoIterator<Item = f64>, end: Duration, seed: u64) -> Self {
-        let mut seeds = Pcg64Mcg::seed_from_u64(seed);
+        let mut seed_generator = Pcg64Mcg::seed_from_u64(seed);
         let sources = rates
             .into_iter()
-            .map(|rate| Source::new(rate, Pcg64Mcg::from_rng(&mut seeds)))
+            .map(|rate| ArrivalSource::new(rate, Pcg64Mcg::from_rng(&mut seed_generator)))
             .collect();
         let mut schedule = Schedule {
             sources,
@@ -39,7 +39,7 @@
             end,
         };
         for target in 0..schedule.sources.len() {
-            schedule.draw(target, Duration::ZERO);
+            schedule.draw_arrival(target, Duration::ZERO);
         }
         schedule
     }
@@ -55,16 +55,16 @@
             return None;
         }
         let Reverse((due, target)) = self.next.pop()?;
-        self.draw(target, due);
+        self.draw_arrival(target, due);
         Some(Arrival { due, target })
     }
 
     /// Draws the arrival after one at this time.
-    fn draw(&mut self, target: usize, previous: Duration) {
+    fn draw_arrival(&mut self, target: usize, previous: Duration) {
         let Some(source) = &mut self.sources[target] else {
             return;
         };
-        let due = previous.saturating_add(source.gap());
+        let due = previous.saturating_add(source.next_interval());
         if due < self.end {
             self.next.push(Reverse((due, target)));
         }
@@ -72,19 +72,19 @@
 }
 
 /// The arrivals at one target.
-struct Source {
-    gaps: Exp<f64>,
+struct ArrivalSource {
+    intervals: Exp<f64>,
     random: Pcg64Mcg,
 }
 
-impl Source {
+impl ArrivalSource {
     fn new(rate: f64, random: Pcg64Mcg) -> Option<Self> {
-        let gaps = Exp::new(rate).ok().filter(|_| rate > 0.0)?;
-        Some(Source { gaps, random })
+        let intervals = Exp::new(rate).ok().filter(|_| rate > 0.0)?;
+        Some(ArrivalSource { intervals, random })
     }
 
-    fn gap(&mut self) -> Duration {
-        let seconds = self.gaps.sample(&mut self.random);
+    fn next_interval(&mut self) -> Duration {
+        let seconds = self.intervals.sample(&mut self.random);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 }
