--- a/fleet-lab/src/discovery/connection.rs
+++ b/fleet-lab/src/discovery/connection.rs
@@ -85,26 +85,26 @@
                     return self.reject_malformed().await;
                 }
             };
-            self.answer(request, &mut unread).await?;
-            if request.closes {
+            self.handle_request(request, &mut unread).await?;
+            if request.closes_connection {
                 return Ok(());
             }
         }
     }
 
-    async fn answer(&mut self, request: Request, unread: &mut BytesMut) -> io::Result<()> {
+    async fn handle_request(&mut self, request: Request, unread: &mut BytesMut) -> io::Result<()> {
         if request.call == Call::NotFound {
             return self.write(protocol::NOT_FOUND).await;
         }
-        let entries = self.entries_of_answer(request.call);
+        let entries = self.response_entry_count(request.call);
         let outcome = self.service.wait_in_queue(entries).await;
         if self.client_disconnected(unread) {
-            self.service.count(|usage| usage.disconnected += 1);
+            self.service.update_usage(|usage| usage.disconnected += 1);
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         match (outcome, request.call) {
             (QueueOutcome::TimedOut, _) => {
-                self.service.count(|usage| usage.rejected += 1);
+                self.service.update_usage(|usage| usage.rejected += 1);
                 self.write(protocol::UNAVAILABLE).await
             }
             (QueueOutcome::Handled, Call::Watch { since }) => self.watch(since).await,
@@ -122,10 +122,10 @@
     }
 
     /// Returns the number of list entries in the answer to a call.
-    fn entries_of_answer(&self, call: Call) -> usize {
+    fn response_entry_count(&self, call: Call) -> usize {
         let registry = self.service.registry.borrow();
         match call {
-            Call::Watch { since } => registry.entries_since(self.resumable(since)),
+            Call::Watch { since } => registry.entries_since(self.resume_version(since)),
             Call::List => registry.len(),
             Call::NotFound => 0,
         }
@@ -133,14 +133,14 @@
 
     /// Returns the version from which a watch resumes. Where watches end instead of sending changes, one that is behind
     /// gets the full list.
-    fn resumable(&self, since: Option<u64>) -> Option<u64> {
+    fn resume_version(&self, since: Option<u64>) -> Option<u64> {
         let version = self.service.registry.borrow().version();
         let sends_changes = self.service.on_change == WatchOnChange::Sends;
         since.filter(|since| sends_changes || *since == version)
     }
 
     async fn list(&mut self) -> io::Result<()> {
-        self.service.count(|usage| usage.lists += 1);
+        self.service.update_usage(|usage| usage.lists += 1);
         let body = self.service.registry.borrow_mut().full_list();
         self.write(protocol::list_head(body.len()).as_bytes())
             .await?;
@@ -148,15 +148,15 @@
     }
 
     async fn watch(&mut self, since: Option<u64>) -> io::Result<()> {
-        self.service.count(|usage| usage.watches_opened += 1);
-        let _open = CountGuard::new(&self.zone.watches);
+        self.service.update_usage(|usage| usage.watches_opened += 1);
+        let _open = CountGuard::new(&self.zone.open_watches);
         // These steps run without a suspension point, so no change is published between them.
         let mut changes = self.service.subscribe();
         let mut written_version = self.service.registry.borrow().version();
-        let since = self.resumable(since);
-        let first = self.service.registry.borrow_mut().chunk_since(since);
+        let since = self.resume_version(since);
+        let first_chunk = self.service.registry.borrow_mut().chunk_since(since);
         self.write(protocol::WATCH_HEAD).await?;
-        if let Some(chunk) = first {
+        if let Some(chunk) = first_chunk {
             self.write(&chunk).await?;
         }
         let mut last_write = Instant::now();
@@ -194,7 +194,7 @@
     async fn write_heartbeat(&mut self) -> io::Result<()> {
         self.write(protocol::HEARTBEAT).await?;
         self.service
-            .count(|usage| usage.heartbeat_bytes += protocol::HEARTBEAT.len() as u64);
+            .update_usage(|usage| usage.heartbeat_bytes += protocol::HEARTBEAT.len() as u64);
         Ok(())
     }
 
@@ -216,7 +216,7 @@
                 return Err(io::ErrorKind::WriteZero.into());
             }
             self.service
-                .count(|usage| usage.bytes_written += written as u64);
+                .update_usage(|usage| usage.bytes_written += written as u64);
             bytes = &bytes[written..];
         }
         Ok(())
--- a/fleet-lab/src/discovery/handle.rs
+++ b/fleet-lab/src/discovery/handle.rs
@@ -54,7 +54,7 @@
             }
         }
         let (commands, received_commands) = unbounded_channel();
-        let (started, has_started) = mpsc::sync_channel(1);
+        let (started, start_result) = mpsc::sync_channel(1);
         let run = move || {
             let zones = reserved
                 .into_iter()
@@ -65,7 +65,7 @@
             });
         };
         let thread = thread::Builder::new().name("discovery".into()).spawn(run)?;
-        has_started
+        start_result
             .recv()
             .unwrap_or_else(|_| Err(io::Error::other("the discovery thread ended")))?;
         Ok(DiscoveryServer {
@@ -168,7 +168,7 @@
 
     /// Sends a command to the service's thread and waits for its reply.
     fn call<T>(&self, command: impl FnOnce(mpsc::SyncSender<T>) -> Command) -> T {
-        let (reply, replied) = mpsc::sync_channel(1);
+        let (reply, received_reply) = mpsc::sync_channel(1);
         let commands = self
             .commands
             .as_ref()
@@ -176,7 +176,9 @@
         commands
             .send(command(reply))
             .expect("the discovery thread is running");
-        replied.recv().expect("the discovery thread is running")
+        received_reply
+            .recv()
+            .expect("the discovery thread is running")
     }
 }
 
@@ -192,18 +194,18 @@
 }
 
 fn call_times(calls_per_second: f64, entries_per_second: Option<f64>) -> io::Result<CallTimes> {
-    let per_entry = entries_per_second.map(|rate| time_per("list entries", rate));
+    let per_entry = entries_per_second.map(|rate| time_per_unit("list entries", rate));
     Ok(CallTimes {
-        per_call: time_per("calls", calls_per_second)?,
+        per_call: time_per_unit("calls", calls_per_second)?,
         per_entry: per_entry.transpose()?.unwrap_or_default(),
     })
 }
 
-fn time_per(what: &str, rate: f64) -> io::Result<Duration> {
+fn time_per_unit(unit: &str, rate: f64) -> io::Result<Duration> {
     let problem = || {
         io::Error::new(
             io::ErrorKind::InvalidInput,
-            format!("the number of {what} a second must be positive and finite"),
+            format!("the number of {unit} a second must be positive and finite"),
         )
     };
     if rate.is_nan() || rate <= 0.0 {
--- a/fleet-lab/src/discovery/protocol.rs
+++ b/fleet-lab/src/discovery/protocol.rs
@@ -44,7 +44,7 @@
     /// What is called.
     pub(super) call: Call,
     /// Whether the connection is closed after the answer.
-    pub(super) closes: bool,
+    pub(super) closes_connection: bool,
 }
 
 /// Why a request cannot be served.
@@ -90,9 +90,12 @@
         "/v1/endpoints" => parse_call(target.query().unwrap_or_default())?,
         _ => Call::NotFound,
     };
-    let closes =
+    let closes_connection =
         header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case(b"close"));
-    Ok(Request { call, closes })
+    Ok(Request {
+        call,
+        closes_connection,
+    })
 }
 
 fn parse_call(query: &str) -> Result<Call, MalformedRequest> {
@@ -147,7 +150,7 @@
     version: u64,
     endpoints: impl Iterator<Item = &'a EndpointEntry>,
 ) -> Vec<u8> {
-    line(&Message {
+    json_line(&Message {
         index: version,
         snapshot: true,
         endpoints: endpoints.collect(),
@@ -159,14 +162,14 @@
     version: u64,
     changed: impl Iterator<Item = &'a EndpointEntry>,
 ) -> Vec<u8> {
-    line(&Message {
+    json_line(&Message {
         index: version,
         snapshot: false,
         endpoints: changed.collect(),
     })
 }
 
-fn line(message: &Message<'_>) -> Vec<u8> {
+fn json_line(message: &Message<'_>) -> Vec<u8> {
     let mut line = serde_json::to_vec(message).expect("entries can be serialized");
     line.push(b'\n');
     line
--- a/fleet-lab/src/discovery/server.rs
+++ b/fleet-lab/src/discovery/server.rs
@@ -57,7 +57,7 @@
 pub(super) fn run(
     commands: UnboundedReceiver<Command>,
     started: &SyncSender<io::Result<()>>,
-    server: impl FnOnce() -> Server,
+    create_server: impl FnOnce() -> Server,
 ) {
     let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
@@ -65,7 +65,7 @@
     };
     let tasks = LocalSet::new();
     tasks.block_on(&runtime, async {
-        let mut server = server();
+        let mut server = create_server();
         let listening = server.listen();
         let has_failed = listening.is_err();
         reply_to(started, listening);
@@ -153,7 +153,7 @@
 
     fn usage(&self) -> DiscoveryUsage {
         DiscoveryUsage {
-            watches_open: self.zones.iter().map(Zone::watches).sum(),
+            watches_open: self.zones.iter().map(Zone::open_watches).sum(),
             processor_time: thread_processor_time(),
             ..*self.service.usage.borrow()
         }
@@ -162,7 +162,7 @@
     fn watches_by_zone(&self) -> BTreeMap<ZoneName, u64> {
         self.zones
             .iter()
-            .map(|zone| (zone.name().clone(), zone.watches()))
+            .map(|zone| (zone.name().clone(), zone.open_watches()))
             .collect()
     }
 }
--- a/fleet-lab/src/discovery/service.rs
+++ b/fleet-lab/src/discovery/service.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Changes that a watch may lag behind before it gets the full list in their place.
-const CHANGES_IN_FLIGHT: usize = 1024;
+const MAX_WATCH_LAG: usize = 1024;
 
 /// How a call left the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
             usage: RefCell::default(),
             call_queue: RefCell::new(CallQueue::new(times, options.queue_timeout, Instant::now())),
             queued: Rc::default(),
-            changes: broadcast::Sender::new(CHANGES_IN_FLIGHT),
+            changes: broadcast::Sender::new(MAX_WATCH_LAG),
         }
     }
 
@@ -81,7 +81,7 @@
         if until > now {
             let _queued = CountGuard::new(&self.queued);
             let length = self.queued.get();
-            self.count(|usage| usage.max_queue_length = usage.max_queue_length.max(length));
+            self.update_usage(|usage| usage.max_queue_length = usage.max_queue_length.max(length));
             sleep_until(until).await;
         }
         outcome
@@ -95,11 +95,11 @@
     /// Removes all queued calls and resets the longest queue.
     pub(super) fn clear_queue(&self) {
         self.call_queue.borrow_mut().clear(Instant::now());
-        self.count(|usage| usage.max_queue_length = 0);
+        self.update_usage(|usage| usage.max_queue_length = 0);
     }
 
     /// Updates the counters.
-    pub(super) fn count(&self, change: impl FnOnce(&mut DiscoveryUsage)) {
+    pub(super) fn update_usage(&self, change: impl FnOnce(&mut DiscoveryUsage)) {
         change(&mut self.usage.borrow_mut());
     }
 }
--- a/fleet-lab/src/discovery/zone.rs
+++ b/fleet-lab/src/discovery/zone.rs
@@ -34,7 +34,7 @@
     pub(super) fn new(name: ZoneName, address: ReservedAddress) -> Self {
         let state = ZoneState {
             is_partitioned: watch::Sender::new(false),
-            watches: Rc::default(),
+            open_watches: Rc::default(),
         };
         Zone {
             name,
@@ -50,8 +50,8 @@
     }
 
     /// Returns the number of open watches; a partitioned zone has none.
-    pub(super) fn watches(&self) -> u64 {
-        self.state.watches.get()
+    pub(super) fn open_watches(&self) -> u64 {
+        self.state.open_watches.get()
     }
 
     /// Starts to accept connections, unless the zone already does.
@@ -108,7 +108,7 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        service.count(|usage| usage.connections += 1);
+        service.update_usage(|usage| usage.connections += 1);
         if connection::configure(&stream).is_err() {
             continue;
         }
--- a/fleet-lab/src/discovery/zone_state.rs
+++ b/fleet-lab/src/discovery/zone_state.rs
@@ -9,5 +9,5 @@
     /// Whether the zone is partitioned from discovery.
     pub(super) is_partitioned: watch::Sender<bool>,
     /// Open watches, without those of a partitioned zone.
-    pub(super) watches: Rc<Cell<u64>>,
+    pub(super) open_watches: Rc<Cell<u64>>,
 }
--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 on one connection of an endpoint: one request at a time, each answered with one write.
 
 use super::downstream::Downstream;
-use super::message::{Answer, READ_BYTES, Request, RequestError};
+use super::message::{EndpointResponse, READ_BYTES, Request, RequestError};
 use super::state::EndpointState;
 use super::work::{Admission, Core, CorePool, LoadReport, QueueSlot};
 use bytes::BytesMut;
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 
 /// Bytes that are read ahead while a request is queued; further ones stay in the kernel's buffer.
-const MAX_AHEAD_BYTES: usize = 16 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
 /// The byte that bodies of successful answers consist of.
 const BODY_BYTE: u8 = b'x';
@@ -30,7 +30,7 @@
 
 impl RunningEndpoint {
     pub fn new(state: Arc<EndpointState>, host_seed: u64) -> Self {
-        let mut random = state.random(host_seed);
+        let mut random = state.random_generator(host_seed);
         let call_ids = Pcg64::new(random.random(), random.random());
         Self {
             pool: CorePool::new(&state.options, random),
@@ -55,41 +55,46 @@
     }
 
     /// Returns the answer to a health check; none if the request is not a health check.
-    fn answer_health_check(&self, request: &Request) -> Option<Answer> {
-        let answer = match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/health") => Answer::Healthy,
-            ("GET", "/status/load") => Answer::Load,
+    fn health_check_response(&self, request: &Request) -> Option<EndpointResponse> {
+        let response = match (request.method.as_str(), request.path.as_str()) {
+            ("GET", "/health") => EndpointResponse::Healthy,
+            ("GET", "/status/load") => EndpointResponse::Load,
             _ => return None,
         };
         self.state.counters.health_checks.increment();
         Some(if self.state.options.load_reports {
-            answer
+            response
         } else {
-            Answer::NotFound
+            EndpointResponse::NotFound
         })
     }
 
     /// Works on a request that has a core, and calls the next tier if there is one.
-    async fn run(&self, request: &Request, core: Core<'_>, deadline: Option<Instant>) -> Answer {
+    async fn run(
+        &self,
+        request: &Request,
+        core: Core<'_>,
+        deadline: Option<Instant>,
+    ) -> EndpointResponse {
         core.work().await;
         drop(core);
         if self.pool.draw_error() {
-            return Answer::Failed;
+            return EndpointResponse::Failed;
         }
         if let Some(downstream) = &self.downstream
             && let Err(error) = downstream.call(request, deadline).await
         {
             tracing::debug!(endpoint = %self.state.name, %error, "call to the next tier failed");
             self.state.counters.failed.increment();
-            return Answer::Failed;
+            return EndpointResponse::Failed;
         }
-        Answer::Served
+        EndpointResponse::Served
     }
 
-    fn count(&self, answer: Answer) {
-        match answer {
-            Answer::Served => self.state.counters.served.increment(),
-            Answer::NotRun => self.state.counters.rejected_early.increment(),
+    fn count_response(&self, response: EndpointResponse) {
+        match response {
+            EndpointResponse::Served => self.state.counters.served.increment(),
+            EndpointResponse::NotRun => self.state.counters.rejected_early.increment(),
             _ => {}
         }
     }
@@ -109,7 +114,7 @@
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(stream, endpoint);
     match connection.run().await {
-        Ok(Ending::Closed) => connection.resets = false,
+        Ok(Ending::Closed) => connection.resets_on_drop = false,
         Ok(Ending::Reset) | Err(_) => {}
     }
 }
@@ -120,7 +125,7 @@
     input: BytesMut,
     output: Vec<u8>,
     /// Whether dropping it resets the connection instead of closing it.
-    resets: bool,
+    resets_on_drop: bool,
 }
 
 impl Connection {
@@ -132,7 +137,7 @@
             endpoint,
             input: BytesMut::new(),
             output: Vec::new(),
-            resets: true,
+            resets_on_drop: true,
         }
     }
 
@@ -142,20 +147,20 @@
             let request = match self.next_request().await? {
                 Some(Ok(request)) => request,
                 Some(Err(error)) => {
-                    self.write(Answer::Rejected(error), true).await?;
+                    self.write(EndpointResponse::Rejected(error), true).await?;
                     return Ok(Ending::Closed);
                 }
                 None => return Ok(Ending::Closed),
             };
-            let Some(answer) = self.answer(&endpoint, &request).await else {
+            let Some(response) = self.handle_request(&endpoint, &request).await else {
                 return Ok(Ending::Closed);
             };
             if endpoint.state.is_hanging() {
                 return self.hang().await;
             }
-            endpoint.count(answer);
-            self.write(answer, request.closes).await?;
-            if request.closes {
+            endpoint.count_response(response);
+            self.write(response, request.closes_connection).await?;
+            if request.closes_connection {
                 return Ok(Ending::Closed);
             }
         }
@@ -177,13 +182,17 @@
     }
 
     /// Serves a request; no answer if the client disconnects while it is queued.
-    async fn answer(&mut self, endpoint: &RunningEndpoint, request: &Request) -> Option<Answer> {
-        if let Some(answer) = endpoint.answer_health_check(request) {
-            return Some(answer);
+    async fn handle_request(
+        &mut self,
+        endpoint: &RunningEndpoint,
+        request: &Request,
+    ) -> Option<EndpointResponse> {
+        if let Some(response) = endpoint.health_check_response(request) {
+            return Some(response);
         }
         endpoint.state.counters.requests.increment();
         if !request.has_id {
-            return Some(Answer::NotFound);
+            return Some(EndpointResponse::NotFound);
         }
         let deadline = request
             .time_left
@@ -191,10 +200,10 @@
         let core = match endpoint.pool.admit() {
             Admission::Core(core) => core,
             Admission::Queued(slot) => self.wait_for_core(slot).await?,
-            Admission::RejectedEarly => return Some(Answer::NotRun),
+            Admission::RejectedEarly => return Some(EndpointResponse::NotRun),
         };
         if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
-            return Some(Answer::NotRun);
+            return Some(EndpointResponse::NotRun);
         }
         Some(endpoint.run(request, core, deadline).await)
     }
@@ -210,7 +219,7 @@
 
     /// Waits until the client closes the connection or its sending side. Input until then is buffered.
     async fn end_of_input(&mut self) {
-        while self.input.len() < MAX_AHEAD_BYTES {
+        while self.input.len() < MAX_READ_AHEAD_BYTES {
             self.input.reserve(READ_BYTES);
             if matches!(self.stream.read_buf(&mut self.input).await, Ok(0) | Err(_)) {
                 return;
@@ -219,10 +228,19 @@
         std::future::pending::<()>().await;
     }
 
-    async fn write(&mut self, answer: Answer, closes: bool) -> io::Result<()> {
+    async fn write(
+        &mut self,
+        response: EndpointResponse,
+        closes_connection: bool,
+    ) -> io::Result<()> {
         self.output.clear();
         let report = self.endpoint.load_report();
-        answer.write(&mut self.output, &self.endpoint.body, report, closes);
+        response.write(
+            &mut self.output,
+            &self.endpoint.body,
+            report,
+            closes_connection,
+        );
         self.stream.write_all(&self.output).await
     }
 
@@ -233,14 +251,14 @@
         tokio::select! {
             biased;
             () = endpoint.state.resumed() => Ok(Ending::Reset),
-            ended = discard(&mut self.stream) => ended.map(|()| Ending::Closed),
+            ended = read_until_closed(&mut self.stream) => ended.map(|()| Ending::Closed),
         }
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        if self.resets {
+        if self.resets_on_drop {
             // After a failure the connection is closed instead.
             let _ = self.stream.set_zero_linger();
         }
@@ -249,7 +267,7 @@
 }
 
 /// Reads and discards input until the peer closes the connection.
-async fn discard(stream: &mut TcpStream) -> io::Result<()> {
+async fn read_until_closed(stream: &mut TcpStream) -> io::Result<()> {
     let mut scratch = [0; READ_BYTES];
     while stream.read(&mut scratch).await? > 0 {}
     Ok(())
--- a/fleet-lab/src/endpoint/downstream.rs
+++ b/fleet-lab/src/endpoint/downstream.rs
@@ -21,7 +21,7 @@
 /// How long a call may take if the request has no deadline.
 const MAX_CALL_TIME: Duration = Duration::from_secs(30);
 
-const OK: u16 = 200;
+const STATUS_OK: u16 = 200;
 
 /// The client of one sidecar.
 pub(super) struct Downstream {
@@ -99,7 +99,9 @@
         let response = tokio::time::timeout(timeout, self.send(&call)).await;
         self.in_flight.set(self.in_flight.get() - 1);
         match response.map_err(|_| CallError::TimedOut)?? {
-            Response { status: OK, .. } => Ok(()),
+            Response {
+                status: STATUS_OK, ..
+            } => Ok(()),
             Response { status, .. } => Err(CallError::Status(status)),
         }
     }
--- a/fleet-lab/src/endpoint/host.rs
+++ b/fleet-lab/src/endpoint/host.rs
@@ -101,33 +101,36 @@
     while let Some(command) = commands.recv().await {
         match command {
             Command::Run { state, listener } => {
-                running.insert(state.number, Run::start(state, listener, host_seed));
+                running.insert(
+                    state.number,
+                    EndpointTask::start(state, listener, host_seed),
+                );
             }
             Command::Stop { number, stopped } => {
-                if let Some(run) = running.remove(&number) {
-                    run.stop().await;
+                if let Some(endpoint_task) = running.remove(&number) {
+                    endpoint_task.stop().await;
                 }
                 let _ = stopped.send(());
             }
             Command::End => break,
         }
     }
-    for run in running.into_values() {
-        run.stop().await;
+    for endpoint_task in running.into_values() {
+        endpoint_task.stop().await;
     }
 }
 
 /// A running endpoint.
-struct Run {
+struct EndpointTask {
     stop: oneshot::Sender<()>,
     task: task::JoinHandle<()>,
 }
 
-impl Run {
+impl EndpointTask {
     fn start(state: Arc<EndpointState>, listener: TcpListener, host_seed: u64) -> Self {
         let (stop, stopped) = oneshot::channel();
         let task = task::spawn_local(accept_until(stopped, state, listener, host_seed));
-        Run { stop, task }
+        EndpointTask { stop, task }
     }
 
     /// Stops it and waits until its connections are reset.
--- a/fleet-lab/src/endpoint/message.rs
+++ b/fleet-lab/src/endpoint/message.rs
@@ -26,7 +26,7 @@
     /// How long the client waits, from the request's arrival.
     pub time_left: Option<Duration>,
     /// Whether the client wants the connection closed after the answer.
-    pub closes: bool,
+    pub closes_connection: bool,
     pub body: Vec<u8>,
 }
 
@@ -75,7 +75,7 @@
             has_id: false,
             class: None,
             time_left: None,
-            closes: head.version == Some(0),
+            closes_connection: head.version == Some(0),
             body: Vec::new(),
         };
         let mut body_length = 0;
@@ -89,7 +89,7 @@
             } else if is("x-deadline") {
                 request.time_left = Some(parse_seconds(value)?);
             } else if is("connection") {
-                request.closes = value.eq_ignore_ascii_case("close");
+                request.closes_connection = value.eq_ignore_ascii_case("close");
             } else if is("content-length") {
                 body_length = value.parse().map_err(|_| RequestError::Malformed)?;
             } else if is("transfer-encoding") {
@@ -111,7 +111,7 @@
 
 /// The answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Answer {
+pub(super) enum EndpointResponse {
     /// 200 with the endpoint's body.
     Served,
     /// 200 to a health check at `/health`.
@@ -129,25 +129,25 @@
 }
 
 /// Why writing to a buffer in memory cannot fail.
-const CANNOT_FAIL: &str = "memory can be written to";
+const WRITE_CANNOT_FAIL: &str = "memory can be written to";
 
-impl Answer {
+impl EndpointResponse {
     /// Appends the serialized answer to the output.
     pub fn write(
         self,
         output: &mut Vec<u8>,
-        own_body: &[u8],
+        served_body: &[u8],
         report: Option<LoadReport>,
-        closes: bool,
+        closes_connection: bool,
     ) {
-        let report_text = if self == Answer::Load {
+        let report_text = if self == EndpointResponse::Load {
             report.map(|report| report.to_string())
         } else {
             None
         };
         let body = match self {
-            Answer::Served => own_body,
-            Answer::Load => report_text.as_deref().unwrap_or_default().as_bytes(),
+            EndpointResponse::Served => served_body,
+            EndpointResponse::Load => report_text.as_deref().unwrap_or_default().as_bytes(),
             _ => b"",
         };
         write!(
@@ -156,14 +156,14 @@
             self.status(),
             body.len()
         )
-        .expect(CANNOT_FAIL);
+        .expect(WRITE_CANNOT_FAIL);
         if let Some(report) = report {
-            write!(output, "X-Load: {report}\r\n").expect(CANNOT_FAIL);
+            write!(output, "X-Load: {report}\r\n").expect(WRITE_CANNOT_FAIL);
         }
-        if self == Answer::NotRun {
+        if self == EndpointResponse::NotRun {
             output.extend_from_slice(b"X-Not-Run: 1\r\n");
         }
-        if closes {
+        if closes_connection {
             output.extend_from_slice(b"Connection: close\r\n");
         }
         output.extend_from_slice(b"\r\n");
@@ -172,13 +172,15 @@
 
     fn status(self) -> &'static str {
         match self {
-            Answer::Served | Answer::Healthy | Answer::Load => "200 OK",
-            Answer::Failed => "500 Internal Server Error",
-            Answer::NotRun => "503 Service Unavailable",
-            Answer::NotFound => "404 Not Found",
-            Answer::Rejected(RequestError::Malformed) => "400 Bad Request",
-            Answer::Rejected(RequestError::LengthRequired) => "411 Length Required",
-            Answer::Rejected(RequestError::TooLarge) => "413 Content Too Large",
+            EndpointResponse::Served | EndpointResponse::Healthy | EndpointResponse::Load => {
+                "200 OK"
+            }
+            EndpointResponse::Failed => "500 Internal Server Error",
+            EndpointResponse::NotRun => "503 Service Unavailable",
+            EndpointResponse::NotFound => "404 Not Found",
+            EndpointResponse::Rejected(RequestError::Malformed) => "400 Bad Request",
+            EndpointResponse::Rejected(RequestError::LengthRequired) => "411 Length Required",
+            EndpointResponse::Rejected(RequestError::TooLarge) => "413 Content Too Large",
         }
     }
 }
--- a/fleet-lab/src/endpoint/response.rs
+++ b/fleet-lab/src/endpoint/response.rs
@@ -23,7 +23,7 @@
     NoResponse,
     /// The connection ended within the response.
     #[error("connection ended within a response")]
-    Cut,
+    ClosedWithinResponse,
     /// The response is not HTTP/1.1.
     #[error("malformed response: {0}")]
     Malformed(#[from] httparse::Error),
@@ -32,7 +32,7 @@
     MalformedLength,
     /// The head is too long.
     #[error("response head too long")]
-    TooLong,
+    HeadTooLong,
 }
 
 /// How the end of a body is marked.
@@ -46,7 +46,7 @@
 struct ResponseHead {
     status: u16,
     framing: Framing,
-    closes: bool,
+    closes_connection: bool,
 }
 
 /// Reads one response from a connection. The buffer contains bytes that were read beyond it.
@@ -62,7 +62,7 @@
         Framing::Chunked => reader.skip_chunks().await?,
         Framing::UntilClose => reader.skip_all().await,
     }
-    let keep_alive = !head.closes && !matches!(head.framing, Framing::UntilClose);
+    let keep_alive = !head.closes_connection && !matches!(head.framing, Framing::UntilClose);
     Ok(Response {
         status: head.status,
         keep_alive,
@@ -79,7 +79,7 @@
     async fn fill(&mut self) -> Result<(), ResponseError> {
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(self.buffer).await {
-            Ok(0) | Err(_) => Err(ResponseError::Cut),
+            Ok(0) | Err(_) => Err(ResponseError::ClosedWithinResponse),
             Ok(_) => Ok(()),
         }
     }
@@ -90,7 +90,9 @@
             match take_head(self.buffer)? {
                 Some(head) if head.status >= 200 => return Ok(head),
                 Some(_) => {}
-                None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ResponseError::TooLong),
+                None if self.buffer.len() > MAX_HEAD_BYTES => {
+                    return Err(ResponseError::HeadTooLong);
+                }
                 None => self.fill().await?,
             }
         }
@@ -159,7 +161,7 @@
     let mut head = ResponseHead {
         status,
         framing: default_framing(status),
-        closes: parsed.version == Some(0),
+        closes_connection: parsed.version == Some(0),
     };
     for header in parsed.headers.iter() {
         if header.name.eq_ignore_ascii_case("content-length") {
@@ -167,7 +169,7 @@
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             head.framing = Framing::Chunked;
         } else if header.name.eq_ignore_ascii_case("connection") {
-            head.closes = header.value.eq_ignore_ascii_case(b"close");
+            head.closes_connection = header.value.eq_ignore_ascii_case(b"close");
         }
     }
     buffer.advance(length);
--- a/fleet-lab/src/endpoint/state.rs
+++ b/fleet-lab/src/endpoint/state.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns random numbers for the present start, which differ from those of other endpoints and starts.
-    pub fn random(&self, host_seed: u64) -> Pcg64 {
+    pub fn random_generator(&self, host_seed: u64) -> Pcg64 {
         let restarts = self.restarts.load(Ordering::Relaxed);
         let stream = (u128::from(self.number) << u64::BITS) | u128::from(restarts);
         Pcg64::new(host_seed.into(), stream)
--- a/fleet-lab/src/endpoint/work.rs
+++ b/fleet-lab/src/endpoint/work.rs
@@ -112,7 +112,7 @@
         self.utilisation.set(
             self.utilisation
                 .get()
-                .advanced(busy_fraction, Instant::now()),
+                .advanced_to(busy_fraction, Instant::now()),
         );
     }
 }
@@ -123,8 +123,9 @@
         if self.warm_up_milliseconds == 0 {
             return 1.0;
         }
-        let warmth = since_start.as_secs_f64() * 1000.0 / self.warm_up_milliseconds as f64;
-        self.initial_capacity + (1.0 - self.initial_capacity) * warmth.min(1.0)
+        let warm_up_progress =
+            since_start.as_secs_f64() * 1000.0 / self.warm_up_milliseconds as f64;
+        self.initial_capacity + (1.0 - self.initial_capacity) * warm_up_progress.min(1.0)
     }
 }
 
@@ -178,9 +179,9 @@
         if sleep_time.is_zero() {
             return;
         }
-        let begun = Instant::now();
+        let sleep_start = Instant::now();
         tokio::time::sleep(sleep_time).await;
-        let lateness = begun
+        let lateness = sleep_start
             .elapsed()
             .saturating_sub(sleep_time)
             .min(MAX_CARRIED_LATENESS);
@@ -204,11 +205,11 @@
 
 impl Utilisation {
     /// Returns the average at a later time; `busy_fraction` of the cores were busy since.
-    fn advanced(self, busy_fraction: f64, now: Instant) -> Self {
+    fn advanced_to(self, busy_fraction: f64, now: Instant) -> Self {
         let elapsed = now.saturating_duration_since(self.at);
-        let connection = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
+        let decay = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
         Self {
-            average: busy_fraction + (self.average - busy_fraction) * connection,
+            average: busy_fraction + (self.average - busy_fraction) * decay,
             at: now,
         }
     }
--- a/fleet-lab/src/fault.rs
+++ b/fleet-lab/src/fault.rs
@@ -129,10 +129,10 @@
 
 /// Chooses one of the distinct items, each with the same probability.
 fn choose<'a, T: Clone + Ord + 'a>(
-    from: impl Iterator<Item = &'a T>,
+    items: impl Iterator<Item = &'a T>,
     random: &mut Pcg64,
 ) -> Option<T> {
-    let distinct: BTreeSet<&T> = from.collect();
+    let distinct: BTreeSet<&T> = items.collect();
     distinct.into_iter().choose(random).cloned()
 }
 
--- a/fleet-lab/src/measure/process.rs
+++ b/fleet-lab/src/measure/process.rs
@@ -29,10 +29,10 @@
     /// # Errors
     /// Fails where there is no such process, or it has ended and was not waited for yet.
     pub fn of(process: u32) -> io::Result<Self> {
-        let number = i32::try_from(process).map_err(io::Error::other)?;
-        let process = Process::new(number).map_err(into_io_error)?;
+        let process_id = i32::try_from(process).map_err(io::Error::other)?;
+        let process = Process::new(process_id).map_err(into_io_error)?;
         let status = process.status().map_err(into_io_error)?;
-        let (anonymous_bytes, resident_bytes) = memory(&status)?;
+        let (anonymous_bytes, resident_bytes) = memory_bytes(&status)?;
         Ok(ProcessUsage {
             processor_time: processor_time(&process)?,
             anonymous_bytes,
@@ -52,7 +52,7 @@
 }
 
 /// Returns the anonymous and resident bytes. The status of a process that has ended has neither.
-fn memory(status: &Status) -> io::Result<(u64, u64)> {
+fn memory_bytes(status: &Status) -> io::Result<(u64, u64)> {
     match (status.rssanon, status.vmrss) {
         (Some(anonymous), Some(resident)) => Ok((anonymous * KIBIBYTE, resident * KIBIBYTE)),
         _ => Err(io::Error::new(
@@ -73,8 +73,8 @@
 
 /// Returns the processor time of one thread; none if it has ended since the threads were listed.
 fn thread_nanoseconds(thread: &Task) -> Option<u64> {
-    let schedule = thread.schedstat().ok()?;
-    Some(schedule.sum_exec_runtime)
+    let schedstat = thread.schedstat().ok()?;
+    Some(schedstat.sum_exec_runtime)
 }
 
 fn into_io_error(error: ProcError) -> io::Error {
--- a/fleet-lab/src/signals.rs
+++ b/fleet-lab/src/signals.rs
@@ -25,10 +25,10 @@
 
 fn catch_signals() -> io::Result<()> {
     let runtime = runtime::Builder::new_current_thread().enable_io().build()?;
-    let context = runtime.enter();
+    let runtime_guard = runtime.enter();
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
-    drop(context);
+    drop(runtime_guard);
     thread::spawn(move || {
         runtime.block_on(async {
             tokio::select! {
