--- a/fleet-lab/src/caller/connection.rs
+++ b/fleet-lab/src/caller/connection.rs
@@ -1,4 +1,4 @@
-//! One non-blocking connection, which carries one request at a time.
+//! A non-blocking HTTP/1.1 connection of a caller. It carries one request at a time.
 
 use super::response::{Response, ResponseError, ResponseParser};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -6,35 +6,35 @@
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd};
 
-/// Why a connection cannot be used any longer.
+/// A failure after which a connection cannot be used any longer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
-    #[error("it never came up: {0}")]
+    #[error("cannot connect: {0}")]
     NotConnected(io::Error),
-    #[error("it ended before an answer's first byte")]
+    #[error("connection ended before the first byte of a response")]
     ClosedBeforeResponse,
-    #[error("it ended within an answer")]
+    #[error("connection ended within a response")]
     ClosedWithinResponse,
-    #[error("the answer cannot be read: {0}")]
+    #[error("invalid response: {0}")]
     Unreadable(#[from] ResponseError),
 }
 
-/// A connection to a target.
+/// A connection to a target, and its parser of responses.
 pub(super) struct Connection {
     stream: TcpStream,
     is_connecting: bool,
     /// The part of the request that has not been written yet.
     outgoing: Vec<u8>,
     parser: ResponseParser,
-    /// Whether it has carried an answer before.
+    /// True once the connection has carried a complete response.
     is_reused: bool,
 }
 
 impl Connection {
-    /// Starts to connect.
+    /// Starts to connect and returns before the connection is established.
     ///
     /// # Errors
-    /// Fails where no socket can be created or the address cannot be reached.
+    /// Returns an error if the socket cannot be created or the connection fails at once.
     pub fn open(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -57,12 +57,13 @@
         })
     }
 
-    /// Returns whether the connection has carried an answer before, so that the peer may have closed it as idle.
+    /// Returns true if the connection has carried a complete response. The peer may have closed such a connection as
+    /// idle.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
-    /// Sends a request, immediately or once the connection is established.
+    /// Sends a request, at once or when the connection is established.
     pub fn send(&mut self, request: Vec<u8>) -> Result<(), ConnectionError> {
         self.outgoing = request;
         if self.is_connecting {
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Handles the socket's readiness; returns the answer once it is complete. `has_hung_up` says that the end of the
-    /// peer's data can be read.
+    /// Connects, writes and reads as far as the socket's readiness allows. Returns the response once it is complete.
+    /// `has_hung_up` is true if the peer has closed its sending side or the socket has an error.
     pub fn advance(
         &mut self,
         buffer: &mut [u8],
@@ -107,8 +108,8 @@
         Ok(())
     }
 
-    /// Reads all available bytes. A read that does not fill the buffer was the last one unless the peer has hung up, as
-    /// the poller reports further bytes and a later end.
+    /// Reads all available bytes. After a read that does not fill the buffer there is nothing more to read, unless the
+    /// peer has hung up. The poller reports bytes or an end that arrive later.
     fn read(
         &mut self,
         buffer: &mut [u8],
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Handles the end of the connection: an answer that was complete before is the last one, and none is an error.
+    /// Handles the end of the connection. A response that is already complete is returned as the last one of the
+    /// connection; without one, the end is an error.
     fn handle_end(&self, response: Option<Response>) -> Result<Option<Response>, ConnectionError> {
         let response = response.ok_or_else(|| self.closed_error())?;
         Ok(Some(Response {
--- a/fleet-lab/src/caller/connection_table.rs
+++ b/fleet-lab/src/caller/connection_table.rs
@@ -1,10 +1,10 @@
-//! All connections of a load by token, and the idle ones by target.
+//! The open connections of a load by token, and the idle ones by target.
 
 use super::connection::Connection;
 use std::time::Duration;
 
-/// Identifies a connection. A later connection in the same slot has another generation, so that events for the earlier
-/// one do not reach it.
+/// Identifies a connection. A later connection in the same slot has a different generation; events of the earlier one
+/// do not reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Token {
     slot: u32,
@@ -17,7 +17,7 @@
         u64::from(self.generation) << u32::BITS | u64::from(self.slot)
     }
 
-    /// Converts a number of [`Token::to_u64`] back to the token.
+    /// Converts a number from [`Token::to_u64`] back to the token.
     pub fn from_u64(number: u64) -> Self {
         Token {
             slot: number as u32,
@@ -26,18 +26,18 @@
     }
 }
 
-/// A pending request.
+/// A request that was due and has no outcome yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRequest {
     /// The request's number within the run.
     pub number: u64,
     /// The index of its target in the plan.
     pub target: usize,
-    /// When it was due, counted from the start of the load.
+    /// The time at which it was due, counted from the start of the load.
     pub due: Duration,
-    /// Whether it was due during the measurement.
+    /// True if it was due during the measurement, after the warm-up.
     pub is_measured: bool,
-    /// Whether it was sent again because a reused connection had been closed.
+    /// True if it was sent again because the peer had closed a reused connection.
     pub is_resent: bool,
 }
 
@@ -45,25 +45,28 @@
 pub(super) struct OpenConnection {
     pub connection: Connection,
     pub target: usize,
-    /// The request in flight; none while the connection is idle.
+    /// The request in flight; `None` while the connection is idle.
     pub pending: Option<PendingRequest>,
 }
 
+/// A reusable place in the table.
 struct Slot {
+    /// The number of connections that were removed from the slot.
     generation: u32,
     open: Option<OpenConnection>,
 }
 
-/// The open connections of a load.
+/// The open connections of a load by token, and the idle ones by target.
 pub(super) struct ConnectionTable {
     slots: Vec<Slot>,
+    /// The indices of slots without a connection.
     free: Vec<u32>,
-    /// Idle connections by target, the most recently used last.
+    /// The idle connections of each target; the one that was used last is at the end.
     idle: Vec<Vec<Token>>,
 }
 
 impl ConnectionTable {
-    /// Creates an empty table.
+    /// Creates an empty table for this number of targets.
     pub fn new(targets: usize) -> Self {
         ConnectionTable {
             slots: Vec::new(),
@@ -97,7 +100,7 @@
         self.slot_mut(token)?.open.as_mut()
     }
 
-    /// Returns whether a connection still carries the request with this number.
+    /// Returns true if the connection still carries the request with this number.
     pub fn carries(&self, token: Token, number: u64) -> bool {
         let slot = self.slots.get(token.slot as usize);
         let open = slot
@@ -107,7 +110,7 @@
         pending.is_some_and(|pending| pending.number == number)
     }
 
-    /// Removes a connection, which closes it when it is dropped.
+    /// Removes a connection. Dropping the returned value closes it.
     pub fn remove(&mut self, token: Token) -> Option<OpenConnection> {
         let slot = self.slot_mut(token)?;
         let open = slot.open.take()?;
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Takes the most recently used idle connection to a target.
+    /// Takes the idle connection to a target that was used last.
     pub fn take_idle(&mut self, target: usize) -> Option<Token> {
         self.idle[target].pop()
     }
--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: sends requests that are due, receives answers, and expires requests past their deadline.
+//! The event loop of a load. It sends requests that are due, receives responses, and expires requests after their
+//! deadline.
 
 use super::connection::{Connection, ConnectionError};
 use super::connection_table::{ConnectionTable, PendingRequest, Token};
@@ -13,9 +14,9 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How long after its deadline a request expires.
+/// The time after its deadline at which a request without a response expires.
 const EXPIRY_GRACE: Duration = Duration::from_millis(500);
-/// Bytes that are read at once.
+/// The size of the buffer for one read from a socket.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 /// The outcome of a request.
@@ -27,25 +28,28 @@
     Unanswered,
 }
 
-/// When a request expires, and the connection that carries it.
+/// The expiry of a request, ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Duration,
+    /// The connection that carries the request.
     token: Token,
+    /// The request's number.
     number: u64,
 }
 
-/// A running load. Times count from its start.
+/// A running load. All times are counted from its start.
 pub(super) struct EventLoop<'a> {
     plan: &'a LoadPlan,
     started: Instant,
     schedule: Schedule,
     poller: Poller,
     table: ConnectionTable,
-    /// The earliest expiry first. Entries of requests that have ended are removed lazily.
+    /// The expiries, earliest first. An entry stays after its request has ended and is skipped later.
     expiries: BinaryHeap<Reverse<Expiry>>,
     ids: RequestIds,
     templates: Vec<RequestTemplate>,
+    /// The number of requests that were due so far, with those of the warm-up.
     requests_started: u64,
     measured_in_flight: usize,
     results: Vec<TargetResult>,
@@ -71,7 +75,7 @@
         })
     }
 
-    /// Runs until the last request was due and all measured requests have ended.
+    /// Runs the load until no more requests are due and all measured ones have ended.
     pub fn run(mut self) -> io::Result<Vec<TargetResult>> {
         let mut ready = Vec::new();
         self.started = Instant::now();
@@ -85,7 +89,7 @@
             self.poller.wait(timeout, &mut ready)?;
             for readiness in &ready {
                 self.advance(*readiness);
-                self.send_due(); // many answers at once delay no request
+                self.send_due(); // handling many responses must not delay requests that become due meanwhile
             }
         }
     }
@@ -94,7 +98,7 @@
         self.started.elapsed()
     }
 
-    /// Returns when the next request is due or expires.
+    /// Returns the time at which the next request is due or expires.
     fn next_wake(&mut self) -> Duration {
         let table = &self.table;
         while self
@@ -201,7 +205,7 @@
         if pending.is_some() && response.keep_alive {
             self.table.mark_idle(token);
         } else {
-            self.table.remove(token); // also after an answer to nothing
+            self.table.remove(token); // also if no request was in flight
         }
         let Some(pending) = pending else { return };
         let outcome = match response.status {
@@ -212,8 +216,8 @@
         self.record_outcome(pending, outcome);
     }
 
-    /// Handles the loss of a connection. A request on a reused connection that was closed before the first byte of the
-    /// answer is sent again.
+    /// Handles the loss of a connection. Its request is sent again, once, if the connection was a reused one and was
+    /// closed before the first byte of the response: the peer may have closed it as idle.
     fn lose_connection(&mut self, token: Token, error: &ConnectionError) {
         let Some(lost) = self.table.remove(token) else {
             return;
--- a/fleet-lab/src/caller/plan.rs
+++ b/fleet-lab/src/caller/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a load.
+//! The plan of a load: its targets, rates and duration.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 pub struct LoadTarget {
     /// The address of a sidecar or an endpoint.
     pub address: SocketAddr,
-    /// Mean requests a second; arrivals are a Poisson process.
+    /// The mean number of requests per second. Arrivals are a Poisson process.
     pub calls_per_second: f64,
     /// The request class.
     pub class: String,
-    /// Whether requests are unsafe to repeat: `POST` with a small body instead of `GET`.
+    /// True if requests are unsafe to repeat. They are then `POST` with a small body instead of `GET`.
     pub is_unsafe: bool,
-    /// How long a caller waits.
+    /// The time that a caller waits for the response, sent as `X-Deadline`.
     pub deadline: Duration,
 }
 
 /// A load on several targets at the same time.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// All targets, which one event loop drives.
+    /// All targets; one event loop sends the requests to all of them.
     pub targets: Vec<LoadTarget>,
-    /// How long the load runs before the measurement.
+    /// The duration of the load before the measurement.
     pub warm_up: Duration,
     /// The duration of the measurement.
     pub duration: Duration,
-    /// Seed of the arrival times.
+    /// The seed of the arrival times.
     pub seed: u64,
 }
--- a/fleet-lab/src/caller/poller.rs
+++ b/fleet-lab/src/caller/poller.rs
@@ -1,7 +1,7 @@
-//! Readiness of sockets, and waits with timeouts in nanoseconds.
+//! Waits for the readiness of sockets, with timeouts in nanoseconds.
 //!
-//! The timeout of `epoll_wait` is in milliseconds, which would delay requests. A timer descriptor next to the sockets
-//! ends waits on time.
+//! The timeout of `epoll_wait` is in milliseconds and would delay requests. A timer descriptor, polled with the
+//! sockets, ends a wait on time.
 
 use super::connection_table::Token;
 use rustix::buffer::spare_capacity;
@@ -15,13 +15,13 @@
 use std::io;
 use std::time::Duration;
 
-/// The largest number of events of one wait.
+/// The largest number of events that one wait returns.
 const MAX_EVENTS: usize = 256;
-/// The event data of the timer, in place of a token.
+/// The event data of the timer. Events of sockets have a token instead.
 const TIMER_DATA: u64 = u64::MAX;
-/// The shortest wait, as a time of zero would disarm the timer.
+/// The shortest wait. A time of zero would disarm the timer.
 const MIN_WAIT: Duration = Duration::from_nanos(1);
-/// The longest wait; longer ones end early.
+/// The longest wait. A longer timeout ends after this time without an event.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
 const ZERO_TIME: Timespec = Timespec {
     tv_sec: 0,
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Readiness {
     pub token: Token,
-    /// Whether the peer's end of data, or an error, can be read.
+    /// True if the peer has closed its sending side or the socket has an error.
     pub has_hung_up: bool,
 }
 
@@ -50,7 +50,7 @@
             TimerfdClockId::Monotonic,
             TimerfdFlags::CLOEXEC | TimerfdFlags::NONBLOCK,
         )?;
-        // The timer is edge-triggered and need not be read, as arming it again clears it.
+        // The timer is edge-triggered. It need not be read, because arming it again clears it.
         let interest = epoll::EventFlags::IN | epoll::EventFlags::ET;
         epoll::add(
             &epoll,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Watches a socket until it is closed. Each change of its readiness is reported once.
+    /// Watches a socket until it is closed, edge-triggered: each change of its readiness is reported once.
     pub fn watch(&self, socket: impl AsFd, token: Token) -> io::Result<()> {
         use epoll::EventFlags as Flags;
         let interest = Flags::IN | Flags::OUT | Flags::RDHUP | Flags::ET;
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Waits until a socket is ready or the timeout has passed, and replaces the contents of `ready`.
+    /// Waits until a socket is ready or the timeout has passed. Replaces the contents of `ready`.
     pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Readiness>) -> io::Result<()> {
         ready.clear();
         self.events.clear();
@@ -98,6 +98,7 @@
         Ok(())
     }
 
+    /// Arms the timer, which fires once after the delay.
     fn set_timer(&self, delay: Duration) -> io::Result<()> {
         let delay = delay.clamp(MIN_WAIT, MAX_WAIT);
         let it_value = Timespec {
--- a/fleet-lab/src/caller/request.rs
+++ b/fleet-lab/src/caller/request.rs
@@ -3,13 +3,13 @@
 use super::plan::LoadTarget;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Bytes of the body of a request that is unsafe to repeat.
+/// The size of the body of a request that is unsafe to repeat.
 const BODY_BYTES: usize = 32;
 
-/// The number of loads that this process has run.
+/// The number of loads that this process has started.
 static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A source of request ids that are unique also among the runs of a process with one seed.
+/// Generates request ids. They are unique among all loads of a process, also among those with the same seed.
 pub(super) struct RequestIds {
     seed: u64,
     run: u32,
@@ -23,13 +23,13 @@
         }
     }
 
-    /// Returns the id of a request by its number within the run.
+    /// Returns the id of the request with this number within the load.
     pub fn id(&self, number: u64) -> String {
         format!("{:016x}{:08x}{number:016x}", self.seed, self.run)
     }
 }
 
-/// The requests to a target, which differ only in their ids.
+/// The serialized request to a target without its id. The requests to a target differ only in their ids.
 pub(super) struct RequestTemplate {
     prefix: String,
     suffix: String,
@@ -50,12 +50,13 @@
         }
     }
 
+    /// Returns the serialized request with this id.
     pub fn render(&self, id: &str) -> Vec<u8> {
         [&self.prefix, id, &self.suffix].concat().into_bytes()
     }
 }
 
-/// Returns the end of the head, and the body.
+/// Returns the last lines of the head, and the body.
 fn head_end_and_body(target: &LoadTarget) -> String {
     if target.is_unsafe {
         format!(
--- a/fleet-lab/src/caller/response.rs
+++ b/fleet-lab/src/caller/response.rs
@@ -1,54 +1,55 @@
-//! An incremental parser of answers.
+//! An incremental parser of responses.
 
-/// The largest number of headers of an answer.
+/// The largest number of headers of a response.
 const MAX_HEADERS: usize = 64;
-/// The longest head of an answer, in bytes.
+/// The longest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// A complete answer.
+/// A complete response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Response {
     pub status: u16,
-    /// Whether the connection can carry another request.
+    /// True if the connection can carry another request.
     pub keep_alive: bool,
 }
 
-/// Why an answer cannot be parsed.
+/// A response that cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(super) enum ResponseError {
-    #[error("no HTTP answer: {0}")]
+    #[error("not an HTTP response: {0}")]
     Malformed(#[from] httparse::Error),
-    #[error("the head is too long")]
+    #[error("the head of the response is too long")]
     HeadTooLong,
-    #[error("the answer has no Content-Length")]
+    #[error("the response has no Content-Length")]
     NoContentLength,
-    #[error("bytes follow the answer")]
+    #[error("bytes follow the end of the response")]
     ExcessBytes,
 }
 
-/// Parses one answer after another.
+/// Parses the responses of a connection one after another.
 #[derive(Default)]
 pub(super) struct ResponseParser {
-    /// The incomplete head.
+    /// The bytes of the head that have been received; empty once the head is complete.
     head: Vec<u8>,
-    /// The answer whose body is incomplete, once its head is complete.
+    /// The body that is being received; `None` while the head is incomplete.
     body: Option<Body>,
 }
 
-/// An answer whose head is complete.
+/// The body of a response whose head is complete.
 #[derive(Clone, Copy)]
 struct Body {
     response: Response,
+    /// The number of its bytes that have not been received yet.
     remaining: usize,
 }
 
 impl ResponseParser {
-    /// Returns whether some bytes of an answer have been received.
+    /// Returns true if a part of a response has been received.
     pub fn has_started(&self) -> bool {
         self.body.is_some() || !self.head.is_empty()
     }
 
-    /// Parses the next bytes; returns the answer if they complete it.
+    /// Parses the next bytes and returns the response if they complete it.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Response>, ResponseError> {
         let Some(mut body) = self.body.take() else {
             return self.push_head(bytes);
@@ -81,7 +82,8 @@
     }
 }
 
-/// Parses the head; returns its length and the answer without its body, or none while the head is incomplete.
+/// Parses the head and returns its length with the response and the length of its body. Returns `None` while the head
+/// is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<(usize, Body)>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
--- a/fleet-lab/src/caller/result.rs
+++ b/fleet-lab/src/caller/result.rs
@@ -1,32 +1,32 @@
-//! The result of a load.
+//! The result of a load for each target.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// The longest latency that is recorded; longer ones count as this one.
+/// The longest latency that is recorded. Longer ones are recorded as this one.
 const MAX_LATENCY: Duration = Duration::from_secs(60);
-/// Significant decimal digits of latencies.
+/// The number of significant decimal digits of recorded latencies.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The results of a target's requests during the measurement.
 #[derive(Clone, Debug)]
 pub struct TargetResult {
-    /// Latencies of served requests in nanoseconds, counted from their arrival times.
+    /// The latencies of served requests in nanoseconds, measured from their arrival times.
     pub latencies: Histogram<u64>,
-    /// Requests that were due: the sum of the following four counts.
+    /// Requests that were due. This is the sum of the four following counts.
     pub sent: u64,
-    /// Requests that were answered 200.
+    /// Requests with the response status 200.
     pub served: u64,
-    /// Requests that were answered 429 or 503.
+    /// Requests with the response status 429 or 503.
     pub rejected: u64,
-    /// Requests with another answer, without a `Content-Length`, or whose connection failed before the answer was
-    /// complete.
+    /// Requests with another status, with a response without `Content-Length`, or with a connection that failed before
+    /// the response was complete.
     pub failed: u64,
-    /// Requests without an answer half a second after their deadline.
+    /// Requests without a complete response half a second after their deadline.
     pub unanswered: u64,
     /// Connections that were opened during warm-up and measurement.
     pub connections: u64,
-    /// The longest delay between a request's arrival time and its sending.
+    /// The longest time from a request's arrival time to its sending.
     pub max_send_delay: Duration,
 }
 
--- a/fleet-lab/src/caller/schedule.rs
+++ b/fleet-lab/src/caller/schedule.rs
@@ -1,4 +1,4 @@
-//! Arrival times: a Poisson process for each target, merged into one order.
+//! Arrival times of requests: a Poisson process for each target, merged in order of time.
 
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
@@ -17,16 +17,17 @@
 }
 
 /// The arrivals at all targets until the end of the load. They depend only on the rates and the seed, not on the
-/// targets' answers.
+/// targets' responses.
 pub(super) struct Schedule {
+    /// The arrivals at each target; `None` for a target with a rate of zero.
     sources: Vec<Option<ArrivalSource>>,
-    /// The next arrival at each target.
+    /// The next arrival at each target, earliest first.
     next: BinaryHeap<Reverse<(Duration, usize)>>,
     end: Duration,
 }
 
 impl Schedule {
-    /// Creates the schedule for these rates, in calls a second. A target with a rate of zero has no arrivals.
+    /// Creates the schedule for these rates, in requests per second. A target with a rate of zero has no arrivals.
     pub fn new(rates: impl IntoIterator<Item = f64>, end: Duration, seed: u64) -> Self {
         let mut seed_generator = Pcg64Mcg::seed_from_u64(seed);
         let sources = rates
@@ -44,12 +45,12 @@
         schedule
     }
 
-    /// Returns when the next request is due; none after the last one.
+    /// Returns the time at which the next request is due; `None` after the last one.
     pub fn next_due(&self) -> Option<Duration> {
         self.next.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Takes the next request if it is due.
+    /// Removes and returns the next request if it is due.
     pub fn take_due(&mut self, now: Duration) -> Option<Arrival> {
         if self.next_due()? > now {
             return None;
@@ -59,7 +60,7 @@
         Some(Arrival { due, target })
     }
 
-    /// Draws the arrival after one at this time.
+    /// Draws the next arrival at a target after the previous one, unless it is past the end of the load.
     fn draw_arrival(&mut self, target: usize, previous: Duration) {
         let Some(source) = &mut self.sources[target] else {
             return;
@@ -71,8 +72,9 @@
     }
 }
 
-/// The arrivals at one target.
+/// A Poisson process of arrivals at one target.
 struct ArrivalSource {
+    /// The distribution of the time between two arrivals.
     intervals: Exp<f64>,
     random: Pcg64Mcg,
 }
