--- a/fleet-lab/src/discovery/call_queue.rs
+++ b/fleet-lab/src/discovery/call_queue.rs
@@ -1,14 +1,17 @@
 //! The queue in which calls wait until the service handles them.
 //!
-//! Calls are handled in order of arrival; each takes a fixed time and a time for each list entry of its answer. A client that disconnects while its call is queued is noticed
-//! only when the call reaches the head of the queue, and the call uses its slot all the same, as in a service that does
-//! not watch the connections of queued calls. A call that waits for longer than the queue timeout is rejected and uses
-//! no slot. The time of a call is known when it arrives, and so is the result of its wait.
+//! Calls are handled in order of arrival. Each takes a fixed time, and a time for each list entry of its response. A
+//! call that would wait for longer than the queue timeout is rejected at that timeout and uses no slot.
+//!
+//! The service does not watch the connections of queued calls. It notices that a client has disconnected only when the
+//! call reaches the head of the queue; the call uses its slot all the same.
+//!
+//! The start of a call's slot is known when the call arrives, and with it the result of its wait.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The result of queueing a call.
+/// The result of adding a call to the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Admission {
     /// The call is handled at this time.
@@ -17,26 +20,27 @@
     TimesOutAt(Instant),
 }
 
-/// How long the service works on a call.
+/// The time that the service needs for a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallTimes {
-    /// For the call itself.
+    /// The time for the call itself.
     pub(super) per_call: Duration,
-    /// For each list entry of its answer.
+    /// The time for each list entry of its response.
     pub(super) per_entry: Duration,
 }
 
 impl CallTimes {
-    /// Returns the time of a call whose answer has this number of entries.
+    /// Returns the time for a call with this number of list entries in its response.
     fn of_call(self, entries: usize) -> Duration {
         self.per_call + self.per_entry.mul_f64(entries as f64)
     }
 }
 
-/// A first-in, first-out queue.
+/// A first-in, first-out queue of calls.
 pub(super) struct CallQueue {
     times: CallTimes,
     queue_timeout: Duration,
+    /// The time from which the service can handle another call.
     next_slot: Instant,
 }
 
@@ -50,7 +54,7 @@
         }
     }
 
-    /// Queues a call that arrives now, and whose answer has this number of list entries.
+    /// Adds a call that arrives now. `entries` is the number of list entries in its response.
     pub(super) fn enqueue(&mut self, now: Instant, entries: usize) -> Admission {
         let slot = self.next_slot.max(now);
         if slot - now > self.queue_timeout {
@@ -60,7 +64,7 @@
         Admission::HandledAt(slot)
     }
 
-    /// Changes the times of calls. Calls that are already queued keep their slots.
+    /// Changes the time that calls need. Calls that are already queued keep their slots.
     pub(super) fn set_times(&mut self, times: CallTimes) {
         self.times = times;
     }
--- a/fleet-lab/src/discovery/connection.rs
+++ b/fleet-lab/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! One accepted connection, which serves requests one after another until one of them opens a watch.
+//! An accepted connection. Its requests are served one after another until one of them opens a watch.
 
 use super::options::WatchOnChange;
 use super::protocol::{self, Call, Request};
@@ -17,14 +17,14 @@
 use tokio::sync::broadcast::error::RecvError;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Bytes read at once from a client whose further input is discarded.
+/// The size of one read from a client whose further input is ignored.
 const DISCARDED_READ_BYTES: usize = 64;
-/// Initial buffer capacity: enough for the head of a typical request.
+/// The initial capacity of the input buffer, enough for the head of a typical request.
 const TYPICAL_REQUEST_BYTES: usize = 512;
-/// How long the rest of a malformed request is read.
+/// The longest time for which the rest of a malformed request is read.
 const BAD_REQUEST_LINGER: Duration = Duration::from_secs(1);
 
-/// Serves a connection until it ends; [`configure`] was called on it. Dropping the future earlier resets the
+/// Serves a connection until it ends. [`configure`] must have been called on it. Dropping the future earlier resets the
 /// connection.
 pub(super) async fn serve(mut stream: TcpStream, zone: Rc<ZoneState>, service: Rc<Service>) {
     let mut partition = zone.is_partitioned.subscribe();
@@ -35,7 +35,7 @@
     };
     tokio::select! {
         biased;
-        // The sender lives as long as the zone, so this does not fail.
+        // The wait cannot fail, because the sender lives as long as the zone.
         _ = partition.wait_for(|is_partitioned| *is_partitioned) => {}
         result = session.run() => {
             if result.is_ok() {
@@ -44,24 +44,25 @@
             return;
         }
     }
-    // The connection of a partitioned zone stays open without traffic until the zone heals and aborts this task.
+    // The zone is partitioned. Its connections stay open without traffic until the partition ends and this task is
+    // aborted.
     pending::<()>().await;
 }
 
-/// Configures an accepted connection: small messages are sent at once, and closing it resets it until
-/// [`disable_reset`] is called.
+/// Configures an accepted connection. Small messages are sent at once, and closing the socket resets the connection
+/// unless [`disable_reset`] was called.
 pub(super) fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-/// Has the connection close with an orderly shutdown instead of a reset.
+/// Makes closing the socket an orderly shutdown instead of a reset.
 fn disable_reset(stream: &TcpStream) {
-    // After a failure the client sees a reset, which it has to cope with anyway.
+    // If this fails, the client sees a reset, which it must handle in any case.
     let _ = SockRef::from(stream).set_linger(None);
 }
 
-/// A connection with the state that its requests are served from.
+/// A connection, and the zone and service that its requests are for.
 struct Session<'a> {
     stream: &'a mut TcpStream,
     zone: &'a ZoneState,
@@ -69,6 +70,7 @@
 }
 
 impl Session<'_> {
+    /// Serves requests until the connection ends or a request asks for its end.
     async fn run(mut self) -> io::Result<()> {
         let mut unread = BytesMut::with_capacity(TYPICAL_REQUEST_BYTES);
         loop {
@@ -81,7 +83,7 @@
                     continue;
                 }
                 Err(problem) => {
-                    tracing::debug!(%problem, "malformed request");
+                    tracing::debug!(%problem, "closing a discovery connection after a malformed request");
                     return self.reject_malformed().await;
                 }
             };
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Returns whether the client has closed or reset the connection. Bytes that it has sent meanwhile are added to
+    /// Returns true if the client has closed or reset the connection. Adds bytes that it has sent meanwhile to
     /// `unread`.
     fn client_disconnected(&self, unread: &mut BytesMut) -> bool {
         match self.stream.try_read_buf(unread) {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Returns the number of list entries in the answer to a call.
+    /// Returns the number of list entries in the response to a call.
     fn response_entry_count(&self, call: Call) -> usize {
         let registry = self.service.registry.borrow();
         match call {
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Returns the version from which a watch resumes. Where watches end instead of sending changes, one that is behind
-    /// gets the full list.
+    /// Returns the version from which a watch resumes; `None` if it starts with the full list. With
+    /// [`WatchOnChange::Ends`], a watch from any version but the current one starts with the full list.
     fn resume_version(&self, since: Option<u64>) -> Option<u64> {
         let version = self.service.registry.borrow().version();
         let sends_changes = self.service.on_change == WatchOnChange::Sends;
@@ -150,7 +152,7 @@
     async fn watch(&mut self, since: Option<u64>) -> io::Result<()> {
         self.service.update_usage(|usage| usage.watches_opened += 1);
         let _open = CountGuard::new(&self.zone.open_watches);
-        // These steps run without a suspension point, so no change is published between them.
+        // No change is published between these steps, because they contain no suspension point.
         let mut changes = self.service.subscribe();
         let mut written_version = self.service.registry.borrow().version();
         let since = self.resume_version(since);
@@ -170,10 +172,10 @@
             };
             match change {
                 None => self.write_heartbeat().await?,
-                // The change is part of the full list that was written after a lag.
+                // The change is part of the full list that was written after the watch had lagged.
                 Some(Ok(Change { version, .. })) if version <= written_version => continue,
                 Some(Ok(_)) if self.service.on_change == WatchOnChange::Ends => {
-                    // Without the last chunk, the client sees that the response is incomplete.
+                    // The client sees from the missing last chunk that the response is incomplete.
                     return Err(io::ErrorKind::ConnectionAborted.into());
                 }
                 Some(Ok(Change { version, chunk })) => {
@@ -198,8 +200,8 @@
         Ok(())
     }
 
-    /// Answers a malformed request and closes the sending side. The rest of the request is read, because closing a
-    /// socket with unread bytes sends a reset that can overtake the answer.
+    /// Responds to a malformed request and closes the sending side. Reads the rest of the request, because closing a
+    /// socket with unread bytes sends a reset, which can arrive before the response.
     async fn reject_malformed(&mut self) -> io::Result<()> {
         self.write(protocol::BAD_REQUEST).await?;
         self.stream.shutdown().await?;
@@ -208,7 +210,7 @@
         Ok(())
     }
 
-    /// Writes all bytes, and counts those that were written also where the write fails.
+    /// Writes all bytes. Counts the bytes that were written even if a later write fails.
     async fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             let written = self.stream.write(bytes).await?;
@@ -223,7 +225,7 @@
     }
 }
 
-/// Reads and discards input until the client disconnects.
+/// Reads and ignores input until the client disconnects.
 async fn read_until_end(reader: &mut ReadHalf<'_>) {
     let mut discarded = [0; DISCARDED_READ_BYTES];
     while let Ok(1..) = reader.read(&mut discarded).await {}
--- a/fleet-lab/src/discovery/entry.rs
+++ b/fleet-lab/src/discovery/entry.rs
@@ -4,22 +4,22 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Whether an endpoint takes requests, as discovery publishes it.
+/// The status of an endpoint, as discovery publishes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// It accepts requests.
     Serving,
-    /// It completes the requests that it has and takes no new ones.
+    /// It completes the requests in flight and accepts no new ones.
     Draining,
-    /// It is removed from the list; sent in changes only.
+    /// It is removed from the list. This status occurs only in changes.
     Deleted,
 }
 
 /// All endpoints of one version of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListSnapshot {
-    /// The version.
+    /// The version of the list.
     pub version: u64,
     /// The endpoints, ordered by name.
     pub endpoints: Vec<EndpointEntry>,
@@ -28,9 +28,9 @@
 /// One endpoint of the published list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EndpointEntry {
-    /// Its name, identical at every sidecar.
+    /// The endpoint's name, identical at every sidecar.
     pub name: String,
-    /// The address that it listens at.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
@@ -39,10 +39,10 @@
     pub kind: String,
     /// The group of endpoints that it belongs to.
     pub group: u64,
-    /// Whether it takes requests.
+    /// Its status.
     pub status: EndpointStatus,
     /// Its load balancing weight.
     pub weight: f64,
-    /// Its last start in Unix time, in milliseconds; 0 is long ago.
+    /// The time of its last start in Unix milliseconds. 0 means long ago.
     pub since_ms: u64,
 }
--- a/fleet-lab/src/discovery/handle.rs
+++ b/fleet-lab/src/discovery/handle.rs
@@ -1,4 +1,4 @@
-//! The handle with which experiments control a simulated discovery service.
+//! A handle to control a simulated discovery service from other threads.
 
 use super::call_queue::CallTimes;
 use super::entry::{EndpointEntry, ListSnapshot};
@@ -16,22 +16,22 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-/// A running discovery service on a thread of its own, with one listening address for each zone. Dropping it stops the
-/// service and resets its connections.
+/// A discovery service that runs on its own thread, with one listening address for each zone. Dropping the handle stops
+/// the service and resets its connections.
 #[derive(Debug)]
 pub struct DiscoveryServer {
     addresses: BTreeMap<ZoneName, SocketAddr>,
-    /// None once the service is being stopped.
+    /// `None` once the service is being stopped.
     commands: Option<UnboundedSender<Command>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl DiscoveryServer {
-    /// Starts the service with these endpoints as version 1.
+    /// Starts the service. The endpoints are version 1 of its list.
     ///
     /// # Errors
-    /// Fails where no address can be reserved or no thread started, and where the options are invalid: a rate of zero
-    /// calls a second, or a heartbeat of zero.
+    /// Returns an error if no address can be reserved, the thread cannot be started, or the options are invalid: a rate
+    /// that is not positive, or a heartbeat of zero.
     pub fn start(
         options: DiscoveryOptions,
         zones: &[ZoneName],
@@ -67,7 +67,7 @@
         let thread = thread::Builder::new().name("discovery".into()).spawn(run)?;
         start_result
             .recv()
-            .unwrap_or_else(|_| Err(io::Error::other("the discovery thread ended")))?;
+            .unwrap_or_else(|_| Err(io::Error::other("the discovery thread ended at start")))?;
         Ok(DiscoveryServer {
             addresses,
             commands: Some(commands),
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Returns the address of the service in a zone. Addresses stay the same over an outage.
+    /// Returns the address of the service in a zone. It stays the same during and after an outage.
     ///
     /// # Panics
     /// Panics if the service was started without this zone.
@@ -85,7 +85,7 @@
         *address.unwrap_or_else(|| panic!("discovery has no zone {zone}"))
     }
 
-    /// Returns the current version with all its endpoints, as a sidecar's configuration has it.
+    /// Returns the current version of the list with all its endpoints.
     #[must_use]
     pub fn snapshot(&self) -> ListSnapshot {
         self.call(|reply| Command::Snapshot { reply })
@@ -97,11 +97,11 @@
         self.call(|reply| Command::Publish { changes, reply })
     }
 
-    /// Changes the number of calls handled and of list entries written a second. Calls that are already queued keep their
-    /// slots.
+    /// Changes the number of calls that the service handles per second, and the number of list entries that it writes
+    /// per second. Calls that are already queued keep their slots.
     ///
     /// # Errors
-    /// Fails if a rate is not positive.
+    /// Returns an error if a rate is not positive.
     pub fn set_capacity(
         &self,
         calls_per_second: f64,
@@ -112,23 +112,23 @@
         Ok(())
     }
 
-    /// Resets all connections and refuses new ones until [`DiscoveryServer::end_outage`]. Changes may be published
-    /// meanwhile.
+    /// Resets all connections and refuses new ones until [`DiscoveryServer::end_outage`]. Changes can be published
+    /// during the outage.
     pub fn begin_outage(&self) {
         self.call(|reply| Command::BeginOutage { reply });
     }
 
-    /// Listens again at the same addresses.
+    /// Ends an outage: the service listens again at the same addresses.
     ///
     /// # Panics
-    /// Panics if the service cannot listen.
+    /// Panics if the service cannot listen at its addresses.
     pub fn end_outage(&self) {
         let listening = self.call(|reply| Command::EndOutage { reply });
         listening.expect("discovery can listen at its reserved addresses");
     }
 
-    /// Partitions a zone from discovery until [`DiscoveryServer::heal_zone`]: its connections stay open without
-    /// traffic, and new ones are accepted and get no answer.
+    /// Partitions a zone from discovery until [`DiscoveryServer::heal_zone`]. Its connections stay open without
+    /// traffic. New ones are accepted and get no response.
     ///
     /// # Panics
     /// Panics if the service was started without this zone.
@@ -152,12 +152,13 @@
         self.call(|reply| Command::Usage { reply })
     }
 
-    /// Returns the number of open watches by zone, without those of partitioned zones.
+    /// Returns the number of open watches by zone. It is 0 for a partitioned zone.
     #[must_use]
     pub fn watches_by_zone(&self) -> BTreeMap<ZoneName, u64> {
         self.call(|reply| Command::WatchesByZone { reply })
     }
 
+    /// Returns the name of a zone of the service, and panics if the service has no such zone.
     fn checked_zone(&self, zone: &ZoneName) -> ZoneName {
         assert!(
             self.addresses.contains_key(zone),
@@ -193,6 +194,7 @@
     }
 }
 
+/// Converts rates to the time that a call needs. Without a rate, list entries need no time.
 fn call_times(calls_per_second: f64, entries_per_second: Option<f64>) -> io::Result<CallTimes> {
     let per_entry = entries_per_second.map(|rate| time_per_unit("list entries", rate));
     Ok(CallTimes {
@@ -201,11 +203,12 @@
     })
 }
 
+/// Returns the time for one unit at a rate per second.
 fn time_per_unit(unit: &str, rate: f64) -> io::Result<Duration> {
     let problem = || {
         io::Error::new(
             io::ErrorKind::InvalidInput,
-            format!("the number of {unit} a second must be positive and finite"),
+            format!("the number of {unit} per second must be positive and finite"),
         )
     };
     if rate.is_nan() || rate <= 0.0 {
--- a/fleet-lab/src/discovery/mod.rs
+++ b/fleet-lab/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! A simulated discovery service that speaks the published discovery protocol over HTTP/1.1.
+//! A simulated discovery service. It implements the sidecar's discovery protocol over HTTP/1.1.
 //!
-//! `GET /v1/endpoints` returns the full list. `GET /v1/endpoints?follow=1&since=N` opens a watch: a chunked answer that
-//! stays open, with one JSON object for each change and an empty line every heartbeat. Calls are handled in order of
+//! `GET /v1/endpoints` returns the full list. `GET /v1/endpoints?follow=1&since=N` opens a watch: a chunked
+//! response that stays open, with a JSON object for each change. An empty line is sent after each heartbeat interval
+//! without a change. Calls are handled in order of
 //! arrival at a limited rate.
 
 mod call_queue;
--- a/fleet-lab/src/discovery/options.rs
+++ b/fleet-lab/src/discovery/options.rs
@@ -6,27 +6,28 @@
 /// Capacity and timing of a simulated discovery service.
 #[derive(Clone, Debug)]
 pub struct DiscoveryOptions {
-    /// Calls (full lists and new watches) that the service handles a second, in order of arrival.
+    /// The number of calls (full lists and new watches) that the service handles per second, in order of arrival.
     pub calls_per_second: f64,
-    /// How long a call may be queued; then it is answered 503.
+    /// The longest time for which a call is queued. A call that would wait longer is answered 503 after this time.
     pub queue_timeout: Duration,
-    /// Time between the empty lines on a watch without changes.
+    /// The time between the empty lines on a watch without changes.
     pub heartbeat: Duration,
-    /// List entries that the service writes a second, beside its time for each call; `None` where entries cost no time.
+    /// The number of list entries that the service writes per second, in addition to the time for each call. `None`
+    /// means that entries take no time.
     pub entries_per_second: Option<f64>,
-    /// What becomes of an open watch when the list changes.
+    /// The effect of a change of the list on open watches.
     pub on_change: WatchOnChange,
-    /// Number of past versions whose changes are retained; a watch from an older version gets the full list.
+    /// The number of past versions from which a watch can resume. A watch from an older version gets the full list.
     pub retained_changes: usize,
 }
 
-/// What becomes of an open watch when the list changes.
+/// The effect of a change of the list on open watches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WatchOnChange {
-    /// The changes are sent on it.
+    /// Each watch sends the changes.
     #[default]
     Sends,
-    /// It ends, and a call for a new one is answered with the full list.
+    /// Each watch ends. A new watch starts with the full list unless it names the current version.
     Ends,
 }
--- a/fleet-lab/src/discovery/protocol.rs
+++ b/fleet-lab/src/discovery/protocol.rs
@@ -1,64 +1,64 @@
-//! The text of the discovery protocol: parsing of requests, and serialization of answers and chunks.
+//! The encoding of the discovery protocol: parsing of requests, and serialization of responses and chunks.
 
 use super::entry::EndpointEntry;
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::Uri;
 use serde::Serialize;
 
-/// The longest head of a request, in bytes; a longer one is malformed.
+/// The longest head of a request, in bytes. A request with a longer one is malformed.
 const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
 /// The largest number of headers of a request.
 const MAX_REQUEST_HEADERS: usize = 64;
 
-/// The empty line that is sent on a watch without changes, as a chunk.
+/// The heartbeat of a watch: an empty line as a chunk.
 pub(super) const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
-/// The head of a watch's answer.
+/// The head of the response to a watch.
 pub(super) const WATCH_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// The answer to a call that was queued for too long.
+/// The response to a call that was queued for longer than the queue timeout.
 pub(super) const UNAVAILABLE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// The answer to a request for another path than that of the list.
+/// The response to a request with an unknown path.
 pub(super) const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-/// The answer to a malformed request, after which the connection is closed.
+/// The response to a malformed request. The connection is closed after it.
 pub(super) const BAD_REQUEST: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// What is called by a request.
+/// The call that a request makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Call {
-    /// The full list.
+    /// A call for the full list.
     List,
-    /// A watch.
+    /// A call that opens a watch.
     Watch {
         /// The version that the client has, if the request names one.
         since: Option<u64>,
     },
-    /// An unknown path.
+    /// A call to an unknown path.
     NotFound,
 }
 
 /// A complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Request {
-    /// What is called.
+    /// The call that it makes.
     pub(super) call: Call,
-    /// Whether the connection is closed after the answer.
+    /// True if the connection is closed after the response.
     pub(super) closes_connection: bool,
 }
 
-/// Why a request cannot be served.
+/// A request that does not follow the protocol.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MalformedRequest {
-    /// It is not HTTP.
+    /// The request is not HTTP/1.1.
     #[error("not HTTP/1.1: {0}")]
     Http(#[from] httparse::Error),
-    /// Its version, method or query is not supported, or it has a body.
+    /// The request's head is too long, its version, method, target or query is not supported, or it has a body.
     #[error("{0}")]
     Unsupported(&'static str),
 }
 
-/// Removes the next request from the unread bytes; none while it is incomplete.
+/// Removes the next request from the unread bytes and returns it; `None` while it is incomplete.
 pub(super) fn take_request(unread: &mut BytesMut) -> Result<Option<Request>, MalformedRequest> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_REQUEST_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -76,16 +76,17 @@
 
 fn parse_request(head: &httparse::Request<'_, '_>) -> Result<Request, MalformedRequest> {
     if head.version != Some(1) {
-        return Err(MalformedRequest::Unsupported("the version is not 1.1"));
+        return Err(MalformedRequest::Unsupported("the HTTP version is not 1.1"));
     }
     if head.method != Some("GET") {
         return Err(MalformedRequest::Unsupported("the method is not GET"));
     }
     if has_body(head) {
-        return Err(MalformedRequest::Unsupported("it has a body"));
+        return Err(MalformedRequest::Unsupported("the request has a body"));
     }
     let target = head.path.unwrap_or_default().parse::<Uri>();
-    let target = target.map_err(|_| MalformedRequest::Unsupported("the target is not a URI"))?;
+    let target =
+        target.map_err(|_| MalformedRequest::Unsupported("the request target is not a URI"))?;
     let call = match target.path() {
         "/v1/endpoints" => parse_call(target.query().unwrap_or_default())?,
         _ => Call::NotFound,
@@ -111,6 +112,7 @@
     }
 }
 
+/// Returns the value of the first query parameter with this name.
 fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut parameters = query
         .split('&')
@@ -125,6 +127,7 @@
         || header(head, "content-length").is_some_and(|length| length != b"0")
 }
 
+/// Returns the value of the first header with this name.
 fn header<'a>(head: &httparse::Request<'_, 'a>, name: &str) -> Option<&'a [u8]> {
     head.headers
         .iter()
@@ -132,15 +135,17 @@
         .map(|header| header.value)
 }
 
-/// Returns the head of an answer with the full list.
+/// Returns the head of a response whose body is a full list of this length in bytes.
 pub(super) fn list_head(length: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n")
 }
 
-/// One object of the protocol.
+/// A full list or a set of changes, as the protocol sends it.
 #[derive(Serialize)]
 struct Message<'a> {
+    /// The version of the list.
     index: u64,
+    /// True for a full list.
     snapshot: bool,
     endpoints: Vec<&'a EndpointEntry>,
 }
@@ -175,7 +180,7 @@
     line
 }
 
-/// Frames text as one chunk of a chunked answer.
+/// Encodes text as one chunk of a chunked response.
 pub(super) fn chunk(text: &[u8]) -> Bytes {
     let mut chunk = format!("{:x}\r\n", text.len()).into_bytes();
     chunk.extend_from_slice(text);
--- a/fleet-lab/src/discovery/registry.rs
+++ b/fleet-lab/src/discovery/registry.rs
@@ -1,4 +1,4 @@
-//! The versioned list of endpoints, and the past changes from which a watch can resume.
+//! The versioned list of endpoints, and the past changes that a resumed watch needs.
 
 use super::entry::{EndpointEntry, EndpointStatus, ListSnapshot};
 use super::protocol;
@@ -8,35 +8,37 @@
 /// The version of the initial endpoints.
 const FIRST_VERSION: u64 = 1;
 
-/// One published change, as it is sent on all watches.
+/// The changes of one version, as all watches send them.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
-    /// The version that it leads to.
+    /// The version that they lead to.
     pub(super) version: u64,
-    /// The chunk that is sent.
+    /// The serialized changes, as a chunk.
     pub(super) chunk: Bytes,
 }
 
-/// The list of endpoints, its version and the changes that led to it.
+/// The list of endpoints, its version, and the changes of the latest versions.
 pub(super) struct Registry {
     version: u64,
     endpoints: BTreeMap<String, EndpointEntry>,
-    /// Changes of the latest versions, oldest first; the last ones led to `version`.
+    /// The changes of the latest versions, oldest first. The last item has the changes that led to `version`.
     changes: VecDeque<Vec<EndpointEntry>>,
+    /// The largest number of versions in `changes`.
     retained_changes: usize,
     serialized: Serialized,
 }
 
-/// Serialized forms of the current version, created on demand and shared by all connections.
+/// The serialized forms of the current version. They are created on demand and shared by all connections.
 #[derive(Default)]
 struct Serialized {
     full_list: Option<Bytes>,
     full_list_chunk: Option<Bytes>,
+    /// The first chunk of a watch, by the version from which it resumes.
     chunk_since: HashMap<u64, Bytes>,
 }
 
 impl Registry {
-    /// Creates a registry with these endpoints as its first version.
+    /// Creates a registry with these endpoints as version 1.
     pub(super) fn new(endpoints: &[EndpointEntry], retained_changes: usize) -> Self {
         let mut registry = Registry {
             version: FIRST_VERSION,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Applies changes as the next version.
+    /// Applies changes as the next version and returns their chunk.
     pub(super) fn publish(&mut self, changes: Vec<EndpointEntry>) -> Change {
         self.version += 1;
         self.apply(&changes);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Returns the full list as the body of an answer.
+    /// Returns the full list as the body of a response.
     pub(super) fn full_list(&mut self) -> Bytes {
         let (version, endpoints) = (self.version, &self.endpoints);
         let full_list = self.serialized.full_list.get_or_insert_with(|| {
@@ -88,7 +90,7 @@
         full_list.clone()
     }
 
-    /// Returns the full list as a chunk of a watch.
+    /// Returns the full list as one chunk of a watch.
     pub(super) fn full_list_chunk(&mut self) -> Bytes {
         let full_list = self.full_list();
         self.serialized
@@ -97,8 +99,8 @@
             .clone()
     }
 
-    /// Returns the first chunk of a watch: none if `since` is the current version, else all changes after it as one
-    /// object, or the full list where those changes are not retained.
+    /// Returns the first chunk of a watch that resumes from `since`. If that is the current version, there is none. The
+    /// chunk has all later changes as one object, or the full list if they are not retained or `since` is `None`.
     pub(super) fn chunk_since(&mut self, since: Option<u64>) -> Option<Bytes> {
         let since = match since {
             Some(since) if since == self.version => return None,
@@ -114,12 +116,12 @@
         Some(chunk)
     }
 
-    /// Returns how many entries the full list has.
+    /// Returns the number of entries in the full list.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Returns how many entries the first chunk of a watch has.
+    /// Returns the number of entries in the first chunk of a watch that resumes from `since`.
     pub(super) fn entries_since(&self, since: Option<u64>) -> usize {
         match since {
             Some(since) if since == self.version => 0,
@@ -138,12 +140,13 @@
         }
     }
 
+    /// Returns true if this is a past version and all changes after it are retained.
     fn retains_changes_after(&self, since: u64) -> bool {
         let oldest_retained = self.version - self.changes.len() as u64;
         (oldest_retained..self.version).contains(&since)
     }
 
-    /// Returns the latest entry of each endpoint that changed after this version.
+    /// Returns the latest entry of each endpoint that changed after this version. The changes must be retained.
     fn changes_after(&self, since: u64) -> BTreeMap<&str, &EndpointEntry> {
         let versions = (self.version - since) as usize;
         let first = self.changes.len() - versions;
--- a/fleet-lab/src/discovery/server.rs
+++ b/fleet-lab/src/discovery/server.rs
@@ -1,4 +1,4 @@
-//! The service's thread, which executes the commands of other threads and hosts the tasks of the connections.
+//! The service's thread. It executes commands from other threads and runs the tasks of the connections.
 
 use super::call_queue::CallTimes;
 use super::entry::{EndpointEntry, ListSnapshot};
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::LocalSet;
 
-/// A command from another thread. The reply is sent when the command is complete.
+/// A command from another thread. The service replies when the command is complete.
 #[derive(Debug)]
 pub(super) enum Command {
     Snapshot {
@@ -52,8 +52,8 @@
     },
 }
 
-/// Runs the service on the current thread: reports whether it has started, then executes commands until their channel
-/// is closed.
+/// Runs the service on the current thread. Reports the result of the start on `started`, then executes commands until
+/// their channel is closed.
 pub(super) fn run(
     commands: UnboundedReceiver<Command>,
     started: &SyncSender<io::Result<()>>,
@@ -82,7 +82,7 @@
 }
 
 impl Server {
-    /// Creates a server that does not listen yet.
+    /// Creates a service that does not listen yet.
     pub(super) fn new(
         options: &DiscoveryOptions,
         times: CallTimes,
@@ -101,6 +101,7 @@
             .try_for_each(|zone| zone.listen(&self.service))
     }
 
+    /// Executes commands until their channel is closed, then shuts down.
     async fn execute_all(&mut self, mut commands: UnboundedReceiver<Command>) {
         while let Some(command) = commands.recv().await {
             self.execute(command).await;
@@ -144,6 +145,7 @@
         self.zones.iter().find(|zone| zone.name() == name)
     }
 
+    /// Stops listening, resets all connections and empties the queue.
     async fn shut_down(&mut self) {
         for zone in &mut self.zones {
             zone.shut_down().await;
@@ -167,7 +169,7 @@
     }
 }
 
-/// Sends a reply. A receiver that has stopped waiting needs none, so a failure is ignored.
+/// Sends a reply. A failure is ignored: the receiver has stopped waiting.
 fn reply_to<T>(reply: &SyncSender<T>, value: T) {
     let _ = reply.send(value);
 }
--- a/fleet-lab/src/discovery/service.rs
+++ b/fleet-lab/src/discovery/service.rs
@@ -1,4 +1,5 @@
-//! The state that all connections share: the registry, the call queue, the stream of changes and the counters.
+//! The state that all connections of a service share: the registry, the call queue, the stream of changes and the
+//! counters.
 
 use super::call_queue::{Admission, CallQueue, CallTimes};
 use super::entry::EndpointEntry;
@@ -11,10 +12,10 @@
 use tokio::sync::broadcast;
 use tokio::time::{Instant, sleep_until};
 
-/// Changes that a watch may lag behind before it gets the full list in their place.
+/// The number of versions by which a watch may lag behind. A watch that lags further gets the full list.
 const MAX_WATCH_LAG: usize = 1024;
 
-/// How a call left the queue.
+/// The way in which a call left the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueOutcome {
     /// The call is to be handled now.
@@ -23,23 +24,24 @@
     TimedOut,
 }
 
-/// The state that all connections share, on the service's thread.
+/// The state that all connections share. It is used only on the service's thread.
 pub(super) struct Service {
-    /// Time between the empty lines on a watch.
+    /// The time between the empty lines on a watch without changes.
     pub(super) heartbeat: Duration,
     /// The endpoints and their version.
     pub(super) registry: RefCell<Registry>,
-    /// What becomes of an open watch when the list changes.
+    /// The effect of a change of the list on open watches.
     pub(super) on_change: WatchOnChange,
-    /// The counters, without open watches and processor time, which are read on demand.
+    /// The counters. Open watches and processor time are not kept here but read on demand.
     pub(super) usage: RefCell<DiscoveryUsage>,
     call_queue: RefCell<CallQueue>,
+    /// The number of calls that wait in the queue.
     queued: Rc<Cell<u64>>,
     changes: broadcast::Sender<Change>,
 }
 
 impl Service {
-    /// Creates the service with these endpoints as its first version.
+    /// Creates the service with these endpoints as version 1.
     pub(super) fn new(
         options: &DiscoveryOptions,
         times: CallTimes,
@@ -60,17 +62,17 @@
     pub(super) fn publish(&self, changes: Vec<EndpointEntry>) -> u64 {
         let change = self.registry.borrow_mut().publish(changes);
         let version = change.version;
-        // The error only says that no watch is open.
+        // Sending fails only if no watch is open.
         let _ = self.changes.send(change);
         version
     }
 
-    /// Returns the stream of all changes from now on.
+    /// Returns the stream of all changes that are published from now on.
     pub(super) fn subscribe(&self) -> broadcast::Receiver<Change> {
         self.changes.subscribe()
     }
 
-    /// Queues a call whose answer has this number of list entries, and waits until it is handled or times out.
+    /// Queues a call with this number of list entries in its response, and waits until it is handled or times out.
     pub(super) async fn wait_in_queue(&self, entries: usize) -> QueueOutcome {
         let now = Instant::now();
         let admission = self.call_queue.borrow_mut().enqueue(now, entries);
@@ -87,12 +89,12 @@
         outcome
     }
 
-    /// Changes the times of calls. Calls that are already queued keep their slots.
+    /// Changes the time that calls need. Calls that are already queued keep their slots.
     pub(super) fn set_times(&self, times: CallTimes) {
         self.call_queue.borrow_mut().set_times(times);
     }
 
-    /// Removes all queued calls and resets the longest queue.
+    /// Removes all queued calls and resets the length of the longest queue.
     pub(super) fn clear_queue(&self) {
         self.call_queue.borrow_mut().clear(Instant::now());
         self.update_usage(|usage| usage.max_queue_length = 0);
@@ -104,11 +106,11 @@
     }
 }
 
-/// Raises a count by one until it is dropped.
+/// Keeps a count raised by one until the guard is dropped.
 pub(super) struct CountGuard(Rc<Cell<u64>>);
 
 impl CountGuard {
-    /// Raises a count.
+    /// Raises the count.
     pub(super) fn new(count: &Rc<Cell<u64>>) -> Self {
         count.set(count.get() + 1);
         CountGuard(count.clone())
--- a/fleet-lab/src/discovery/zone.rs
+++ b/fleet-lab/src/discovery/zone.rs
@@ -1,4 +1,4 @@
-//! A zone's address with its listener and the connections that were accepted there.
+//! A zone's address, its listener, and the connections that were accepted there.
 
 use super::connection;
 use super::service::Service;
@@ -14,19 +14,20 @@
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 use tokio::time::sleep;
 
-/// Connections that may wait to be accepted.
+/// The largest number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 4096;
-/// Pause after a failed accept, for example when descriptors have run out.
+/// The pause after a failed accept, for example when the process has no free descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 type Connections = Rc<RefCell<JoinSet<()>>>;
 
-/// A zone: its address, its listener (none while discovery is down) and its connections.
+/// The part of the service that serves one zone.
 pub(super) struct Zone {
     name: ZoneName,
     address: ReservedAddress,
     state: Rc<ZoneState>,
     connections: Connections,
+    /// The task that accepts connections; `None` while discovery is down.
     listener: Option<JoinHandle<()>>,
 }
 
@@ -49,12 +50,12 @@
         &self.name
     }
 
-    /// Returns the number of open watches; a partitioned zone has none.
+    /// Returns the number of open watches, which is 0 while the zone is partitioned.
     pub(super) fn open_watches(&self) -> u64 {
         self.state.open_watches.get()
     }
 
-    /// Starts to accept connections, unless the zone already does.
+    /// Starts to accept connections unless the zone already does so.
     pub(super) fn listen(&mut self, service: &Rc<Service>) -> io::Result<()> {
         if self.listener.is_none() {
             let listener = TcpListener::from_std(self.address.listen(LISTEN_BACKLOG)?)?;
@@ -69,22 +70,22 @@
         Ok(())
     }
 
-    /// Stops listening, so that new connections are refused, and resets the open ones.
+    /// Stops listening and resets the open connections. New ones are refused.
     pub(super) async fn shut_down(&mut self) {
         if let Some(listener) = self.listener.take() {
             listener.abort();
-            // The result is that of an aborted task; the wait ensures that its socket is closed.
+            // The task was aborted, so its result is ignored. Waiting for it ensures that its socket is closed.
             let _ = listener.await;
         }
         self.reset_connections().await;
     }
 
-    /// Partitions the zone: open and new connections stay open and get no answer.
+    /// Partitions the zone. Open and new connections stay open and get no response.
     pub(super) fn partition(&self) {
         self.state.is_partitioned.send_replace(true);
     }
 
-    /// Ends a partition: resets the connections that it affected and serves new ones.
+    /// Ends a partition. Resets the connections that it affected and serves new ones.
     pub(super) async fn heal(&self) {
         if self.state.is_partitioned.send_replace(false) {
             self.reset_connections().await;
@@ -97,6 +98,7 @@
     }
 }
 
+/// Accepts connections and starts a task for each.
 async fn accept(
     listener: TcpListener,
     connections: Connections,
--- a/fleet-lab/src/discovery/zone_state.rs
+++ b/fleet-lab/src/discovery/zone_state.rs
@@ -1,4 +1,4 @@
-//! The state that a zone shares with the tasks of its connections.
+//! The state of a zone that the tasks of its connections use.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,8 +6,8 @@
 
 /// The state that a zone shares with the tasks of its connections.
 pub(super) struct ZoneState {
-    /// Whether the zone is partitioned from discovery.
+    /// True while the zone is partitioned from discovery.
     pub(super) is_partitioned: watch::Sender<bool>,
-    /// Open watches, without those of a partitioned zone.
+    /// The number of open watches, which is 0 while the zone is partitioned.
     pub(super) open_watches: Rc<Cell<u64>>,
 }
