--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on one connection of an endpoint: one request at a time, each answered with one write.
+//! An accepted HTTP/1.1 connection of an endpoint. It serves one request at a time; each response is one write.
 
 use super::downstream::Downstream;
 use super::message::{EndpointResponse, READ_BYTES, Request, RequestError};
@@ -14,17 +14,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes that are read ahead while a request is queued; further ones stay in the kernel's buffer.
+/// The number of bytes that are read ahead while a request is queued. Further ones stay in the kernel's buffer.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
-/// The byte that bodies of successful answers consist of.
+/// The byte that fills the body of a successful response.
 const BODY_BYTE: u8 = b'x';
 
-/// An endpoint between a start and the next stop.
+/// An endpoint from a start to the next stop.
 pub(super) struct RunningEndpoint {
     pub state: Arc<EndpointState>,
     pool: CorePool,
+    /// The client for calls to the next tier; `None` in the last tier.
     downstream: Option<Downstream>,
+    /// The body of successful responses.
     body: Vec<u8>,
 }
 
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Returns the load report that answers carry, if they carry one.
+    /// Returns the current load report; `None` if the endpoint sends no load reports.
     fn load_report(&self) -> Option<LoadReport> {
         let calls = self
             .downstream
@@ -54,7 +56,7 @@
             .then(|| self.pool.load_report(calls))
     }
 
-    /// Returns the answer to a health check; none if the request is not a health check.
+    /// Returns the response to a health check; `None` if the request is not one.
     fn health_check_response(&self, request: &Request) -> Option<EndpointResponse> {
         let response = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/health") => EndpointResponse::Healthy,
@@ -69,7 +71,7 @@
         })
     }
 
-    /// Works on a request that has a core, and calls the next tier if there is one.
+    /// Works on a request with its core, frees the core, and then calls the next tier if there is one.
     async fn run(
         &self,
         request: &Request,
@@ -100,17 +102,17 @@
     }
 }
 
-/// How a connection ends.
+/// The way in which a connection ends.
 enum Ending {
     /// It is closed.
     Closed,
-    /// It is reset, as when a process is killed.
+    /// It is reset, as if the endpoint's process were killed.
     Reset,
 }
 
 /// Serves a connection until it ends. Dropping the future earlier resets the connection.
 pub(super) async fn serve(stream: TcpStream, endpoint: Rc<RunningEndpoint>) {
-    // A failure only makes the connection slower.
+    // If this fails, the connection is only slower.
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(stream, endpoint);
     match connection.run().await {
@@ -124,7 +126,7 @@
     endpoint: Rc<RunningEndpoint>,
     input: BytesMut,
     output: Vec<u8>,
-    /// Whether dropping it resets the connection instead of closing it.
+    /// True if dropping it resets the connection instead of closing it.
     resets_on_drop: bool,
 }
 
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Reads the next request; none at the end of the connection.
+    /// Reads the next request; `None` at the end of the connection.
     async fn next_request(&mut self) -> io::Result<Option<Result<Request, RequestError>>> {
         loop {
             if !self.input.is_empty()
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Serves a request; no answer if the client disconnects while it is queued.
+    /// Serves a request and returns its response; `None` if the client disconnects while the request is queued.
     async fn handle_request(
         &mut self,
         endpoint: &RunningEndpoint,
@@ -208,7 +210,7 @@
         Some(endpoint.run(request, core, deadline).await)
     }
 
-    /// Waits for a core; none if the client disconnects first.
+    /// Waits for a core; `None` if the client disconnects first.
     async fn wait_for_core<'pool>(&mut self, slot: QueueSlot<'pool>) -> Option<Core<'pool>> {
         tokio::select! {
             biased;
@@ -217,7 +219,8 @@
         }
     }
 
-    /// Waits until the client closes the connection or its sending side. Input until then is buffered.
+    /// Waits until the client closes the connection or its sending side. Buffers the input until then, up to
+    /// [`MAX_READ_AHEAD_BYTES`]; with a full buffer it waits forever.
     async fn end_of_input(&mut self) {
         while self.input.len() < MAX_READ_AHEAD_BYTES {
             self.input.reserve(READ_BYTES);
@@ -244,8 +247,8 @@
         self.stream.write_all(&self.output).await
     }
 
-    /// Leaves a request without an answer until the endpoint resumes, which resets the connection. The client may close
-    /// it first.
+    /// Leaves the request without a response until the endpoint resumes, then resets the connection. The connection
+    /// ends earlier if the client closes it.
     async fn hang(&mut self) -> io::Result<Ending> {
         let endpoint = Rc::clone(&self.endpoint);
         tokio::select! {
@@ -259,14 +262,14 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         if self.resets_on_drop {
-            // After a failure the connection is closed instead.
+            // If this fails, the connection is closed instead.
             let _ = self.stream.set_zero_linger();
         }
         self.endpoint.state.counters.connections_open.decrement();
     }
 }
 
-/// Reads and discards input until the peer closes the connection.
+/// Reads and ignores input until the peer closes the connection.
 async fn read_until_closed(stream: &mut TcpStream) -> io::Result<()> {
     let mut scratch = [0; READ_BYTES];
     while stream.read(&mut scratch).await? > 0 {}
--- a/fleet-lab/src/endpoint/downstream.rs
+++ b/fleet-lab/src/endpoint/downstream.rs
@@ -1,4 +1,4 @@
-//! Calls to the next tier through the endpoint's sidecar. Connections are reused, each for one call at a time.
+//! Calls from an endpoint to the next tier through a sidecar. Connections are reused; each carries one call at a time.
 
 use super::message::Request;
 use super::response::{Response, ResponseError, is_closed, read_response};
@@ -12,47 +12,48 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The largest number of idle connections; further ones are closed after their call.
+/// The largest number of idle connections. Further ones are closed after their call.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// How long an endpoint waits for the sidecar beyond the deadline.
+/// The time that the endpoint waits for the sidecar's response beyond the deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// How long a call may take if the request has no deadline.
+/// The timeout of a call if the request has no deadline.
 const MAX_CALL_TIME: Duration = Duration::from_secs(30);
 
 const STATUS_OK: u16 = 200;
 
-/// The client of one sidecar.
+/// A client of the sidecar through which an endpoint calls the next tier.
 pub(super) struct Downstream {
     sidecar: SocketAddr,
     idle: RefCell<Vec<CallConnection>>,
     in_flight: Cell<u32>,
+    /// The random numbers that are the ids of calls.
     ids: RefCell<Pcg64>,
 }
 
-/// Why a call failed.
+/// A failed call to the next tier.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
-    /// The deadline passed before the call.
-    #[error("no time is left for the call")]
+    /// The deadline had passed before the call.
+    #[error("the deadline had passed before the call")]
     NoTimeLeft,
-    /// No answer was received in time.
-    #[error("the call timed out")]
+    /// No complete response was received in time.
+    #[error("no complete response in time")]
     TimedOut,
-    /// The connection could not be opened or the request not be written.
-    #[error("cannot send: {0}")]
+    /// The connection could not be opened, or the request could not be written.
+    #[error("cannot send the request: {0}")]
     Send(#[from] io::Error),
     /// No complete response was received.
     #[error(transparent)]
     Response(#[from] ResponseError),
-    /// The sidecar's status was not 200.
-    #[error("status {0}")]
+    /// The status of the response was not 200.
+    #[error("the response status is {0}, not 200")]
     Status(u16),
 }
 
 impl CallError {
-    /// Returns whether the connection ended before the sidecar began to answer.
+    /// Returns true if the connection failed before the first byte of a response.
     fn is_unanswered(&self) -> bool {
         matches!(
             self,
@@ -62,7 +63,7 @@
 }
 
 impl Downstream {
-    /// Creates a client with ids from these random numbers.
+    /// Creates a client. The ids of its calls are drawn from `ids`.
     pub fn new(sidecar: SocketAddr, ids: Pcg64) -> Self {
         Self {
             sidecar,
@@ -77,7 +78,8 @@
         self.in_flight.get()
     }
 
-    /// Forwards a request with a new id and its remaining time; fails unless the answer is 200.
+    /// Forwards a request with a new id and the time left until the deadline. Returns an error unless the response
+    /// status is 200.
     pub async fn call(
         &self,
         request: &Request,
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Sends a call on an idle connection if there is one. If that connection was closed before the sidecar answered,
-    /// the call is sent again on a new one.
+    /// Sends a call on an idle connection if there is one. If that connection ends before the first byte of the
+    /// response, sends the call again on a new one.
     async fn send(&self, call: &Call<'_>) -> Result<Response, CallError> {
         if let Some(connection) = self.take_idle_connection() {
             match self.send_on(connection, call).await {
@@ -131,7 +133,7 @@
         Ok(response)
     }
 
-    /// Takes the open idle connection that was used last.
+    /// Takes the idle connection that was used last and is still open.
     fn take_idle_connection(&self) -> Option<CallConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
@@ -150,7 +152,7 @@
     }
 }
 
-/// A call to the sidecar.
+/// A call to the next tier.
 struct Call<'request> {
     id: u64,
     request: &'request Request,
@@ -158,7 +160,7 @@
 }
 
 impl Call<'_> {
-    /// Appends the serialized call to the output.
+    /// Appends the serialized request to the output.
     fn write(&self, output: &mut Vec<u8>) -> io::Result<()> {
         let Request {
             method,
@@ -188,7 +190,7 @@
     }
 }
 
-/// A connection to the sidecar.
+/// A connection to the sidecar, with its buffers.
 struct CallConnection {
     stream: TcpStream,
     input: BytesMut,
@@ -206,6 +208,7 @@
         })
     }
 
+    /// Sends a call and reads its response.
     async fn exchange(&mut self, call: &Call<'_>) -> Result<Response, CallError> {
         self.output.clear();
         call.write(&mut self.output)?;
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -1,4 +1,4 @@
-//! The handles with which experiments control simulated endpoints.
+//! Handles to control simulated endpoints from other threads.
 
 use super::host::{CommandSender, HostThread};
 use super::options::EndpointOptions;
@@ -14,10 +14,11 @@
 /// The machine type of all endpoints.
 const MACHINE_KIND: &str = "model";
 
-/// A host of many endpoints on threads of its own, which are stopped when it is dropped.
+/// Runs many endpoints on a few threads. Dropping it stops the endpoints and the threads.
 #[derive(Debug)]
 pub struct EndpointHost {
     threads: Vec<HostThread>,
+    /// The number of endpoints that were added.
     endpoints: AtomicU64,
 }
 
@@ -29,15 +30,15 @@
 }
 
 impl EndpointHost {
-    /// Starts a host without endpoints, with a seed for all its random numbers.
+    /// Starts a host without endpoints. All its random numbers depend on the seed.
     ///
     /// # Errors
-    /// Fails where a thread cannot be started.
+    /// Returns an error if a thread cannot be started or the number of threads is zero.
     pub fn start(threads: usize, seed: u64) -> io::Result<Self> {
         if threads == 0 {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                "a host needs a thread",
+                "a host needs at least one thread",
             ));
         }
         let threads = (0..threads)
@@ -49,11 +50,11 @@
         })
     }
 
-    /// Starts an endpoint. With a `next_sidecar` it answers a request only after a call through that sidecar, with a
-    /// new id and the remaining time.
+    /// Starts an endpoint. With a `next_sidecar`, it responds to a request only after a call to the next tier through
+    /// that sidecar. The call has a new id and the time left until the request's deadline.
     ///
     /// # Errors
-    /// Fails where no address can be reserved or the options are invalid.
+    /// Returns an error if no address can be reserved or the options are invalid.
     pub fn add(
         &self,
         name: EndpointName,
@@ -77,7 +78,7 @@
 }
 
 impl EndpointHandle {
-    /// Returns its entry in discovery's list, with the status serving.
+    /// Returns the endpoint's entry for the list of discovery, with the status serving.
     #[must_use]
     pub fn entry(&self) -> EndpointEntry {
         EndpointEntry {
@@ -92,28 +93,29 @@
         }
     }
 
-    /// Stops it as if its process were killed: open connections are reset and new ones refused. Returns when that is
-    /// done.
+    /// Stops the endpoint as if its process were killed: open connections are reset and new ones are refused. Returns
+    /// when the connections are reset.
     pub fn stop(&self) {
         self.thread.stop(self.state.number);
     }
 
-    /// Starts it again at the same address, warming up if it has a slow start. A running endpoint is stopped first.
+    /// Starts the endpoint again at the same address. A running endpoint is stopped first. An endpoint with a slow
+    /// start warms up again.
     ///
     /// # Errors
-    /// Fails where it cannot listen at its address again or its host has ended.
+    /// Returns an error if the endpoint cannot listen at its address or its host has ended.
     pub fn restart(&self) -> io::Result<()> {
         self.stop();
         self.state.record_restart();
         self.listen()
     }
 
-    /// Makes the endpoint hang: it accepts connections and reads requests but answers none of them.
+    /// Makes the endpoint hang: it accepts connections and reads requests but sends no responses.
     pub fn hang(&self) {
         self.state.hang();
     }
 
-    /// Ends [`EndpointHandle::hang`]. Connections with a request that was not answered are reset.
+    /// Ends [`EndpointHandle::hang`]. Connections with an unanswered request are reset.
     pub fn resume(&self) {
         self.state.resume();
     }
--- a/fleet-lab/src/endpoint/host.rs
+++ b/fleet-lab/src/endpoint/host.rs
@@ -1,4 +1,4 @@
-//! The threads of a host, the commands that start and stop endpoints on them, and the accepting of connections.
+//! The threads of a host. Commands start and stop endpoints on them; each endpoint has a task that accepts connections.
 
 use super::connection::{self, RunningEndpoint};
 use super::state::EndpointState;
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{self, JoinSet, LocalSet};
 
-/// Pause after a failed accept, for example when descriptors have run out.
+/// The pause after a failed accept, for example when the process has no free descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// A command to a host's thread.
@@ -24,7 +24,7 @@
         state: Arc<EndpointState>,
         listener: TcpListener,
     },
-    /// Stop an endpoint if it is running, and send a message when that is done.
+    /// Stop an endpoint if it is running, then send a message on `stopped`.
     Stop {
         number: u64,
         stopped: blocking_mpsc::Sender<()>,
@@ -44,17 +44,17 @@
         sent.map_err(|_| io::Error::new(io::ErrorKind::BrokenPipe, "the endpoint's host has ended"))
     }
 
-    /// Stops an endpoint and waits until its connections are reset. Does nothing if its host has ended.
+    /// Stops an endpoint and waits until its connections are reset. Does nothing if the thread has ended.
     pub fn stop(&self, number: u64) {
         let (stopped, wait) = blocking_mpsc::channel();
         if self.0.send(Command::Stop { number, stopped }).is_ok() {
-            // The error says that the thread has ended, and with it its endpoints.
+            // An error means that the thread has ended, and its endpoints with it.
             let _ = wait.recv();
         }
     }
 }
 
-/// A thread that runs endpoints, which is stopped when it is dropped.
+/// A thread that runs endpoints. Dropping it stops them and ends the thread.
 #[derive(Debug)]
 pub(super) struct HostThread {
     commands: CommandSender,
@@ -120,7 +120,7 @@
     }
 }
 
-/// A running endpoint.
+/// The task of a running endpoint.
 struct EndpointTask {
     stop: oneshot::Sender<()>,
     task: task::JoinHandle<()>,
@@ -133,7 +133,7 @@
         EndpointTask { stop, task }
     }
 
-    /// Stops it and waits until its connections are reset.
+    /// Stops the endpoint and waits until its connections are reset.
     async fn stop(self) {
         let _ = self.stop.send(());
         let _ = self.task.await;
@@ -150,7 +150,7 @@
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => {
-            tracing::error!(endpoint = %state.name, %error, "cannot listen");
+            tracing::error!(endpoint = %state.name, %error, "cannot listen for connections");
             return;
         }
     };
@@ -166,7 +166,7 @@
                     connections.spawn_local(connection::serve(stream, Rc::clone(&endpoint)));
                 }
                 Err(error) => {
-                    tracing::warn!(endpoint = %endpoint.state.name, %error, "cannot accept");
+                    tracing::warn!(endpoint = %endpoint.state.name, %error, "cannot accept a connection");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             },
--- a/fleet-lab/src/endpoint/message.rs
+++ b/fleet-lab/src/endpoint/message.rs
@@ -1,19 +1,19 @@
-//! Parsing of requests and serialization of answers.
+//! Parsing of requests to an endpoint, and serialization of its responses.
 
 use super::work::LoadReport;
 use bytes::{Buf, BytesMut};
 use std::io::Write;
 use std::time::Duration;
 
-/// The largest number of headers of a request or of a sidecar's response.
+/// The largest number of headers of a request to an endpoint, or of a sidecar's response.
 pub(super) const MAX_HEADERS: usize = 64;
 
-/// Capacity for each read, in bytes.
+/// The buffer capacity for one read, in bytes.
 pub(super) const READ_BYTES: usize = 1024;
-/// The longest request line with headers, in bytes.
+/// The longest head of a request or of a sidecar's response, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The longest body, in bytes.
+/// The longest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A complete request.
@@ -21,22 +21,24 @@
 pub(super) struct Request {
     pub method: String,
     pub path: String,
+    /// True if it has an `X-Request-Id` that is not empty.
     pub has_id: bool,
+    /// The request class, from `X-Class`.
     pub class: Option<String>,
-    /// How long the client waits, from the request's arrival.
+    /// The time that the client waits, counted from the request's arrival, from `X-Deadline`.
     pub time_left: Option<Duration>,
-    /// Whether the client wants the connection closed after the answer.
+    /// True if the client wants the connection closed after the response.
     pub closes_connection: bool,
     pub body: Vec<u8>,
 }
 
-/// Why a request is rejected.
+/// A request that is rejected because it is malformed or not supported.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(super) enum RequestError {
     /// It is not HTTP/1.1, or the value of a header is invalid.
     #[error("malformed request")]
     Malformed,
-    /// Its body has no `Content-Length`; chunked bodies are not supported.
+    /// It has a `Transfer-Encoding`. Chunked bodies are not supported.
     #[error("length required")]
     LengthRequired,
     /// Its head or its body is too long.
@@ -45,7 +47,7 @@
 }
 
 impl Request {
-    /// Removes a request from the front of the buffer; none while it is incomplete.
+    /// Removes a request from the front of the buffer and returns it; `None` while it is incomplete.
     pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>, RequestError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
@@ -103,36 +105,36 @@
     }
 }
 
-/// Parses a time in seconds with decimals; a negative one counts as zero.
+/// Parses a time in seconds with decimals. A negative time counts as zero.
 fn parse_seconds(text: &str) -> Result<Duration, RequestError> {
     let seconds: f64 = text.parse().map_err(|_| RequestError::Malformed)?;
     Duration::try_from_secs_f64(seconds.max(0.0)).map_err(|_| RequestError::Malformed)
 }
 
-/// The answer to a request.
+/// An endpoint's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum EndpointResponse {
-    /// 200 with the endpoint's body.
+    /// 200 with the body that the options give.
     Served,
     /// 200 to a health check at `/health`.
     Healthy,
     /// 200 to a health check at `/status/load`, with the load report as the body.
     Load,
-    /// 500: the work, or the call to the next tier, has failed.
+    /// 500: the work or the call to the next tier failed.
     Failed,
-    /// 503 with `X-Not-Run: 1`.
+    /// 503 with `X-Not-Run: 1`: the request was rejected without work.
     NotRun,
-    /// 404: the request has no id, or health checks are not answered.
+    /// 404: the request has no id, or it is a health check and the endpoint does not support them.
     NotFound,
-    /// The request was malformed or not supported.
+    /// 400, 411 or 413: the request was malformed or not supported.
     Rejected(RequestError),
 }
 
-/// Why writing to a buffer in memory cannot fail.
-const WRITE_CANNOT_FAIL: &str = "memory can be written to";
+/// The panic message for a failed write to a buffer in memory, which does not occur.
+const WRITE_CANNOT_FAIL: &str = "writing to a buffer in memory cannot fail";
 
 impl EndpointResponse {
-    /// Appends the serialized answer to the output.
+    /// Appends the serialized response to the output. `served_body` is the body of [`EndpointResponse::Served`].
     pub fn write(
         self,
         output: &mut Vec<u8>,
@@ -170,6 +172,7 @@
         output.extend_from_slice(body);
     }
 
+    /// Returns the status code with its reason phrase.
     fn status(self) -> &'static str {
         match self {
             EndpointResponse::Served | EndpointResponse::Healthy | EndpointResponse::Load => {
--- a/fleet-lab/src/endpoint/options.rs
+++ b/fleet-lab/src/endpoint/options.rs
@@ -5,7 +5,7 @@
 /// The longest service time, in milliseconds: a day.
 const MAX_SERVICE_MILLISECONDS: f64 = 86_400_000.0;
 
-/// The distribution of the time that an endpoint works on a request.
+/// The distribution of service times: the time that an endpoint works on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ServiceTime {
@@ -13,7 +13,7 @@
     None,
     /// A fixed time.
     Fixed {
-        /// In milliseconds.
+        /// The time, in milliseconds.
         milliseconds: f64,
     },
     /// Exponentially distributed times.
@@ -23,55 +23,55 @@
     },
 }
 
-/// How an endpoint's capacity grows after its start.
+/// The growth of an endpoint's capacity after its start. It is linear.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStart {
-    /// The fraction of its full capacity that it starts with.
+    /// The fraction of its full capacity that the endpoint has at its start.
     #[serde(rename = "from")]
     pub initial_capacity: f64,
-    /// How long it warms up, in milliseconds.
+    /// The time from its start to its full capacity, in milliseconds.
     #[serde(rename = "milliseconds")]
     pub warm_up_milliseconds: u64,
 }
 
-/// How an endpoint behaves.
+/// The behaviour of an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointOptions {
-    /// Requests that it works on at once.
+    /// The number of requests that it works on at the same time.
     pub cores: u32,
-    /// Requests that may be queued; further ones are rejected with 503 and `X-Not-Run: 1`.
+    /// The largest number of queued requests. Further ones are rejected with 503 and `X-Not-Run: 1`.
     pub queue: u32,
-    /// How long it works on a request.
+    /// The time that it works on a request.
     pub service_time: ServiceTime,
-    /// How its capacity grows after its start.
+    /// The growth of its capacity after its start; `None` for full capacity at once.
     #[serde(rename = "cold_ramp")]
     pub slow_start: Option<SlowStart>,
-    /// Whether its answers carry load reports, and health checks are answered.
+    /// True if its responses carry load reports and it responds to health checks.
     pub load_reports: bool,
-    /// Bytes of an answer's body.
+    /// The size of the body of a successful response, in bytes.
     pub answer_bytes: usize,
-    /// The fraction of requests that are answered 500 after their work.
+    /// The fraction of requests whose response is 500, after the work on them.
     #[serde(rename = "error_share", default)]
     pub error_rate: f64,
 }
 
-/// An option that is invalid. The messages name options by their keys in experiment files.
+/// An invalid option. The messages name options by their keys in experiment files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum InvalidOption {
-    #[error("an endpoint needs a core")]
+    #[error("cores must be at least 1")]
     Cores,
     #[error("error_share must be from 0 to 1")]
     ErrorRate,
     #[error("cold_ramp.from must be above 0 and at most 1")]
     SlowStart,
-    #[error("a service time must be above 0 and at most a day")]
+    #[error("service_time must be above 0 and at most a day")]
     ServiceTime,
 }
 
 impl EndpointOptions {
-    /// Checks the options; fails with the first invalid one.
+    /// Checks the options and returns the first invalid one as an error.
     pub(super) fn validate(&self) -> Result<(), InvalidOption> {
         if self.cores == 0 {
             return Err(InvalidOption::Cores);
--- a/fleet-lab/src/endpoint/response.rs
+++ b/fleet-lab/src/endpoint/response.rs
@@ -1,5 +1,5 @@
-//! Reading of a sidecar's response: its status, its body (which is discarded), and whether its connection can be
-//! reused.
+//! Reading of a sidecar's response. Only its status is kept, and whether its connection can be reused; the body is
+//! skipped.
 
 use super::message::{MAX_HEAD_BYTES, MAX_HEADERS, READ_BYTES};
 use bytes::{Buf, BytesMut};
@@ -11,15 +11,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Response {
     pub status: u16,
-    /// Whether the connection can carry another request.
+    /// True if the connection can carry another request.
     pub keep_alive: bool,
 }
 
-/// Why no complete response was received.
+/// A failure to read a complete response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
     /// The connection ended before the first byte.
-    #[error("connection ended without a response")]
+    #[error("connection ended before the first byte of a response")]
     NoResponse,
     /// The connection ended within the response.
     #[error("connection ended within a response")]
@@ -27,15 +27,15 @@
     /// The response is not HTTP/1.1.
     #[error("malformed response: {0}")]
     Malformed(#[from] httparse::Error),
-    /// A length is invalid.
-    #[error("malformed length in a response")]
+    /// The length of the body or of a chunk is invalid.
+    #[error("invalid length of a response's body or chunk")]
     MalformedLength,
     /// The head is too long.
     #[error("response head too long")]
     HeadTooLong,
 }
 
-/// How the end of a body is marked.
+/// The way in which the end of a body is marked.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
     Length(u64),
@@ -49,7 +49,7 @@
     closes_connection: bool,
 }
 
-/// Reads one response from a connection. The buffer contains bytes that were read beyond it.
+/// Reads one response from a connection. Bytes that were read beyond its end stay in the buffer.
 pub(super) async fn read_response(
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
@@ -75,7 +75,7 @@
 }
 
 impl ResponseReader<'_> {
-    /// Reads more bytes; fails at the end of the connection.
+    /// Reads more bytes. Returns an error at the end of the connection.
     async fn fill(&mut self) -> Result<(), ResponseError> {
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(self.buffer).await {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads the head of the final response and skips interim ones (1xx).
+    /// Reads the head of the final response. Skips interim responses (1xx).
     async fn head(&mut self) -> Result<ResponseHead, ResponseError> {
         loop {
             match take_head(self.buffer)? {
@@ -98,6 +98,7 @@
         }
     }
 
+    /// Skips this number of bytes.
     async fn skip(&mut self, mut length: u64) -> Result<(), ResponseError> {
         loop {
             let skipped = length.min(self.buffer.len() as u64);
@@ -110,6 +111,7 @@
         }
     }
 
+    /// Skips all chunks of a body and the trailers.
     async fn skip_chunks(&mut self) -> Result<(), ResponseError> {
         loop {
             let size = self.chunk_size().await?;
@@ -121,6 +123,7 @@
         }
     }
 
+    /// Reads the line with the size of the next chunk.
     async fn chunk_size(&mut self) -> Result<u64, ResponseError> {
         loop {
             let parsed = httparse::parse_chunk_size(self.buffer);
@@ -142,6 +145,7 @@
         Ok(())
     }
 
+    /// Skips all bytes until the connection ends.
     async fn skip_all(&mut self) {
         self.buffer.clear();
         while self.fill().await.is_ok() {
@@ -150,7 +154,7 @@
     }
 }
 
-/// Removes a response's head from the front of the buffer; none while it is incomplete.
+/// Removes a response's head from the front of the buffer and returns it; `None` while it is incomplete.
 fn take_head(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -176,7 +180,8 @@
     Ok(Some(head))
 }
 
-/// Removes the trailers, with the empty line, from the front of the buffer; false while they are incomplete.
+/// Removes the trailers and the empty line after them from the front of the buffer. Returns false while they are
+/// incomplete.
 fn take_trailers(buffer: &mut BytesMut) -> Result<bool, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let httparse::Status::Complete((length, _)) = httparse::parse_headers(buffer, &mut headers)?
@@ -187,7 +192,7 @@
     Ok(true)
 }
 
-/// Returns how a body without framing headers ends.
+/// Returns the framing of a body without framing headers.
 fn default_framing(status: u16) -> Framing {
     match status {
         100..200 | 204 | 304 => Framing::Length(0),
@@ -200,7 +205,7 @@
     text.parse().map_err(|_| ResponseError::MalformedLength)
 }
 
-/// Returns whether the peer has closed an idle connection, or sent unexpected bytes on it.
+/// Returns true if the peer has closed an idle connection or sent unexpected bytes on it.
 pub(super) fn is_closed(stream: &TcpStream) -> bool {
     let mut scratch = [0; 1];
     !matches!(stream.try_read(&mut scratch), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
--- a/fleet-lab/src/endpoint/state.rs
+++ b/fleet-lab/src/endpoint/state.rs
@@ -11,19 +11,20 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// Connections that may wait to be accepted.
+/// The largest number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: i32 = 1024;
 
-/// An endpoint over all its starts.
+/// The state of an endpoint, which is kept when the endpoint is restarted.
 #[derive(Debug)]
 pub(super) struct EndpointState {
-    /// Its number on its host.
+    /// The endpoint's number on its host.
     pub number: u64,
     pub name: EndpointName,
     pub zone: ZoneName,
     pub options: EndpointOptions,
+    /// The sidecar through which it calls the next tier; `None` in the last tier.
     pub next_sidecar: Option<SocketAddr>,
-    /// Its address, which stays the same over restarts.
+    /// Its address, which stays the same after a restart.
     pub address: ReservedAddress,
     pub counters: Counters,
     since_ms: AtomicU64,
@@ -59,12 +60,12 @@
         })
     }
 
-    /// Starts to listen at the address.
+    /// Starts to listen at the endpoint's address.
     pub fn listen(&self) -> io::Result<TcpListener> {
         self.address.listen(ACCEPT_BACKLOG)
     }
 
-    /// Returns its last start in Unix time, in milliseconds, or 0 for long ago.
+    /// Returns the time of the last start in Unix milliseconds. 0 means long ago.
     pub fn since_ms(&self) -> u64 {
         self.since_ms.load(Ordering::Relaxed)
     }
@@ -75,36 +76,38 @@
         self.restarts.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns random numbers for the present start, which differ from those of other endpoints and starts.
+    /// Returns a random number generator for the current start. Its numbers differ from those of other endpoints and of
+    /// other starts.
     pub fn random_generator(&self, host_seed: u64) -> Pcg64 {
         let restarts = self.restarts.load(Ordering::Relaxed);
         let stream = (u128::from(self.number) << u64::BITS) | u128::from(restarts);
         Pcg64::new(host_seed.into(), stream)
     }
 
-    /// Stops answering requests.
+    /// Stops responding to requests.
     pub fn hang(&self) {
         self.is_hanging.send_replace(true);
     }
 
-    /// Answers requests again.
+    /// Starts to respond to requests again.
     pub fn resume(&self) {
         self.is_hanging.send_replace(false);
     }
 
-    /// Returns whether requests are left without an answer.
+    /// Returns true while requests get no response.
     pub fn is_hanging(&self) -> bool {
         *self.is_hanging.borrow()
     }
 
-    /// Waits until requests are answered again.
+    /// Waits until the endpoint responds to requests again.
     pub async fn resumed(&self) {
         let mut is_hanging = self.is_hanging.subscribe();
-        // The sender lives as long as `self`, so the wait cannot fail.
+        // The wait cannot fail, because the sender lives as long as `self`.
         let _ = is_hanging.wait_for(|is_hanging| !is_hanging).await;
     }
 }
 
+/// Returns the current time in Unix milliseconds.
 fn unix_milliseconds() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/fleet-lab/src/endpoint/usage.rs
+++ b/fleet-lab/src/endpoint/usage.rs
@@ -7,16 +7,16 @@
 pub struct EndpointUsage {
     /// Accepted connections.
     pub connections: u64,
-    /// Connections open now.
+    /// Connections that are open now.
     pub connections_open: u64,
-    /// Complete requests.
+    /// Complete requests, without health checks.
     pub requests: u64,
-    /// Requests that were answered 200.
+    /// Requests with the response status 200.
     pub served: u64,
-    /// Requests that were rejected without work.
+    /// Requests that were rejected without work, with 503 and `X-Not-Run: 1`.
     #[serde(rename = "turned_away")]
     pub rejected_early: u64,
-    /// Requests whose call to the next tier failed, answered 500.
+    /// Requests with the response status 500 because the call to the next tier failed.
     pub failed: u64,
     /// Health checks (`/health` and `/status/load`).
     #[serde(rename = "probes")]
--- a/fleet-lab/src/endpoint/work.rs
+++ b/fleet-lab/src/endpoint/work.rs
@@ -1,4 +1,4 @@
-//! An endpoint's cores and their queue, the service times, and the load report.
+//! An endpoint's cores, the queue for them, the service times, and the load report.
 
 use super::options::{EndpointOptions, ServiceTime, SlowStart};
 use rand::RngExt;
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Time constant of the average utilisation in load reports.
+/// The time constant of the average utilisation in load reports.
 const UTILISATION_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// The longest lateness that shortens later work. A longer one is a stalled thread.
+/// The longest lateness of a timer that shortens later work. A longer one means that the thread has stalled.
 const MAX_CARRIED_LATENESS: Duration = Duration::from_millis(2);
 
-/// The cores of a running endpoint and their queue.
+/// The cores of a running endpoint and the queue for them.
 pub(super) struct CorePool {
     cores: u32,
     queue_limit: u32,
@@ -24,18 +24,21 @@
     error_rate: f64,
     started: Instant,
     permits: Semaphore,
+    /// The number of queued requests.
     queued: Cell<u32>,
+    /// The number of busy cores.
     busy: Cell<u32>,
     utilisation: Cell<Utilisation>,
+    /// The lateness of earlier timers that has not shortened any work yet.
     lateness: Cell<Duration>,
     random: RefCell<Pcg64>,
 }
 
-/// The result of admitting a request.
+/// The result of a request for a core.
 pub(super) enum Admission<'pool> {
-    /// It has a core.
+    /// The request has a core.
     Core(Core<'pool>),
-    /// It is queued for a core.
+    /// The request is queued for a core.
     Queued(QueueSlot<'pool>),
     /// The queue is full.
     RejectedEarly,
@@ -75,12 +78,12 @@
         Admission::Queued(QueueSlot { pool: self })
     }
 
-    /// Draws whether the next answer is an error.
+    /// Draws at random, with the error rate, if the next response is an error.
     pub fn draw_error(&self) -> bool {
         self.error_rate > 0.0 && self.random.borrow_mut().random_bool(self.error_rate)
     }
 
-    /// Returns the current load. `calls` is the number of calls to the next tier in flight.
+    /// Returns the current load. `calls` is the number of calls in flight to the next tier.
     pub fn load_report(&self, calls: u32) -> LoadReport {
         self.update_utilisation();
         LoadReport {
@@ -106,7 +109,8 @@
         Duration::from_secs_f64(milliseconds / 1000.0 / capacity)
     }
 
-    /// Updates the average utilisation for the time since the number of busy cores last changed.
+    /// Updates the average utilisation for the time since the last update. The number of busy cores is constant between
+    /// updates.
     fn update_utilisation(&self) {
         let busy_fraction = f64::from(self.busy.get()) / f64::from(self.cores);
         self.utilisation.set(
@@ -118,7 +122,7 @@
 }
 
 impl SlowStart {
-    /// Returns the fraction of its full capacity that an endpoint has at this time after its start.
+    /// Returns the fraction of its full capacity that an endpoint has this long after its start.
     fn capacity(&self, since_start: Duration) -> f64 {
         if self.warm_up_milliseconds == 0 {
             return 1.0;
@@ -129,13 +133,13 @@
     }
 }
 
-/// A slot in the queue, which is freed when it is dropped.
+/// A slot in the queue. Dropping it frees the slot.
 pub(super) struct QueueSlot<'pool> {
     pool: &'pool CorePool,
 }
 
 impl<'pool> QueueSlot<'pool> {
-    /// Waits for a core. Cores are given in order of arrival.
+    /// Waits for a core. Queued requests get cores in order of arrival.
     pub async fn core(self) -> Core<'pool> {
         let permit = self
             .pool
@@ -153,13 +157,14 @@
     }
 }
 
-/// A core that works on a request, which is freed when it is dropped.
+/// A core that works on a request. Dropping it frees the core.
 pub(super) struct Core<'pool> {
     pool: &'pool CorePool,
     _permit: SemaphorePermit<'pool>,
 }
 
 impl<'pool> Core<'pool> {
+    /// Marks a core as busy.
     fn occupy(pool: &'pool CorePool, permit: SemaphorePermit<'pool>) -> Self {
         pool.update_utilisation();
         pool.busy.set(pool.busy.get() + 1);
@@ -169,8 +174,8 @@
         }
     }
 
-    /// Works on the request. Timers fire late, at whole milliseconds. The lateness of one work shortens the next ones,
-    /// so that the mean service time, and with it the endpoint's capacity, is correct.
+    /// Works on the request: waits for a service time. Timers fire late, at whole milliseconds. The lateness of one
+    /// timer shortens later waits. This keeps the mean service time, and with it the endpoint's capacity, correct.
     pub async fn work(&self) {
         let service_time = self.pool.draw_work_time();
         let carried = service_time.min(self.pool.lateness.get());
@@ -196,15 +201,17 @@
     }
 }
 
-/// The exponentially weighted average over time of the fraction of busy cores.
+/// The average fraction of busy cores over time, with exponentially decreasing weights.
 #[derive(Clone, Copy)]
 struct Utilisation {
     average: f64,
+    /// The time of the last update.
     at: Instant,
 }
 
 impl Utilisation {
-    /// Returns the average at a later time; `busy_fraction` of the cores were busy since.
+    /// Returns the average at a later time. `busy_fraction` is the fraction of cores that were busy since the last
+    /// update.
     fn advanced_to(self, busy_fraction: f64, now: Instant) -> Self {
         let elapsed = now.saturating_duration_since(self.at);
         let decay = (-elapsed.as_secs_f64() / UTILISATION_TIME_CONSTANT.as_secs_f64()).exp();
@@ -215,7 +222,7 @@
     }
 }
 
-/// An endpoint's load, as answers and health checks carry it.
+/// An endpoint's load, as its responses carry it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadReport {
     in_flight: u32,
