--- a/fleet-lab/src/fault.rs
+++ b/fleet-lab/src/fault.rs
@@ -1,5 +1,5 @@
-//! Faults of the operators' plan: failed machines, racks and zones, rolling restarts, and regions that are partitioned
-//! from discovery.
+//! Faults that experiments inject: failed machines, racks and zones, rolling restarts, regions that are partitioned
+//! from discovery, and outages of discovery.
 
 use crate::topology::{EndpointName, Placement, RackName, RegionName, Topology, ZoneName};
 use rand::SeedableRng;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A fault.
+/// A fault that an experiment injects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
@@ -29,7 +29,7 @@
     Rack,
     /// All machines of a zone fail, and the zone is partitioned from discovery.
     Zone,
-    /// A region is partitioned from discovery: its sidecars' connections stay open without traffic.
+    /// A region is partitioned from discovery. The connections of its sidecars to discovery stay open without traffic.
     #[serde(rename = "region-cut")]
     RegionPartition,
     /// Discovery is down.
@@ -50,8 +50,8 @@
 }
 
 impl Fault {
-    /// Returns the parts of a topology that the fault affects, chosen by the seed. Machines that are restarted are in
-    /// the order of their restarts. At most all machines are affected.
+    /// Returns the parts of a topology that the fault affects. The choice depends on the seed. Machines that are
+    /// restarted are in the order of their restarts. A count above the number of machines affects all of them.
     #[must_use]
     pub fn impact(&self, topology: &Topology, seed: u64) -> Impact {
         let mut random = Pcg64::seed_from_u64(seed);
--- a/fleet-lab/src/lib.rs
+++ b/fleet-lab/src/lib.rs
@@ -1,8 +1,9 @@
-//! A model of the systems that the sidecar serves, with tools to load them and to measure what a sidecar costs.
+//! A model of the systems that a sidecar serves, with tools to load them and to measure the cost of a sidecar.
 //!
-//! A run reads an [`experiment`] file, generates a [`topology`], starts a [`discovery`] service, [`endpoint`]s, real
-//! and simulated [`sidecar`]s and open-loop [`caller`]s on loopback, injects [`fault`]s, [`measure`]s resources, and
-//! writes a [`report`]. The order of these steps for each kind of experiment is in [`scenario`].
+//! A run reads an [`experiment`] file and generates a [`topology`]. It starts a [`discovery`] service, [`endpoint`]s,
+//! real and simulated [`sidecar`]s and open-loop [`caller`]s on loopback. It injects [`fault`]s, [`measure`]s
+//! resources, and writes a [`report`]. The module [`scenario`] has the order of these steps for each kind of
+//! experiment.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/fleet-lab/src/limits.rs
+++ b/fleet-lab/src/limits.rs
@@ -1,9 +1,9 @@
-//! Limits of the lab's own process.
+//! Resource limits of the fleet-lab process.
 
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use tracing::{debug, warn};
 
-/// Raises the soft limit of descriptors to the hard limit, as fleets and callers use thousands of sockets.
+/// Raises the soft limit of descriptors to the hard limit. Fleets and callers use thousands of sockets.
 pub fn raise_descriptor_limit() {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     match setrlimit(
@@ -14,6 +14,6 @@
         },
     ) {
         Ok(()) => debug!(from = ?current, to = ?maximum, "raised the soft limit of descriptors"),
-        Err(error) => warn!(%error, "could not raise the soft limit of descriptors"),
+        Err(error) => warn!(%error, "cannot raise the soft limit of descriptors"),
     }
 }
--- a/fleet-lab/src/loopback_tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -1,5 +1,5 @@
-//! One tier on loopback: endpoints, the discovery service that lists them, and the configurations of sidecars that send
-//! to them.
+//! One tier on loopback: its endpoints, the discovery service that lists them, and the configurations of the sidecars
+//! that send requests to them.
 
 use crate::discovery::{DiscoveryOptions, DiscoveryServer, EndpointEntry};
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
@@ -21,15 +21,15 @@
     pub endpoints: u32,
     /// The prefix of the endpoints' names, to which their number is added.
     pub name_prefix: &'a str,
-    /// How the endpoints behave.
+    /// The behaviour of each endpoint.
     pub endpoint: &'a EndpointOptions,
-    /// The sidecars through which the endpoints call the next tier, by the endpoints' number; none in the last tier.
+    /// The sidecars through which the endpoints call the next tier, by the endpoints' numbers. Empty in the last tier.
     pub next_sidecars: &'a [SocketAddr],
-    /// How discovery behaves.
+    /// The capacity and timing of discovery.
     pub discovery: DiscoveryOptions,
 }
 
-/// A running tier. Its endpoints end with their host, and its discovery service when the tier is dropped.
+/// A running tier. Dropping it stops the discovery service. The endpoints run until their host is dropped.
 #[derive(Debug)]
 pub struct LoopbackTier {
     /// The discovery service that lists the endpoints.
@@ -38,7 +38,7 @@
     pub endpoints: Vec<EndpointHandle>,
 }
 
-/// Why a tier could not be started.
+/// A failure to start a tier.
 #[derive(Debug, thiserror::Error)]
 pub enum TierError {
     /// An endpoint could not be started.
@@ -58,7 +58,7 @@
     /// Starts endpoints on a host, and a discovery service that lists them.
     ///
     /// # Errors
-    /// Fails where an endpoint or the discovery service cannot be started.
+    /// Returns an error if an endpoint or the discovery service cannot be started.
     pub fn start(
         host: &EndpointHost,
         options: &LoopbackTierOptions<'_>,
@@ -92,8 +92,8 @@
         self.endpoints.iter().map(EndpointHandle::entry).collect()
     }
 
-    /// Returns the configuration of a sidecar that sends to this tier. It has the full list cached, and its seed
-    /// differs from those of other sidecars with the same `seed`.
+    /// Returns the configuration of a sidecar that sends requests to this tier. The sidecar has the full list cached.
+    /// Its seed combines `seed` with its position; sidecars at other positions have other seeds.
     #[must_use]
     pub fn sidecar_configuration(
         &self,
@@ -122,7 +122,7 @@
 /// Starts an endpoint that no discovery service lists.
 ///
 /// # Errors
-/// Fails where the endpoint cannot be started.
+/// Returns an error if the endpoint cannot be started.
 pub fn start_endpoint(
     host: &EndpointHost,
     name: &str,
--- a/fleet-lab/src/main.rs
+++ b/fleet-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the lab.
+//! The command line of fleet-lab.
 
 #![forbid(unsafe_code)]
 
--- a/fleet-lab/src/measure/mod.rs
+++ b/fleet-lab/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements: the resources that a process uses, and slopes over sizes.
+//! Measurements: the resources that a process uses, and straight lines through values at several sizes.
 
 mod process;
 mod slope;
--- a/fleet-lab/src/measure/process.rs
+++ b/fleet-lab/src/measure/process.rs
@@ -1,4 +1,4 @@
-//! The resources that a process uses, as the kernel counts them.
+//! The resources that a process uses, read from the kernel.
 
 use procfs::ProcError;
 use procfs::process::{Process, Status, Task};
@@ -7,27 +7,28 @@
 use std::io;
 use std::time::Duration;
 
-/// Bytes in the unit of `/proc/PID/status`.
+/// The number of bytes in the unit of `/proc/PID/status`.
 const KIBIBYTE: u64 = 1024;
 
 /// The resources that a process uses at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ProcessUsage {
-    /// Processor time since its start over all running threads, from `/proc/PID/task/*/schedstat`.
+    /// The sum of the processor times of all running threads, from `/proc/PID/task/*/schedstat`. Threads that have
+    /// ended are not included.
     pub processor_time: Duration,
     /// Anonymous resident memory (not backed by files), in bytes.
     pub anonymous_bytes: u64,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// Open descriptors.
+    /// The number of open descriptors.
     pub descriptors: u64,
 }
 
 impl ProcessUsage {
-    /// Reads the resources that a process uses.
+    /// Reads the resources that the process with this id uses.
     ///
     /// # Errors
-    /// Fails where there is no such process, or it has ended and was not waited for yet.
+    /// Returns an error if there is no such process, or if it has ended and its parent has not waited for it yet.
     pub fn of(process: u32) -> io::Result<Self> {
         let process_id = i32::try_from(process).map_err(io::Error::other)?;
         let process = Process::new(process_id).map_err(into_io_error)?;
@@ -51,7 +52,7 @@
     Duration::from_secs(seconds) + Duration::from_nanos(nanoseconds)
 }
 
-/// Returns the anonymous and resident bytes. The status of a process that has ended has neither.
+/// Returns the anonymous and the resident memory in bytes. The status of a process that has ended has neither.
 fn memory_bytes(status: &Status) -> io::Result<(u64, u64)> {
     match (status.rssanon, status.vmrss) {
         (Some(anonymous), Some(resident)) => Ok((anonymous * KIBIBYTE, resident * KIBIBYTE)),
@@ -71,12 +72,13 @@
     Ok(Duration::from_nanos(nanoseconds))
 }
 
-/// Returns the processor time of one thread; none if it has ended since the threads were listed.
+/// Returns the processor time of a thread; `None` if it has ended since the threads were listed.
 fn thread_nanoseconds(thread: &Task) -> Option<u64> {
     let schedstat = thread.schedstat().ok()?;
     Some(schedstat.sum_exec_runtime)
 }
 
+/// Converts an error of `procfs` and keeps its kind.
 fn into_io_error(error: ProcError) -> io::Error {
     let kind = match &error {
         ProcError::NotFound(_) => io::ErrorKind::NotFound,
--- a/fleet-lab/src/measure/slope.rs
+++ b/fleet-lab/src/measure/slope.rs
@@ -1,11 +1,11 @@
-//! Least-squares lines through metrics that were measured at several sizes.
+//! Least-squares lines through values that were measured at several sizes.
 
 use serde::Serialize;
 
-/// One measurement.
+/// The value of a metric at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// The size.
+    /// The size, for example a number of endpoints.
     pub size: f64,
     /// The measured value.
     pub value: f64,
@@ -16,16 +16,16 @@
 pub struct Slope {
     /// The value at size 0.
     pub intercept: f64,
-    /// The slope: the growth of the value for each unit of size.
+    /// The slope: the change of the value per unit of size.
     pub per_unit: f64,
     /// The fraction of the variance that the line does not explain, from 0 to 1; 0 if the values do not vary.
     pub unexplained: f64,
-    /// The largest distance of a point from the line.
+    /// The largest absolute difference between a value and the line.
     pub largest_residual: f64,
 }
 
 impl Slope {
-    /// Fits a line by ordinary least squares; none for fewer than two different sizes.
+    /// Fits a line by ordinary least squares. Returns `None` for fewer than two different sizes.
     pub fn fit(points: &[Point]) -> Option<Slope> {
         let first = points.first()?;
         if points.iter().all(|point| point.size == first.size) {
@@ -68,7 +68,7 @@
         points.iter().map(|point| point.value - self.at(point.size))
     }
 
-    /// Returns 1 - R².
+    /// Returns the fraction of the variance that the line does not explain: 1 - R².
     fn unexplained_fraction(&self, points: &[Point], mean_value: f64) -> f64 {
         let value_squares: f64 = points
             .iter()
--- a/fleet-lab/src/report.rs
+++ b/fleet-lab/src/report.rs
@@ -11,17 +11,17 @@
 /// One metric, measured at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Metric {
-    /// Its name, such as `resident memory`.
+    /// The metric's name, such as `resident memory`.
     pub name: String,
     /// The unit of its values.
     pub unit: String,
     /// The unit of its sizes, such as `endpoints`.
     pub size_unit: String,
-    /// The measurements.
+    /// The measured values, by size.
     pub points: Vec<Point>,
-    /// The line through the measurements; none where the metric is not fitted.
+    /// The straight line through the points; `None` if no line is fitted.
     pub slope: Option<Slope>,
-    /// A note on how to read it.
+    /// A note that explains the metric.
     pub note: Option<String>,
 }
 
@@ -37,26 +37,26 @@
     /// Its metrics.
     #[serde(rename = "figures")]
     pub metrics: Vec<Metric>,
-    /// Problems, of which none but a failure ended the experiment.
+    /// Problems that were found. One that begins with `failed: ` ended the experiment; the others did not.
     pub problems: Vec<String>,
 }
 
 /// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The program under test, by the run's label or by its path.
+    /// The program under test: the run's label, or else the program's path.
     pub program: String,
     /// The number of the machine's processors.
     pub processors: usize,
-    /// The results in the order in which the experiments were run.
+    /// The results, in the order in which the experiments were run.
     pub experiments: Vec<ExperimentReport>,
 }
 
 impl Report {
-    /// Writes `results.json` and `results.md` into a folder, which is created if it is missing.
+    /// Writes `results.json` and `results.md` into a folder. Creates the folder if it is missing.
     ///
     /// # Errors
-    /// Fails where a file cannot be written.
+    /// Returns an error if the folder cannot be created or a file cannot be written.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         fs::create_dir_all(folder)?;
         let json = serde_json::to_string_pretty(self)?;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Replaces a file with a rename, so that an interrupted write leaves the previous file intact.
+/// Writes a new file and renames it to `path`. An interrupted write leaves the previous file intact.
 fn replace_file(path: &Path, text: &str) -> io::Result<()> {
     let partial = path.with_extension("partial");
     fs::write(&partial, text)?;
--- a/fleet-lab/src/report/markdown.rs
+++ b/fleet-lab/src/report/markdown.rs
@@ -1,9 +1,9 @@
-//! Reports as Markdown: a section for each experiment, with a table for each metric and one of all slopes.
+//! Reports as Markdown: a section for each experiment, with a table for each metric and a table of all slopes.
 
 use super::{ExperimentReport, Metric, Report};
 use std::fmt::{self, Display, Formatter};
 
-/// Digits of a number in a table.
+/// The number of significant digits of a value in a table.
 const SIGNIFICANT_DIGITS: i32 = 3;
 /// The largest number of digits after the decimal point.
 const MAX_DECIMALS: i32 = 9;
@@ -121,7 +121,8 @@
     text.replace('|', "\\|")
 }
 
-/// Formats a number with [`SIGNIFICANT_DIGITS`], or with all its digits before the decimal point if they are more.
+/// Formats a number with [`SIGNIFICANT_DIGITS`]. All digits before the decimal point are kept, even if they are
+/// more. Whole numbers have no decimals.
 fn number(value: f64) -> String {
     if !value.is_finite() {
         return "none".into();
--- a/fleet-lab/src/reserved_address.rs
+++ b/fleet-lab/src/reserved_address.rs
@@ -4,9 +4,10 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// A loopback address that stays reserved until it is dropped, also while nothing listens there.
+/// A loopback address that stays reserved until it is dropped, even while nothing listens there.
 ///
-/// Its socket is bound and never listens, so connections are refused and the system does not assign the port again.
+/// Its socket is bound but never listens. Connections are refused, and the system does not assign the port to another
+/// socket.
 #[derive(Debug)]
 pub(crate) struct ReservedAddress {
     address: SocketAddr,
@@ -18,7 +19,7 @@
     pub(crate) fn reserve() -> io::Result<Self> {
         let socket = new_socket()?;
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
-        // Set after the bind, so that the system does not choose a port that is reserved already.
+        // The option is set after the bind. Otherwise the system could choose a port that is already reserved.
         socket.set_reuse_address(true)?;
         let address = socket.local_addr()?.as_socket();
         let address = address.ok_or(io::ErrorKind::AddrNotAvailable)?;
@@ -33,7 +34,7 @@
         self.address
     }
 
-    /// Starts to listen at the address, with a non-blocking listener.
+    /// Starts to listen at the address and returns the non-blocking listener.
     pub(crate) fn listen(&self, backlog: i32) -> io::Result<TcpListener> {
         let socket = new_socket()?;
         socket.set_reuse_address(true)?;
--- a/fleet-lab/src/signals.rs
+++ b/fleet-lab/src/signals.rs
@@ -1,4 +1,4 @@
-//! Handling of SIGINT and SIGTERM, which also ends the processes that the lab has started.
+//! Handling of SIGINT and SIGTERM: kills the sidecars that fleet-lab has started, then ends the process.
 
 use procfs::process::Process;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,16 +10,16 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::{error, info};
 
-/// Exit code after a signal, as shells have it for SIGINT.
+/// The exit code after a signal, as shells report it for SIGINT.
 const SIGNAL_EXIT_CODE: i32 = 130;
 
-/// Whether a signal was received and the sidecars are being killed.
+/// True once a signal was received and the sidecars are being killed.
 static IS_STOPPING: AtomicBool = AtomicBool::new(false);
 
-/// Starts a thread that waits for the signals. They are handled from the return of this function on.
+/// Starts a thread that waits for the signals. The signals are handled as soon as this function has returned.
 pub fn start_handler() {
     if let Err(cause) = catch_signals() {
-        error!(%cause, "cannot handle signals");
+        error!(%cause, "cannot install the handlers of SIGINT and SIGTERM");
     }
 }
 
@@ -41,23 +41,25 @@
     Ok(())
 }
 
-/// Does not return once a signal was received, as the failure of an experiment whose sidecars were killed is no result.
+/// Blocks forever once a signal was received. An experiment that fails because its sidecars were killed has no
+/// result to report.
 pub fn wait_if_stopping() {
     while IS_STOPPING.load(Ordering::SeqCst) {
         thread::park();
     }
 }
 
+/// Kills the child processes, which are sidecars, and exits.
 fn kill_children_and_exit() -> ! {
     IS_STOPPING.store(true, Ordering::SeqCst);
     let children = children();
     info!(
         sidecars = children.len(),
-        "received a signal, killing the sidecars"
+        "received a signal; killing the sidecars and exiting"
     );
     for child in children {
         if let Err(cause) = kill_process(child, Signal::KILL) {
-            error!(%cause, child = child.as_raw_nonzero(), "could not kill a sidecar");
+            error!(%cause, child = child.as_raw_nonzero(), "cannot kill a sidecar");
         }
     }
     exit(SIGNAL_EXIT_CODE)
--- a/fleet-lab/src/topology.rs
+++ b/fleet-lab/src/topology.rs
@@ -8,11 +8,11 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Standard deviation of the logarithm of a service's size. The largest of 62 services then has about ten times the
-/// endpoints of the median one.
+/// The standard deviation of the logarithm of a service's size. With this value, the largest of 62 services has about
+/// ten times as many endpoints as the median one.
 const SERVICE_SIZE_SIGMA: f64 = 1.0;
 
-/// Defines a shared name, which is cheap to clone.
+/// Defines a type of name that is cheap to clone, because clones share the text.
 macro_rules! name {
     ($(#[$documentation:meta])* $name:ident) => {
         $(#[$documentation])*
@@ -74,22 +74,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TopologySize {
-    /// Regions.
+    /// The number of regions.
     pub regions: u32,
-    /// Zones in each region.
+    /// The number of zones in each region.
     pub zones_per_region: u32,
-    /// Racks in each zone.
+    /// The number of racks in each zone.
     pub racks_per_zone: u32,
-    /// Services.
+    /// The number of services.
     pub services: u32,
-    /// Endpoints over all services, each with a machine and a sidecar of its own.
+    /// The number of endpoints of all services together. Each has its own machine and sidecar.
     pub endpoints: u32,
 }
 
 /// The location of one endpoint's machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The endpoint.
+    /// The endpoint's name.
     pub endpoint: EndpointName,
     /// The service that it belongs to.
     pub service: ServiceName,
@@ -118,9 +118,11 @@
 }
 
 impl Topology {
-    /// Assigns endpoints to services of uneven sizes, each with at least one while there are enough, and spreads the
-    /// endpoints of each service evenly over zones, in alternating regions, and racks. Endpoints are numbered service
-    /// by service. The same size and seed give the same topology. A size that contains a zero gives no placements.
+    /// Generates a topology. The same size and seed give the same topology.
+    ///
+    /// Services have different numbers of endpoints, and each has at least one if there are enough endpoints. The
+    /// endpoints of a service are spread evenly over zones, in alternating regions, and over racks. Endpoints are
+    /// numbered service by service. If a number in `size` is zero, there are no placements.
     #[must_use]
     pub fn generate(size: &TopologySize, seed: u64) -> Topology {
         let layouts = zone_layouts(size);
@@ -149,7 +151,7 @@
     }
 }
 
-/// Returns a name such as `service-07`, counted from 1.
+/// Returns a name such as `service-07`. `index` is counted from 0, the number in the name from 1.
 fn numbered_name(kind: &str, index: usize, digits: usize) -> String {
     format!("{kind}-{:0digits$}", index + 1)
 }
@@ -172,7 +174,8 @@
     zones
 }
 
-/// Returns the first zone of each region, then the second of each, so that a small service runs in several regions.
+/// Returns the first zone of each region, then the second zone of each, and so on. With this order, a small service
+/// runs in several regions.
 fn alternate_regions<'a>(zones: &'a [ZoneLayout], size: &TopologySize) -> Vec<&'a ZoneLayout> {
     let zones_per_region = size.zones_per_region as usize;
     (0..zones_per_region)
@@ -180,14 +183,14 @@
         .collect()
 }
 
-/// Returns the number of endpoints of each service: one, and a log-normally distributed part of the others.
+/// Returns the number of endpoints of each service. Each has one, and a log-normally distributed share of the rest.
 fn service_sizes(size: &TopologySize, random: &mut Pcg64) -> Vec<u32> {
     let services = size.services.min(size.endpoints);
     let remaining = size.endpoints - services;
     let distribution = LogNormal::new(0.0, SERVICE_SIZE_SIGMA).expect("the deviation is finite");
     let weights: Vec<f64> = (0..services).map(|_| distribution.sample(random)).collect();
     let total: f64 = weights.iter().sum();
-    // Rounding the running sum instead of each part makes the parts add up.
+    // The running sum is rounded instead of each share. The rounded shares then add up to the number of endpoints.
     let mut running_weight = 0.0;
     let mut assigned = 0;
     let mut sizes = Vec::with_capacity(weights.len());
