--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -44,7 +44,7 @@
     started: Instant,
     schedule: Schedule,
     poller: Poller,
-    table: ConnectionTable,
+    connections: ConnectionTable,
     /// The expiries, earliest first. An entry stays after its request has ended and is skipped later.
     expiries: BinaryHeap<Reverse<Expiry>>,
     ids: RequestIds,
@@ -64,7 +64,7 @@
             started: Instant::now(),
             schedule: Schedule::new(rates, plan.warm_up + plan.duration, plan.seed),
             poller: Poller::new()?,
-            table: ConnectionTable::new(plan.targets.len()),
+            connections: ConnectionTable::new(plan.targets.len()),
             expiries: BinaryHeap::new(),
             ids: RequestIds::new(plan.seed),
             templates: plan.targets.iter().map(RequestTemplate::new).collect(),
@@ -100,11 +100,11 @@
 
     /// Returns the time at which the next request is due or expires.
     fn next_wake(&mut self) -> Duration {
-        let table = &self.table;
+        let connections = &self.connections;
         while self
             .expiries
             .peek()
-            .is_some_and(|Reverse(expiry)| !table.carries(expiry.token, expiry.number))
+            .is_some_and(|Reverse(expiry)| !connections.carries(expiry.token, expiry.number))
         {
             self.expiries.pop();
         }
@@ -139,7 +139,7 @@
             is_measured,
             is_resent: false,
         };
-        match self.table.take_idle(arrival.target) {
+        match self.connections.take_idle(arrival.target) {
             Some(token) => self.send(token, pending),
             None => self.send_on_new_connection(pending),
         }
@@ -155,19 +155,19 @@
     fn open(&mut self, target: usize) -> io::Result<Token> {
         let connection = Connection::open(self.plan.targets[target].address)?;
         self.results[target].connections += 1;
-        let token = self.table.insert(connection, target);
-        let Some(open) = self.table.get_mut(token) else {
+        let token = self.connections.insert(connection, target);
+        let Some(open) = self.connections.get_mut(token) else {
             return Ok(token);
         };
         if let Err(error) = self.poller.watch(&open.connection, token) {
-            self.table.remove(token);
+            self.connections.remove(token);
             return Err(error);
         }
         Ok(token)
     }
 
     fn send(&mut self, token: Token, pending: PendingRequest) {
-        let Some(open) = self.table.get_mut(token) else {
+        let Some(open) = self.connections.get_mut(token) else {
             return;
         };
         open.pending = Some(pending);
@@ -187,7 +187,7 @@
 
     fn advance(&mut self, readiness: Readiness) {
         let token = readiness.token;
-        let Some(open) = self.table.get_mut(token) else {
+        let Some(open) = self.connections.get_mut(token) else {
             return;
         };
         match open
@@ -201,11 +201,14 @@
     }
 
     fn handle_response(&mut self, token: Token, response: Response) {
-        let pending = self.table.get_mut(token).and_then(|open| open.pending);
+        let pending = self
+            .connections
+            .get_mut(token)
+            .and_then(|open| open.pending);
         if pending.is_some() && response.keep_alive {
-            self.table.mark_idle(token);
+            self.connections.mark_idle(token);
         } else {
-            self.table.remove(token); // also if no request was in flight
+            self.connections.remove(token); // also if no request was in flight
         }
         let Some(pending) = pending else { return };
         let outcome = match response.status {
@@ -219,7 +222,7 @@
     /// Handles the loss of a connection. Its request is sent again, once, if the connection was a reused one and was
     /// closed before the first byte of the response: the peer may have closed it as idle.
     fn lose_connection(&mut self, token: Token, error: &ConnectionError) {
-        let Some(lost) = self.table.remove(token) else {
+        let Some(lost) = self.connections.remove(token) else {
             return;
         };
         let Some(pending) = lost.pending else {
@@ -246,10 +249,10 @@
             .filter(|Reverse(expiry)| expiry.at <= now)
         {
             self.expiries.pop();
-            if !self.table.carries(expiry.token, expiry.number) {
+            if !self.connections.carries(expiry.token, expiry.number) {
                 continue;
             }
-            let expired = self.table.remove(expiry.token);
+            let expired = self.connections.remove(expiry.token);
             if let Some(pending) = expired.and_then(|open| open.pending) {
                 self.record_outcome(pending, Outcome::Unanswered);
             }
--- a/fleet-lab/src/discovery/connection.rs
+++ b/fleet-lab/src/discovery/connection.rs
@@ -144,7 +144,7 @@
     async fn list(&mut self) -> io::Result<()> {
         self.service.update_usage(|usage| usage.lists += 1);
         let body = self.service.registry.borrow_mut().full_list();
-        self.write(protocol::list_head(body.len()).as_bytes())
+        self.write(protocol::full_list_head(body.len()).as_bytes())
             .await?;
         self.write(&body).await
     }
--- a/fleet-lab/src/discovery/protocol.rs
+++ b/fleet-lab/src/discovery/protocol.rs
@@ -92,7 +92,7 @@
         _ => Call::NotFound,
     };
     let closes_connection =
-        header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case(b"close"));
+        header_value(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case(b"close"));
     Ok(Request {
         call,
         closes_connection,
@@ -100,10 +100,10 @@
 }
 
 fn parse_call(query: &str) -> Result<Call, MalformedRequest> {
-    match parameter(query, "follow") {
+    match query_parameter(query, "follow") {
         None => Ok(Call::List),
         Some("1") => {
-            let since = parameter(query, "since").map(str::parse).transpose();
+            let since = query_parameter(query, "since").map(str::parse).transpose();
             let since =
                 since.map_err(|_| MalformedRequest::Unsupported("since is not a version"))?;
             Ok(Call::Watch { since })
@@ -113,7 +113,7 @@
 }
 
 /// Returns the value of the first query parameter with this name.
-fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut parameters = query
         .split('&')
         .filter_map(|parameter| parameter.split_once('='));
@@ -123,12 +123,12 @@
 }
 
 fn has_body(head: &httparse::Request<'_, '_>) -> bool {
-    header(head, "transfer-encoding").is_some()
-        || header(head, "content-length").is_some_and(|length| length != b"0")
+    header_value(head, "transfer-encoding").is_some()
+        || header_value(head, "content-length").is_some_and(|length| length != b"0")
 }
 
 /// Returns the value of the first header with this name.
-fn header<'a>(head: &httparse::Request<'_, 'a>, name: &str) -> Option<&'a [u8]> {
+fn header_value<'a>(head: &httparse::Request<'_, 'a>, name: &str) -> Option<&'a [u8]> {
     head.headers
         .iter()
         .find(|header| header.name.eq_ignore_ascii_case(name))
@@ -136,7 +136,7 @@
 }
 
 /// Returns the head of a response whose body is a full list of this length in bytes.
-pub(super) fn list_head(length: usize) -> String {
+pub(super) fn full_list_head(length: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n")
 }
 
@@ -151,7 +151,7 @@
 }
 
 /// Serializes the full list as one line.
-pub(super) fn full_list<'a>(
+pub(super) fn serialize_full_list<'a>(
     version: u64,
     endpoints: impl Iterator<Item = &'a EndpointEntry>,
 ) -> Vec<u8> {
@@ -163,7 +163,7 @@
 }
 
 /// Serializes the changes that lead to a version as one line.
-pub(super) fn changes<'a>(
+pub(super) fn serialize_changes<'a>(
     version: u64,
     changed: impl Iterator<Item = &'a EndpointEntry>,
 ) -> Vec<u8> {
@@ -181,7 +181,7 @@
 }
 
 /// Encodes text as one chunk of a chunked response.
-pub(super) fn chunk(text: &[u8]) -> Bytes {
+pub(super) fn encode_chunk(text: &[u8]) -> Bytes {
     let mut chunk = format!("{:x}\r\n", text.len()).into_bytes();
     chunk.extend_from_slice(text);
     chunk.extend_from_slice(b"\r\n");
--- a/fleet-lab/src/discovery/registry.rs
+++ b/fleet-lab/src/discovery/registry.rs
@@ -68,7 +68,8 @@
     pub(super) fn publish(&mut self, changes: Vec<EndpointEntry>) -> Change {
         self.version += 1;
         self.apply(&changes);
-        let chunk = protocol::chunk(&protocol::changes(self.version, changes.iter()));
+        let chunk =
+            protocol::encode_chunk(&protocol::serialize_changes(self.version, changes.iter()));
         self.changes.push_back(changes);
         if self.changes.len() > self.retained_changes {
             self.changes.pop_front();
@@ -84,7 +85,7 @@
     pub(super) fn full_list(&mut self) -> Bytes {
         let (version, endpoints) = (self.version, &self.endpoints);
         let full_list = self.serialized.full_list.get_or_insert_with(|| {
-            let line = protocol::full_list(version, endpoints.values());
+            let line = protocol::serialize_full_list(version, endpoints.values());
             line.into()
         });
         full_list.clone()
@@ -95,7 +96,7 @@
         let full_list = self.full_list();
         self.serialized
             .full_list_chunk
-            .get_or_insert_with(|| protocol::chunk(&full_list))
+            .get_or_insert_with(|| protocol::encode_chunk(&full_list))
             .clone()
     }
 
@@ -111,7 +112,10 @@
             return Some(chunk.clone());
         }
         let merged = self.changes_after(since);
-        let chunk = protocol::chunk(&protocol::changes(self.version, merged.into_values()));
+        let chunk = protocol::encode_chunk(&protocol::serialize_changes(
+            self.version,
+            merged.into_values(),
+        ));
         self.serialized.chunk_since.insert(since, chunk.clone());
         Some(chunk)
     }
--- a/fleet-lab/src/endpoint/message.rs
+++ b/fleet-lab/src/endpoint/message.rs
@@ -83,18 +83,18 @@
         let mut body_length = 0;
         for header in head.headers.iter() {
             let value = str::from_utf8(header.value).map_err(|_| RequestError::Malformed)?;
-            let is = |name: &str| header.name.eq_ignore_ascii_case(name);
-            if is("x-request-id") {
+            let is_header = |name: &str| header.name.eq_ignore_ascii_case(name);
+            if is_header("x-request-id") {
                 request.has_id = !value.is_empty();
-            } else if is("x-class") {
+            } else if is_header("x-class") {
                 request.class = Some(value.to_owned());
-            } else if is("x-deadline") {
+            } else if is_header("x-deadline") {
                 request.time_left = Some(parse_seconds(value)?);
-            } else if is("connection") {
+            } else if is_header("connection") {
                 request.closes_connection = value.eq_ignore_ascii_case("close");
-            } else if is("content-length") {
+            } else if is_header("content-length") {
                 body_length = value.parse().map_err(|_| RequestError::Malformed)?;
-            } else if is("transfer-encoding") {
+            } else if is_header("transfer-encoding") {
                 return Err(RequestError::LengthRequired);
             }
         }
--- a/fleet-lab/src/report/markdown.rs
+++ b/fleet-lab/src/report/markdown.rs
@@ -55,7 +55,7 @@
             problems,
         } = self.0;
         writeln!(formatter, "## {}\n", escape(experiment))?;
-        writeln!(formatter, "Seed {seed}, {} s.", number(*seconds))?;
+        writeln!(formatter, "Seed {seed}, {} s.", format_number(*seconds))?;
         for metric in metrics {
             write_metric(formatter, metric)?;
         }
@@ -69,7 +69,7 @@
     writeln!(formatter, "\n### {}\n", escape(&metric.name))?;
     writeln!(formatter, "| {size_unit} | {unit} |\n| ---: | ---: |")?;
     for point in &metric.points {
-        let (size, value) = (number(point.size), number(point.value));
+        let (size, value) = (format_number(point.size), format_number(point.value));
         writeln!(formatter, "| {size} | {value} |")?;
     }
     if let Some(note) = &metric.note {
@@ -96,10 +96,10 @@
             escape(&metric.name),
             escape(&metric.unit),
             escape(&metric.size_unit),
-            number(slope.intercept),
-            number(slope.per_unit),
-            number(slope.unexplained),
-            number(slope.largest_residual)
+            format_number(slope.intercept),
+            format_number(slope.per_unit),
+            format_number(slope.unexplained),
+            format_number(slope.largest_residual)
         )?;
     }
     Ok(())
@@ -123,7 +123,7 @@
 
 /// Formats a number with [`SIGNIFICANT_DIGITS`]. All digits before the decimal point are kept, even if they are
 /// more. Whole numbers have no decimals.
-fn number(value: f64) -> String {
+fn format_number(value: f64) -> String {
     if !value.is_finite() {
         return "none".into();
     }
