--- a/fleet-lab/src/caller/connection_table.rs
+++ b/fleet-lab/src/caller/connection_table.rs
@@ -29,7 +29,7 @@
 /// A request that was due and has no outcome yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRequest {
-    /// The request's number within the run.
+    /// The request's number within the load.
     pub number: u64,
     /// The index of its target in the plan.
     pub target: usize,
--- a/fleet-lab/src/discovery/connection.rs
+++ b/fleet-lab/src/discovery/connection.rs
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Returns the version from which a watch resumes; `None` if it starts with the full list. With
-    /// [`WatchOnChange::Ends`], a watch from any version but the current one starts with the full list.
+    /// Returns the version from which a watch may resume; `None` if it has to start with the full list. With
+    /// [`WatchOnChange::Ends`], a watch can resume only from the current version.
     fn resume_version(&self, since: Option<u64>) -> Option<u64> {
         let version = self.service.registry.borrow().version();
         let sends_changes = self.service.on_change == WatchOnChange::Sends;
--- a/fleet-lab/src/discovery/mod.rs
+++ b/fleet-lab/src/discovery/mod.rs
@@ -2,8 +2,7 @@
 //!
 //! `GET /v1/endpoints` returns the full list. `GET /v1/endpoints?follow=1&since=N` opens a watch: a chunked
 //! response that stays open, with a JSON object for each change. An empty line is sent after each heartbeat interval
-//! without a change. Calls are handled in order of
-//! arrival at a limited rate.
+//! without a change. Calls are handled in order of arrival at a limited rate.
 
 mod call_queue;
 mod connection;
--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -121,6 +121,7 @@
     }
 }
 
+/// An accepted connection and the endpoint that serves it.
 struct Connection {
     stream: TcpStream,
     endpoint: Rc<RunningEndpoint>,
@@ -143,6 +144,7 @@
         }
     }
 
+    /// Serves requests until the connection ends.
     async fn run(&mut self) -> io::Result<Ending> {
         let endpoint = Rc::clone(&self.endpoint);
         loop {
--- a/fleet-lab/src/endpoint/message.rs
+++ b/fleet-lab/src/endpoint/message.rs
@@ -25,7 +25,7 @@
     pub has_id: bool,
     /// The request class, from `X-Class`.
     pub class: Option<String>,
-    /// The time that the client waits, counted from the request's arrival, from `X-Deadline`.
+    /// The time that the client waits, from `X-Deadline`. It counts from the request's arrival.
     pub time_left: Option<Duration>,
     /// True if the client wants the connection closed after the response.
     pub closes_connection: bool,
@@ -114,7 +114,7 @@
 /// An endpoint's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum EndpointResponse {
-    /// 200 with the body that the options give.
+    /// 200 with a body of the configured size.
     Served,
     /// 200 to a health check at `/health`.
     Healthy,
@@ -124,7 +124,7 @@
     Failed,
     /// 503 with `X-Not-Run: 1`: the request was rejected without work.
     NotRun,
-    /// 404: the request has no id, or it is a health check and the endpoint does not support them.
+    /// 404: the request has no id, or it is a health check and the endpoint does not support those.
     NotFound,
     /// 400, 411 or 413: the request was malformed or not supported.
     Rejected(RequestError),
--- a/fleet-lab/src/endpoint/response.rs
+++ b/fleet-lab/src/endpoint/response.rs
@@ -1,5 +1,4 @@
-//! Reading of a sidecar's response. Only its status is kept, and whether its connection can be reused; the body is
-//! skipped.
+//! Reading of a sidecar's response: its status, and the reusability of its connection. The body is skipped.
 
 use super::message::{MAX_HEAD_BYTES, MAX_HEADERS, READ_BYTES};
 use bytes::{Buf, BytesMut};
--- a/fleet-lab/src/endpoint/work.rs
+++ b/fleet-lab/src/endpoint/work.rs
@@ -78,7 +78,7 @@
         Admission::Queued(QueueSlot { pool: self })
     }
 
-    /// Draws at random, with the error rate, if the next response is an error.
+    /// Returns true if the next response is to be an error, which is drawn at random with the error rate.
     pub fn draw_error(&self) -> bool {
         self.error_rate > 0.0 && self.random.borrow_mut().random_bool(self.error_rate)
     }
--- a/fleet-lab/src/topology.rs
+++ b/fleet-lab/src/topology.rs
@@ -190,7 +190,7 @@
     let distribution = LogNormal::new(0.0, SERVICE_SIZE_SIGMA).expect("the deviation is finite");
     let weights: Vec<f64> = (0..services).map(|_| distribution.sample(random)).collect();
     let total: f64 = weights.iter().sum();
-    // The running sum is rounded instead of each share. The rounded shares then add up to the number of endpoints.
+    // The running sum is rounded instead of each share. The rounded shares then add up to `remaining`.
     let mut running_weight = 0.0;
     let mut assigned = 0;
     let mut sizes = Vec::with_capacity(weights.len());
