--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -1,7 +1,7 @@
 //! An accepted HTTP/1.1 connection of an endpoint. It serves one request at a time; each response is one write.
 
 use super::downstream::Downstream;
-use super::message::{EndpointResponse, READ_BYTES, Request, RequestError};
+use super::message::{READ_BYTES, Request, RequestError, ServerResponse};
 use super::state::EndpointState;
 use super::work::{Admission, Core, CorePool, LoadReport, QueueSlot};
 use bytes::BytesMut;
@@ -57,17 +57,17 @@
     }
 
     /// Returns the response to a health check; `None` if the request is not one.
-    fn health_check_response(&self, request: &Request) -> Option<EndpointResponse> {
+    fn health_check_response(&self, request: &Request) -> Option<ServerResponse> {
         let response = match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/health") => EndpointResponse::Healthy,
-            ("GET", "/status/load") => EndpointResponse::Load,
+            ("GET", "/health") => ServerResponse::Healthy,
+            ("GET", "/status/load") => ServerResponse::Load,
             _ => return None,
         };
         self.state.counters.health_checks.increment();
         Some(if self.state.options.load_reports {
             response
         } else {
-            EndpointResponse::NotFound
+            ServerResponse::NotFound
         })
     }
 
@@ -77,26 +77,26 @@
         request: &Request,
         core: Core<'_>,
         deadline: Option<Instant>,
-    ) -> EndpointResponse {
+    ) -> ServerResponse {
         core.work().await;
         drop(core);
         if self.pool.draw_error() {
-            return EndpointResponse::Failed;
+            return ServerResponse::Failed;
         }
         if let Some(downstream) = &self.downstream
             && let Err(error) = downstream.call(request, deadline).await
         {
             tracing::debug!(endpoint = %self.state.name, %error, "call to the next tier failed");
             self.state.counters.failed.increment();
-            return EndpointResponse::Failed;
+            return ServerResponse::Failed;
         }
-        EndpointResponse::Served
+        ServerResponse::Served
     }
 
-    fn count_response(&self, response: EndpointResponse) {
+    fn count_response(&self, response: ServerResponse) {
         match response {
-            EndpointResponse::Served => self.state.counters.served.increment(),
-            EndpointResponse::NotRun => self.state.counters.rejected_early.increment(),
+            ServerResponse::Served => self.state.counters.served.increment(),
+            ServerResponse::NotRun => self.state.counters.rejected_early.increment(),
             _ => {}
         }
     }
@@ -151,7 +151,7 @@
             let request = match self.next_request().await? {
                 Some(Ok(request)) => request,
                 Some(Err(error)) => {
-                    self.write(EndpointResponse::Rejected(error), true).await?;
+                    self.write(ServerResponse::Rejected(error), true).await?;
                     return Ok(Ending::Closed);
                 }
                 None => return Ok(Ending::Closed),
@@ -190,13 +190,13 @@
         &mut self,
         endpoint: &RunningEndpoint,
         request: &Request,
-    ) -> Option<EndpointResponse> {
+    ) -> Option<ServerResponse> {
         if let Some(response) = endpoint.health_check_response(request) {
             return Some(response);
         }
         endpoint.state.counters.requests.increment();
         if !request.has_id {
-            return Some(EndpointResponse::NotFound);
+            return Some(ServerResponse::NotFound);
         }
         let deadline = request
             .time_left
@@ -204,10 +204,10 @@
         let core = match endpoint.pool.admit() {
             Admission::Core(core) => core,
             Admission::Queued(slot) => self.wait_for_core(slot).await?,
-            Admission::RejectedEarly => return Some(EndpointResponse::NotRun),
+            Admission::RejectedEarly => return Some(ServerResponse::NotRun),
         };
         if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
-            return Some(EndpointResponse::NotRun);
+            return Some(ServerResponse::NotRun);
         }
         Some(endpoint.run(request, core, deadline).await)
     }
@@ -233,11 +233,7 @@
         std::future::pending::<()>().await;
     }
 
-    async fn write(
-        &mut self,
-        response: EndpointResponse,
-        closes_connection: bool,
-    ) -> io::Result<()> {
+    async fn write(&mut self, response: ServerResponse, closes_connection: bool) -> io::Result<()> {
         self.output.clear();
         let report = self.endpoint.load_report();
         response.write(
--- a/fleet-lab/src/endpoint/message.rs
+++ b/fleet-lab/src/endpoint/message.rs
@@ -113,7 +113,7 @@
 
 /// An endpoint's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum EndpointResponse {
+pub(super) enum ServerResponse {
     /// 200 with a body of the configured size.
     Served,
     /// 200 to a health check at `/health`.
@@ -133,8 +133,8 @@
 /// The panic message for a failed write to a buffer in memory, which does not occur.
 const WRITE_CANNOT_FAIL: &str = "writing to a buffer in memory cannot fail";
 
-impl EndpointResponse {
-    /// Appends the serialized response to the output. `served_body` is the body of [`EndpointResponse::Served`].
+impl ServerResponse {
+    /// Appends the serialized response to the output. `served_body` is the body of [`ServerResponse::Served`].
     pub fn write(
         self,
         output: &mut Vec<u8>,
@@ -142,14 +142,14 @@
         report: Option<LoadReport>,
         closes_connection: bool,
     ) {
-        let report_text = if self == EndpointResponse::Load {
+        let report_text = if self == ServerResponse::Load {
             report.map(|report| report.to_string())
         } else {
             None
         };
         let body = match self {
-            EndpointResponse::Served => served_body,
-            EndpointResponse::Load => report_text.as_deref().unwrap_or_default().as_bytes(),
+            ServerResponse::Served => served_body,
+            ServerResponse::Load => report_text.as_deref().unwrap_or_default().as_bytes(),
             _ => b"",
         };
         write!(
@@ -162,7 +162,7 @@
         if let Some(report) = report {
             write!(output, "X-Load: {report}\r\n").expect(WRITE_CANNOT_FAIL);
         }
-        if self == EndpointResponse::NotRun {
+        if self == ServerResponse::NotRun {
             output.extend_from_slice(b"X-Not-Run: 1\r\n");
         }
         if closes_connection {
@@ -175,15 +175,13 @@
     /// Returns the status code with its reason phrase.
     fn status(self) -> &'static str {
         match self {
-            EndpointResponse::Served | EndpointResponse::Healthy | EndpointResponse::Load => {
-                "200 OK"
-            }
-            EndpointResponse::Failed => "500 Internal Server Error",
-            EndpointResponse::NotRun => "503 Service Unavailable",
-            EndpointResponse::NotFound => "404 Not Found",
-            EndpointResponse::Rejected(RequestError::Malformed) => "400 Bad Request",
-            EndpointResponse::Rejected(RequestError::LengthRequired) => "411 Length Required",
-            EndpointResponse::Rejected(RequestError::TooLarge) => "413 Content Too Large",
+            ServerResponse::Served | ServerResponse::Healthy | ServerResponse::Load => "200 OK",
+            ServerResponse::Failed => "500 Internal Server Error",
+            ServerResponse::NotRun => "503 Service Unavailable",
+            ServerResponse::NotFound => "404 Not Found",
+            ServerResponse::Rejected(RequestError::Malformed) => "400 Bad Request",
+            ServerResponse::Rejected(RequestError::LengthRequired) => "411 Length Required",
+            ServerResponse::Rejected(RequestError::TooLarge) => "413 Content Too Large",
         }
     }
 }
--- a/fleet-lab/src/endpoint/response.rs
+++ b/fleet-lab/src/endpoint/response.rs
@@ -31,7 +31,7 @@
     MalformedLength,
     /// The head is too long.
     #[error("response head too long")]
-    HeadTooLong,
+    TooLong,
 }
 
 /// The way in which the end of a body is marked.
@@ -89,9 +89,7 @@
             match take_head(self.buffer)? {
                 Some(head) if head.status >= 200 => return Ok(head),
                 Some(_) => {}
-                None if self.buffer.len() > MAX_HEAD_BYTES => {
-                    return Err(ResponseError::HeadTooLong);
-                }
+                None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ResponseError::TooLong),
                 None => self.fill().await?,
             }
         }
