--- a/fleet-lab/src/caller/connection.rs
+++ b/fleet-lab/src/caller/connection.rs
@@ -1,40 +1,40 @@
-//! One non-blocking connection, which carries one request at a time.
+//! A non-blocking HTTP/1.1 connection of a caller. It carries one request at a time.
 
-use super::response::{Answer, ResponseError, ResponseParser};
+use super::response::{Response, ResponseError, ResponseParser};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd};
 
-/// Why a connection cannot be used any longer.
+/// A failure after which a connection cannot be used any longer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
-    #[error("it never came up: {0}")]
+    #[error("cannot connect: {0}")]
     NotConnected(io::Error),
-    #[error("it ended before an answer's first byte")]
-    ClosedBeforeAnswer,
-    #[error("it ended within an answer")]
-    ClosedWithinAnswer,
-    #[error("the answer cannot be read: {0}")]
+    #[error("connection ended before the first byte of a response")]
+    ClosedBeforeResponse,
+    #[error("connection ended within a response")]
+    ClosedWithinResponse,
+    #[error("invalid response: {0}")]
     Unreadable(#[from] ResponseError),
 }
 
-/// A connection to a target.
+/// A connection to a target, and its parser of responses.
 pub(super) struct Connection {
     stream: TcpStream,
     is_connecting: bool,
     /// The part of the request that has not been written yet.
     outgoing: Vec<u8>,
     parser: ResponseParser,
-    /// Whether it has carried an answer before.
+    /// True once the connection has carried a complete response.
     is_reused: bool,
 }
 
 impl Connection {
-    /// Starts to connect.
+    /// Starts to connect and returns before the connection is established.
     ///
     /// # Errors
-    /// Fails where no socket can be created or the address cannot be reached.
+    /// Returns an error if the socket cannot be created or the connection fails at once.
     pub fn open(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -57,12 +57,13 @@
         })
     }
 
-    /// Returns whether the connection has carried an answer before, so that the peer may have closed it as idle.
+    /// Returns true if the connection has carried a complete response. The peer may have closed such a connection as
+    /// idle.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
-    /// Sends a request, immediately or once the connection is established.
+    /// Sends a request, at once or when the connection is established.
     pub fn send(&mut self, request: Vec<u8>) -> Result<(), ConnectionError> {
         self.outgoing = request;
         if self.is_connecting {
@@ -72,18 +73,18 @@
         }
     }
 
-    /// Handles the socket's readiness; returns the answer once it is complete. `has_hung_up` says that the end of the
-    /// peer's data can be read.
+    /// Connects, writes and reads as far as the socket's readiness allows. Returns the response once it is complete.
+    /// `has_hung_up` is true if the peer has closed its sending side or the socket has an error.
     pub fn advance(
         &mut self,
         buffer: &mut [u8],
         has_hung_up: bool,
-    ) -> Result<Option<Answer>, ConnectionError> {
+    ) -> Result<Option<Response>, ConnectionError> {
         self.finish_connecting()?;
         self.write()?;
-        let answer = self.read(buffer, has_hung_up)?;
-        self.is_reused |= answer.is_some();
-        Ok(answer)
+        let response = self.read(buffer, has_hung_up)?;
+        self.is_reused |= response.is_some();
+        Ok(response)
     }
 
     fn finish_connecting(&mut self) -> Result<(), ConnectionError> {
@@ -101,53 +102,54 @@
                 Ok(written) => drop(self.outgoing.drain(..written)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Err(self.closed()),
+                Err(_) => return Err(self.closed_error()),
             }
         }
         Ok(())
     }
 
-    /// Reads all available bytes. A read that does not fill the buffer was the last one unless the peer has hung up, as
-    /// the poller reports further bytes and a later end.
+    /// Reads all available bytes. After a read that does not fill the buffer there is nothing more to read, unless the
+    /// peer has hung up. The poller reports bytes or an end that arrive later.
     fn read(
         &mut self,
         buffer: &mut [u8],
         has_hung_up: bool,
-    ) -> Result<Option<Answer>, ConnectionError> {
-        let mut answer = None;
+    ) -> Result<Option<Response>, ConnectionError> {
+        let mut response = None;
         loop {
             match self.stream.read(buffer) {
-                Ok(0) => return self.end(answer),
+                Ok(0) => return self.handle_end(response),
                 Ok(length) => {
-                    if answer.is_some() {
+                    if response.is_some() {
                         return Err(ResponseError::ExcessBytes.into());
                     }
-                    answer = self.parser.push(&buffer[..length])?;
+                    response = self.parser.push(&buffer[..length])?;
                     if length < buffer.len() && !has_hung_up {
-                        return Ok(answer);
+                        return Ok(response);
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(answer),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(response),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.end(answer),
+                Err(_) => return self.handle_end(response),
             }
         }
     }
 
-    /// Handles the end of the connection: an answer that was complete before is the last one, and none is an error.
-    fn end(&self, answer: Option<Answer>) -> Result<Option<Answer>, ConnectionError> {
-        let answer = answer.ok_or_else(|| self.closed())?;
-        Ok(Some(Answer {
+    /// Handles the end of the connection. A response that is already complete is returned as the last one of the
+    /// connection; without one, the end is an error.
+    fn handle_end(&self, response: Option<Response>) -> Result<Option<Response>, ConnectionError> {
+        let response = response.ok_or_else(|| self.closed_error())?;
+        Ok(Some(Response {
             keep_alive: false,
-            ..answer
+            ..response
         }))
     }
 
-    fn closed(&self) -> ConnectionError {
+    fn closed_error(&self) -> ConnectionError {
         if self.parser.has_started() {
-            ConnectionError::ClosedWithinAnswer
+            ConnectionError::ClosedWithinResponse
         } else {
-            ConnectionError::ClosedBeforeAnswer
+            ConnectionError::ClosedBeforeResponse
         }
     }
 }
--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -1,11 +1,12 @@
-//! The event loop: sends requests that are due, receives answers, and expires requests past their deadline.
+//! The event loop of a load. It sends requests that are due, receives responses, and expires requests after their
+//! deadline.
 
 use super::connection::{Connection, ConnectionError};
-use super::connection_table::{ConnectionTable, Exchange, Token};
+use super::connection_table::{ConnectionTable, PendingRequest, Token};
 use super::plan::LoadPlan;
 use super::poller::{Poller, Readiness};
 use super::request::{RequestIds, RequestTemplate};
-use super::response::Answer;
+use super::response::Response;
 use super::result::TargetResult;
 use super::schedule::{Arrival, Schedule};
 use std::cmp::Reverse;
@@ -13,9 +14,9 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How long after its deadline a request expires.
-const GRACE: Duration = Duration::from_millis(500);
-/// Bytes that are read at once.
+/// The time after its deadline at which a request without a response expires.
+const EXPIRY_GRACE: Duration = Duration::from_millis(500);
+/// The size of the buffer for one read from a socket.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 /// The outcome of a request.
@@ -27,26 +28,29 @@
     Unanswered,
 }
 
-/// When a request expires, and the connection that carries it.
+/// The expiry of a request, ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Duration,
+    /// The connection that carries the request.
     token: Token,
+    /// The request's number.
     number: u64,
 }
 
-/// A running load. Times count from its start.
+/// A running load. All times are counted from its start.
 pub(super) struct EventLoop<'a> {
     plan: &'a LoadPlan,
     started: Instant,
     schedule: Schedule,
     poller: Poller,
-    table: ConnectionTable,
-    /// The earliest expiry first. Entries of requests that have ended are removed lazily.
+    connections: ConnectionTable,
+    /// The expiries, earliest first. An entry stays after its request has ended and is skipped later.
     expiries: BinaryHeap<Reverse<Expiry>>,
     ids: RequestIds,
     templates: Vec<RequestTemplate>,
-    requests: u64,
+    /// The number of requests that were due so far, with those of the warm-up.
+    requests_started: u64,
     measured_in_flight: usize,
     results: Vec<TargetResult>,
     buffer: Box<[u8]>,
@@ -60,18 +64,18 @@
             started: Instant::now(),
             schedule: Schedule::new(rates, plan.warm_up + plan.duration, plan.seed),
             poller: Poller::new()?,
-            table: ConnectionTable::new(plan.targets.len()),
+            connections: ConnectionTable::new(plan.targets.len()),
             expiries: BinaryHeap::new(),
             ids: RequestIds::new(plan.seed),
             templates: plan.targets.iter().map(RequestTemplate::new).collect(),
-            requests: 0,
+            requests_started: 0,
             measured_in_flight: 0,
             results: plan.targets.iter().map(|_| TargetResult::new()).collect(),
             buffer: vec![0; READ_BUFFER_BYTES].into(),
         })
     }
 
-    /// Runs until the last request was due and all measured requests have ended.
+    /// Runs the load until no more requests are due and all measured ones have ended.
     pub fn run(mut self) -> io::Result<Vec<TargetResult>> {
         let mut ready = Vec::new();
         self.started = Instant::now();
@@ -85,7 +89,7 @@
             self.poller.wait(timeout, &mut ready)?;
             for readiness in &ready {
                 self.advance(*readiness);
-                self.send_due(); // many answers at once delay no request
+                self.send_due(); // handling many responses must not delay requests that become due meanwhile
             }
         }
     }
@@ -94,13 +98,13 @@
         self.started.elapsed()
     }
 
-    /// Returns when the next request is due or expires.
+    /// Returns the time at which the next request is due or expires.
     fn next_wake(&mut self) -> Duration {
-        let table = &self.table;
+        let connections = &self.connections;
         while self
             .expiries
             .peek()
-            .is_some_and(|Reverse(expiry)| !table.carries(expiry.token, expiry.number))
+            .is_some_and(|Reverse(expiry)| !connections.carries(expiry.token, expiry.number))
         {
             self.expiries.pop();
         }
@@ -127,54 +131,54 @@
             result.max_send_delay = result.max_send_delay.max(now - arrival.due);
             self.measured_in_flight += 1;
         }
-        self.requests += 1;
-        let exchange = Exchange {
-            number: self.requests,
+        self.requests_started += 1;
+        let pending = PendingRequest {
+            number: self.requests_started,
             target: arrival.target,
             due: arrival.due,
             is_measured,
             is_resent: false,
         };
-        match self.table.take_idle(arrival.target) {
-            Some(token) => self.send(token, exchange),
-            None => self.send_on_new_connection(exchange),
+        match self.connections.take_idle(arrival.target) {
+            Some(token) => self.send(token, pending),
+            None => self.send_on_new_connection(pending),
         }
     }
 
-    fn send_on_new_connection(&mut self, exchange: Exchange) {
-        match self.open(exchange.target) {
-            Ok(token) => self.send(token, exchange),
-            Err(_) => self.end(exchange, Outcome::Failed),
+    fn send_on_new_connection(&mut self, pending: PendingRequest) {
+        match self.open(pending.target) {
+            Ok(token) => self.send(token, pending),
+            Err(_) => self.record_outcome(pending, Outcome::Failed),
         }
     }
 
     fn open(&mut self, target: usize) -> io::Result<Token> {
         let connection = Connection::open(self.plan.targets[target].address)?;
         self.results[target].connections += 1;
-        let token = self.table.insert(connection, target);
-        let Some(open) = self.table.get_mut(token) else {
+        let token = self.connections.insert(connection, target);
+        let Some(open) = self.connections.get_mut(token) else {
             return Ok(token);
         };
         if let Err(error) = self.poller.watch(&open.connection, token) {
-            self.table.remove(token);
+            self.connections.remove(token);
             return Err(error);
         }
         Ok(token)
     }
 
-    fn send(&mut self, token: Token, exchange: Exchange) {
-        let Some(open) = self.table.get_mut(token) else {
+    fn send(&mut self, token: Token, pending: PendingRequest) {
+        let Some(open) = self.connections.get_mut(token) else {
             return;
         };
-        open.exchange = Some(exchange);
-        let id = self.ids.id(exchange.number);
-        let request = self.templates[exchange.target].render(&id);
+        open.pending = Some(pending);
+        let id = self.ids.id(pending.number);
+        let request = self.templates[pending.target].render(&id);
         let sent = open.connection.send(request);
-        let at = exchange.due + self.plan.targets[exchange.target].deadline + GRACE;
+        let at = pending.due + self.plan.targets[pending.target].deadline + EXPIRY_GRACE;
         self.expiries.push(Reverse(Expiry {
             at,
             token,
-            number: exchange.number,
+            number: pending.number,
         }));
         if let Err(error) = sent {
             self.lose_connection(token, &error);
@@ -183,7 +187,7 @@
 
     fn advance(&mut self, readiness: Readiness) {
         let token = readiness.token;
-        let Some(open) = self.table.get_mut(token) else {
+        let Some(open) = self.connections.get_mut(token) else {
             return;
         };
         match open
@@ -191,45 +195,48 @@
             .advance(&mut self.buffer, readiness.has_hung_up)
         {
             Ok(None) => {}
-            Ok(Some(answer)) => self.take_answer(token, answer),
+            Ok(Some(response)) => self.handle_response(token, response),
             Err(error) => self.lose_connection(token, &error),
         }
     }
 
-    fn take_answer(&mut self, token: Token, answer: Answer) {
-        let exchange = self.table.get_mut(token).and_then(|open| open.exchange);
-        if exchange.is_some() && answer.keep_alive {
-            self.table.mark_idle(token);
+    fn handle_response(&mut self, token: Token, response: Response) {
+        let pending = self
+            .connections
+            .get_mut(token)
+            .and_then(|open| open.pending);
+        if pending.is_some() && response.keep_alive {
+            self.connections.mark_idle(token);
         } else {
-            self.table.remove(token); // also after an answer to nothing
+            self.connections.remove(token); // also if no request was in flight
         }
-        let Some(exchange) = exchange else { return };
-        let outcome = match answer.status {
+        let Some(pending) = pending else { return };
+        let outcome = match response.status {
             200 => Outcome::Served,
             429 | 503 => Outcome::Rejected,
             _ => Outcome::Failed,
         };
-        self.end(exchange, outcome);
+        self.record_outcome(pending, outcome);
     }
 
-    /// Handles the loss of a connection. A request on a reused connection that was closed before the first byte of the
-    /// answer is sent again.
+    /// Handles the loss of a connection. Its request is sent again, once, if the connection was a reused one and was
+    /// closed before the first byte of the response: the peer may have closed it as idle.
     fn lose_connection(&mut self, token: Token, error: &ConnectionError) {
-        let Some(lost) = self.table.remove(token) else {
+        let Some(lost) = self.connections.remove(token) else {
             return;
         };
-        let Some(exchange) = lost.exchange else {
+        let Some(pending) = lost.pending else {
             return;
         };
         let was_idle_close =
-            matches!(error, ConnectionError::ClosedBeforeAnswer) && lost.connection.is_reused();
-        if was_idle_close && !exchange.is_resent {
-            self.send_on_new_connection(Exchange {
+            matches!(error, ConnectionError::ClosedBeforeResponse) && lost.connection.is_reused();
+        if was_idle_close && !pending.is_resent {
+            self.send_on_new_connection(PendingRequest {
                 is_resent: true,
-                ..exchange
+                ..pending
             });
         } else {
-            self.end(exchange, Outcome::Failed);
+            self.record_outcome(pending, Outcome::Failed);
         }
     }
 
@@ -242,23 +249,23 @@
             .filter(|Reverse(expiry)| expiry.at <= now)
         {
             self.expiries.pop();
-            if !self.table.carries(expiry.token, expiry.number) {
+            if !self.connections.carries(expiry.token, expiry.number) {
                 continue;
             }
-            let expired = self.table.remove(expiry.token);
-            if let Some(exchange) = expired.and_then(|open| open.exchange) {
-                self.end(exchange, Outcome::Unanswered);
+            let expired = self.connections.remove(expiry.token);
+            if let Some(pending) = expired.and_then(|open| open.pending) {
+                self.record_outcome(pending, Outcome::Unanswered);
             }
         }
     }
 
-    fn end(&mut self, exchange: Exchange, outcome: Outcome) {
-        if !exchange.is_measured {
+    fn record_outcome(&mut self, pending: PendingRequest, outcome: Outcome) {
+        if !pending.is_measured {
             return;
         }
         self.measured_in_flight -= 1;
-        let latency = self.now().saturating_sub(exchange.due);
-        let result = &mut self.results[exchange.target];
+        let latency = self.now().saturating_sub(pending.due);
+        let result = &mut self.results[pending.target];
         match outcome {
             Outcome::Served => result.record_served(latency),
             Outcome::Rejected => result.rejected += 1,
--- a/fleet-lab/src/caller/poller.rs
+++ b/fleet-lab/src/caller/poller.rs
@@ -1,7 +1,7 @@
-//! Readiness of sockets, and waits with timeouts in nanoseconds.
+//! Waits for the readiness of sockets, with timeouts in nanoseconds.
 //!
-//! The timeout of `epoll_wait` is in milliseconds, which would delay requests. A timer descriptor next to the sockets
-//! ends waits on time.
+//! The timeout of `epoll_wait` is in milliseconds and would delay requests. A timer descriptor, polled with the
+//! sockets, ends a wait on time.
 
 use super::connection_table::Token;
 use rustix::buffer::spare_capacity;
@@ -15,15 +15,15 @@
 use std::io;
 use std::time::Duration;
 
-/// The largest number of events of one wait.
+/// The largest number of events that one wait returns.
 const MAX_EVENTS: usize = 256;
-/// The event data of the timer, in place of a token.
-const TIMER: u64 = u64::MAX;
-/// The shortest wait, as a time of zero would disarm the timer.
+/// The event data of the timer. Events of sockets have a token instead.
+const TIMER_DATA: u64 = u64::MAX;
+/// The shortest wait. A time of zero would disarm the timer.
 const MIN_WAIT: Duration = Duration::from_nanos(1);
-/// The longest wait; longer ones end early.
+/// The longest wait. A longer timeout ends after this time without an event.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
-const ZERO: Timespec = Timespec {
+const ZERO_TIME: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 0,
 };
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Readiness {
     pub token: Token,
-    /// Whether the peer's end of data, or an error, can be read.
+    /// True if the peer has closed its sending side or the socket has an error.
     pub has_hung_up: bool,
 }
 
@@ -50,9 +50,14 @@
             TimerfdClockId::Monotonic,
             TimerfdFlags::CLOEXEC | TimerfdFlags::NONBLOCK,
         )?;
-        // The timer is edge-triggered and need not be read, as arming it again clears it.
+        // The timer is edge-triggered. It need not be read, because arming it again clears it.
         let interest = epoll::EventFlags::IN | epoll::EventFlags::ET;
-        epoll::add(&epoll, &timer, epoll::EventData::new_u64(TIMER), interest)?;
+        epoll::add(
+            &epoll,
+            &timer,
+            epoll::EventData::new_u64(TIMER_DATA),
+            interest,
+        )?;
         Ok(Poller {
             epoll,
             timer,
@@ -60,7 +65,7 @@
         })
     }
 
-    /// Watches a socket until it is closed. Each change of its readiness is reported once.
+    /// Watches a socket until it is closed, edge-triggered: each change of its readiness is reported once.
     pub fn watch(&self, socket: impl AsFd, token: Token) -> io::Result<()> {
         use epoll::EventFlags as Flags;
         let interest = Flags::IN | Flags::OUT | Flags::RDHUP | Flags::ET;
@@ -73,11 +78,11 @@
         Ok(())
     }
 
-    /// Waits until a socket is ready or the timeout has passed, and replaces the contents of `ready`.
+    /// Waits until a socket is ready or the timeout has passed. Replaces the contents of `ready`.
     pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Readiness>) -> io::Result<()> {
         ready.clear();
         self.events.clear();
-        let epoll_timeout = timeout.is_zero().then_some(&ZERO);
+        let epoll_timeout = timeout.is_zero().then_some(&ZERO_TIME);
         if !timeout.is_zero() {
             self.set_timer(timeout)?;
         }
@@ -85,11 +90,15 @@
             Ok(_) | Err(Errno::INTR) => {}
             Err(error) => return Err(error.into()),
         }
-        let sockets = self.events.iter().filter(|event| event.data.u64() != TIMER);
+        let sockets = self
+            .events
+            .iter()
+            .filter(|event| event.data.u64() != TIMER_DATA);
         ready.extend(sockets.map(readiness));
         Ok(())
     }
 
+    /// Arms the timer, which fires once after the delay.
     fn set_timer(&self, delay: Duration) -> io::Result<()> {
         let delay = delay.clamp(MIN_WAIT, MAX_WAIT);
         let it_value = Timespec {
@@ -97,7 +106,7 @@
             tv_nsec: delay.subsec_nanos().into(),
         };
         let once = Itimerspec {
-            it_interval: ZERO,
+            it_interval: ZERO_TIME,
             it_value,
         };
         timerfd_settime(&self.timer, TimerfdTimerFlags::empty(), &once)?;
--- a/fleet-lab/src/endpoint/connection.rs
+++ b/fleet-lab/src/endpoint/connection.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 on one connection of an endpoint: one request at a time, each answered with one write.
+//! An accepted HTTP/1.1 connection of an endpoint. It serves one request at a time; each response is one write.
 
 use super::downstream::Downstream;
-use super::message::{Answer, READ_BYTES, Request, RequestError};
+use super::message::{READ_BYTES, Request, RequestError, ServerResponse};
 use super::state::EndpointState;
 use super::work::{Admission, Core, CorePool, LoadReport, QueueSlot};
 use bytes::BytesMut;
@@ -14,23 +14,25 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes that are read ahead while a request is queued; further ones stay in the kernel's buffer.
-const MAX_AHEAD_BYTES: usize = 16 * 1024;
+/// The number of bytes that are read ahead while a request is queued. Further ones stay in the kernel's buffer.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
-/// The byte that bodies of successful answers consist of.
+/// The byte that fills the body of a successful response.
 const BODY_BYTE: u8 = b'x';
 
-/// An endpoint between a start and the next stop.
+/// An endpoint from a start to the next stop.
 pub(super) struct RunningEndpoint {
     pub state: Arc<EndpointState>,
     pool: CorePool,
+    /// The client for calls to the next tier; `None` in the last tier.
     downstream: Option<Downstream>,
+    /// The body of successful responses.
     body: Vec<u8>,
 }
 
 impl RunningEndpoint {
     pub fn new(state: Arc<EndpointState>, host_seed: u64) -> Self {
-        let mut random = state.random(host_seed);
+        let mut random = state.random_generator(host_seed);
         let call_ids = Pcg64::new(random.random(), random.random());
         Self {
             pool: CorePool::new(&state.options, random),
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Returns the load report that answers carry, if they carry one.
+    /// Returns the current load report; `None` if the endpoint sends no load reports.
     fn load_report(&self) -> Option<LoadReport> {
         let calls = self
             .downstream
@@ -54,73 +56,79 @@
             .then(|| self.pool.load_report(calls))
     }
 
-    /// Returns the answer to a health check; none if the request is not a health check.
-    fn answer_health_check(&self, request: &Request) -> Option<Answer> {
-        let answer = match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/health") => Answer::Healthy,
-            ("GET", "/status/load") => Answer::Load,
+    /// Returns the response to a health check; `None` if the request is not one.
+    fn health_check_response(&self, request: &Request) -> Option<ServerResponse> {
+        let response = match (request.method.as_str(), request.path.as_str()) {
+            ("GET", "/health") => ServerResponse::Healthy,
+            ("GET", "/status/load") => ServerResponse::Load,
             _ => return None,
         };
         self.state.counters.health_checks.increment();
         Some(if self.state.options.load_reports {
-            answer
+            response
         } else {
-            Answer::NotFound
+            ServerResponse::NotFound
         })
     }
 
-    /// Works on a request that has a core, and calls the next tier if there is one.
-    async fn run(&self, request: &Request, core: Core<'_>, deadline: Option<Instant>) -> Answer {
+    /// Works on a request with its core, frees the core, and then calls the next tier if there is one.
+    async fn run(
+        &self,
+        request: &Request,
+        core: Core<'_>,
+        deadline: Option<Instant>,
+    ) -> ServerResponse {
         core.work().await;
         drop(core);
         if self.pool.draw_error() {
-            return Answer::Failed;
+            return ServerResponse::Failed;
         }
         if let Some(downstream) = &self.downstream
             && let Err(error) = downstream.call(request, deadline).await
         {
             tracing::debug!(endpoint = %self.state.name, %error, "call to the next tier failed");
             self.state.counters.failed.increment();
-            return Answer::Failed;
+            return ServerResponse::Failed;
         }
-        Answer::Served
+        ServerResponse::Served
     }
 
-    fn count(&self, answer: Answer) {
-        match answer {
-            Answer::Served => self.state.counters.served.increment(),
-            Answer::NotRun => self.state.counters.rejected_early.increment(),
+    fn count_response(&self, response: ServerResponse) {
+        match response {
+            ServerResponse::Served => self.state.counters.served.increment(),
+            ServerResponse::NotRun => self.state.counters.rejected_early.increment(),
             _ => {}
         }
     }
 }
 
-/// How a connection ends.
+/// The way in which a connection ends.
 enum Ending {
     /// It is closed.
     Closed,
-    /// It is reset, as when a process is killed.
+    /// It is reset, as if the endpoint's process were killed.
     Reset,
 }
 
 /// Serves a connection until it ends. Dropping the future earlier resets the connection.
 pub(super) async fn serve(stream: TcpStream, endpoint: Rc<RunningEndpoint>) {
-    // A failure only makes the connection slower.
+    // If this fails, the connection is only slower.
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(stream, endpoint);
     match connection.run().await {
-        Ok(Ending::Closed) => connection.resets = false,
+        Ok(Ending::Closed) => connection.resets_on_drop = false,
         Ok(Ending::Reset) | Err(_) => {}
     }
 }
 
+/// An accepted connection and the endpoint that serves it.
 struct Connection {
     stream: TcpStream,
     endpoint: Rc<RunningEndpoint>,
     input: BytesMut,
     output: Vec<u8>,
-    /// Whether dropping it resets the connection instead of closing it.
-    resets: bool,
+    /// True if dropping it resets the connection instead of closing it.
+    resets_on_drop: bool,
 }
 
 impl Connection {
@@ -132,36 +140,37 @@
             endpoint,
             input: BytesMut::new(),
             output: Vec::new(),
-            resets: true,
+            resets_on_drop: true,
         }
     }
 
+    /// Serves requests until the connection ends.
     async fn run(&mut self) -> io::Result<Ending> {
         let endpoint = Rc::clone(&self.endpoint);
         loop {
             let request = match self.next_request().await? {
                 Some(Ok(request)) => request,
                 Some(Err(error)) => {
-                    self.write(Answer::Rejected(error), true).await?;
+                    self.write(ServerResponse::Rejected(error), true).await?;
                     return Ok(Ending::Closed);
                 }
                 None => return Ok(Ending::Closed),
             };
-            let Some(answer) = self.answer(&endpoint, &request).await else {
+            let Some(response) = self.handle_request(&endpoint, &request).await else {
                 return Ok(Ending::Closed);
             };
             if endpoint.state.is_hanging() {
                 return self.hang().await;
             }
-            endpoint.count(answer);
-            self.write(answer, request.closes).await?;
-            if request.closes {
+            endpoint.count_response(response);
+            self.write(response, request.closes_connection).await?;
+            if request.closes_connection {
                 return Ok(Ending::Closed);
             }
         }
     }
 
-    /// Reads the next request; none at the end of the connection.
+    /// Reads the next request; `None` at the end of the connection.
     async fn next_request(&mut self) -> io::Result<Option<Result<Request, RequestError>>> {
         loop {
             if !self.input.is_empty()
@@ -176,14 +185,18 @@
         }
     }
 
-    /// Serves a request; no answer if the client disconnects while it is queued.
-    async fn answer(&mut self, endpoint: &RunningEndpoint, request: &Request) -> Option<Answer> {
-        if let Some(answer) = endpoint.answer_health_check(request) {
-            return Some(answer);
+    /// Serves a request and returns its response; `None` if the client disconnects while the request is queued.
+    async fn handle_request(
+        &mut self,
+        endpoint: &RunningEndpoint,
+        request: &Request,
+    ) -> Option<ServerResponse> {
+        if let Some(response) = endpoint.health_check_response(request) {
+            return Some(response);
         }
         endpoint.state.counters.requests.increment();
         if !request.has_id {
-            return Some(Answer::NotFound);
+            return Some(ServerResponse::NotFound);
         }
         let deadline = request
             .time_left
@@ -191,15 +204,15 @@
         let core = match endpoint.pool.admit() {
             Admission::Core(core) => core,
             Admission::Queued(slot) => self.wait_for_core(slot).await?,
-            Admission::RejectedEarly => return Some(Answer::NotRun),
+            Admission::RejectedEarly => return Some(ServerResponse::NotRun),
         };
         if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
-            return Some(Answer::NotRun);
+            return Some(ServerResponse::NotRun);
         }
         Some(endpoint.run(request, core, deadline).await)
     }
 
-    /// Waits for a core; none if the client disconnects first.
+    /// Waits for a core; `None` if the client disconnects first.
     async fn wait_for_core<'pool>(&mut self, slot: QueueSlot<'pool>) -> Option<Core<'pool>> {
         tokio::select! {
             biased;
@@ -208,9 +221,10 @@
         }
     }
 
-    /// Waits until the client closes the connection or its sending side. Input until then is buffered.
+    /// Waits until the client closes the connection or its sending side. Buffers the input until then, up to
+    /// [`MAX_READ_AHEAD_BYTES`]; with a full buffer it waits forever.
     async fn end_of_input(&mut self) {
-        while self.input.len() < MAX_AHEAD_BYTES {
+        while self.input.len() < MAX_READ_AHEAD_BYTES {
             self.input.reserve(READ_BYTES);
             if matches!(self.stream.read_buf(&mut self.input).await, Ok(0) | Err(_)) {
                 return;
@@ -219,37 +233,42 @@
         std::future::pending::<()>().await;
     }
 
-    async fn write(&mut self, answer: Answer, closes: bool) -> io::Result<()> {
+    async fn write(&mut self, response: ServerResponse, closes_connection: bool) -> io::Result<()> {
         self.output.clear();
         let report = self.endpoint.load_report();
-        answer.write(&mut self.output, &self.endpoint.body, report, closes);
+        response.write(
+            &mut self.output,
+            &self.endpoint.body,
+            report,
+            closes_connection,
+        );
         self.stream.write_all(&self.output).await
     }
 
-    /// Leaves a request without an answer until the endpoint resumes, which resets the connection. The client may close
-    /// it first.
+    /// Leaves the request without a response until the endpoint resumes, then resets the connection. The connection
+    /// ends earlier if the client closes it.
     async fn hang(&mut self) -> io::Result<Ending> {
         let endpoint = Rc::clone(&self.endpoint);
         tokio::select! {
             biased;
             () = endpoint.state.resumed() => Ok(Ending::Reset),
-            ended = discard(&mut self.stream) => ended.map(|()| Ending::Closed),
+            ended = read_until_closed(&mut self.stream) => ended.map(|()| Ending::Closed),
         }
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        if self.resets {
-            // After a failure the connection is closed instead.
+        if self.resets_on_drop {
+            // If this fails, the connection is closed instead.
             let _ = self.stream.set_zero_linger();
         }
         self.endpoint.state.counters.connections_open.decrement();
     }
 }
 
-/// Reads and discards input until the peer closes the connection.
-async fn discard(stream: &mut TcpStream) -> io::Result<()> {
+/// Reads and ignores input until the peer closes the connection.
+async fn read_until_closed(stream: &mut TcpStream) -> io::Result<()> {
     let mut scratch = [0; READ_BYTES];
     while stream.read(&mut scratch).await? > 0 {}
     Ok(())
--- a/fleet-lab/src/main.rs
+++ b/fleet-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the lab.
+//! The command line of fleet-lab.
 
 #![forbid(unsafe_code)]
 
@@ -19,7 +19,7 @@
     let arguments = Arguments::parse();
     start_log();
     limits::raise_descriptor_limit();
-    signals::watch();
+    signals::start_handler();
     match arguments.run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
