--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -257,7 +257,7 @@
         source: io::Error,
     },
     /// It is not an experiment.
-    #[error("{}: {}", path.display(), one_line(source))]
+    #[error("{}: {}", path.display(), single_line_message(source))]
     Parse {
         /// The file.
         path: PathBuf,
@@ -265,19 +265,19 @@
         source: Box<toml::de::Error>,
     },
     /// Some of its values are invalid.
-    #[error("{}", value_lines(path, faults))]
+    #[error("{}", invalid_value_lines(path, invalid_values))]
     Values {
         /// The file.
         path: PathBuf,
         /// All invalid values.
-        faults: Vec<ValueFault>,
+        invalid_values: Vec<InvalidValue>,
     },
 }
 
 /// An invalid value of an experiment file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field} {problem}")]
-pub struct ValueFault {
+pub struct InvalidValue {
     /// The path of the field.
     pub field: String,
     /// Why the value is invalid.
@@ -285,15 +285,15 @@
 }
 
 /// Returns the parser's message without its excerpt of the file.
-fn one_line(error: &toml::de::Error) -> String {
+fn single_line_message(error: &toml::de::Error) -> String {
     error.message().trim().replace('\n', "; ")
 }
 
 /// Formats one line for each invalid value, with the file's path.
-fn value_lines(path: &Path, faults: &[ValueFault]) -> String {
-    let lines: Vec<String> = faults
+fn invalid_value_lines(path: &Path, invalid_values: &[InvalidValue]) -> String {
+    let lines: Vec<String> = invalid_values
         .iter()
-        .map(|fault| format!("{}: {fault}", path.display()))
+        .map(|invalid_value| format!("{}: {invalid_value}", path.display()))
         .collect();
     lines.join("\n")
 }
@@ -310,13 +310,13 @@
                 path: path.into(),
                 source: Box::new(source),
             })?;
-        let faults = check::faults(&experiment);
-        if faults.is_empty() {
+        let invalid_values = check::find_invalid_values(&experiment);
+        if invalid_values.is_empty() {
             Ok(experiment)
         } else {
             Err(ExperimentError::Values {
                 path: path.into(),
-                faults,
+                invalid_values,
             })
         }
     }
--- a/fleet-lab/src/experiment/check.rs
+++ b/fleet-lab/src/experiment/check.rs
@@ -2,8 +2,8 @@
 
 use super::{
     AddedLatency, AddedLatencyByDepth, ControlCost, CrowdedDiscovery, DiscoveryCapacity,
-    Experiment, Failures, Fleet, FleetRestart, Measurement, Memory, Outage, Propagation,
-    RetryAmplification, ValueFault,
+    Experiment, Failures, Fleet, FleetRestart, InvalidValue, Measurement, Memory, Outage,
+    Propagation, RetryAmplification,
 };
 use crate::endpoint::{EndpointOptions, ServiceTime};
 use crate::fault::Fault;
@@ -18,13 +18,13 @@
 const MAX_ENDPOINTS: u32 = 5_000;
 /// The largest number of connections or pending requests at once. A sidecar has 4,096 descriptors, and a pending
 /// request needs two.
-const MAX_OPEN: u32 = 2_000;
+const MAX_CONNECTIONS: u32 = 2_000;
 /// The largest number of tiers of a chain.
 const MAX_TIERS: u32 = 32;
-/// The largest number of changes, reloads or faults of a measurement.
+/// The largest number of list changes, list versions or reloads of a measurement.
 const MAX_EVENTS: u32 = 10_000;
 /// The highest rate of calls a second, over all sidecars.
-const MAX_RATE: f64 = 100_000.0;
+const MAX_CALLS_PER_SECOND: f64 = 100_000.0;
 /// The highest rate of list entries a second that discovery writes.
 const MAX_ENTRIES_PER_SECOND: f64 = 1e9;
 /// The longest duration, in seconds.
@@ -35,33 +35,33 @@
 const MAX_BODY_BYTES: u32 = 64 << 10;
 
 /// Returns all invalid values of an experiment.
-pub(super) fn faults(experiment: &Experiment) -> Vec<ValueFault> {
-    let mut faults = Faults::default();
-    faults.require("name", !experiment.name.trim().is_empty(), "is empty");
-    faults.require("purpose", !experiment.purpose.trim().is_empty(), "is empty");
+pub(super) fn find_invalid_values(experiment: &Experiment) -> Vec<InvalidValue> {
+    let mut checker = Checker::default();
+    checker.require("name", !experiment.name.trim().is_empty(), "is empty");
+    checker.require("purpose", !experiment.purpose.trim().is_empty(), "is empty");
     match &experiment.measure {
-        Measurement::AddedLatency(plan) => added_latency(plan, &mut faults),
-        Measurement::AddedLatencyByDepth(plan) => added_latency_by_depth(plan, &mut faults),
-        Measurement::RetryAmplification(plan) => retry_amplification(plan, &mut faults),
-        Measurement::Memory(plan) => memory(plan, &mut faults),
-        Measurement::ControlCost(plan) => control_cost(plan, &mut faults),
-        Measurement::Propagation(plan) => propagation(plan, &mut faults),
-        Measurement::Outage(plan) => outage(plan, &mut faults),
-        Measurement::FleetRestart(plan) => fleet_restart(plan, &mut faults),
-        Measurement::CrowdedDiscovery(plan) => crowded_discovery(plan, &mut faults),
-        Measurement::Failures(plan) => failures(plan, &mut faults),
+        Measurement::AddedLatency(plan) => check_added_latency(plan, &mut checker),
+        Measurement::AddedLatencyByDepth(plan) => check_added_latency_by_depth(plan, &mut checker),
+        Measurement::RetryAmplification(plan) => check_retry_amplification(plan, &mut checker),
+        Measurement::Memory(plan) => check_memory(plan, &mut checker),
+        Measurement::ControlCost(plan) => check_control_cost(plan, &mut checker),
+        Measurement::Propagation(plan) => check_propagation(plan, &mut checker),
+        Measurement::Outage(plan) => check_outage(plan, &mut checker),
+        Measurement::FleetRestart(plan) => check_fleet_restart(plan, &mut checker),
+        Measurement::CrowdedDiscovery(plan) => check_crowded_discovery(plan, &mut checker),
+        Measurement::Failures(plan) => check_failures(plan, &mut checker),
     }
-    faults.0
+    checker.0
 }
 
 /// Collects invalid values.
 #[derive(Default)]
-struct Faults(Vec<ValueFault>);
+struct Checker(Vec<InvalidValue>);
 
-impl Faults {
+impl Checker {
     fn require(&mut self, field: &str, is_valid: bool, problem: impl Into<String>) {
         if !is_valid {
-            self.0.push(ValueFault {
+            self.0.push(InvalidValue {
                 field: field.into(),
                 problem: problem.into(),
             });
@@ -115,40 +115,48 @@
     }
 }
 
-fn added_latency(plan: &AddedLatency, faults: &mut Faults) {
-    faults.count("measure.endpoints", plan.endpoints, MAX_ENDPOINTS);
-    faults.sizes("measure.rates", &plan.rates, MAX_RATE);
-    faults.within(
+fn check_added_latency(plan: &AddedLatency, checker: &mut Checker) {
+    checker.count("measure.endpoints", plan.endpoints, MAX_ENDPOINTS);
+    checker.sizes("measure.rates", &plan.rates, MAX_CALLS_PER_SECOND);
+    checker.within(
         "measure.changes_per_second",
         plan.changes_per_second,
         0.0..=1_000.0,
     );
-    faults.fraction("measure.unsafe_share", plan.unsafe_fraction);
-    endpoint_options(&plan.endpoint, faults);
-    faults.seconds_or_zero("measure.warm_up_seconds", plan.warm_up_seconds);
-    faults.seconds("measure.seconds", plan.seconds);
+    checker.fraction("measure.unsafe_share", plan.unsafe_fraction);
+    check_endpoint_options(&plan.endpoint, checker);
+    checker.seconds_or_zero("measure.warm_up_seconds", plan.warm_up_seconds);
+    checker.seconds("measure.seconds", plan.seconds);
 }
 
-fn added_latency_by_depth(plan: &AddedLatencyByDepth, faults: &mut Faults) {
-    chain(&plan.depths, plan.endpoints_per_tier, faults);
-    faults.positive("measure.calls_per_second", plan.calls_per_second, MAX_RATE);
-    endpoint_options(&plan.endpoint, faults);
-    faults.seconds_or_zero("measure.warm_up_seconds", plan.warm_up_seconds);
-    faults.seconds("measure.seconds", plan.seconds);
+fn check_added_latency_by_depth(plan: &AddedLatencyByDepth, checker: &mut Checker) {
+    check_chain(&plan.depths, plan.endpoints_per_tier, checker);
+    checker.positive(
+        "measure.calls_per_second",
+        plan.calls_per_second,
+        MAX_CALLS_PER_SECOND,
+    );
+    check_endpoint_options(&plan.endpoint, checker);
+    checker.seconds_or_zero("measure.warm_up_seconds", plan.warm_up_seconds);
+    checker.seconds("measure.seconds", plan.seconds);
 }
 
-fn retry_amplification(plan: &RetryAmplification, faults: &mut Faults) {
-    chain(&plan.depths, plan.endpoints_per_tier, faults);
-    faults.positive("measure.calls_per_second", plan.calls_per_second, MAX_RATE);
-    faults.fraction("measure.error_share", plan.error_rate);
-    endpoint_options(&plan.endpoint, faults);
-    faults.seconds("measure.seconds", plan.seconds);
+fn check_retry_amplification(plan: &RetryAmplification, checker: &mut Checker) {
+    check_chain(&plan.depths, plan.endpoints_per_tier, checker);
+    checker.positive(
+        "measure.calls_per_second",
+        plan.calls_per_second,
+        MAX_CALLS_PER_SECOND,
+    );
+    checker.fraction("measure.error_share", plan.error_rate);
+    check_endpoint_options(&plan.endpoint, checker);
+    checker.seconds("measure.seconds", plan.seconds);
 }
 
 /// Checks chains in which each endpoint, except those of the last tier, has a sidecar of its own.
-fn chain(depths: &[u32], endpoints_per_tier: u32, faults: &mut Faults) {
-    faults.sizes("measure.depths", depths, MAX_TIERS.into());
-    faults.count(
+fn check_chain(depths: &[u32], endpoints_per_tier: u32, checker: &mut Checker) {
+    checker.sizes("measure.depths", depths, MAX_TIERS.into());
+    checker.count(
         "measure.endpoints_per_tier",
         endpoints_per_tier,
         MAX_ENDPOINTS,
@@ -156,147 +164,151 @@
     let max_depth = depths.iter().copied().max().unwrap_or(0);
     let processes = 1 + u64::from(max_depth.saturating_sub(1)) * u64::from(endpoints_per_tier);
     let problem = format!("needs {processes} sidecar processes, more than {MAX_PROCESSES}");
-    faults.require("measure.depths", processes <= MAX_PROCESSES, problem);
+    checker.require("measure.depths", processes <= MAX_PROCESSES, problem);
 }
 
-fn memory(plan: &Memory, faults: &mut Faults) {
-    faults.sizes("measure.endpoints", &plan.endpoints, MAX_ENDPOINTS.into());
-    faults.sizes(
+fn check_memory(plan: &Memory, checker: &mut Checker) {
+    checker.sizes("measure.endpoints", &plan.endpoints, MAX_ENDPOINTS.into());
+    checker.sizes(
         "measure.open_requests",
         &plan.open_requests,
-        MAX_OPEN.into(),
+        MAX_CONNECTIONS.into(),
     );
-    faults.sizes(
+    checker.sizes(
         "measure.caller_connections",
         &plan.caller_connections,
-        MAX_OPEN.into(),
+        MAX_CONNECTIONS.into(),
     );
 }
 
-fn control_cost(plan: &ControlCost, faults: &mut Faults) {
-    faults.count("measure.endpoints", plan.endpoints, MAX_ENDPOINTS);
-    faults.sizes("measure.changes", &plan.changes, MAX_EVENTS.into());
-    faults.sizes("measure.reloads", &plan.reloads, MAX_EVENTS.into());
-    faults.sizes("measure.probing_rates", &plan.health_check_rates, MAX_RATE);
-    faults.seconds("measure.seconds", plan.seconds);
+fn check_control_cost(plan: &ControlCost, checker: &mut Checker) {
+    checker.count("measure.endpoints", plan.endpoints, MAX_ENDPOINTS);
+    checker.sizes("measure.changes", &plan.changes, MAX_EVENTS.into());
+    checker.sizes("measure.reloads", &plan.reloads, MAX_EVENTS.into());
+    checker.sizes(
+        "measure.probing_rates",
+        &plan.health_check_rates,
+        MAX_CALLS_PER_SECOND,
+    );
+    checker.seconds("measure.seconds", plan.seconds);
 }
 
-fn propagation(plan: &Propagation, faults: &mut Faults) {
-    fleet(&plan.fleet, faults);
-    faults.count("measure.changes", plan.changes, MAX_EVENTS);
-    faults.seconds("measure.longest_seconds", plan.timeout_seconds);
+fn check_propagation(plan: &Propagation, checker: &mut Checker) {
+    check_fleet(&plan.fleet, checker);
+    checker.count("measure.changes", plan.changes, MAX_EVENTS);
+    checker.seconds("measure.longest_seconds", plan.timeout_seconds);
 }
 
-fn outage(plan: &Outage, faults: &mut Faults) {
-    fleet(&plan.fleet, faults);
-    faults.seconds("measure.outage_seconds", plan.outage_seconds);
-    faults.seconds("measure.longest_seconds", plan.timeout_seconds);
+fn check_outage(plan: &Outage, checker: &mut Checker) {
+    check_fleet(&plan.fleet, checker);
+    checker.seconds("measure.outage_seconds", plan.outage_seconds);
+    checker.seconds("measure.longest_seconds", plan.timeout_seconds);
 }
 
-fn fleet_restart(plan: &FleetRestart, faults: &mut Faults) {
-    fleet(&plan.fleet, faults);
-    faults.seconds("measure.longest_seconds", plan.timeout_seconds);
+fn check_fleet_restart(plan: &FleetRestart, checker: &mut Checker) {
+    check_fleet(&plan.fleet, checker);
+    checker.seconds("measure.longest_seconds", plan.timeout_seconds);
 }
 
-fn crowded_discovery(plan: &CrowdedDiscovery, faults: &mut Faults) {
-    fleet(&plan.fleet, faults);
-    faults.fraction("measure.restarted_fraction", plan.restarted_fraction);
-    faults.count("measure.versions", plan.versions, MAX_EVENTS);
-    faults.seconds("measure.interval_seconds", plan.interval_seconds);
-    faults.seconds("measure.late_after_seconds", plan.late_after_seconds);
+fn check_crowded_discovery(plan: &CrowdedDiscovery, checker: &mut Checker) {
+    check_fleet(&plan.fleet, checker);
+    checker.fraction("measure.restarted_fraction", plan.restarted_fraction);
+    checker.count("measure.versions", plan.versions, MAX_EVENTS);
+    checker.seconds("measure.interval_seconds", plan.interval_seconds);
+    checker.seconds("measure.late_after_seconds", plan.late_after_seconds);
 }
 
-fn failures(plan: &Failures, faults: &mut Faults) {
-    topology(&plan.topology, faults);
-    faults.within(
+fn check_failures(plan: &Failures, checker: &mut Checker) {
+    check_topology(&plan.topology, checker);
+    checker.within(
         "measure.calls_per_second",
         plan.calls_per_second,
-        0.0..=MAX_RATE,
+        0.0..=MAX_CALLS_PER_SECOND,
     );
-    discovery("measure.discovery", &plan.discovery, faults);
-    faults.require("measure.faults", !plan.faults.is_empty(), "is empty");
+    check_discovery("measure.discovery", &plan.discovery, checker);
+    checker.require("measure.faults", !plan.faults.is_empty(), "is empty");
     for (index, fault) in plan.faults.iter().enumerate() {
-        fault_size(
+        check_fault_size(
             &format!("measure.faults.{index}"),
             fault,
             plan.topology.endpoints,
-            faults,
+            checker,
         );
     }
-    faults.seconds("measure.fault_seconds", plan.fault_seconds);
-    faults.seconds_or_zero("measure.rest_seconds", plan.pause_seconds);
+    checker.seconds("measure.fault_seconds", plan.fault_seconds);
+    checker.seconds_or_zero("measure.rest_seconds", plan.pause_seconds);
 }
 
-fn fleet(plan: &Fleet, faults: &mut Faults) {
-    faults.sizes("measure.fleet.sizes", &plan.sizes, MAX_SIDECARS.into());
-    faults.count("measure.fleet.endpoints", plan.endpoints, MAX_ENDPOINTS);
-    faults.within(
+fn check_fleet(plan: &Fleet, checker: &mut Checker) {
+    checker.sizes("measure.fleet.sizes", &plan.sizes, MAX_SIDECARS.into());
+    checker.count("measure.fleet.endpoints", plan.endpoints, MAX_ENDPOINTS);
+    checker.within(
         "measure.fleet.calls_per_second",
         plan.calls_per_second,
-        0.0..=MAX_RATE,
+        0.0..=MAX_CALLS_PER_SECOND,
     );
-    discovery("measure.fleet.discovery", &plan.discovery, faults);
+    check_discovery("measure.fleet.discovery", &plan.discovery, checker);
 }
 
-fn discovery(field: &str, capacity: &DiscoveryCapacity, faults: &mut Faults) {
-    faults.positive(
+fn check_discovery(field: &str, capacity: &DiscoveryCapacity, checker: &mut Checker) {
+    checker.positive(
         &format!("{field}.calls_per_second"),
         capacity.calls_per_second,
-        MAX_RATE,
+        MAX_CALLS_PER_SECOND,
     );
-    faults.seconds(
+    checker.seconds(
         &format!("{field}.longest_wait_seconds"),
         capacity.queue_timeout_seconds,
     );
     if let Some(rate) = capacity.entries_per_second {
         let field = format!("{field}.entries_per_second");
-        faults.positive(&field, rate, MAX_ENTRIES_PER_SECOND);
+        checker.positive(&field, rate, MAX_ENTRIES_PER_SECOND);
     }
 }
 
-fn topology(size: &TopologySize, faults: &mut Faults) {
-    faults.count("measure.topology.regions", size.regions, 16);
-    faults.count(
+fn check_topology(size: &TopologySize, checker: &mut Checker) {
+    checker.count("measure.topology.regions", size.regions, 16);
+    checker.count(
         "measure.topology.zones_per_region",
         size.zones_per_region,
         16,
     );
-    faults.count("measure.topology.racks_per_zone", size.racks_per_zone, 64);
-    faults.count("measure.topology.services", size.services, MAX_SIDECARS);
-    faults.count("measure.topology.endpoints", size.endpoints, MAX_SIDECARS);
+    checker.count("measure.topology.racks_per_zone", size.racks_per_zone, 64);
+    checker.count("measure.topology.services", size.services, MAX_SIDECARS);
+    checker.count("measure.topology.endpoints", size.endpoints, MAX_SIDECARS);
 }
 
-fn fault_size(field: &str, fault: &Fault, endpoints: u32, faults: &mut Faults) {
+fn check_fault_size(field: &str, fault: &Fault, endpoints: u32, checker: &mut Checker) {
     match fault {
-        Fault::Machines { count } => faults.count(&format!("{field}.count"), *count, endpoints),
+        Fault::Machines { count } => checker.count(&format!("{field}.count"), *count, endpoints),
         Fault::RollingRestart { count, wave } => {
-            faults.count(&format!("{field}.count"), *count, endpoints);
-            faults.count(&format!("{field}.wave"), *wave, *count);
+            checker.count(&format!("{field}.count"), *count, endpoints);
+            checker.count(&format!("{field}.wave"), *wave, *count);
         }
         Fault::Rack | Fault::Zone | Fault::RegionPartition | Fault::DiscoveryOutage => {}
     }
 }
 
-fn endpoint_options(options: &EndpointOptions, faults: &mut Faults) {
-    faults.count("measure.endpoint.cores", options.cores, 100_000);
-    faults.within("measure.endpoint.queue", options.queue, 0.0..=100_000.0);
-    service_time(options.service_time, faults);
+fn check_endpoint_options(options: &EndpointOptions, checker: &mut Checker) {
+    checker.count("measure.endpoint.cores", options.cores, 100_000);
+    checker.within("measure.endpoint.queue", options.queue, 0.0..=100_000.0);
+    check_service_time(options.service_time, checker);
     if let Some(slow_start) = &options.slow_start {
-        faults.fraction(
+        checker.fraction(
             "measure.endpoint.cold_ramp.from",
             slow_start.initial_capacity,
         );
     }
     let body_fits = options.answer_bytes <= MAX_BODY_BYTES as usize;
-    faults.require(
+    checker.require(
         "measure.endpoint.answer_bytes",
         body_fits,
         format!("is above {MAX_BODY_BYTES}"),
     );
-    faults.fraction("measure.endpoint.error_share", options.error_rate);
+    checker.fraction("measure.endpoint.error_share", options.error_rate);
 }
 
-fn service_time(service_time: ServiceTime, faults: &mut Faults) {
+fn check_service_time(service_time: ServiceTime, checker: &mut Checker) {
     let (field, milliseconds) = match service_time {
         ServiceTime::None => return,
         ServiceTime::Fixed { milliseconds } => {
@@ -307,5 +319,5 @@
             mean_milliseconds,
         ),
     };
-    faults.within(field, milliseconds, 0.0..=MAX_SERVICE_MILLISECONDS);
+    checker.within(field, milliseconds, 0.0..=MAX_SERVICE_MILLISECONDS);
 }
