--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -156,7 +156,7 @@
                 only,
                 options,
             } => run::scale(experiments, only, options),
-            Command::Run { files, options } => run::files(files, options),
+            Command::Run { files, options } => run::run_files(files, options),
             Command::Tier(options) => tier::run(options),
             Command::Check { files } => check::check(files),
         }
--- a/fleet-lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -22,12 +22,12 @@
     if experiments.is_empty() {
         return Err(CommandError::NoExperiments(folder.into()));
     }
-    let is_there = |name: &&String| {
+    let is_known = |name: &&String| {
         experiments
             .iter()
             .any(|experiment| experiment.name == **name)
     };
-    if let Some(unknown) = only.iter().find(|name| !is_there(name)) {
+    if let Some(unknown) = only.iter().find(|name| !is_known(name)) {
         return Err(CommandError::UnknownName(unknown.clone()));
     }
     if !only.is_empty() {
@@ -37,7 +37,7 @@
 }
 
 /// Runs the experiments of these files.
-pub(super) fn files(files: &[PathBuf], options: &RunOptions) -> Result<(), CommandError> {
+pub(super) fn run_files(files: &[PathBuf], options: &RunOptions) -> Result<(), CommandError> {
     let experiments = files
         .iter()
         .map(|file| Experiment::load(file))
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -17,7 +17,7 @@
 /// The priority weight that every second reload gives the class of safe requests.
 const CHANGED_PRIORITY_WEIGHT: f64 = 0.9;
 /// How long a sidecar runs before its idle state is measured.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// Endpoints that answer immediately, with load reports.
 const ENDPOINT: EndpointOptions = EndpointOptions {
@@ -37,29 +37,29 @@
 ) -> Result<ScenarioOutcome, ScenarioError> {
     let period = Duration::from_secs_f64(plan.seconds);
     let mut outcome = ScenarioOutcome {
-        metrics: changes_and_reloads(plan, seed, context, period)?,
+        metrics: measure_changes_and_reloads(plan, seed, context, period)?,
         problems: Vec::new(),
     };
-    health_checks(plan, seed, context, period, &mut outcome)?;
+    measure_health_checks(plan, seed, context, period, &mut outcome)?;
     Ok(outcome)
 }
 
 /// Measures an idle sidecar, and the costs of list changes and reloads beyond that.
-fn changes_and_reloads(
+fn measure_changes_and_reloads(
     plan: &ControlCost,
     seed: u64,
     context: &RunContext,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
     let single_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
-    thread::sleep(SETTLE);
-    let idle = Cost::over(&single_sidecar, || {
+    thread::sleep(SETTLE_TIME);
+    let idle = Cost::measure(&single_sidecar, || {
         thread::sleep(period);
         Ok(())
     })?;
     let mut metrics = idle_metrics(plan.endpoints, &idle, period);
-    metrics.extend(changes(plan, &single_sidecar, &idle, period)?);
-    metrics.extend(reloads(plan, &single_sidecar, &idle, period)?);
+    metrics.extend(measure_changes(plan, &single_sidecar, &idle, period)?);
+    metrics.extend(measure_reloads(plan, &single_sidecar, &idle, period)?);
     Ok(metrics)
 }
 
@@ -71,7 +71,7 @@
 
 impl Cost {
     /// Measures the cost of an action.
-    fn over(
+    fn measure(
         single_sidecar: &SingleSidecar,
         action: impl FnOnce() -> Result<(), ScenarioError>,
     ) -> Result<Self, ScenarioError> {
@@ -117,7 +117,7 @@
 fn idle_metrics(endpoints: u32, idle: &Cost, period: Duration) -> Vec<Metric> {
     let seconds = period.as_secs_f64();
     let size = f64::from(endpoints);
-    let mut table = MetricTable::over("endpoints");
+    let mut table = MetricTable::with_size_unit("endpoints");
     let microseconds = idle.processor_time.as_secs_f64() * 1e6;
     table.add(
         "idle processor time a second",
@@ -135,7 +135,7 @@
 }
 
 /// Runs an action a number of times, spread evenly over a period, and waits for the period's end.
-fn spread(
+fn repeat_evenly(
     count: u32,
     period: Duration,
     mut action: impl FnMut(usize) -> Result<(), ScenarioError>,
@@ -150,17 +150,17 @@
     Ok(())
 }
 
-fn changes(
+fn measure_changes(
     plan: &ControlCost,
     single_sidecar: &SingleSidecar,
     idle: &Cost,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
     let mut entries = single_sidecar.tier.entries();
-    let mut table = MetricTable::over("changes");
+    let mut table = MetricTable::with_size_unit("changes");
     for count in &plan.changes {
-        let cost = Cost::over(single_sidecar, || {
-            spread(*count, period, |number| {
+        let cost = Cost::measure(single_sidecar, || {
+            repeat_evenly(*count, period, |number| {
                 let entry = number % entries.len();
                 let change = toggle_weight(&mut entries[entry]);
                 single_sidecar.tier.discovery.publish(vec![change]);
@@ -179,17 +179,17 @@
     Ok(table.with_slopes())
 }
 
-fn reloads(
+fn measure_reloads(
     plan: &ControlCost,
     single_sidecar: &SingleSidecar,
     idle: &Cost,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
     let mut configuration = single_sidecar.configuration.clone();
-    let mut table = MetricTable::over("reloads");
+    let mut table = MetricTable::with_size_unit("reloads");
     for count in &plan.reloads {
-        let cost = Cost::over(single_sidecar, || {
-            spread(*count, period, |_| {
+        let cost = Cost::measure(single_sidecar, || {
+            repeat_evenly(*count, period, |_| {
                 let priority_weight = &mut configuration.classes[0].priority_weight;
                 *priority_weight = if *priority_weight == CHANGED_PRIORITY_WEIGHT {
                     1.0
@@ -217,7 +217,7 @@
 }
 
 /// Measures the health checks that a sidecar makes at each rate of calls, and its processor time with and without them.
-fn health_checks(
+fn measure_health_checks(
     plan: &ControlCost,
     seed: u64,
     context: &RunContext,
@@ -226,16 +226,16 @@
 ) -> Result<(), ScenarioError> {
     let checking_sidecar = start(plan.endpoints, LoadReports::WithHealthChecks, seed, context)?;
     let reporting_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
-    let mut table = MetricTable::over("calls/s");
+    let mut table = MetricTable::with_size_unit("calls/s");
     for rate in &plan.health_check_rates {
-        let with_checks = call_cost(
+        let with_checks = measure_call_cost(
             &checking_sidecar,
             *rate,
             period,
             seed,
             &mut outcome.problems,
         )?;
-        let without_checks = call_cost(
+        let without_checks = measure_call_cost(
             &reporting_sidecar,
             *rate,
             period,
@@ -279,7 +279,7 @@
     microseconds: f64,
 }
 
-fn call_cost(
+fn measure_call_cost(
     single_sidecar: &SingleSidecar,
     rate: f64,
     period: Duration,
@@ -295,7 +295,7 @@
     };
     let health_checks = single_sidecar.endpoint_health_checks();
     let mut calls = 0;
-    let cost = Cost::over(single_sidecar, || {
+    let cost = Cost::measure(single_sidecar, || {
         for result in run_load(&load)? {
             calls += result.sent;
             let measurement = match single_sidecar.configuration.load_reports {
--- a/fleet-lab/src/scenario/crowded_discovery.rs
+++ b/fleet-lab/src/scenario/crowded_discovery.rs
@@ -19,7 +19,7 @@
 ];
 
 pub(super) fn run(plan: &CrowdedDiscovery, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
-    let mut table = MetricTable::over("sidecars");
+    let mut table = MetricTable::with_size_unit("sidecars");
     for &size in &plan.fleet.sizes {
         let fleet = FleetPlan::new(&plan.fleet, size, CachedList::Full, seed).start()?;
         measure(plan, &fleet, &mut table);
--- a/fleet-lab/src/scenario/depth.rs
+++ b/fleet-lab/src/scenario/depth.rs
@@ -15,7 +15,7 @@
     seed: u64,
     context: &RunContext,
 ) -> Result<ScenarioOutcome, ScenarioError> {
-    let mut table = MetricTable::over("tiers");
+    let mut table = MetricTable::with_size_unit("tiers");
     let mut problems = Vec::new();
     for depth in &plan.depths {
         let options = ChainOptions {
@@ -80,8 +80,8 @@
     seed: u64,
     context: &RunContext,
 ) -> Result<ScenarioOutcome, ScenarioError> {
-    let mut table = MetricTable::over("tiers");
-    let failing = EndpointOptions {
+    let mut table = MetricTable::with_size_unit("tiers");
+    let failing_endpoint = EndpointOptions {
         error_rate: plan.error_rate,
         ..plan.endpoint.clone()
     };
@@ -90,7 +90,7 @@
             depth: *depth,
             endpoints_per_tier: plan.endpoints_per_tier,
             endpoint: &plan.endpoint,
-            last_endpoint: &failing,
+            last_endpoint: &failing_endpoint,
             seed,
         };
         let chain = Chain::start(&options, context)?;
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -15,13 +15,13 @@
 use crate::fault::{Fault, Impact};
 use crate::topology::Topology;
 use balancer_sidecar::policy::DiscoveryMode;
-use cost::{CONVERGENCE_TIMEOUT, FaultCost, record};
+use cost::{CONVERGENCE_TIMEOUT, FaultCost, add_fault_cost};
 use injection::FaultInjector;
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// The unit of the metrics' sizes.
-const FAULT_NUMBER: &str = "fault";
+const SIZE_UNIT: &str = "fault";
 
 pub(super) fn run(plan: &Failures, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let topology = Topology::generate(&plan.topology, seed);
@@ -35,17 +35,17 @@
     };
     let pause = Duration::from_secs_f64(plan.pause_seconds);
 
-    let mut table = MetricTable::over(FAULT_NUMBER);
+    let mut table = MetricTable::with_size_unit(SIZE_UNIT);
     let mut descriptions = vec!["0: none".to_owned()];
-    record(&mut table, 0, &measure_idle(&fleet, pause));
+    add_fault_cost(&mut table, 0, &measure_idle(&fleet, pause));
     for (number, fault) in (1..).zip(&plan.faults) {
         let impact = fault.impact(&topology, seed.wrapping_add(number));
-        record(
+        add_fault_cost(
             &mut table,
             number,
             &measure_fault(&injector, fault, &impact, pause),
         );
-        descriptions.push(format!("{number}: {}", describe(fault, &impact)));
+        descriptions.push(format!("{number}: {}", describe_fault(fault, &impact)));
     }
     table.note_all(&format!("{}.", descriptions.join("; ")));
     Ok(ScenarioOutcome {
@@ -83,7 +83,7 @@
 fn measure_idle(fleet: &RunningFleet, pause: Duration) -> FaultCost {
     let from = fleet.current_second();
     thread::sleep(pause);
-    FaultCost::over(&fleet.seconds_since(from))
+    FaultCost::from_seconds(&fleet.seconds_since(from))
 }
 
 /// Measures the cost of a fault from its start until the list is current again and the pause after it is over.
@@ -103,11 +103,11 @@
     thread::sleep(pause.saturating_sub(ended.elapsed()));
     FaultCost {
         current: Some(current),
-        ..FaultCost::over(&fleet.seconds_since(from))
+        ..FaultCost::from_seconds(&fleet.seconds_since(from))
     }
 }
 
-fn describe(fault: &Fault, impact: &Impact) -> String {
+fn describe_fault(fault: &Fault, impact: &Impact) -> String {
     let machines = impact.endpoints.len();
     match fault {
         Fault::Machines { .. } => format!("{machines} machines vanish"),
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -32,7 +32,7 @@
 
 impl FaultCost {
     /// Computes the cost over these seconds.
-    pub fn over(seconds: &[SecondCounts]) -> Self {
+    pub fn from_seconds(seconds: &[SecondCounts]) -> Self {
         let total = |count: fn(&SecondCounts) -> u64| seconds.iter().map(count).sum();
         let last_unrecovered = seconds
             .iter()
@@ -69,7 +69,7 @@
 }
 
 /// Adds a fault's cost to the metrics.
-pub(super) fn record(table: &mut MetricTable, fault: u64, cost: &FaultCost) {
+pub(super) fn add_fault_cost(table: &mut MetricTable, fault: u64, cost: &FaultCost) {
     let number = fault as f64;
     let mut add = |name: &str, unit: &str, value: f64| table.add(name, unit, number, value);
     add("calls", "calls", cost.calls as f64);
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -29,9 +29,9 @@
 /// Mean service time of the endpoints.
 const MEAN_SERVICE_TIME: Duration = Duration::from_millis(5);
 /// Every sidecar whose number is a multiple of this is a busy one,
-const BUSY_EVERY: usize = 10;
+const BUSY_SIDECAR_INTERVAL: usize = 10;
 /// with this multiple of the mean rate of calls.
-const BUSY_MULTIPLE: f64 = 3.0;
+const BUSY_RATE_MULTIPLE: f64 = 3.0;
 /// How long a caller waits.
 const CALL_DEADLINE: Duration = Duration::from_secs(1);
 /// Resource limits of a sidecar, as the operators set them.
@@ -243,9 +243,9 @@
 
 /// Returns the factor of a sidecar's rate of calls. The factors of ten consecutive sidecars add up to ten.
 fn rate_multiple(sidecar: usize) -> f64 {
-    if sidecar.is_multiple_of(BUSY_EVERY) {
-        return BUSY_MULTIPLE;
+    if sidecar.is_multiple_of(BUSY_SIDECAR_INTERVAL) {
+        return BUSY_RATE_MULTIPLE;
     }
-    let every = BUSY_EVERY as f64;
-    (every - BUSY_MULTIPLE) / (every - 1.0)
+    let every = BUSY_SIDECAR_INTERVAL as f64;
+    (every - BUSY_RATE_MULTIPLE) / (every - 1.0)
 }
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -20,7 +20,7 @@
     "Includes the time in which all decision modules start, on two threads of one process.";
 
 pub(super) fn run(plan: &FleetRestart, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
-    let mut table = MetricTable::over("sidecars");
+    let mut table = MetricTable::with_size_unit("sidecars");
     for (cached_list, label) in VARIANTS {
         for &size in &plan.fleet.sizes {
             let fleet = FleetPlan::new(&plan.fleet, size, cached_list, seed).start()?;
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -32,7 +32,7 @@
     };
     let single_sidecar = SingleSidecar::start(&options, context)?;
     let direct = single_sidecar.start_unlisted_endpoint(&plan.endpoint)?;
-    let mut table = MetricTable::over("calls/s");
+    let mut table = MetricTable::with_size_unit("calls/s");
     let mut problems = Vec::new();
     for rate in &plan.rates {
         let load = load_plan(plan, *rate, seed, single_sidecar.sidecar.address(), direct);
--- a/fleet-lab/src/scenario/memory.rs
+++ b/fleet-lab/src/scenario/memory.rs
@@ -18,7 +18,7 @@
 /// How long an endpoint works on a request that is to stay pending.
 const SERVICE_TIME: Duration = Duration::from_secs(60);
 /// How long a sidecar runs before it is measured.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// How long it may take until all requests are pending.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval at which an awaited state is checked.
@@ -30,19 +30,19 @@
     context: &RunContext,
 ) -> Result<ScenarioOutcome, ScenarioError> {
     let mut outcome = ScenarioOutcome::default();
-    by_endpoints(plan, seed, context, &mut outcome)?;
-    by_open_requests(plan, seed, context, &mut outcome)?;
-    by_caller_connections(plan, seed, context, &mut outcome)?;
+    measure_by_endpoints(plan, seed, context, &mut outcome)?;
+    measure_by_open_requests(plan, seed, context, &mut outcome)?;
+    measure_by_caller_connections(plan, seed, context, &mut outcome)?;
     Ok(outcome)
 }
 
-fn by_endpoints(
+fn measure_by_endpoints(
     plan: &Memory,
     seed: u64,
     context: &RunContext,
     outcome: &mut ScenarioOutcome,
 ) -> Result<(), ScenarioError> {
-    let mut table = MetricTable::over("listed endpoints");
+    let mut table = MetricTable::with_size_unit("listed endpoints");
     for endpoints in &plan.endpoints {
         let single_sidecar = start(
             *endpoints,
@@ -51,9 +51,9 @@
             seed,
             context,
         )?;
-        thread::sleep(SETTLE);
+        thread::sleep(SETTLE_TIME);
         let usage = single_sidecar.usage()?;
-        add(
+        add_memory(
             &mut table,
             "memory by endpoints",
             f64::from(*endpoints),
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-fn by_open_requests(
+fn measure_by_open_requests(
     plan: &Memory,
     seed: u64,
     context: &RunContext,
@@ -76,14 +76,14 @@
     let single_sidecar = start(FEW_ENDPOINTS, service_time, SERVICE_TIME, seed, context)?;
     let mut client_connections =
         ClientConnections::new(single_sidecar.sidecar.address(), SERVICE_TIME);
-    let mut table = MetricTable::over("open requests");
+    let mut table = MetricTable::with_size_unit("open requests");
     for count in &plan.open_requests {
         client_connections
             .open_requests(*count as usize)
             .map_err(ScenarioError::step("open requests"))?;
         let pending = wait_for_pending(&single_sidecar, u64::from(*count))?;
-        thread::sleep(SETTLE);
-        add(
+        thread::sleep(SETTLE_TIME);
+        add_memory(
             &mut table,
             "memory by open requests",
             pending as f64,
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-fn by_caller_connections(
+fn measure_by_caller_connections(
     plan: &Memory,
     seed: u64,
     context: &RunContext,
@@ -114,14 +114,14 @@
     )?;
     let mut client_connections =
         ClientConnections::new(single_sidecar.sidecar.address(), CALLER_DEADLINE);
-    let mut table = MetricTable::over("idle callers' connections");
+    let mut table = MetricTable::with_size_unit("idle callers' connections");
     for count in &plan.caller_connections {
         client_connections
             .open_idle(*count as usize)
             .map_err(ScenarioError::step("open callers' connections"))?;
-        thread::sleep(SETTLE);
+        thread::sleep(SETTLE_TIME);
         let usage = single_sidecar.usage()?;
-        add(
+        add_memory(
             &mut table,
             "memory by callers' connections",
             f64::from(*count),
@@ -164,7 +164,7 @@
     SingleSidecar::start(&options, context)
 }
 
-fn add(table: &mut MetricTable, name: &str, size: f64, usage: &ProcessUsage) {
+fn add_memory(table: &mut MetricTable, name: &str, size: f64, usage: &ProcessUsage) {
     table.add(name, "bytes", size, usage.anonymous_bytes as f64);
 }
 
--- a/fleet-lab/src/scenario/metric_table.rs
+++ b/fleet-lab/src/scenario/metric_table.rs
@@ -12,16 +12,16 @@
     size_unit: &'static str,
     metrics: Vec<Metric>,
     /// Names of metrics that get no slope.
-    without_slope: BTreeSet<String>,
+    names_without_slope: BTreeSet<String>,
 }
 
 impl MetricTable {
     /// Creates an empty table; `size_unit` is the unit of the sizes.
-    pub(super) fn over(size_unit: &'static str) -> Self {
+    pub(super) fn with_size_unit(size_unit: &'static str) -> Self {
         MetricTable {
             size_unit,
             metrics: Vec::new(),
-            without_slope: BTreeSet::new(),
+            names_without_slope: BTreeSet::new(),
         }
     }
 
@@ -56,7 +56,7 @@
 
     /// Omits the slope of a metric, for one whose values are bounds and not measurements.
     pub(super) fn omit_slope(&mut self, name: &str) {
-        self.without_slope.insert(name.to_owned());
+        self.names_without_slope.insert(name.to_owned());
     }
 
     /// Adds a note to all metrics.
@@ -80,7 +80,7 @@
     pub(super) fn with_slopes(mut self) -> Vec<Metric> {
         for metric in &mut self.metrics {
             if metric.points.len() >= MIN_POINTS_FOR_SLOPE
-                && !self.without_slope.contains(&metric.name)
+                && !self.names_without_slope.contains(&metric.name)
             {
                 metric.slope = Slope::fit(&metric.points);
             }
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -13,7 +13,7 @@
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
 
 pub(super) fn run(plan: &Outage, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
-    let mut table = MetricTable::over("sidecars");
+    let mut table = MetricTable::with_size_unit("sidecars");
     for &size in &plan.fleet.sizes {
         let fleet = FleetPlan::new(&plan.fleet, size, CachedList::Full, seed).start()?;
         measure(plan, &fleet, &mut table);
@@ -35,9 +35,11 @@
     thread::sleep(half_of_outage);
 
     let start_usage = fleet.discovery.usage();
-    let returned = Instant::now();
+    let outage_ended = Instant::now();
     fleet.discovery.end_outage();
-    let times = fleet.sidecars.wait_for_version(version, returned, timeout);
+    let times = fleet
+        .sidecars
+        .wait_for_version(version, outage_ended, timeout);
     let end_usage = fleet.discovery.usage();
 
     add_convergence_times(
--- a/fleet-lab/src/scenario/propagation.rs
+++ b/fleet-lab/src/scenario/propagation.rs
@@ -15,7 +15,7 @@
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("99 in 100", 0.99), ("last", 1.0)];
 
 pub(super) fn run(plan: &Propagation, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
-    let mut table = MetricTable::over("sidecars");
+    let mut table = MetricTable::with_size_unit("sidecars");
     for &size in &plan.fleet.sizes {
         let fleet = FleetPlan::new(&plan.fleet, size, CachedList::Full, seed).start()?;
         measure_idle(&fleet, &mut table);
@@ -64,10 +64,10 @@
         &times,
         timeout,
     );
-    record_cost(plan.changes, fleet, &start_usage, &end_usage, table);
+    add_change_cost(plan.changes, fleet, &start_usage, &end_usage, table);
 }
 
-fn record_cost(
+fn add_change_cost(
     changes: u32,
     fleet: &RunningFleet,
     start_usage: &DiscoveryUsage,
--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(super) struct LoggedChild {
     child: Child,
-    log: Log,
+    log: LogTail,
     /// The thread that reads the log until the process ends.
     log_reader: Option<JoinHandle<()>>,
 }
@@ -42,7 +42,7 @@
     /// Starts a process and reads its standard error. Both addresses are sent once they have been logged.
     pub fn spawn(command: &mut Command, sender: Sender<Addresses>) -> io::Result<Self> {
         let mut child = command.stderr(Stdio::piped()).spawn()?;
-        let log = Log::default();
+        let log = LogTail::default();
         let log_reader = child
             .stderr
             .take()
@@ -110,9 +110,9 @@
 
 /// The last lines of a process's log.
 #[derive(Debug, Clone, Default)]
-struct Log(Arc<Mutex<VecDeque<String>>>);
+struct LogTail(Arc<Mutex<VecDeque<String>>>);
 
-impl Log {
+impl LogTail {
     /// Reads the log to its end on a thread of its own, and sends the addresses once both have been logged.
     fn read(self, stderr: ChildStderr, sender: Sender<Addresses>) -> JoinHandle<()> {
         thread::spawn(move || {
@@ -120,7 +120,7 @@
             let mut admin = None;
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 admin = admin.or_else(|| address_after(&line, OPERATORS_ADDRESS_MARKER));
-                let addresses = addresses(admin, address_after(&line, CALLERS_ADDRESS_MARKER));
+                let addresses = both_addresses(admin, address_after(&line, CALLERS_ADDRESS_MARKER));
                 self.push(line);
                 if let Some(addresses) = addresses
                     && let Some(sender) = sender.take()
@@ -146,7 +146,7 @@
     }
 }
 
-fn addresses(admin: Option<SocketAddr>, callers: Option<SocketAddr>) -> Option<Addresses> {
+fn both_addresses(admin: Option<SocketAddr>, callers: Option<SocketAddr>) -> Option<Addresses> {
     Some(Addresses {
         callers: callers?,
         admin: admin?,
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -57,7 +57,7 @@
         write_configuration(&configuration_file, configuration)?;
         let (sender, addresses) = mpsc::channel();
         let child = LoggedChild::spawn(
-            &mut command(program, &configuration_file, folder.path()),
+            &mut program_command(program, &configuration_file, folder.path()),
             sender,
         )?;
         let addresses = child.wait_for_addresses(&addresses, START_TIMEOUT)?;
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let request = "GET /ready HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n";
-        let answer = call(self.address(), request).unwrap_or_default();
+        let answer = send_request(self.address(), request).unwrap_or_default();
         answer.split(' ').nth(1) == Some("200")
     }
 
@@ -105,7 +105,7 @@
     /// Returns one metric of `STATS` by its name without the `app_` prefix; none if there is no such metric.
     #[must_use]
     pub fn metric(&self, name: &str) -> Option<u64> {
-        let answer = call(self.admin_address(), "STATS\n").ok()?;
+        let answer = send_request(self.admin_address(), "STATS\n").ok()?;
         let value = answer.lines().find_map(|line| {
             let metric = line.strip_prefix("app_")?;
             metric.strip_prefix(name)?.strip_prefix(' ')
@@ -175,7 +175,7 @@
 }
 
 /// Returns the command that starts the program, without the program's environment variables of this process.
-fn command(program: &Path, configuration_file: &Path, folder: &Path) -> Command {
+fn program_command(program: &Path, configuration_file: &Path, folder: &Path) -> Command {
     let mut command = Command::new(program);
     for (name, _) in std::env::vars_os().filter(|(name, _)| is_program_variable(name)) {
         command.env_remove(name);
@@ -203,7 +203,7 @@
 }
 
 /// Sends a request on a new connection and returns the answer up to the end of the connection.
-fn call(address: SocketAddr, request: &str) -> io::Result<String> {
+fn send_request(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     stream.set_write_timeout(Some(CALL_TIMEOUT))?;
--- a/fleet-lab/src/sidecar/simulated/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -81,12 +81,12 @@
         fleet
             .endpoints
             .count_attempt(&self.endpoint, fleet.counters.second());
-        let losses = self.endpoint.losses();
+        let outages = self.endpoint.outages();
         let in_flight = self.endpoint.start_request();
         let finished = started + self.service_time;
         sleep_until(finished.min(self.deadline)).await;
         drop(in_flight);
-        if finished > self.deadline || self.endpoint.losses() != losses {
+        if finished > self.deadline || self.endpoint.outages() != outages {
             sleep_until(self.deadline).await;
             return AttemptResult::without_answer(Outcome::TimedOut);
         }
--- a/fleet-lab/src/sidecar/simulated/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
 /// Requests that an endpoint works on at once; further ones in flight are reported as queued.
-const CORES: u64 = 4;
+const CORES_PER_ENDPOINT: u64 = 4;
 
 /// All endpoints that a fleet has sent attempts to, by name.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     in_flight: AtomicU64,
     is_unreachable: AtomicBool,
     /// How often it has become unreachable.
-    losses: AtomicU64,
+    outages: AtomicU64,
     attempts: Mutex<AttemptsInSecond>,
 }
 
@@ -67,7 +67,7 @@
     pub fn make_unreachable(&self) {
         let was_unreachable = self.is_unreachable.swap(true, Ordering::Relaxed);
         if !was_unreachable {
-            self.losses.fetch_add(1, Ordering::Relaxed);
+            self.outages.fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -82,14 +82,14 @@
     }
 
     /// Returns how often the endpoint has become unreachable. An attempt during which this changes gets no answer.
-    pub fn losses(&self) -> u64 {
-        self.losses.load(Ordering::Relaxed)
+    pub fn outages(&self) -> u64 {
+        self.outages.load(Ordering::Relaxed)
     }
 
     /// Returns the load report that answers and health checks carry.
     pub fn load_report(&self) -> LoadReport {
         let in_flight = self.in_flight.load(Ordering::Relaxed);
-        let queued = in_flight.saturating_sub(CORES);
+        let queued = in_flight.saturating_sub(CORES_PER_ENDPOINT);
         LoadReport {
             queue_length: Some(queued as f64),
             in_flight: Some(in_flight as f64),
--- a/fleet-lab/src/sidecar/simulated/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -87,19 +87,19 @@
         since: Instant,
         timeout: Duration,
     ) -> ConvergenceTimes {
-        milestones::wait(&self.state.milestones, since, timeout, |milestones| {
+        milestones::wait_for_all(&self.state.milestones, since, timeout, |milestones| {
             milestones.version_at(version)
         })
     }
 
     /// Waits until every sidecar is ready, which it is while its list has a serving endpoint.
     pub fn wait_until_ready(&self, since: Instant, timeout: Duration) -> ConvergenceTimes {
-        milestones::wait(&self.state.milestones, since, timeout, Milestones::ready_at)
+        milestones::wait_for_all(&self.state.milestones, since, timeout, Milestones::ready_at)
     }
 
     /// Waits until every sidecar has an open watch.
     pub fn wait_until_watching(&self, since: Instant, timeout: Duration) -> ConvergenceTimes {
-        milestones::wait(
+        milestones::wait_for_all(
             &self.state.milestones,
             since,
             timeout,
--- a/fleet-lab/src/sidecar/simulated/milestones.rs
+++ b/fleet-lab/src/sidecar/simulated/milestones.rs
@@ -17,7 +17,7 @@
     /// How often the sidecar was restarted.
     restarts: u64,
     /// How often the address of discovery has changed since the last start.
-    source: u64,
+    generation: u64,
     /// The received versions, in order.
     versions: Vec<ReceivedVersion>,
     ready_at: Option<Instant>,
@@ -32,8 +32,8 @@
 
 #[derive(Debug)]
 struct OpenWatch {
-    /// The source that is watched.
-    source: u64,
+    /// The generation that is watched.
+    generation: u64,
     opened_at: Instant,
 }
 
@@ -51,7 +51,7 @@
 
     /// Records that the address of discovery has changed. Watches on the previous one no longer count.
     pub fn record_discovery_change(&self) {
-        self.lock().source += 1;
+        self.lock().generation += 1;
     }
 
     /// Records that a version was received.
@@ -69,20 +69,23 @@
     }
 
     /// Records that a watch was opened.
-    pub fn record_watch_opened(&self, restarts: u64, source: u64) {
+    pub fn record_watch_opened(&self, restarts: u64, generation: u64) {
         self.record(restarts, |state, opened_at| {
             // A watch on the previous discovery may open after one on the present discovery.
-            let is_current = |open: &OpenWatch| open.source <= source;
-            if state.watch.as_ref().is_none_or(is_current) {
-                state.watch = Some(OpenWatch { source, opened_at });
+            let is_not_newer = |open: &OpenWatch| open.generation <= generation;
+            if state.watch.as_ref().is_none_or(is_not_newer) {
+                state.watch = Some(OpenWatch {
+                    generation,
+                    opened_at,
+                });
             }
         });
     }
 
     /// Records that a watch has ended.
-    pub fn record_watch_lost(&self, restarts: u64, source: u64) {
+    pub fn record_watch_lost(&self, restarts: u64, generation: u64) {
         self.record(restarts, |state, _| {
-            state.watch.take_if(|watch| watch.source == source);
+            state.watch.take_if(|watch| watch.generation == generation);
         });
     }
 
@@ -103,7 +106,7 @@
     pub fn watching_at(&self) -> Option<Instant> {
         let state = self.lock();
         let watch = state.watch.as_ref()?;
-        (watch.source == state.source).then_some(watch.opened_at)
+        (watch.generation == state.generation).then_some(watch.opened_at)
     }
 
     fn record(&self, restarts: u64, change: impl FnOnce(&mut State, Instant)) {
@@ -119,7 +122,7 @@
 }
 
 /// Waits until all sidecars have reached a milestone or the timeout has passed, and returns when each reached it.
-pub(super) fn wait(
+pub(super) fn wait_for_all(
     fleet: &[Milestones],
     since: Instant,
     timeout: Duration,
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -89,7 +89,7 @@
             actions: Vec::new(),
         })));
         // The module requests a list once the one that it has is too old. Without any list that never happens.
-        let follows_at_once =
+        let watches_immediately =
             plan.cached_list.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
         if let Some(cached_list) = &plan.cached_list {
             sidecar
@@ -99,7 +99,7 @@
                 .set_cached_version(cached_list.index);
             sidecar.apply_list(cached_list, ListKind::Cached);
         }
-        if follows_at_once {
+        if watches_immediately {
             sidecar.borrow().start_watch(&sidecar);
         }
         Ok(sidecar)
--- a/fleet-lab/src/sidecar/simulated/thread.rs
+++ b/fleet-lab/src/sidecar/simulated/thread.rs
@@ -51,7 +51,7 @@
         let thread = Builder::new()
             .name(format!("simulated-{number}"))
             .spawn(move || {
-                LocalSet::new().block_on(&runtime, host(fleet, receiver));
+                LocalSet::new().block_on(&runtime, execute_commands(fleet, receiver));
             })?;
         Ok(HostThread {
             commands: Some(commands),
@@ -83,7 +83,7 @@
 }
 
 /// Executes commands until their sender is dropped.
-async fn host(fleet: Arc<FleetState>, mut commands: UnboundedReceiver<Command>) {
+async fn execute_commands(fleet: Arc<FleetState>, mut commands: UnboundedReceiver<Command>) {
     let mut sidecars: HashMap<usize, HostedSidecar> = HashMap::new();
     while let Some(command) = commands.recv().await {
         match command {
