--- a/fleet-lab/src/command/check.rs
+++ b/fleet-lab/src/command/check.rs
@@ -4,7 +4,7 @@
 use fleet_lab::experiment::Experiment;
 use std::path::PathBuf;
 
-/// Checks files and prints a line for each invalid value.
+/// Checks experiment files and prints a line for each invalid value.
 pub(super) fn check(files: &[PathBuf]) -> Result<(), CommandError> {
     let errors: Vec<_> = files
         .iter()
--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -14,10 +14,10 @@
 
 /// Exit code of a run that failed.
 const RUN_FAILED: u8 = 1;
-/// Exit code for invalid input, as clap has it for arguments.
+/// Exit code for invalid input. Clap uses the same code for invalid arguments.
 const BAD_INPUT: u8 = 2;
 
-/// Measures what sidecars cost, and how they behave, on one machine.
+/// Measures the cost and the behaviour of sidecars on one machine.
 #[derive(Parser)]
 #[command(name = "fleet-lab", version)]
 pub struct Arguments {
@@ -46,9 +46,9 @@
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Starts endpoints and discovery on loopback, and writes the configuration of a sidecar to use with them.
+    /// Starts endpoints and discovery on loopback, and writes the configuration of a sidecar in front of them.
     Tier(TierOptions),
-    /// Checks experiment files, and prints what is invalid in them.
+    /// Checks experiment files and prints each invalid value.
     Check {
         /// Experiment files.
         #[arg(required = true, value_name = "FILE")]
@@ -71,7 +71,7 @@
     /// The number of endpoints.
     #[arg(long, value_name = "COUNT", default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=100))]
     endpoints: u32,
-    /// How many minutes the tier runs.
+    /// The number of minutes for which the tier runs.
     #[arg(long, value_name = "MINUTES", default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=60))]
     minutes: u64,
 }
@@ -79,7 +79,7 @@
 /// Options of the commands that run experiments.
 #[derive(Args)]
 struct RunOptions {
-    /// The built sidecar.
+    /// The sidecar's executable.
     #[arg(
         long,
         value_name = "PATH",
@@ -100,31 +100,31 @@
     /// An experiment cannot be used.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// Some of the checked files cannot be used, for reasons that were printed.
+    /// Some of the checked files cannot be used. The reasons were printed.
     #[error("{faulty} of {checked} files cannot be used")]
     Check { faulty: usize, checked: usize },
     /// The folder contains no experiments.
-    #[error("{}: no experiments", .0.display())]
+    #[error("{} contains no experiments", .0.display())]
     NoExperiments(PathBuf),
     /// `--only` names an unknown experiment.
     #[error("no experiment is named {0}")]
     UnknownName(String),
-    /// The sidecar program is missing.
-    #[error("{}: {source}", path.display())]
+    /// The sidecar program is missing or its path cannot be resolved.
+    #[error("the sidecar program {} cannot be used: {source}", path.display())]
     Program { path: PathBuf, source: io::Error },
     /// The report could not be written.
-    #[error("{}: {source}", folder.display())]
+    #[error("the report could not be written to {}: {source}", folder.display())]
     Write { folder: PathBuf, source: io::Error },
     /// The threads of the endpoints could not be started.
-    #[error("the tier could not be started: {0}")]
+    #[error("the threads of the endpoints could not be started: {0}")]
     EndpointHost(#[source] io::Error),
     /// The tier could not be started.
     #[error("the tier could not be started: {0}")]
     Tier(#[from] TierError),
     /// The sidecar's configuration could not be written.
-    #[error("{}: {source}", file.display())]
+    #[error("the sidecar's configuration could not be written to {}: {source}", file.display())]
     WriteConfiguration { file: PathBuf, source: io::Error },
-    /// Experiments failed, for reasons that were logged and are in the report.
+    /// Some experiments failed. The reasons were logged and are in the report.
     #[error("{failed} of {run} experiments failed")]
     Failed { failed: usize, run: usize },
 }
--- a/fleet-lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -1,4 +1,4 @@
-//! The commands `scale` and `run`, which run experiments one after another and write the report after each.
+//! The commands `scale` and `run`. They run experiments one after another and write the report after each of them.
 
 use super::{CommandError, RunOptions};
 use crate::signals;
@@ -12,7 +12,7 @@
 use std::time::Instant;
 use tracing::{error, info};
 
-/// Runs the experiments of a folder, or those of them that are named.
+/// Runs the experiments of a folder: those whose names are in `only`, or all if `only` is empty.
 pub(super) fn scale(
     folder: &Path,
     only: &[String],
@@ -45,7 +45,7 @@
     run_all(&experiments, options)
 }
 
-/// Runs experiments in order. A failed one is reported, and the next ones are run nevertheless.
+/// Runs experiments in order. After a failed experiment, which is reported, the next ones are still run.
 fn run_all(experiments: &[Experiment], options: &RunOptions) -> Result<(), CommandError> {
     let context = RunContext {
         program: program_path(options)?,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns the program's absolute path, so that a sidecar's working directory does not matter.
+/// Returns the program's absolute path, which is valid in any working directory.
 fn program_path(options: &RunOptions) -> Result<PathBuf, CommandError> {
     fs::canonicalize(&options.program).map_err(|source| CommandError::Program {
         path: options.program.clone(),
--- a/fleet-lab/src/command/tier.rs
+++ b/fleet-lab/src/command/tier.rs
@@ -18,8 +18,9 @@
 const SAFE_CLASS: &str = "browse";
 /// The class of requests that must never run twice.
 const UNSAFE_CLASS: &str = "order";
-/// The priority weight of orders; that of the other class is 1.
+/// The priority weight of the unsafe class. That of the safe class is 1.
 const UNSAFE_PRIORITY_WEIGHT: f64 = 5.0;
+/// The deadline of requests of both classes.
 const DEADLINE: Duration = Duration::from_secs(2);
 const ENDPOINT_THREADS: usize = 1;
 const SEED: u64 = 1;
@@ -47,7 +48,7 @@
     retained_changes: 100,
 };
 
-/// Runs a tier on loopback for the given time or until a signal ends the process.
+/// Runs a tier on loopback for the given number of minutes, or until a signal ends the process.
 pub(super) fn run(options: &TierOptions) -> Result<(), CommandError> {
     let host = EndpointHost::start(ENDPOINT_THREADS, SEED).map_err(CommandError::EndpointHost)?;
     let tier_options = LoopbackTierOptions {
@@ -65,10 +66,13 @@
         println!("{} listens on {}", endpoint.name, endpoint.address);
     }
     println!(
-        "a sidecar's configuration is in {}",
+        "the sidecar's configuration is in {}",
         options.configuration.display()
     );
-    println!("ends after {} minutes, or with SIGINT", options.minutes);
+    println!(
+        "the tier ends after {} minutes, or on SIGINT or SIGTERM",
+        options.minutes
+    );
     thread::sleep(Duration::from_secs(options.minutes * SECONDS_PER_MINUTE));
     Ok(())
 }
@@ -91,7 +95,7 @@
     }
 }
 
-/// Writes the file under another name and renames it, so that a sidecar never reads a partial configuration.
+/// Writes the configuration to a temporary file and renames it. A sidecar never reads a partial configuration.
 fn write_configuration(file: &Path, text: &str) -> Result<(), CommandError> {
     let temporary = file.with_extension("new");
     let written = create_parent_folder(file)
--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiment files: what is measured, at which sizes, and how the systems around the sidecars behave.
+//! Experiment files. Each defines a measurement, its sizes, and the behaviour of the systems around the sidecars.
 
 mod check;
 
@@ -11,17 +11,17 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// One experiment, as its file describes it.
+/// An experiment, as its file defines it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name in reports.
+    /// The name in reports.
     pub name: String,
-    /// Its purpose, in a sentence.
+    /// The purpose, in one sentence.
     pub purpose: String,
-    /// Seed of all its random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// What is measured.
+    /// The measurement and its parameters.
     pub measure: Measurement,
 }
 
@@ -29,37 +29,37 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Measurement {
-    /// Added latency of one sidecar and its processor time for each call, by rate.
+    /// Added latency of one sidecar and its processor time for each call, by rate of calls.
     AddedLatency(AddedLatency),
     /// Added latency of chains of sidecars, by depth.
     AddedLatencyByDepth(AddedLatencyByDepth),
-    /// Attempts at the last tier for each call of the first one, by depth, while the last tier fails a fraction of
-    /// them.
+    /// Attempts at the last tier for each call of the first tier, by depth. The last tier fails a fraction of the
+    /// attempts.
     RetryAmplification(RetryAmplification),
-    /// A real sidecar's memory by listed endpoints, pending requests and client connections.
+    /// Memory of a real sidecar, by the numbers of listed endpoints, pending requests and client connections.
     Memory(Memory),
-    /// A real sidecar's processor time by list changes, health checks and reloads, and the bytes of its watch.
+    /// Processor time of a real sidecar for list changes, health checks and reloads, and the bytes of its watch.
     ControlCost(ControlCost),
-    /// Propagation delay of a change, by fleet size.
+    /// Propagation delay of a list change, by fleet size.
     Propagation(Propagation),
-    /// Time until the list is current everywhere after an outage of discovery, by fleet size.
+    /// Time until all sidecars have the current list after an outage of discovery, by fleet size.
     Outage(Outage),
     /// Time until all sidecars are ready after a simultaneous restart, by fleet size.
     FleetRestart(FleetRestart),
-    /// Time until each version of the list is known while discovery is crowded, and how many sidecars are late, by fleet
-    /// size.
+    /// Time until all sidecars have each version of the list while discovery is under heavy load, and the fraction
+    /// of late versions, by fleet size.
     CrowdedDiscovery(CrowdedDiscovery),
-    /// The cost of each failure of the operators' plan, and its duration.
+    /// Cost and duration of each fault that the operators plan for.
     Failures(Failures),
 }
 
-/// See [`Measurement::AddedLatency`].
+/// Parameters of [`Measurement::AddedLatency`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AddedLatency {
     /// The number of listed endpoints.
     pub endpoints: u32,
-    /// Calls a second, one measurement each.
+    /// Rates in calls a second, one measurement each.
     pub rates: Vec<f64>,
     /// List changes a second during the measurements.
     pub changes_per_second: f64,
@@ -74,7 +74,7 @@
     pub seconds: f64,
 }
 
-/// See [`Measurement::AddedLatencyByDepth`].
+/// Parameters of [`Measurement::AddedLatencyByDepth`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AddedLatencyByDepth {
@@ -92,7 +92,7 @@
     pub seconds: f64,
 }
 
-/// See [`Measurement::RetryAmplification`].
+/// Parameters of [`Measurement::RetryAmplification`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryAmplification {
@@ -102,7 +102,7 @@
     pub endpoints_per_tier: u32,
     /// Calls a second at the first tier.
     pub calls_per_second: f64,
-    /// The fraction of requests that the last tier answers 500.
+    /// The fraction of requests that the last tier answers with status 500.
     #[serde(rename = "error_share")]
     pub error_rate: f64,
     /// How the endpoints behave.
@@ -111,29 +111,30 @@
     pub seconds: f64,
 }
 
-/// See [`Measurement::Memory`].
+/// Parameters of [`Measurement::Memory`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Memory {
-    /// Numbers of listed endpoints.
+    /// Numbers of listed endpoints, one measurement each.
     pub endpoints: Vec<u32>,
-    /// Numbers of pending requests.
+    /// Numbers of pending requests, one measurement each.
     pub open_requests: Vec<u32>,
-    /// Numbers of idle client connections.
+    /// Numbers of idle client connections, one measurement each.
     pub caller_connections: Vec<u32>,
 }
 
-/// See [`Measurement::ControlCost`].
+/// Parameters of [`Measurement::ControlCost`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlCost {
     /// The number of listed endpoints.
     pub endpoints: u32,
-    /// Numbers of list changes, each published within the seconds below.
+    /// Numbers of list changes, one measurement each. The changes are spread evenly over the measurement.
     pub changes: Vec<u32>,
-    /// Numbers of reloads.
+    /// Numbers of reloads, one measurement each. The reloads are spread evenly over the measurement.
     pub reloads: Vec<u32>,
-    /// Rates of calls at which health checks are counted, with load reports from health checks only.
+    /// Rates in calls a second. Each is measured with a sidecar whose load reports come from health checks and with one
+    /// whose load reports come with answers.
     #[serde(rename = "probing_rates")]
     pub health_check_rates: Vec<f64>,
     /// Seconds of each measurement.
@@ -144,15 +145,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryCapacity {
-    /// Calls that it handles a second.
+    /// Calls that discovery handles a second.
     pub calls_per_second: f64,
-    /// Seconds that a call may be queued; then it is answered 503.
+    /// Seconds that a call may be queued before it is answered with status 503.
     #[serde(rename = "longest_wait_seconds")]
     pub queue_timeout_seconds: f64,
-    /// List entries that it writes a second, beside its time for each call; without it entries cost no time.
+    /// List entries that discovery writes a second, in addition to the time for each call. `None` means that entries
+    /// take no time.
     #[serde(default)]
     pub entries_per_second: Option<f64>,
-    /// What becomes of an open watch when the list changes.
+    /// How an open watch handles a change of the list.
     #[serde(default)]
     pub on_change: WatchOnChange,
 }
@@ -167,26 +169,26 @@
     pub endpoints: u32,
     /// Mean calls a second of each sidecar.
     pub calls_per_second: f64,
-    /// Whether an agent pushes lists; otherwise the decision module requests them.
+    /// Whether an agent pushes lists. Otherwise the decision module requests them.
     pub lists_are_pushed: bool,
     /// The capacity of discovery.
     pub discovery: DiscoveryCapacity,
 }
 
-/// See [`Measurement::Propagation`].
+/// Parameters of [`Measurement::Propagation`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Propagation {
     /// The fleet.
     pub fleet: Fleet,
-    /// The number of changes, which are published one after another.
+    /// The number of list changes, which are published one after another.
     pub changes: u32,
     /// Seconds after which a sidecar without the change counts as missing.
     #[serde(rename = "longest_seconds")]
     pub timeout_seconds: f64,
 }
 
-/// See [`Measurement::Outage`].
+/// Parameters of [`Measurement::Outage`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
@@ -194,12 +196,12 @@
     pub fleet: Fleet,
     /// Seconds of the outage.
     pub outage_seconds: f64,
-    /// Seconds after the outage at which a sidecar without the change counts as missing.
+    /// Seconds after the end of the outage at which a sidecar without the change counts as missing.
     #[serde(rename = "longest_seconds")]
     pub timeout_seconds: f64,
 }
 
-/// See [`Measurement::FleetRestart`].
+/// Parameters of [`Measurement::FleetRestart`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetRestart {
@@ -210,23 +212,23 @@
     pub timeout_seconds: f64,
 }
 
-/// See [`Measurement::CrowdedDiscovery`].
+/// Parameters of [`Measurement::CrowdedDiscovery`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CrowdedDiscovery {
     /// The fleet.
     pub fleet: Fleet,
-    /// The fraction of the sidecars that are killed and started again at the first version.
+    /// The fraction of the sidecars that are killed and started again just before the first version.
     pub restarted_fraction: f64,
-    /// The number of versions, which are published one after another.
+    /// The number of list versions, which are published one after another.
     pub versions: u32,
     /// Seconds between two versions.
     pub interval_seconds: f64,
-    /// Seconds after a version's publication at which a sidecar without it is late.
+    /// Seconds after a version's publication at which a sidecar without it counts as late.
     pub late_after_seconds: f64,
 }
 
-/// See [`Measurement::Failures`].
+/// Parameters of [`Measurement::Failures`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failures {
@@ -236,11 +238,11 @@
     pub calls_per_second: f64,
     /// The capacity of discovery.
     pub discovery: DiscoveryCapacity,
-    /// The failures, one after another.
+    /// The faults, which are injected one after another.
     pub faults: Vec<Fault>,
-    /// Seconds that each failure lasts.
+    /// Seconds that each fault lasts.
     pub fault_seconds: f64,
-    /// Seconds between two failures.
+    /// Seconds between two faults.
     #[serde(rename = "rest_seconds")]
     pub pause_seconds: f64,
 }
@@ -248,7 +250,7 @@
 /// Why an experiment file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
@@ -256,7 +258,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// It is not an experiment.
+    /// The file is not a valid TOML document of an experiment.
     #[error("{}: {}", path.display(), single_line_message(source))]
     Parse {
         /// The file.
@@ -264,7 +266,7 @@
         /// The parser's error, with its position.
         source: Box<toml::de::Error>,
     },
-    /// Some of its values are invalid.
+    /// Some values of the file are invalid.
     #[error("{}", invalid_value_lines(path, invalid_values))]
     Values {
         /// The file.
@@ -278,7 +280,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field} {problem}")]
 pub struct InvalidValue {
-    /// The path of the field.
+    /// The path of the field, such as `measure.endpoints`.
     pub field: String,
     /// Why the value is invalid.
     pub problem: String,
@@ -289,7 +291,7 @@
     error.message().trim().replace('\n', "; ")
 }
 
-/// Formats one line for each invalid value, with the file's path.
+/// Returns one line for each invalid value, each with the file's path.
 fn invalid_value_lines(path: &Path, invalid_values: &[InvalidValue]) -> String {
     let lines: Vec<String> = invalid_values
         .iter()
@@ -302,7 +304,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Fails where the file cannot be read, is not an experiment, or has invalid values.
+    /// Fails if the file cannot be read, is not an experiment, or has invalid values.
     pub fn load(path: &Path) -> Result<Self, ExperimentError> {
         let text = fs::read_to_string(path).map_err(|source| read_error(path, source))?;
         let experiment: Experiment =
@@ -321,10 +323,10 @@
         }
     }
 
-    /// Reads all `.toml` files of a folder, ordered by name.
+    /// Reads and checks all `.toml` files of a folder, ordered by name.
     ///
     /// # Errors
-    /// Fails as [`Experiment::load`] does.
+    /// Fails if the folder cannot be read or [`Experiment::load`] fails for a file.
     pub fn load_folder(folder: &Path) -> Result<Vec<Self>, ExperimentError> {
         let mut paths = Vec::new();
         for entry in fs::read_dir(folder).map_err(|source| read_error(folder, source))? {
--- a/fleet-lab/src/experiment/check.rs
+++ b/fleet-lab/src/experiment/check.rs
@@ -1,4 +1,4 @@
-//! Checks of an experiment's values: sizes, rates, fractions and durations within limits that one machine can run.
+//! Checks of an experiment's values. Sizes, rates, fractions and durations are limited to what one machine can run.
 
 use super::{
     AddedLatency, AddedLatencyByDepth, ControlCost, CrowdedDiscovery, DiscoveryCapacity,
@@ -16,14 +16,14 @@
 const MAX_PROCESSES: u64 = 300;
 /// The largest number of endpoints of a measurement.
 const MAX_ENDPOINTS: u32 = 5_000;
-/// The largest number of connections or pending requests at once. A sidecar has 4,096 descriptors, and a pending
-/// request needs two.
+/// The largest number of client connections or pending requests at once. A sidecar has 4,096 descriptors, and a
+/// pending request needs two of them.
 const MAX_CONNECTIONS: u32 = 2_000;
 /// The largest number of tiers of a chain.
 const MAX_TIERS: u32 = 32;
 /// The largest number of list changes, list versions or reloads of a measurement.
 const MAX_EVENTS: u32 = 10_000;
-/// The highest rate of calls a second, over all sidecars.
+/// The highest rate of calls a second.
 const MAX_CALLS_PER_SECOND: f64 = 100_000.0;
 /// The highest rate of list entries a second that discovery writes.
 const MAX_ENTRIES_PER_SECOND: f64 = 1e9;
@@ -54,11 +54,12 @@
     checker.0
 }
 
-/// Collects invalid values.
+/// Checks values and collects the invalid ones.
 #[derive(Default)]
 struct Checker(Vec<InvalidValue>);
 
 impl Checker {
+    /// Records a value as invalid unless `is_valid` is true.
     fn require(&mut self, field: &str, is_valid: bool, problem: impl Into<String>) {
         if !is_valid {
             self.0.push(InvalidValue {
@@ -68,6 +69,7 @@
         }
     }
 
+    /// Requires a value within inclusive bounds.
     fn within(&mut self, field: &str, value: impl Into<f64>, bounds: RangeInclusive<f64>) {
         let value = value.into();
         let problem = format!(
@@ -78,10 +80,12 @@
         self.require(field, bounds.contains(&value), problem);
     }
 
+    /// Requires a value from 0 to 1.
     fn fraction(&mut self, field: &str, value: f64) {
         self.within(field, value, 0.0..=1.0);
     }
 
+    /// Requires a value from 1 to `max`.
     fn count(&mut self, field: &str, value: u32, max: u32) {
         self.within(field, value, 1.0..=f64::from(max));
     }
@@ -92,15 +96,17 @@
         self.require(field, value > 0.0 && value <= max, problem);
     }
 
+    /// Requires a duration above 0 and up to [`MAX_SECONDS`].
     fn seconds(&mut self, field: &str, value: f64) {
         self.positive(field, value, MAX_SECONDS);
     }
 
+    /// Requires a duration from 0 to [`MAX_SECONDS`].
     fn seconds_or_zero(&mut self, field: &str, value: f64) {
         self.within(field, value, 0.0..=MAX_SECONDS);
     }
 
-    /// Requires at least one size, all positive and bounded, in ascending order.
+    /// Requires at least one size. All sizes must be above 0, up to `max` and in ascending order.
     fn sizes<T: Copy + Into<f64>>(&mut self, field: &str, sizes: &[T], max: f64) {
         let sizes: Vec<f64> = sizes.iter().map(|size| (*size).into()).collect();
         self.require(field, !sizes.is_empty(), "is empty");
@@ -153,7 +159,7 @@
     checker.seconds("measure.seconds", plan.seconds);
 }
 
-/// Checks chains in which each endpoint, except those of the last tier, has a sidecar of its own.
+/// Checks the sizes of chains. Each endpoint has its own sidecar, except those of the last tier.
 fn check_chain(depths: &[u32], endpoints_per_tier: u32, checker: &mut Checker) {
     checker.sizes("measure.depths", depths, MAX_TIERS.into());
     checker.count(
