--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -1,4 +1,4 @@
-//! A chain of tiers. Each endpoint, except those of the last tier, calls the next tier through a sidecar of its own.
+//! A chain of tiers. Each endpoint calls the next tier through its own sidecar, except the endpoints of the last tier.
 
 use super::context::RunContext;
 use super::load::CALLER_DEADLINE;
@@ -26,7 +26,7 @@
     pub(super) seed: u64,
 }
 
-/// One tier, with the sidecars that send to it.
+/// A tier and the sidecars that send to it.
 struct ChainTier {
     sidecars: Vec<SidecarProcess>,
     tier: LoopbackTier,
@@ -41,8 +41,8 @@
 }
 
 impl Chain {
-    /// Starts the tiers from the last to the first, as an endpoint needs the address of its sidecar, and waits until
-    /// all sidecars are ready.
+    /// Starts a chain and waits until all its sidecars are ready. The tiers are started from the last to the first
+    /// because an endpoint needs the address of its sidecar.
     pub(super) fn start(
         options: &ChainOptions<'_>,
         context: &RunContext,
@@ -63,6 +63,7 @@
         Ok(chain)
     }
 
+    /// Starts the tier that comes before those already started, and its sidecars. Does not wait until they are ready.
     fn start_tier(
         &self,
         tier_number: u32,
@@ -126,8 +127,8 @@
     }
 }
 
-/// Starts a chain without sidecars, with one endpoint in each tier that calls the one of the next tier. Returns the
-/// address of the first.
+/// Starts a chain without sidecars. It has one endpoint in each tier, which calls the endpoint of the next tier.
+/// Returns the address of the endpoint of the first tier.
 pub(super) fn start_direct_chain(
     host: &EndpointHost,
     depth: u32,
@@ -138,5 +139,5 @@
         let endpoint = start_endpoint(host, &format!("straight-{tier}"), options, address)?;
         address = Some(endpoint.entry().address);
     }
-    address.ok_or_else(|| ScenarioError::NotReached("a chain of at least one tier".into()))
+    address.ok_or_else(|| ScenarioError::NotReached("a chain needs at least one tier".into()))
 }
--- a/fleet-lab/src/scenario/client_connections.rs
+++ b/fleet-lab/src/scenario/client_connections.rs
@@ -1,18 +1,18 @@
-//! Connections that clients keep open to a sidecar, either with a pending request or idle.
+//! Connections that clients keep open to a sidecar. A connection has a pending request or is idle.
 
 use super::load::{SAFE_CLASS, UNSAFE_CLASS};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long an answer may take.
+/// The longest time without data while an answer is read.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The largest number of headers of an answer.
 const MAX_HEADERS: usize = 32;
-/// The largest answer, in bytes.
+/// The largest answer in bytes, including its head.
 const MAX_ANSWER_BYTES: usize = 16 << 10;
 
-/// Connections to one sidecar, which are closed when this is dropped.
+/// Connections to one sidecar, which are closed when this value is dropped.
 pub(super) struct ClientConnections {
     address: SocketAddr,
     deadline: Duration,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads one answer, which needs a `Content-Length`.
+/// Reads one answer. It must have status 200 and a `Content-Length`.
 fn read_answer(connection: &mut TcpStream) -> io::Result<()> {
     let mut answer = Vec::new();
     let mut chunk = [0; 4096];
@@ -88,12 +88,12 @@
             return Ok(());
         }
         if answer.len() > MAX_ANSWER_BYTES {
-            return Err(io::Error::other("the answer is too long"));
+            return Err(io::Error::other("the sidecar's answer is too long"));
         }
     }
 }
 
-/// Returns the length of an answer including its head; none while the head is incomplete.
+/// Returns the length of an answer including its head, or `None` while the head is incomplete.
 fn answer_length(answer: &[u8]) -> io::Result<Option<usize>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -102,7 +102,7 @@
     };
     if response.code != Some(200) {
         return Err(io::Error::other(format!(
-            "answered {}",
+            "the sidecar answered with status {}, not 200",
             response.code.unwrap_or_default()
         )));
     }
@@ -113,5 +113,5 @@
     let length = length.and_then(|header| str::from_utf8(header.value).ok()?.parse::<usize>().ok());
     length
         .map(|length| Some(head + length))
-        .ok_or_else(|| io::Error::other("the answer has no length"))
+        .ok_or_else(|| io::Error::other("the sidecar's answer has no valid Content-Length"))
 }
--- a/fleet-lab/src/scenario/context.rs
+++ b/fleet-lab/src/scenario/context.rs
@@ -5,6 +5,6 @@
 /// The context that all experiments of a run share.
 #[derive(Clone, Debug)]
 pub struct RunContext {
-    /// The built sidecar program.
+    /// The path of the sidecar's executable.
     pub program: PathBuf,
 }
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time and bytes that list changes, health checks and reloads cost a real sidecar.
+//! Processor time of a real sidecar for list changes, health checks and reloads, and the bytes of its watch.
 
 use super::context::RunContext;
 use super::load::{CALLER_DEADLINE, SAFE_CLASS, describe_unserved, load_target, run_load};
@@ -44,7 +44,7 @@
     Ok(outcome)
 }
 
-/// Measures an idle sidecar, and the costs of list changes and reloads beyond that.
+/// Measures the cost of an idle sidecar, and the additional cost of list changes and of reloads.
 fn measure_changes_and_reloads(
     plan: &ControlCost,
     seed: u64,
@@ -63,7 +63,7 @@
     Ok(metrics)
 }
 
-/// The cost of an action for the sidecar and for discovery.
+/// The sidecar's processor time and the bytes that discovery sends during an action.
 struct Cost {
     processor_time: Duration,
     watch_bytes: u64,
@@ -87,12 +87,12 @@
         })
     }
 
-    /// Returns the processor time beyond that of an idle period of the same length, in milliseconds.
+    /// Returns the processor time in addition to that of an idle period of the same length, in milliseconds.
     fn milliseconds_beyond(&self, idle: &Cost) -> f64 {
         (self.processor_time.as_secs_f64() - idle.processor_time.as_secs_f64()) * 1e3
     }
 
-    /// Returns the bytes on the watch beyond those of an idle period of the same length.
+    /// Returns the bytes on the watch in addition to those of an idle period of the same length.
     fn bytes_beyond(&self, idle: &Cost) -> f64 {
         self.watch_bytes as f64 - idle.watch_bytes as f64
     }
@@ -134,7 +134,7 @@
     table.with_slopes()
 }
 
-/// Runs an action a number of times, spread evenly over a period, and waits for the period's end.
+/// Runs an action `count` times, evenly spread over a period, and waits for the end of the period.
 fn repeat_evenly(
     count: u32,
     period: Duration,
@@ -150,6 +150,7 @@
     Ok(())
 }
 
+/// Measures the additional cost of list changes, by their number.
 fn measure_changes(
     plan: &ControlCost,
     single_sidecar: &SingleSidecar,
@@ -179,6 +180,7 @@
     Ok(table.with_slopes())
 }
 
+/// Measures the additional processor time of reloads, by their number.
 fn measure_reloads(
     plan: &ControlCost,
     single_sidecar: &SingleSidecar,
@@ -216,7 +218,7 @@
     Ok(table.with_slopes())
 }
 
-/// Measures the health checks that a sidecar makes at each rate of calls, and its processor time with and without them.
+/// Measures, at each rate of calls, the number of health checks and the processor time with and without them.
 fn measure_health_checks(
     plan: &ControlCost,
     seed: u64,
@@ -272,13 +274,14 @@
     Ok(())
 }
 
-/// The calls at one rate and what they cost.
+/// The calls at one rate, with the health checks and the processor time that they cause.
 struct CallCost {
     calls: f64,
     health_checks: f64,
     microseconds: f64,
 }
 
+/// Runs calls at one rate and measures their cost.
 fn measure_call_cost(
     single_sidecar: &SingleSidecar,
     rate: f64,
--- a/fleet-lab/src/scenario/crowded_discovery.rs
+++ b/fleet-lab/src/scenario/crowded_discovery.rs
@@ -1,4 +1,4 @@
-//! Time until each version of the list is known everywhere while discovery is crowded, by fleet size.
+//! Time until all sidecars have each version of the list while discovery is under heavy load, by fleet size.
 
 use super::fleet::{
     CachedList, FleetPlan, RunningFleet, add_convergence_times, add_discovery_calls,
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The fractions of the versions at all sidecars whose delay is reported.
+/// The reported quantiles of the delays, over all versions and sidecars.
 const QUANTILES: [(&str, f64); 4] = [
     ("half", 0.5),
     ("9 in 10", 0.9),
@@ -30,13 +30,13 @@
     })
 }
 
-/// A version, and when it was published.
+/// A version and the time of its publication.
 struct PublishedVersion {
     version: u64,
     at: Instant,
 }
 
-/// Restarts some of the sidecars, publishes one version after another, and takes the time that each needs at each sidecar.
+/// Restarts some sidecars, publishes one version after another, and measures the delay of each version at each sidecar.
 fn measure(plan: &CrowdedDiscovery, fleet: &RunningFleet, table: &mut MetricTable) {
     let size = fleet.size as f64;
     let late_after = Duration::from_secs_f64(plan.late_after_seconds);
--- a/fleet-lab/src/scenario/depth.rs
+++ b/fleet-lab/src/scenario/depth.rs
@@ -1,4 +1,4 @@
-//! Chains of tiers with a real sidecar for each endpoint: added latency and retry amplification by depth.
+//! Added latency and retry amplification of chains of real sidecars, by depth.
 
 use super::chain::{Chain, ChainOptions, start_direct_chain};
 use super::context::RunContext;
@@ -10,6 +10,7 @@
 use crate::experiment::{AddedLatencyByDepth, RetryAmplification};
 use std::time::Duration;
 
+/// Measures the latency of calls through chains of sidecars and without sidecars.
 pub(super) fn run_latency(
     plan: &AddedLatencyByDepth,
     seed: u64,
@@ -37,7 +38,7 @@
         };
         let results = run_load(&load)?;
         let [direct, proxied] = &results[..] else {
-            return Err(ScenarioError::NotReached("a result for each target".into()));
+            return Err(ScenarioError::NotReached("a target has no result".into()));
         };
         add_latencies(&mut table, f64::from(*depth), direct, proxied);
         problems.extend(describe_unserved(
@@ -75,6 +76,7 @@
     }
 }
 
+/// Measures the attempts at the last tier, which fails a fraction of them, for each call of the first tier.
 pub(super) fn run_amplification(
     plan: &RetryAmplification,
     seed: u64,
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -1,9 +1,11 @@
-//! The cost of each failure of the operators' plan for a fleet, and its duration.
+//! Cost and duration of each fault that the operators plan for, in a fleet.
 //!
-//! There is one simulated sidecar for each endpoint. Two simplifications are made: sidecars on failed machines go on
-//! calling until they are restarted with their machines, so a lost zone costs more calls than in the plan. And all
-//! sidecars reach the same endpoints, so a partitioned region loses discovery, but not the endpoints of the other
-//! region.
+//! There is one simulated sidecar for each endpoint. The model has two simplifications:
+//!
+//! - Sidecars on failed machines continue to call until they are restarted with their machines. A lost zone therefore
+//!   costs more calls than in the operators' plan.
+//! - All sidecars reach the same endpoints. A partitioned region therefore loses discovery, but not the endpoints of
+//!   the other region.
 
 mod cost;
 mod injection;
@@ -20,7 +22,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The unit of the metrics' sizes.
+/// The unit of the metrics' sizes. A size is the number of a fault, and 0 is the measurement without a fault.
 const SIZE_UNIT: &str = "fault";
 
 pub(super) fn run(plan: &Failures, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
@@ -86,7 +88,7 @@
     FaultCost::from_seconds(&fleet.seconds_since(from))
 }
 
-/// Measures the cost of a fault from its start until the list is current again and the pause after it is over.
+/// Measures the cost of a fault from its start until all sidecars have the current list and the pause has passed.
 fn measure_fault(
     injector: &FaultInjector<'_>,
     fault: &Fault,
@@ -107,6 +109,7 @@
     }
 }
 
+/// Describes a fault for the notes in the report.
 fn describe_fault(fault: &Fault, impact: &Impact) -> String {
     let machines = impact.endpoints.len();
     match fault {
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -5,13 +5,13 @@
 use crate::sidecar::simulated::{ConvergenceTimes, SecondCounts};
 use std::time::Duration;
 
-/// How long the list may take to become current everywhere after a fault.
+/// The longest time until all sidecars have the current list after a fault.
 pub(super) const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A second with a smaller fraction of unserved calls counts as recovered.
+/// The fleet counts as recovered in a second with a smaller fraction of unserved calls.
 const RECOVERED_FRACTION: f64 = 0.01;
 
-/// The cost of a fault for the fleet's callers, and the time until its list is current again.
+/// The cost of a fault for the fleet's callers, and the time until all sidecars have the current list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FaultCost {
     /// All calls.
@@ -24,9 +24,10 @@
     pub worst_unserved_fraction: f64,
     /// The largest number of retries for each call within one second.
     pub worst_retries_per_call: f64,
-    /// Seconds until the fraction stayed below [`RECOVERED_FRACTION`].
+    /// Seconds until the fraction of unserved calls stayed below [`RECOVERED_FRACTION`].
     pub seconds_until_recovered: usize,
-    /// When each sidecar received the last change, counted from the fault's end.
+    /// The times at which the sidecars received the last change, counted from the end of the fault. `None` if there was
+    /// no fault.
     pub current: Option<ConvergenceTimes>,
 }
 
@@ -52,14 +53,14 @@
     }
 }
 
-/// Returns the fraction of a second's calls that were unserved. A call counts in the second of its end, so the unserved
-/// calls may include some of the previous second.
+/// Returns the fraction of a second's calls that were unserved, at most 1. Unserved calls count in the second in which
+/// they end, and may have started in the previous one.
 fn unserved_fraction(second: &SecondCounts) -> f64 {
     ratio(second.unserved, second.calls).min(1.0)
 }
 
-/// Returns the retries for each call. A rejected call has no attempt, and a call of the last millisecond may have its
-/// first attempt in the next second, so there may be fewer attempts than calls.
+/// Returns the retries for each call, at least 0. There may be fewer attempts than calls: a rejected call has no
+/// attempt, and a call of a second's last millisecond may have its first attempt in the next second.
 fn retries_per_call(attempts: u64, calls: u64) -> f64 {
     ratio(attempts.saturating_sub(calls), calls)
 }
@@ -68,7 +69,7 @@
     numerator as f64 / denominator.max(1) as f64
 }
 
-/// Adds a fault's cost to the metrics.
+/// Adds the cost of a fault to the metrics; `fault` is the fault's number.
 pub(super) fn add_fault_cost(table: &mut MetricTable, fault: u64, cost: &FaultCost) {
     let number = fault as f64;
     let mut add = |name: &str, unit: &str, value: f64| table.add(name, unit, number, value);
--- a/fleet-lab/src/scenario/failures/injection.rs
+++ b/fleet-lab/src/scenario/failures/injection.rs
@@ -1,4 +1,4 @@
-//! Injection of faults into a fleet and its discovery, step by step.
+//! Injection of faults into a fleet and its discovery service.
 
 use crate::discovery::{EndpointEntry, EndpointStatus};
 use crate::fault::{Fault, Impact};
@@ -8,26 +8,27 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time until discovery removes a failed machine: one failed check by a platform that checks each machine every
-/// second.
+/// Time until discovery removes a failed machine. The platform checks each machine every second, and one failed check
+/// is enough.
 const DETECTION_DELAY: Duration = Duration::from_secs(1);
-/// Time between draining an endpoint and stopping it: the deadline of the calls that it may have taken.
+/// Time between draining an endpoint and stopping it. It equals the deadline of the calls that the endpoint may still
+/// have in flight.
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 /// Time that a machine takes to restart.
 const RESTART_TIME: Duration = Duration::from_secs(1);
 
 /// Injects faults and ends them.
 pub(super) struct FaultInjector<'a> {
-    /// The fleet, with one sidecar for each endpoint, in the same order.
+    /// The fleet. It has one sidecar for each endpoint, in the order of the endpoints.
     pub fleet: &'a RunningFleet,
-    /// All endpoints as they were at the start.
+    /// All endpoints in their initial state.
     pub endpoints: &'a [EndpointEntry],
-    /// How long a fault lasts. Rolling restarts take the time of their waves instead.
+    /// The duration of a fault. The duration of rolling restarts depends on their waves instead.
     pub duration: Duration,
 }
 
 impl FaultInjector<'_> {
-    /// Injects a fault and ends it; returns the version of the last change that it caused.
+    /// Injects a fault and ends it. Returns the version of the last list change that it caused.
     pub fn inject(&self, fault: &Fault, impact: &Impact) -> u64 {
         match fault {
             Fault::Machines { .. } | Fault::Rack | Fault::Zone => self.fail_machines(impact),
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Machines fail, are removed from the list, and come back warming up. Partitioned zones heal before that.
+    /// Makes machines fail, removes them from the list, and restarts them. The restarted machines warm up. Partitioned
+    /// zones are healed just before the restart.
     fn fail_machines(&self, impact: &Impact) -> u64 {
         self.fleet.sidecars.make_unreachable(&impact.endpoints);
         self.partition_zones(impact);
@@ -48,7 +50,8 @@
         self.restart_machines(&impact.endpoints)
     }
 
-    /// Each wave drains, stops and comes back warming up before the next one starts.
+    /// Restarts machines in waves. The machines of a wave are drained, stopped and restarted before the next wave.
+    /// Restarted machines warm up.
     fn restart_in_waves(&self, endpoints: &[EndpointName], wave: u32) -> u64 {
         let mut version = 0;
         for endpoints in endpoints.chunks(wave.max(1) as usize) {
@@ -62,7 +65,7 @@
         version
     }
 
-    /// Zones are partitioned from discovery while one change is published.
+    /// Partitions zones from discovery, and publishes one change meanwhile.
     fn partition_region(&self, impact: &Impact) -> u64 {
         self.partition_zones(impact);
         let version = self.publish_change_halfway();
@@ -70,7 +73,7 @@
         version
     }
 
-    /// Discovery is down while one change is published.
+    /// Interrupts discovery, and publishes one change meanwhile.
     fn interrupt_discovery(&self) -> u64 {
         self.fleet.discovery.begin_outage();
         let version = self.publish_change_halfway();
@@ -78,6 +81,7 @@
         version
     }
 
+    /// Waits for the duration of a fault and publishes a change in the middle of it. Returns the version of the change.
     fn publish_change_halfway(&self) -> u64 {
         thread::sleep(self.duration / 2);
         let version = self.fleet.publish_change(0);
@@ -85,7 +89,7 @@
         version
     }
 
-    /// Restarts machines with their endpoints and sidecars.
+    /// Restarts machines with their endpoints and sidecars. Returns the version that lists them as serving.
     fn restart_machines(&self, endpoints: &[EndpointName]) -> u64 {
         self.fleet.sidecars.make_reachable(endpoints);
         self.fleet.sidecars.restart(&self.indices(endpoints));
@@ -104,7 +108,8 @@
         }
     }
 
-    /// Publishes another status of these endpoints. An endpoint that serves again has just started.
+    /// Publishes a new status of these endpoints and returns its version. An endpoint that serves again has just
+    /// started, and its entry says so.
     fn publish_status(&self, endpoints: &[EndpointName], status: EndpointStatus) -> u64 {
         let since_ms = match status {
             EndpointStatus::Serving => now_ms(),
@@ -121,7 +126,7 @@
         self.fleet.discovery.publish(entries.collect())
     }
 
-    /// Returns the indices of these endpoints in the list, which are those of their sidecars in the fleet.
+    /// Returns the indices of these endpoints in the list. Their sidecars have the same indices in the fleet.
     fn indices(&self, endpoints: &[EndpointName]) -> Vec<usize> {
         let names: BTreeSet<&str> = endpoints.iter().map(EndpointName::as_str).collect();
         let entries = self.endpoints.iter().enumerate();
@@ -132,6 +137,7 @@
     }
 }
 
+/// Returns the current Unix time in milliseconds.
 fn now_ms() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -1,5 +1,4 @@
-//! What experiments with a fleet of simulated sidecars share: discovery, the sidecars' configurations, and the start of
-//! both.
+//! A fleet of simulated sidecars with its discovery service, for the experiments that use one.
 
 mod metrics;
 
@@ -18,39 +17,39 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// Zones of a fleet whose experiment has no topology, as many as in the operators' plan.
+/// Zones of a fleet whose experiment has no topology. The operators' plan has the same number of zones.
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 /// Time between the empty lines on an idle watch, as in the discovery protocol.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Past changes that discovery retains: more than any experiment publishes.
+/// The number of past changes that discovery retains, which is more than any experiment publishes.
 const RETAINED_CHANGES: usize = 1000;
-/// Threads that host a fleet.
+/// The number of threads that host a fleet.
 const FLEET_THREADS: usize = 2;
 /// Mean service time of the endpoints.
 const MEAN_SERVICE_TIME: Duration = Duration::from_millis(5);
-/// Every sidecar whose number is a multiple of this is a busy one,
+/// Each sidecar whose number is a multiple of this value is busy: it receives more calls than the others.
 const BUSY_SIDECAR_INTERVAL: usize = 10;
-/// with this multiple of the mean rate of calls.
+/// The rate of calls of a busy sidecar, as a multiple of the mean rate.
 const BUSY_RATE_MULTIPLE: f64 = 3.0;
-/// How long a caller waits.
+/// The deadline of each call.
 const CALL_DEADLINE: Duration = Duration::from_secs(1);
 /// Resource limits of a sidecar, as the operators set them.
 const SIDECAR_LIMITS: ResourceLimits = ResourceLimits {
     memory_mb: 128,
     descriptors: 1024,
 };
-/// Calls that discovery handles a second during the start. The experiment's capacity applies afterwards, as the start
-/// would take minutes with it.
+/// Calls that discovery handles a second during the start. The experiment's capacity applies only afterwards because a
+/// start with that capacity would take minutes.
 const START_CALLS_PER_SECOND: f64 = 1000.0;
-/// How long a start may take.
+/// The longest time until all sidecars have an open watch.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// The port of all endpoints. Nothing listens there, as attempts are simulated in memory.
+/// The port of all endpoints. Nothing listens at it because attempts are simulated in memory.
 const ENDPOINT_PORT: u16 = 7070;
 
-/// Whether the sidecars' configurations contain a cached list.
+/// The cached list in the sidecars' configurations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CachedList {
-    /// The full list at the start of the fleet.
+    /// The full list as it is at the start of the fleet.
     Full,
     /// No list.
     Missing,
@@ -65,11 +64,11 @@
     pub endpoints: Vec<EndpointEntry>,
     /// The zone of each sidecar.
     pub sidecar_zones: Vec<ZoneName>,
-    /// Whether the sidecars' configurations contain the list.
+    /// The cached list in the sidecars' configurations.
     pub cached_list: CachedList,
     /// Mean calls a second of each sidecar.
     pub calls_per_second: f64,
-    /// Whether an agent pushes lists, or the decision module requests them.
+    /// Whether an agent pushes lists or the decision module requests them.
     pub discovery_mode: DiscoveryMode,
     /// The capacity of discovery.
     pub capacity: DiscoveryCapacity,
@@ -78,7 +77,7 @@
 }
 
 impl FleetPlan {
-    /// Plans a fleet of this many sidecars, spread over the zones as its endpoints are.
+    /// Plans a fleet with this number of sidecars. Endpoints and sidecars are assigned to the zones in turn.
     pub fn new(fleet: &Fleet, sidecars: u32, cached_list: CachedList, seed: u64) -> Self {
         let zones = ZONES.map(ZoneName::from).to_vec();
         let zone_of = |number: u32| zones[number as usize % zones.len()].clone();
@@ -104,7 +103,7 @@
     /// capacity.
     ///
     /// # Errors
-    /// Fails where discovery or the sidecars cannot be started, or a sidecar has no open watch in time.
+    /// Fails if discovery or the sidecars cannot be started, or if a sidecar has no open watch before a timeout.
     pub fn start(self) -> Result<RunningFleet, ScenarioError> {
         let discovery = DiscoveryServer::start(
             self.discovery_options(),
@@ -127,7 +126,7 @@
         let size = self.sidecar_zones.len();
         if watching.missing > 0 {
             let problem = format!(
-                "{} of {size} sidecars had no open watch in time",
+                "{} of {size} sidecars had no open watch before the timeout of the start",
                 watching.missing
             );
             return Err(ScenarioError::NotReached(problem));
@@ -185,7 +184,7 @@
     }
 }
 
-/// A running fleet. The sidecars are stopped before discovery.
+/// A running fleet. When it is dropped, the sidecars are stopped before discovery.
 pub(super) struct RunningFleet {
     /// The sidecars.
     pub sidecars: SimulatedFleet,
@@ -196,7 +195,8 @@
 }
 
 impl RunningFleet {
-    /// Publishes a changed weight of one endpoint, by its number; returns the new version.
+    /// Changes the weight of one endpoint, publishes the change, and returns the new version. The number selects the
+    /// endpoint, modulo the number of endpoints.
     pub fn publish_change(&self, number: u32) -> u64 {
         let mut endpoints = self.discovery.snapshot().endpoints;
         let index = number as usize % endpoints.len();
@@ -209,7 +209,7 @@
         self.sidecars.timeline().len().saturating_sub(1)
     }
 
-    /// Returns the timeline from this second on, without the current second, which is incomplete.
+    /// Returns the counts of each second from `from` on, without the current second, which is incomplete.
     pub fn seconds_since(&self, from: usize) -> Vec<SecondCounts> {
         let mut seconds = self.sidecars.timeline();
         seconds.pop();
@@ -217,7 +217,8 @@
     }
 }
 
-/// Returns a serving endpoint that started long ago, with an address of its own at which nothing listens.
+/// Returns the entry of a serving endpoint that started long ago. Each number gives another address, at which nothing
+/// listens.
 pub(super) fn endpoint_entry(name: String, zone: ZoneName, number: u32) -> EndpointEntry {
     let [_, _, high, low] = number.to_be_bytes();
     EndpointEntry {
@@ -241,7 +242,8 @@
     }
 }
 
-/// Returns the factor of a sidecar's rate of calls. The factors of ten consecutive sidecars add up to ten.
+/// Returns the rate of calls of a sidecar as a multiple of the mean rate. The multiples of ten consecutive sidecars add
+/// up to ten.
 fn rate_multiple(sidecar: usize) -> f64 {
     if sidecar.is_multiple_of(BUSY_SIDECAR_INTERVAL) {
         return BUSY_RATE_MULTIPLE;
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -1,17 +1,17 @@
-//! Metrics of convergence times and of calls of discovery.
+//! Metrics of convergence times and of the calls that sidecars make to discovery.
 
 use crate::discovery::DiscoveryUsage;
 use crate::scenario::metric_table::MetricTable;
 use crate::sidecar::simulated::ConvergenceTimes;
 use std::time::Duration;
 
-/// The note on a quantile of convergence times where sidecars are missing.
+/// The note on a quantile of convergence times if sidecars are missing.
 const MISSING_NOTE: &str = "Over all sidecars; \
     one that is missing counts with the timeout, \
     so the value may be a lower bound.";
 
-/// Adds quantiles of convergence times and the number of sidecars that were missing at the timeout. Where sidecars are
-/// missing, a quantile may be the timeout.
+/// Adds quantiles of convergence times, and the number of sidecars that were missing at the timeout. A missing sidecar
+/// counts with the timeout, so the quantiles get a note and no slope.
 pub(in crate::scenario) fn add_convergence_times(
     table: &mut MetricTable,
     state: &str,
@@ -37,7 +37,7 @@
     );
 }
 
-/// Adds the calls of discovery for each sidecar between two readings of its usage.
+/// Adds the calls to discovery between two readings of its usage, divided by the number of sidecars.
 pub(in crate::scenario) fn add_discovery_calls(
     table: &mut MetricTable,
     when: &str,
@@ -63,7 +63,8 @@
     duration.as_secs_f64() * 1e3
 }
 
-/// Returns a quantile of the convergence times of all sidecars, by nearest rank; none if too few have converged.
+/// Returns a quantile of the convergence times of all sidecars, by the nearest-rank method. Returns `None` if too few
+/// sidecars have converged.
 fn quantile(times: &ConvergenceTimes, fraction: f64) -> Option<Duration> {
     let all = times.reached_after.len() + times.missing;
     let rank = (fraction * all as f64).ceil() as usize;
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -8,14 +8,14 @@
 use crate::experiment::FleetRestart;
 use std::time::{Duration, Instant};
 
-/// The fractions of a fleet whose convergence time is reported.
+/// The reported quantiles of the convergence times.
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
-/// The contents of the sidecars' configurations, and their names in the metrics.
+/// The cached lists to measure with, and their names in the metrics.
 const VARIANTS: [(CachedList, &str); 2] = [
     (CachedList::Full, "endpoints known"),
     (CachedList::Missing, "none known"),
 ];
-/// A note on sidecars that have a cached list and are not ready immediately.
+/// The note on the time until sidecars with a cached list are ready. It explains why that time is not zero.
 const READY_NOTE: &str =
     "Includes the time in which all decision modules start, on two threads of one process.";
 
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -1,4 +1,4 @@
-//! Latency that one real sidecar adds, and its processor time for each call, by rate.
+//! Added latency of one real sidecar and its processor time for each call, by rate of calls.
 
 use super::context::RunContext;
 use super::load::{
@@ -70,7 +70,7 @@
 struct Measured {
     direct: TargetResult,
     proxied: TargetResult,
-    /// Calls that are unsafe to repeat, if the experiment has any.
+    /// The result of calls that are unsafe to repeat, if the experiment has any.
     proxied_unsafe: Option<TargetResult>,
     processor_time: Duration,
     attempts: u64,
@@ -78,7 +78,8 @@
     usage: ProcessUsage,
 }
 
-/// Plans the same rate directly to an endpoint and through the sidecar, where it may be split over two classes.
+/// Plans the same rate of calls directly to an endpoint and through the sidecar. The calls through the sidecar are
+/// split over two classes if the experiment has unsafe ones.
 fn load_plan(
     plan: &AddedLatency,
     rate: f64,
@@ -117,7 +118,7 @@
     let mut next = || {
         results
             .next()
-            .ok_or_else(|| ScenarioError::NotReached("a result for each target".into()))
+            .ok_or_else(|| ScenarioError::NotReached("a target has no result".into()))
     };
     Ok(Measured {
         direct: next()?,
@@ -136,7 +137,7 @@
     })
 }
 
-/// Runs a load to its end while the list changes at a constant rate.
+/// Runs a load to its end while list changes are published at a constant rate.
 fn run_with_changes(
     load: &LoadPlan,
     changes_per_second: f64,
@@ -155,7 +156,8 @@
     })
 }
 
-/// Changes the weight of one endpoint after another, one in each period.
+/// Publishes the changed weight of one endpoint in each period, for one endpoint after another, until `is_over` returns
+/// true.
 fn publish_changes(tier: &LoopbackTier, period: Duration, is_over: impl Fn() -> bool) {
     let mut entries = tier.entries();
     let mut due = Instant::now();
--- a/fleet-lab/src/scenario/load.rs
+++ b/fleet-lab/src/scenario/load.rs
@@ -1,4 +1,4 @@
-//! The requests that real sidecars are loaded with, and the results of their callers.
+//! The load of experiments with real sidecars: request classes, targets and results.
 
 use super::outcome::ScenarioError;
 use crate::caller::{self, LoadPlan, LoadTarget, TargetResult};
@@ -10,11 +10,11 @@
 pub(super) const SAFE_CLASS: &str = "read";
 /// The class of requests that must never run twice.
 pub(super) const UNSAFE_CLASS: &str = "write";
-/// How long callers wait, unless an experiment says otherwise.
+/// The deadline of calls, unless an experiment sets another one.
 pub(super) const CALLER_DEADLINE: Duration = Duration::from_secs(1);
 const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
 
-/// Returns a target of requests of one class.
+/// Returns a target that receives requests of one class.
 pub(super) fn load_target(address: SocketAddr, calls_per_second: f64, class: &str) -> LoadTarget {
     LoadTarget {
         address,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Runs a load to its end; returns the result of each target, in order.
+/// Runs a load to its end and returns the results of the targets, in the order of the targets.
 pub(super) fn run_load(load: &LoadPlan) -> Result<Vec<TargetResult>, ScenarioError> {
     caller::run(load).map_err(ScenarioError::step("run the callers"))
 }
@@ -35,7 +35,7 @@
     latencies.value_at_quantile(quantile) as f64 / NANOSECONDS_PER_MILLISECOND
 }
 
-/// Describes the calls of a measurement that were not served; none if all were.
+/// Describes the calls of a measurement that were not served. Returns `None` if all were served.
 pub(super) fn describe_unserved(measurement: &str, result: &TargetResult) -> Option<String> {
     let TargetResult {
         sent,
@@ -47,7 +47,7 @@
     } = result;
     (served < sent).then(|| {
         format!(
-            "{measurement}: of {sent} calls {rejected} rejected, {failed} failed, {unanswered} unanswered"
+            "{measurement}: of {sent} calls {rejected} were rejected, {failed} failed and {unanswered} were unanswered"
         )
     })
 }
--- a/fleet-lab/src/scenario/memory.rs
+++ b/fleet-lab/src/scenario/memory.rs
@@ -1,4 +1,4 @@
-//! A real sidecar's memory by listed endpoints, pending requests and client connections.
+//! Memory of a real sidecar, by the numbers of listed endpoints, pending requests and client connections.
 
 use super::client_connections::ClientConnections;
 use super::context::RunContext;
@@ -13,13 +13,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The number of endpoints in measurements that vary something else.
+/// The number of endpoints in measurements by pending requests or client connections.
 const FEW_ENDPOINTS: u32 = 20;
-/// How long an endpoint works on a request that is to stay pending.
+/// The service time of a request that is to stay pending during a measurement.
 const SERVICE_TIME: Duration = Duration::from_secs(60);
-/// How long a sidecar runs before it is measured.
+/// The time from the start of a sidecar, or from a change of its load, to the measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// How long it may take until all requests are pending.
+/// The longest time until all requests are pending.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval at which an awaited state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -168,7 +168,7 @@
     table.add(name, "bytes", size, usage.anonymous_bytes as f64);
 }
 
-/// Waits until this many requests are pending; returns how many are at the end of the wait.
+/// Waits until `count` requests are pending or a timeout has passed. Returns the number of pending requests at the end.
 fn wait_for_pending(single_sidecar: &SingleSidecar, count: u64) -> Result<u64, ScenarioError> {
     let give_up_at = Instant::now() + OPEN_TIMEOUT;
     loop {
--- a/fleet-lab/src/scenario/metric_table.rs
+++ b/fleet-lab/src/scenario/metric_table.rs
@@ -1,13 +1,14 @@
-//! Metrics that are collected size by size.
+//! A table that collects the metrics of an experiment, one size after another.
 
 use crate::measure::{Point, Slope};
 use crate::report::Metric;
 use std::collections::BTreeSet;
 
-/// The smallest number of points for a slope; two points would always leave nothing unexplained.
+/// The smallest number of points for a slope. A line through two points always fits them exactly and says nothing about
+/// the quality of the fit.
 const MIN_POINTS_FOR_SLOPE: usize = 3;
 
-/// Metrics over one kind of size, in the order of their first measurement.
+/// Metrics by one kind of size, in the order of their first measurement.
 pub(super) struct MetricTable {
     size_unit: &'static str,
     metrics: Vec<Metric>,
@@ -16,7 +17,7 @@
 }
 
 impl MetricTable {
-    /// Creates an empty table; `size_unit` is the unit of the sizes.
+    /// Creates an empty table whose sizes have this unit.
     pub(super) fn with_size_unit(size_unit: &'static str) -> Self {
         MetricTable {
             size_unit,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Adds a measurement to a metric.
+    /// Adds a measurement to a metric. The first measurement defines the metric's unit.
     pub(super) fn add(&mut self, name: &str, unit: &str, size: f64, value: f64) {
         let point = Point { size, value };
         if let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) {
@@ -42,7 +43,7 @@
         });
     }
 
-    /// Adds a note to a metric, unless the metric already has it.
+    /// Adds a note to a metric, unless the metric already has the note or does not exist.
     pub(super) fn note(&mut self, name: &str, note: &str) {
         let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) else {
             return;
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Omits the slope of a metric, for one whose values are bounds and not measurements.
+    /// Omits the slope of a metric. For metrics whose values are bounds rather than measurements.
     pub(super) fn omit_slope(&mut self, name: &str) {
         self.names_without_slope.insert(name.to_owned());
     }
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Returns the metrics without slopes, for sizes that are not quantities.
+    /// Returns the metrics without slopes. For sizes that are not quantities.
     pub(super) fn without_slopes(self) -> Vec<Metric> {
         self.metrics
     }
 
-    /// Returns the metrics, with the slopes of those that have enough points.
+    /// Returns the metrics. Those with enough points have a slope unless it was omitted.
     pub(super) fn with_slopes(mut self) -> Vec<Metric> {
         for metric in &mut self.metrics {
             if metric.points.len() >= MIN_POINTS_FOR_SLOPE
--- a/fleet-lab/src/scenario/mod.rs
+++ b/fleet-lab/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! How each kind of experiment is run: which parts are started, loaded, failed and measured, in which order.
+//! The scenario of each kind of experiment: the order in which it starts, loads, fails and measures the systems.
 
 mod chain;
 mod client_connections;
@@ -29,7 +29,7 @@
 /// Runs one experiment.
 ///
 /// # Errors
-/// Fails where the experiment cannot be run to its end.
+/// Fails if the experiment cannot be run to its end.
 pub fn run(
     experiment: &Experiment,
     context: &RunContext,
--- a/fleet-lab/src/scenario/outage.rs
+++ b/fleet-lab/src/scenario/outage.rs
@@ -1,4 +1,4 @@
-//! Time until the list is current everywhere after an outage of discovery, by fleet size.
+//! Time until all sidecars have the current list after an outage of discovery, by fleet size.
 
 use super::fleet::{
     CachedList, FleetPlan, RunningFleet, add_convergence_times, add_discovery_calls,
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The fractions of a fleet whose convergence time is reported.
+/// The reported quantiles of the convergence times.
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("9 in 10", 0.9), ("last", 1.0)];
 
 pub(super) fn run(plan: &Outage, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
@@ -24,7 +24,8 @@
     })
 }
 
-/// Publishes a change during an outage of discovery, and waits until all sidecars have it after the outage.
+/// Publishes a change in the middle of an outage of discovery. Measures the time from the end of the outage until all
+/// sidecars have received the change.
 fn measure(plan: &Outage, fleet: &RunningFleet, table: &mut MetricTable) {
     let size = fleet.size as f64;
     let half_of_outage = Duration::from_secs_f64(plan.outage_seconds / 2.0);
--- a/fleet-lab/src/scenario/outcome.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -19,9 +19,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// A step failed.
-    #[error("{step}: {source}")]
+    #[error("could not {step}: {source}")]
     Step {
-        /// The step, such as `start discovery`.
+        /// The step as a verb phrase, such as `start discovery`.
         step: String,
         /// The cause.
         source: StepError,
@@ -30,7 +30,7 @@
     #[error(transparent)]
     Tier(#[from] TierError),
     /// A simulated fleet could not be started.
-    #[error("start the simulated sidecars: {0}")]
+    #[error("could not start the simulated sidecars: {0}")]
     Fleet(#[from] FleetError),
     /// A state that the experiment needs was not reached.
     #[error("{0}")]
@@ -38,7 +38,8 @@
 }
 
 impl ScenarioError {
-    /// Returns a function that wraps the cause of a failed step, for `map_err`.
+    /// Returns a function for `map_err` that wraps the cause of a failed step. The step is a verb phrase, such as
+    /// `start discovery`.
     pub fn step<E: Into<StepError>>(step: impl Into<String>) -> impl FnOnce(E) -> Self {
         let step = step.into();
         move |source| ScenarioError::Step {
@@ -51,10 +52,10 @@
 /// Why a step failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StepError {
-    /// A file, a thread or a socket could not be handled.
+    /// An operation on a file, a thread or a socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A real sidecar did not do what was expected of it.
+    /// An operation on a real sidecar failed.
     #[error(transparent)]
     Sidecar(#[from] SidecarError),
 }
--- a/fleet-lab/src/scenario/propagation.rs
+++ b/fleet-lab/src/scenario/propagation.rs
@@ -1,4 +1,4 @@
-//! Propagation delay of a change, and its cost for discovery, by fleet size.
+//! Propagation delay of a list change and its cost for discovery, by fleet size.
 
 use super::fleet::{CachedList, FleetPlan, RunningFleet, add_convergence_times};
 use super::metric_table::MetricTable;
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long discovery is measured without changes: three of its heartbeats.
+/// The duration of the measurement without changes. It contains three heartbeats of discovery.
 const IDLE_MEASUREMENT: Duration = Duration::from_secs(6);
-/// The fractions of a fleet whose convergence time is reported.
+/// The reported quantiles of the convergence times.
 const QUANTILES: [(&str, f64); 3] = [("half", 0.5), ("99 in 100", 0.99), ("last", 1.0)];
 
 pub(super) fn run(plan: &Propagation, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
@@ -27,7 +27,7 @@
     })
 }
 
-/// Measures the bytes and the processor time of idle watches.
+/// Measures the bytes on idle watches and the processor time of discovery for them.
 fn measure_idle(fleet: &RunningFleet, table: &mut MetricTable) {
     let started = Instant::now();
     let start_usage = fleet.discovery.usage();
@@ -45,7 +45,8 @@
     );
 }
 
-/// Publishes the changes one after another, each after all sidecars have received the previous one.
+/// Measures the propagation of the changes. Each is published after all sidecars have received the previous one, or
+/// after the timeout.
 fn measure_changes(plan: &Propagation, fleet: &RunningFleet, table: &mut MetricTable) {
     let timeout = Duration::from_secs_f64(plan.timeout_seconds);
     let mut times = ConvergenceTimes::default();
@@ -67,6 +68,7 @@
     add_change_cost(plan.changes, fleet, &start_usage, &end_usage, table);
 }
 
+/// Adds the bytes and the processor time of discovery for each delivery of a change to one watch.
 fn add_change_cost(
     changes: u32,
     fleet: &RunningFleet,
--- a/fleet-lab/src/scenario/single_sidecar.rs
+++ b/fleet-lab/src/scenario/single_sidecar.rs
@@ -1,4 +1,4 @@
-//! One real sidecar in front of one tier, and what other experiments with real sidecars share with it.
+//! One real sidecar in front of one tier, and functions for all experiments with real sidecars.
 
 use super::context::RunContext;
 use super::load::{SAFE_CLASS, UNSAFE_CLASS};
@@ -14,12 +14,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Limits of a sidecar, wide enough for all open requests of an experiment.
+/// Limits of a sidecar. They are high enough for all open requests of an experiment.
 pub(super) const SIDECAR_LIMITS: ResourceLimits = ResourceLimits {
     memory_mb: 192,
     descriptors: 4_096,
 };
-/// A discovery service with more capacity than the sidecars of one tier need.
+/// Options of a discovery service that has more capacity than the sidecars of one tier need.
 pub(super) const DISCOVERY_OPTIONS: DiscoveryOptions = DiscoveryOptions {
     calls_per_second: 1_000.0,
     queue_timeout: Duration::from_secs(5),
@@ -28,27 +28,27 @@
     on_change: WatchOnChange::Sends,
     retained_changes: 1_000,
 };
-/// Threads that run the endpoints.
+/// The number of threads that run the endpoints.
 const ENDPOINT_THREADS: usize = 2;
-/// How long a sidecar may take to become ready.
+/// The longest time until a sidecar is ready.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The options in which experiments with one sidecar differ.
+/// The options that differ between experiments with one sidecar.
 pub(super) struct SingleSidecarOptions<'a> {
     /// The number of listed endpoints.
     pub(super) endpoints: u32,
     /// How the endpoints behave.
     pub(super) endpoint: &'a EndpointOptions,
-    /// How long callers wait.
+    /// The deadline of the calls.
     pub(super) deadline: Duration,
-    /// Where load reports come from.
+    /// The source of the load reports.
     pub(super) load_reports: LoadReports,
     /// Seed of all random numbers.
     pub(super) seed: u64,
 }
 
-/// One sidecar that is ready, and the tier that it sends to. Its configuration counts one sidecar for each endpoint, so
-/// that its subset is as small as that of a sidecar in a fleet.
+/// One sidecar that is ready, and the tier that it sends to. Its configuration states as many sidecars as
+/// endpoints, which gives the sidecar a subset as small as in a fleet.
 pub(super) struct SingleSidecar {
     pub(super) sidecar: SidecarProcess,
     pub(super) configuration: SidecarConfiguration,
@@ -103,12 +103,13 @@
     pub(super) fn usage(&self) -> Result<ProcessUsage, ScenarioError> {
         self.sidecar
             .usage()
-            .map_err(ScenarioError::step("read what the sidecar uses"))
+            .map_err(ScenarioError::step("read the sidecar's resource usage"))
     }
 
-    /// Returns one metric of the sidecar.
+    /// Returns one metric of the sidecar by its name without the `app_` prefix.
     pub(super) fn metric(&self, name: &str) -> Result<u64, ScenarioError> {
-        let missing = || ScenarioError::NotReached(format!("the sidecar has no metric {name}"));
+        let missing =
+            || ScenarioError::NotReached(format!("the sidecar did not return the metric {name}"));
         self.sidecar.metric(name).ok_or_else(missing)
     }
 
--- a/fleet-lab/tests/command.rs
+++ b/fleet-lab/tests/command.rs
@@ -119,7 +119,7 @@
     ]);
     assert_eq!(output.status.code(), Some(1), "{}", errors(&output));
     let report = fs::read_to_string(folder.path().join("results.md")).unwrap();
-    assert!(report.contains("- failed: start "), "{report}");
+    assert!(report.contains("- failed: could not start "), "{report}");
 }
 
 /// Returns the child processes of all threads of a process.
