--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -1,4 +1,4 @@
-//! A child process of the sidecar program, and its log.
+//! A child process that runs the sidecar program, and its log.
 
 use super::error::{SidecarError, SidecarProblem};
 use rustix::process::{Pid, Signal, kill_process};
@@ -13,14 +13,14 @@
 
 /// The number of log lines that are retained.
 const MAX_LOG_LINES: usize = 200;
-/// The words before the callers' address in the program's log.
+/// The text before the callers' address in the program's log.
 const CALLERS_ADDRESS_MARKER: &str = " listens on ";
-/// The words before the operators' address in the program's log, which come before the callers' address.
+/// The text before the operators' address in the program's log. The program logs this address before that for callers.
 const OPERATORS_ADDRESS_MARKER: &str = " serves operators on ";
 /// The number of log lines that an error quotes.
 const QUOTED_LOG_LINES: usize = 5;
 
-/// The addresses that a process listens at, taken from its log.
+/// The addresses at which a process listens, as found in its log.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Addresses {
     /// The address for callers.
@@ -39,7 +39,8 @@
 }
 
 impl LoggedChild {
-    /// Starts a process and reads its standard error. Both addresses are sent once they have been logged.
+    /// Starts a process and a thread that reads its standard error. The thread sends both addresses once they have been
+    /// logged.
     pub fn spawn(command: &mut Command, sender: Sender<Addresses>) -> io::Result<Self> {
         let mut child = command.stderr(Stdio::piped()).spawn()?;
         let log = LogTail::default();
@@ -84,12 +85,12 @@
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Returns the last lines of the log.
+    /// Returns the retained lines of the log.
     pub fn log(&self) -> Vec<String> {
         self.log.last(MAX_LOG_LINES)
     }
 
-    /// Returns an error that quotes the end of the log.
+    /// Returns an error that quotes the last lines of the log.
     pub fn error(&self, problem: SidecarProblem) -> SidecarError {
         SidecarError::Process {
             problem,
@@ -113,7 +114,7 @@
 struct LogTail(Arc<Mutex<VecDeque<String>>>);
 
 impl LogTail {
-    /// Reads the log to its end on a thread of its own, and sends the addresses once both have been logged.
+    /// Starts a thread that reads the log to its end, and that sends the addresses once both have been logged.
     fn read(self, stderr: ChildStderr, sender: Sender<Addresses>) -> JoinHandle<()> {
         thread::spawn(move || {
             let mut sender = Some(sender);
@@ -146,6 +147,7 @@
     }
 }
 
+/// Returns the addresses if both are known.
 fn both_addresses(admin: Option<SocketAddr>, callers: Option<SocketAddr>) -> Option<Addresses> {
     Some(Addresses {
         callers: callers?,
@@ -153,6 +155,7 @@
     })
 }
 
+/// Returns the address that follows the marker in a log line, or `None` if there is none.
 fn address_after(line: &str, marker: &str) -> Option<SocketAddr> {
     let (_, address) = line.split_once(marker)?;
     address.parse().ok()
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -7,58 +7,59 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// A loopback address with a port that the system chooses.
+/// The loopback address with a port that the system chooses.
 const ANY_LOOPBACK_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// The time after which an idle connection to an endpoint is closed.
 const IDLE_CLOSE: Duration = Duration::from_secs(60);
-/// How long connecting to an endpoint may take.
+/// Timeout of a connection to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The longest `Retry-After`.
+/// The longest `Retry-After` that clients follow.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// The largest number of attempts for a request.
 const MAX_ATTEMPTS: u32 = 3;
 /// The largest number of pending requests of a sidecar.
 const MAX_PENDING: u32 = 10_000;
-/// Time after the deadline within which an answer still counts.
+/// The time after a deadline within which an answer still counts.
 const ANSWER_SLACK: Duration = Duration::from_millis(5);
-/// The poll interval: the longest time between two calls of discovery.
+/// The longest time between two calls to discovery.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// Time within which a draining endpoint gets no new requests.
+/// The time within which a sidecar must stop sending new requests to a draining endpoint.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// The fraction of its capacity with which an endpoint starts.
+/// The fraction of its full capacity that an endpoint has at its start.
 const INITIAL_CAPACITY: f64 = 0.3;
-/// How long an endpoint warms up.
+/// The longest time from an endpoint's start until it is warm.
 const WARM_UP_TIME: Duration = Duration::from_secs(10);
-/// A warming endpoint fails if it is sent more than this multiple of its present capacity
+/// The load that makes an endpoint fail during its warm-up, as a multiple of its present capacity. The load must last
+/// for [`OVERLOAD_TIME`].
 const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// for this time.
+/// The time for which [`OVERLOAD_MULTIPLE`] must be exceeded until an endpoint fails.
 const OVERLOAD_TIME: Duration = Duration::from_secs(2);
 /// The shortest time between two batches of events for the decision module.
 const TICK: Duration = Duration::from_millis(1);
 
-/// A request class, as the settings of a sidecar define it.
+/// A request class of a sidecar's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Whether its requests must never run twice.
+    /// Whether requests of the class must never run twice.
     pub is_unsafe: bool,
-    /// The priority weight of a request.
+    /// The priority weight of each request.
     pub priority_weight: f64,
-    /// How long its clients wait.
+    /// The deadline of each request.
     pub deadline: Duration,
 }
 
-/// The position of a sidecar among the sidecars of its tier, and that of its tier in the chain.
+/// The position of a sidecar within its tier, and the position of the tier in the chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TierPosition {
     /// The sidecar's number within its tier, from 0.
     pub number: u32,
-    /// The number of sidecars of its tier.
+    /// The number of sidecars in the tier.
     pub sidecars: u32,
-    /// The tier that it sends to, from 0.
+    /// The number of the tier that the sidecar sends to, from 0.
     pub tier: u32,
-    /// The number of tiers.
+    /// The number of tiers in the chain.
     pub tiers: u32,
 }
 
@@ -72,53 +73,53 @@
     };
 }
 
-/// The resources that a sidecar may use.
+/// The limits on a sidecar's resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// Memory in MB.
     pub memory_mb: u32,
-    /// File descriptors.
+    /// The number of file descriptors.
     pub descriptors: u32,
 }
 
-/// Where a sidecar's load reports come from.
+/// The source of a sidecar's load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// Endpoints send them with their answers, and health checks are not allowed.
+    /// Endpoints send load reports with their answers, and the sidecar may not make health checks.
     WithAnswers,
-    /// Endpoints send them with the answers to health checks only.
+    /// Endpoints send load reports only with their answers to health checks.
     WithHealthChecks,
 }
 
 /// The settings that differ between the sidecars of a fleet and between experiments.
 #[derive(Clone, Debug)]
 pub struct SidecarConfiguration {
-    /// Its name.
+    /// The sidecar's name.
     pub name: String,
-    /// Its zone.
+    /// The sidecar's zone.
     pub zone: ZoneName,
     /// All zones.
     pub zones: Vec<ZoneName>,
-    /// Its position in the chain of tiers.
+    /// The sidecar's position in the chain of tiers.
     pub position: TierPosition,
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Whether an agent pushes lists, or the decision module requests them.
+    /// Whether an agent pushes lists or the decision module requests them.
     pub discovery_mode: DiscoveryMode,
-    /// The list that is used until discovery has sent one.
+    /// The list that the sidecar uses until discovery has sent one.
     pub cached_list: Option<ListSnapshot>,
-    /// Request classes.
+    /// The request classes.
     pub classes: Vec<RequestClass>,
-    /// Where load reports come from.
+    /// The source of load reports.
     pub load_reports: LoadReports,
-    /// Seed of its random numbers.
+    /// Seed of the sidecar's random numbers.
     pub seed: u64,
-    /// The resources that it may use.
+    /// The limits on the sidecar's resources.
     pub limits: ResourceLimits,
 }
 
 impl SidecarConfiguration {
-    /// Returns the settings object, with the names and units of the simulator's first message.
+    /// Returns the settings object. It has the key names and units of the first message that the simulator sends.
     pub fn settings(&self) -> Value {
         let zones: Vec<&str> = self.zones.iter().map(ZoneName::as_str).collect();
         let stages: Vec<String> = (0..self.position.tiers)
@@ -148,7 +149,7 @@
         })
     }
 
-    /// Returns the configuration document of a sidecar that listens on loopback ports which the system chooses.
+    /// Returns the configuration document of a sidecar that listens on loopback, on ports that the system chooses.
     #[must_use]
     pub fn document(&self) -> Value {
         self.document_at(ANY_LOOPBACK_PORT, ANY_LOOPBACK_PORT)
@@ -176,6 +177,7 @@
         document
     }
 
+    /// Returns the settings of load reports.
     fn report(&self) -> Value {
         let how = match self.load_reports {
             LoadReports::WithAnswers => "inline",
@@ -184,6 +186,7 @@
         json!({"fields": ["concurrent", "depth", "load_share"], "how": how})
     }
 
+    /// Returns the settings of limits and permissions.
     fn bounds(&self) -> Value {
         json!({
             "cancel": true,
@@ -202,7 +205,7 @@
 }
 
 impl RequestClass {
-    /// Returns the class in the form of the settings.
+    /// Returns the settings of the class.
     fn category(&self) -> Value {
         let deadline = nanoseconds(self.deadline);
         json!({
@@ -225,6 +228,7 @@
     }
 }
 
+/// Returns the settings of the timing rules.
 fn rules() -> Value {
     json!({
         "answerSlackNs": nanoseconds(ANSWER_SLACK),
@@ -237,7 +241,7 @@
     })
 }
 
-/// Converts a duration to nanoseconds, limited to the largest value of the settings.
+/// Converts a duration to nanoseconds, limited to the largest `u64`.
 fn nanoseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/fleet-lab/src/sidecar/error.rs
+++ b/fleet-lab/src/sidecar/error.rs
@@ -5,11 +5,11 @@
 /// Why an operation on a sidecar process failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SidecarError {
-    /// A file, a process or a signal could not be handled.
+    /// An operation on a file, a process or a signal failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The process did not do what was expected of it.
-    #[error("{problem}: {}", log.join("; "))]
+    /// The process did not behave as expected.
+    #[error("{problem}; its log ends with: {}", log.join("; "))]
     Process {
         /// The problem.
         problem: SidecarProblem,
@@ -18,22 +18,22 @@
     },
 }
 
-/// What a sidecar process did not do.
+/// Unexpected behaviour of a sidecar process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SidecarProblem {
-    /// It did not listen before the timeout.
-    #[error("the sidecar did not listen in time")]
+    /// The process did not listen before the timeout.
+    #[error("the sidecar did not listen before the timeout")]
     NotListening,
-    /// It ended before it listened.
+    /// The process ended before it listened.
     #[error("the sidecar ended before it listened")]
     Ended,
-    /// It did not return its metrics.
-    #[error("the metrics could not be read")]
+    /// The process did not return its metrics.
+    #[error("the sidecar's metrics could not be read")]
     MetricsUnreadable,
-    /// It did not count a reload before the timeout.
-    #[error("the reload was not counted in time")]
+    /// The process did not count a reload before the timeout.
+    #[error("the sidecar did not count the reload before the timeout")]
     ReloadNotCounted,
-    /// It rejected the configuration of a reload.
+    /// The process rejected the configuration of a reload.
     #[error("the reload was rejected")]
     ReloadRejected,
 }
--- a/fleet-lab/src/sidecar/mod.rs
+++ b/fleet-lab/src/sidecar/mod.rs
@@ -1,4 +1,5 @@
-//! Sidecars under test: real ones, each a process of the built program, and simulated ones, hundreds in one process.
+//! Sidecars under test. Each real sidecar is a process of the sidecar program. Hundreds of simulated sidecars share one
+//! process.
 
 mod child;
 pub mod configuration;
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -1,4 +1,4 @@
-//! Real sidecars: processes of the built program.
+//! Real sidecars: processes of the sidecar program.
 
 use crate::measure::ProcessUsage;
 use crate::sidecar::child::{Addresses, LoggedChild};
@@ -16,19 +16,20 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The prefix of the name of a process's folder. It is short because the folder contains a Unix socket.
+/// The prefix of the name of a process's folder. It is short because the folder contains a Unix socket, whose path is
+/// limited in length.
 const FOLDER_PREFIX: &str = "lab-";
 /// The name of the configuration file in that folder.
 const CONFIGURATION_FILE: &str = "config.json";
 /// The prefix of the program's environment variables.
 const ENVIRONMENT_PREFIX: &str = "ROUTER_";
-/// How long a process may take until it listens.
+/// The longest time until a process listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a reload may take until the process counts it.
+/// The longest time until a process counts a reload.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a process may take to end after SIGTERM; then it is killed.
+/// The longest time that a process may take to end after SIGTERM before it is killed.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Timeout of each read and write of a call to a process.
+/// Timeout of the connection and of each read and write of a request to a process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The interval at which an awaited state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -39,7 +40,7 @@
     child: LoggedChild,
     addresses: Addresses,
     configuration_file: PathBuf,
-    /// The folder with the configuration and the process's own files, which is removed after the process has ended.
+    /// The folder with the configuration and the process's own files. It is removed after the process has ended.
     _folder: TempDir,
 }
 
@@ -47,7 +48,7 @@
     /// Starts a process of the program and waits until it listens.
     ///
     /// # Errors
-    /// Fails where the process cannot be started, or ends or times out before it listens.
+    /// Fails if the process cannot be started, ends before it listens, or does not listen before a timeout.
     pub fn start(
         program: &Path,
         configuration: &SidecarConfiguration,
@@ -81,13 +82,13 @@
         self.addresses.admin
     }
 
-    /// Returns the last lines of the log.
+    /// Returns the retained lines of the log.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.child.log()
     }
 
-    /// Returns whether `GET /ready` is answered 200.
+    /// Returns whether `GET /ready` is answered with status 200.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let request = "GET /ready HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n";
@@ -95,14 +96,16 @@
         answer.split(' ').nth(1) == Some("200")
     }
 
-    /// Waits until `GET /ready` is answered 200; returns how long that took, or none after the timeout.
+    /// Waits until `GET /ready` is answered with status 200. Returns the time that this took, or `None` after the
+    /// timeout.
     #[must_use]
     pub fn wait_until_ready(&self, timeout: Duration) -> Option<Duration> {
         let started = Instant::now();
         wait_until(timeout, || self.is_ready()).then(|| started.elapsed())
     }
 
-    /// Returns one metric of `STATS` by its name without the `app_` prefix; none if there is no such metric.
+    /// Returns one metric of `STATS` by its name without the `app_` prefix, or `None` if the metrics cannot be read or
+    /// do not contain it.
     #[must_use]
     pub fn metric(&self, name: &str) -> Option<u64> {
         let answer = send_request(self.admin_address(), "STATS\n").ok()?;
@@ -116,7 +119,8 @@
     /// Replaces the configuration, sends SIGHUP, and waits until the process has counted the reload.
     ///
     /// # Errors
-    /// Fails where the file cannot be written or the signal not be sent, and where the reload is rejected or times out.
+    /// Fails if the file cannot be written, the signal cannot be sent, the metrics cannot be read, or the reload is
+    /// rejected or not counted before a timeout.
     pub fn reload(&self, configuration: &SidecarConfiguration) -> Result<(), SidecarError> {
         let previous = self.reloads()?;
         write_configuration(&self.configuration_file, configuration)?;
@@ -140,12 +144,12 @@
     /// Returns the resources that the process uses.
     ///
     /// # Errors
-    /// Fails where the process has ended.
+    /// Fails if the process has ended.
     pub fn usage(&self) -> io::Result<ProcessUsage> {
         ProcessUsage::of(self.child.id())
     }
 
-    /// Sends SIGTERM and waits for the end of the process, which is killed after a minute.
+    /// Sends SIGTERM and waits for the end of the process. Kills it if it has not ended after a minute.
     pub fn terminate(mut self) {
         if self.child.signal(Signal::TERM).is_ok() {
             wait_until(TERMINATION_TIMEOUT, || self.child.has_ended());
@@ -174,7 +178,8 @@
     rejected: u64,
 }
 
-/// Returns the command that starts the program, without the program's environment variables of this process.
+/// Returns the command that starts the program. The program does not inherit variables with its prefix from the
+/// environment of this process.
 fn program_command(program: &Path, configuration_file: &Path, folder: &Path) -> Command {
     let mut command = Command::new(program);
     for (name, _) in std::env::vars_os().filter(|(name, _)| is_program_variable(name)) {
@@ -190,19 +195,20 @@
     command
 }
 
+/// Returns whether the name has the prefix of the program's environment variables.
 fn is_program_variable(name: &OsStr) -> bool {
     name.as_encoded_bytes()
         .starts_with(ENVIRONMENT_PREFIX.as_bytes())
 }
 
-/// Writes the document under another name and renames it, so that a partial document is never read.
+/// Writes the document to a temporary file and renames it. The process never reads a partial document.
 fn write_configuration(file: &Path, configuration: &SidecarConfiguration) -> io::Result<()> {
     let temporary = file.with_extension("new");
     fs::write(&temporary, configuration.document().to_string())?;
     fs::rename(temporary, file)
 }
 
-/// Sends a request on a new connection and returns the answer up to the end of the connection.
+/// Sends a request on a new connection and returns everything that is received until the connection is closed.
 fn send_request(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
@@ -213,7 +219,7 @@
     Ok(answer)
 }
 
-/// Waits until a condition holds; returns false after the timeout.
+/// Waits until a condition holds and returns true, or returns false after the timeout.
 fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let started = Instant::now();
     loop {
--- a/fleet-lab/src/sidecar/simulated/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks whose answers are simulated in memory.
+//! Attempts and health checks, which are simulated in memory.
 
 use super::endpoints::SimulatedEndpoint;
 use super::fleet_state::FleetState;
@@ -11,7 +11,7 @@
 
 /// How long an endpoint takes to answer a health check.
 const HEALTH_CHECK_ANSWER_TIME: Duration = Duration::from_millis(1);
-/// How long a health check may take, as in the real sidecar.
+/// Timeout of a health check. The real sidecar has the same one.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The receiver of the results of attempts and health checks.
@@ -31,7 +31,7 @@
     /// When the attempt times out.
     pub deadline: Instant,
     pub connect_timeout: Duration,
-    /// How long the endpoint works on the request.
+    /// The time that the endpoint takes to process the request.
     pub service_time: Duration,
     pub reporting: Reporting,
 }
@@ -40,7 +40,8 @@
 pub(super) struct HealthCheck {
     pub endpoint: EndpointId,
     pub simulated_endpoint: Arc<SimulatedEndpoint>,
-    /// The last start of the endpoint that is checked; a later start makes the result obsolete.
+    /// The last start of the endpoint at the time of the health check. The result is obsolete if the endpoint has
+    /// started again since.
     pub started_at: Option<Timestamp>,
     pub connect_timeout: Duration,
     pub reporting: Reporting,
--- a/fleet-lab/src/sidecar/simulated/convergence_times.rs
+++ b/fleet-lab/src/sidecar/simulated/convergence_times.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-/// The times at which the sidecars of a fleet reached a state, counted from the start of the measurement.
+/// The times at which the sidecars of a fleet reached a state, relative to the start of the measurement.
 #[derive(Clone, Debug, Default)]
 pub struct ConvergenceTimes {
-    /// One duration for each sidecar that reached the state, in ascending order.
+    /// One duration for each sidecar that has reached the state, in ascending order.
     pub reached_after: Vec<Duration>,
     /// The number of sidecars that did not reach the state before the timeout.
     pub missing: usize,
--- a/fleet-lab/src/sidecar/simulated/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -5,13 +5,15 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
-/// Requests that an endpoint works on at once; further ones in flight are reported as queued.
+/// The number of requests that an endpoint processes at once. Load reports count the other requests in flight as
+/// queued.
 const CORES_PER_ENDPOINT: u64 = 4;
 
-/// All endpoints that a fleet has sent attempts to, by name.
+/// The endpoints of a fleet, by name.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     endpoints: RwLock<HashMap<EndpointId, Arc<SimulatedEndpoint>>>,
+    /// The largest number of attempts that reached one endpoint within one second.
     max_attempts_in_a_second: AtomicU64,
 }
 
@@ -20,11 +22,12 @@
 pub(super) struct SimulatedEndpoint {
     in_flight: AtomicU64,
     is_unreachable: AtomicBool,
-    /// How often it has become unreachable.
+    /// How often the endpoint has become unreachable.
     outages: AtomicU64,
     attempts: Mutex<AttemptsInSecond>,
 }
 
+/// The attempts that reached an endpoint within one second.
 #[derive(Debug, Default)]
 struct AttemptsInSecond {
     second: u64,
@@ -32,7 +35,7 @@
 }
 
 impl EndpointTable {
-    /// Returns an endpoint by its name, and creates it for the first attempt.
+    /// Returns an endpoint by its name. Creates the endpoint at the first use of the name.
     pub fn get(&self, name: &EndpointId) -> Arc<SimulatedEndpoint> {
         let endpoints = self
             .endpoints
@@ -49,7 +52,8 @@
         endpoints.entry(name.clone()).or_default().clone()
     }
 
-    /// Counts an attempt that reaches an endpoint; `second` counts from the fleet's start.
+    /// Counts an attempt that reaches an endpoint. `second` is the number of whole seconds since the start of the
+    /// fleet.
     pub fn count_attempt(&self, endpoint: &SimulatedEndpoint, second: u64) {
         let attempts = endpoint.count_attempt(second);
         self.max_attempts_in_a_second
@@ -63,7 +67,7 @@
 }
 
 impl SimulatedEndpoint {
-    /// Makes the endpoint unreachable. Requests in flight are never answered.
+    /// Makes the endpoint unreachable. Requests that are in flight will not be answered.
     pub fn make_unreachable(&self) {
         let was_unreachable = self.is_unreachable.swap(true, Ordering::Relaxed);
         if !was_unreachable {
@@ -81,12 +85,13 @@
         self.is_unreachable.load(Ordering::Relaxed)
     }
 
-    /// Returns how often the endpoint has become unreachable. An attempt during which this changes gets no answer.
+    /// Returns how often the endpoint has become unreachable. An attempt gets no answer if this number changes during
+    /// the attempt.
     pub fn outages(&self) -> u64 {
         self.outages.load(Ordering::Relaxed)
     }
 
-    /// Returns the load report that answers and health checks carry.
+    /// Returns the load report for answers to requests and to health checks.
     pub fn load_report(&self) -> LoadReport {
         let in_flight = self.in_flight.load(Ordering::Relaxed);
         let queued = in_flight.saturating_sub(CORES_PER_ENDPOINT);
@@ -97,12 +102,13 @@
         }
     }
 
-    /// Counts a request in flight until the guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn start_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlightGuard(self.clone())
     }
 
+    /// Counts an attempt. Returns the number of attempts within this second.
     fn count_attempt(&self, second: u64) -> u64 {
         let mut attempts = self.attempts.lock().unwrap_or_else(PoisonError::into_inner);
         if attempts.second != second {
@@ -116,7 +122,7 @@
     }
 }
 
-/// Counts a request in flight at an endpoint until it is dropped.
+/// A guard that counts a request as in flight at an endpoint until it is dropped.
 pub(super) struct InFlightGuard(Arc<SimulatedEndpoint>);
 
 impl Drop for InFlightGuard {
--- a/fleet-lab/src/sidecar/simulated/error.rs
+++ b/fleet-lab/src/sidecar/simulated/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The settings of a sidecar are invalid.
-    #[error("settings of {sidecar}: {source}")]
+    #[error("the settings of {sidecar} are invalid: {source}")]
     Settings {
         /// The sidecar's name.
         sidecar: String,
@@ -16,7 +16,7 @@
         source: InvalidSettings,
     },
     /// The threads that host the sidecars could not be started.
-    #[error("start a thread: {0}")]
+    #[error("a thread for sidecars could not be started: {0}")]
     Thread(#[from] io::Error),
 }
 
--- a/fleet-lab/src/sidecar/simulated/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -18,20 +18,21 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A fleet of simulated sidecars on threads of its own, which is stopped when it is dropped.
+/// A fleet of simulated sidecars on its own threads. It is stopped when it is dropped.
 #[derive(Debug)]
 pub struct SimulatedFleet {
     state: Arc<FleetState>,
-    /// The configuration with which each sidecar is started.
+    /// The configuration with which each sidecar is started, by the sidecar's index.
     plans: Mutex<Vec<Arc<SidecarPlan>>>,
     threads: Vec<HostThread>,
 }
 
 impl SimulatedFleet {
-    /// Starts a sidecar for each configuration, all at the same time, spread over a number of threads.
+    /// Starts one sidecar for each configuration. All are started at the same time and are distributed over the
+    /// threads.
     ///
     /// # Errors
-    /// Fails where a thread cannot be started or the decision module rejects settings.
+    /// Fails if a thread cannot be started or the decision module rejects settings.
     pub fn start(
         configurations: &[SidecarConfiguration],
         load: SimulatedLoad,
@@ -40,8 +41,8 @@
         Self::start_with_rates(configurations, load, |_| 1.0, threads)
     }
 
-    /// Starts a fleet in which each sidecar's rate of calls is the load's rate times a factor, by the sidecar's index
-    /// in the configurations.
+    /// Starts a fleet whose sidecars have different rates of calls. A sidecar's rate is that of the load, multiplied by
+    /// the factor that `rate_multiple` returns for the sidecar's index.
     ///
     /// # Errors
     /// Fails as [`SimulatedFleet::start`] does.
@@ -79,8 +80,8 @@
         Ok(fleet)
     }
 
-    /// Waits until every sidecar has received this version or a later one. Times count from `since`, and are zero for
-    /// sidecars that had it earlier.
+    /// Waits until every sidecar has received this version or a later one, or until the timeout. The times are relative
+    /// to `since`, and zero for sidecars that received the version earlier.
     pub fn wait_for_version(
         &self,
         version: u64,
@@ -92,12 +93,13 @@
         })
     }
 
-    /// Waits until every sidecar is ready, which it is while its list has a serving endpoint.
+    /// Waits until every sidecar is ready or until the timeout. A sidecar is ready while its list has a serving
+    /// endpoint.
     pub fn wait_until_ready(&self, since: Instant, timeout: Duration) -> ConvergenceTimes {
         milestones::wait_for_all(&self.state.milestones, since, timeout, Milestones::ready_at)
     }
 
-    /// Waits until every sidecar has an open watch.
+    /// Waits until every sidecar has an open watch or until the timeout.
     pub fn wait_until_watching(&self, since: Instant, timeout: Duration) -> ConvergenceTimes {
         milestones::wait_for_all(
             &self.state.milestones,
@@ -107,7 +109,7 @@
         )
     }
 
-    /// Kills these sidecars, by their index in the configurations, and starts them again with their configuration.
+    /// Kills the sidecars with these indices and starts them again with their configurations.
     pub fn restart(&self, indices: &[usize]) {
         let plans = self.plans();
         for index in indices.iter().copied() {
@@ -120,15 +122,15 @@
         }
     }
 
-    /// Reloads these sidecars with other configurations, as SIGHUP does. A configuration that the decision module
-    /// rejects is logged, and its sidecar keeps the present one.
+    /// Reloads the sidecars with these indices with new configurations, as SIGHUP does for a real sidecar. If the
+    /// decision module rejects a configuration, this is logged and the sidecar keeps its present one.
     pub fn reload(&self, indices: &[usize], configuration: impl Fn(usize) -> SidecarConfiguration) {
         let mut plans = self.plans();
         for index in indices.iter().copied() {
             let plan = match SidecarPlan::from_configuration(&configuration(index)) {
                 Ok(plan) => Arc::new(plan),
                 Err(error) => {
-                    tracing::warn!(index, %error, "configuration rejected");
+                    tracing::warn!(index, %error, "new configuration rejected; the present one stays in use");
                     continue;
                 }
             };
@@ -140,15 +142,16 @@
         }
     }
 
-    /// Makes these endpoints unreachable for all sidecars, as if their machines had failed: attempts in flight time
-    /// out, and new ones cannot connect.
+    /// Makes these endpoints unreachable for all sidecars, as if their machines had failed. Attempts in flight time
+    /// out, and new attempts cannot connect.
     pub fn make_unreachable(&self, endpoints: &[EndpointName]) {
         for endpoint in endpoints {
             self.endpoint(endpoint).make_unreachable();
         }
     }
 
-    /// Makes these endpoints reachable again. That they are warming up is published by discovery, in their last start.
+    /// Makes these endpoints reachable again. The sidecars learn from discovery that the endpoints are warming up: the
+    /// list contains the time of each endpoint's last start.
     pub fn make_reachable(&self, endpoints: &[EndpointName]) {
         for endpoint in endpoints {
             self.endpoint(endpoint).make_reachable();
--- a/fleet-lab/src/sidecar/simulated/fleet_state.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet_state.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub(super) struct FleetState {
     pub(super) load: SimulatedLoad,
-    /// The factor of each sidecar's rate of calls.
+    /// The rate of calls of each sidecar, as a multiple of the rate of the load.
     pub(super) rate_multiples: Vec<f64>,
     pub(super) counters: Counters,
     pub(super) endpoints: EndpointTable,
--- a/fleet-lab/src/sidecar/simulated/milestones.rs
+++ b/fleet-lab/src/sidecar/simulated/milestones.rs
@@ -5,20 +5,22 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// The interval at which a wait checks the sidecars. It does not limit the precision of the recorded times.
+/// The interval at which a wait checks the sidecars. The recorded times are more precise because the sidecars record
+/// them.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// The milestones of one sidecar. Records of an earlier start, which has been killed, are ignored.
+/// The milestones of one sidecar since its last start. Each record carries a number of restarts, and records of earlier
+/// starts are ignored.
 #[derive(Debug, Default)]
 pub(super) struct Milestones(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    /// How often the sidecar was restarted.
+    /// How often the sidecar has been restarted.
     restarts: u64,
-    /// How often the address of discovery has changed since the last start.
+    /// The generation of the discovery source: how often its address has changed since the last start.
     generation: u64,
-    /// The received versions, in order.
+    /// The received versions, in the order in which they were received.
     versions: Vec<ReceivedVersion>,
     ready_at: Option<Instant>,
     watch: Option<OpenWatch>,
@@ -32,13 +34,13 @@
 
 #[derive(Debug)]
 struct OpenWatch {
-    /// The generation that is watched.
+    /// The generation of the discovery source that is watched.
     generation: u64,
     opened_at: Instant,
 }
 
 impl Milestones {
-    /// Clears the milestones; returns the new number of restarts.
+    /// Clears the milestones for a new start. Returns the new number of restarts.
     pub fn restart(&self) -> u64 {
         let mut state = self.lock();
         let restarts = state.restarts + 1;
@@ -61,7 +63,8 @@
         });
     }
 
-    /// Records whether the sidecar is ready.
+    /// Records whether the sidecar is ready. A sidecar that stays ready keeps the time at which it
+    /// became ready.
     pub fn record_readiness(&self, restarts: u64, is_ready: bool) {
         self.record(restarts, |state, now| {
             state.ready_at = is_ready.then(|| state.ready_at.unwrap_or(now));
@@ -71,7 +74,7 @@
     /// Records that a watch was opened.
     pub fn record_watch_opened(&self, restarts: u64, generation: u64) {
         self.record(restarts, |state, opened_at| {
-            // A watch on the previous discovery may open after one on the present discovery.
+            // A watch on a previous source may open after the watch on the present one.
             let is_not_newer = |open: &OpenWatch| open.generation <= generation;
             if state.watch.as_ref().is_none_or(is_not_newer) {
                 state.watch = Some(OpenWatch {
@@ -82,14 +85,14 @@
         });
     }
 
-    /// Records that a watch has ended.
+    /// Records that the watch on a source has ended.
     pub fn record_watch_lost(&self, restarts: u64, generation: u64) {
         self.record(restarts, |state, _| {
             state.watch.take_if(|watch| watch.generation == generation);
         });
     }
 
-    /// Returns when the sidecar first received this version or a later one.
+    /// Returns the time at which the sidecar first received this version or a later one.
     pub fn version_at(&self, version: u64) -> Option<Instant> {
         let state = self.lock();
         let mut versions = state.versions.iter();
@@ -97,18 +100,19 @@
         Some(received.at)
     }
 
-    /// Returns since when the sidecar is ready.
+    /// Returns the time since which the sidecar is ready, or `None` if it is not.
     pub fn ready_at(&self) -> Option<Instant> {
         self.lock().ready_at
     }
 
-    /// Returns when the open watch on the present discovery was opened.
+    /// Returns the time at which the watch on the present source was opened, or `None` if it is not open.
     pub fn watching_at(&self) -> Option<Instant> {
         let state = self.lock();
         let watch = state.watch.as_ref()?;
         (watch.generation == state.generation).then_some(watch.opened_at)
     }
 
+    /// Changes the state, unless the record is from an earlier start.
     fn record(&self, restarts: u64, change: impl FnOnce(&mut State, Instant)) {
         let mut state = self.lock();
         if state.restarts == restarts {
@@ -121,7 +125,8 @@
     }
 }
 
-/// Waits until all sidecars have reached a milestone or the timeout has passed, and returns when each reached it.
+/// Waits until all sidecars have reached a milestone or the timeout has passed. Returns the times at which they reached
+/// it.
 pub(super) fn wait_for_all(
     fleet: &[Milestones],
     since: Instant,
--- a/fleet-lab/src/sidecar/simulated/pending_calls.rs
+++ b/fleet-lab/src/sidecar/simulated/pending_calls.rs
@@ -1,4 +1,4 @@
-//! The generator of a simulated sidecar's calls, and the calls that are pending.
+//! The generator of a simulated sidecar's calls, and the record of the pending ones.
 
 use balancer_sidecar::policy::{AttemptNumber, RequestId, Timestamp};
 use balancer_sidecar::task::Task;
@@ -6,19 +6,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// The longest time between two calls, so that no sum of times overflows.
+/// The longest time between two calls. It keeps the sum of the times from overflowing.
 const MAX_INTERARRIVAL_TIME: Duration = Duration::from_secs(3600);
 
 /// The receiver of generated calls.
 pub(super) trait CallTarget {
-    /// Draws the time until the next call; none if there are no calls.
+    /// Returns a random time until the next call, or `None` if there are no calls.
     fn time_to_next_call(&self) -> Option<Duration>;
 
     /// Receives a call.
     fn call(&self);
 }
 
-/// Generates calls without end in an open loop: the times between calls do not depend on answers.
+/// Generates calls in an open loop: the times between calls do not depend on answers. Returns only if there are no
+/// calls.
 pub(super) async fn generate_calls(target: impl CallTarget) {
     let mut due = Instant::now();
     while let Some(interarrival_time) = target.time_to_next_call() {
@@ -40,7 +41,7 @@
 
 struct AttemptRecord {
     sent: Timestamp,
-    /// The task that simulates the attempt; none once the attempt has ended.
+    /// The task that simulates the attempt, or `None` once the attempt has ended.
     task: Option<Task>,
 }
 
@@ -55,11 +56,12 @@
 pub(super) struct EndedAttempt {
     /// When the attempt was sent.
     pub sent: Timestamp,
-    /// Whether its call has its final answer.
+    /// Whether the call has its final answer.
     pub call_is_answered: bool,
 }
 
 impl PendingCall {
+    /// Returns whether the call is answered and has no attempts in flight.
     fn is_complete(&self) -> bool {
         let has_attempts_in_flight = self.attempts.iter().any(|record| record.task.is_some());
         self.is_answered && !has_attempts_in_flight
@@ -84,7 +86,7 @@
         self.0.values().filter(|call| !call.is_answered).count() as u64
     }
 
-    /// Returns the next attempt of a call; none if the call is not pending.
+    /// Returns the next attempt of a call, or `None` if the call is not pending.
     pub fn next_attempt(&self, request: &RequestId) -> Option<NextAttempt> {
         let call = self.0.get(request)?;
         Some(NextAttempt {
@@ -94,14 +96,15 @@
         })
     }
 
-    /// Adds a call's next attempt; an attempt without a task has already ended.
+    /// Adds a call's next attempt. An attempt without a task has already ended.
     pub fn start_attempt(&mut self, request: &RequestId, sent: Timestamp, task: Option<Task>) {
         if let Some(call) = self.0.get_mut(request) {
             call.attempts.push(AttemptRecord { sent, task });
         }
     }
 
-    /// Ends an attempt; none if it has already ended. An attempt that was served answers its call.
+    /// Ends an attempt and drops its task. Returns `None` if the attempt is unknown or has already ended. A served
+    /// attempt counts as the answer of its call in the returned value; [`PendingCalls::answer`] marks the call.
     pub fn end_attempt(
         &mut self,
         request: &RequestId,
@@ -117,7 +120,7 @@
         })
     }
 
-    /// Marks a call as answered. Returns false if it already was.
+    /// Marks a call as answered. Returns false if the call was already answered or is not pending.
     pub fn answer(&mut self, request: &RequestId) -> bool {
         match self.0.get_mut(request) {
             Some(call) if !call.is_answered => {
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -1,5 +1,5 @@
-//! One simulated sidecar: a decision module with its pending calls, attempts and timers. Only this module calls the
-//! decision module.
+//! One simulated sidecar: a decision module with its pending calls, attempts and timers. Only this Rust module and its
+//! submodules call the decision module.
 
 mod actions;
 mod discovery;
@@ -20,15 +20,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Distance between the seeds of a sidecar's incarnations.
+/// The difference between the seeds of two consecutive starts of a sidecar.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Identifies a sidecar of the fleet and one of its starts.
+/// Identifies one start of a sidecar of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Incarnation {
     /// The sidecar's index in the configurations.
     pub index: usize,
-    /// How often the sidecar was restarted before.
+    /// The number of restarts up to and including this start, which is 0 for the first start.
     pub restarts: u64,
 }
 
@@ -38,13 +38,13 @@
     clock: Clock,
     settings: Settings,
     settings_document: serde_json::Value,
-    /// The module's ids of the request classes, in the order of the settings.
+    /// The decision module's ids of the request classes, in the order of the settings.
     classes: Vec<ClassId>,
     balancer: Balancer,
     subscription: Subscription,
     pending_calls: PendingCalls,
     calls_started: u64,
-    /// Whether calls are generated, which starts when the sidecar first becomes ready.
+    /// Whether calls are generated. This starts when the sidecar first becomes ready.
     callers_started: bool,
     /// Seed of this incarnation's random numbers.
     seed: u64,
@@ -53,16 +53,17 @@
     actions: Vec<Action>,
 }
 
-/// A shared handle of a sidecar. Its methods borrow the sidecar only while they handle an event.
+/// A shared handle of a sidecar. Its methods borrow the sidecar only for the duration of a call and never across an
+/// `await`.
 #[derive(Clone)]
 pub(super) struct SidecarHandle(Rc<RefCell<SimulatedSidecar>>);
 
 impl SidecarHandle {
-    /// Starts a sidecar on the current set of local tasks. It applies the cached list, and starts a watch when its
-    /// module requests one; immediately if lists are pushed or there is no cached list.
+    /// Starts a sidecar on the current set of local tasks. The sidecar applies its cached list. It starts a watch
+    /// immediately if lists are pushed or there is no cached list, and otherwise when the decision module requests one.
     ///
     /// # Errors
-    /// Fails where the decision module rejects the settings.
+    /// Fails if the decision module rejects the settings.
     pub fn start(
         incarnation: Incarnation,
         fleet: Arc<FleetState>,
@@ -88,7 +89,7 @@
             events: VecDeque::new(),
             actions: Vec::new(),
         })));
-        // The module requests a list once the one that it has is too old. Without any list that never happens.
+        // The decision module requests a list once its present one is too old. Without any list it never requests one.
         let watches_immediately =
             plan.cached_list.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
         if let Some(cached_list) = &plan.cached_list {
@@ -105,12 +106,12 @@
         Ok(sidecar)
     }
 
-    /// Applies another configuration: first its settings, then the address of discovery. The watch on a previous
-    /// discovery continues until the present one has sent a list.
+    /// Applies a new configuration: first its settings, then the address of discovery. The watch on the previous
+    /// address continues until a list has arrived from the new one.
     pub fn reload(&self, plan: &SidecarPlan) {
         if let Err(error) = self.change_settings(plan) {
             let index = self.borrow().incarnation.index;
-            tracing::warn!(index, %error, "configuration rejected");
+            tracing::warn!(index, %error, "new configuration rejected; the present one stays in use");
             return;
         }
         let mut sidecar = self.borrow();
@@ -119,6 +120,7 @@
         }
     }
 
+    /// Applies the settings of a new configuration, unless they are unchanged.
     fn change_settings(&self, plan: &SidecarPlan) -> Result<(), SettingsError> {
         let mut sidecar = self.borrow();
         if plan.settings_document == sidecar.settings_document {
@@ -148,7 +150,8 @@
         self.0.borrow_mut()
     }
 
-    /// Passes an event to the decision module and executes the actions, in order.
+    /// Passes an event to the decision module and executes the returned actions in order. Then does the same for the
+    /// events that the actions have queued.
     fn handle_event(&self, event: Event) {
         let mut sidecar = self.borrow();
         sidecar.events.push_back(event);
@@ -190,7 +193,7 @@
 }
 
 impl AttemptOwner for SidecarHandle {
-    /// Handles the end of an attempt. The first one that is served answers its call.
+    /// Handles the end of an attempt. The first served attempt answers its call.
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult) {
         let mut sidecar = self.borrow();
         let served = result.outcome == Outcome::Served;
@@ -233,8 +236,8 @@
 }
 
 impl SimulatedSidecar {
-    /// Returns the last start of an endpoint; none if it is not listed. Simulated endpoints have no addresses, so
-    /// unlike in the real sidecar an endpoint is not replaced by another one at its address.
+    /// Returns the last start of an endpoint, or `None` if the endpoint is not listed. Unlike in the real sidecar, an
+    /// endpoint is not replaced by another one at the same address because simulated endpoints have no addresses.
     fn started_at(&self, endpoint: &EndpointId) -> Option<Option<Timestamp>> {
         self.subscription
             .membership()
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep_until;
 
 impl SimulatedSidecar {
-    /// Executes an action. Events that it causes immediately are queued for the decision module.
+    /// Executes an action. Events that the action causes immediately are queued for the decision module.
     pub(super) fn execute(&mut self, handle: &SidecarHandle, action: Action) {
         match action {
             Action::Send {
@@ -29,12 +29,12 @@
                 self.end_unserved(&request);
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
-            // The watch on an agent does not depend on the module.
+            // If an agent pushes lists, the watch does not depend on the decision module.
             Action::Subscribe | Action::Unsubscribe
                 if self.settings.discovery == DiscoveryMode::Pushed => {}
             Action::Unsubscribe => self.stop_watch(),
             Action::Subscribe => {
-                // A reload may have started a watch already, and a second one would cost discovery a call.
+                // A reload may already have started a watch. A second one would cost discovery an unnecessary call.
                 if !self.subscription.is_watching() {
                     self.start_watch(handle);
                 }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Schedules a timer event.
+    /// Schedules a timer event for the decision module.
     fn set_timer(&self, handle: &SidecarHandle, at: Timestamp, token: u64) {
         let (handle, due) = (handle.clone(), self.clock.instant(at));
         spawn_local(async move {
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Starts an attempt, unless its call is answered or its endpoint was removed from the list.
+    /// Starts an attempt, unless its call is answered or its endpoint is not listed. Such an attempt ends as not sent.
     fn send(
         &mut self,
         handle: &SidecarHandle,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns the end of an attempt that was not sent.
+/// Returns the event for the end of an attempt that was not sent.
 fn not_sent(request: RequestId, attempt: &NextAttempt) -> Event {
     Event::AttemptEnded(AttemptEnd {
         request,
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -1,4 +1,4 @@
-//! The simulated sidecar as a consumer of the discovery client: the lists that it receives, and its watch.
+//! The simulated sidecar as a consumer of the discovery client: its watch, and the lists that it receives.
 
 use super::super::pending_calls;
 use super::{Incarnation, SidecarHandle, SimulatedSidecar};
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 impl SidecarHandle {
-    /// Applies a list, and starts the callers once an endpoint serves.
+    /// Applies a list. Starts the generation of calls once an endpoint serves.
     pub(super) fn apply_list(&self, list: &EndpointList, kind: ListKind) {
         let mut sidecar = self.borrow();
         let entries = sidecar
@@ -40,7 +40,7 @@
 }
 
 impl SimulatedSidecar {
-    /// Starts a watch on discovery, in place of an earlier one.
+    /// Starts a watch on discovery, which replaces the present one.
     pub(super) fn start_watch(&mut self, handle: &SidecarHandle) {
         self.subscription
             .start_watch(handle.clone(), self.settings.discovery);
@@ -70,8 +70,8 @@
         Ok(())
     }
 
-    /// Forwards an empty list of changes. An open watch confirms the present version, and the next list may come only
-    /// with the next change.
+    /// Passes an empty list of changes to the decision module. The opening of a watch confirms the present version, and
+    /// the next list may come only with the next change.
     fn watch_opened(&self, source: Source) {
         let sidecar = self.borrow();
         sidecar.fleet.milestones[sidecar.incarnation.index]
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Forwards a failure, except that of a discovery which the sidecar no longer uses.
+    /// Passes a failure to the decision module, unless the sidecar no longer uses this source.
     fn discovery_failed(&self, source: Source, failure: DiscoveryFailure) {
         let mut sidecar = self.borrow();
         if source == sidecar.subscription.source() {
--- a/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -1,4 +1,4 @@
-//! The configuration of a simulated sidecar, in the form that its decision module and its discovery client need.
+//! The configuration of a simulated sidecar, in the types of the decision module and the discovery client.
 
 use super::error::{FleetError, InvalidSettings};
 use crate::discovery::{EndpointEntry, EndpointStatus, ListSnapshot};
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(super) struct SidecarPlan {
     pub settings: Settings,
-    /// The settings as the configuration contains them, to detect whether a reload changes them.
+    /// The settings in their JSON form. A reload compares it to detect changed settings.
     pub settings_document: Value,
     pub discovery: SocketAddr,
     pub cached_list: Option<EndpointList>,
@@ -21,10 +21,10 @@
 }
 
 impl SidecarPlan {
-    /// Converts a configuration.
+    /// Converts a configuration and checks its settings.
     ///
     /// # Errors
-    /// Fails where the decision module rejects the settings.
+    /// Fails if the decision module rejects the settings.
     pub fn from_configuration(configuration: &SidecarConfiguration) -> Result<Self, FleetError> {
         let settings_document = configuration.settings();
         let settings =
@@ -42,13 +42,14 @@
     }
 }
 
+/// Parses and checks a settings object.
 fn checked_settings(document: &Value) -> Result<Settings, InvalidSettings> {
     let settings = parse_settings(&document.to_string())?;
     settings.validate()?;
     Ok(settings)
 }
 
-/// Converts a snapshot into the form of the discovery client.
+/// Converts a snapshot into the type of the discovery client.
 fn endpoint_list(snapshot: &ListSnapshot) -> EndpointList {
     EndpointList {
         index: snapshot.version,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Converts an entry into the form of the discovery client.
+/// Converts an entry into the type of the discovery client.
 fn list_entry(entry: &EndpointEntry) -> ListEntry {
     ListEntry {
         name: entry.name.clone(),
--- a/fleet-lab/src/sidecar/simulated/thread.rs
+++ b/fleet-lab/src/sidecar/simulated/thread.rs
@@ -1,4 +1,4 @@
-//! Threads that host simulated sidecars. Each sidecar has a set of local tasks of its own, which ends with it.
+//! Threads that host simulated sidecars. Each sidecar has its own set of local tasks, which ends with the sidecar.
 
 use super::fleet_state::FleetState;
 use super::sidecar::{Incarnation, SidecarHandle};
@@ -18,14 +18,14 @@
 /// A command to a host thread.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Start a sidecar and replace its earlier incarnation.
+    /// Start a sidecar. If it is already running, kill it first.
     Start {
         /// The sidecar's index and its number of restarts.
         incarnation: Incarnation,
         /// The sidecar's configuration.
         plan: Arc<SidecarPlan>,
     },
-    /// Reload a sidecar with another configuration.
+    /// Reload a sidecar with a new configuration.
     Reload {
         /// The sidecar's index.
         index: usize,
@@ -34,7 +34,7 @@
     },
 }
 
-/// A thread with a runtime of its own, which is stopped when it is dropped.
+/// A thread with its own runtime. It is stopped when this value is dropped.
 #[derive(Debug)]
 pub(super) struct HostThread {
     commands: Option<UnboundedSender<Command>>,
@@ -42,7 +42,7 @@
 }
 
 impl HostThread {
-    /// Starts a thread without sidecars.
+    /// Starts a thread that hosts no sidecars yet.
     pub fn start(number: usize, fleet: Arc<FleetState>) -> io::Result<Self> {
         let runtime = runtime::Builder::new_current_thread()
             .enable_all()
@@ -59,14 +59,14 @@
         })
     }
 
-    /// Sends a command; commands are executed in order.
+    /// Sends a command to the thread. Commands are executed in order.
     pub fn send(&self, command: Command) {
         let sent = self
             .commands
             .as_ref()
             .is_some_and(|commands| commands.send(command).is_ok());
         if !sent {
-            tracing::error!("a thread of simulated sidecars has ended");
+            tracing::error!("command not sent: a thread of simulated sidecars has ended");
         }
     }
 }
@@ -82,7 +82,7 @@
     }
 }
 
-/// Executes commands until their sender is dropped.
+/// Hosts sidecars and executes commands until the sender of commands is dropped.
 async fn execute_commands(fleet: Arc<FleetState>, mut commands: UnboundedReceiver<Command>) {
     let mut sidecars: HashMap<usize, HostedSidecar> = HashMap::new();
     while let Some(command) = commands.recv().await {
@@ -92,7 +92,7 @@
                 match HostedSidecar::start(incarnation, fleet.clone(), &plan) {
                     Ok(sidecar) => drop(sidecars.insert(incarnation.index, sidecar)),
                     Err(error) => {
-                        tracing::error!(index = incarnation.index, %error, "sidecar not started");
+                        tracing::error!(index = incarnation.index, %error, "could not start a simulated sidecar");
                     }
                 }
             }
@@ -105,7 +105,8 @@
     }
 }
 
-/// A sidecar and its tasks. Dropping it kills the sidecar: its connections are closed and its pending calls are lost.
+/// A sidecar and its tasks. Dropping this value kills the sidecar: its connections are closed and its pending calls are
+/// lost.
 struct HostedSidecar {
     handle: SidecarHandle,
     tasks: Rc<LocalSet>,
--- a/fleet-lab/src/sidecar/simulated/usage.rs
+++ b/fleet-lab/src/sidecar/simulated/usage.rs
@@ -17,7 +17,7 @@
     /// Health checks that the decision modules started.
     #[serde(rename = "probes")]
     pub health_checks: u64,
-    /// Failed calls of discovery and lost watches.
+    /// Failed calls to discovery and lost watches.
     pub discovery_failures: u64,
     /// The largest number of attempts that one endpoint received within one second.
     #[serde(rename = "most_attempts_at_an_endpoint")]
