--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -267,12 +267,12 @@
         source: Box<toml::de::Error>,
     },
     /// Some values of the file are invalid.
-    #[error("{}", invalid_value_lines(path, invalid_values))]
+    #[error("{}", invalid_value_lines(path, errors))]
     Values {
         /// The file.
         path: PathBuf,
         /// All invalid values.
-        invalid_values: Vec<InvalidValue>,
+        errors: Vec<InvalidValue>,
     },
 }
 
@@ -292,8 +292,8 @@
 }
 
 /// Returns one line for each invalid value, each with the file's path.
-fn invalid_value_lines(path: &Path, invalid_values: &[InvalidValue]) -> String {
-    let lines: Vec<String> = invalid_values
+fn invalid_value_lines(path: &Path, errors: &[InvalidValue]) -> String {
+    let lines: Vec<String> = errors
         .iter()
         .map(|invalid_value| format!("{}: {invalid_value}", path.display()))
         .collect();
@@ -312,13 +312,13 @@
                 path: path.into(),
                 source: Box::new(source),
             })?;
-        let invalid_values = check::find_invalid_values(&experiment);
-        if invalid_values.is_empty() {
+        let errors = check::find_invalid_values(&experiment);
+        if errors.is_empty() {
             Ok(experiment)
         } else {
             Err(ExperimentError::Values {
                 path: path.into(),
-                invalid_values,
+                errors,
             })
         }
     }
--- a/fleet-lab/tests/experiment.rs
+++ b/fleet-lab/tests/experiment.rs
@@ -29,9 +29,7 @@
 
 fn value_faults(text: &str, part: &str, replacement: &str) -> Vec<String> {
     match load_error(text, part, replacement) {
-        ExperimentError::Values { invalid_values, .. } => {
-            invalid_values.iter().map(ToString::to_string).collect()
-        }
+        ExperimentError::Values { errors, .. } => errors.iter().map(ToString::to_string).collect(),
         other => panic!("{other}"),
     }
 }
