--- a/fleet-lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -88,7 +88,7 @@
     })
 }
 
-/// Runs one experiment; returns its report and whether it failed.
+/// Runs one experiment. Returns its report and whether it failed.
 fn run_one(experiment: &Experiment, context: &RunContext) -> (ExperimentReport, bool) {
     info!(experiment = %experiment.name, "experiment started");
     let started = Instant::now();
@@ -106,6 +106,7 @@
     }
 }
 
+/// Returns the report of an experiment that failed.
 fn failure_report(
     experiment: &Experiment,
     started: Instant,
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -274,7 +274,7 @@
     Ok(())
 }
 
-/// The calls at one rate, with the health checks and the processor time that they cause.
+/// The number of calls at one rate, and the health checks and the processor time that they cause.
 struct CallCost {
     calls: f64,
     health_checks: f64,
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -68,12 +68,16 @@
 
 /// The measurements at one rate.
 struct Measured {
+    /// The result of calls directly to an endpoint.
     direct: TargetResult,
+    /// The result of calls through the sidecar that are safe to repeat.
     proxied: TargetResult,
-    /// The result of calls that are unsafe to repeat, if the experiment has any.
+    /// The result of calls through the sidecar that are unsafe to repeat, if the experiment has any.
     proxied_unsafe: Option<TargetResult>,
     processor_time: Duration,
+    /// Attempts that the sidecar made.
     attempts: u64,
+    /// Connections that the sidecar opened to endpoints.
     connections: u64,
     usage: ProcessUsage,
 }
@@ -231,6 +235,7 @@
     );
 }
 
+/// Describes the unserved calls of each target.
 fn find_problems(rate: f64, measured: &Measured) -> Vec<String> {
     let Measured {
         direct,
--- a/fleet-lab/src/scenario/outcome.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -32,7 +32,7 @@
     /// A simulated fleet could not be started.
     #[error("could not start the simulated sidecars: {0}")]
     Fleet(#[from] FleetError),
-    /// A state that the experiment needs was not reached.
+    /// A state was not reached or a result is missing that the experiment needs.
     #[error("{0}")]
     NotReached(String),
 }
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -29,10 +29,10 @@
 const INITIAL_CAPACITY: f64 = 0.3;
 /// The longest time from an endpoint's start until it is warm.
 const WARM_UP_TIME: Duration = Duration::from_secs(10);
-/// The load that makes an endpoint fail during its warm-up, as a multiple of its present capacity. The load must last
-/// for [`OVERLOAD_TIME`].
+/// An endpoint fails during its warm-up if its load exceeds this multiple of its present capacity for
+/// [`OVERLOAD_TIME`].
 const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// The time for which [`OVERLOAD_MULTIPLE`] must be exceeded until an endpoint fails.
+/// The time for which the load must exceed [`OVERLOAD_MULTIPLE`] until the endpoint fails.
 const OVERLOAD_TIME: Duration = Duration::from_secs(2);
 /// The shortest time between two batches of events for the decision module.
 const TICK: Duration = Duration::from_millis(1);
