--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time and bytes that list changes, health checks and reloads cost a real sidecar.
+//! Processor time of a real sidecar for list changes, health checks and reloads, and the bytes of its watch.
 
 use super::context::RunContext;
 use super::load::{CALLER_DEADLINE, SAFE_CLASS, describe_unserved, load_target, run_load};
@@ -17,7 +17,7 @@
 /// The priority weight that every second reload gives the class of safe requests.
 const CHANGED_PRIORITY_WEIGHT: f64 = 0.9;
 /// How long a sidecar runs before its idle state is measured.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// Endpoints that answer immediately, with load reports.
 const ENDPOINT: EndpointOptions = EndpointOptions {
@@ -37,33 +37,33 @@
 ) -> Result<ScenarioOutcome, ScenarioError> {
     let period = Duration::from_secs_f64(plan.seconds);
     let mut outcome = ScenarioOutcome {
-        metrics: changes_and_reloads(plan, seed, context, period)?,
+        metrics: measure_changes_and_reloads(plan, seed, context, period)?,
         problems: Vec::new(),
     };
-    health_checks(plan, seed, context, period, &mut outcome)?;
+    measure_health_checks(plan, seed, context, period, &mut outcome)?;
     Ok(outcome)
 }
 
-/// Measures an idle sidecar, and the costs of list changes and reloads beyond that.
-fn changes_and_reloads(
+/// Measures the cost of an idle sidecar, and the additional cost of list changes and of reloads.
+fn measure_changes_and_reloads(
     plan: &ControlCost,
     seed: u64,
     context: &RunContext,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
     let single_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
-    thread::sleep(SETTLE);
-    let idle = Cost::over(&single_sidecar, || {
+    thread::sleep(SETTLE_TIME);
+    let idle = Cost::measure(&single_sidecar, || {
         thread::sleep(period);
         Ok(())
     })?;
     let mut metrics = idle_metrics(plan.endpoints, &idle, period);
-    metrics.extend(changes(plan, &single_sidecar, &idle, period)?);
-    metrics.extend(reloads(plan, &single_sidecar, &idle, period)?);
+    metrics.extend(measure_changes(plan, &single_sidecar, &idle, period)?);
+    metrics.extend(measure_reloads(plan, &single_sidecar, &idle, period)?);
     Ok(metrics)
 }
 
-/// The cost of an action for the sidecar and for discovery.
+/// The sidecar's processor time and the bytes that discovery sends during an action.
 struct Cost {
     processor_time: Duration,
     watch_bytes: u64,
@@ -71,7 +71,7 @@
 
 impl Cost {
     /// Measures the cost of an action.
-    fn over(
+    fn measure(
         single_sidecar: &SingleSidecar,
         action: impl FnOnce() -> Result<(), ScenarioError>,
     ) -> Result<Self, ScenarioError> {
@@ -87,12 +87,12 @@
         })
     }
 
-    /// Returns the processor time beyond that of an idle period of the same length, in milliseconds.
+    /// Returns the processor time in addition to that of an idle period of the same length, in milliseconds.
     fn milliseconds_beyond(&self, idle: &Cost) -> f64 {
         (self.processor_time.as_secs_f64() - idle.processor_time.as_secs_f64()) * 1e3
     }
 
-    /// Returns the bytes on the watch beyond those of an idle period of the same length.
+    /// Returns the bytes on the watch in addition to those of an idle period of the same length.
     fn bytes_beyond(&self, idle: &Cost) -> f64 {
         self.watch_bytes as f64 - idle.watch_bytes as f64
     }
@@ -117,7 +117,7 @@
 fn idle_metrics(endpoints: u32, idle: &Cost, period: Duration) -> Vec<Metric> {
     let seconds = period.as_secs_f64();
     let size = f64::from(endpoints);
-    let mut table = MetricTable::over("endpoints");
+    let mut table = MetricTable::with_size_unit("endpoints");
     let microseconds = idle.processor_time.as_secs_f64() * 1e6;
     table.add(
         "idle processor time a second",
@@ -134,8 +134,8 @@
     table.with_slopes()
 }
 
-/// Runs an action a number of times, spread evenly over a period, and waits for the period's end.
-fn spread(
+/// Runs an action `count` times, evenly spread over a period, and waits for the end of the period.
+fn repeat_evenly(
     count: u32,
     period: Duration,
     mut action: impl FnMut(usize) -> Result<(), ScenarioError>,
@@ -150,17 +150,18 @@
     Ok(())
 }
 
-fn changes(
+/// Measures the additional cost of list changes, by their number.
+fn measure_changes(
     plan: &ControlCost,
     single_sidecar: &SingleSidecar,
     idle: &Cost,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
     let mut entries = single_sidecar.tier.entries();
-    let mut table = MetricTable::over("changes");
+    let mut table = MetricTable::with_size_unit("changes");
     for count in &plan.changes {
-        let cost = Cost::over(single_sidecar, || {
-            spread(*count, period, |number| {
+        let cost = Cost::measure(single_sidecar, || {
+            repeat_evenly(*count, period, |number| {
                 let entry = number % entries.len();
                 let change = toggle_weight(&mut entries[entry]);
                 single_sidecar.tier.discovery.publish(vec![change]);
@@ -179,17 +180,18 @@
     Ok(table.with_slopes())
 }
 
-fn reloads(
+/// Measures the additional processor time of reloads, by their number.
+fn measure_reloads(
     plan: &ControlCost,
     single_sidecar: &SingleSidecar,
     idle: &Cost,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
     let mut configuration = single_sidecar.configuration.clone();
-    let mut table = MetricTable::over("reloads");
+    let mut table = MetricTable::with_size_unit("reloads");
     for count in &plan.reloads {
-        let cost = Cost::over(single_sidecar, || {
-            spread(*count, period, |_| {
+        let cost = Cost::measure(single_sidecar, || {
+            repeat_evenly(*count, period, |_| {
                 let priority_weight = &mut configuration.classes[0].priority_weight;
                 *priority_weight = if *priority_weight == CHANGED_PRIORITY_WEIGHT {
                     1.0
@@ -216,8 +218,8 @@
     Ok(table.with_slopes())
 }
 
-/// Measures the health checks that a sidecar makes at each rate of calls, and its processor time with and without them.
-fn health_checks(
+/// Measures, at each rate of calls, the number of health checks and the processor time with and without them.
+fn measure_health_checks(
     plan: &ControlCost,
     seed: u64,
     context: &RunContext,
@@ -226,16 +228,16 @@
 ) -> Result<(), ScenarioError> {
     let checking_sidecar = start(plan.endpoints, LoadReports::WithHealthChecks, seed, context)?;
     let reporting_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
-    let mut table = MetricTable::over("calls/s");
+    let mut table = MetricTable::with_size_unit("calls/s");
     for rate in &plan.health_check_rates {
-        let with_checks = call_cost(
+        let with_checks = measure_call_cost(
             &checking_sidecar,
             *rate,
             period,
             seed,
             &mut outcome.problems,
         )?;
-        let without_checks = call_cost(
+        let without_checks = measure_call_cost(
             &reporting_sidecar,
             *rate,
             period,
@@ -272,14 +274,15 @@
     Ok(())
 }
 
-/// The calls at one rate and what they cost.
+/// The number of calls at one rate, and the health checks and the processor time that they cause.
 struct CallCost {
     calls: f64,
     health_checks: f64,
     microseconds: f64,
 }
 
-fn call_cost(
+/// Runs calls at one rate and measures their cost.
+fn measure_call_cost(
     single_sidecar: &SingleSidecar,
     rate: f64,
     period: Duration,
@@ -295,7 +298,7 @@
     };
     let health_checks = single_sidecar.endpoint_health_checks();
     let mut calls = 0;
-    let cost = Cost::over(single_sidecar, || {
+    let cost = Cost::measure(single_sidecar, || {
         for result in run_load(&load)? {
             calls += result.sent;
             let measurement = match single_sidecar.configuration.load_reports {
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -1,9 +1,11 @@
-//! The cost of each failure of the operators' plan for a fleet, and its duration.
+//! Cost and duration of each fault that the operators plan for, in a fleet.
 //!
-//! There is one simulated sidecar for each endpoint. Two simplifications are made: sidecars on failed machines go on
-//! calling until they are restarted with their machines, so a lost zone costs more calls than in the plan. And all
-//! sidecars reach the same endpoints, so a partitioned region loses discovery, but not the endpoints of the other
-//! region.
+//! There is one simulated sidecar for each endpoint. The model has two simplifications:
+//!
+//! - Sidecars on failed machines continue to call until they are restarted with their machines. A lost zone therefore
+//!   costs more calls than in the operators' plan.
+//! - All sidecars reach the same endpoints. A partitioned region therefore loses discovery, but not the endpoints of
+//!   the other region.
 
 mod cost;
 mod injection;
@@ -15,13 +17,13 @@
 use crate::fault::{Fault, Impact};
 use crate::topology::Topology;
 use balancer_sidecar::policy::DiscoveryMode;
-use cost::{CONVERGENCE_TIMEOUT, FaultCost, record};
+use cost::{CONVERGENCE_TIMEOUT, FaultCost, add_fault_cost};
 use injection::FaultInjector;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The unit of the metrics' sizes.
-const FAULT_NUMBER: &str = "fault";
+/// The unit of the metrics' sizes. A size is the number of a fault, and 0 is the measurement without a fault.
+const SIZE_UNIT: &str = "fault";
 
 pub(super) fn run(plan: &Failures, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let topology = Topology::generate(&plan.topology, seed);
@@ -35,17 +37,17 @@
     };
     let pause = Duration::from_secs_f64(plan.pause_seconds);
 
-    let mut table = MetricTable::over(FAULT_NUMBER);
+    let mut table = MetricTable::with_size_unit(SIZE_UNIT);
     let mut descriptions = vec!["0: none".to_owned()];
-    record(&mut table, 0, &measure_idle(&fleet, pause));
+    add_fault_cost(&mut table, 0, &measure_idle(&fleet, pause));
     for (number, fault) in (1..).zip(&plan.faults) {
         let impact = fault.impact(&topology, seed.wrapping_add(number));
-        record(
+        add_fault_cost(
             &mut table,
             number,
             &measure_fault(&injector, fault, &impact, pause),
         );
-        descriptions.push(format!("{number}: {}", describe(fault, &impact)));
+        descriptions.push(format!("{number}: {}", describe_fault(fault, &impact)));
     }
     table.note_all(&format!("{}.", descriptions.join("; ")));
     Ok(ScenarioOutcome {
@@ -83,10 +85,10 @@
 fn measure_idle(fleet: &RunningFleet, pause: Duration) -> FaultCost {
     let from = fleet.current_second();
     thread::sleep(pause);
-    FaultCost::over(&fleet.seconds_since(from))
+    FaultCost::from_seconds(&fleet.seconds_since(from))
 }
 
-/// Measures the cost of a fault from its start until the list is current again and the pause after it is over.
+/// Measures the cost of a fault from its start until all sidecars have the current list and the pause has passed.
 fn measure_fault(
     injector: &FaultInjector<'_>,
     fault: &Fault,
@@ -103,11 +105,12 @@
     thread::sleep(pause.saturating_sub(ended.elapsed()));
     FaultCost {
         current: Some(current),
-        ..FaultCost::over(&fleet.seconds_since(from))
+        ..FaultCost::from_seconds(&fleet.seconds_since(from))
     }
 }
 
-fn describe(fault: &Fault, impact: &Impact) -> String {
+/// Describes a fault for the notes in the report.
+fn describe_fault(fault: &Fault, impact: &Impact) -> String {
     let machines = impact.endpoints.len();
     match fault {
         Fault::Machines { .. } => format!("{machines} machines vanish"),
