--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -37,13 +37,13 @@
     }
 
     fn request_is_served(&mut self, id: &str, queue_length: f64) -> Vec<Action> {
-        let took = Duration::from_millis(20);
-        self.now = self.now + took;
+        let elapsed = Duration::from_millis(20);
+        self.now = self.now + elapsed;
         let ended = AttemptEnd {
             request: id.into(),
             attempt: 0,
             outcome: Outcome::Served,
-            took,
+            elapsed,
             request_ended: true,
             report: Some(LoadReport {
                 queue_length: Some(queue_length),
--- a/fleet-lab/src/sidecar/simulated/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -20,7 +20,12 @@
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult);
 
     /// Handles the end of a health check.
-    fn health_check_ended(&self, health_check: &HealthCheck, took: Duration, result: AttemptResult);
+    fn health_check_ended(
+        &self,
+        health_check: &HealthCheck,
+        elapsed: Duration,
+        result: AttemptResult,
+    );
 }
 
 /// An attempt to be simulated.
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -204,7 +204,7 @@
             request: request.clone(),
             attempt,
             outcome: result.outcome,
-            took: sidecar.clock.now().since(ended.sent),
+            elapsed: sidecar.clock.now().since(ended.sent),
             request_ended: ended.call_is_answered,
             report: result.report,
         });
@@ -217,7 +217,7 @@
     fn health_check_ended(
         &self,
         health_check: &HealthCheck,
-        took: Duration,
+        elapsed: Duration,
         result: AttemptResult,
     ) {
         if self.borrow().started_at(&health_check.endpoint) != Some(health_check.started_at) {
@@ -226,7 +226,7 @@
         self.handle_event(Event::HealthCheckEnded {
             endpoint: health_check.endpoint.clone(),
             outcome: result.outcome,
-            took,
+            elapsed,
             report: result.report,
         });
     }
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -105,7 +105,7 @@
             request: request.clone(),
             attempt,
             outcome: Outcome::Cancelled,
-            took: self.clock.now().since(ended.sent),
+            elapsed: self.clock.now().since(ended.sent),
             request_ended: ended.call_is_answered,
             report: None,
         }));
@@ -143,7 +143,7 @@
         request,
         attempt: attempt.number,
         outcome: Outcome::NotSent,
-        took: Duration::ZERO,
+        elapsed: Duration::ZERO,
         request_ended: attempt.call_is_answered,
         report: None,
     })
--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -66,7 +66,7 @@
         request: &Request,
         ended: &AttemptEnd,
     ) {
-        let answer_time = ended.took.as_secs_f64();
+        let answer_time = ended.elapsed.as_secs_f64();
         let time_at_mean_cost = answer_time / self.relative_cost(request);
         let hint = request.cost_hint.unwrap_or_default().as_secs_f64();
         let class = &mut self.classes[request.class.0];
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -85,7 +85,7 @@
         let expected_time = self.expected_time(request);
         let min_counted_timeout = expected_time.mul_f64(MIN_COUNTED_TIMEOUT_MULTIPLE);
         match ended.outcome {
-            Outcome::TimedOut if ended.took < min_counted_timeout => return,
+            Outcome::TimedOut if ended.elapsed < min_counted_timeout => return,
             Outcome::Cancelled | Outcome::NotSent => return,
             _ => self.count_failure(now, index, request, ended),
         }
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -96,7 +96,7 @@
         request: "r".into(),
         attempt: 0,
         outcome: Outcome::Cancelled,
-        took: Duration::from_secs(1),
+        elapsed: Duration::from_secs(1),
         request_ended: true,
         report: None,
     };
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -129,7 +129,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The time since it was sent.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// Whether the request has ended, by this attempt or earlier.
     pub request_ended: bool,
     /// The load report of the endpoint, if there was one.
@@ -209,7 +209,7 @@
         /// How it ended.
         outcome: Outcome,
         /// The time since it was sent.
-        took: Duration,
+        elapsed: Duration,
         /// The load report of the endpoint, if there was one.
         report: Option<LoadReport>,
     },
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -67,7 +67,7 @@
     fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult);
 
     /// Reports that a health check has ended.
-    fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult);
+    fn health_check_ended(&self, target: &Target, elapsed: Duration, result: AttemptResult);
 
     /// Returns the current time of the sidecar's clock.
     fn now(&self) -> Timestamp {
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -76,7 +76,7 @@
             request: request.clone(),
             attempt,
             outcome,
-            took: self.clock.now().since(sent_at),
+            elapsed: self.clock.now().since(sent_at),
             request_ended: !self.requests.is_unanswered(request),
             report,
         })
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -113,7 +113,7 @@
         self.borrow().requests.remove_if_finished(request);
     }
 
-    fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
+    fn health_check_ended(&self, target: &Target, elapsed: Duration, result: AttemptResult) {
         let AttemptResult {
             outcome, report, ..
         } = result;
@@ -126,7 +126,7 @@
         self.handle(Event::HealthCheckEnded {
             endpoint: target.endpoint.clone(),
             outcome,
-            took,
+            elapsed,
             report,
         });
     }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -59,7 +59,7 @@
             request: request_id(fields)?,
             attempt: attempt(fields)?,
             outcome: fields.outcome()?,
-            took: time_taken(fields)?,
+            elapsed: time_taken(fields)?,
             request_ended: fields.flag("terminal")?,
             report: fields.load_report()?,
         }),
@@ -72,7 +72,7 @@
         "probe_result" => Event::HealthCheckEnded {
             endpoint: fields.text("endpoint")?.into(),
             outcome: fields.outcome()?,
-            took: time_taken(fields)?,
+            elapsed: time_taken(fields)?,
             report: fields.load_report()?,
         },
         "peer" => Event::PeerMessage {
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -21,7 +21,7 @@
                 request: id.clone(),
                 attempt: 0,
                 outcome: Outcome::Served,
-                took: ms(10),
+                elapsed: ms(10),
                 request_ended: true,
                 report: None,
             }));
@@ -36,7 +36,7 @@
             host.handle(Event::HealthCheckEnded {
                 endpoint,
                 outcome,
-                took: ms(5),
+                elapsed: ms(5),
                 report,
             });
         }
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -205,7 +205,7 @@
             request: id.clone(),
             attempt,
             outcome,
-            took: ms(took_ms),
+            elapsed: ms(took_ms),
             request_ended: outcome == Outcome::Served,
             report,
         }))
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -111,16 +111,16 @@
             write: false,
         })),
         6 => (any_name("r"), 0..4usize, outcome, any_duration(), any::<bool>(), any_report()).prop_map(
-            |(id, attempt, outcome, took, request_ended, report)| Event::AttemptEnded(AttemptEnd {
-                request: id.as_str().into(), attempt, outcome, took, request_ended, report,
+            |(id, attempt, outcome, elapsed, request_ended, report)| Event::AttemptEnded(AttemptEnd {
+                request: id.as_str().into(), attempt, outcome, elapsed, request_ended, report,
             })
         ),
         1 => (any_name("r"), 0..4usize)
             .prop_map(|(id, attempt)| Event::StreamStarted { request: id.as_str().into(), attempt }),
         1 => any_name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
         1 => any::<u64>().prop_map(|token| Event::Timer { token }),
-        1 => (any_name("e"), any_duration(), any_report()).prop_map(|(name, took, report)| Event::HealthCheckEnded {
-            endpoint: name.as_str().into(), outcome: Outcome::Served, took, report,
+        1 => (any_name("e"), any_duration(), any_report()).prop_map(|(name, elapsed, report)| Event::HealthCheckEnded {
+            endpoint: name.as_str().into(), outcome: Outcome::Served, elapsed, report,
         }),
         1 => Just(Event::PeerMessage { from: PeerId(99), data: vec![1] }),
         1 => (any_name("e"), any::<bool>())
@@ -255,7 +255,7 @@
         Event::HealthCheckEnded {
             endpoint: "nowhere".into(),
             outcome: Outcome::Served,
-            took: ms(1),
+            elapsed: ms(1),
             report: None,
         },
     ];
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -142,7 +142,7 @@
                 request: id.clone(),
                 attempt: 0,
                 outcome: Outcome::Served,
-                took: ms(4),
+                elapsed: ms(4),
                 request_ended: true,
                 report: Some(report),
             }));
--- a/tests/policy/sequence_model.rs
+++ b/tests/policy/sequence_model.rs
@@ -362,7 +362,7 @@
         record.attempts[attempt].ending = Some(AttemptEnding { outcome, at: now });
         record.is_answered |= outcome == Outcome::Served;
         let request_ended = record.is_answered;
-        let took = now.since(record.attempts[attempt].sent_at);
+        let elapsed = now.since(record.attempts[attempt].sent_at);
         let endpoint = record.attempts[attempt].endpoint;
         let connections = &mut self.connections[endpoint];
         (connections.is_idle, connections.idle_since) = (true, now);
@@ -374,7 +374,7 @@
             request: id.clone(),
             attempt,
             outcome,
-            took,
+            elapsed,
             request_ended,
             report: Some(report),
         }));
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -50,16 +50,16 @@
                 queue_length: Some(0.0),
                 ..LoadReport::default()
             });
-            let took = ms(20);
+            let elapsed = ms(20);
             let ended = AttemptEnd {
                 request: id,
                 attempt: 0,
                 outcome: Outcome::Served,
-                took,
+                elapsed,
                 request_ended: true,
                 report,
             };
-            balancer.handle(now + took, Event::AttemptEnded(ended), &mut actions);
+            balancer.handle(now + elapsed, Event::AttemptEnded(ended), &mut actions);
         }
     }
     let share = sent_to_warming as f64 / (sent_total as f64 / 10.0);
--- a/tests/policy/slow_start_fleet/simulation.rs
+++ b/tests/policy/slow_start_fleet/simulation.rs
@@ -395,7 +395,7 @@
             request: attempt.request,
             attempt: attempt.number,
             outcome,
-            took: self.now.since(attempt.sent_at),
+            elapsed: self.now.since(attempt.sent_at),
             request_ended,
             report,
         };
