--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -177,7 +177,7 @@
     fn call(&self) {
         let mut sidecar = self.borrow();
         sidecar.fleet.counters.count_call();
-        if sidecar.pending_calls.unanswered_count() >= sidecar.settings.limits.max_open {
+        if sidecar.pending_calls.unanswered_count() >= sidecar.settings.limits.max_open_requests {
             return sidecar.fleet.counters.count_unserved(1);
         }
         let request = sidecar.new_request();
--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -108,7 +108,7 @@
             retry_after: document.retry_after,
             max_retry_after: Duration::from_nanos(document.max_retry_after_ns),
             max_attempts: document.max_attempts,
-            max_open: document.max_open,
+            max_open_requests: document.max_open,
             streams_per_connection: document.streams_per_connection,
             idle_timeout: Duration::from_nanos(document.idle_timeout_ns),
             connect_timeout: Duration::from_nanos(document.connect_timeout_ns),
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -20,7 +20,7 @@
     /// The highest number of attempts of a request.
     pub max_attempts: usize,
     /// The highest number of requests that a host may have open.
-    pub max_open: u64,
+    pub max_open_requests: u64,
     /// The highest number of concurrent attempts on one connection.
     pub streams_per_connection: u64,
     /// The time after which idle connections close.
@@ -41,7 +41,7 @@
             retry_after: true,
             max_retry_after: Duration::from_secs(1),
             max_attempts: 3,
-            max_open: 10_000,
+            max_open_requests: 10_000,
             streams_per_connection: 1,
             idle_timeout: Duration::from_secs(10),
             connect_timeout: Duration::from_millis(250),
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -20,7 +20,7 @@
     ) -> Result<oneshot::Receiver<FinalAnswer>, SubmitError> {
         let mut node = self.borrow();
         let settings = node.configuration.settings();
-        let max_open = settings.limits.max_open;
+        let max_open = settings.limits.max_open_requests;
         // A request that was parsed under the settings before a reload may name a tenant that the settings in force
         // lack.
         request
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -62,7 +62,7 @@
             retry_after: true,
             max_retry_after: ms(2000),
             max_attempts: 3,
-            max_open: 10_000,
+            max_open_requests: 10_000,
             streams_per_connection: 1,
             idle_timeout: ms(5000),
             connect_timeout: ms(250),
