--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -26,7 +26,7 @@
             tier: document.tier,
             tiers: document.tiers.len(),
             propagates_deadline: document.service.propagates_deadline,
-            warm_keys: document.service.warm_keys,
+            endpoints_cache_by_key: document.service.warm_keys,
             classes: classes.collect::<Result<_, _>>()?,
             tenants: tenants.collect(),
             over_share_value: document.over_share_value,
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -68,7 +68,7 @@
     /// Whether requests from the previous tier carry the time left instead of the class's whole deadline.
     pub propagates_deadline: bool,
     /// Whether endpoints do less work for keys that they have seen recently.
-    pub warm_keys: bool,
+    pub endpoints_cache_by_key: bool,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
@@ -108,7 +108,7 @@
             tier: 0,
             tiers: 1,
             propagates_deadline: true,
-            warm_keys: false,
+            endpoints_cache_by_key: false,
             classes,
             tenants: Vec::new(),
             over_share_value: 0.0,
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -44,7 +44,7 @@
         tier: 0,
         tiers: 1,
         propagates_deadline: true,
-        warm_keys: false,
+        endpoints_cache_by_key: false,
         classes: vec![
             class("safe", 1.0, Idempotency::Idempotent),
             class("unsafe", 3.0, Idempotency::Unsafe),
