--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -37,7 +37,7 @@
             sizes: document.size_meaning.unwrap_or_default().into(),
             reporting: document.reporting.mode.into(),
             value_basis: document.value_basis.unwrap_or_default().into(),
-            marks_retry: document.clients.marks_retry,
+            clients_mark_retries: document.clients.marks_retry,
             tick: Duration::from_nanos(document.tick_ns),
         })
     }
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -90,7 +90,7 @@
     /// The basis on which the value of requests is counted.
     pub value_basis: ValueBasis,
     /// Whether clients mark their retries.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// The least time between two batches of events.
     pub tick: Duration,
 }
@@ -119,7 +119,7 @@
             sizes: SizeMeaning::None,
             reporting: Reporting::WithAnswers,
             value_basis: ValueBasis::Request,
-            marks_retry: false,
+            clients_mark_retries: false,
             tick: Duration::from_millis(1),
         }
     }
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -83,7 +83,7 @@
         sizes: SizeMeaning::None,
         reporting: Reporting::WithAnswers,
         value_basis: ValueBasis::Request,
-        marks_retry: false,
+        clients_mark_retries: false,
         tick: ms(1),
     }
 }
