--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -103,7 +103,7 @@
         Limits {
             cancel: document.cancel,
             health_checks: document.health_checks,
-            peers: document.peers,
+            peer_messages: document.peers,
             parallel_attempts: document.parallel_attempts,
             retry_after: document.retry_after,
             max_retry_after: Duration::from_nanos(document.max_retry_after_ns),
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -10,7 +10,7 @@
     /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) is permitted.
     pub health_checks: bool,
     /// Whether [`Action::SendPeerMessage`](super::Action::SendPeerMessage) is permitted.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Whether a request may have two attempts in flight.
     pub parallel_attempts: bool,
     /// Whether clients are sent the Retry-After value of [`Action::Reject`](super::Action::Reject).
@@ -36,7 +36,7 @@
         Limits {
             cancel: true,
             health_checks: false,
-            peers: false,
+            peer_messages: false,
             parallel_attempts: false,
             retry_after: true,
             max_retry_after: Duration::from_secs(1),
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -57,7 +57,7 @@
         limits: Limits {
             cancel: true,
             health_checks: false,
-            peers: false,
+            peer_messages: false,
             parallel_attempts: false,
             retry_after: true,
             max_retry_after: ms(2000),
--- a/tests/policy/sequence_model.rs
+++ b/tests/policy/sequence_model.rs
@@ -293,7 +293,7 @@
                 self.timers.insert((at, token));
             }
             Action::HealthCheck { .. } => assert!(self.settings.limits.health_checks),
-            Action::SendPeerMessage { .. } => assert!(self.settings.limits.peers),
+            Action::SendPeerMessage { .. } => assert!(self.settings.limits.peer_messages),
             Action::CloseIdleConnections { endpoint } => {
                 self.connections[endpoint_index(&endpoint)].is_idle = false;
             }
