--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -60,7 +60,7 @@
         let entry = EndpointEntry {
             endpoint: "box-1".into(),
             zone: "here".into(),
-            kind: "box".into(),
+            machine_type: "box".into(),
             group: GroupId(0),
             readiness,
             size: 1.0,
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -89,7 +89,7 @@
         EndpointEntry {
             endpoint: entry.name.as_str().into(),
             zone: entry.zone.as_str().into(),
-            kind: entry.kind.as_str().into(),
+            machine_type: entry.kind.as_str().into(),
             group: GroupId(entry.group),
             readiness: entry.status.into(),
             size: entry.weight,
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -220,7 +220,7 @@
     EndpointEntry {
         endpoint,
         zone: "".into(),
-        kind: "".into(),
+        machine_type: "".into(),
         group: GroupId(0),
         readiness: Readiness::Removed,
         size: 1.0,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,7 @@
 //! let entries = vec![EndpointEntry {
 //!     endpoint: "box-1".into(),
 //!     zone: "here".into(),
-//!     kind: "box".into(),
+//!     machine_type: "box".into(),
 //!     group: GroupId(0),
 //!     readiness: Readiness::Serving,
 //!     size: 1.0,
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -7,7 +7,7 @@
     EndpointEntry {
         endpoint: name.into(),
         zone: "a".into(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         group: GroupId(0),
         readiness,
         size: 1.0,
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -27,7 +27,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// The kind of machine that it runs on.
-    pub kind: KindId,
+    pub machine_type: KindId,
     /// The group that it belongs to.
     pub group: GroupId,
     /// Whether it takes work.
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -127,7 +127,7 @@
     Ok(EndpointEntry {
         endpoint: fields.text("endpoint")?.into(),
         zone: fields.text("zone")?.into(),
-        kind: fields.find("familyType").unwrap_or_default().into(),
+        machine_type: fields.find("familyType").unwrap_or_default().into(),
         group: GroupId(fields.number_or_zero("pack")?),
         readiness: match fields.text("readiness")? {
             "U" => Readiness::Serving,
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -93,7 +93,7 @@
     EndpointEntry {
         endpoint: name.into(),
         zone: zone.into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         group: GroupId(group),
         readiness: Readiness::Serving,
         size: 1.0,
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -437,7 +437,7 @@
         [false, true]
     );
     let entry_kind = |line: &str| match parse_message(line).expect("an entry") {
-        Message::ListEntry(entry) => entry.kind,
+        Message::ListEntry(entry) => entry.machine_type,
         other => panic!("{other:?}"),
     };
     let entry = "entry endpoint=e zone=z pack=0 readiness=U size=1 later=1";
