--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -1,7 +1,8 @@
 //! The events that a host reports to a balancer: endpoint lists, requests, ends of attempts and health checks, timers.
 
 use super::id::{
-    AttemptNumber, ClassId, EndpointId, GroupId, Key, KindId, PeerId, RequestId, TenantId, ZoneId,
+    AttemptNumber, ClassId, EndpointId, GroupId, Key, MachineTypeId, PeerId, RequestId, TenantId,
+    ZoneId,
 };
 use super::time::Timestamp;
 use std::collections::HashSet;
@@ -27,7 +28,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// The kind of machine that it runs on.
-    pub machine_type: KindId,
+    pub machine_type: MachineTypeId,
     /// The group that it belongs to.
     pub group: GroupId,
     /// Whether it takes work.
--- a/src/policy/id.rs
+++ b/src/policy/id.rs
@@ -30,7 +30,7 @@
 );
 text_id!(
     /// Identifies a kind of machine.
-    KindId
+    MachineTypeId
 );
 text_id!(
     /// The key of a request, which identifies the object that the request concerns.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -99,7 +99,8 @@
     AttemptEnd, EndpointEntry, Event, ListKind, LoadReport, Outcome, Readiness, Request,
 };
 pub use id::{
-    AttemptNumber, ClassId, EndpointId, GroupId, Key, KindId, PeerId, RequestId, TenantId, ZoneId,
+    AttemptNumber, ClassId, EndpointId, GroupId, Key, MachineTypeId, PeerId, RequestId, TenantId,
+    ZoneId,
 };
 pub use limits::Limits;
 pub use prices::Prices;
