--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -63,7 +63,7 @@
             machine_type: "box".into(),
             group: GroupId(0),
             readiness,
-            size: 1.0,
+            weight: 1.0,
             started_at: None,
         };
         let list = Event::EndpointList {
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -92,7 +92,7 @@
             machine_type: entry.kind.as_str().into(),
             group: GroupId(entry.group),
             readiness: entry.status.into(),
-            size: entry.weight,
+            weight: entry.weight,
             started_at: entry.started_at(),
         }
     }
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -223,7 +223,7 @@
         machine_type: "".into(),
         group: GroupId(0),
         readiness: Readiness::Removed,
-        size: 1.0,
+        weight: 1.0,
         started_at: None,
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,7 +29,7 @@
 //!     machine_type: "box".into(),
 //!     group: GroupId(0),
 //!     readiness: Readiness::Serving,
-//!     size: 1.0,
+//!     weight: 1.0,
 //!     started_at: None,
 //! }];
 //! let list = Event::EndpointList { version: 1, kind: ListKind::Cached, entries: entries.into() };
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -108,7 +108,11 @@
     /// Applies an entry of an endpoint list. The availability of the endpoint has to be updated afterwards.
     pub(super) fn apply_entry(&mut self, entry: &EndpointEntry) {
         self.is_listed = entry.readiness != Readiness::Removed;
-        self.size = if entry.size > 0.0 { entry.size } else { 1.0 };
+        self.size = if entry.weight > 0.0 {
+            entry.weight
+        } else {
+            1.0
+        };
         self.is_serving = entry.readiness == Readiness::Serving;
         // A draining endpoint that was removed from the list still finishes its work.
         let was_draining = self.is_draining || entry.readiness == Readiness::Draining;
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -10,7 +10,7 @@
         machine_type: "m".into(),
         group: GroupId(0),
         readiness,
-        size: 1.0,
+        weight: 1.0,
         started_at: None,
     }
 }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -34,7 +34,7 @@
     /// Whether it takes work.
     pub readiness: Readiness,
     /// See [`SizeMeaning`](super::SizeMeaning).
-    pub size: f64,
+    pub weight: f64,
     /// When its process last started; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
 }
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -135,7 +135,7 @@
             "D" => Readiness::Removed,
             other => return Err(fields.unknown_value_error("readiness", other, "is not known")),
         },
-        size: fields.require_parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
+        weight: fields.require_parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
         started_at: match fields.number_or_zero("upSinceNs")? {
             0 => None,
             nanos => Some(Timestamp::from_nanos(nanos)),
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -96,7 +96,7 @@
         machine_type: "box".into(),
         group: GroupId(group),
         readiness: Readiness::Serving,
-        size: 1.0,
+        weight: 1.0,
         started_at: None,
     }
 }
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -70,9 +70,9 @@
         any_number(),
         prop::option::of(any_timestamp()),
     )
-        .prop_map(|(name, readiness, size, started_at)| EndpointEntry {
+        .prop_map(|(name, readiness, weight, started_at)| EndpointEntry {
             readiness,
-            size,
+            weight,
             started_at,
             ..endpoint_entry(&name, "a", 0)
         });
