--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -23,7 +23,7 @@
     pub(super) id: EndpointId,
     pub(super) zone: ZoneId,
     pub(super) group: GroupId,
-    pub(super) size: f64,
+    pub(super) weight: f64,
     /// It takes work: the list shows it as serving, and it is neither disabled nor suspended.
     pub(super) is_available: bool,
     /// The list shows it as serving.
@@ -77,7 +77,7 @@
             id: entry.endpoint.clone(),
             zone: entry.zone.clone(),
             group: entry.group,
-            size: 1.0,
+            weight: 1.0,
             is_available: false,
             is_serving: false,
             is_draining: false,
@@ -108,7 +108,7 @@
     /// Applies an entry of an endpoint list. The availability of the endpoint has to be updated afterwards.
     pub(super) fn apply_entry(&mut self, entry: &EndpointEntry) {
         self.is_listed = entry.readiness != Readiness::Removed;
-        self.size = if entry.weight > 0.0 {
+        self.weight = if entry.weight > 0.0 {
             entry.weight
         } else {
             1.0
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -238,11 +238,11 @@
             .reduce(|a, b| self.less_loaded(now, a, b))
     }
 
-    /// Returns the endpoint with fewer attempts in flight relative to its size. If both are equal, returns the one with
+    /// Returns the endpoint with fewer attempts in flight relative to its weight. If both are equal, returns the one with
     /// the shorter estimated wait.
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
         let load = |index: EndpointIndex| {
-            f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].size
+            f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].weight
         };
         let wait = |index: EndpointIndex| {
             (self.estimated_queue_length(now, index) + 1.0) * self.endpoints[index].slowdown
