--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -8,7 +8,7 @@
 };
 use crate::policy::{
     Class, DiscoveryMode, Idempotency, KeyScope, Limits, PeerId, Prices, Reporting, Rules,
-    Settings, SizeMeaning, Tenant, ValueBasis,
+    Settings, Tenant, ValueBasis, WeightSource,
 };
 use std::time::Duration;
 
@@ -156,13 +156,13 @@
     }
 }
 
-impl From<SizeMeaningDocument> for SizeMeaning {
+impl From<SizeMeaningDocument> for WeightSource {
     fn from(document: SizeMeaningDocument) -> Self {
         match document {
-            SizeMeaningDocument::None => SizeMeaning::None,
-            SizeMeaningDocument::Nominal => SizeMeaning::Nominal,
-            SizeMeaningDocument::Rough => SizeMeaning::Rough,
-            SizeMeaningDocument::Live => SizeMeaning::Live,
+            SizeMeaningDocument::None => WeightSource::None,
+            SizeMeaningDocument::Nominal => WeightSource::Nominal,
+            SizeMeaningDocument::Rough => WeightSource::Rough,
+            SizeMeaningDocument::Live => WeightSource::Live,
         }
     }
 }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -33,7 +33,7 @@
     pub group: GroupId,
     /// Whether it takes work.
     pub readiness: Readiness,
-    /// See [`SizeMeaning`](super::SizeMeaning).
+    /// See [`WeightSource`](super::WeightSource).
     pub weight: f64,
     /// When its process last started; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -105,7 +105,7 @@
 pub use limits::Limits;
 pub use prices::Prices;
 pub use rules::Rules;
-pub use settings::{DiscoveryMode, Reporting, Settings, SizeMeaning, ValueBasis};
+pub use settings::{DiscoveryMode, Reporting, Settings, ValueBasis, WeightSource};
 pub use settings_check::SettingsError;
 pub use status::BalancerStatus;
 pub use time::Timestamp;
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -19,7 +19,7 @@
 
 /// The meaning of an endpoint's size in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SizeMeaning {
+pub enum WeightSource {
     /// The size has no meaning and is always 1.
     None,
     /// The registered capacity.
@@ -84,7 +84,7 @@
     /// How endpoint lists are received.
     pub discovery: DiscoveryMode,
     /// The meaning of an endpoint's size in a list.
-    pub sizes: SizeMeaning,
+    pub sizes: WeightSource,
     /// The answers that carry load reports.
     pub reporting: Reporting,
     /// The basis on which the value of requests is counted.
@@ -116,7 +116,7 @@
             rules: Rules::default(),
             prices: Prices::default(),
             discovery: DiscoveryMode::Pushed,
-            sizes: SizeMeaning::None,
+            sizes: WeightSource::None,
             reporting: Reporting::WithAnswers,
             value_basis: ValueBasis::Request,
             clients_mark_retries: false,
