--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -34,7 +34,7 @@
             rules: document.rules.into(),
             prices: document.prices.into(),
             discovery: document.discovery.into(),
-            sizes: document.size_meaning.unwrap_or_default().into(),
+            weight_source: document.size_meaning.unwrap_or_default().into(),
             reporting: document.reporting.mode.into(),
             value_basis: document.value_basis.unwrap_or_default().into(),
             clients_mark_retries: document.clients.marks_retry,
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -84,7 +84,7 @@
     /// How endpoint lists are received.
     pub discovery: DiscoveryMode,
     /// The meaning of an endpoint's size in a list.
-    pub sizes: WeightSource,
+    pub weight_source: WeightSource,
     /// The answers that carry load reports.
     pub reporting: Reporting,
     /// The basis on which the value of requests is counted.
@@ -116,7 +116,7 @@
             rules: Rules::default(),
             prices: Prices::default(),
             discovery: DiscoveryMode::Pushed,
-            sizes: WeightSource::None,
+            weight_source: WeightSource::None,
             reporting: Reporting::WithAnswers,
             value_basis: ValueBasis::Request,
             clients_mark_retries: false,
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -80,7 +80,7 @@
         },
         prices: Prices::default(),
         discovery: DiscoveryMode::Pushed,
-        sizes: WeightSource::None,
+        weight_source: WeightSource::None,
         reporting: Reporting::WithAnswers,
         value_basis: ValueBasis::Request,
         clients_mark_retries: false,
