--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -163,7 +163,7 @@
         since: Timestamp,
     },
     /// The list is overdue. Only at these endpoints do open connections prove that the listed process still runs.
-    OnlyKnownProcesses {
+    KnownProcessesReported {
         /// The endpoints.
         endpoints: HashSet<EndpointId>,
     },
--- a/src/policy/event_handler.rs
+++ b/src/policy/event_handler.rs
@@ -31,7 +31,7 @@
                 self.list_unconfirmed(now, since, actions);
             }
             Event::ProcessEnded { endpoint } => self.process_ended(now, &endpoint, actions),
-            Event::OnlyKnownProcesses { endpoints } => {
+            Event::KnownProcessesReported { endpoints } => {
                 self.suspend_unknown_processes(now, &endpoints, actions);
             }
             Event::EndpointDisabled(endpoint) => self.disable(now, endpoint, actions),
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -95,7 +95,7 @@
     /// Gives the balancer all endpoints with known processes at once, which keeps it from trying the others one by one.
     fn unknown_process_reached(&self) {
         let endpoints = self.borrow().endpoints_with_known_process();
-        self.handle(Event::OnlyKnownProcesses { endpoints });
+        self.handle(Event::KnownProcessesReported { endpoints });
     }
 
     /// The response of the first served attempt is the request's final answer.
--- a/tests/policy/suspension.rs
+++ b/tests/policy/suspension.rs
@@ -136,7 +136,7 @@
 fn unknown_process_is_suspended_until_the_list_is_confirmed() {
     let mut host = confirmed_host();
     lose_watch(&mut host);
-    host.handle(Event::OnlyKnownProcesses {
+    host.handle(Event::KnownProcessesReported {
         endpoints: ["e0".into(), "e2".into()].into(),
     });
     assert!(!is_used(&mut host, "e1"));
@@ -218,7 +218,7 @@
 #[test]
 fn late_report_of_known_processes_is_ignored() {
     let mut host = confirmed_host();
-    host.handle(Event::OnlyKnownProcesses {
+    host.handle(Event::KnownProcessesReported {
         endpoints: ["e0".into()].into(),
     });
     lose_watch(&mut host);
