--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -154,7 +154,7 @@
     /// Discovery was reached and rejected a call, because it has too many calls.
     DiscoveryRejected,
     /// Discovery was reached but has not answered for a long time.
-    DiscoveryLate,
+    DiscoverySlow,
     /// The list is current. Data was received on a watch after a time without an open watch.
     ListConfirmed,
     /// No watch confirms any longer that the list is current.
--- a/src/policy/event_handler.rs
+++ b/src/policy/event_handler.rs
@@ -24,7 +24,7 @@
             }
             Event::DiscoveryFailed => self.discovery_failed(now),
             Event::DiscoveryRejected => self.discovery_rejected(now),
-            Event::DiscoveryLate => self.discovery_reached(now),
+            Event::DiscoverySlow => self.discovery_reached(now),
             Event::ListConfirmed => self.list_confirmed(now, actions),
             Event::ListUnconfirmed { since } => {
                 self.discovery_schedule.last_received_at = Some(since);
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -151,7 +151,7 @@
         }
         log!("discovery call hedged by a second one: no response yet");
         if is_reached {
-            self.handle(Event::DiscoveryLate);
+            self.handle(Event::DiscoverySlow);
         }
     }
 
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -130,7 +130,7 @@
             }),
         1 => Just(Event::DiscoveryFailed),
         1 => Just(Event::DiscoveryRejected),
-        1 => Just(Event::DiscoveryLate),
+        1 => Just(Event::DiscoverySlow),
         1 => Just(Event::ListConfirmed),
         1 => any::<u64>().prop_map(|nanos| Event::ListUnconfirmed { since: Timestamp::from_nanos(nanos) }),
         1 => any_name("e").prop_map(|name| Event::ProcessEnded { endpoint: name.as_str().into() }),
--- a/tests/policy/suspension.rs
+++ b/tests/policy/suspension.rs
@@ -164,7 +164,7 @@
 /// list becomes overdue shortly before a change since the loss of the watch has to be in force.
 #[test]
 fn list_is_overdue_at_the_change_deadline() {
-    for event in [Event::DiscoveryRejected, Event::DiscoveryLate] {
+    for event in [Event::DiscoveryRejected, Event::DiscoverySlow] {
         let mut host = host_with_discovery_event(event);
         let time_to_deadline = change_deadline();
         host.now = host.now + time_to_deadline / 2;
