--- a/src/policy/suspension.rs
+++ b/src/policy/suspension.rs
@@ -34,7 +34,7 @@
     /// Returns whether an endpoint that accepts a connection now counts as the process that the list names. That holds
     /// while any change to the contrary will be in force before the list is overdue.
     #[must_use]
-    pub fn list_names_running_processes(&self, now: Timestamp) -> bool {
+    pub fn new_connection_proves_listed_process(&self, now: Timestamp) -> bool {
         let schedule = &self.discovery_schedule;
         let is_recent = |since| now.since(since) < RECENT_LIST_AGE;
         self.list_unconfirmed_since.is_none()
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -82,7 +82,7 @@
     fn known_process(&self, target: &Target) -> Option<KnownProcess> {
         let node = self.borrow();
         let now = node.clock.now();
-        let is_known = node.balancer.list_names_running_processes(now)
+        let is_known = node.balancer.new_connection_proves_listed_process(now)
             || node.connections.is_known_process(target);
         is_known.then(|| node.connections.add_known_process(target))
     }
