--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -14,7 +14,7 @@
 /// The time that a new request has left.
 struct TimeLeft {
     /// An answer after this has no value.
-    useful: Duration,
+    useful_time: Duration,
     /// The request may be queued for this long.
     max_queue_time: Duration,
     /// An answer in time is unlikely.
@@ -41,7 +41,8 @@
         let id = request.id.clone();
         let time = self.time_left(now, &request);
         let queue_deadline = now + time.max_queue_time;
-        let mut pending = PendingRequest::new(request, level, now + time.useful, queue_deadline);
+        let mut pending =
+            PendingRequest::new(request, level, now + time.useful_time, queue_deadline);
         if time.is_too_late {
             return self.reject_or_fail(now, &mut pending, actions);
         }
@@ -61,18 +62,18 @@
         let expected = self.expected_time(request);
         let hinted = request.cost_hint.unwrap_or_default().as_secs_f64();
         let objective = class.objective + duration_from_seconds(hinted * class.objective_per_work);
-        let useful = if class.late_value > 0.0 {
+        let useful_time = if class.late_value > 0.0 {
             until_deadline
         } else {
             until_deadline.min(objective)
         };
         // A late answer has less value. Requests that were queued past their objective would also delay newer requests
         // past theirs.
-        let max_queue_time = useful.min(objective).saturating_sub(expected);
+        let max_queue_time = useful_time.min(objective).saturating_sub(expected);
         TimeLeft {
-            useful,
+            useful_time,
             max_queue_time,
-            is_too_late: useful < expected.mul_f64(MIN_TIME_LEFT_FRACTION),
+            is_too_late: useful_time < expected.mul_f64(MIN_TIME_LEFT_FRACTION),
         }
     }
 }
--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -15,11 +15,11 @@
 const ESTIMATE_WEIGHT: f64 = 0.05;
 /// The weight of one answer in the mean whose minimum is the unloaded time. With a higher weight, the mean would cover
 /// few answers and its minimum would be too low.
-const UNLOADED_WEIGHT: f64 = 0.02;
+const UNLOADED_TIME_WEIGHT: f64 = 0.02;
 /// The weight of one answer in an endpoint's mean slowdown.
-const ENDPOINT_WEIGHT: f64 = 0.3;
+const ENDPOINT_SLOWDOWN_WEIGHT: f64 = 0.3;
 /// The weight of one answer in the tier's mean slowdown.
-const TIER_WEIGHT: f64 = 0.1;
+const TIER_SLOWDOWN_WEIGHT: f64 = 0.1;
 /// The lowest cost of a request relative to the mean of its class, regardless of its hint.
 const MIN_RELATIVE_COST: f64 = 0.5;
 
@@ -73,7 +73,7 @@
         class.answers = class.answers.saturating_add(1);
         let equal_weight = 1.0 / f64::from(class.answers);
         let estimate_weight = ESTIMATE_WEIGHT.max(equal_weight);
-        let unloaded_weight = UNLOADED_WEIGHT.max(equal_weight);
+        let unloaded_weight = UNLOADED_TIME_WEIGHT.max(equal_weight);
         class
             .hints
             .add(hint, answer_time, estimate_weight, unloaded_weight);
@@ -89,8 +89,8 @@
             class.unloaded_time.min(class.long_term_mean_time)
         };
         let slowdown = time_at_mean_cost / class.unloaded_time;
-        self.mean_slowdown += (slowdown - self.mean_slowdown) * TIER_WEIGHT;
+        self.mean_slowdown += (slowdown - self.mean_slowdown) * TIER_SLOWDOWN_WEIGHT;
         let endpoint = &mut self.endpoints[index];
-        endpoint.slowdown += (slowdown - endpoint.slowdown) * ENDPOINT_WEIGHT;
+        endpoint.slowdown += (slowdown - endpoint.slowdown) * ENDPOINT_SLOWDOWN_WEIGHT;
     }
 }
--- a/src/policy/arrival_rate.rs
+++ b/src/policy/arrival_rate.rs
@@ -34,8 +34,9 @@
         let observed = self
             .observed_since
             .map_or(0.0, |since| now.since(since).as_secs_f64());
-        let covered = 1.0 - (-observed.max(MIN_OBSERVATION_SECONDS) / TIME_CONSTANT_SECONDS).exp();
-        self.count * self.decay(now) / (TIME_CONSTANT_SECONDS * covered)
+        let observed_fraction =
+            1.0 - (-observed.max(MIN_OBSERVATION_SECONDS) / TIME_CONSTANT_SECONDS).exp();
+        self.count * self.decay(now) / (TIME_CONSTANT_SECONDS * observed_fraction)
     }
 
     fn decay(&self, now: Timestamp) -> f64 {
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -87,7 +87,7 @@
         match ended.outcome {
             Outcome::TimedOut if ended.elapsed < min_counted_timeout => return,
             Outcome::Cancelled | Outcome::NotSent => return,
-            _ => self.count_failure(now, index, request, ended),
+            _ => self.update_failure_rate(now, index, request, ended),
         }
         if ended.outcome == Outcome::Error {
             return; // errors come quickly and may come from the next tier; they say nothing about the queue
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -56,7 +56,7 @@
     /// The number of discarding priority levels, from the lowest.
     pub(super) discarding_levels: usize,
     /// When the overload state expires.
-    pub(super) state_expires: Timestamp,
+    pub(super) state_expires_at: Timestamp,
     pub(super) last_send: Timestamp,
     /// When the gap after the last send ends.
     pub(super) gap_ends_at: Timestamp,
@@ -95,7 +95,7 @@
             slowdown: 1.0,
             gapping_levels: 0,
             discarding_levels: 0,
-            state_expires: Timestamp::default(),
+            state_expires_at: Timestamp::default(),
             last_send: Timestamp::default(),
             gap_ends_at: Timestamp::default(),
             slow_start_slot: f64::INFINITY,
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -13,7 +13,7 @@
 /// requests in short queues.
 const HEALTH_CHECKS_PER_REQUEST: f64 = 0.15;
 /// The fraction of the result that health checks may cost.
-const MAX_SPENDING_FRACTION: f64 = 0.03;
+const MAX_HEALTH_CHECK_COST: f64 = 0.03;
 /// The lowest price used as a divisor.
 const MIN_PRICE: f64 = 1e-6;
 /// The least time between two health checks of an endpoint. Endpoints refresh their load reports about as often.
@@ -25,7 +25,7 @@
     pub(super) fn earn_health_checks(&mut self) {
         let are_needed = self.settings.limits.health_checks
             && self.settings.reporting == Reporting::WithHealthChecks;
-        let affordable = MAX_SPENDING_FRACTION / self.settings.prices.health_check.max(MIN_PRICE);
+        let affordable = MAX_HEALTH_CHECK_COST / self.settings.prices.health_check.max(MIN_PRICE);
         self.budgets.health_checks.earn(if are_needed {
             HEALTH_CHECKS_PER_REQUEST.min(affordable)
         } else {
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -18,7 +18,7 @@
 /// The weight of one attempt in an endpoint's failure rate.
 const FAILURE_WEIGHT: f64 = 0.3;
 /// The highest number of endpoints that are preferred for unsafe requests.
-const MAX_PREFERRED: usize = 2;
+const MAX_PREFERRED_ENDPOINTS: usize = 2;
 /// The time for which an endpoint is preferred after it served an unsafe request.
 const UNSAFE_SUCCESS_LIFETIME: Duration = Duration::from_secs(5);
 
@@ -112,7 +112,7 @@
         if !preferred.is_empty() {
             *candidates = preferred
                 .into_iter()
-                .take(MAX_PREFERRED)
+                .take(MAX_PREFERRED_ENDPOINTS)
                 .map(|(_, index)| index)
                 .collect();
         }
@@ -127,7 +127,7 @@
     }
 
     /// Updates an endpoint's failure rate after the end of an attempt. Rejections do not count.
-    pub(super) fn count_failure(
+    pub(super) fn update_failure_rate(
         &mut self,
         now: Timestamp,
         index: EndpointIndex,
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -77,7 +77,7 @@
         endpoint.queue_length = queue_length;
         endpoint.gapping_levels = reached.onset.max(previous.gapping.min(reached.abatement));
         endpoint.discarding_levels = reached.discard.max(previous.discarding.min(reached.onset));
-        endpoint.state_expires = now + duration_from_seconds(lifetime);
+        endpoint.state_expires_at = now + duration_from_seconds(lifetime);
         if endpoint.gapping_levels > 0 {
             endpoint.gap_ends_at = endpoint.last_send + gap;
         }
@@ -121,7 +121,7 @@
     /// Returns the estimated queue length at an endpoint, including this balancer's attempts in flight.
     pub(super) fn estimated_queue_length(&self, now: Timestamp, index: EndpointIndex) -> f64 {
         let endpoint = &self.endpoints[index];
-        let queue_length = if now < endpoint.state_expires {
+        let queue_length = if now < endpoint.state_expires_at {
             endpoint.queue_length
         } else {
             self.mean_queue_lengths.of(endpoint.locality)
@@ -132,7 +132,7 @@
     /// Returns the levels that the present overload state throttles; none once it has expired.
     fn current_levels(&self, now: Timestamp, index: EndpointIndex) -> ThrottledLevels {
         let endpoint = &self.endpoints[index];
-        if now >= endpoint.state_expires {
+        if now >= endpoint.state_expires_at {
             return ThrottledLevels::default();
         }
         ThrottledLevels {
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -18,7 +18,7 @@
     pub(super) attempts: Vec<Attempt>,
     pub(super) is_answered: bool,
     /// A part of its body was forwarded and not retained. It cannot be sent again.
-    pub(super) body_is_consumed: bool,
+    pub(super) is_body_consumed: bool,
     /// The slow start clock has already counted its next send.
     pub(super) has_advanced_slow_start: bool,
 }
@@ -38,7 +38,7 @@
             queue_deadline,
             attempts: Vec::new(),
             is_answered: false,
-            body_is_consumed: false,
+            is_body_consumed: false,
             has_advanced_slow_start: false,
         }
     }
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The queue limit, as a fraction of the requests that arrive within the longest queue time.
-const QUEUE_FRACTION: f64 = 0.5;
+const QUEUE_LIMIT_FRACTION: f64 = 0.5;
 /// The lowest queue limit, which applies if few requests arrive.
 const MIN_QUEUE_LIMIT: f64 = 4.0;
 
@@ -23,7 +23,7 @@
         actions: &mut Vec<Action>,
     ) {
         let arrivals = self.arrival_rate.per_second(now) * max_queue_time.as_secs_f64();
-        let limit = (arrivals * QUEUE_FRACTION).max(MIN_QUEUE_LIMIT) as usize;
+        let limit = (arrivals * QUEUE_LIMIT_FRACTION).max(MIN_QUEUE_LIMIT) as usize;
         while self.queued.len() > limit {
             let Some(id) = self.queued.pop_lowest_priority() else {
                 break;
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -20,7 +20,7 @@
     /// Records that a part of a request's body was forwarded and not retained.
     pub(super) fn body_consumed(&mut self, request: &RequestId) {
         if let Some(pending) = self.requests.get_mut(request) {
-            pending.body_is_consumed = true;
+            pending.is_body_consumed = true;
         }
     }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -16,7 +16,7 @@
         pending: &PendingRequest,
     ) -> Option<RetryScope> {
         let are_attempts_used_up = pending.attempts.len() >= self.settings.limits.max_attempts;
-        if pending.is_answered || pending.body_is_consumed || are_attempts_used_up {
+        if pending.is_answered || pending.is_body_consumed || are_attempts_used_up {
             return None;
         }
         let Some(first) = pending.possible_runs().next() else {
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -50,7 +50,7 @@
         let indices = self.endpoints.indices();
         for index in indices.filter(|index| self.endpoints[*index].is_available) {
             let levels = self.throttled_levels(now, index);
-            let has_current_state = now < self.endpoints[index].state_expires;
+            let has_current_state = now < self.endpoints[index].state_expires_at;
             status.clear += usize::from(levels.gapping == 0);
             status.gapping += usize::from(levels.gapping > 0);
             status.discarding += usize::from(levels.discarding > 0);
