--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -188,13 +188,13 @@
         (id, self.handle(Event::Request(request)))
     }
 
-    /// Ends an attempt that took `took_ms` milliseconds, with a load report that contains the queue length.
+    /// Ends an attempt `elapsed_ms` milliseconds after its send, with a load report that contains the queue length.
     pub fn end_attempt(
         &mut self,
         id: &RequestId,
         attempt: usize,
         outcome: Outcome,
-        took_ms: u64,
+        elapsed_ms: u64,
         queue_length: f64,
     ) -> Vec<Action> {
         let report = Some(LoadReport {
@@ -205,7 +205,7 @@
             request: id.clone(),
             attempt,
             outcome,
-            elapsed: ms(took_ms),
+            elapsed: ms(elapsed_ms),
             request_ended: outcome == Outcome::Served,
             report,
         }))
--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -47,8 +47,12 @@
 }
 
 /// Returns how many requests one of several balancers sends to a tier that stops answering, before it queues one. The
-/// last answers took `last_took_ms`, and the unloaded time is 10 ms.
-fn count_sent_to_unresponsive_tier(balancers: u32, endpoints: usize, last_took_ms: u64) -> usize {
+/// last answers took `last_answer_time_ms`, and the unloaded time is 10 ms.
+fn count_sent_to_unresponsive_tier(
+    balancers: u32,
+    endpoints: usize,
+    last_answer_time_ms: u64,
+) -> usize {
     let mut host = Host::new(
         Settings {
             balancers,
@@ -66,7 +70,7 @@
             if request_number < 20 {
                 10
             } else {
-                last_took_ms
+                last_answer_time_ms
             },
             0.0,
         );
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -224,7 +224,7 @@
 fn unknown_ids_are_ignored() {
     let mut host = Host::new(default_settings(), endpoint_entries(2));
     let (id, _) = host.request(0);
-    let unknown = |class, tenant| Request {
+    let request_with = |class, tenant| Request {
         id: "new".into(),
         class: ClassId(class),
         tenant,
@@ -235,11 +235,11 @@
         write: false,
     };
     let events = [
-        Event::Request(unknown(99, None)),
-        Event::Request(unknown(0, Some(TenantId(3)))),
+        Event::Request(request_with(99, None)),
+        Event::Request(request_with(0, Some(TenantId(3)))),
         Event::Request(Request {
             id: id.clone(),
-            ..unknown(0, None)
+            ..request_with(0, None)
         }),
         Event::ClientDisconnected {
             request: "nobody".into(),
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -18,7 +18,7 @@
 /// Guards the order of requests with the same key in different classes. Other keys, requests without a key and classes
 /// without key order are not delayed.
 #[test]
-fn key_order_spans_classes_and_delays_no_other_keys() {
+fn key_order_spans_classes_but_not_keys() {
     let mut host = host_with_key_order();
     let (first, actions) = host.keyed_request(1, "k");
     assert_eq!(sent_requests(&actions).len(), 1);
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -116,7 +116,7 @@
 /// Guards the slow start of an enabled endpoint: it is warming up even if its start time in the list is old. Its first
 /// request is sent soon, since operators check that the endpoint is in use.
 #[test]
-fn enabled_endpoint_warms_up_and_is_used_soon() {
+fn enabled_endpoint_is_used_during_its_warm_up() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
     let count_while_warm = count_sent_to(&mut host, "e1", 200);
     disable(&mut host, "e1");
@@ -167,12 +167,12 @@
         host.now = host.now + ms(20);
         let (id, actions) = host.request(0);
         // e1 is so slow that the balancer stops picking it.
-        let took = if send_targets(&actions) == ["e1".into()] {
+        let elapsed_ms = if send_targets(&actions) == ["e1".into()] {
             100
         } else {
             10
         };
-        host.end_attempt(&id, 0, Outcome::Served, took, 0.0);
+        host.end_attempt(&id, 0, Outcome::Served, elapsed_ms, 0.0);
     }
     disable(&mut host, "e1");
     enable(&mut host, "e1");
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -39,13 +39,13 @@
         } else {
             [e0_failure_rate, other_failure_rate][target.min(1)]
         };
-        let (first_outcome, took) = if accumulated_failures[target] >= 1.0 {
+        let (first_outcome, elapsed_ms) = if accumulated_failures[target] >= 1.0 {
             (outcome, 1)
         } else {
             (Outcome::Served, 9)
         };
         accumulated_failures[target] = f64::fract(accumulated_failures[target]);
-        let retried = send_targets(&host.end_attempt(&id, 0, first_outcome, took, 0.0)).len();
+        let retried = send_targets(&host.end_attempt(&id, 0, first_outcome, elapsed_ms, 0.0)).len();
         (1..=retried)
             .for_each(|attempt| drop(host.end_attempt(&id, attempt, Outcome::Served, 9, 0.0)));
         host.handle(Event::ClientDisconnected { request: id });
@@ -116,7 +116,7 @@
 /// to an endpoint that served one recently, so fewer are lost than one at each faulty endpoint. Other classes are still
 /// sent to all endpoints.
 #[test]
-fn unsafe_requests_stay_at_endpoint_that_served_one() {
+fn unsafe_requests_prefer_recent_successes() {
     let mut host = Host::new(default_settings(), endpoint_entries(8));
     let is_faulty = |id: &EndpointId| {
         ["e0", "e1", "e2", "e3"]
--- a/tests/policy/overload_state.rs
+++ b/tests/policy/overload_state.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn throttling_starts_at_onset_and_ends_below_abatement() {
+fn throttling_follows_onset_and_abatement() {
     let mut host = Host::new(two_level_settings(), endpoint_entries(1));
     report_queue_length(&mut host, 0.0);
     assert!(is_sent_at_once(&mut host, 0), "throttled without a queue");
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn highest_priority_is_sent_first_and_lowest_is_shed() {
+fn queue_is_served_and_shed_by_priority() {
     let mut host = Host::new(two_level_settings(), Vec::new());
     let mut low = Vec::new();
     for _ in 0..3 {
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -77,13 +77,13 @@
             );
         }
         // Class 3 is keyed to the zone, and class 4 to the group.
-        for (class, same_group) in [(3, 0), (4, 1)] {
+        for (class, requires_same_group) in [(3, 0), (4, 1)] {
             let (targets, final_answer) = attempts_and_answer(class, outcome, 100);
             if let (Some(next), false) = (targets.get(1), proves_not_run) {
                 let (first_location, next_location) = (location_of(&targets[0]), location_of(next));
                 assert!(
                     first_location.0 == next_location.0
-                        && (same_group == 0 || first_location.1 == next_location.1),
+                        && (requires_same_group == 0 || first_location.1 == next_location.1),
                     "class {class} {outcome:?} {targets:?}"
                 );
             }
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -4,7 +4,7 @@
 use balancer_sidecar::policy::*;
 
 #[test]
-fn the_subset_grows_with_the_arrival_rate() {
+fn subset_grows_with_arrival_rate() {
     let settings = Settings {
         balancers: 4,
         ..default_settings()
@@ -51,7 +51,7 @@
 
 /// Guards the balance of subsets over the endpoints, and their stability when an endpoint is removed.
 #[test]
-fn endpoints_are_in_equally_many_stable_subsets() {
+fn subsets_are_balanced_and_stable() {
     let entries = endpoint_entries(12);
     let used = used_by_balancers(&entries);
     for entry in &entries {
--- a/tests/policy/warming_tier.rs
+++ b/tests/policy/warming_tier.rs
@@ -25,12 +25,12 @@
         let mut attempt = 0;
         while let Some(endpoint) = next_targets.pop() {
             let is_silent = silent.iter().any(|name| endpoint == (*name).into());
-            let (outcome, took) = if is_silent {
+            let (outcome, elapsed_ms) = if is_silent {
                 (Outcome::TimedOut, 1000)
             } else {
                 (Outcome::Served, 10)
             };
-            next_targets = send_targets(&host.end_attempt(&id, attempt, outcome, took, 0.0));
+            next_targets = send_targets(&host.end_attempt(&id, attempt, outcome, elapsed_ms, 0.0));
             attempt += 1;
             targets.push(endpoint);
         }
