--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -13,9 +13,9 @@
 
 /// The time that a new request has left.
 struct TimeLeft {
-    /// An answer after this has no value.
+    /// The time after which an answer has no value.
     useful_time: Duration,
-    /// The request may be queued for this long.
+    /// The longest time that the request may be queued.
     max_queue_time: Duration,
     /// An answer in time is unlikely.
     is_too_late: bool,
@@ -29,7 +29,7 @@
         mut request: Request,
         actions: &mut Vec<Action>,
     ) {
-        // Only classes in key order use the key.
+        // The key is used only if the class is in key order.
         request
             .key
             .take_if(|_| !self.settings.classes[request.class.0].is_key_ordered);
@@ -67,8 +67,8 @@
         } else {
             until_deadline.min(objective)
         };
-        // A late answer has less value. Requests that were queued past their objective would also delay newer requests
-        // past theirs.
+        // The time in the queue is limited by the objective even if late answers have value, because that value is
+        // lower. Requests that were queued past their objective would also delay newer requests past theirs.
         let max_queue_time = useful_time.min(objective).saturating_sub(expected);
         TimeLeft {
             useful_time,
--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -7,9 +7,9 @@
 use super::time::duration_from_seconds;
 use std::time::Duration;
 
-/// The least number of samples from which a mean or a rate is used.
+/// The least number of samples for the use of a mean or a rate.
 pub(super) const MIN_SAMPLES: u32 = 12;
-/// The slowdown at ordinary load.
+/// The slowdown at ordinary load. A slowdown is an answer time as a multiple of the unloaded answer time.
 pub(super) const ORDINARY_SLOWDOWN: f64 = 1.3;
 /// The weight of one answer in a class's answer time estimate.
 const ESTIMATE_WEIGHT: f64 = 0.05;
@@ -43,7 +43,8 @@
         (1.0 + class.hints.slope() * deviation / class.hints.mean_time).max(MIN_RELATIVE_COST)
     }
 
-    /// Returns the shortest unloaded answer time of all classes, in seconds.
+    /// Returns the shortest unloaded answer time of all classes, in seconds. Before any is known, returns the shortest
+    /// initial estimate.
     pub(super) fn unloaded_time(&self) -> f64 {
         let measured = self
             .classes
--- a/src/policy/arrival_rate.rs
+++ b/src/policy/arrival_rate.rs
@@ -21,7 +21,7 @@
         self.observed_since.get_or_insert(now);
     }
 
-    /// Adds one arrival; returns the factor by which the count has decayed since the last one.
+    /// Adds one arrival, and returns the factor by which the count had decayed since the previous one.
     pub(super) fn add(&mut self, now: Timestamp) -> f64 {
         let decay = self.decay(now);
         self.count = self.count * decay + 1.0;
@@ -29,7 +29,8 @@
         decay
     }
 
-    /// Returns the arrivals per second.
+    /// Returns the arrivals per second. At a steady rate, the decaying count grows to the rate times the time constant.
+    /// Soon after the start, it has reached only the fraction that corresponds to the observed time.
     pub(super) fn per_second(&self, now: Timestamp) -> f64 {
         let observed = self
             .observed_since
@@ -39,6 +40,7 @@
         self.count * self.decay(now) / (TIME_CONSTANT_SECONDS * observed_fraction)
     }
 
+    /// Returns the factor by which the count has decayed since the last arrival.
     fn decay(&self, now: Timestamp) -> f64 {
         (-now.since(self.last_arrival).as_secs_f64() / TIME_CONSTANT_SECONDS).exp()
     }
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -56,6 +56,7 @@
         }
     }
 
+    /// Retries a request whose attempts have all ended, or gives its final answer.
     fn retry_or_answer(
         &mut self,
         now: Timestamp,
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Returns the queue length that an outcome implies. Rejections and timeouts imply a queue; a failed or broken
-    /// connection or a malformed answer does not.
+    /// Returns the queue length that an outcome implies. Rejections and timeouts imply a queue. Other outcomes, such as
+    /// a failed connection, a broken connection or a malformed answer, do not.
     pub(super) fn implied_queue_length(&self, outcome: Outcome) -> Option<f64> {
         let implies_queue = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
         implies_queue.then_some(self.thresholds.highest_onset())
--- a/src/policy/class.rs
+++ b/src/policy/class.rs
@@ -15,12 +15,14 @@
     pub(super) level: usize,
     /// The answer time estimate in seconds, for a request of mean cost.
     pub(super) estimated_time: f64,
-    /// The mean answer time over many answers; its minimum is the unloaded time.
+    /// The mean answer time over many answers, in seconds, for a request of mean cost. Its minimum is the unloaded
+    /// time.
     pub(super) long_term_mean_time: f64,
     /// The unloaded answer time in seconds; 0 before it is known.
     pub(super) unloaded_time: f64,
     /// The number of answers so far.
     pub(super) answers: u32,
+    /// The regression of its answer times on cost hints.
     pub(super) hints: HintRegression,
 }
 
@@ -49,7 +51,7 @@
 }
 
 impl HintRegression {
-    /// Returns the additional answer time, in seconds, for each additional second of the hint.
+    /// Returns the additional answer time, in seconds, for each additional second of the hint; at least 0.
     pub(super) fn slope(&self) -> f64 {
         (self.covariance / self.hint_variance.max(f64::MIN_POSITIVE)).max(0.0)
     }
--- a/src/policy/class_settings.rs
+++ b/src/policy/class_settings.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-/// Whether a request may run more than once.
+/// The idempotency of requests: how often one may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// May run any number of times.
     Idempotent,
-    /// Some of the endpoints drop repeats with the same key for a time.
+    /// The endpoints in the key scope drop repeats with the same key for a time.
     Keyed {
         /// The endpoints that deduplicate requests among themselves.
         scope: KeyScope,
@@ -25,18 +25,18 @@
     All,
     /// The endpoints of one zone.
     Zone,
-    /// The endpoints of one group.
+    /// The endpoints of one group. The configuration calls this scope `cell`.
     Group,
 }
 
-/// A request class: requests with one deadline, objective, priority weight and idempotency.
+/// A request class. Its requests have the same objective, deadline, priority weight and idempotency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// The name that the host uses.
     pub name: String,
     /// The latency objective: an answer within it has full value.
     pub objective: Duration,
-    /// The objective is extended by this multiple of the request's cost hint.
+    /// The extension of the objective, as a multiple of the cost hint of a request.
     pub objective_per_work: f64,
     /// How long a client waits for an answer.
     pub deadline: Duration,
@@ -44,7 +44,7 @@
     pub priority_weight: f64,
     /// The fraction of its value that an answer after the objective keeps.
     pub late_value: f64,
-    /// Whether a request may run more than once.
+    /// How often a request may run.
     pub idempotency: Idempotency,
     /// Whether the answer is streamed.
     pub stream: bool,
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -16,9 +16,9 @@
 /// watch, which come every 2 s, and a margin.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(4_200);
 
-/// The longest poll interval that the backoff is derived from. A lost watch has to be reopened soon even if the poll
-/// interval is longer. A change counts as received 6 s after the last data on the watch, and most of that time has
-/// passed when the loss is noticed.
+/// The longest poll interval that the backoff is derived from. Even if the poll interval is longer, a lost watch has to
+/// be reopened soon. A change counts as received 6 s after the last data on the watch, and most of that time has passed
+/// when the loss is noticed.
 const MAX_BACKOFF_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// The mean delay after the first failed call, as a fraction of the poll interval.
 const INITIAL_BACKOFF_FRACTION: f64 = 0.05;
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Schedules the next call after a failed or rejected one.
     fn schedule_call(&mut self, now: Timestamp, delay: f64) {
         let schedule = &mut self.discovery_schedule;
         schedule.next_call = Some(now + duration_from_seconds(delay));
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -8,8 +8,10 @@
 pub(super) struct DiscoverySchedule {
     /// When the balancer opens a watch again.
     pub(super) next_call: Option<Timestamp>,
-    /// When the last call failed. The next call begins later, and the host may make it on its own.
+    /// When the last call failed or was rejected. The call after it starts later, at a time that is not known here,
+    /// because the host may also call discovery on its own.
     pub(super) last_failure: Timestamp,
+    /// The number of failed or rejected calls since the last list.
     pub(super) failures_in_row: u32,
     /// When data was last received on the lost watch. Cleared when the failure is handled.
     pub(super) last_received_at: Option<Timestamp>,
@@ -17,12 +19,12 @@
     pub(super) stale_since: Option<Timestamp>,
     /// A call has reached discovery since the list became stale, or since the last failed call.
     pub(super) is_discovery_reached: bool,
-    /// How long it took the list to become current again, the last time that it was stale.
+    /// How long the list was stale before it last became current again.
     pub(super) catch_up_time: Duration,
 }
 
 impl DiscoverySchedule {
-    /// Resets the failures after a successful call.
+    /// Resets the failures after a list has arrived, and records how long the list was stale.
     pub(super) fn succeeded(&mut self, now: Timestamp) {
         self.failures_in_row = 0;
         self.is_discovery_reached = false;
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -8,7 +8,7 @@
 /// An endpoint's index in the balancer's [table](super::endpoint_table::EndpointTable).
 pub(super) type EndpointIndex = usize;
 
-/// Whether requests to an endpoint cross zones at a considerable price.
+/// The locality of an endpoint, as seen from the balancer's zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Locality {
     /// It is in the balancer's zone, or requests across zones cost little.
@@ -23,11 +23,13 @@
     pub(super) id: EndpointId,
     pub(super) zone: ZoneId,
     pub(super) group: GroupId,
+    /// Its weight in the list, or 1 if that is not above 0.
     pub(super) weight: f64,
     /// It takes work: the list shows it as serving, and it is neither disabled nor suspended.
     pub(super) is_available: bool,
     /// The list shows it as serving.
     pub(super) is_serving: bool,
+    /// The list shows it as draining, or last showed it as draining before it was removed.
     pub(super) is_draining: bool,
     /// The list names it.
     pub(super) is_listed: bool,
@@ -41,7 +43,7 @@
     /// When the operators last enabled it. It may have restarted while it was disabled, which the list shows only
     /// later.
     pub(super) enabled_at: Option<Timestamp>,
-    /// It was enabled and has been sent nothing since. A request is sent as soon as it can take one.
+    /// It was enabled and has been sent nothing since. The next request that it can take is sent to it.
     pub(super) awaits_first_send: bool,
     pub(super) in_subset: bool,
     pub(super) locality: Locality,
@@ -60,7 +62,7 @@
     pub(super) last_send: Timestamp,
     /// When the gap after the last send ends.
     pub(super) gap_ends_at: Timestamp,
-    /// The value of the slow start clock from which on it may be sent its next request while it is warming up.
+    /// The value of the slow start clock at which it may be sent its next request while it is warming up.
     pub(super) slow_start_slot: f64,
     /// The earliest time of the next health check.
     pub(super) next_health_check: Timestamp,
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether an endpoint takes work, according to the list.
+/// The readiness of an endpoint in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// It takes work.
@@ -27,13 +27,13 @@
     pub endpoint: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
-    /// The kind of machine that it runs on.
+    /// The type of machine that it runs on.
     pub machine_type: MachineTypeId,
     /// The group that it belongs to.
     pub group: GroupId,
-    /// Whether it takes work.
+    /// Its readiness to take work.
     pub readiness: Readiness,
-    /// See [`WeightSource`](super::WeightSource).
+    /// The relative number of requests that it can take. For its source, see [`WeightSource`](super::WeightSource).
     pub weight: f64,
     /// When its process last started; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
@@ -120,7 +120,7 @@
     pub write: bool,
 }
 
-/// The end of an attempt.
+/// The end of an attempt, as reported by [`Event::AttemptEnded`].
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
     /// The request of the attempt.
@@ -153,18 +153,20 @@
     DiscoveryFailed,
     /// Discovery was reached and rejected a call, because it has too many calls.
     DiscoveryRejected,
-    /// Discovery was reached but has not answered for a long time.
+    /// A call has reached discovery, and has not been answered for a long time.
     DiscoverySlow,
-    /// The list is current. Data was received on a watch after a time without an open watch.
+    /// The list is current again: data was received on a watch after a time without an open watch.
     ListConfirmed,
     /// No watch confirms any longer that the list is current.
     ListUnconfirmed {
         /// When data was last received on a watch.
         since: Timestamp,
     },
-    /// The list is overdue. Only at these endpoints do open connections prove that the listed process still runs.
+    /// The list is overdue, and an attempt reached an endpoint whose process is unknown. The process of an endpoint is
+    /// known if a connection proves that the listed process still runs. The endpoints with unknown processes are
+    /// suspended.
     KnownProcessesReported {
-        /// The endpoints.
+        /// The endpoints with known processes.
         endpoints: HashSet<EndpointId>,
     },
     /// An endpoint refused a connection, or reset an idle one. Its process has ended, and any process that listens at
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -12,9 +12,9 @@
 /// The number of health checks that a request adds to the budget. With one for each request, health checks displaced
 /// requests in short queues.
 const HEALTH_CHECKS_PER_REQUEST: f64 = 0.15;
-/// The fraction of the result that health checks may cost.
+/// The highest total cost of health checks, as a fraction of the result that [`Prices`](super::Prices) refers to.
 const MAX_HEALTH_CHECK_COST: f64 = 0.03;
-/// The lowest price used as a divisor.
+/// The lowest price by which the cost limit is divided; a lower price counts as this one.
 const MIN_PRICE: f64 = 1e-6;
 /// The least time between two health checks of an endpoint. Endpoints refresh their load reports about as often.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/policy/id.rs
+++ b/src/policy/id.rs
@@ -29,7 +29,7 @@
     ZoneId
 );
 text_id!(
-    /// Identifies a kind of machine.
+    /// Identifies a machine type.
     MachineTypeId
 );
 text_id!(
@@ -49,7 +49,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u32);
 
-/// Identifies a small group of endpoints that deduplicate keyed requests among themselves.
+/// Identifies a small group of endpoints that deduplicate keyed requests among themselves. The key scope `cell` of the
+/// configuration means such a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
 
--- a/src/policy/key_order.rs
+++ b/src/policy/key_order.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 struct KeyQueue {
     requests: VecDeque<RequestId>,
-    /// Until then, no request is sent for the first time.
+    /// The end of the cooldown. Until then, a request is sent only if it is a retry.
     cooldown_until: Timestamp,
 }
 
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Removes ended cooldowns, and keys without requests.
+    /// Removes ended cooldowns, and their keys if they have no requests.
     pub(super) fn remove_expired_cooldowns(&mut self, now: Timestamp) {
         while let Some(ended) = self
             .cooldowns
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -15,11 +15,11 @@
     pub parallel_attempts: bool,
     /// Whether clients are sent the Retry-After value of [`Action::Reject`](super::Action::Reject).
     pub retry_after: bool,
-    /// The longest Retry-After value that clients honour.
+    /// The longest Retry-After value that clients obey, which is also the one that they are sent.
     pub max_retry_after: Duration,
     /// The highest number of attempts of a request.
     pub max_attempts: usize,
-    /// The highest number of requests that a host may have open.
+    /// The highest number of unanswered requests at a host.
     pub max_open_requests: u64,
     /// The highest number of concurrent attempts on one connection.
     pub streams_per_connection: u64,
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -9,9 +9,9 @@
 use super::time::Timestamp;
 use std::collections::HashSet;
 
-/// The price of attempts across zones from which on a balancer prefers its own zone. The number of balancers per
-/// endpoint differs between zones, and an even load over the whole tier is worth about two attempts across zones at
-/// this price.
+/// The lowest price of attempts across zones at which a balancer prefers its own zone. That preference makes the load
+/// uneven, because the number of balancers per endpoint differs between zones. An even load over the whole tier is
+/// worth about two attempts across zones at this price.
 const COSTLY_CROSS_ZONE_PRICE: f64 = 0.01;
 
 impl Balancer {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,11 +1,12 @@
 //! The decisions of a load balancer with overload control, without I/O. Each caller has one [`Balancer`].
 //!
 //! Each endpoint has an overload state for each priority level: clear, gapping or discarding. The state follows from
-//! the endpoint's queue length and the abatement, onset and discard thresholds of the level. An endpoint throttles a
-//! level for which it is gapping or discarding: it is sent requests of that level only after a gap, or none at all. A
-//! request is sent to the less loaded of two random members of a subset of the endpoints, excluding those that throttle
-//! its level. While all members throttle the level, the request is queued until a gap ends. Beyond the queue limit,
-//! requests of the lowest priority level are rejected.
+//! the endpoint's queue length and from three thresholds of the level: abatement, onset and discard. An endpoint
+//! throttles the levels for which it is gapping or discarding. While it is gapping for a level, it is sent a request of
+//! that level only after a gap since its last send. While it is discarding, it is sent none. A request is sent to the
+//! less loaded of two random members of a subset of the endpoints, excluding those that throttle its level. While all
+//! members throttle the level, the request is queued until a gap ends. If the queue exceeds its limit, requests of the
+//! lowest priority level are rejected.
 //!
 //! The host is the program that embeds a balancer. It builds [`Event`]s, passes them to [`Balancer::handle`], and
 //! carries out the returned [`Action`]s in order.
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -13,7 +13,7 @@
 const FAILURE_MARGIN: f64 = 0.2;
 /// The time constant with which failure rates decay. After about this time, an outlier is tried again.
 const FAILURE_TIME_CONSTANT: Duration = Duration::from_secs(20);
-/// The number of assumed endpoints without failures that are included in the mean.
+/// The number of endpoints without failures that are added to the subset for the calculation of its mean failure rate.
 const ASSUMED_HEALTHY_ENDPOINTS: usize = 2;
 /// The weight of one attempt in an endpoint's failure rate.
 const FAILURE_WEIGHT: f64 = 0.3;
@@ -126,7 +126,8 @@
         2 * clear > self.endpoint_sets.subset.len()
     }
 
-    /// Updates an endpoint's failure rate after the end of an attempt. Rejections do not count.
+    /// Updates an endpoint's failure rate after the end of an attempt, and records whether an unsafe request was served
+    /// or lost. Rejections do not count.
     pub(super) fn update_failure_rate(
         &mut self,
         now: Timestamp,
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -11,9 +11,9 @@
     pub(super) request: Request,
     /// Its priority level.
     pub(super) level: usize,
-    /// An answer after this has no value.
+    /// The time after which an answer has no value.
     pub(super) useful_until: Timestamp,
-    /// It gets its final answer if it is still queued by then.
+    /// The time at which it gets its final answer if it is still queued.
     pub(super) queue_deadline: Timestamp,
     pub(super) attempts: Vec<Attempt>,
     pub(super) is_answered: bool,
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -55,8 +55,8 @@
     }
 
     /// Returns the endpoints that can take the request without waiting for the end of a gap. The candidates are subset
-    /// members, or else sampled local endpoints, or else remote endpoints, or else the endpoint with the lowest failure
-    /// rate.
+    /// members. If there are none, they are sampled local endpoints, then remote endpoints, then the endpoint with the
+    /// lowest failure rate.
     fn candidates(
         &mut self,
         criteria: &PickCriteria<'_>,
@@ -141,7 +141,7 @@
     ) {
         let own_load = f64::from(self.in_flight.count()) / self.fair_share_of_tier();
         let load_with_slowdown = own_load * self.mean_slowdown / ORDINARY_SLOWDOWN;
-        // False if there is no endpoint, because the load is then NaN or infinite.
+        // Without endpoints the load is NaN or infinite, and this is false.
         let is_below_limit = load_with_slowdown < self.thresholds.highest_onset();
         if !is_below_limit {
             return;
--- a/src/policy/prices.rs
+++ b/src/policy/prices.rs
@@ -1,6 +1,7 @@
 //! The prices of the resources that a balancer uses.
 
-/// The prices of resources. Each is the fraction of the balancer's result that one unit costs.
+/// The prices of resources. A price is the cost of one unit, as a fraction of the balancer's result, which is the value
+/// of the requests that it answers.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
     /// The price of attempts that cross zones, per first attempt.
--- a/src/policy/priority_level.rs
+++ b/src/policy/priority_level.rs
@@ -11,7 +11,8 @@
 const OVER_SHARE_LEVEL: usize = 0;
 
 impl Balancer {
-    /// Sets priority levels and their thresholds, for the classes of the settings and of pending requests.
+    /// Sets the priority level of each class and the thresholds of the levels. Includes removed classes that pending
+    /// requests still refer to.
     pub(super) fn set_levels(&mut self) {
         let priority_weights = self.priority_weights_in_use();
         let reserved_levels = usize::from(!self.settings.tenants.is_empty());
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -66,8 +66,8 @@
         self.queued.next_deadline = deadlines.min().unwrap_or(NO_QUEUE_DEADLINE);
     }
 
-    /// Sends the requests of one level in order. Breaks at the first request without an earlier attempt that no
-    /// endpoint takes, because no endpoint takes the requests behind it or of lower levels either.
+    /// Sends the requests of one level in order. Stops with `Break` at a request that no endpoint takes and that has no
+    /// earlier attempt. No endpoint takes the requests behind it or of lower levels either.
     fn send_queued_level(
         &mut self,
         now: Timestamp,
@@ -76,7 +76,7 @@
     ) -> ControlFlow<()> {
         let mut position = 0;
         while let Some(id) = self.queued.levels[level].get(position).cloned() {
-            // A request that waits for its key must not delay those behind it.
+            // A request that waits for its turn in key order must not delay those behind it.
             let waits_for_key =
                 |p: &PendingRequest| !p.is_answered && !self.key_order.allows(now, p);
             if self.requests.get(&id).is_some_and(waits_for_key) {
--- a/src/policy/send.rs
+++ b/src/policy/send.rs
@@ -45,8 +45,7 @@
     }
 
     /// Returns the timeout of an attempt; `None` if late answers have value. Otherwise the attempt times out when its
-    /// answer loses its value. Some servers drop queued work that is cancelled, and other requests are then not delayed
-    /// by it.
+    /// answer loses its value. Some servers then drop the queued work, which no longer delays other requests.
     fn attempt_timeout(&self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
         let class = &self.settings.classes[pending.request.class.0];
         (class.late_value == 0.0).then_some(pending.useful_until.since(now))
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -17,16 +17,16 @@
     OnRequest,
 }
 
-/// The meaning of an endpoint's size in a list.
+/// The source of the endpoint weights in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
-    /// The size has no meaning and is always 1.
+    /// No source: every weight is 1.
     None,
     /// The registered capacity.
     Nominal,
     /// Approximately the registered capacity.
     Rough,
-    /// The capacity divided by 1 + the requests in flight per core, measured some time ago.
+    /// The capacity divided by 1 + the requests in flight per core, as measured some time ago.
     Live,
 }
 
@@ -55,7 +55,7 @@
 pub struct Settings {
     /// The number of balancers in this tier.
     pub balancers: u32,
-    /// The number of this balancer among them.
+    /// The number of this balancer within the tier.
     pub peer_id: PeerId,
     /// The zone of this balancer.
     pub zone: ZoneId,
@@ -65,7 +65,8 @@
     pub tier: usize,
     /// The number of tiers.
     pub tiers: usize,
-    /// Whether requests from the previous tier carry the time left instead of the class's whole deadline.
+    /// Whether requests from the previous tier carry the time left until the deadline. Otherwise they carry the whole
+    /// deadline of their class.
     pub propagates_deadline: bool,
     /// Whether endpoints do less work for keys that they have seen recently.
     pub endpoints_cache_by_key: bool,
@@ -83,7 +84,7 @@
     pub prices: Prices,
     /// How endpoint lists are received.
     pub discovery: DiscoveryMode,
-    /// The meaning of an endpoint's size in a list.
+    /// The source of the endpoint weights in a list.
     pub weight_source: WeightSource,
     /// The answers that carry load reports.
     pub reporting: Reporting,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: the fraction of its fair share of requests that an endpoint is sent while it is warming up.
 //!
 //! The slow start clock counts the balancer's own sends. On average, one of `subset size / fraction` sends goes to the
-//! warming endpoint, at a random time. Any number of balancers with any request rates thus send it its fraction
-//! together. A request that no healthy endpoint can take is counted before it is sent; otherwise the clock would not
-//! advance.
+//! warming endpoint, at random. The endpoint thus gets its fraction from all balancers together, whatever their number
+//! and their request rates are. A request that no healthy endpoint can take is counted before it is sent; otherwise the
+//! clock would not advance.
 
 use super::balancer::Balancer;
 use super::endpoint::EndpointIndex;
