--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -53,9 +53,9 @@
     pub(super) queue_length: f64,
     /// The mean slowdown: answer times as a multiple of the unloaded answer time.
     pub(super) slowdown: f64,
-    /// The number of gapping priority levels, from the lowest.
+    /// The number of priority levels, from the lowest, for which it is gapping or discarding.
     pub(super) gapping_levels: usize,
-    /// The number of discarding priority levels, from the lowest.
+    /// The number of priority levels, from the lowest, for which it is discarding.
     pub(super) discarding_levels: usize,
     /// When the overload state expires.
     pub(super) state_expires_at: Timestamp,
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -35,7 +35,9 @@
 /// The numbers of priority levels that an endpoint throttles, counted from the lowest level.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ThrottledLevels {
+    /// The number of levels for which it is gapping or discarding.
     pub(super) gapping: usize,
+    /// The number of levels for which it is discarding.
     pub(super) discarding: usize,
 }
 
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -110,6 +110,7 @@
         criteria.level >= self.throttled_levels(criteria.now, index).gapping
     }
 
+    /// Returns whether an endpoint is healthy and does not throttle the request's level.
     fn is_eligible(
         &self,
         criteria: &PickCriteria<'_>,
--- a/src/policy/suspension.rs
+++ b/src/policy/suspension.rs
@@ -23,8 +23,8 @@
 
 /// The time after the list was last current for which a new connection still proves that the listed process runs.
 const RECENT_LIST_AGE: Duration = Duration::from_secs(2);
-/// The time before the latest time at which a change must be in force from which on the list counts as overdue.
-/// Attempts that are sent within this margin may be delayed.
+/// The time from when a list counts as overdue until a change would have to be in force. Attempts that are sent within
+/// this margin may be delayed.
 const OVERDUE_MARGIN: Duration = Duration::from_millis(500);
 
 /// The highest number of endpoints that a log line names.
@@ -32,8 +32,8 @@
 
 impl Balancer {
     /// Returns whether a connection that is accepted now proves that the listed process still runs. It does while the
-    /// list is current or was so until recently, and while discovery is unreachable. Any change to the contrary will be
-    /// in force before the list is overdue.
+    /// list is current or was so until recently, and while discovery is unreachable. A change that replaces the process
+    /// will be in force before the list is overdue.
     #[must_use]
     pub fn new_connection_proves_listed_process(&self, now: Timestamp) -> bool {
         let schedule = &self.discovery_schedule;
