--- a/tests/policy/answer_time.rs
+++ b/tests/policy/answer_time.rs
@@ -26,8 +26,8 @@
     (id, actions)
 }
 
-/// Guards requests against estimates inflated by a few hints close to zero, which would have them rejected for lack of
-/// time.
+/// Guards against rejections for lack of time after a few cost hints close to zero. Such hints must not inflate the
+/// estimates of answer times.
 #[test]
 fn tiny_cost_hints_do_not_inflate_the_estimate() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
--- a/tests/policy/discovery_calls.rs
+++ b/tests/policy/discovery_calls.rs
@@ -217,8 +217,8 @@
     }
 }
 
-/// Guards an overloaded discovery service against frequent retries, since a rejection costs it as much as an answer.
-/// The delays grow after rejections regardless of the list's age. When they shrank with that age, 300 sidecars kept
+/// Guards an overloaded discovery service against frequent retries. A rejection costs it as much as an answer. The
+/// delays grow after rejections regardless of the list's age. When they shrank with that age, 300 sidecars kept
 /// discovery from serving any of them.
 #[test]
 fn retry_delays_do_not_shrink_with_list_age() {
@@ -238,7 +238,7 @@
 }
 
 /// Guards the change propagation deadline of a watch that was silent before it was lost. Most of that time has passed
-/// by then, so the watch is reopened without the additional delay after a slow catch-up.
+/// by then. The watch is therefore reopened without the additional delay after a slow catch-up.
 #[test]
 fn silent_watch_is_reopened_soon_after_slow_catch_up() {
     for seed in 0..50 {
--- a/tests/policy/in_flight.rs
+++ b/tests/policy/in_flight.rs
@@ -3,7 +3,7 @@
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Guards endpoints against a growing load from timeouts. Most servers continue with a timed out request. If its
+/// Guards endpoints against a growing load from timeouts. Most servers continue with a timed-out request. If its
 /// attempt stopped counting at once, further requests would be sent in addition.
 #[test]
 fn timed_out_attempts_count_until_the_deadline() {
@@ -97,13 +97,12 @@
             "{together} on 20 endpoints from {balancers} balancers"
         );
     }
-    // With 60 balancers none may send beyond its subset, since two requests at each of three members already exceed its
-    // share.
+    // Of 60 balancers, none may send beyond its subset. Two requests at each of three members already exceed its share.
     assert_eq!(count_sent_to_unresponsive_tier(60, 20, 10), 6);
 }
 
-/// Guards the limit with few requests at each endpoint. Each of 100 endpoints has at most one request of this balancer,
-/// so only the mean over the tier shows the slowdown.
+/// Guards the limit with few requests at each endpoint. Each of 100 endpoints has at most one request of this balancer.
+/// Only the mean over the tier shows the slowdown.
 #[test]
 fn slower_answers_reduce_requests_in_flight() {
     let (after_fast_answers, after_slow_answers) = (
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -37,7 +37,7 @@
     ]
 }
 
-/// Generates one of six names, so that events often refer to the same request, endpoint or key.
+/// Generates one of six names. Several events then refer to the same request, endpoint or key.
 fn any_name(prefix: &'static str) -> impl Strategy<Value = String> {
     (0..6u8).prop_map(move |number| format!("{prefix}{number}"))
 }
--- a/tests/policy/key_order.rs
+++ b/tests/policy/key_order.rs
@@ -54,7 +54,7 @@
 }
 
 /// Guards the key order after an attempt whose end does not prove that the endpoint has stopped processing it. The next
-/// request of the key waits for the cooldown, since both could otherwise run at the same time.
+/// request of the key waits for the cooldown. Both could otherwise run at the same time.
 #[test]
 fn key_cools_down_after_attempt_that_may_still_run() {
     for (outcome, cools_down) in [
@@ -122,7 +122,7 @@
     );
 }
 
-/// Guards the key order when a client disconnects: its attempt may still run, so it delays the key until it ends.
+/// Guards the key order when a client disconnects. The attempt may still run, and it delays its key until it ends.
 #[test]
 fn attempt_in_flight_delays_its_key_after_disconnect() {
     let mut host = host_with_key_order();
@@ -137,7 +137,7 @@
         [],
         "sent while the attempt of the first request is in flight"
     );
-    // The second request is skipped, since its client disconnects while it is queued.
+    // The second request is skipped because its client disconnects while it is queued.
     host.handle(Event::ClientDisconnected { request: second });
     host.now = host.now + ms(20);
     assert_eq!(
--- a/tests/policy/operators.rs
+++ b/tests/policy/operators.rs
@@ -114,7 +114,7 @@
 }
 
 /// Guards the slow start of an enabled endpoint: it is warming up even if its start time in the list is old. Its first
-/// request is sent soon, since operators check that the endpoint is in use.
+/// request is sent soon, because operators then check that the endpoint is in use.
 #[test]
 fn enabled_endpoint_is_used_during_its_warm_up() {
     let mut host = Host::new(default_settings(), endpoint_entries(4));
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -113,8 +113,8 @@
 }
 
 /// Guards unsafe requests when some endpoints lose only requests of this class. After a loss, unsafe requests are sent
-/// to an endpoint that served one recently, so fewer are lost than one at each faulty endpoint. Other classes are still
-/// sent to all endpoints.
+/// to an endpoint that served one recently. Fewer are then lost than one at each faulty endpoint. Other classes are
+/// still sent to all endpoints.
 #[test]
 fn unsafe_requests_prefer_recent_successes() {
     let mut host = Host::new(default_settings(), endpoint_entries(8));
--- a/tests/policy/random_sequences.rs
+++ b/tests/policy/random_sequences.rs
@@ -20,7 +20,7 @@
 const KEY_ORDERED_CLASSES: [usize; 3] = [1, 3, 4];
 
 /// Returns settings with key order, a key cooldown and a limit on idle connections. The seed varies the price of
-/// crossings between zones, and the discovery mode.
+/// attempts across zones, and the discovery mode.
 fn sequence_settings(seed: u64, parallel_attempts: bool) -> Settings {
     let mut settings = default_settings();
     settings.limits.parallel_attempts = parallel_attempts;
@@ -49,7 +49,7 @@
     for (id, record) in &model.requests {
         assert!(record.is_answered, "rule 1: {id:?} was never answered");
     }
-    // All tables are empty, so every entry was removed exactly once, however its request or attempt ended.
+    // If all tables are empty, every entry was removed exactly once, however its request or attempt ended.
     model.handle(Event::Timer { token: 0 });
     let BalancerStatus {
         pending,
--- a/tests/policy/request_queue.rs
+++ b/tests/policy/request_queue.rs
@@ -3,7 +3,7 @@
 use crate::host::*;
 use balancer_sidecar::policy::*;
 
-/// Guards queued requests at a host whose clock has a coarser resolution, so that its timers expire slightly early.
+/// Guards queued requests at a host whose clock has a coarser resolution. Its timers expire slightly early.
 #[test]
 fn early_timers_leave_no_queued_request_unanswered() {
     let mut host = Host::new(default_settings(), Vec::new());
--- a/tests/policy/sequence_model.rs
+++ b/tests/policy/sequence_model.rs
@@ -239,7 +239,7 @@
         self.check_in_flight_count();
     }
 
-    /// Checks the balancer's count of attempts in flight. It includes attempts that have not ended, and timed out
+    /// Checks the balancer's count of attempts in flight. It includes attempts that have not ended, and timed-out
     /// attempts until the deadline of their request. An attempt that times out at or after that deadline may be counted
     /// until the next event.
     fn check_in_flight_count(&self) {
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -70,7 +70,7 @@
 }
 
 /// Guards a balancer whose preferred endpoints are warming up. Half of the tier has just started and may be sent only
-/// few requests, so the subset must include warm endpoints.
+/// few requests. The subset must therefore include warm endpoints.
 #[test]
 fn subset_includes_warm_endpoints() {
     let mut entries = endpoint_entries(12);
--- a/tests/policy/slow_start_fleet/mod.rs
+++ b/tests/policy/slow_start_fleet/mod.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// Guards an endpoint that operators enable, since every balancer may then send to it at once.
+/// Guards an endpoint that operators enable. Every balancer may then send to it at once.
 #[test]
 fn load_is_bounded_after_enabling() {
     for seed in 1..=3 {
--- a/tests/policy/suspension.rs
+++ b/tests/policy/suspension.rs
@@ -4,7 +4,7 @@
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
-/// Longer than the time for which an ended process counts although the list does not show it.
+/// A time after which the end of a process no longer counts if the list does not show it.
 const PAST_END_LIFETIME: Duration = Duration::from_secs(60);
 
 fn process_ended(endpoint: &str) -> Event {
@@ -73,8 +73,8 @@
     assert!(!is_used(&mut host, "e1"));
 }
 
-/// Guards endpoints that reset a connection long before the watch was lost. The list was current since then, and would
-/// have shown an end.
+/// Guards endpoints that reset a connection long before the watch was lost. The list stayed current after that, and
+/// would have shown the end of a process.
 #[test]
 fn old_end_is_ignored_once_the_watch_is_lost() {
     let mut host = confirmed_host();
@@ -161,7 +161,7 @@
 }
 
 /// Guards the drain of endpoints whose processes are replaced while the watch is lost. If discovery was reached, the
-/// list becomes overdue shortly before a change since the loss of the watch has to be in force.
+/// list becomes overdue shortly before a change that follows the loss of the watch has to be in force.
 #[test]
 fn list_is_overdue_at_the_change_deadline() {
     for event in [Event::DiscoveryRejected, Event::DiscoverySlow] {
--- a/tests/policy/warming_tier.rs
+++ b/tests/policy/warming_tier.rs
@@ -34,7 +34,7 @@
             attempt += 1;
             targets.push(endpoint);
         }
-        // Removes the request if it is queued, since queued requests would affect the next ones.
+        // Removes the request if it is queued. Queued requests would affect the next ones.
         host.handle(Event::ClientDisconnected { request: id });
     }
     targets
