--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -63,7 +63,7 @@
         is_sent_at_once(&mut host, 0),
         "throttled although all queues are empty"
     );
-    // A reported queue throttles the lowest priority, and so does a rejected or timed out health check.
+    // A reported queue throttles the lowest priority, and so does a rejected or timed-out health check.
     for (outcome, queue_length) in [
         (Outcome::Served, Some(2.0)),
         (Outcome::Rejected, None),
