--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -180,7 +180,7 @@
     fn call(&self) {
         let mut sidecar = self.borrow();
         sidecar.fleet.counters.count_call();
-        if sidecar.pending_calls.unanswered_count() >= sidecar.settings.limits.max_open {
+        if sidecar.pending_calls.unanswered_count() >= sidecar.settings.limits.max_open_requests {
             return sidecar.fleet.counters.count_unserved(1);
         }
         let request = sidecar.new_request();
@@ -207,7 +207,7 @@
             request: request.clone(),
             attempt,
             outcome: result.outcome,
-            took: sidecar.clock.now().since(ended.sent),
+            elapsed: sidecar.clock.now().since(ended.sent),
             request_ended: ended.call_is_answered,
             report: result.report,
         });
@@ -220,7 +220,7 @@
     fn health_check_ended(
         &self,
         health_check: &HealthCheck,
-        took: Duration,
+        elapsed: Duration,
         result: AttemptResult,
     ) {
         if self.borrow().started_at(&health_check.endpoint) != Some(health_check.started_at) {
@@ -229,7 +229,7 @@
         self.handle_event(Event::HealthCheckEnded {
             endpoint: health_check.endpoint.clone(),
             outcome: result.outcome,
-            took,
+            elapsed,
             report: result.report,
         });
     }
--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -8,7 +8,7 @@
 };
 use crate::policy::{
     Class, DiscoveryMode, Idempotency, KeyScope, Limits, PeerId, Prices, Reporting, Rules,
-    Settings, SizeMeaning, Tenant, ValueBasis,
+    Settings, Tenant, ValueBasis, WeightSource,
 };
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
             tier: document.tier,
             tiers: document.tiers.len(),
             propagates_deadline: document.service.propagates_deadline,
-            warm_keys: document.service.warm_keys,
+            endpoints_cache_by_key: document.service.warm_keys,
             classes: classes.collect::<Result<_, _>>()?,
             tenants: tenants.collect(),
             over_share_value: document.over_share_value,
@@ -34,10 +34,10 @@
             rules: document.rules.into(),
             prices: document.prices.into(),
             discovery: document.discovery.into(),
-            sizes: document.size_meaning.unwrap_or_default().into(),
+            weight_source: document.size_meaning.unwrap_or_default().into(),
             reporting: document.reporting.mode.into(),
             value_basis: document.value_basis.unwrap_or_default().into(),
-            marks_retry: document.clients.marks_retry,
+            clients_mark_retries: document.clients.marks_retry,
             tick: Duration::from_nanos(document.tick_ns),
         })
     }
@@ -103,12 +103,12 @@
         Limits {
             cancel: document.cancel,
             health_checks: document.health_checks,
-            peers: document.peers,
+            peer_messages: document.peers,
             parallel_attempts: document.parallel_attempts,
             retry_after: document.retry_after,
             max_retry_after: Duration::from_nanos(document.max_retry_after_ns),
             max_attempts: document.max_attempts,
-            max_open: document.max_open,
+            max_open_requests: document.max_open,
             streams_per_connection: document.streams_per_connection,
             idle_timeout: Duration::from_nanos(document.idle_timeout_ns),
             connect_timeout: Duration::from_nanos(document.connect_timeout_ns),
@@ -156,13 +156,13 @@
     }
 }
 
-impl From<SizeMeaningDocument> for SizeMeaning {
+impl From<SizeMeaningDocument> for WeightSource {
     fn from(document: SizeMeaningDocument) -> Self {
         match document {
-            SizeMeaningDocument::None => SizeMeaning::None,
-            SizeMeaningDocument::Nominal => SizeMeaning::Nominal,
-            SizeMeaningDocument::Rough => SizeMeaning::Rough,
-            SizeMeaningDocument::Live => SizeMeaning::Live,
+            SizeMeaningDocument::None => WeightSource::None,
+            SizeMeaningDocument::Nominal => WeightSource::Nominal,
+            SizeMeaningDocument::Rough => WeightSource::Rough,
+            SizeMeaningDocument::Live => WeightSource::Live,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,10 +26,10 @@
 //! let entries = vec![EndpointEntry {
 //!     endpoint: "box-1".into(),
 //!     zone: "here".into(),
-//!     kind: "box".into(),
+//!     machine_type: "box".into(),
 //!     group: GroupId(0),
 //!     readiness: Readiness::Serving,
-//!     size: 1.0,
+//!     weight: 1.0,
 //!     started_at: None,
 //! }];
 //! let list = Event::EndpointList { version: 1, kind: ListKind::Cached, entries: entries.into() };
--- a/src/policy/answer_time.rs
+++ b/src/policy/answer_time.rs
@@ -7,19 +7,19 @@
 use super::time::duration_from_seconds;
 use std::time::Duration;
 
-/// The least number of samples from which a mean or a rate is used.
+/// The least number of samples for the use of a mean or a rate.
 pub(super) const MIN_SAMPLES: u32 = 12;
-/// The slowdown at ordinary load.
+/// The slowdown at ordinary load. A slowdown is an answer time as a multiple of the unloaded answer time.
 pub(super) const ORDINARY_SLOWDOWN: f64 = 1.3;
 /// The weight of one answer in a class's answer time estimate.
 const ESTIMATE_WEIGHT: f64 = 0.05;
 /// The weight of one answer in the mean whose minimum is the unloaded time. With a higher weight, the mean would cover
 /// few answers and its minimum would be too low.
-const UNLOADED_WEIGHT: f64 = 0.02;
+const UNLOADED_TIME_WEIGHT: f64 = 0.02;
 /// The weight of one answer in an endpoint's mean slowdown.
-const ENDPOINT_WEIGHT: f64 = 0.3;
+const ENDPOINT_SLOWDOWN_WEIGHT: f64 = 0.3;
 /// The weight of one answer in the tier's mean slowdown.
-const TIER_WEIGHT: f64 = 0.1;
+const TIER_SLOWDOWN_WEIGHT: f64 = 0.1;
 /// The lowest cost of a request relative to the mean of its class, regardless of its hint.
 const MIN_RELATIVE_COST: f64 = 0.5;
 
@@ -43,7 +43,8 @@
         (1.0 + class.hints.slope() * deviation / class.hints.mean_time).max(MIN_RELATIVE_COST)
     }
 
-    /// Returns the shortest unloaded answer time of all classes, in seconds.
+    /// Returns the shortest unloaded answer time of all classes, in seconds. Before any is known, returns the shortest
+    /// initial estimate.
     pub(super) fn unloaded_time(&self) -> f64 {
         let measured = self
             .classes
@@ -66,14 +67,14 @@
         request: &Request,
         ended: &AttemptEnd,
     ) {
-        let answer_time = ended.took.as_secs_f64();
+        let answer_time = ended.elapsed.as_secs_f64();
         let time_at_mean_cost = answer_time / self.relative_cost(request);
         let hint = request.cost_hint.unwrap_or_default().as_secs_f64();
         let class = &mut self.classes[request.class.0];
         class.answers = class.answers.saturating_add(1);
         let equal_weight = 1.0 / f64::from(class.answers);
         let estimate_weight = ESTIMATE_WEIGHT.max(equal_weight);
-        let unloaded_weight = UNLOADED_WEIGHT.max(equal_weight);
+        let unloaded_weight = UNLOADED_TIME_WEIGHT.max(equal_weight);
         class
             .hints
             .add(hint, answer_time, estimate_weight, unloaded_weight);
@@ -89,8 +90,8 @@
             class.unloaded_time.min(class.long_term_mean_time)
         };
         let slowdown = time_at_mean_cost / class.unloaded_time;
-        self.mean_slowdown += (slowdown - self.mean_slowdown) * TIER_WEIGHT;
+        self.mean_slowdown += (slowdown - self.mean_slowdown) * TIER_SLOWDOWN_WEIGHT;
         let endpoint = &mut self.endpoints[index];
-        endpoint.slowdown += (slowdown - endpoint.slowdown) * ENDPOINT_WEIGHT;
+        endpoint.slowdown += (slowdown - endpoint.slowdown) * ENDPOINT_SLOWDOWN_WEIGHT;
     }
 }
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -56,6 +56,7 @@
         }
     }
 
+    /// Retries a request whose attempts have all ended, or gives its final answer.
     fn retry_or_answer(
         &mut self,
         now: Timestamp,
@@ -85,9 +86,9 @@
         let expected_time = self.expected_time(request);
         let min_counted_timeout = expected_time.mul_f64(MIN_COUNTED_TIMEOUT_MULTIPLE);
         match ended.outcome {
-            Outcome::TimedOut if ended.took < min_counted_timeout => return,
+            Outcome::TimedOut if ended.elapsed < min_counted_timeout => return,
             Outcome::Cancelled | Outcome::NotSent => return,
-            _ => self.count_failure(now, index, request, ended),
+            _ => self.update_failure_rate(now, index, request, ended),
         }
         if ended.outcome == Outcome::Error {
             return; // errors come quickly and may come from the next tier; they say nothing about the queue
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Returns the queue length that an outcome implies. Rejections and timeouts imply a queue; a failed or broken
-    /// connection or a malformed answer does not.
+    /// Returns the queue length that an outcome implies. Rejections and timeouts imply a queue. Other outcomes, such as
+    /// a failed connection, a broken connection or a malformed answer, do not.
     pub(super) fn implied_queue_length(&self, outcome: Outcome) -> Option<f64> {
         let implies_queue = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
         implies_queue.then_some(self.thresholds.highest_onset())
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -8,7 +8,7 @@
 /// An endpoint's index in the balancer's [table](super::endpoint_table::EndpointTable).
 pub(super) type EndpointIndex = usize;
 
-/// Whether requests to an endpoint cross zones at a considerable price.
+/// The locality of an endpoint, as seen from the balancer's zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Locality {
     /// It is in the balancer's zone, or requests across zones cost little.
@@ -23,11 +23,13 @@
     pub(super) id: EndpointId,
     pub(super) zone: ZoneId,
     pub(super) group: GroupId,
-    pub(super) size: f64,
+    /// Its weight in the list, or 1 if that is not above 0.
+    pub(super) weight: f64,
     /// It takes work: the list shows it as serving, and it is neither disabled nor suspended.
     pub(super) is_available: bool,
     /// The list shows it as serving.
     pub(super) is_serving: bool,
+    /// The list shows it as draining, or last showed it as draining before it was removed.
     pub(super) is_draining: bool,
     /// The list names it.
     pub(super) is_listed: bool,
@@ -41,7 +43,7 @@
     /// When the operators last enabled it. It may have restarted while it was disabled, which the list shows only
     /// later.
     pub(super) enabled_at: Option<Timestamp>,
-    /// It was enabled and has been sent nothing since. A request is sent as soon as it can take one.
+    /// It was enabled and has been sent nothing since. The next request that it can take is sent to it.
     pub(super) awaits_first_send: bool,
     pub(super) in_subset: bool,
     pub(super) locality: Locality,
@@ -51,16 +53,16 @@
     pub(super) queue_length: f64,
     /// The mean slowdown: answer times as a multiple of the unloaded answer time.
     pub(super) slowdown: f64,
-    /// The number of gapping priority levels, from the lowest.
+    /// The number of priority levels, from the lowest, for which it is gapping or discarding.
     pub(super) gapping_levels: usize,
-    /// The number of discarding priority levels, from the lowest.
+    /// The number of priority levels, from the lowest, for which it is discarding.
     pub(super) discarding_levels: usize,
     /// When the overload state expires.
-    pub(super) state_expires: Timestamp,
+    pub(super) state_expires_at: Timestamp,
     pub(super) last_send: Timestamp,
     /// When the gap after the last send ends.
     pub(super) gap_ends_at: Timestamp,
-    /// The value of the slow start clock from which on it may be sent its next request while it is warming up.
+    /// The value of the slow start clock at which it may be sent its next request while it is warming up.
     pub(super) slow_start_slot: f64,
     /// The earliest time of the next health check.
     pub(super) next_health_check: Timestamp,
@@ -77,7 +79,7 @@
             id: entry.endpoint.clone(),
             zone: entry.zone.clone(),
             group: entry.group,
-            size: 1.0,
+            weight: 1.0,
             is_available: false,
             is_serving: false,
             is_draining: false,
@@ -95,7 +97,7 @@
             slowdown: 1.0,
             gapping_levels: 0,
             discarding_levels: 0,
-            state_expires: Timestamp::default(),
+            state_expires_at: Timestamp::default(),
             last_send: Timestamp::default(),
             gap_ends_at: Timestamp::default(),
             slow_start_slot: f64::INFINITY,
@@ -108,7 +110,11 @@
     /// Applies an entry of an endpoint list. The availability of the endpoint has to be updated afterwards.
     pub(super) fn apply_entry(&mut self, entry: &EndpointEntry) {
         self.is_listed = entry.readiness != Readiness::Removed;
-        self.size = if entry.size > 0.0 { entry.size } else { 1.0 };
+        self.weight = if entry.weight > 0.0 {
+            entry.weight
+        } else {
+            1.0
+        };
         self.is_serving = entry.readiness == Readiness::Serving;
         // A draining endpoint that was removed from the list still finishes its work.
         let was_draining = self.is_draining || entry.readiness == Readiness::Draining;
--- a/src/policy/endpoint_table_tests.rs
+++ b/src/policy/endpoint_table_tests.rs
@@ -7,10 +7,10 @@
     EndpointEntry {
         endpoint: name.into(),
         zone: "a".into(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         group: GroupId(0),
         readiness,
-        size: 1.0,
+        weight: 1.0,
         started_at: None,
     }
 }
@@ -96,7 +96,7 @@
         request: "r".into(),
         attempt: 0,
         outcome: Outcome::Cancelled,
-        took: Duration::from_secs(1),
+        elapsed: Duration::from_secs(1),
         request_ended: true,
         report: None,
     };
--- a/src/policy/event_handler.rs
+++ b/src/policy/event_handler.rs
@@ -24,14 +24,14 @@
             }
             Event::DiscoveryFailed => self.discovery_failed(now),
             Event::DiscoveryRejected => self.discovery_rejected(now),
-            Event::DiscoveryLate => self.discovery_reached(now),
+            Event::DiscoverySlow => self.discovery_reached(now),
             Event::ListConfirmed => self.list_confirmed(now, actions),
             Event::ListUnconfirmed { since } => {
                 self.discovery_schedule.last_received_at = Some(since);
                 self.list_unconfirmed(now, since, actions);
             }
             Event::ProcessEnded { endpoint } => self.process_ended(now, &endpoint, actions),
-            Event::OnlyKnownProcesses { endpoints } => {
+            Event::KnownProcessesReported { endpoints } => {
                 self.suspend_unknown_processes(now, &endpoints, actions);
             }
             Event::EndpointDisabled(endpoint) => self.disable(now, endpoint, actions),
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -10,17 +10,17 @@
     /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) is permitted.
     pub health_checks: bool,
     /// Whether [`Action::SendPeerMessage`](super::Action::SendPeerMessage) is permitted.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Whether a request may have two attempts in flight.
     pub parallel_attempts: bool,
     /// Whether clients are sent the Retry-After value of [`Action::Reject`](super::Action::Reject).
     pub retry_after: bool,
-    /// The longest Retry-After value that clients honour.
+    /// The longest Retry-After value that clients obey, which is also the one that they are sent.
     pub max_retry_after: Duration,
     /// The highest number of attempts of a request.
     pub max_attempts: usize,
-    /// The highest number of requests that a host may have open.
-    pub max_open: u64,
+    /// The highest number of unanswered requests at a host.
+    pub max_open_requests: u64,
     /// The highest number of concurrent attempts on one connection.
     pub streams_per_connection: u64,
     /// The time after which idle connections close.
@@ -36,12 +36,12 @@
         Limits {
             cancel: true,
             health_checks: false,
-            peers: false,
+            peer_messages: false,
             parallel_attempts: false,
             retry_after: true,
             max_retry_after: Duration::from_secs(1),
             max_attempts: 3,
-            max_open: 10_000,
+            max_open_requests: 10_000,
             streams_per_connection: 1,
             idle_timeout: Duration::from_secs(10),
             connect_timeout: Duration::from_millis(250),
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -13,12 +13,12 @@
 const FAILURE_MARGIN: f64 = 0.2;
 /// The time constant with which failure rates decay. After about this time, an outlier is tried again.
 const FAILURE_TIME_CONSTANT: Duration = Duration::from_secs(20);
-/// The number of assumed endpoints without failures that are included in the mean.
+/// The number of endpoints without failures that are added to the subset for the calculation of its mean failure rate.
 const ASSUMED_HEALTHY_ENDPOINTS: usize = 2;
 /// The weight of one attempt in an endpoint's failure rate.
 const FAILURE_WEIGHT: f64 = 0.3;
 /// The highest number of endpoints that are preferred for unsafe requests.
-const MAX_PREFERRED: usize = 2;
+const MAX_PREFERRED_ENDPOINTS: usize = 2;
 /// The time for which an endpoint is preferred after it served an unsafe request.
 const UNSAFE_SUCCESS_LIFETIME: Duration = Duration::from_secs(5);
 
@@ -112,7 +112,7 @@
         if !preferred.is_empty() {
             *candidates = preferred
                 .into_iter()
-                .take(MAX_PREFERRED)
+                .take(MAX_PREFERRED_ENDPOINTS)
                 .map(|(_, index)| index)
                 .collect();
         }
@@ -126,8 +126,9 @@
         2 * clear > self.endpoint_sets.subset.len()
     }
 
-    /// Updates an endpoint's failure rate after the end of an attempt. Rejections do not count.
-    pub(super) fn count_failure(
+    /// Updates an endpoint's failure rate after the end of an attempt, and records whether an unsafe request was served
+    /// or lost. Rejections do not count.
+    pub(super) fn update_failure_rate(
         &mut self,
         now: Timestamp,
         index: EndpointIndex,
--- a/src/policy/overload_state.rs
+++ b/src/policy/overload_state.rs
@@ -35,7 +35,9 @@
 /// The numbers of priority levels that an endpoint throttles, counted from the lowest level.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ThrottledLevels {
+    /// The number of levels for which it is gapping or discarding.
     pub(super) gapping: usize,
+    /// The number of levels for which it is discarding.
     pub(super) discarding: usize,
 }
 
@@ -77,7 +79,7 @@
         endpoint.queue_length = queue_length;
         endpoint.gapping_levels = reached.onset.max(previous.gapping.min(reached.abatement));
         endpoint.discarding_levels = reached.discard.max(previous.discarding.min(reached.onset));
-        endpoint.state_expires = now + duration_from_seconds(lifetime);
+        endpoint.state_expires_at = now + duration_from_seconds(lifetime);
         if endpoint.gapping_levels > 0 {
             endpoint.gap_ends_at = endpoint.last_send + gap;
         }
@@ -121,7 +123,7 @@
     /// Returns the estimated queue length at an endpoint, including this balancer's attempts in flight.
     pub(super) fn estimated_queue_length(&self, now: Timestamp, index: EndpointIndex) -> f64 {
         let endpoint = &self.endpoints[index];
-        let queue_length = if now < endpoint.state_expires {
+        let queue_length = if now < endpoint.state_expires_at {
             endpoint.queue_length
         } else {
             self.mean_queue_lengths.of(endpoint.locality)
@@ -132,7 +134,7 @@
     /// Returns the levels that the present overload state throttles; none once it has expired.
     fn current_levels(&self, now: Timestamp, index: EndpointIndex) -> ThrottledLevels {
         let endpoint = &self.endpoints[index];
-        if now >= endpoint.state_expires {
+        if now >= endpoint.state_expires_at {
             return ThrottledLevels::default();
         }
         ThrottledLevels {
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -11,14 +11,14 @@
     pub(super) request: Request,
     /// Its priority level.
     pub(super) level: usize,
-    /// An answer after this has no value.
+    /// The time after which an answer has no value.
     pub(super) useful_until: Timestamp,
-    /// It gets its final answer if it is still queued by then.
+    /// The time at which it gets its final answer if it is still queued.
     pub(super) queue_deadline: Timestamp,
     pub(super) attempts: Vec<Attempt>,
     pub(super) is_answered: bool,
     /// A part of its body was forwarded and not retained. It cannot be sent again.
-    pub(super) body_is_consumed: bool,
+    pub(super) is_body_consumed: bool,
     /// The slow start clock has already counted its next send.
     pub(super) has_advanced_slow_start: bool,
 }
@@ -38,7 +38,7 @@
             queue_deadline,
             attempts: Vec::new(),
             is_answered: false,
-            body_is_consumed: false,
+            is_body_consumed: false,
             has_advanced_slow_start: false,
         }
     }
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -55,8 +55,8 @@
     }
 
     /// Returns the endpoints that can take the request without waiting for the end of a gap. The candidates are subset
-    /// members, or else sampled local endpoints, or else remote endpoints, or else the endpoint with the lowest failure
-    /// rate.
+    /// members. If there are none, they are sampled local endpoints, then remote endpoints, then the endpoint with the
+    /// lowest failure rate.
     fn candidates(
         &mut self,
         criteria: &PickCriteria<'_>,
@@ -110,6 +110,7 @@
         criteria.level >= self.throttled_levels(criteria.now, index).gapping
     }
 
+    /// Returns whether an endpoint is healthy and does not throttle the request's level.
     fn is_eligible(
         &self,
         criteria: &PickCriteria<'_>,
@@ -141,7 +142,7 @@
     ) {
         let own_load = f64::from(self.in_flight.count()) / self.fair_share_of_tier();
         let load_with_slowdown = own_load * self.mean_slowdown / ORDINARY_SLOWDOWN;
-        // False if there is no endpoint, because the load is then NaN or infinite.
+        // Without endpoints the load is NaN or infinite, and this is false.
         let is_below_limit = load_with_slowdown < self.thresholds.highest_onset();
         if !is_below_limit {
             return;
@@ -238,11 +239,11 @@
             .reduce(|a, b| self.less_loaded(now, a, b))
     }
 
-    /// Returns the endpoint with fewer attempts in flight relative to its size. If both are equal, returns the one with
+    /// Returns the endpoint with fewer attempts in flight relative to its weight. If both are equal, returns the one with
     /// the shorter estimated wait.
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
         let load = |index: EndpointIndex| {
-            f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].size
+            f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].weight
         };
         let wait = |index: EndpointIndex| {
             (self.estimated_queue_length(now, index) + 1.0) * self.endpoints[index].slowdown
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The queue limit, as a fraction of the requests that arrive within the longest queue time.
-const QUEUE_FRACTION: f64 = 0.5;
+const QUEUE_LIMIT_FRACTION: f64 = 0.5;
 /// The lowest queue limit, which applies if few requests arrive.
 const MIN_QUEUE_LIMIT: f64 = 4.0;
 
@@ -23,7 +23,7 @@
         actions: &mut Vec<Action>,
     ) {
         let arrivals = self.arrival_rate.per_second(now) * max_queue_time.as_secs_f64();
-        let limit = (arrivals * QUEUE_FRACTION).max(MIN_QUEUE_LIMIT) as usize;
+        let limit = (arrivals * QUEUE_LIMIT_FRACTION).max(MIN_QUEUE_LIMIT) as usize;
         while self.queued.len() > limit {
             let Some(id) = self.queued.pop_lowest_priority() else {
                 break;
@@ -66,8 +66,8 @@
         self.queued.next_deadline = deadlines.min().unwrap_or(NO_QUEUE_DEADLINE);
     }
 
-    /// Sends the requests of one level in order. Breaks at the first request without an earlier attempt that no
-    /// endpoint takes, because no endpoint takes the requests behind it or of lower levels either.
+    /// Sends the requests of one level in order. Stops with `Break` at a request that no endpoint takes and that has no
+    /// earlier attempt. No endpoint takes the requests behind it or of lower levels either.
     fn send_queued_level(
         &mut self,
         now: Timestamp,
@@ -76,7 +76,7 @@
     ) -> ControlFlow<()> {
         let mut position = 0;
         while let Some(id) = self.queued.levels[level].get(position).cloned() {
-            // A request that waits for its key must not delay those behind it.
+            // A request that waits for its turn in key order must not delay those behind it.
             let waits_for_key =
                 |p: &PendingRequest| !p.is_answered && !self.key_order.allows(now, p);
             if self.requests.get(&id).is_some_and(waits_for_key) {
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -17,16 +17,16 @@
     OnRequest,
 }
 
-/// The meaning of an endpoint's size in a list.
+/// The source of the endpoint weights in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SizeMeaning {
-    /// The size has no meaning and is always 1.
+pub enum WeightSource {
+    /// No source: every weight is 1.
     None,
     /// The registered capacity.
     Nominal,
     /// Approximately the registered capacity.
     Rough,
-    /// The capacity divided by 1 + the requests in flight per core, measured some time ago.
+    /// The capacity divided by 1 + the requests in flight per core, as measured some time ago.
     Live,
 }
 
@@ -55,7 +55,7 @@
 pub struct Settings {
     /// The number of balancers in this tier.
     pub balancers: u32,
-    /// The number of this balancer among them.
+    /// The number of this balancer within the tier.
     pub peer_id: PeerId,
     /// The zone of this balancer.
     pub zone: ZoneId,
@@ -65,10 +65,11 @@
     pub tier: usize,
     /// The number of tiers.
     pub tiers: usize,
-    /// Whether requests from the previous tier carry the time left instead of the class's whole deadline.
+    /// Whether requests from the previous tier carry the time left until the deadline. Otherwise they carry the whole
+    /// deadline of their class.
     pub propagates_deadline: bool,
     /// Whether endpoints do less work for keys that they have seen recently.
-    pub warm_keys: bool,
+    pub endpoints_cache_by_key: bool,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
@@ -83,14 +84,14 @@
     pub prices: Prices,
     /// How endpoint lists are received.
     pub discovery: DiscoveryMode,
-    /// The meaning of an endpoint's size in a list.
-    pub sizes: SizeMeaning,
+    /// The source of the endpoint weights in a list.
+    pub weight_source: WeightSource,
     /// The answers that carry load reports.
     pub reporting: Reporting,
     /// The basis on which the value of requests is counted.
     pub value_basis: ValueBasis,
     /// Whether clients mark their retries.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// The least time between two batches of events.
     pub tick: Duration,
 }
@@ -108,7 +109,7 @@
             tier: 0,
             tiers: 1,
             propagates_deadline: true,
-            warm_keys: false,
+            endpoints_cache_by_key: false,
             classes,
             tenants: Vec::new(),
             over_share_value: 0.0,
@@ -116,10 +117,10 @@
             rules: Rules::default(),
             prices: Prices::default(),
             discovery: DiscoveryMode::Pushed,
-            sizes: SizeMeaning::None,
+            weight_source: WeightSource::None,
             reporting: Reporting::WithAnswers,
             value_basis: ValueBasis::Request,
-            marks_retry: false,
+            clients_mark_retries: false,
             tick: Duration::from_millis(1),
         }
     }
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -82,7 +82,7 @@
     fn known_process(&self, target: &Target) -> Option<KnownProcess> {
         let node = self.borrow();
         let now = node.clock.now();
-        let is_known = node.balancer.list_names_running_processes(now)
+        let is_known = node.balancer.new_connection_proves_listed_process(now)
             || node.connections.is_known_process(target);
         is_known.then(|| node.connections.add_known_process(target))
     }
@@ -95,7 +95,7 @@
     /// Gives the balancer all endpoints with known processes at once, which keeps it from trying the others one by one.
     fn unknown_process_reached(&self) {
         let endpoints = self.borrow().endpoints_with_known_process();
-        self.handle(Event::OnlyKnownProcesses { endpoints });
+        self.handle(Event::KnownProcessesReported { endpoints });
     }
 
     /// The response of the first served attempt is the request's final answer.
@@ -113,7 +113,7 @@
         self.borrow().requests.remove_if_finished(request);
     }
 
-    fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
+    fn health_check_ended(&self, target: &Target, elapsed: Duration, result: AttemptResult) {
         let AttemptResult {
             outcome, report, ..
         } = result;
@@ -126,7 +126,7 @@
         self.handle(Event::HealthCheckEnded {
             endpoint: target.endpoint.clone(),
             outcome,
-            took,
+            elapsed,
             report,
         });
     }
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -127,7 +127,7 @@
     Ok(EndpointEntry {
         endpoint: fields.text("endpoint")?.into(),
         zone: fields.text("zone")?.into(),
-        kind: fields.find("familyType").unwrap_or_default().into(),
+        machine_type: fields.find("familyType").unwrap_or_default().into(),
         group: GroupId(fields.number_or_zero("pack")?),
         readiness: match fields.text("readiness")? {
             "U" => Readiness::Serving,
@@ -135,7 +135,7 @@
             "D" => Readiness::Removed,
             other => return Err(fields.unknown_value_error("readiness", other, "is not known")),
         },
-        size: fields.require_parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
+        weight: fields.require_parsed("size", size, size.parse::<f64>().ok().filter(is_size))?,
         started_at: match fields.number_or_zero("upSinceNs")? {
             0 => None,
             nanos => Some(Timestamp::from_nanos(nanos)),
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -21,7 +21,7 @@
                 request: id.clone(),
                 attempt: 0,
                 outcome: Outcome::Served,
-                took: ms(10),
+                elapsed: ms(10),
                 request_ended: true,
                 report: None,
             }));
@@ -36,7 +36,7 @@
             host.handle(Event::HealthCheckEnded {
                 endpoint,
                 outcome,
-                took: ms(5),
+                elapsed: ms(5),
                 report,
             });
         }
@@ -63,7 +63,7 @@
         is_sent_at_once(&mut host, 0),
         "throttled although all queues are empty"
     );
-    // A reported queue throttles the lowest priority, and so does a rejected or timed out health check.
+    // A reported queue throttles the lowest priority, and so does a rejected or timed-out health check.
     for (outcome, queue_length) in [
         (Outcome::Served, Some(2.0)),
         (Outcome::Rejected, None),
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -44,7 +44,7 @@
         tier: 0,
         tiers: 1,
         propagates_deadline: true,
-        warm_keys: false,
+        endpoints_cache_by_key: false,
         classes: vec![
             class("safe", 1.0, Idempotency::Idempotent),
             class("unsafe", 3.0, Idempotency::Unsafe),
@@ -57,12 +57,12 @@
         limits: Limits {
             cancel: true,
             health_checks: false,
-            peers: false,
+            peer_messages: false,
             parallel_attempts: false,
             retry_after: true,
             max_retry_after: ms(2000),
             max_attempts: 3,
-            max_open: 10_000,
+            max_open_requests: 10_000,
             streams_per_connection: 1,
             idle_timeout: ms(5000),
             connect_timeout: ms(250),
@@ -80,10 +80,10 @@
         },
         prices: Prices::default(),
         discovery: DiscoveryMode::Pushed,
-        sizes: SizeMeaning::None,
+        weight_source: WeightSource::None,
         reporting: Reporting::WithAnswers,
         value_basis: ValueBasis::Request,
-        marks_retry: false,
+        clients_mark_retries: false,
         tick: ms(1),
     }
 }
@@ -93,10 +93,10 @@
     EndpointEntry {
         endpoint: name.into(),
         zone: zone.into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         group: GroupId(group),
         readiness: Readiness::Serving,
-        size: 1.0,
+        weight: 1.0,
         started_at: None,
     }
 }
@@ -188,13 +188,13 @@
         (id, self.handle(Event::Request(request)))
     }
 
-    /// Ends an attempt that took `took_ms` milliseconds, with a load report that contains the queue length.
+    /// Ends an attempt `elapsed_ms` milliseconds after its send, with a load report that contains the queue length.
     pub fn end_attempt(
         &mut self,
         id: &RequestId,
         attempt: usize,
         outcome: Outcome,
-        took_ms: u64,
+        elapsed_ms: u64,
         queue_length: f64,
     ) -> Vec<Action> {
         let report = Some(LoadReport {
@@ -205,7 +205,7 @@
             request: id.clone(),
             attempt,
             outcome,
-            took: ms(took_ms),
+            elapsed: ms(elapsed_ms),
             request_ended: outcome == Outcome::Served,
             report,
         }))
--- a/tests/policy/invalid_input.rs
+++ b/tests/policy/invalid_input.rs
@@ -37,7 +37,7 @@
     ]
 }
 
-/// Generates one of six names, so that events often refer to the same request, endpoint or key.
+/// Generates one of six names. Several events then refer to the same request, endpoint or key.
 fn any_name(prefix: &'static str) -> impl Strategy<Value = String> {
     (0..6u8).prop_map(move |number| format!("{prefix}{number}"))
 }
@@ -70,9 +70,9 @@
         any_number(),
         prop::option::of(any_timestamp()),
     )
-        .prop_map(|(name, readiness, size, started_at)| EndpointEntry {
+        .prop_map(|(name, readiness, weight, started_at)| EndpointEntry {
             readiness,
-            size,
+            weight,
             started_at,
             ..endpoint_entry(&name, "a", 0)
         });
@@ -111,16 +111,16 @@
             write: false,
         })),
         6 => (any_name("r"), 0..4usize, outcome, any_duration(), any::<bool>(), any_report()).prop_map(
-            |(id, attempt, outcome, took, request_ended, report)| Event::AttemptEnded(AttemptEnd {
-                request: id.as_str().into(), attempt, outcome, took, request_ended, report,
+            |(id, attempt, outcome, elapsed, request_ended, report)| Event::AttemptEnded(AttemptEnd {
+                request: id.as_str().into(), attempt, outcome, elapsed, request_ended, report,
             })
         ),
         1 => (any_name("r"), 0..4usize)
             .prop_map(|(id, attempt)| Event::StreamStarted { request: id.as_str().into(), attempt }),
         1 => any_name("r").prop_map(|id| Event::ClientDisconnected { request: id.as_str().into() }),
         1 => any::<u64>().prop_map(|token| Event::Timer { token }),
-        1 => (any_name("e"), any_duration(), any_report()).prop_map(|(name, took, report)| Event::HealthCheckEnded {
-            endpoint: name.as_str().into(), outcome: Outcome::Served, took, report,
+        1 => (any_name("e"), any_duration(), any_report()).prop_map(|(name, elapsed, report)| Event::HealthCheckEnded {
+            endpoint: name.as_str().into(), outcome: Outcome::Served, elapsed, report,
         }),
         1 => Just(Event::PeerMessage { from: PeerId(99), data: vec![1] }),
         1 => (any_name("e"), any::<bool>())
@@ -130,7 +130,7 @@
             }),
         1 => Just(Event::DiscoveryFailed),
         1 => Just(Event::DiscoveryRejected),
-        1 => Just(Event::DiscoveryLate),
+        1 => Just(Event::DiscoverySlow),
         1 => Just(Event::ListConfirmed),
         1 => any::<u64>().prop_map(|nanos| Event::ListUnconfirmed { since: Timestamp::from_nanos(nanos) }),
         1 => any_name("e").prop_map(|name| Event::ProcessEnded { endpoint: name.as_str().into() }),
@@ -224,7 +224,7 @@
 fn unknown_ids_are_ignored() {
     let mut host = Host::new(default_settings(), endpoint_entries(2));
     let (id, _) = host.request(0);
-    let unknown = |class, tenant| Request {
+    let request_with = |class, tenant| Request {
         id: "new".into(),
         class: ClassId(class),
         tenant,
@@ -235,11 +235,11 @@
         write: false,
     };
     let events = [
-        Event::Request(unknown(99, None)),
-        Event::Request(unknown(0, Some(TenantId(3)))),
+        Event::Request(request_with(99, None)),
+        Event::Request(request_with(0, Some(TenantId(3)))),
         Event::Request(Request {
             id: id.clone(),
-            ..unknown(0, None)
+            ..request_with(0, None)
         }),
         Event::ClientDisconnected {
             request: "nobody".into(),
@@ -255,7 +255,7 @@
         Event::HealthCheckEnded {
             endpoint: "nowhere".into(),
             outcome: Outcome::Served,
-            took: ms(1),
+            elapsed: ms(1),
             report: None,
         },
     ];
--- a/tests/policy/sequence_model.rs
+++ b/tests/policy/sequence_model.rs
@@ -239,7 +239,7 @@
         self.check_in_flight_count();
     }
 
-    /// Checks the balancer's count of attempts in flight. It includes attempts that have not ended, and timed out
+    /// Checks the balancer's count of attempts in flight. It includes attempts that have not ended, and timed-out
     /// attempts until the deadline of their request. An attempt that times out at or after that deadline may be counted
     /// until the next event.
     fn check_in_flight_count(&self) {
@@ -293,7 +293,7 @@
                 self.timers.insert((at, token));
             }
             Action::HealthCheck { .. } => assert!(self.settings.limits.health_checks),
-            Action::SendPeerMessage { .. } => assert!(self.settings.limits.peers),
+            Action::SendPeerMessage { .. } => assert!(self.settings.limits.peer_messages),
             Action::CloseIdleConnections { endpoint } => {
                 self.connections[endpoint_index(&endpoint)].is_idle = false;
             }
@@ -362,7 +362,7 @@
         record.attempts[attempt].ending = Some(AttemptEnding { outcome, at: now });
         record.is_answered |= outcome == Outcome::Served;
         let request_ended = record.is_answered;
-        let took = now.since(record.attempts[attempt].sent_at);
+        let elapsed = now.since(record.attempts[attempt].sent_at);
         let endpoint = record.attempts[attempt].endpoint;
         let connections = &mut self.connections[endpoint];
         (connections.is_idle, connections.idle_since) = (true, now);
@@ -374,7 +374,7 @@
             request: id.clone(),
             attempt,
             outcome,
-            took,
+            elapsed,
             request_ended,
             report: Some(report),
         }));
--- a/tests/policy/suspension.rs
+++ b/tests/policy/suspension.rs
@@ -4,7 +4,7 @@
 use balancer_sidecar::policy::*;
 use std::time::Duration;
 
-/// Longer than the time for which an ended process counts although the list does not show it.
+/// A time after which the end of a process no longer counts if the list does not show it.
 const PAST_END_LIFETIME: Duration = Duration::from_secs(60);
 
 fn process_ended(endpoint: &str) -> Event {
@@ -73,8 +73,8 @@
     assert!(!is_used(&mut host, "e1"));
 }
 
-/// Guards endpoints that reset a connection long before the watch was lost. The list was current since then, and would
-/// have shown an end.
+/// Guards endpoints that reset a connection long before the watch was lost. The list stayed current after that, and
+/// would have shown the end of a process.
 #[test]
 fn old_end_is_ignored_once_the_watch_is_lost() {
     let mut host = confirmed_host();
@@ -136,7 +136,7 @@
 fn unknown_process_is_suspended_until_the_list_is_confirmed() {
     let mut host = confirmed_host();
     lose_watch(&mut host);
-    host.handle(Event::OnlyKnownProcesses {
+    host.handle(Event::KnownProcessesReported {
         endpoints: ["e0".into(), "e2".into()].into(),
     });
     assert!(!is_used(&mut host, "e1"));
@@ -161,10 +161,10 @@
 }
 
 /// Guards the drain of endpoints whose processes are replaced while the watch is lost. If discovery was reached, the
-/// list becomes overdue shortly before a change since the loss of the watch has to be in force.
+/// list becomes overdue shortly before a change that follows the loss of the watch has to be in force.
 #[test]
 fn list_is_overdue_at_the_change_deadline() {
-    for event in [Event::DiscoveryRejected, Event::DiscoveryLate] {
+    for event in [Event::DiscoveryRejected, Event::DiscoverySlow] {
         let mut host = host_with_discovery_event(event);
         let time_to_deadline = change_deadline();
         host.now = host.now + time_to_deadline / 2;
@@ -218,7 +218,7 @@
 #[test]
 fn late_report_of_known_processes_is_ignored() {
     let mut host = confirmed_host();
-    host.handle(Event::OnlyKnownProcesses {
+    host.handle(Event::KnownProcessesReported {
         endpoints: ["e0".into()].into(),
     });
     lose_watch(&mut host);
