--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -3,7 +3,7 @@
 use super::descriptor_passing::send_listener;
 use super::message_exchange::exchange_messages;
 use crate::sidecar::hot_restart::{ProcessRole, SharedDirectory};
-use crate::sidecar::node::{NodeHandle, TakeoverEnd};
+use crate::sidecar::node::{AcceptStatus, NodeHandle};
 use crate::sidecar::server;
 use std::io;
 use std::net::TcpListener;
@@ -37,11 +37,11 @@
         node.other_process_ended(process);
         match node.takeover_ended() {
             // This may be the last descriptor of the listener. No other process would then accept its backlog.
-            TakeoverEnd::ShuttingDown => return server::accept_backlog(&node, listener),
-            TakeoverEnd::Resumed => {
+            AcceptStatus::ShuttingDown => return server::accept_backlog(&node, listener),
+            AcceptStatus::Resumed => {
                 log!("hot restart: the new process has ended; accepting callers again");
             }
-            TakeoverEnd::NeverSuspended => log!("hot restart: the new process has ended"),
+            AcceptStatus::NeverSuspended => log!("hot restart: the new process has ended"),
         }
         // The new process may have replaced this process's socket by renaming its own.
         bound = bind(&directory);
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -38,7 +38,7 @@
 pub use active_configuration::ActiveSettings;
 pub use open_request::{FinalAnswer, SubmitError};
 pub use operators::UnknownEndpoint;
-pub use process_messages::TakeoverEnd;
+pub use process_messages::AcceptStatus;
 pub use report::NodeReport;
 pub use state::{NodeHandle, StartMode, StartOptions};
 
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeSet;
 use tokio::sync::mpsc;
 
-/// How this process accepts callers after the process that had taken over has ended.
+/// Tells whether this process accepts callers after a new process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TakeoverEnd {
+pub enum AcceptStatus {
     /// This process accepts callers again.
     Resumed,
     /// This process has accepted callers all along.
@@ -81,16 +81,16 @@
     }
 
     /// Accepts callers again after the new process has ended.
-    pub fn takeover_ended(&self) -> TakeoverEnd {
+    pub fn takeover_ended(&self) -> AcceptStatus {
         let mut node = self.borrow();
         node.connections.keep_idle_connections();
         let has_resumed = node.connections.resume_accepting();
         if node.connections.callers().is_shutting_down() {
-            TakeoverEnd::ShuttingDown
+            AcceptStatus::ShuttingDown
         } else if has_resumed {
-            TakeoverEnd::Resumed
+            AcceptStatus::Resumed
         } else {
-            TakeoverEnd::NeverSuspended
+            AcceptStatus::NeverSuspended
         }
     }
 
