--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -41,7 +41,7 @@
             AcceptStatus::Resumed => {
                 log!("hot restart: the new process has ended; accepting callers again");
             }
-            AcceptStatus::NeverSuspended => log!("hot restart: the new process has ended"),
+            AcceptStatus::AlreadyAccepting => log!("hot restart: the new process has ended"),
         }
         // The new process may have replaced this process's socket by renaming its own.
         bound = bind(&directory);
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -12,8 +12,8 @@
 pub enum AcceptStatus {
     /// This process accepts callers again.
     Resumed,
-    /// This process has accepted callers all along.
-    NeverSuspended,
+    /// This process was accepting callers already. The new process had not taken over, or had announced its shutdown.
+    AlreadyAccepting,
     /// This process is shutting down itself.
     ShuttingDown,
 }
@@ -90,7 +90,7 @@
         } else if has_resumed {
             AcceptStatus::Resumed
         } else {
-            AcceptStatus::NeverSuspended
+            AcceptStatus::AlreadyAccepting
         }
     }
 
