--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -35,7 +35,7 @@
         node.send_disabled_endpoints();
         exchange_messages(&node, process, stream, messages).await;
         node.other_process_ended(process);
-        match node.takeover_ended() {
+        match node.new_process_ended() {
             // This may be the last descriptor of the listener. No other process would then accept its backlog.
             AcceptStatus::ShuttingDown => return server::accept_backlog(&node, listener),
             AcceptStatus::Resumed => {
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Accepts callers again after the new process has ended.
-    pub fn takeover_ended(&self) -> AcceptStatus {
+    /// Accepts callers again after a new process has ended, unless this process is shutting down.
+    pub fn new_process_ended(&self) -> AcceptStatus {
         let mut node = self.borrow();
         node.connections.keep_idle_connections();
         let has_resumed = node.connections.resume_accepting();
