--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -76,9 +76,10 @@
         (self.descriptors.is_exhausted() && self.pool.close_oldest()) || self.callers.evict_one()
     }
 
-    /// Returns a descriptor for a new connection to an endpoint. If the budget is exhausted, an idle connection of
-    /// either side is evicted. Returns `None` if none is idle.
-    pub fn permit_for_endpoint(&mut self) -> Option<DescriptorPermit> {
+    /// Returns a permit for the descriptor of a new connection to an endpoint. If the budget is exhausted, the
+    /// connection to an endpoint that has been idle longest is closed for it, or else a caller's connection is evicted.
+    /// Returns `None` if there is neither.
+    pub fn endpoint_connection_permit(&mut self) -> Option<DescriptorPermit> {
         let has_descriptor = !self.descriptors.is_exhausted()
             || self.pool.close_oldest()
             || self.callers.evict_one();
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -37,7 +37,7 @@
 
     fn connect_permit(&self) -> Option<ConnectPermit> {
         let mut node = self.borrow();
-        let descriptor = node.connections.permit_for_endpoint()?;
+        let descriptor = node.connections.endpoint_connection_permit()?;
         node.counters.connection_opened();
         Some(ConnectPermit {
             descriptor,
