--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -1,7 +1,7 @@
 //! New connections to endpoints.
 
 use super::connection::{EndpointConnection, OpenedConnection};
-use super::forwarded_request::Target;
+use super::forwarded_request::EndpointProcess;
 use super::host::EndpointHost;
 use super::write_progress::WriteProgress;
 use std::io;
@@ -12,7 +12,10 @@
 ///
 /// # Errors
 /// No descriptor is available, or the connection was not established.
-pub async fn connect(host: &impl EndpointHost, target: &Target) -> io::Result<EndpointConnection> {
+pub async fn connect(
+    host: &impl EndpointHost,
+    target: &EndpointProcess,
+) -> io::Result<EndpointConnection> {
     let permit = host
         .connect_permit()
         .ok_or_else(|| io::Error::other("no descriptors left"))?;
@@ -33,7 +36,7 @@
 }
 
 /// Reports to the host that the endpoint's process has ended, if it refused the connection.
-pub fn report_if_refused(host: &impl EndpointHost, target: &Target, error: &io::Error) {
+pub fn report_if_refused(host: &impl EndpointHost, target: &EndpointProcess, error: &io::Error) {
     if error.kind() == io::ErrorKind::ConnectionRefused {
         host.process_ended(target);
     }
--- a/src/sidecar/endpoint/forwarded_request.rs
+++ b/src/sidecar/endpoint/forwarded_request.rs
@@ -48,14 +48,15 @@
     pub _memory: MemoryReservation,
 }
 
-/// Where an attempt or a health check is sent.
+/// An endpoint's process as the endpoint list describes it: the target of an attempt or a health check.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct EndpointProcess {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The address that it listens on.
+    /// The address that the process listens on.
     pub address: SocketAddr,
-    /// When the endpoint's process was started. It distinguishes the process from earlier ones of the same endpoint.
+    /// The time at which the process was started, if the list states it. It distinguishes the process from earlier ones
+    /// of the same endpoint.
     pub started_at: Option<Timestamp>,
 }
 
@@ -67,7 +68,7 @@
     /// Its number among the request's attempts.
     pub attempt: AttemptNumber,
     /// Where it is sent.
-    pub target: Target,
+    pub target: EndpointProcess,
     /// When it times out.
     pub deadline: Timestamp,
     /// What it sends.
--- a/src/sidecar/endpoint/health_check.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -3,7 +3,7 @@
 use super::attempt_result::AttemptResult;
 use super::connect::{connect, report_if_refused};
 use super::connection::ExchangeKind;
-use super::forwarded_request::Target;
+use super::forwarded_request::EndpointProcess;
 use super::host::EndpointHost;
 use super::request_body::RequestBody;
 use super::response::EndpointResponse;
@@ -20,7 +20,7 @@
 const LOAD_PATH: &str = "/status/load";
 
 /// Makes a health check and reports its result to the host.
-pub async fn check_health(host: impl EndpointHost, target: Target) {
+pub async fn check_health(host: impl EndpointHost, target: EndpointProcess) {
     let sent_at = Instant::now();
     let fetch = fetch_load_report(&host, &target);
     let result = timeout_at(sent_at + HEALTH_CHECK_TIMEOUT, fetch)
@@ -29,7 +29,7 @@
     host.health_check_ended(&target, sent_at.elapsed(), result);
 }
 
-async fn fetch_load_report(host: &impl EndpointHost, target: &Target) -> AttemptResult {
+async fn fetch_load_report(host: &impl EndpointHost, target: &EndpointProcess) -> AttemptResult {
     let mut connection = match host.take_connection(&target.endpoint) {
         Some(connection) => connection,
         // Unlike an attempt, a health check does not evict other connections.
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
-use super::forwarded_request::{AttemptSpec, Target};
+use super::forwarded_request::{AttemptSpec, EndpointProcess};
 use super::known_processes::KnownProcess;
 use crate::clock::Clock;
 use crate::policy::{EndpointId, Timestamp};
@@ -43,18 +43,18 @@
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection>;
 
     /// Returns a connection whose exchange is complete to the pool, or closes it if its endpoint takes no more work.
-    fn return_connection(&self, connection: EndpointConnection, target: &Target);
+    fn return_connection(&self, connection: EndpointConnection, target: &EndpointProcess);
 
     /// Returns whether an attempt may still be written. It is called just before the first byte, because the request
     /// and the endpoint may have changed while the connection was established.
     fn may_write(&self, spec: &AttemptSpec) -> bool;
 
     /// Reports that an endpoint refused a connection or reset an idle one, which means that its process has ended.
-    fn process_ended(&self, target: &Target);
+    fn process_ended(&self, target: &EndpointProcess);
 
     /// Returns a guard for a connection that was just opened, if it is known to reach the process that the endpoint
     /// list names.
-    fn known_process(&self, target: &Target) -> Option<KnownProcess>;
+    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcess>;
 
     /// Returns whether attempts may be written only on connections to known processes, because the endpoint list is
     /// overdue.
@@ -67,7 +67,7 @@
     fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult);
 
     /// Reports that a health check has ended.
-    fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult);
+    fn health_check_ended(&self, target: &EndpointProcess, took: Duration, result: AttemptResult);
 
     /// Returns the current time of the sidecar's clock.
     fn now(&self) -> Timestamp {
--- a/src/sidecar/endpoint/known_processes.rs
+++ b/src/sidecar/endpoint/known_processes.rs
@@ -1,6 +1,6 @@
 //! Known processes: endpoint processes that an open connection shows to be those that the endpoint list names.
 
-use super::forwarded_request::Target;
+use super::forwarded_request::EndpointProcess;
 use crate::policy::{EndpointId, Timestamp};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
 
 impl KnownProcesses {
     /// Records a connection to the process that the list names, and returns its guard.
-    pub fn add(&self, target: &Target) -> KnownProcess {
+    pub fn add(&self, target: &EndpointProcess) -> KnownProcess {
         let process = ListedProcess::from(target);
         *self.0.borrow_mut().entry(process.clone()).or_default() += 1;
         KnownProcess {
@@ -39,13 +39,13 @@
     }
 
     /// Returns whether a connection to the process that the list names is open.
-    pub fn contains(&self, target: &Target) -> bool {
+    pub fn contains(&self, target: &EndpointProcess) -> bool {
         self.0.borrow().contains_key(&ListedProcess::from(target))
     }
 }
 
-impl From<&Target> for ListedProcess {
-    fn from(target: &Target) -> Self {
+impl From<&EndpointProcess> for ListedProcess {
+    fn from(target: &EndpointProcess) -> Self {
         ListedProcess {
             endpoint: target.endpoint.clone(),
             started_at: target.started_at,
--- a/src/sidecar/endpoint/mod.rs
+++ b/src/sidecar/endpoint/mod.rs
@@ -24,7 +24,7 @@
 pub use attempt_result::{AttemptResult, ResponseBody, ServedResponse};
 pub use connection::EndpointConnection;
 pub use forwarded_request::{
-    AttemptSpec, DEADLINE_HEADER, ForwardedRequest, Target, end_to_end_headers,
+    AttemptSpec, DEADLINE_HEADER, EndpointProcess, ForwardedRequest, end_to_end_headers,
 };
 pub use health_check::check_health;
 pub use host::{ConnectPermit, EndpointHost};
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -4,14 +4,14 @@
 use crate::policy::{
     AttemptEnd, AttemptNumber, EndpointId, Event, LoadReport, Outcome, RequestId, Timestamp,
 };
-use crate::sidecar::endpoint::{self, AttemptSpec, Target};
+use crate::sidecar::endpoint::{self, AttemptSpec, EndpointProcess};
 use crate::task::Task;
 use std::time::Duration;
 
 impl Node {
     /// Returns whether the same process of an endpoint still takes work: it is listed as serving, and neither disabled
     /// by the operators nor suspended.
-    pub(super) fn takes_work(&self, target: &Target) -> bool {
+    pub(super) fn takes_work(&self, target: &EndpointProcess) -> bool {
         self.endpoints.is_serving(target)
             && !self.balancer.is_disabled(&target.endpoint)
             && !self.balancer.is_suspended(&target.endpoint)
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -4,8 +4,8 @@
 use crate::sidecar::caller::{AcceptedCaller, Admission, CallerTable, DrainState};
 use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, PeerKind};
 use crate::sidecar::endpoint::{
-    ConnectionPool, EndpointConnection, IdleConnectionPolicy, KnownProcess, KnownProcesses,
-    SweepTask, Target,
+    ConnectionPool, EndpointConnection, EndpointProcess, IdleConnectionPolicy, KnownProcess,
+    KnownProcesses, SweepTask,
 };
 use crate::task::Task;
 use tokio::time::Instant;
@@ -102,12 +102,12 @@
     }
 
     /// Returns whether a connection is open to the endpoint's process that the list names.
-    pub fn is_known_process(&self, target: &Target) -> bool {
+    pub fn is_known_process(&self, target: &EndpointProcess) -> bool {
         self.known_processes.contains(target)
     }
 
     /// Records a connection to the endpoint's process that the list names, and returns its guard.
-    pub fn add_known_process(&self, target: &Target) -> KnownProcess {
+    pub fn add_known_process(&self, target: &EndpointProcess) -> KnownProcess {
         self.known_processes.add(target)
     }
 
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::policy::{EndpointId, Event, Timestamp};
 use crate::sidecar::endpoint::{
-    AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, KnownProcess,
-    SweepTask, Target,
+    AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, EndpointProcess,
+    KnownProcess, SweepTask,
 };
 use crate::sidecar::memory::MemoryBudget;
 use std::collections::HashSet;
@@ -49,7 +49,7 @@
         self.borrow().connections.take_idle(endpoint)
     }
 
-    fn return_connection(&self, connection: EndpointConnection, target: &Target) {
+    fn return_connection(&self, connection: EndpointConnection, target: &EndpointProcess) {
         let mut node = self.borrow();
         if !node.takes_work(target) {
             return;
@@ -71,7 +71,7 @@
             && node.clock.now() < spec.deadline
     }
 
-    fn process_ended(&self, target: &Target) {
+    fn process_ended(&self, target: &EndpointProcess) {
         if self.borrow().endpoints.is_same_process(target) {
             self.handle(Event::ProcessEnded {
                 endpoint: target.endpoint.clone(),
@@ -79,7 +79,7 @@
         }
     }
 
-    fn known_process(&self, target: &Target) -> Option<KnownProcess> {
+    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcess> {
         let node = self.borrow();
         let now = node.clock.now();
         let is_known = node.balancer.list_names_running_processes(now)
@@ -113,7 +113,7 @@
         self.borrow().requests.remove_if_finished(request);
     }
 
-    fn health_check_ended(&self, target: &Target, took: Duration, result: AttemptResult) {
+    fn health_check_ended(&self, target: &EndpointProcess, took: Duration, result: AttemptResult) {
         let AttemptResult {
             outcome, report, ..
         } = result;
--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -6,7 +6,7 @@
     Subscription,
 };
 use crate::policy::{DiscoveryMode, EndpointId, ListKind, Readiness, Timestamp};
-use crate::sidecar::endpoint::Target;
+use crate::sidecar::endpoint::EndpointProcess;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -132,9 +132,9 @@
     }
 
     /// Returns an endpoint's address and process, if it is listed.
-    pub fn target(&self, endpoint: &EndpointId) -> Option<Target> {
+    pub fn target(&self, endpoint: &EndpointId) -> Option<EndpointProcess> {
         let member = self.subscription.membership().get(endpoint)?;
-        Some(Target {
+        Some(EndpointProcess {
             endpoint: endpoint.clone(),
             address: member.address,
             started_at: member.started_at,
@@ -142,7 +142,7 @@
     }
 
     /// Returns whether the same process of an endpoint is still listed and takes work.
-    pub fn is_serving(&self, target: &Target) -> bool {
+    pub fn is_serving(&self, target: &EndpointProcess) -> bool {
         let member = self.subscription.membership().get(&target.endpoint);
         member.is_some_and(|member| {
             member.readiness == Readiness::Serving
@@ -152,7 +152,7 @@
     }
 
     /// Returns whether an endpoint is still listed with the same start of its process.
-    pub fn is_same_process(&self, target: &Target) -> bool {
+    pub fn is_same_process(&self, target: &EndpointProcess) -> bool {
         let member = self.subscription.membership().get(&target.endpoint);
         member.is_some_and(|member| member.started_at == target.started_at)
     }
