--- a/src/sidecar/endpoint/known_processes.rs
+++ b/src/sidecar/endpoint/known_processes.rs
@@ -6,14 +6,14 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A process of an endpoint, as the endpoint list names it.
+/// The part of an [`EndpointProcess`] that distinguishes it from other processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct ListedProcess {
+struct ProcessIdentity {
     endpoint: EndpointId,
     started_at: Option<Timestamp>,
 }
 
-type ConnectionCounts = Rc<RefCell<HashMap<ListedProcess, usize>>>;
+type ConnectionCounts = Rc<RefCell<HashMap<ProcessIdentity, usize>>>;
 
 /// Processes with an open connection that was opened while the endpoint list showed them to be running. While one such
 /// connection is open, the process runs, and a further connection to its address reaches the same process.
@@ -23,14 +23,14 @@
 /// A guard for a connection to a known process. The process stays known until its last guard is dropped.
 #[derive(Debug)]
 pub struct KnownProcess {
-    process: ListedProcess,
+    process: ProcessIdentity,
     counts: ConnectionCounts,
 }
 
 impl KnownProcesses {
     /// Records a connection to the process that the list names, and returns its guard.
     pub fn add(&self, target: &EndpointProcess) -> KnownProcess {
-        let process = ListedProcess::from(target);
+        let process = ProcessIdentity::from(target);
         *self.0.borrow_mut().entry(process.clone()).or_default() += 1;
         KnownProcess {
             process,
@@ -40,13 +40,13 @@
 
     /// Returns whether a connection to the process that the list names is open.
     pub fn contains(&self, target: &EndpointProcess) -> bool {
-        self.0.borrow().contains_key(&ListedProcess::from(target))
+        self.0.borrow().contains_key(&ProcessIdentity::from(target))
     }
 }
 
-impl From<&EndpointProcess> for ListedProcess {
+impl From<&EndpointProcess> for ProcessIdentity {
     fn from(target: &EndpointProcess) -> Self {
-        ListedProcess {
+        ProcessIdentity {
             endpoint: target.endpoint.clone(),
             started_at: target.started_at,
         }
