--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -9,9 +9,9 @@
 /// How long after a reload a request may still have been sent under the replaced settings.
 const RELOAD_GRACE: Duration = Duration::from_secs(1);
 
-/// Settings, and the balancer's ids of their request classes.
+/// Settings, with the ids that the balancer has given their request classes.
 #[derive(Debug)]
-pub struct ActiveSettings {
+pub struct ResolvedSettings {
     /// The settings.
     pub settings: Settings,
     /// The ids, in the order of the settings' classes.
@@ -20,7 +20,7 @@
 
 /// The parts of the configuration in force that a reload changes or compares with the next configuration.
 pub struct ActiveConfiguration {
-    settings: Rc<ActiveSettings>,
+    settings: Rc<ResolvedSettings>,
     replaced: Option<ReplacedSettings>,
     /// The settings and limits with which the next file is compared.
     reload_baseline: ReloadBaseline,
@@ -29,7 +29,7 @@
 }
 
 struct ReplacedSettings {
-    settings: Rc<ActiveSettings>,
+    settings: Rc<ResolvedSettings>,
     replaced_at: Instant,
 }
 
@@ -37,9 +37,9 @@
 #[derive(Debug)]
 pub struct RequestSettings {
     /// The settings in force.
-    pub current: Rc<ActiveSettings>,
+    pub current: Rc<ResolvedSettings>,
     /// The settings before the last reload, for a request that arrived within [`RELOAD_GRACE`] after it.
-    pub previous: Option<Rc<ActiveSettings>>,
+    pub previous: Option<Rc<ResolvedSettings>>,
 }
 
 impl ActiveConfiguration {
@@ -51,7 +51,7 @@
     ) -> Self {
         let classes = (0..settings.classes.len()).map(ClassId).collect();
         ActiveConfiguration {
-            settings: Rc::new(ActiveSettings { settings, classes }),
+            settings: Rc::new(ResolvedSettings { settings, classes }),
             replaced: None,
             reload_baseline,
             restart_values,
@@ -93,7 +93,7 @@
     /// Replaces the settings by those of the next configuration. `classes` are the balancer's ids of its request
     /// classes.
     pub fn replace_settings(&mut self, next: &Config, classes: Vec<ClassId>) {
-        let settings = Rc::new(ActiveSettings {
+        let settings = Rc::new(ResolvedSettings {
             settings: next.settings.clone(),
             classes,
         });
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -35,7 +35,7 @@
 mod requests;
 mod state;
 
-pub use active_configuration::ActiveSettings;
+pub use active_configuration::ResolvedSettings;
 pub use open_request::{FinalAnswer, SubmitError};
 pub use operators::UnknownEndpoint;
 pub use process_messages::AcceptStatus;
--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -8,7 +8,7 @@
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
-use crate::sidecar::node::{ActiveSettings, NodeHandle};
+use crate::sidecar::node::{NodeHandle, ResolvedSettings};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     /// The request in the form that the balancer takes.
     pub request: PolicyRequest,
     /// The settings under which the head was parsed.
-    settings: Rc<ActiveSettings>,
+    settings: Rc<ResolvedSettings>,
     /// The position of its class in `settings`.
     class: usize,
     /// The time for which the client waits after the request's last byte.
@@ -45,7 +45,7 @@
                 node.configuration().settings_for_request(started_at),
             )
         };
-        let parse_under = |settings: Rc<ActiveSettings>| -> Result<ParsedRequest, RequestError> {
+        let parse_under = |settings: Rc<ResolvedSettings>| -> Result<ParsedRequest, RequestError> {
             let mut request = parse_request(&head.method, &head.headers, &settings.settings, now)?;
             let class = request.class.0;
             request.class = settings.classes[class];
