--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct ResolvedSettings {
     /// The settings.
-    pub settings: Settings,
+    pub values: Settings,
     /// The ids, in the order of the settings' classes.
     pub classes: Vec<ClassId>,
 }
@@ -45,13 +45,13 @@
 impl ActiveConfiguration {
     /// Creates it from the configuration that the process starts with.
     pub fn new(
-        settings: Settings,
+        values: Settings,
         reload_baseline: ReloadBaseline,
         restart_values: RestartValues,
     ) -> Self {
-        let classes = (0..settings.classes.len()).map(ClassId).collect();
+        let classes = (0..values.classes.len()).map(ClassId).collect();
         ActiveConfiguration {
-            settings: Rc::new(ResolvedSettings { settings, classes }),
+            settings: Rc::new(ResolvedSettings { values, classes }),
             replaced: None,
             reload_baseline,
             restart_values,
@@ -60,7 +60,7 @@
 
     /// Returns the settings in force.
     pub fn settings(&self) -> &Settings {
-        &self.settings.settings
+        &self.settings.values
     }
 
     /// Returns the settings for a request whose first byte arrived at `first_byte_at`.
@@ -94,7 +94,7 @@
     /// classes.
     pub fn replace_settings(&mut self, next: &Config, classes: Vec<ClassId>) {
         let settings = Rc::new(ResolvedSettings {
-            settings: next.settings.clone(),
+            values: next.settings.clone(),
             classes,
         });
         self.replaced = Some(ReplacedSettings {
--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -46,7 +46,7 @@
             )
         };
         let parse_under = |settings: Rc<ResolvedSettings>| -> Result<ParsedRequest, RequestError> {
-            let mut request = parse_request(&head.method, &head.headers, &settings.settings, now)?;
+            let mut request = parse_request(&head.method, &head.headers, &settings.values, now)?;
             let class = request.class.0;
             request.class = settings.classes[class];
             let time_left = request.deadline.since(now);
@@ -65,12 +65,12 @@
 
     /// Returns the request's class in its settings.
     pub fn class(&self) -> &Class {
-        &self.settings.settings.classes[self.class]
+        &self.settings.values.classes[self.class]
     }
 
     /// Returns the time to wait for the response. `persistence` is that of the connection once an upload is complete.
     pub fn response_timeout(&self, node: &NodeHandle, persistence: Persistence) -> ResponseTimeout {
-        let slack = self.settings.settings.rules.answer_slack;
+        let slack = self.settings.values.rules.answer_slack;
         let answer_deadline = node.borrow().clock().instant(self.request.deadline) + slack;
         ResponseTimeout {
             answer_deadline,
