--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -14,8 +14,8 @@
 pub struct ResolvedSettings {
     /// The settings.
     pub values: Settings,
-    /// The ids, in the order of the settings' classes.
-    pub classes: Vec<ClassId>,
+    /// The ids of the classes, in the order of the settings.
+    pub class_ids: Vec<ClassId>,
 }
 
 /// The parts of the configuration in force that a reload changes or compares with the next configuration.
@@ -49,9 +49,9 @@
         reload_baseline: ReloadBaseline,
         restart_values: RestartValues,
     ) -> Self {
-        let classes = (0..values.classes.len()).map(ClassId).collect();
+        let class_ids = (0..values.classes.len()).map(ClassId).collect();
         ActiveConfiguration {
-            settings: Rc::new(ResolvedSettings { values, classes }),
+            settings: Rc::new(ResolvedSettings { values, class_ids }),
             replaced: None,
             reload_baseline,
             restart_values,
@@ -90,12 +90,12 @@
         self.restart_values.differences(&next.restart_values)
     }
 
-    /// Replaces the settings by those of the next configuration. `classes` are the balancer's ids of its request
+    /// Replaces the settings by those of the next configuration. `class_ids` are the balancer's ids of its request
     /// classes.
-    pub fn replace_settings(&mut self, next: &Config, classes: Vec<ClassId>) {
+    pub fn replace_settings(&mut self, next: &Config, class_ids: Vec<ClassId>) {
         let settings = Rc::new(ResolvedSettings {
             values: next.settings.clone(),
-            classes,
+            class_ids,
         });
         self.replaced = Some(ReplacedSettings {
             settings: std::mem::replace(&mut self.settings, settings),
--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -48,7 +48,7 @@
         let parse_under = |settings: Rc<ResolvedSettings>| -> Result<ParsedRequest, RequestError> {
             let mut request = parse_request(&head.method, &head.headers, &settings.values, now)?;
             let class = request.class.0;
-            request.class = settings.classes[class];
+            request.class = settings.class_ids[class];
             let time_left = request.deadline.since(now);
             Ok(ParsedRequest {
                 request,
