--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -33,9 +33,9 @@
     replaced_at: Instant,
 }
 
-/// The settings under which a request may have been sent.
+/// The settings under which a request may have been sent, depending on whether it was sent before the last reload.
 #[derive(Debug)]
-pub struct RequestSettings {
+pub struct CandidateSettings {
     /// The settings in force.
     pub current: Rc<ResolvedSettings>,
     /// The settings before the last reload, for a request that arrived within [`RELOAD_GRACE`] after it.
@@ -64,12 +64,12 @@
     }
 
     /// Returns the settings for a request whose first byte arrived at `first_byte_at`.
-    pub fn settings_for_request(&self, first_byte_at: Instant) -> RequestSettings {
+    pub fn settings_for_request(&self, first_byte_at: Instant) -> CandidateSettings {
         let replaced = self
             .replaced
             .as_ref()
             .filter(|replaced| first_byte_at < replaced.replaced_at + RELOAD_GRACE);
-        RequestSettings {
+        CandidateSettings {
             current: self.settings.clone(),
             previous: replaced.map(|replaced| replaced.settings.clone()),
         }
