--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -22,7 +22,7 @@
     /// The settings under which the head was parsed.
     settings: Rc<ResolvedSettings>,
     /// The position of its class in `settings`.
-    class: usize,
+    class_position: usize,
     /// The time for which the client waits after the request's last byte.
     pub time_left: Duration,
 }
@@ -47,13 +47,13 @@
         };
         let parse_under = |settings: Rc<ResolvedSettings>| -> Result<ParsedRequest, RequestError> {
             let mut request = parse_request(&head.method, &head.headers, &settings.values, now)?;
-            let class = request.class.0;
-            request.class = settings.class_ids[class];
+            let class_position = request.class.0;
+            request.class = settings.class_ids[class_position];
             let time_left = request.deadline.since(now);
             Ok(ParsedRequest {
                 request,
                 settings,
-                class,
+                class_position,
                 time_left,
             })
         };
@@ -65,7 +65,7 @@
 
     /// Returns the request's class in its settings.
     pub fn class(&self) -> &Class {
-        &self.settings.values.classes[self.class]
+        &self.settings.values.classes[self.class_position]
     }
 
     /// Returns the time to wait for the response. `persistence` is that of the connection once an upload is complete.
