--- a/src/sidecar/caller/head.rs
+++ b/src/sidecar/caller/head.rs
@@ -62,7 +62,7 @@
 
 /// The properties of a head that determine where the head and its body end.
 #[derive(Debug)]
-struct Framing<'a> {
+struct HeadFraming<'a> {
     head_length: usize,
     content_lengths: Vec<&'a [u8]>,
     transfer_encodings: Vec<&'a [u8]>,
@@ -133,7 +133,7 @@
 }
 
 /// Parses a head with httparse, the parser that hyper uses. Returns `None` if the head is incomplete.
-fn parse(bytes: &[u8]) -> Result<Option<Framing<'_>>, httparse::Error> {
+fn parse(bytes: &[u8]) -> Result<Option<HeadFraming<'_>>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let httparse::Status::Complete(head_length) = request.parse(bytes)? else {
@@ -146,7 +146,7 @@
             .filter(|header| header.name.eq_ignore_ascii_case(name));
         named.map(|header| header.value).collect()
     };
-    Ok(Some(Framing {
+    Ok(Some(HeadFraming {
         head_length,
         content_lengths: values("content-length"),
         transfer_encodings: values("transfer-encoding"),
