--- a/src/sidecar/caller/connection_state_tests.rs
+++ b/src/sidecar/caller/connection_state_tests.rs
@@ -186,18 +186,18 @@
     let state = ConnectionState::new();
     state.received(10);
     state.head_completed();
-    state.head_rejected(HeadError::Framing);
+    state.head_rejected(HeadError::AmbiguousFraming);
     assert_eq!(state.deadline(), None);
     assert!(
         !state.is_awaiting_response(),
         "the service is not called with it"
     );
     assert_eq!(state.persistence(), Persistence::Close);
-    assert_eq!(state.head_error(), Some(HeadError::Framing));
+    assert_eq!(state.head_error(), Some(HeadError::AmbiguousFraming));
     state.request_started();
     state.response_ready(ResponseKind::Complete);
     assert!(matches!(state.phase(), Phase::Idle { .. }));
-    assert_eq!(state.head_error(), Some(HeadError::Framing));
+    assert_eq!(state.head_error(), Some(HeadError::AmbiguousFraming));
 }
 
 #[tokio::test(start_paused = true)]
--- a/src/sidecar/caller/head.rs
+++ b/src/sidecar/caller/head.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
     /// The headers do not define the end of the body unambiguously, so another server could find a different end.
-    Framing,
+    AmbiguousFraming,
     /// The head is longer than [`MAX_HEAD_LENGTH`].
     TooLong,
     /// The head was not complete in time.
@@ -78,7 +78,7 @@
         return HeadValidation::Malformed;
     };
     if framing.head_length != end {
-        return HeadValidation::Rejected(HeadError::Framing);
+        return HeadValidation::Rejected(HeadError::AmbiguousFraming);
     }
     match (
         &framing.content_lengths[..],
@@ -90,9 +90,9 @@
         }
         ([length], []) => match total_length(end, length) {
             Some(length) => HeadValidation::KnownLength(length),
-            None => HeadValidation::Rejected(HeadError::Framing),
+            None => HeadValidation::Rejected(HeadError::AmbiguousFraming),
         },
-        _ => HeadValidation::Rejected(HeadError::Framing),
+        _ => HeadValidation::Rejected(HeadError::AmbiguousFraming),
     }
 }
 
--- a/src/sidecar/server/request_error.rs
+++ b/src/sidecar/server/request_error.rs
@@ -61,7 +61,9 @@
 impl From<HeadError> for RequestError {
     fn from(error: HeadError) -> Self {
         let (status, text) = match error {
-            HeadError::Framing => (StatusCode::BAD_REQUEST, "the body's length is not clear"),
+            HeadError::AmbiguousFraming => {
+                (StatusCode::BAD_REQUEST, "the body's length is not clear")
+            }
             HeadError::TooLong => (
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 "the head is over 16 KiB",
