--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -55,7 +55,7 @@
 
 /// A connection that was just added to the table.
 #[derive(Debug)]
-pub struct AcceptedCaller {
+pub struct AddedCaller {
     /// Its number in the table.
     pub number: u64,
     /// Its state.
@@ -108,7 +108,7 @@
 
 impl CallerTable {
     /// Adds a connection that was just accepted.
-    pub fn add(&mut self, admission: Admission) -> AcceptedCaller {
+    pub fn add(&mut self, admission: Admission) -> AddedCaller {
         let number = self.next_number;
         self.next_number += 1;
         let (close, state) = (Rc::new(Notify::new()), ConnectionState::new());
@@ -125,7 +125,7 @@
         } else {
             Persistence::KeepAlive
         };
-        AcceptedCaller {
+        AddedCaller {
             number,
             state,
             close,
--- a/src/sidecar/caller/table_tests.rs
+++ b/src/sidecar/caller/table_tests.rs
@@ -5,12 +5,12 @@
 use tokio::time::advance;
 
 /// Adds a connection for which there are descriptors.
-fn add(table: &mut CallerTable) -> AcceptedCaller {
+fn add(table: &mut CallerTable) -> AddedCaller {
     table.add(Admission::Accepted)
 }
 
 /// Simulates a request up to the call of the service.
-fn begin_request(caller: &AcceptedCaller) {
+fn begin_request(caller: &AddedCaller) {
     caller.state.received(10);
     caller.state.head_completed();
     caller.state.head_forwarded();
@@ -18,13 +18,13 @@
 }
 
 /// Simulates a request up to its complete response.
-fn complete_request(caller: &AcceptedCaller) {
+fn complete_request(caller: &AddedCaller) {
     begin_request(caller);
     caller.state.response_ready(ResponseKind::Complete);
 }
 
 /// Evicts connections until none can be evicted. Returns their positions in `callers` in the order of eviction.
-fn eviction_order(table: &mut CallerTable, callers: &[AcceptedCaller]) -> Vec<usize> {
+fn eviction_order(table: &mut CallerTable, callers: &[AddedCaller]) -> Vec<usize> {
     let mut order = Vec::new();
     while table.evict_one() {
         let is_new = |position: &usize| {
@@ -41,7 +41,7 @@
     let mut table = CallerTable::default();
     let possibly_active = 0;
     let (never_used, long_idle, recently_idle, stalled_head) = (1, 2, 3, 4);
-    let callers: Vec<AcceptedCaller> = (0..5).map(|_| add(&mut table)).collect();
+    let callers: Vec<AddedCaller> = (0..5).map(|_| add(&mut table)).collect();
     complete_request(&callers[long_idle]);
     callers[stalled_head].state.received(1);
     advance(IDLE_GRACE).await;
@@ -63,7 +63,7 @@
 #[tokio::test(start_paused = true)]
 async fn longest_inactive_connection_of_a_rank_is_evicted_first() {
     let mut table = CallerTable::default();
-    let callers: Vec<AcceptedCaller> = (0..3).map(|_| add(&mut table)).collect();
+    let callers: Vec<AddedCaller> = (0..3).map(|_| add(&mut table)).collect();
     for position in [1, 2, 0] {
         complete_request(&callers[position]);
         advance(Duration::from_millis(1)).await;
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -1,7 +1,7 @@
 //! The node's connections on both sides, and the descriptor budget that they share.
 
 use crate::policy::{EndpointId, Limits};
-use crate::sidecar::caller::{AcceptedCaller, Admission, CallerTable, DrainState};
+use crate::sidecar::caller::{AddedCaller, Admission, CallerTable, DrainState};
 use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, PeerKind};
 use crate::sidecar::endpoint::{
     ConnectionPool, EndpointConnection, EndpointProcess, IdleConnectionPolicy, KnownProcess,
@@ -23,7 +23,7 @@
 /// A caller's connection that has been admitted.
 pub struct AdmittedCaller {
     /// Its entry in the table.
-    pub accepted: AcceptedCaller,
+    pub accepted: AddedCaller,
     /// Whether its requests are served.
     pub admission: Admission,
     /// Its share of the descriptor budget.
