--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -23,7 +23,7 @@
 /// A caller's connection that has been admitted.
 pub struct AdmittedCaller {
     /// Its entry in the table.
-    pub accepted: AddedCaller,
+    pub added: AddedCaller,
     /// Whether its requests are served.
     pub admission: Admission,
     /// Its share of the descriptor budget.
@@ -66,7 +66,7 @@
             return None;
         }
         Some(AdmittedCaller {
-            accepted: self.callers.add(admission),
+            added: self.callers.add(admission),
             admission,
             permit: self.descriptors.permit(PeerKind::Callers),
         })
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -58,14 +58,14 @@
     let Some(admitted) = node.borrow().admit_caller() else {
         return; // closed unread: no request on it is accepted yet, and accepted ones need the remaining descriptors
     };
-    let accepted = admitted.accepted;
+    let added = admitted.added;
     let connection = CallerConnection {
         node: node.clone(),
-        number: accepted.number,
-        state: accepted.state,
+        number: added.number,
+        state: added.state,
         admission: admitted.admission,
         _permit: admitted.permit,
     };
-    let served = connection::serve(connection, stream, accepted.close, accepted.persistence);
+    let served = connection::serve(connection, stream, added.close, added.persistence);
     spawn_local(served);
 }
