--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -44,7 +44,7 @@
 
 /// The numbers of endpoints.
 #[derive(Clone, Copy, Debug)]
-pub struct MemberCounts {
+pub struct EndpointCounts {
     /// Endpoints that discovery lists.
     pub listed: usize,
     /// Listed endpoints that currently get no requests.
@@ -139,7 +139,7 @@
     }
 
     /// Appends the metrics to `text`, one per line.
-    pub fn write(&self, members: &MemberCounts, list: &ListMetrics, text: &mut String) {
+    pub fn write(&self, members: &EndpointCounts, list: &ListMetrics, text: &mut String) {
         for (name, class) in &self.classes {
             let label = name
                 .replace('\\', "\\\\")
--- a/src/sidecar/node/report.rs
+++ b/src/sidecar/node/report.rs
@@ -6,7 +6,7 @@
 use crate::sidecar::counters::Counters;
 use crate::sidecar::counters::CountersLine;
 use crate::sidecar::descriptors::OpenConnections;
-use crate::sidecar::metrics::{ListMetrics, MemberCounts};
+use crate::sidecar::metrics::{EndpointCounts, ListMetrics};
 
 /// The figures of the log's counters line.
 pub struct NodeReport {
@@ -24,7 +24,7 @@
     /// Writes the metrics, one per line.
     pub fn write_metrics(&self, text: &mut String) {
         let status = self.balancer_status();
-        let members = MemberCounts {
+        let members = EndpointCounts {
             listed: self.endpoints.len(),
             unavailable: status.unavailable,
             suspended: status.suspended,
