--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -139,7 +139,7 @@
     }
 
     /// Appends the metrics to `text`, one per line.
-    pub fn write(&self, members: &EndpointCounts, list: &ListMetrics, text: &mut String) {
+    pub fn write(&self, endpoints: &EndpointCounts, list: &ListMetrics, text: &mut String) {
         for (name, class) in &self.classes {
             let label = name
                 .replace('\\', "\\\\")
@@ -157,9 +157,9 @@
         for (metric, value) in [
             ("upstream_requests", self.written_attempts.get()),
             ("pending", self.pending.get()),
-            ("members", members.listed as u64),
-            ("members_unavailable", members.unavailable as u64),
-            ("members_suspended", members.suspended as u64),
+            ("members", endpoints.listed as u64),
+            ("members_unavailable", endpoints.unavailable as u64),
+            ("members_suspended", endpoints.suspended as u64),
             ("list_version", list.version),
             ("list_unconfirmed_ms", list.unconfirmed_ms()),
             ("discovery_watches", list.watches_opened),
--- a/src/sidecar/node/report.rs
+++ b/src/sidecar/node/report.rs
@@ -24,12 +24,12 @@
     /// Writes the metrics, one per line.
     pub fn write_metrics(&self, text: &mut String) {
         let status = self.balancer_status();
-        let members = EndpointCounts {
+        let endpoints = EndpointCounts {
             listed: self.endpoints.len(),
             unavailable: status.unavailable,
             suspended: status.suspended,
         };
-        self.metrics.write(&members, &self.list_metrics(), text);
+        self.metrics.write(&endpoints, &self.list_metrics(), text);
     }
 
     /// Returns the present state and the counters since the last report, and resets the counters.
