--- a/src/sidecar/operators/execute.rs
+++ b/src/sidecar/operators/execute.rs
@@ -1,7 +1,7 @@
 //! The execution of operators' commands on the node.
 
 use super::command::{Command, CommandError};
-use super::response::{Refusal, Response};
+use super::response::{NegativeReason, Response};
 use crate::sidecar::admin_state::AdminState;
 use crate::sidecar::node::NodeHandle;
 
@@ -19,7 +19,7 @@
 fn execute(node: &NodeHandle, command: Command<'_>) -> Response {
     match command {
         Command::Ready if node.borrow().is_ready() => Response::Yes,
-        Command::Ready => Response::No(Refusal::NotReady),
+        Command::Ready => Response::No(NegativeReason::NotReady),
         Command::Stats => Response::Metrics(metrics(node)),
         Command::Drain => {
             node.drain();
--- a/src/sidecar/operators/response.rs
+++ b/src/sidecar/operators/response.rs
@@ -13,14 +13,14 @@
     /// The answer to the question is yes, or the command was executed.
     Yes,
     /// The answer to the question is no, or the command cannot be executed.
-    No(Refusal),
+    No(NegativeReason),
     /// The metrics, one per line.
     Metrics(String),
 }
 
 /// The reason for a negative response. The texts are part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum NegativeReason {
     /// The sidecar is not ready to serve.
     #[error("not ready to serve")]
     NotReady,
@@ -32,7 +32,7 @@
     InvalidCommand(#[from] CommandError),
 }
 
-impl<E: Into<Refusal>> From<Result<(), E>> for Response {
+impl<E: Into<NegativeReason>> From<Result<(), E>> for Response {
     fn from(result: Result<(), E>) -> Self {
         match result {
             Ok(()) => Response::Yes,
@@ -45,7 +45,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Response::Yes => writeln!(f, "YES"),
-            Response::No(refusal) => writeln!(f, "NO {refusal}"),
+            Response::No(reason) => writeln!(f, "NO {reason}"),
             Response::Metrics(metrics) => writeln!(f, "{metrics}{METRICS_END}"),
         }
     }
