--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -62,7 +62,9 @@
             }
             let written_before = acquired.connection.progress().bytes_written();
             let failure = match self.exchange(&mut acquired.connection, deadline).await {
-                Some(Ok(response)) => return self.with_response(response, acquired.connection),
+                Some(Ok(response)) => {
+                    return self.result_of_response(response, acquired.connection);
+                }
                 Some(Err(_)) => Outcome::Reset,
                 None => Outcome::TimedOut,
             };
@@ -135,7 +137,9 @@
         }
     }
 
-    fn with_response(
+    /// Returns the result of an attempt that got a response. The connection returns to the pool once the response is
+    /// complete.
+    fn result_of_response(
         &self,
         response: EndpointResponse,
         connection: EndpointConnection,
