--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -1,4 +1,4 @@
-//! Execution of the balancer's actions.
+//! The execution of the balancer's actions.
 
 use super::open_request::FinalAnswer;
 use super::state::{Node, NodeHandle};
--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after a reload a request may still have been sent under the replaced settings.
+/// The time after a reload for which arriving requests may still have been sent under the replaced settings.
 const RELOAD_GRACE: Duration = Duration::from_secs(1);
 
 /// Settings, with the ids that the balancer has given their request classes.
@@ -18,13 +18,13 @@
     pub class_ids: Vec<ClassId>,
 }
 
-/// The parts of the configuration in force that a reload changes or compares with the next configuration.
+/// The parts of the configuration in force that a reload replaces or compares with those of the next configuration.
 pub struct ActiveConfiguration {
     settings: Rc<ResolvedSettings>,
     replaced: Option<ReplacedSettings>,
-    /// The settings and limits with which the next file is compared.
+    /// The settings and limits as the file in force states them, with which those of the next file are compared.
     reload_baseline: ReloadBaseline,
-    /// Values that only a restart changes.
+    /// The values that only a restart changes.
     restart_values: RestartValues,
 }
 
@@ -38,12 +38,13 @@
 pub struct CandidateSettings {
     /// The settings in force.
     pub current: Rc<ResolvedSettings>,
-    /// The settings before the last reload, for a request that arrived within [`RELOAD_GRACE`] after it.
+    /// The settings before the last reload. Set for a request whose first byte arrived before the reload or within
+    /// [`RELOAD_GRACE`] after it.
     pub previous: Option<Rc<ResolvedSettings>>,
 }
 
 impl ActiveConfiguration {
-    /// Creates it from the configuration that the process starts with.
+    /// Creates it from the configuration with which the process starts.
     pub fn new(
         values: Settings,
         reload_baseline: ReloadBaseline,
@@ -63,7 +64,7 @@
         &self.settings.values
     }
 
-    /// Returns the settings for a request whose first byte arrived at `first_byte_at`.
+    /// Returns the settings that may apply to a request whose first byte arrived at `first_byte_at`.
     pub fn settings_for_request(&self, first_byte_at: Instant) -> CandidateSettings {
         let replaced = self
             .replaced
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -9,15 +9,16 @@
 use std::time::Duration;
 
 impl Node {
-    /// Returns whether the same process of an endpoint still takes work: it is listed as serving, and neither disabled
-    /// by the operators nor suspended.
+    /// Returns whether an endpoint still takes attempts in this process. It must be listed as serving with the same
+    /// process, and be neither disabled by the operators nor suspended.
     pub(super) fn takes_work(&self, target: &EndpointProcess) -> bool {
         self.endpoints.is_serving(target)
             && !self.balancer.is_disabled(&target.endpoint)
             && !self.balancer.is_suspended(&target.endpoint)
     }
 
-    /// Starts an attempt, if its request is still unanswered and its endpoint is still listed.
+    /// Starts an attempt. If its request is already answered or its endpoint is no longer listed, reports the attempt
+    /// to the balancer as not sent. Does nothing if the request is no longer open.
     pub(super) fn send_attempt(
         &mut self,
         handle: &NodeHandle,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Counts the end of an attempt, and returns the event that reports it to the balancer.
+    /// Counts an attempt that has ended, and returns the event that reports its end to the balancer.
     pub(super) fn record_attempt_end(
         &mut self,
         request: &RequestId,
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -1,4 +1,4 @@
-//! The node's connections on both sides, and the descriptor budget that they share.
+//! Callers' connections and idle connections to endpoints, with the descriptor budget that they share.
 
 use crate::policy::{EndpointId, Limits};
 use crate::sidecar::caller::{AddedCaller, Admission, CallerTable, DrainState};
@@ -10,7 +10,7 @@
 use crate::task::Task;
 use tokio::time::Instant;
 
-/// Callers' connections, idle connections to endpoints, and the descriptors of both.
+/// Callers' connections, idle connections to endpoints, and the budget of descriptors for all connections.
 pub struct Connections {
     callers: CallerTable,
     pool: ConnectionPool,
@@ -22,9 +22,9 @@
 
 /// A caller's connection that has been admitted.
 pub struct AdmittedCaller {
-    /// Its entry in the table.
+    /// The connection as the table has added it.
     pub added: AddedCaller,
-    /// Whether its requests are served.
+    /// States whether its requests are served or rejected.
     pub admission: Admission,
     /// Its share of the descriptor budget.
     pub permit: DescriptorPermit,
@@ -52,9 +52,9 @@
         &mut self.callers
     }
 
-    /// Admits a connection that was just accepted. If the callers' limit is reached, an idle connection is evicted for
-    /// it. If none is idle, it is admitted only to be rejected with a response. Returns `None` if no descriptor is
-    /// available even for that.
+    /// Admits a connection that was just accepted. If the callers' limit is reached, another connection is evicted for
+    /// it. If none can be evicted, it is admitted, but its requests are rejected. Returns `None` if no descriptor is
+    /// available even for the rejection.
     pub fn admit_caller(&mut self) -> Option<AdmittedCaller> {
         let admission = if self.descriptors.is_caller_limit_reached() && !self.evict_for_caller() {
             Admission::RejectedEarly
@@ -72,6 +72,7 @@
         })
     }
 
+    /// Evicts a connection to free a descriptor for a caller's connection. Returns false if none can be evicted.
     fn evict_for_caller(&mut self) -> bool {
         (self.descriptors.is_exhausted() && self.pool.close_oldest()) || self.callers.evict_one()
     }
@@ -101,12 +102,12 @@
         self.descriptors.set_other_process_connections(connections);
     }
 
-    /// Returns whether a connection is open to the endpoint's process that the list names.
+    /// Returns whether a process is known, which means that a connection to it is open.
     pub fn is_known_process(&self, target: &EndpointProcess) -> bool {
         self.known_processes.contains(target)
     }
 
-    /// Records a connection to the endpoint's process that the list names, and returns its guard.
+    /// Records a connection to a process, which is known until the returned guard is dropped.
     pub fn add_known_process(&self, target: &EndpointProcess) -> KnownProcess {
         self.known_processes.add(target)
     }
@@ -126,7 +127,8 @@
         self.pool.close_idle(endpoint);
     }
 
-    /// Closes connections that have been idle for too long. Returns when to sweep next, or `None` if none is left.
+    /// Closes connections that have been idle for too long. Returns the time of the next sweep, or `None` if the pool
+    /// is empty.
     pub fn sweep_idle(&mut self) -> Option<Instant> {
         self.pool.sweep()
     }
@@ -143,8 +145,8 @@
         self.pool.set_idle_policy(IdleConnectionPolicy::Close);
     }
 
-    /// Resumes accepting callers, because no other process accepts them now. Returns whether this process accepts them
-    /// again.
+    /// Resumes accepting callers, because no other process accepts them now. Returns false if accepting was not
+    /// suspended or this process is shutting down.
     pub fn resume_accepting(&mut self) -> bool {
         let has_resumed = self.callers.resume_accepting();
         if has_resumed {
@@ -153,7 +155,7 @@
         has_resumed
     }
 
-    /// Keeps idle connections to endpoints again.
+    /// Lets the pool keep idle connections to endpoints again.
     pub fn keep_idle_connections(&mut self) {
         self.pool.set_idle_policy(IdleConnectionPolicy::Keep);
     }
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -81,8 +81,8 @@
         Ok(())
     }
 
-    /// Gives the balancer an update without changes: an open watch confirms the known version, because discovery sends
-    /// nothing until the first change.
+    /// Gives the balancer an update without changes. An open watch confirms the known version, because discovery sends
+    /// nothing on it until the first change.
     fn watch_opened(&self, source: Source) {
         let Some(version) = self.known_version(source) else {
             return;
@@ -143,8 +143,8 @@
         });
     }
 
-    /// Ignores hedged calls to an agent that pushes lists: an agent sends nothing while discovery is down, so its
-    /// silence says nothing about discovery.
+    /// Ignores hedged calls to an agent that pushes lists. Such an agent sends nothing while discovery is down, so its
+    /// silence does not show whether discovery is slow.
     fn call_hedged(&self, _source: Source, is_reached: bool) {
         if self.borrow().discovery_mode() != DiscoveryMode::OnRequest {
             return;
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -92,13 +92,13 @@
         node.balancer.is_list_overdue(node.clock.now())
     }
 
-    /// Gives the balancer all endpoints with known processes at once, which keeps it from trying the others one by one.
+    /// Gives the balancer all endpoints with known processes at once, so that it does not try the others one by one.
     fn unknown_process_reached(&self) {
         let endpoints = self.borrow().endpoints_with_known_process();
         self.handle(Event::OnlyKnownProcesses { endpoints });
     }
 
-    /// The response of the first served attempt is the request's final answer.
+    /// Ends an attempt. The response of the first served attempt is the request's final answer.
     fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult) {
         let request = &spec.request;
         let Some(event) = self.borrow().end_attempt(spec, result) else {
@@ -133,7 +133,7 @@
 }
 
 impl Node {
-    /// Returns the endpoints at which the process that the list names is known to run.
+    /// Returns the serving endpoints whose listed processes are known.
     fn endpoints_with_known_process(&self) -> HashSet<EndpointId> {
         let serving = self.endpoints.serving();
         let targets = serving.filter_map(|endpoint| self.endpoints.target(endpoint));
@@ -164,7 +164,8 @@
         ))
     }
 
-    /// Returns when an attempt's streamed upload was complete. The endpoint's response time is measured from then on.
+    /// Returns the time at which an attempt's upload was complete. The endpoint's response time is measured from then
+    /// on.
     fn upload_completed_at(&self, spec: &AttemptSpec) -> Option<Timestamp> {
         let upload = spec.forwarded.upload.as_ref()?;
         let completed_at = upload.completed_at()?;
--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -10,18 +10,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long the new process of a hot restart waits for its first list before it is ready with the cached list.
+/// The maximum time for which the new process of a hot restart waits for its first list. It is then ready with the
+/// cached list.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long the first list may take to arrive after its watch has opened. It follows the response head in the next
-/// segment.
+/// The maximum time for which the first list is awaited after its watch has opened. Discovery sends the list in the TCP
+/// segment after the response head.
 const FIRST_LIST_AFTER_WATCH: Duration = Duration::from_millis(100);
 
 /// The endpoints listed by discovery, and the watches on it.
 #[derive(Debug)]
 pub struct Endpoints {
     subscription: Subscription,
-    /// Until then, the node is not ready without a list from discovery, and the old process serves callers. `None` if
-    /// the node does not wait for a list.
+    /// The end of the wait for the first list. Until then, the node is not ready without a list from discovery, and the
+    /// old process serves callers. `None` if the node does not wait for a list.
     first_list_deadline: Option<Timestamp>,
     status: ListStatus,
 }
@@ -51,7 +52,7 @@
         self.subscription.source()
     }
 
-    /// Returns the version of the list from a source, or `None` if it is not the current source.
+    /// Returns the version of the list from a source, or `None` if that is not the current source.
     pub fn known_version(&self, source: Source) -> Option<u64> {
         self.subscription.known_version(source)
     }
@@ -76,7 +77,7 @@
         self.subscription.stop_watch();
     }
 
-    /// Moves to the discovery service at an address, if it is another one.
+    /// Moves to the discovery service at an address, unless it is the current one.
     pub fn move_to(&mut self, discovery: SocketAddr) -> SourceChange {
         self.subscription.move_to(discovery)
     }
@@ -118,8 +119,8 @@
         self.first_list_deadline = Some(now + FIRST_LIST_TIMEOUT);
     }
 
-    /// Shortens the wait for the first list, because discovery is reachable: a list arrives right away, or nothing has
-    /// changed.
+    /// Shortens the wait for the first list, because discovery is reachable. It sends a list right away, or none until
+    /// the next change.
     pub fn expect_first_list_soon(&mut self, now: Timestamp) {
         let soon = now + FIRST_LIST_AFTER_WATCH;
         self.first_list_deadline = self.first_list_deadline.map(|deadline| deadline.min(soon));
@@ -141,7 +142,7 @@
         })
     }
 
-    /// Returns whether the same process of an endpoint is still listed and takes work.
+    /// Returns whether an endpoint is still listed as serving with the same process and address.
     pub fn is_serving(&self, target: &EndpointProcess) -> bool {
         let member = self.subscription.membership().get(&target.endpoint);
         member.is_some_and(|member| {
@@ -151,7 +152,7 @@
         })
     }
 
-    /// Returns whether an endpoint is still listed with the same start of its process.
+    /// Returns whether an endpoint is still listed with the same process.
     pub fn is_same_process(&self, target: &EndpointProcess) -> bool {
         let member = self.subscription.membership().get(&target.endpoint);
         member.is_some_and(|member| member.started_at == target.started_at)
--- a/src/sidecar/node/hot_restart.rs
+++ b/src/sidecar/node/hot_restart.rs
@@ -15,7 +15,7 @@
 }
 
 impl HotRestart {
-    /// Creates the state of a process that knows no other one yet.
+    /// Creates the state of a process that is not connected to any other one yet.
     pub fn new(directory: Option<Rc<SharedDirectory>>) -> Self {
         HotRestart {
             processes: OtherProcesses::default(),
@@ -38,7 +38,7 @@
         self.processes.send(message, None);
     }
 
-    /// Sends an endpoint's administrative state to all other processes but `origin`, which it came from.
+    /// Sends an endpoint's administrative state to all other processes except `origin`, from which it was received.
     pub fn broadcast_admin_state(
         &self,
         endpoint: &EndpointId,
@@ -59,7 +59,7 @@
     }
 
     /// Stores an endpoint's administrative state in the shared directory. If nothing is stored yet, all endpoints that
-    /// this process knows as disabled are stored with it.
+    /// this process knows to be disabled are stored with it.
     pub fn store_admin_state<'a>(
         &self,
         endpoint: &EndpointId,
--- a/src/sidecar/node/list_status.rs
+++ b/src/sidecar/node/list_status.rs
@@ -1,16 +1,17 @@
-//! How current the endpoint list is, and how often discovery failed.
+//! The age of the endpoint list since a watch last confirmed it, and the failures of discovery.
 
 use crate::policy::Timestamp;
 use std::time::Duration;
 
-/// How current the endpoint list is, for the log and the operators' metrics.
+/// States since when the endpoint list is unconfirmed, and counts watches and failures of discovery. The log and the
+/// metrics report these figures.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ListStatus {
-    /// Since when no watch has confirmed the list as current. `None` while one confirms it.
+    /// The time since which no watch has confirmed that the list is current. `None` while one confirms it.
     unconfirmed_since: Option<Timestamp>,
-    /// Watches opened since the start.
+    /// The number of watches opened since the start.
     watches_opened: u64,
-    /// Calls that failed and watches that were lost since the start.
+    /// The number of calls that failed and watches that were lost since the start.
     failures: u64,
 }
 
@@ -28,14 +29,14 @@
         self.watches_opened += 1;
     }
 
-    /// Records that the list is current. Returns how long it was unconfirmed, or `None` if it was not.
+    /// Records that the list is current. Returns the time for which it was unconfirmed, or `None` if it was not.
     pub fn confirm(&mut self, now: Timestamp) -> Option<Duration> {
         let since = self.unconfirmed_since.take()?;
         Some(now.since(since))
     }
 
-    /// Records that a call failed or a watch was lost. `last_received_at` is when something was last received on that
-    /// watch. Returns since when the list is unconfirmed, or `None` if it already was.
+    /// Records that a call failed or a watch was lost. `last_received_at` is the time at which something was last
+    /// received on that watch. Returns the time since which the list is unconfirmed, or `None` if it already was.
     pub fn watch_ended(
         &mut self,
         now: Timestamp,
@@ -45,8 +46,8 @@
         self.set_unconfirmed(last_received_at.unwrap_or(now))
     }
 
-    /// Records that a call for a new watch has replaced the open one, if there was one. Returns since when the list is
-    /// unconfirmed, or `None` if it already was.
+    /// Records that a call for a new watch has replaced the open one, if there was one. Returns the time since which
+    /// the list is unconfirmed, or `None` if it already was.
     pub fn watch_replaced(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.set_unconfirmed(now)
     }
@@ -59,7 +60,7 @@
         self.unconfirmed_since
     }
 
-    /// Returns how long no watch has confirmed the list as current; zero while one confirms it.
+    /// Returns the time for which no watch has confirmed that the list is current, or zero while one confirms it.
     pub fn unconfirmed_for(&self, now: Timestamp) -> Duration {
         self.unconfirmed_since
             .map_or(Duration::ZERO, |since| now.since(since))
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -1,6 +1,6 @@
-//! The node: the owner of one balancer and of all request state, and the only caller of that balancer.
+//! The node, which owns one balancer and the state of all requests. Nothing else calls that balancer.
 //!
-//! | file | what it owns |
+//! | file | contents |
 //! | --- | --- |
 //! | `state.rs` | the components below, the balancer, and the queue of events |
 //! | `open_requests.rs`, `open_request.rs` | open requests: replies, attempts in flight, deadlines |
@@ -10,12 +10,13 @@
 //! | `hot_restart.rs` | the other processes of this sidecar, and the shared directory |
 //! | `active_configuration.rs` | the configuration in force and the settings before it |
 //!
-//! The other files are the node's interfaces: `requests.rs` to callers, `endpoint_host.rs` to attempts, `discovery.rs`
-//! to the discovery client, `process_messages.rs` to the other processes, `operators.rs`, `reload.rs` and `report.rs`
-//! to the operators; `actions.rs` and `attempts.rs` execute what the balancer decides.
+//! Most other files are the node's interfaces: `requests.rs` to callers, `endpoint_host.rs` to attempts and health
+//! checks, `discovery.rs` to the discovery client, `process_messages.rs` to the other processes, and `operators.rs`,
+//! `reload.rs` and `report.rs` to the operators. `actions.rs` and `attempts.rs` execute the balancer's actions.
 //!
-//! Callers, attempts and discovery run in local tasks and reach the node through [`NodeHandle`]. Its methods borrow the
-//! node, pass an event to the balancer, execute its actions and release the node, never across an await.
+//! Callers' connections, attempts and discovery run in local tasks and reach the node through [`NodeHandle`]. Its
+//! methods borrow the node, pass an event to the balancer, execute the balancer's actions and release the node. No
+//! borrow lasts across an await.
 
 mod actions;
 mod active_configuration;
--- a/src/sidecar/node/open_request.rs
+++ b/src/sidecar/node/open_request.rs
@@ -13,17 +13,17 @@
     Served(ServedResponse),
     /// It was rejected without being run. Trying again is harmless.
     Rejected {
-        /// How long the client should wait before it tries again.
+        /// The time for which the client should wait before it tries again.
         retry_after: Option<Duration>,
     },
     /// It has failed, and may have run.
     Failed {
-        /// Whether the last attempt timed out.
+        /// True if the last attempt timed out.
         timed_out: bool,
     },
 }
 
-/// Why a request is not submitted to the balancer.
+/// The reason why a request is not submitted to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
     /// Another request with the same id is open.
@@ -34,7 +34,7 @@
     TooManyUnanswered,
 }
 
-/// An open request: it is unanswered, or has attempts in flight.
+/// A request that is unanswered or has attempts in flight.
 pub struct OpenRequest {
     forwarded: Rc<ForwardedRequest>,
     deadline: Timestamp,
@@ -84,17 +84,17 @@
         &self.forwarded
     }
 
-    /// Returns when the client gives up.
+    /// Returns the deadline by which the client must have its answer.
     pub fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// Returns whether it waits for its final answer.
+    /// Returns whether the request waits for its final answer.
     pub fn is_unanswered(&self) -> bool {
         matches!(self.reply, ReplyState::Pending(_))
     }
 
-    /// Takes the sender of its final answer; `None` once it was taken.
+    /// Takes the sender of the final answer. Returns `None` once the sender has been taken.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
         match std::mem::replace(&mut self.reply, ReplyState::Taken) {
             ReplyState::Pending(reply) => Some(reply),
@@ -107,7 +107,7 @@
         self.attempts.len()
     }
 
-    /// Adds the next attempt, which `task` makes.
+    /// Adds the next attempt, which `task` runs.
     pub fn begin_attempt(&mut self, sent_at: Timestamp, task: Task) {
         self.attempts.push(OpenAttempt::InFlight {
             sent_at,
@@ -128,7 +128,7 @@
         )
     }
 
-    /// Ends an attempt and its task. Returns when it was sent, or `None` if it was not in flight.
+    /// Ends an attempt and its task. Returns the time at which it was sent, or `None` if it was not in flight.
     pub fn end_attempt(&mut self, attempt: AttemptNumber) -> Option<Timestamp> {
         let attempt = self.attempts.get_mut(attempt)?;
         match std::mem::replace(attempt, OpenAttempt::Ended) {
@@ -137,17 +137,17 @@
         }
     }
 
-    /// Records how an attempt that was not cancelled has ended.
+    /// Records the outcome of an attempt that ended without being cancelled.
     pub fn set_last_outcome(&mut self, outcome: Outcome) {
         self.last_outcome = Some(outcome);
     }
 
-    /// Returns whether the last attempt that ended by itself timed out.
+    /// Returns whether the last attempt that ended without being cancelled timed out.
     pub fn has_timed_out(&self) -> bool {
         self.last_outcome == Some(Outcome::TimedOut)
     }
 
-    /// Returns whether it is answered and has no attempts in flight. The balancer has then forgotten it too.
+    /// Returns whether the request is answered and has no attempts in flight. The balancer has then forgotten it too.
     pub fn is_finished(&self) -> bool {
         let is_in_flight = |attempt: &OpenAttempt| matches!(attempt, OpenAttempt::InFlight { .. });
         !self.is_unanswered() && !self.attempts.iter().any(is_in_flight)
--- a/src/sidecar/node/open_requests.rs
+++ b/src/sidecar/node/open_requests.rs
@@ -8,14 +8,14 @@
 
 /// All requests that are unanswered or have attempts in flight.
 ///
-/// Every final answer is given by [`OpenRequests::answer`]; a client's disconnection is recorded by
-/// [`OpenRequests::disconnect`]. A request gets one of the two, and at most once.
+/// [`OpenRequests::answer`] gives a request its final answer. [`OpenRequests::disconnect`] records that its client has
+/// disconnected. Only the first of these calls for a request has an effect.
 #[derive(Default)]
 pub struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
     /// The number of unanswered requests. `requests` also holds answered ones with attempts in flight.
     unanswered: u64,
-    /// Set by a graceful shutdown. Every request that arrives is answered by then.
+    /// Set once a graceful shutdown has begun. Every request that arrives after that is answered by this time.
     shutdown_deadline: Option<Timestamp>,
 }
 
@@ -66,7 +66,7 @@
     /// Gives a request its final answer, unless it has one or its client has disconnected.
     pub fn answer(&mut self, request: &RequestId, answer: FinalAnswer) {
         if let Some(reply) = self.take_reply(request) {
-            // The receiver may just have been dropped: the request is answered either way.
+            // Sending fails if the receiver was just dropped. The request counts as answered either way.
             let _ = reply.send(answer);
             self.remove_if_finished(request);
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Sets the time by which every request that arrives from now on is answered.
+    /// Sets the deadline of a graceful shutdown, by which every request that arrives from now on is answered.
     pub fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = Some(deadline);
     }
@@ -94,7 +94,7 @@
         self.shutdown_deadline.is_some()
     }
 
-    /// Returns the earlier of a request's own deadline and that of the shutdown.
+    /// Returns the earlier of a request's own deadline and the shutdown's deadline, if a shutdown has begun.
     pub fn limit_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.shutdown_deadline
             .map_or(deadline, |shutdown| deadline.min(shutdown))
--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -8,11 +8,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long callers may still be sent here after a drain has begun. The front end polls readiness ten times per second,
-/// and sends some callers for 0.2 s after a negative answer.
+/// The time after the start of a drain for which new callers may still arrive. The front end, which sends callers to
+/// the sidecars that are ready, polls readiness ten times per second. It still sends some callers for 0.2 s after a
+/// negative answer.
 const READINESS_PROPAGATION: Duration = Duration::from_millis(600);
-/// How long callers then have for one more request, whose response closes their connection. A drain must have closed
-/// all connections after 4 s, and must not interrupt requests of the 2 s before that.
+/// The time that callers then have for one more request, whose response closes their connection. A drain must have
+/// closed all connections after 4 s, and must not interrupt requests of the 2 s before that.
 const LAST_REQUEST_TIME: Duration = Duration::from_millis(1_000);
 
 /// No endpoint with this id is listed or disabled.
@@ -54,7 +55,7 @@
             .store_admin_state(endpoint, state, node.disabled_endpoints());
     }
 
-    /// Begins to drain the sidecar of callers. Does nothing if a drain is in progress.
+    /// Begins a drain, in which all callers move to other sidecars. Does nothing if a drain is in progress.
     pub fn drain(&self) {
         if self.borrow().callers().drain_state().is_some() {
             return;
@@ -64,7 +65,7 @@
         self.borrow().connections.begin_drain(task);
     }
 
-    /// Ends a drain: callers may be sent here again.
+    /// Ends a drain, if one is in progress. Callers may then be sent to this sidecar again.
     pub fn undrain(&self) {
         let mut node = self.borrow();
         if node.callers().drain_state().is_some() {
@@ -74,8 +75,8 @@
     }
 }
 
-/// Advances a drain through its states. Callers are served as before at first. Then each connection closes with its
-/// next response, and finally idle connections close.
+/// Advances a drain through its states. At first, callers are served as before. Then each connection closes after its
+/// next response. Finally, idle connections close too.
 async fn advance_drain(node: NodeHandle) {
     sleep(READINESS_PROPAGATION).await;
     node.borrow()
--- a/src/sidecar/node/process_messages.rs
+++ b/src/sidecar/node/process_messages.rs
@@ -19,7 +19,7 @@
 }
 
 impl NodeHandle {
-    /// Adds another process. Returns its id, and the channel of the messages to be written to it.
+    /// Adds another process. Returns its id and the queue of messages to be written to it.
     pub fn add_process(
         &self,
         role: ProcessRole,
@@ -32,7 +32,7 @@
         self.borrow().hot_restart.processes().contains(process)
     }
 
-    /// Announces to the old process that this one accepts callers from now on.
+    /// Announces to the other processes that this one accepts callers from now on.
     pub fn announce_serving(&self) {
         self.borrow()
             .hot_restart
@@ -46,8 +46,8 @@
             .broadcast(&ProcessMessage::ShuttingDown);
     }
 
-    /// Sends the disabled endpoints to the other processes. A new one has read the stored file, but perhaps before the
-    /// last change.
+    /// Sends the disabled endpoints to the other processes. A new process has read the stored file, but perhaps before
+    /// the last change.
     pub fn send_disabled_endpoints(&self) {
         let node = self.borrow();
         for endpoint in node.disabled_endpoints() {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Removes a process that has ended, with the connections that it had. Applies the stored disabled endpoints,
+    /// Removes a process that has ended. Its open connections no longer count. Applies the stored disabled endpoints,
     /// because the process may have stored a last change without sending it.
     pub fn other_process_ended(&self, process: OtherProcessId) {
         let mut guard = self.borrow();
--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -6,7 +6,7 @@
 use crate::policy::{Event, SettingsError};
 use std::net::SocketAddr;
 
-/// Why a configuration is not applied.
+/// The reason why a configuration is not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// A key that the file had before is missing, for example because the file is truncated.
@@ -18,9 +18,11 @@
 }
 
 impl NodeHandle {
-    /// Applies the parts of a configuration that a running process can change, or none of them on an error. If
-    /// discovery has moved, the new service is watched at once, and the previous one too until the new one has sent a
-    /// list. The cached list is ignored, because the lists received since the start are newer.
+    /// Applies the parts of a configuration that a running process can change, or none of them on an error.
+    ///
+    /// If discovery has moved, the new service is watched at once. The previous one is watched too until the new one
+    /// has sent a list. The cached list of the configuration is ignored, because the lists received since the start are
+    /// newer.
     ///
     /// # Errors
     /// A key is missing, or the settings are invalid.
--- a/src/sidecar/node/report.rs
+++ b/src/sidecar/node/report.rs
@@ -1,4 +1,4 @@
-//! The node's state and counts, for the log and the operators' metrics.
+//! The node's state and counters, for the log and the operators' metrics.
 
 use super::state::Node;
 use crate::policy::BalancerStatus;
@@ -12,9 +12,9 @@
 pub struct NodeReport {
     /// The counters since the last line.
     pub counters: CountersLine,
-    /// The balancer's present state.
+    /// The balancer's current state.
     pub status: BalancerStatus,
-    /// How current the endpoint list is.
+    /// The state of the endpoint list.
     pub list: ListMetrics,
     /// The connections open now.
     pub connections: OpenConnections,
@@ -32,7 +32,7 @@
         self.metrics.write(&endpoints, &self.list_metrics(), text);
     }
 
-    /// Returns the present state and the counters since the last report, and resets the counters.
+    /// Returns the current state and the counters since the last report, and resets the counters.
     pub fn take_report(&mut self) -> NodeReport {
         let answered = self.metrics.answered();
         NodeReport {
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -12,7 +12,7 @@
     /// [`NodeHandle::client_disconnected`] or [`NodeHandle::deadline_exceeded`] is called first.
     ///
     /// # Errors
-    /// The limit of unanswered requests is reached, or a request with this id is open. The request has not run then.
+    /// The limit of unanswered requests is reached, or a request with this id is open. The request was then not run.
     pub fn submit(
         &self,
         mut request: Request,
@@ -21,8 +21,8 @@
         let mut node = self.borrow();
         let settings = node.configuration.settings();
         let max_open = settings.limits.max_open;
-        // A request that was parsed under the settings before a reload may name a tenant that the settings in force
-        // lack.
+        // A request that was parsed under the settings before a reload may have a tenant that is not in the settings
+        // in force.
         request
             .tenant
             .take_if(|tenant| tenant.0 >= settings.tenants.len());
@@ -33,7 +33,7 @@
         Ok(answer)
     }
 
-    /// Withdraws a request whose client has closed its connection. The request no longer needs an answer.
+    /// Withdraws a request whose client has disconnected. The request no longer needs an answer.
     pub fn client_disconnected(&self, request: &RequestId) {
         let mut node = self.borrow();
         if !node.requests.disconnect(request) {
@@ -47,8 +47,8 @@
         self.borrow().requests.remove_if_finished(request);
     }
 
-    /// Handles a request that the balancer has not answered by its deadline, which is a bug. The calling function
-    /// answers it.
+    /// Handles a request that the balancer has not answered by its deadline, which is a bug. Withdraws the request from
+    /// the balancer. The calling function gives the client an answer.
     pub fn deadline_exceeded(&self, request: &RequestId) {
         log!("request {} was still open at its deadline", request.0);
         self.client_disconnected(request);
@@ -61,14 +61,14 @@
         self.requests.answer(request, answer);
     }
 
-    /// Counts a request that is rejected before the balancer sees it. Returns its Retry-After.
+    /// Counts a request that is rejected before the balancer receives it. Returns the time for its Retry-After header.
     pub fn reject_early(&mut self) -> Option<Duration> {
         self.counters.request_rejected_early();
         self.balancer.retry_after()
     }
 
-    /// Returns the deadline of a request that has just been received completely, and whose client waits for
-    /// `time_left`. During a graceful shutdown, it is no later than the shutdown's deadline.
+    /// Returns the deadline of a request whose client waits for `time_left` from now. During a graceful shutdown, it is
+    /// no later than the shutdown's deadline.
     pub fn request_deadline(&self, time_left: Duration) -> Timestamp {
         self.requests.limit_deadline(self.clock.now() + time_left)
     }
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -20,9 +20,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The process's memory is divided by this number for the budget of callers' request bodies.
+/// The divisor of the process's memory that gives the budget of callers' request bodies.
 const REQUEST_MEMORY_DIVISOR: usize = 4;
-/// The process's memory is divided by this number for the budget of endpoints' responses.
+/// The divisor of the process's memory that gives the budget of endpoints' responses.
 const RESPONSE_MEMORY_DIVISOR: usize = 8;
 
 /// The state of one sidecar, with its balancer. Each component is changed only through its own methods.
@@ -40,7 +40,7 @@
     pub(super) counters: Counters,
     /// The metrics since the start.
     pub(super) metrics: Metrics,
-    /// The seed of random numbers that are drawn outside the balancer.
+    /// The seed of random numbers that are drawn outside the balancer, as for jitter.
     seed: u64,
     /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
@@ -52,19 +52,19 @@
 #[derive(Clone)]
 pub struct NodeHandle(Rc<RefCell<Node>>);
 
-/// How a process starts.
+/// The options with which a node starts.
 pub struct StartOptions {
-    /// Its configuration.
+    /// The configuration.
     pub config: Config,
-    /// The directory that it shares with the processes before and after it.
+    /// The directory that the processes of one sidecar share, if it takes part in hot restarts.
     pub directory: Option<Rc<SharedDirectory>>,
-    /// Whether another process of the sidecar is running.
+    /// States whether another process of the sidecar is running.
     pub mode: StartMode,
-    /// Descriptors reserved for the operators' calls.
+    /// The number of descriptors that are reserved for operators' connections.
     pub reserved_descriptors: usize,
 }
 
-/// Whether another process of the sidecar is running at the start.
+/// States whether another process of the sidecar is running when this one starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
     /// No other process is running.
@@ -74,9 +74,11 @@
 }
 
 impl NodeHandle {
-    /// Starts a node with the cached list of its configuration. It watches discovery once its balancer subscribes. It
-    /// watches at once in a hot restart, if lists are pushed, and if there is no cached list, because the balancer
-    /// subscribes only when it has an old list.
+    /// Starts a node with the cached list of its configuration.
+    ///
+    /// The node watches discovery once its balancer subscribes. It watches at once in a hot restart and if lists are
+    /// pushed. It also watches at once if there is no cached list, because the balancer subscribes only when it has an
+    /// old list.
     ///
     /// # Errors
     /// The balancer cannot work with the settings.
@@ -168,6 +170,7 @@
         mode == StartMode::HotRestart || self.discovery_mode() == DiscoveryMode::Pushed
     }
 
+    /// Begins the wait for the first list.
     fn await_first_list(&mut self) {
         let now = self.clock.now();
         self.endpoints.await_first_list(now);
@@ -178,7 +181,7 @@
         self.events.push_back(event);
     }
 
-    /// Returns the clock whose time the balancer is given.
+    /// Returns the clock that the balancer's times are taken from.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -203,7 +206,7 @@
         self.connections.admit_caller()
     }
 
-    /// Returns whether this process has handed its listening socket to another one that still runs.
+    /// Returns whether a process to which this one has handed its listening socket is running.
     pub fn has_new_process(&self) -> bool {
         self.hot_restart.processes().has_new_process()
     }
@@ -234,7 +237,7 @@
         self.requests.set_shutdown_deadline(deadline);
     }
 
-    /// Returns whether the operators have disabled an endpoint.
+    /// Returns an endpoint's administrative state, which the operators set.
     pub fn admin_state(&self, endpoint: &EndpointId) -> AdminState {
         AdminState::from_disabled(self.balancer.is_disabled(endpoint))
     }
@@ -244,8 +247,8 @@
         self.balancer.disabled_endpoints()
     }
 
-    /// Returns whether callers may be sent here: an endpoint takes work, and the sidecar is neither shutting down, nor
-    /// draining, nor waiting for its first list.
+    /// Returns whether callers may be sent to this sidecar. This requires a serving endpoint that is not disabled. The
+    /// sidecar must be neither shutting down, nor draining, nor waiting for its first list.
     pub fn is_ready(&self) -> bool {
         let is_enabled = |endpoint: &EndpointId| !self.balancer.is_disabled(endpoint);
         self.endpoints.serving().any(is_enabled)
@@ -254,7 +257,7 @@
             && self.callers().drain_state().is_none()
     }
 
-    /// Starts the count of a request of a class in the metrics.
+    /// Starts to track a request of a class in the metrics.
     pub fn begin_request(&mut self, class: &str) -> RequestTracker {
         self.metrics.begin_request(class)
     }
