--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -18,7 +18,7 @@
 ) -> io::Result<EndpointConnection> {
     let permit = host
         .connect_permit()
-        .ok_or_else(|| io::Error::other("no descriptors left"))?;
+        .ok_or_else(|| io::Error::other("no file descriptor is available"))?;
     let stream = TcpStream::connect(target.address).await?;
     stream.set_nodelay(true)?;
     let progress = WriteProgress::new(permit.attempts_written);
--- a/src/sidecar/listener_handover/message_exchange.rs
+++ b/src/sidecar/listener_handover/message_exchange.rs
@@ -74,7 +74,7 @@
         match serde_json::from_slice(&line) {
             Ok(message) => node.receive(process, message),
             // The other process may be of a later release and send messages that this release does not know.
-            Err(error) => log!("hot restart: unknown message from the other process: {error}"),
+            Err(error) => log!("hot restart: message from the other process ignored: {error}"),
         }
     }
 }
--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -28,7 +28,7 @@
     loop {
         let socket = match &bound {
             Ok(socket) => socket,
-            Err(error) => return log!("hot restart: not possible from this process: {error}"),
+            Err(error) => return log!("hot restart: socket for new processes not bound: {error}"),
         };
         let stream = hand_over_to_next(socket, &listener).await;
         let (process, messages) = node.add_process(ProcessRole::New);
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -50,7 +50,10 @@
     /// Handles a request that the balancer has not answered by its deadline, which is a bug. Withdraws the request from
     /// the balancer. The calling function gives the client an answer.
     pub fn deadline_exceeded(&self, request: &RequestId) {
-        log!("request {} was still open at its deadline", request.0);
+        log!(
+            "request {} was not answered by the balancer before its deadline",
+            request.0
+        );
         self.client_disconnected(request);
     }
 }
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -179,7 +179,7 @@
                 Ok(Takeover::Completed)
             }
             _ = terminate.recv() => {
-                log!("{name} stops before it has taken over");
+                log!("{name} received SIGTERM and stops before it has taken over");
                 Ok(Takeover::Terminated)
             }
         }
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -274,7 +274,7 @@
     std::fs::remove_file(&socket).expect("it is removed");
     std::fs::create_dir(&socket).expect("a directory in its place");
     let sidecar = deployment.start(None);
-    sidecar.wait_for_log("hot restart: not possible from this process");
+    sidecar.wait_for_log("hot restart: socket for new processes not bound");
     assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
     let config = with_admin_address(config(
         deployment.discovery.address,
