--- a/src/sidecar/endpoint/attempt.rs
+++ b/src/sidecar/endpoint/attempt.rs
@@ -29,12 +29,13 @@
     spec: &'a AttemptSpec,
 }
 
-/// A connection for an attempt, and where it came from.
+/// A connection for an attempt, with its origin.
 struct AcquiredConnection {
     connection: EndpointConnection,
     origin: ConnectionOrigin,
 }
 
+/// The origin of a connection.
 #[derive(PartialEq)]
 enum ConnectionOrigin {
     /// Taken from the pool. The endpoint may have closed it while it was idle.
@@ -74,7 +75,7 @@
                 && acquired.origin == ConnectionOrigin::Pool
                 && is_unwritten;
             if was_closed_while_idle && !self.forwarded().is_consumed() {
-                continue; // no byte was written: try another connection
+                continue; // no byte was written, so another connection is tried
             }
             return AttemptResult::without_response(if progress.is_complete() {
                 failure
@@ -88,9 +89,10 @@
         &self.spec.forwarded
     }
 
-    /// Takes an idle connection from the pool or opens a new one. A request that must not run twice always gets a new
-    /// connection: an endpoint may close an idle one at any time, or reset it at the next request. That request may
-    /// have run by then, so it could not be sent again.
+    /// Takes an idle connection from the pool or opens a new one. Returns `None` if none was established in time.
+    ///
+    /// A request that must not run twice always gets a new connection. An endpoint may close an idle connection at any
+    /// time, or reset it at the next request. That request may have run by then, so it could not be sent again.
     async fn acquire_connection(&self, deadline: Instant) -> Option<AcquiredConnection> {
         let target = &self.spec.target;
         if self.forwarded().is_repeatable
@@ -101,7 +103,7 @@
                 origin: ConnectionOrigin::Pool,
             });
         }
-        // Only the first dial may evict an idle connection; a further one is started only if a descriptor is free.
+        // Only the first dial may evict another connection. A further dial is started only if a descriptor is free.
         let dial = || connect(self.host, target);
         let may_hedge = || !self.host.descriptors_exhausted();
         let connect_timeout = self.host.connect_timeout();
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Sends the request and receives the response, or its beginning. Returns `None` if it did not arrive by the
+    /// Sends the request and receives the response, or the start of it. Returns `None` if it did not arrive by the
     /// deadline.
     async fn exchange(
         &self,
--- a/src/sidecar/endpoint/attempt_result.rs
+++ b/src/sidecar/endpoint/attempt_result.rs
@@ -31,19 +31,19 @@
     Streamed(Box<StreamedResponse>),
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// The outcome that the balancer is given.
     pub outcome: Outcome,
     /// The endpoint's load report, if the response had one.
     pub report: Option<LoadReport>,
-    /// The response to forward. Set for an attempt with [`Outcome::Served`], and for nothing else.
+    /// The response to forward. Set only for an attempt with [`Outcome::Served`].
     pub response: Option<ServedResponse>,
 }
 
 impl AttemptResult {
-    /// Creates the result of an attempt that got no response.
+    /// Creates the result of an attempt or a health check that got no response.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Creates the result of an attempt that got a response. `body` is `None` if it was not received or is not
+    /// Creates the result of an attempt that got a response. `body` is `None` if the body was not received or is not
     /// forwarded.
     pub fn from_response(head: &Response<()>, body: Option<ResponseBody>) -> Self {
         let (outcome, response) = match (head.status(), body) {
--- a/src/sidecar/endpoint/attempt_result_tests.rs
+++ b/src/sidecar/endpoint/attempt_result_tests.rs
@@ -1,4 +1,4 @@
-//! Results of attempts: outcomes and load reports.
+//! Tests of attempts' results: outcomes and load reports.
 
 use super::*;
 
--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// Opens a connection to an endpoint. An idle connection may be evicted to free a descriptor for it.
+/// Opens a connection to an endpoint. Another connection may be evicted to free a descriptor for it.
 ///
 /// # Errors
 /// No descriptor is available, or the connection was not established.
@@ -24,7 +24,7 @@
     let progress = WriteProgress::new(permit.attempts_written);
     let known_process = host.known_process(target);
     let (host, target) = (host.clone(), target.clone());
-    // Runs in a task of its own, because the host may be borrowed when the reset is detected.
+    // The host may be borrowed when the reset is detected, so the report is made in a task of its own.
     let on_idle_reset = move || drop(spawn_local(async move { host.process_ended(&target) }));
     let connection = OpenedConnection {
         stream,
--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -47,13 +47,13 @@
     pub progress: WriteProgress,
     /// Its share of the descriptor budget.
     pub descriptor: DescriptorPermit,
-    /// Set if the connection is known to reach the process that the endpoint list names.
+    /// The guard of the listed process, if the connection is known to reach it.
     pub known_process: Option<KnownProcess>,
 }
 
 /// The idle flag of a connection, and the callback for a reset while it is idle.
 struct IdleState {
-    /// Set from the end of a complete exchange to the start of the next one.
+    /// True from the end of a complete exchange to the start of the next one.
     is_idle: Cell<bool>,
     on_idle_reset: Cell<Option<Box<dyn FnOnce()>>>,
 }
@@ -78,13 +78,13 @@
     HealthCheck,
 }
 
-/// Why an exchange got no response.
+/// The reason why an exchange got no response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
     /// The connection failed, or the endpoint sent invalid HTTP.
     #[error("the connection failed")]
     Http(#[from] hyper::Error),
-    /// More than [`MAX_INFORMATIONAL_RESPONSES`] informational responses arrived. hyper itself skips any number of
+    /// More than [`MAX_INFORMATIONAL_RESPONSES`] informational responses arrived. hyper itself accepts any number of
     /// them.
     #[error("too many informational responses")]
     TooManyInformationalResponses,
@@ -95,7 +95,7 @@
 
 impl EndpointConnection {
     /// Starts HTTP/1.1 on a connected socket. `on_idle_reset` is called if the endpoint resets the connection after a
-    /// complete exchange and before the next.
+    /// complete exchange and before the next one.
     ///
     /// # Errors
     /// hyper failed to set up the connection.
@@ -123,7 +123,7 @@
         });
         let state_for_task = idle_state.clone();
         let task = Task::spawn(async move {
-            // An exchange in progress gets the error from its own future.
+            // An exchange in progress receives the error from its own future.
             if connection.await.is_err_and(|error| is_reset(&error)) {
                 state_for_task.on_reset();
             }
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Returns whether the connection is known to reach the process that the list names.
+    /// Returns whether the connection is known to reach the process that the endpoint list names.
     pub fn reaches_known_process(&self) -> bool {
         self.reaches_known_process
     }
@@ -191,8 +191,8 @@
         self.sender.is_closed()
     }
 
-    /// Returns whether the connection can carry a request now: it is open and has no unread bytes. Unread bytes would
-    /// be taken for the next request's response.
+    /// Returns whether the connection can carry a request now, which means that it is open and has no unread bytes.
+    /// Unread bytes would be taken for the next request's response.
     pub fn is_ready(&self) -> bool {
         match sockets::state(&self.stream) {
             SocketState::OpenWithoutUnread => self.sender.is_ready(),
--- a/src/sidecar/endpoint/forwarded_request.rs
+++ b/src/sidecar/endpoint/forwarded_request.rs
@@ -38,11 +38,11 @@
     pub path: PathAndQuery,
     /// Its headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The buffered part of its body: all of it, or its beginning if there is an upload.
+    /// The buffered part of its body: all of it, or the start of it if there is an upload.
     pub body: Bytes,
     /// The rest of a body that is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
-    /// Whether the request may run twice. If so, another attempt can follow one that may have run.
+    /// True if the request may run twice. Another attempt can then follow one that may have run.
     pub is_repeatable: bool,
     /// The reservation of the memory that the body takes.
     pub _memory: MemoryReservation,
@@ -67,11 +67,11 @@
     pub request: RequestId,
     /// Its number among the request's attempts.
     pub attempt: AttemptNumber,
-    /// Where it is sent.
+    /// The process to which it is sent.
     pub target: EndpointProcess,
-    /// When it times out.
+    /// The time at which it times out.
     pub deadline: Timestamp,
-    /// What it sends.
+    /// The request as it is sent.
     pub forwarded: Rc<ForwardedRequest>,
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// Returns a message's headers without hop-by-hop headers and those that its Connection header names.
+/// Returns a message's headers without the hop-by-hop ones. Those that its Connection header names are hop-by-hop too.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut end_to_end = headers.clone();
     let connection_values = headers
--- a/src/sidecar/endpoint/health_check.rs
+++ b/src/sidecar/endpoint/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks, which only request an endpoint's load report.
+//! Health checks, each of which requests an endpoint's load report.
 
 use super::attempt_result::AttemptResult;
 use super::connect::{connect, report_if_refused};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a health check may take.
+/// The maximum time of a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// The path at which endpoints publish their load reports.
 const LOAD_PATH: &str = "/status/load";
--- a/src/sidecar/endpoint/hedged_dial.rs
+++ b/src/sidecar/endpoint/hedged_dial.rs
@@ -1,5 +1,6 @@
-//! Hedged dials: if a connection is slow to be established, further ones are dialled to the same endpoint, and the
-//! first to be established is used. The request is written only to that one, so a dial does not count as an attempt.
+//! Hedged dials. If a connection is slow to be established, further ones are dialled to the same endpoint, and the
+//! first one to be established is used. The request is written only to that one, so a dial does not count as an
+//! attempt.
 
 use std::future::poll_fn;
 use std::io;
@@ -18,7 +19,7 @@
 
 /// Returns the result of the first dial to end, and drops the other dials.
 ///
-/// `dial` starts one dial. `may_hedge` returns whether the descriptor budget allows another one.
+/// `dial` starts one dial. `may_hedge` returns whether the descriptor budget allows a further one.
 ///
 /// # Errors
 /// The first dial to end failed, or none has ended by the deadline.
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -26,7 +26,7 @@
     /// Returns the sidecar's clock.
     fn clock(&self) -> Clock;
 
-    /// Returns how long a connection may take to be established.
+    /// Returns the maximum time in which a connection must be established.
     fn connect_timeout(&self) -> Duration;
 
     /// Returns the memory budget for responses.
@@ -35,14 +35,14 @@
     /// Returns whether all descriptors are in use.
     fn descriptors_exhausted(&self) -> bool;
 
-    /// Returns a permit to open a connection, or `None` if no descriptor is available. An idle connection may be
+    /// Returns a permit to open a connection, or `None` if no descriptor is available. Another connection may be
     /// evicted for it.
     fn connect_permit(&self) -> Option<ConnectPermit>;
 
-    /// Takes an idle connection to an endpoint from the pool.
+    /// Takes an idle connection to an endpoint from the pool. Returns `None` if there is none that can be used.
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection>;
 
-    /// Returns a connection whose exchange is complete to the pool, or closes it if its endpoint takes no more work.
+    /// Puts a connection whose exchange is complete into the pool, or closes it if its endpoint takes no more attempts.
     fn return_connection(&self, connection: EndpointConnection, target: &EndpointProcess);
 
     /// Returns whether an attempt may still be written. It is called just before the first byte, because the request
@@ -52,15 +52,15 @@
     /// Reports that an endpoint refused a connection or reset an idle one, which means that its process has ended.
     fn process_ended(&self, target: &EndpointProcess);
 
-    /// Returns a guard for a connection that was just opened, if it is known to reach the process that the endpoint
-    /// list names.
+    /// Returns a guard for a connection that was just opened, if the connection is known to reach the process that the
+    /// endpoint list names.
     fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcess>;
 
     /// Returns whether attempts may be written only on connections to known processes, because the endpoint list is
     /// overdue.
     fn requires_known_process(&self) -> bool;
 
-    /// Reports that an attempt's connection reaches an unknown process although a known one is required.
+    /// Reports that an attempt was not written, because its connection does not reach a known process.
     fn unknown_process_reached(&self);
 
     /// Reports that an attempt has ended.
--- a/src/sidecar/endpoint/known_processes.rs
+++ b/src/sidecar/endpoint/known_processes.rs
@@ -1,4 +1,8 @@
-//! Known processes: endpoint processes that an open connection shows to be those that the endpoint list names.
+//! Known processes: processes of endpoints that are certain to run at the addresses in the endpoint list.
+//!
+//! If the list is outdated, a later process may run at the address of one that has ended. A connection is known to
+//! reach the listed process if it is opened while the balancer relies on the list, or while an earlier connection that
+//! is known to reach the process is still open.
 
 use super::forwarded_request::EndpointProcess;
 use crate::policy::{EndpointId, Timestamp};
@@ -15,8 +19,8 @@
 
 type ConnectionCounts = Rc<RefCell<HashMap<ProcessIdentity, usize>>>;
 
-/// Processes with an open connection that was opened while the endpoint list showed them to be running. While one such
-/// connection is open, the process runs, and a further connection to its address reaches the same process.
+/// The number of open connections to each known process. While one of them is open, the process runs, and a further
+/// connection to its address reaches the same process.
 #[derive(Debug, Default)]
 pub struct KnownProcesses(ConnectionCounts);
 
@@ -28,7 +32,7 @@
 }
 
 impl KnownProcesses {
-    /// Records a connection to the process that the list names, and returns its guard.
+    /// Records a connection that is known to reach a process, and returns its guard.
     pub fn add(&self, target: &EndpointProcess) -> KnownProcess {
         let process = ProcessIdentity::from(target);
         *self.0.borrow_mut().entry(process.clone()).or_default() += 1;
@@ -38,7 +42,7 @@
         }
     }
 
-    /// Returns whether a connection to the process that the list names is open.
+    /// Returns whether a process is known.
     pub fn contains(&self, target: &EndpointProcess) -> bool {
         self.0.borrow().contains_key(&ProcessIdentity::from(target))
     }
--- a/src/sidecar/endpoint/load_report.rs
+++ b/src/sidecar/endpoint/load_report.rs
@@ -8,14 +8,14 @@
 const MAX_VALUE: f64 = 1e5;
 /// The largest plausible utilisation.
 const MAX_UTILISATION: f64 = 2.0;
-/// The names of the fields that describe the queue.
+/// The names of the fields that show whether requests are waiting or in flight.
 const QUEUE_FIELDS: [&str; 4] = ["concurrent", "inflight", "depth", "queue"];
 
-/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61`. Each field may have its name in the settings or
-/// its name in the protocol's example. Implausible values are ignored.
+/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61`. Each field has two accepted names: the one in
+/// the settings and the one in the protocol's example. Implausible values are ignored.
 ///
-/// Returns `None` if no value is valid. Also returns `None` if the report has queue fields but none of them is valid:
-/// such a report would be taken for an empty queue.
+/// Returns `None` if no value is valid. Also returns `None` if the report has fields of [`QUEUE_FIELDS`] but none of
+/// them is valid, because such a report would be taken for an empty queue.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for field in text.trim().strip_prefix("TEXT")?.split(',') {
--- a/src/sidecar/endpoint/mod.rs
+++ b/src/sidecar/endpoint/mod.rs
@@ -1,8 +1,8 @@
 //! Connections to endpoints, and the attempts and health checks made over them.
 //!
-//! A connection carries one exchange at a time. Once a byte of a request has been written, this module does not send it
-//! again: the balancer decides about further attempts of a request that may have run. [`EndpointHost`] declares the
-//! functions of the sidecar that attempts need.
+//! A connection carries one exchange at a time. Once a byte of a request has been written, this module does not send
+//! the request again. The balancer decides about further attempts of a request that may have run. [`EndpointHost`]
+//! declares the functions of the sidecar that attempts and health checks need.
 
 mod attempt;
 mod attempt_result;
--- a/src/sidecar/endpoint/pool.rs
+++ b/src/sidecar/endpoint/pool.rs
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 
 /// The fraction of an endpoint's idle timeout after which the pool closes an idle connection. A request that is written
-/// just as the endpoint closes the connection is reset, and an unsafe one is then lost.
+/// just as the endpoint closes the connection is reset, and an unsafe request is then lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// How long a connection is not reused after a response. An endpoint may close it just after the response, or send a
-/// second response, observed up to 4 ms later. Either is detected within this time, and would otherwise hit the next
-/// request. A longer time needs more connections, some of which are established late.
+/// The time after a response for which its connection is not reused. An endpoint may close the connection just after
+/// the response, or send a second response, observed up to 4 ms later. Either is detected within this time, and would
+/// otherwise affect the next request. A longer time needs more connections, some of which are established late.
 const SETTLING_TIME: Duration = Duration::from_millis(20);
 /// The maximum number of idle connections to an endpoint. Each takes a descriptor at the endpoint, and those opened for
 /// a burst are not needed again soon.
@@ -19,10 +19,10 @@
 /// The maximum number of idle connections to a busy endpoint. A request occupies a connection for [`SETTLING_TIME`] in
 /// addition to its own time, so four would carry at most 200 requests per second.
 const MAX_IDLE_PER_BUSY_ENDPOINT: usize = 16;
-/// How long connections beyond [`MAX_IDLE_PER_ENDPOINT`] stay open after their last use.
+/// The time for which connections beyond [`MAX_IDLE_PER_ENDPOINT`] stay open after their last use.
 const BUSY_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Idle connections by endpoint. The most recently used one is taken first, which lets surplus ones reach their idle
+/// Idle connections by endpoint. The most recently used one is taken first, so that surplus ones reach their idle
 /// timeout.
 #[derive(Debug)]
 pub struct ConnectionPool {
@@ -30,7 +30,7 @@
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
     idle_timeout: Duration,
     max_idle_per_endpoint: usize,
-    /// Whether a task that sweeps the pool is running.
+    /// True while a task that sweeps the pool is running.
     is_sweep_scheduled: bool,
 }
 
@@ -40,7 +40,7 @@
     idle_since: Instant,
 }
 
-/// Whether a task that sweeps the pool has to be started.
+/// Tells whether a task that sweeps the pool has to be started.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub enum SweepTask {
@@ -75,7 +75,8 @@
         self.idle_timeout = limits.idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
     }
 
-    /// Takes the most recently used connection to an endpoint that has settled and is ready.
+    /// Takes a connection to an endpoint: the most recently used one that is ready and was last used at least
+    /// [`SETTLING_TIME`] ago.
     pub fn take(&mut self, endpoint: &EndpointId) -> Option<EndpointConnection> {
         let connections = self.idle.get_mut(endpoint)?;
         let now = Instant::now();
@@ -139,7 +140,8 @@
         true
     }
 
-    /// Closes connections that have been idle for too long. Returns when to sweep next, or `None` if the pool is empty.
+    /// Closes connections that have been idle for too long. Returns the time of the next sweep, or `None` if the pool
+    /// is empty.
     pub fn sweep(&mut self) -> Option<Instant> {
         let now = Instant::now();
         let idle_timeout = self.idle_timeout;
@@ -164,7 +166,7 @@
     }
 }
 
-/// Returns when the longest-idle of an endpoint's connections expires.
+/// Returns the time at which the first of an endpoint's connections expires, which is the longest idle one.
 fn first_expires_at(connections: &[IdleConnection], idle_timeout: Duration) -> Option<Instant> {
     let timeout = if connections.len() > MAX_IDLE_PER_ENDPOINT {
         idle_timeout.min(BUSY_IDLE_TIMEOUT)
--- a/src/sidecar/endpoint/request_body.rs
+++ b/src/sidecar/endpoint/request_body.rs
@@ -10,8 +10,8 @@
 use std::task::{Context, Poll};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// The body of a request to an endpoint. hyper drops it as soon as it has taken all of it, or at once if it is empty.
-/// The connection's [`WriteProgress`] is notified when it is dropped.
+/// The body of a request to an endpoint. hyper drops the body as soon as it has taken all of it, or at once if it is
+/// empty. The connection's [`WriteProgress`] is notified when a body that was taken completely is dropped.
 #[derive(Debug)]
 pub struct RequestBody {
     source: Source,
@@ -27,7 +27,7 @@
 /// A body that is streamed while the client sends it.
 #[derive(Debug)]
 struct UploadSource {
-    /// The beginning of the body, received before the attempt. `None` once it has been forwarded.
+    /// The start of the body, received before the attempt. `None` once it has been forwarded.
     buffered: Option<Bytes>,
     upload: Rc<Upload>,
     remaining: Option<RemainingUpload>,
@@ -35,7 +35,7 @@
 }
 
 impl RequestBody {
-    /// Creates a body. `buffered` is all of it, or its beginning if there is an upload.
+    /// Creates a body. `buffered` is all of it, or the start of it if there is an upload.
     pub fn new(buffered: Bytes, upload: Option<Rc<Upload>>, progress: Rc<WriteProgress>) -> Self {
         let source = match upload {
             None => Source::Buffered(Full::new(buffered)),
--- a/src/sidecar/endpoint/response.rs
+++ b/src/sidecar/endpoint/response.rs
@@ -1,4 +1,4 @@
-//! An endpoint's response as it was received.
+//! Endpoints' responses as they are received, and the check of their framing.
 
 use crate::sidecar::body::{BodyTransferError, MAX_BODY, ReceivedResponse};
 use hyper::body::{Body, Incoming};
@@ -10,21 +10,21 @@
 pub struct EndpointResponse {
     /// Its status and headers.
     pub head: Response<()>,
-    /// Its body, or why it could not be received.
+    /// Its body, or the reason why the body could not be received.
     pub body: Result<ReceivedResponse, BodyTransferError>,
 }
 
-/// Why a response is not read: its length is ambiguous or too large, or it switches protocols.
+/// The reason why a response is not read.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum FramingError {
-    /// It declares its length more than once. Readers that use different lengths see different responses. hyper itself
-    /// accepts repeated equal lengths, and chunked encoding beside a length.
+    /// The response declares its length more than once. Readers that use different lengths see different responses.
+    /// hyper itself accepts repeated equal lengths, and chunked encoding together with a length.
     #[error("the response declares more than one length")]
     AmbiguousLength,
-    /// Its declared length is larger than [`MAX_BODY`].
+    /// The response's declared length is larger than [`MAX_BODY`].
     #[error("the response is too large")]
     TooLarge,
-    /// Its status is 101, after which the connection no longer carries HTTP.
+    /// The response's status is 101, after which the connection no longer carries HTTP.
     #[error("the response switches protocols")]
     ProtocolSwitch,
 }
--- a/src/sidecar/endpoint/streamed_response.rs
+++ b/src/sidecar/endpoint/streamed_response.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How long an endpoint may pause in the middle of its response. It may be waiting for the next tier.
+/// The maximum time for which an endpoint may pause within a response body. It may be waiting for the next tier.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
 
 /// Returns a connection to the pool once its response is complete.
@@ -24,14 +24,14 @@
     length: Option<u64>,
     /// The bytes forwarded so far.
     forwarded: u64,
-    /// Fires when the endpoint has paused for too long. `None` while data arrives.
+    /// Expires when the endpoint has paused for too long. `None` while data arrives.
     pause_timer: Option<Pin<Box<Sleep>>>,
-    /// `None` once the response is complete.
+    /// The connection and the function that returns it. `None` once the response is complete.
     connection: Option<(EndpointConnection, ReturnConnection)>,
 }
 
 impl StreamedResponse {
-    /// Creates a response whose beginning, `buffered`, has been received on a connection.
+    /// Creates a response of which the start, `buffered`, has been received on a connection.
     pub fn new(
         buffered: Bytes,
         remaining: Incoming,
--- a/src/sidecar/endpoint/write_progress.rs
+++ b/src/sidecar/endpoint/write_progress.rs
@@ -9,11 +9,11 @@
 /// The stage of writing an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// No attempt is being written: there is none, or the last one has been written completely and counted.
+    /// No attempt is being written. There was none, or the last one has been written completely and counted.
     Idle,
     /// hyper has not taken the complete request yet.
     Started,
-    /// hyper has taken the complete request; some of it may be in hyper's buffer.
+    /// hyper has taken the complete request, and some of it may still be in hyper's buffer.
     Buffered,
 }
 
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Notes that an attempt is about to be written. It is counted once it has been written completely.
+    /// Records that an attempt is about to be written. It is counted once it has been written completely.
     pub fn on_attempt_started(&self) {
         self.stage.set(Stage::Started);
     }
 
-    /// Notes that a health check is about to be written. Health checks are not counted.
+    /// Records that a health check is about to be written. Health checks are not counted.
     pub fn on_health_check_started(&self) {
         self.stage.set(Stage::Idle);
     }
 
-    /// Notes that hyper has taken the complete request. hyper writes it out before it flushes.
+    /// Records that hyper has taken the complete request. hyper writes it out before it flushes.
     pub fn on_request_buffered(&self) {
         if self.stage.get() == Stage::Started {
             self.stage.set(Stage::Buffered);
@@ -73,8 +73,8 @@
         }
     }
 
-    /// hyper flushes only after it has written out its buffer, so a request that it had taken completely is written to
-    /// its last byte.
+    /// Counts the attempt if hyper had taken its complete request. hyper flushes only after it has written out its
+    /// buffer, so the last byte of the request has then been written.
     fn on_flush(&self) {
         if self.stage.get() == Stage::Buffered {
             self.stage.set(Stage::Idle);
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -107,7 +107,7 @@
         self.known_processes.contains(target)
     }
 
-    /// Records a connection to a process, which is known until the returned guard is dropped.
+    /// Records a connection to a process and returns its guard. The process is known until its last guard is dropped.
     pub fn add_known_process(&self, target: &EndpointProcess) -> KnownProcess {
         self.known_processes.add(target)
     }
