--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -110,7 +110,7 @@
 
     /// Records that the reader has read from the socket while it was not forwarding a body. Zero bytes mean that the
     /// client has sent FIN.
-    pub fn received(&self, bytes: usize) {
+    pub fn bytes_received(&self, bytes: usize) {
         let now = Instant::now();
         self.last_byte_at.set(now);
         if bytes > 0 {
--- a/src/sidecar/caller/connection_state_tests.rs
+++ b/src/sidecar/caller/connection_state_tests.rs
@@ -12,7 +12,7 @@
 
 /// Simulates a request head that arrives and is forwarded to hyper.
 fn receive_request(state: &ConnectionState) {
-    state.received(10);
+    state.bytes_received(10);
     state.head_completed();
     state.head_forwarded();
 }
@@ -51,10 +51,10 @@
     let state = ConnectionState::new();
     let accepted_at = Instant::now();
     advance(STEP).await;
-    state.received(1);
+    state.bytes_received(1);
     let started_at = Instant::now();
     advance(STEP).await;
-    state.received(1);
+    state.bytes_received(1);
     let head = IncomingHead {
         since: started_at,
         progress: HeadProgress::Receiving,
@@ -74,7 +74,7 @@
 #[tokio::test(start_paused = true)]
 async fn fin_without_bytes_starts_no_head() {
     let state = ConnectionState::new();
-    state.received(0);
+    state.bytes_received(0);
     assert!(!state.is_receiving_head());
     assert!(matches!(state.phase(), Phase::AwaitingFirstHead { .. }));
 }
@@ -120,7 +120,7 @@
     let state = ConnectionState::new();
     receive_request(&state);
     state.request_started();
-    state.received(10);
+    state.bytes_received(10);
     assert_eq!(state.phase(), Phase::Answering);
     state.response_ready(ResponseKind::Complete);
     let idle_since = Instant::now();
@@ -139,7 +139,7 @@
     exchange(&state, ResponseKind::Streamed);
     assert_eq!(state.phase(), Phase::Streaming { next: None });
     advance(STEP).await;
-    state.received(10);
+    state.bytes_received(10);
     let started_at = Instant::now();
     assert!(state.is_receiving_head());
     assert_eq!(state.deadline(), None, "the stream has no deadline here");
@@ -184,7 +184,7 @@
 #[tokio::test(start_paused = true)]
 async fn rejected_head_has_no_deadline_and_closes_the_connection() {
     let state = ConnectionState::new();
-    state.received(10);
+    state.bytes_received(10);
     state.head_completed();
     state.head_rejected(HeadError::AmbiguousFraming);
     assert_eq!(state.deadline(), None);
@@ -204,7 +204,7 @@
 async fn connection_awaits_a_first_head_after_an_incomplete_one() {
     let state = ConnectionState::new();
     let accepted_at = Instant::now();
-    state.received(10);
+    state.bytes_received(10);
     advance(HEAD_TIMEOUT).await;
     state.head_timed_out();
     assert_eq!(state.deadline(), None);
--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -153,7 +153,7 @@
             self.unread = Vec::new(); // frees the buffer, because most connections are idle most of the time
         }
         let received = ready!(read)?;
-        self.connection.received(received);
+        self.connection.bytes_received(received);
         Poll::Ready(Ok(if received == 0 {
             HeadPoll::EndOfStream
         } else {
--- a/src/sidecar/caller/table_tests.rs
+++ b/src/sidecar/caller/table_tests.rs
@@ -11,7 +11,7 @@
 
 /// Simulates a request up to the call of the service.
 fn begin_request(caller: &AddedCaller) {
-    caller.state.received(10);
+    caller.state.bytes_received(10);
     caller.state.head_completed();
     caller.state.head_forwarded();
     caller.state.request_started();
@@ -43,10 +43,10 @@
     let (never_used, long_idle, recently_idle, stalled_head) = (1, 2, 3, 4);
     let callers: Vec<AddedCaller> = (0..5).map(|_| add(&mut table)).collect();
     complete_request(&callers[long_idle]);
-    callers[stalled_head].state.received(1);
+    callers[stalled_head].state.bytes_received(1);
     advance(IDLE_GRACE).await;
     complete_request(&callers[recently_idle]);
-    callers[possibly_active].state.received(1);
+    callers[possibly_active].state.bytes_received(1);
     let order = eviction_order(&mut table, &callers);
     assert_eq!(
         order,
