--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -54,7 +54,7 @@
     last_byte_at: Cell<Instant>,
     has_received_head: Cell<bool>,
     /// Wakes the reader, which reads the next request only once the response is ready.
-    reader: RefCell<Option<Waker>>,
+    reader_waker: RefCell<Option<Waker>>,
     head_error: Cell<Option<HeadError>>,
     persistence: Cell<Persistence>,
     has_peer_closed: Cell<bool>,
@@ -71,7 +71,7 @@
             phase: Cell::new(Phase::AwaitingFirstHead { since: now }),
             last_byte_at: Cell::new(now),
             has_received_head: Cell::new(false),
-            reader: RefCell::new(None),
+            reader_waker: RefCell::new(None),
             head_error: Cell::new(None),
             persistence: Cell::new(Persistence::KeepAlive),
             has_peer_closed: Cell::new(false),
@@ -144,7 +144,7 @@
 
     /// Registers the reader's waker, which is woken when the response is ready.
     pub fn wake_reader_when_answered(&self, reader: &Waker) {
-        *self.reader.borrow_mut() = Some(reader.clone());
+        *self.reader_waker.borrow_mut() = Some(reader.clone());
     }
 
     /// Records that the client has sent FIN or has reset the connection.
@@ -171,7 +171,7 @@
             ResponseKind::Complete => self.end_response(),
             ResponseKind::Streamed => self.phase.set(Phase::Streaming { next: None }),
         }
-        if let Some(reader) = self.reader.take() {
+        if let Some(reader) = self.reader_waker.take() {
             reader.wake();
         }
     }
