--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -249,11 +249,11 @@
 
     /// Marks the connection as closing because it was idle for too long or its descriptor is needed. It needs no
     /// lingering close, because no received bytes are left unread on it.
-    pub fn close_idle(&self) {
+    pub fn mark_closing_idle(&self) {
         self.is_closing_idle.set(true);
     }
 
-    /// Returns whether [`Self::close_idle`] has been called.
+    /// Returns whether [`Self::mark_closing_idle`] has been called.
     pub fn is_closing_idle(&self) -> bool {
         self.is_closing_idle.get()
     }
--- a/src/sidecar/caller/connection_state_tests.rs
+++ b/src/sidecar/caller/connection_state_tests.rs
@@ -235,7 +235,7 @@
 async fn closing_idle_connection_keeps_only_its_write_deadline() {
     let state = ConnectionState::new();
     exchange(&state, ResponseKind::Complete);
-    state.close_idle();
+    state.mark_closing_idle();
     assert!(state.is_closing_idle());
     assert_eq!(state.deadline(), None);
     state.on_write(&Poll::Pending);
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -153,7 +153,7 @@
         };
         self.connections.get_mut(&number).is_some_and(|caller| {
             caller.is_evicted = true;
-            caller.state.close_idle();
+            caller.state.mark_closing_idle();
             caller.close.notify_one();
             true
         })
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -138,7 +138,7 @@
         state.head_timed_out();
         return NextStep::Continue;
     }
-    state.close_idle();
+    state.mark_closing_idle();
     NextStep::GracefulShutdown
 }
 
