--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -163,11 +163,11 @@
     /// were added since the previous one.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
-        self.close_idle();
+        self.notify_all_to_close();
     }
 
     /// Notifies all connections to close when they are idle.
-    fn close_idle(&self) {
+    fn notify_all_to_close(&self) {
         for caller in self.connections.values() {
             caller.close.notify_one();
         }
@@ -182,7 +182,7 @@
     pub fn set_drain_state(&mut self, state: Option<DrainState>) {
         self.drain = state;
         if state == Some(DrainState::ClosingIdle) {
-            self.close_idle();
+            self.notify_all_to_close();
         }
     }
 
