--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -41,8 +41,8 @@
     ReplacementHead { forwarded: usize },
 }
 
-/// The result of polling for the bytes of a head.
-enum HeadPoll {
+/// The result of polling for the bytes of a head, or for bytes that arrive while a request is answered.
+enum ReceivePoll {
     /// The mode has changed, or more bytes have been received and are to be validated.
     Progress,
     /// The client has sent FIN.
@@ -132,22 +132,22 @@
         &mut self,
         searched: usize,
         context: &mut Context<'_>,
-    ) -> Poll<io::Result<HeadPoll>> {
+    ) -> Poll<io::Result<ReceivePoll>> {
         if let Some(error) = self.connection.head_error() {
             self.mode = self.reject_head(error);
-            return Poll::Ready(Ok(HeadPoll::Progress));
+            return Poll::Ready(Ok(ReceivePoll::Progress));
         }
         if !self.unread.is_empty()
             && let Some(next) = self.validate_head(searched)
         {
             self.mode = next;
-            return Poll::Ready(Ok(HeadPoll::Progress));
+            return Poll::Ready(Ok(ReceivePoll::Progress));
         }
         self.poll_receive(context)
     }
 
     /// Appends received bytes to the unread ones.
-    fn poll_receive(&mut self, context: &mut Context<'_>) -> Poll<io::Result<HeadPoll>> {
+    fn poll_receive(&mut self, context: &mut Context<'_>) -> Poll<io::Result<ReceivePoll>> {
         let read = sockets::poll_append(&self.stream, context, &mut self.unread, READ_CHUNK);
         if self.unread.is_empty() {
             self.unread = Vec::new(); // frees the buffer, because most connections are idle most of the time
@@ -155,14 +155,14 @@
         let received = ready!(read)?;
         self.connection.bytes_received(received);
         Poll::Ready(Ok(if received == 0 {
-            HeadPoll::EndOfStream
+            ReceivePoll::EndOfStream
         } else {
-            HeadPoll::Progress
+            ReceivePoll::Progress
         }))
     }
 
     /// Buffers what arrives while the request is answered, up to the maximum length of a head.
-    fn poll_while_answering(&mut self, context: &mut Context<'_>) -> Poll<io::Result<HeadPoll>> {
+    fn poll_while_answering(&mut self, context: &mut Context<'_>) -> Poll<io::Result<ReceivePoll>> {
         self.connection.wake_reader_when_answered(context.waker());
         if self.unread.len() >= MAX_HEAD_LENGTH {
             return Poll::Pending; // [`client_disconnected`] notices a disconnect
@@ -221,7 +221,7 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            let head_poll = match self.mode {
+            let receive_poll = match self.mode {
                 ReadMode::Head { searched } => ready!(self.poll_head(searched, context))?,
                 ReadMode::Forwarding { remaining: 0 } => {
                     self.mode = ReadMode::AwaitingResponse;
@@ -252,7 +252,7 @@
                 // No waker is needed: the service answers at once, and the connection closes after the response.
                 ReadMode::ReplacementHead { .. } => return Poll::Pending,
             };
-            if let HeadPoll::EndOfStream = head_poll {
+            if let ReceivePoll::EndOfStream = receive_poll {
                 self.connection.peer_closed();
                 return Poll::Ready(Ok(()));
             }
