--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -27,9 +27,9 @@
 #[derive(Clone, Copy, Debug)]
 pub enum PeerKind {
     /// A caller.
-    Callers,
+    Caller,
     /// An endpoint.
-    Endpoints,
+    Endpoint,
 }
 
 /// A permit for one connection's descriptor. The descriptor counts as in use until the permit is dropped.
@@ -69,8 +69,8 @@
     /// Returns a permit for one more connection, without checking the budget.
     pub fn permit(&self, peer: PeerKind) -> DescriptorPermit {
         let open = match peer {
-            PeerKind::Callers => &self.callers,
-            PeerKind::Endpoints => &self.endpoints,
+            PeerKind::Caller => &self.callers,
+            PeerKind::Endpoint => &self.endpoints,
         };
         open.set(open.get() + 1);
         DescriptorPermit(open.clone())
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -68,7 +68,7 @@
         Some(AdmittedCaller {
             added: self.callers.add(admission),
             admission,
-            permit: self.descriptors.permit(PeerKind::Callers),
+            permit: self.descriptors.permit(PeerKind::Caller),
         })
     }
 
@@ -84,7 +84,7 @@
         let has_descriptor = !self.descriptors.is_exhausted()
             || self.pool.close_oldest()
             || self.callers.evict_one();
-        has_descriptor.then(|| self.descriptors.permit(PeerKind::Endpoints))
+        has_descriptor.then(|| self.descriptors.permit(PeerKind::Endpoint))
     }
 
     /// Returns whether all descriptors are in use.
