--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns how many connections are open.
-    pub fn in_use(&self) -> OpenConnections {
+    pub fn open_connections(&self) -> OpenConnections {
         self.descriptors.in_use()
     }
 
--- a/src/sidecar/node/state.rs
+++ b/src/sidecar/node/state.rs
@@ -213,7 +213,7 @@
 
     /// Returns how many connections are open.
     pub fn open_connections(&self) -> OpenConnections {
-        self.connections.in_use()
+        self.connections.open_connections()
     }
 
     /// Returns the memory budget of callers' request bodies.
