--- a/src/sidecar/body/upload.rs
+++ b/src/sidecar/body/upload.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// The maximum time without progress of a streamed request body, whether the client or the endpoint is slow.
+/// The maximum time without progress of a streamed request body. It applies to a slow client and a slow endpoint alike.
 const MAX_PAUSE: Duration = Duration::from_secs(6);
 
 /// The received part of a request body.
--- a/src/sidecar/body/upload_deadline.rs
+++ b/src/sidecar/body/upload_deadline.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time that a client has for a body, from the first byte of the request's head. Each [`MIN_RATE`] bytes received
-/// add a second.
+/// The time that a client has for a body, from the first byte of the request's head. Every [`MIN_RATE`] bytes received
+/// add one second.
 const BASE_TIME: Duration = Duration::from_millis(2_600);
 /// The minimum rate in bytes per second: half the rate of the slowest client that has to be served.
 const MIN_RATE: f64 = 32_000.0;
-/// The size in bytes from which a data frame shows that the client was not slow: its bytes were waiting to be read,
-/// because the endpoint took the previous ones slowly.
+/// The size in bytes from which a data frame shows that the client was not slow. So many bytes were waiting to be read
+/// because the endpoint had taken the previous ones slowly.
 const LARGE_FRAME: usize = 16 << 10;
 /// The minimum time that a client has left after a frame of at least [`LARGE_FRAME`] bytes.
 const MIN_TIME_AFTER_LARGE_FRAME: Duration = Duration::from_secs(1);
--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -6,12 +6,12 @@
 //! - `write_blocked_since`: the client does not read what was written. The write timeout takes precedence over the
 //!   deadline of the phase in [`ConnectionState::deadline`].
 //! - `has_peer_closed`: the client has sent FIN or a reset. hyper may still be answering.
-//! - `persistence`: states whether the connection closes after the next response. Heads, bodies, uploads and shutdowns
-//!   set it. A finished upload resets it.
+//! - `persistence`: states whether the connection closes after the next response. Heads, bodies, uploads, shutdowns and
+//!   drains set it. A finished upload restores its earlier value.
 //! - `head_error`: the reason why a head was rejected. It outlasts the phase because nothing after a rejected head is
 //!   read as a request. A head that times out after it was forwarded to hyper is answered with this error, too.
 //! - `is_closing_idle`: the connection closes unless its next request has already arrived. hyper closes it only between
-//!   requests. Until then it can be in any phase.
+//!   requests. Until then, the connection can be in any phase.
 //! - `has_received_head`: selects [`Phase::Idle`] or [`Phase::AwaitingFirstHead`] after an error response.
 
 use super::head::HeadError;
@@ -90,7 +90,7 @@
         self.last_byte_at.get()
     }
 
-    /// Returns whether a byte of a request has arrived with which the service has not been called yet.
+    /// Returns whether a byte of the next request has arrived and the service has not been called with it yet.
     pub fn is_receiving_head(&self) -> bool {
         self.phase.get().incoming_head().is_some()
     }
@@ -247,8 +247,8 @@
         self.head_error.set(Some(HeadError::TooSlow));
     }
 
-    /// Marks the connection as closing because it was idle for too long or its descriptor is needed. It needs no
-    /// lingering close, because no received bytes are left unread on it.
+    /// Marks the connection as closing, because it was idle for too long or its descriptor is needed. Such a connection
+    /// needs no lingering close, because no received bytes are left unread on it.
     pub fn mark_closing_idle(&self) {
         self.is_closing_idle.set(true);
     }
--- a/src/sidecar/caller/request_reader.rs
+++ b/src/sidecar/caller/request_reader.rs
@@ -4,9 +4,9 @@
 //! time. hyper then parses the request itself. A head that fails validation is replaced by an empty request, which the
 //! service answers with the error.
 //!
-//! While a request is answered, the reader buffers what arrives after it, because hyper notices the client's FIN only
-//! while it has no unread bytes. [`client_disconnected`] watches the socket itself for the cases in which neither hyper
-//! nor the reader reads from it.
+//! While a request is answered, the reader buffers the bytes that arrive after it, because hyper notices the client's
+//! FIN only while hyper has no unread bytes. [`client_disconnected`] watches the socket itself for the cases in which
+//! neither hyper nor the reader reads from it.
 
 use super::connection_state::ConnectionState;
 use super::head::{HeadError, HeadValidation, MAX_HEAD_LENGTH, validate_head};
@@ -161,7 +161,7 @@
         }))
     }
 
-    /// Buffers what arrives while the request is answered, up to the maximum length of a head.
+    /// Buffers the bytes that arrive while the request is answered, up to the maximum length of a head.
     fn poll_while_answering(&mut self, context: &mut Context<'_>) -> Poll<io::Result<ReceivePoll>> {
         self.connection.wake_reader_when_answered(context.waker());
         if self.unread.len() >= MAX_HEAD_LENGTH {
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -44,7 +44,7 @@
     close: Rc<Notify>,
 }
 
-/// Tells whether there are descriptors for a new connection.
+/// Tells whether the requests of a new connection are served, which requires a descriptor for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The connection's requests are served.
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Closes the connection that is first in the order of eviction. Returns false if none can be evicted.
+    /// Requests the closing of the connection that is first in the order of eviction. Returns false if none can be
+    /// evicted.
     pub fn evict_one(&mut self) -> bool {
         let now = Instant::now();
         let ranks = self
@@ -191,8 +192,8 @@
         self.accepted_elsewhere.send_replace(true);
     }
 
-    /// Accepts callers in this process again, because the other process has ended or is about to. Returns whether this
-    /// changes anything: another process accepted callers, and this process is not shutting down.
+    /// Accepts callers in this process again, because the other process has ended or is about to end. Returns false if
+    /// no other process accepted callers or this process is shutting down.
     pub fn resume_accepting(&mut self) -> bool {
         self.accepted_elsewhere.send_replace(false) && !self.is_shutting_down
     }
@@ -227,8 +228,8 @@
         self.connections.is_empty()
     }
 
-    /// Returns the notification, sent during a shutdown, that the last connection has closed. All requests have been
-    /// answered by then.
+    /// Returns the [`Notify`] that is notified when the last connection has closed during a shutdown. All requests have
+    /// been answered by then.
     pub fn all_closed(&self) -> Rc<Notify> {
         self.all_closed.clone()
     }
--- a/src/sidecar/counters.rs
+++ b/src/sidecar/counters.rs
@@ -45,7 +45,7 @@
         self.received += 1;
     }
 
-    /// Counts a request that was rejected before it reached the balancer, because the limit of open requests, of
+    /// Counts a request that was rejected before it reached the balancer, because the limit of unanswered requests, of
     /// connections or of buffered bytes was reached.
     pub fn request_rejected_early(&mut self) {
         self.rejected_early += 1;
--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -15,11 +15,13 @@
 #[derive(Debug)]
 pub struct DescriptorBudget {
     budget: usize,
-    /// The descriptors of a process outside the budget.
+    /// The number of descriptors of each process that are outside the budget.
     reserved: usize,
-    /// The descriptors that the sidecar's other processes use during a hot restart.
+    /// The number of descriptors that the sidecar's other processes use during a hot restart.
     other_processes: Cell<usize>,
+    /// The number of open connections from callers.
     callers: Rc<Cell<usize>>,
+    /// The number of open connections to endpoints.
     endpoints: Rc<Cell<usize>>,
 }
 
@@ -104,7 +106,7 @@
     }
 
     /// Returns whether callers have all the descriptors that they may use. The rest of the budget is for attempts,
-    /// because each pending request may have one in flight.
+    /// because each pending request may have an attempt in flight.
     pub fn is_caller_limit_reached(&self) -> bool {
         self.is_exhausted() || self.callers.get() >= self.caller_limit()
     }
--- a/src/sidecar/metrics.rs
+++ b/src/sidecar/metrics.rs
@@ -73,7 +73,8 @@
     }
 }
 
-/// Tracks one request: counts it as pending while it is, and once, by its final answer, at its end.
+/// Tracks one request. Counts it as pending from [`RequestTracker::mark_received`] until the tracker is dropped, and
+/// counts its final answer once.
 #[derive(Debug)]
 pub struct RequestTracker {
     class: Rc<ClassMetrics>,
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Counts the request by the status of its final answer. A request that was not received completely is not counted
-    /// if it fails, but is counted if it is rejected.
+    /// Counts the request by the status of its final answer. A request that was not received completely is counted if
+    /// it is completed or rejected, but not if it fails.
     pub fn end(self, status: StatusCode) {
         match status {
             StatusCode::OK => increment(&self.class.completed),
@@ -194,8 +195,7 @@
     }
 }
 
-/// Ends the pending request, answered or not. One that is dropped without an answer is one whose client has
-/// disconnected.
+/// Stops counting the request as pending. A tracker is dropped without a final answer if the client has disconnected.
 impl Drop for RequestTracker {
     fn drop(&mut self) {
         if self.is_received {
--- a/src/sidecar/server/connection.rs
+++ b/src/sidecar/server/connection.rs
@@ -49,7 +49,7 @@
     serve_requests(&caller, &stream, &close, persistence).await;
     let state = &caller.state;
     if !state.has_peer_closed() && !state.is_closing_idle() {
-        let _ = sockets::shutdown_write(&stream); // sends FIN, up to which some clients read the response
+        let _ = sockets::shutdown_write(&stream); // sends FIN, because some clients read the response up to it
         lingering_close(&stream, state, &close).await;
     }
 }
@@ -120,7 +120,7 @@
         state.set_persistence(Persistence::Close); // the request is arriving and is answered first
         return NextStep::Continue;
     }
-    // The first request of a new connection may still be arriving, and bytes that have arrived but have not been read
+    // The first request of a new connection may still be in transit. Bytes that have arrived but have not been read
     // belong to a request that must be answered.
     if !is_evicted && (state.is_awaiting_first_request() || sockets::has_unread(stream)) {
         state.set_persistence(Persistence::Close);
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -53,10 +53,10 @@
     drop(listener);
 }
 
-/// Serves a connection. Rejects its requests, or closes it, if there are no descriptors for it.
+/// Starts to serve a connection. If there is no descriptor for it, its requests are rejected, or it is closed unread.
 fn start_serving(node: &NodeHandle, stream: TcpStream) {
     let Some(admitted) = node.borrow().admit_caller() else {
-        return; // closed unread: no request on it is accepted yet, and accepted ones need the remaining descriptors
+        return; // closed unread: none of its requests is accepted yet, and accepted ones need the remaining descriptors
     };
     let added = admitted.added;
     let connection = CallerConnection {
--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -21,7 +21,7 @@
     pub request: PolicyRequest,
     /// The settings under which the head was parsed.
     settings: Rc<ResolvedSettings>,
-    /// The position of its class in `settings`.
+    /// The position of its class among the classes of `settings`.
     class_position: usize,
     /// The time for which the client waits after the request's last byte.
     pub time_left: Duration,
@@ -32,7 +32,7 @@
     /// reload or shortly after it, parses it under the previous settings.
     ///
     /// # Errors
-    /// The head is invalid under the current settings.
+    /// The head is invalid under the current settings, and under the previous ones if they may apply.
     pub fn parse(
         node: &NodeHandle,
         head: &Parts,
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Returns the request's class in its settings.
+    /// Returns the request's class, as its settings describe it.
     pub fn class(&self) -> &Class {
         &self.settings.values.classes[self.class_position]
     }
--- a/src/sidecar/server/reply.rs
+++ b/src/sidecar/server/reply.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reports the end of the stream, because hyper drops a body at its end or with its connection.
+/// Reports the end of the stream. hyper drops a body at its end or with its connection.
 impl Drop for StreamedReply {
     fn drop(&mut self) {
         if let Some(state) = &self.state {
@@ -141,7 +141,7 @@
     reply
 }
 
-/// Returns a response with a status and a text for people.
+/// Returns a response with a status and a human-readable text.
 pub fn text_reply(status: StatusCode, text: &'static str) -> Reply {
     let mut reply = Response::new(ReplyBody::Complete(Full::new(Bytes::from_static(
         text.as_bytes(),
--- a/src/sidecar/server/request.rs
+++ b/src/sidecar/server/request.rs
@@ -12,7 +12,7 @@
 const MAX_ID_LENGTH: usize = 256;
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// The cookie that holds the key of a request.
+/// The start of the cookie that holds the key of a request: its name and the equals sign.
 const KEY_COOKIE: &str = "sid=";
 
 /// Parses a request's head. The result identifies its class by the position in `settings`.
--- a/src/sidecar/shutdown.rs
+++ b/src/sidecar/shutdown.rs
@@ -2,7 +2,8 @@
 //!
 //! A shutdown has three steps:
 //!
-//! 1. Connections are served as before, while the front end stops sending new callers.
+//! 1. Connections are served as before, while the front end, which sends callers to the sidecars that are ready, stops
+//!    sending new ones.
 //! 2. Idle connections close, and new connections are still accepted.
 //! 3. The listener closes, and all requests on accepted connections are answered.
 
--- a/src/sidecar/sockets.rs
+++ b/src/sidecar/sockets.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// Appends up to `max` received bytes to a vector, which grows only once there are any. Returns 0 at the peer's FIN.
+/// Appends up to `max` received bytes to a vector. The vector grows only once the socket is readable. Returns 0 at the
+/// peer's FIN.
 pub fn poll_append(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -97,7 +98,7 @@
     /// Handles the result of an attempted write, which is pending if the socket's send buffer is full.
     fn on_write(&self, result: &Poll<io::Result<usize>>);
 
-    /// Handles a flush, by which the writer has written all of its buffered bytes to the socket.
+    /// Handles a flush. By then, the writer has written all of its buffered bytes to the socket.
     fn on_flush(&self) {}
 }
 
