--- a/src/sidecar/endpoint/connection.rs
+++ b/src/sidecar/endpoint/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to an endpoint.
 
-use super::known_processes::KnownProcess;
+use super::known_processes::KnownProcessGuard;
 use super::request_body::RequestBody;
 use super::response::{EndpointResponse, FramingError, check_framing};
 use super::write_progress::WriteProgress;
@@ -48,7 +48,7 @@
     /// Its share of the descriptor budget.
     pub descriptor: DescriptorPermit,
     /// The guard of the listed process, if the connection is known to reach it.
-    pub known_process: Option<KnownProcess>,
+    pub known_process: Option<KnownProcessGuard>,
 }
 
 /// The idle flag of a connection, and the callback for a reset while it is idle.
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -3,7 +3,7 @@
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
 use super::forwarded_request::{AttemptSpec, EndpointProcess};
-use super::known_processes::KnownProcess;
+use super::known_processes::KnownProcessGuard;
 use crate::clock::Clock;
 use crate::policy::{EndpointId, Timestamp};
 use crate::sidecar::descriptors::DescriptorPermit;
@@ -54,7 +54,7 @@
 
     /// Returns a guard for a connection that was just opened, if the connection is known to reach the process that the
     /// endpoint list names.
-    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcess>;
+    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcessGuard>;
 
     /// Returns whether attempts may be written only on connections to known processes, because the endpoint list is
     /// overdue.
--- a/src/sidecar/endpoint/known_processes.rs
+++ b/src/sidecar/endpoint/known_processes.rs
@@ -26,17 +26,17 @@
 
 /// A guard for a connection to a known process. The process stays known until its last guard is dropped.
 #[derive(Debug)]
-pub struct KnownProcess {
+pub struct KnownProcessGuard {
     process: ProcessIdentity,
     counts: ConnectionCounts,
 }
 
 impl KnownProcesses {
     /// Records a connection that is known to reach a process, and returns its guard.
-    pub fn add(&self, target: &EndpointProcess) -> KnownProcess {
+    pub fn add(&self, target: &EndpointProcess) -> KnownProcessGuard {
         let process = ProcessIdentity::from(target);
         *self.0.borrow_mut().entry(process.clone()).or_default() += 1;
-        KnownProcess {
+        KnownProcessGuard {
             process,
             counts: self.0.clone(),
         }
@@ -57,7 +57,7 @@
     }
 }
 
-impl Drop for KnownProcess {
+impl Drop for KnownProcessGuard {
     fn drop(&mut self) {
         let mut counts = self.counts.borrow_mut();
         if let Some(count) = counts.get_mut(&self.process) {
--- a/src/sidecar/endpoint/mod.rs
+++ b/src/sidecar/endpoint/mod.rs
@@ -28,6 +28,6 @@
 };
 pub use health_check::check_health;
 pub use host::{ConnectPermit, EndpointHost};
-pub use known_processes::{KnownProcess, KnownProcesses};
+pub use known_processes::{KnownProcessGuard, KnownProcesses};
 pub use pool::{ConnectionPool, IdleConnectionPolicy, SweepTask};
 pub use streamed_response::StreamedResponse;
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -4,7 +4,7 @@
 use crate::sidecar::caller::{AddedCaller, Admission, CallerTable, DrainState};
 use crate::sidecar::descriptors::{DescriptorBudget, DescriptorPermit, OpenConnections, PeerKind};
 use crate::sidecar::endpoint::{
-    ConnectionPool, EndpointConnection, EndpointProcess, IdleConnectionPolicy, KnownProcess,
+    ConnectionPool, EndpointConnection, EndpointProcess, IdleConnectionPolicy, KnownProcessGuard,
     KnownProcesses, SweepTask,
 };
 use crate::task::Task;
@@ -108,7 +108,7 @@
     }
 
     /// Records a connection to a process and returns its guard. The process is known until its last guard is dropped.
-    pub fn add_known_process(&self, target: &EndpointProcess) -> KnownProcess {
+    pub fn add_known_process(&self, target: &EndpointProcess) -> KnownProcessGuard {
         self.known_processes.add(target)
     }
 
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -6,7 +6,7 @@
 use crate::policy::{EndpointId, Event, Timestamp};
 use crate::sidecar::endpoint::{
     AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, EndpointProcess,
-    KnownProcess, SweepTask,
+    KnownProcessGuard, SweepTask,
 };
 use crate::sidecar::memory::MemoryBudget;
 use std::collections::HashSet;
@@ -79,7 +79,7 @@
         }
     }
 
-    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcess> {
+    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcessGuard> {
         let node = self.borrow();
         let now = node.clock.now();
         let is_known = node.balancer.list_names_running_processes(now)
