--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -22,7 +22,7 @@
     let stream = TcpStream::connect(target.address).await?;
     stream.set_nodelay(true)?;
     let progress = WriteProgress::new(permit.attempts_written);
-    let known_process = host.known_process(target);
+    let known_process = host.known_process_guard(target);
     let (host, target) = (host.clone(), target.clone());
     // The host may be borrowed when the reset is detected, so the report is made in a task of its own.
     let on_idle_reset = move || drop(spawn_local(async move { host.process_ended(&target) }));
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -54,7 +54,7 @@
 
     /// Returns a guard for a connection that was just opened, if the connection is known to reach the process that the
     /// endpoint list names.
-    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcessGuard>;
+    fn known_process_guard(&self, target: &EndpointProcess) -> Option<KnownProcessGuard>;
 
     /// Returns whether attempts may be written only on connections to known processes, because the endpoint list is
     /// overdue.
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    fn known_process(&self, target: &EndpointProcess) -> Option<KnownProcessGuard> {
+    fn known_process_guard(&self, target: &EndpointProcess) -> Option<KnownProcessGuard> {
         let node = self.borrow();
         let now = node.clock.now();
         let is_known = node.balancer.list_names_running_processes(now)
