--- a/src/sidecar/endpoint/connect.rs
+++ b/src/sidecar/endpoint/connect.rs
@@ -21,7 +21,7 @@
         .ok_or_else(|| io::Error::other("no file descriptor is available"))?;
     let stream = TcpStream::connect(target.address).await?;
     stream.set_nodelay(true)?;
-    let progress = WriteProgress::new(permit.attempts_written);
+    let progress = WriteProgress::new(permit.written_attempts);
     let known_process = host.known_process_guard(target);
     let (host, target) = (host.clone(), target.clone());
     // The host may be borrowed when the reset is detected, so the report is made in a task of its own.
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -18,7 +18,7 @@
     /// The connection's share of the descriptor budget.
     pub descriptor: DescriptorPermit,
     /// The metric that counts completely written attempts.
-    pub attempts_written: Rc<Cell<u64>>,
+    pub written_attempts: Rc<Cell<u64>>,
 }
 
 /// The sidecar, as attempts and health checks see it. None of its methods blocks.
--- a/src/sidecar/endpoint/write_progress.rs
+++ b/src/sidecar/endpoint/write_progress.rs
@@ -24,16 +24,16 @@
     bytes_written: Cell<u64>,
     stage: Cell<Stage>,
     /// The metric that counts completely written attempts.
-    attempts_written: Rc<Cell<u64>>,
+    written_attempts: Rc<Cell<u64>>,
 }
 
 impl WriteProgress {
     /// Creates the progress of a new connection.
-    pub fn new(attempts_written: Rc<Cell<u64>>) -> Self {
+    pub fn new(written_attempts: Rc<Cell<u64>>) -> Self {
         WriteProgress {
             bytes_written: Cell::new(0),
             stage: Cell::new(Stage::Idle),
-            attempts_written,
+            written_attempts,
         }
     }
 
@@ -78,7 +78,7 @@
     fn on_flush(&self) {
         if self.stage.get() == Stage::Buffered {
             self.stage.set(Stage::Idle);
-            self.attempts_written.set(self.attempts_written.get() + 1);
+            self.written_attempts.set(self.written_attempts.get() + 1);
         }
     }
 }
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -41,7 +41,7 @@
         node.counters.connection_opened();
         Some(ConnectPermit {
             descriptor,
-            attempts_written: node.metrics.written_attempts(),
+            written_attempts: node.metrics.written_attempts(),
         })
     }
 
