--- a/src/sidecar/endpoint/request_body.rs
+++ b/src/sidecar/endpoint/request_body.rs
@@ -14,12 +14,13 @@
 /// empty. The connection's [`WriteProgress`] is notified when a body that was taken completely is dropped.
 #[derive(Debug)]
 pub struct RequestBody {
-    source: Source,
+    source: BodySource,
     progress: Rc<WriteProgress>,
 }
 
+/// The origin of a body's bytes.
 #[derive(Debug)]
-enum Source {
+enum BodySource {
     Buffered(Full<Bytes>),
     Upload(UploadSource),
 }
@@ -38,8 +39,8 @@
     /// Creates a body. `buffered` is all of it, or the start of it if there is an upload.
     pub fn new(buffered: Bytes, upload: Option<Rc<Upload>>, progress: Rc<WriteProgress>) -> Self {
         let source = match upload {
-            None => Source::Buffered(Full::new(buffered)),
-            Some(upload) => Source::Upload(UploadSource::new(buffered, upload)),
+            None => BodySource::Buffered(Full::new(buffered)),
+            Some(upload) => BodySource::Upload(UploadSource::new(buffered, upload)),
         };
         RequestBody { source, progress }
     }
@@ -142,24 +143,24 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyTransferError>>> {
         match &mut self.source {
-            Source::Buffered(body) => Pin::new(body)
+            BodySource::Buffered(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            Source::Upload(source) => source.poll_frame(context),
+            BodySource::Upload(source) => source.poll_frame(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.source {
-            Source::Buffered(body) => body.is_end_stream(),
-            Source::Upload(source) => source.is_complete(),
+            BodySource::Buffered(body) => body.is_end_stream(),
+            BodySource::Upload(source) => source.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Buffered(body) => body.size_hint(),
-            Source::Upload(source) => source
+            BodySource::Buffered(body) => body.size_hint(),
+            BodySource::Upload(source) => source
                 .upload
                 .length()
                 .map(SizeHint::with_exact)
@@ -170,7 +171,7 @@
 
 impl Drop for RequestBody {
     fn drop(&mut self) {
-        if let Source::Upload(source) = &self.source {
+        if let BodySource::Upload(source) = &self.source {
             source.finish_at_declared_length();
         }
         if self.is_end_stream() {
