--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -15,7 +15,7 @@
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 /// The maximum time for which the first list is awaited after its watch has opened. Discovery sends the list in the TCP
 /// segment after the response head.
-const FIRST_LIST_AFTER_WATCH: Duration = Duration::from_millis(100);
+const FIRST_LIST_AFTER_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The endpoints listed by discovery, and the watches on it.
 #[derive(Debug)]
@@ -122,7 +122,7 @@
     /// Shortens the wait for the first list, because discovery is reachable. It sends a list right away, or none until
     /// the next change.
     pub fn expect_first_list_soon(&mut self, now: Timestamp) {
-        let soon = now + FIRST_LIST_AFTER_WATCH;
+        let soon = now + FIRST_LIST_AFTER_WATCH_TIMEOUT;
         self.first_list_deadline = self.first_list_deadline.map(|deadline| deadline.min(soon));
     }
 
