--- a/src/sidecar/node/operators.rs
+++ b/src/sidecar/node/operators.rs
@@ -11,7 +11,7 @@
 /// The time after the start of a drain for which new callers may still arrive. The front end, which sends callers to
 /// the sidecars that are ready, polls readiness ten times per second. It still sends some callers for 0.2 s after a
 /// negative answer.
-const READINESS_PROPAGATION: Duration = Duration::from_millis(600);
+const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(600);
 /// The time that callers then have for one more request, whose response closes their connection. A drain must have
 /// closed all connections after 4 s, and must not interrupt requests of the 2 s before that.
 const LAST_REQUEST_TIME: Duration = Duration::from_millis(1_000);
@@ -78,7 +78,7 @@
 /// Advances a drain through its states. At first, callers are served as before. Then each connection closes after its
 /// next response. Finally, idle connections close too.
 async fn advance_drain(node: NodeHandle) {
-    sleep(READINESS_PROPAGATION).await;
+    sleep(READINESS_PROPAGATION_TIME).await;
     node.borrow()
         .callers_mut()
         .set_drain_state(Some(DrainState::ClosingAfterResponses));
