--- a/src/sidecar/node/actions.rs
+++ b/src/sidecar/node/actions.rs
@@ -59,7 +59,7 @@
     }
 
     fn check_health(&self, handle: &NodeHandle, endpoint: &EndpointId) {
-        if let Some(target) = self.endpoints.target(endpoint) {
+        if let Some(target) = self.endpoints.listed_process(endpoint) {
             spawn_local(endpoint::check_health(handle.clone(), target));
         }
     }
--- a/src/sidecar/node/attempts.rs
+++ b/src/sidecar/node/attempts.rs
@@ -27,7 +27,7 @@
         timeout: Option<Duration>,
     ) {
         let now = self.clock.now();
-        let target = self.endpoints.target(endpoint);
+        let target = self.endpoints.listed_process(endpoint);
         let Some(open_request) = self.requests.get_mut(&request) else {
             return;
         };
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -136,7 +136,7 @@
     /// Returns the serving endpoints whose listed processes are known.
     fn endpoints_with_known_process(&self) -> HashSet<EndpointId> {
         let serving = self.endpoints.serving();
-        let targets = serving.filter_map(|endpoint| self.endpoints.target(endpoint));
+        let targets = serving.filter_map(|endpoint| self.endpoints.listed_process(endpoint));
         targets
             .filter(|target| self.connections.is_known_process(target))
             .map(|target| target.endpoint)
--- a/src/sidecar/node/endpoints.rs
+++ b/src/sidecar/node/endpoints.rs
@@ -132,8 +132,8 @@
             .is_some_and(|deadline| now < deadline)
     }
 
-    /// Returns an endpoint's address and process, if it is listed.
-    pub fn target(&self, endpoint: &EndpointId) -> Option<EndpointProcess> {
+    /// Returns the listed process of an endpoint. Returns `None` if the endpoint is not listed.
+    pub fn listed_process(&self, endpoint: &EndpointId) -> Option<EndpointProcess> {
         let member = self.subscription.membership().get(endpoint)?;
         Some(EndpointProcess {
             endpoint: endpoint.clone(),
