--- a/src/sidecar/endpoint/known_processes.rs
+++ b/src/sidecar/endpoint/known_processes.rs
@@ -19,8 +19,8 @@
 
 type ConnectionCounts = Rc<RefCell<HashMap<ProcessIdentity, usize>>>;
 
-/// The number of open connections to each known process. While one of them is open, the process runs, and a further
-/// connection to its address reaches the same process.
+/// The known processes, with the number of open connections to each. While one of these connections is open, the
+/// process runs, and a further connection to its address reaches the same process.
 #[derive(Debug, Default)]
 pub struct KnownProcesses(ConnectionCounts);
 
--- a/src/sidecar/node/connections.rs
+++ b/src/sidecar/node/connections.rs
@@ -102,7 +102,7 @@
         self.descriptors.set_other_process_connections(connections);
     }
 
-    /// Returns whether a process is known, which means that a connection to it is open.
+    /// Returns whether a process is known, because a connection that is known to reach it is open.
     pub fn is_known_process(&self, target: &EndpointProcess) -> bool {
         self.known_processes.contains(target)
     }
--- a/src/sidecar/node/first_list_tests.rs
+++ b/src/sidecar/node/first_list_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when the new process of a hot restart is ready, on the runtime's paused clock.
+//! Tests of the readiness of the new process of a hot restart, with tokio's clock paused.
 
 use super::state::{NodeHandle, StartMode, StartOptions};
 use crate::configuration::Config;
@@ -47,8 +47,8 @@
     });
 }
 
-/// Guards a hot restart without changes since the cached list. The open watch sends nothing before its first heartbeat;
-/// this must not delay readiness for as long as an unreachable discovery does.
+/// Guards a hot restart in which the cached list is still current. The open watch then sends nothing before its first
+/// heartbeat. This must not delay readiness for as long as an unreachable discovery does.
 #[test]
 fn watch_without_list_ends_wait_for_first_list() {
     with_new_process(async |node| {
--- a/src/sidecar/node/report.rs
+++ b/src/sidecar/node/report.rs
@@ -21,7 +21,7 @@
 }
 
 impl Node {
-    /// Writes the metrics, one per line.
+    /// Appends the metrics to `text`, one per line.
     pub fn write_metrics(&self, text: &mut String) {
         let status = self.balancer_status();
         let endpoints = EndpointCounts {
