--- a/src/sidecar/caller/connection_state.rs
+++ b/src/sidecar/caller/connection_state.rs
@@ -6,12 +6,12 @@
 //! - `write_blocked_since`: the client does not read what was written. The write timeout takes precedence over the
 //!   deadline of the phase in [`ConnectionState::deadline`].
 //! - `has_peer_closed`: the client has sent FIN or a reset. hyper may still be answering.
-//! - `persistence`: states whether the connection closes after the next response. Heads, bodies, uploads and shutdowns
-//!   set it. A finished upload resets it.
+//! - `persistence`: states whether the connection closes after the next response. Heads, bodies, uploads, shutdowns and
+//!   drains set it. A finished upload restores its earlier value.
 //! - `head_error`: the reason why a head was rejected. It outlasts the phase because nothing after a rejected head is
 //!   read as a request. A head that times out after it was forwarded to hyper is answered with this error, too.
 //! - `is_closing_idle`: the connection closes unless its next request has already arrived. hyper closes it only between
-//!   requests. Until then it can be in any phase.
+//!   requests. Until then, the connection can be in any phase.
 //! - `has_received_head`: selects [`Phase::Idle`] or [`Phase::AwaitingFirstHead`] after an error response.
 
 use super::head::HeadError;
@@ -54,7 +54,7 @@
     last_byte_at: Cell<Instant>,
     has_received_head: Cell<bool>,
     /// Wakes the reader, which reads the next request only once the response is ready.
-    reader: RefCell<Option<Waker>>,
+    reader_waker: RefCell<Option<Waker>>,
     head_error: Cell<Option<HeadError>>,
     persistence: Cell<Persistence>,
     has_peer_closed: Cell<bool>,
@@ -71,7 +71,7 @@
             phase: Cell::new(Phase::AwaitingFirstHead { since: now }),
             last_byte_at: Cell::new(now),
             has_received_head: Cell::new(false),
-            reader: RefCell::new(None),
+            reader_waker: RefCell::new(None),
             head_error: Cell::new(None),
             persistence: Cell::new(Persistence::KeepAlive),
             has_peer_closed: Cell::new(false),
@@ -90,7 +90,7 @@
         self.last_byte_at.get()
     }
 
-    /// Returns whether a byte of a request has arrived with which the service has not been called yet.
+    /// Returns whether a byte of the next request has arrived and the service has not been called with it yet.
     pub fn is_receiving_head(&self) -> bool {
         self.phase.get().incoming_head().is_some()
     }
@@ -110,7 +110,7 @@
 
     /// Records that the reader has read from the socket while it was not forwarding a body. Zero bytes mean that the
     /// client has sent FIN.
-    pub fn received(&self, bytes: usize) {
+    pub fn bytes_received(&self, bytes: usize) {
         let now = Instant::now();
         self.last_byte_at.set(now);
         if bytes > 0 {
@@ -144,7 +144,7 @@
 
     /// Registers the reader's waker, which is woken when the response is ready.
     pub fn wake_reader_when_answered(&self, reader: &Waker) {
-        *self.reader.borrow_mut() = Some(reader.clone());
+        *self.reader_waker.borrow_mut() = Some(reader.clone());
     }
 
     /// Records that the client has sent FIN or has reset the connection.
@@ -171,7 +171,7 @@
             ResponseKind::Complete => self.end_response(),
             ResponseKind::Streamed => self.phase.set(Phase::Streaming { next: None }),
         }
-        if let Some(reader) = self.reader.take() {
+        if let Some(reader) = self.reader_waker.take() {
             reader.wake();
         }
     }
@@ -247,13 +247,13 @@
         self.head_error.set(Some(HeadError::TooSlow));
     }
 
-    /// Marks the connection as closing because it was idle for too long or its descriptor is needed. It needs no
-    /// lingering close, because no received bytes are left unread on it.
-    pub fn close_idle(&self) {
+    /// Marks the connection as closing, because it was idle for too long or its descriptor is needed. Such a connection
+    /// needs no lingering close, because no received bytes are left unread on it.
+    pub fn mark_closing_idle(&self) {
         self.is_closing_idle.set(true);
     }
 
-    /// Returns whether [`Self::close_idle`] has been called.
+    /// Returns whether [`Self::mark_closing_idle`] has been called.
     pub fn is_closing_idle(&self) -> bool {
         self.is_closing_idle.get()
     }
--- a/src/sidecar/caller/table.rs
+++ b/src/sidecar/caller/table.rs
@@ -44,7 +44,7 @@
     close: Rc<Notify>,
 }
 
-/// Tells whether there are descriptors for a new connection.
+/// Tells whether the requests of a new connection are served, which requires a descriptor for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The connection's requests are served.
@@ -55,7 +55,7 @@
 
 /// A connection that was just added to the table.
 #[derive(Debug)]
-pub struct AcceptedCaller {
+pub struct AddedCaller {
     /// Its number in the table.
     pub number: u64,
     /// Its state.
@@ -108,7 +108,7 @@
 
 impl CallerTable {
     /// Adds a connection that was just accepted.
-    pub fn add(&mut self, admission: Admission) -> AcceptedCaller {
+    pub fn add(&mut self, admission: Admission) -> AddedCaller {
         let number = self.next_number;
         self.next_number += 1;
         let (close, state) = (Rc::new(Notify::new()), ConnectionState::new());
@@ -125,7 +125,7 @@
         } else {
             Persistence::KeepAlive
         };
-        AcceptedCaller {
+        AddedCaller {
             number,
             state,
             close,
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Closes the connection that is first in the order of eviction. Returns false if none can be evicted.
+    /// Requests the closing of the connection that is first in the order of eviction. Returns false if none can be
+    /// evicted.
     pub fn evict_one(&mut self) -> bool {
         let now = Instant::now();
         let ranks = self
@@ -153,7 +154,7 @@
         };
         self.connections.get_mut(&number).is_some_and(|caller| {
             caller.is_evicted = true;
-            caller.state.close_idle();
+            caller.state.mark_closing_idle();
             caller.close.notify_one();
             true
         })
@@ -163,11 +164,11 @@
     /// were added since the previous one.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
-        self.close_idle();
+        self.notify_all_to_close();
     }
 
     /// Notifies all connections to close when they are idle.
-    fn close_idle(&self) {
+    fn notify_all_to_close(&self) {
         for caller in self.connections.values() {
             caller.close.notify_one();
         }
@@ -182,7 +183,7 @@
     pub fn set_drain_state(&mut self, state: Option<DrainState>) {
         self.drain = state;
         if state == Some(DrainState::ClosingIdle) {
-            self.close_idle();
+            self.notify_all_to_close();
         }
     }
 
@@ -191,8 +192,8 @@
         self.accepted_elsewhere.send_replace(true);
     }
 
-    /// Accepts callers in this process again, because the other process has ended or is about to. Returns whether this
-    /// changes anything: another process accepted callers, and this process is not shutting down.
+    /// Accepts callers in this process again, because the other process has ended or is about to end. Returns false if
+    /// no other process accepted callers or this process is shutting down.
     pub fn resume_accepting(&mut self) -> bool {
         self.accepted_elsewhere.send_replace(false) && !self.is_shutting_down
     }
@@ -227,8 +228,8 @@
         self.connections.is_empty()
     }
 
-    /// Returns the notification, sent during a shutdown, that the last connection has closed. All requests have been
-    /// answered by then.
+    /// Returns the [`Notify`] that is notified when the last connection has closed during a shutdown. All requests have
+    /// been answered by then.
     pub fn all_closed(&self) -> Rc<Notify> {
         self.all_closed.clone()
     }
--- a/src/sidecar/descriptors.rs
+++ b/src/sidecar/descriptors.rs
@@ -15,11 +15,13 @@
 #[derive(Debug)]
 pub struct DescriptorBudget {
     budget: usize,
-    /// The descriptors of a process outside the budget.
+    /// The number of descriptors of each process that are outside the budget.
     reserved: usize,
-    /// The descriptors that the sidecar's other processes use during a hot restart.
+    /// The number of descriptors that the sidecar's other processes use during a hot restart.
     other_processes: Cell<usize>,
+    /// The number of open connections from callers.
     callers: Rc<Cell<usize>>,
+    /// The number of open connections to endpoints.
     endpoints: Rc<Cell<usize>>,
 }
 
@@ -27,9 +29,9 @@
 #[derive(Clone, Copy, Debug)]
 pub enum PeerKind {
     /// A caller.
-    Callers,
+    Caller,
     /// An endpoint.
-    Endpoints,
+    Endpoint,
 }
 
 /// A permit for one connection's descriptor. The descriptor counts as in use until the permit is dropped.
@@ -69,8 +71,8 @@
     /// Returns a permit for one more connection, without checking the budget.
     pub fn permit(&self, peer: PeerKind) -> DescriptorPermit {
         let open = match peer {
-            PeerKind::Callers => &self.callers,
-            PeerKind::Endpoints => &self.endpoints,
+            PeerKind::Caller => &self.callers,
+            PeerKind::Endpoint => &self.endpoints,
         };
         open.set(open.get() + 1);
         DescriptorPermit(open.clone())
@@ -104,7 +106,7 @@
     }
 
     /// Returns whether callers have all the descriptors that they may use. The rest of the budget is for attempts,
-    /// because each pending request may have one in flight.
+    /// because each pending request may have an attempt in flight.
     pub fn is_caller_limit_reached(&self) -> bool {
         self.is_exhausted() || self.callers.get() >= self.caller_limit()
     }
--- a/src/sidecar/endpoint/host.rs
+++ b/src/sidecar/endpoint/host.rs
@@ -2,8 +2,8 @@
 
 use super::attempt_result::AttemptResult;
 use super::connection::EndpointConnection;
-use super::forwarded_request::{AttemptSpec, Target};
-use super::known_processes::KnownProcess;
+use super::forwarded_request::{AttemptSpec, EndpointProcess};
+use super::known_processes::KnownProcessGuard;
 use crate::clock::Clock;
 use crate::policy::{EndpointId, Timestamp};
 use crate::sidecar::descriptors::DescriptorPermit;
@@ -18,7 +18,7 @@
     /// The connection's share of the descriptor budget.
     pub descriptor: DescriptorPermit,
     /// The metric that counts completely written attempts.
-    pub attempts_written: Rc<Cell<u64>>,
+    pub written_attempts: Rc<Cell<u64>>,
 }
 
 /// The sidecar, as attempts and health checks see it. None of its methods blocks.
@@ -26,7 +26,7 @@
     /// Returns the sidecar's clock.
     fn clock(&self) -> Clock;
 
-    /// Returns how long a connection may take to be established.
+    /// Returns the maximum time in which a connection must be established.
     fn connect_timeout(&self) -> Duration;
 
     /// Returns the memory budget for responses.
@@ -35,39 +35,44 @@
     /// Returns whether all descriptors are in use.
     fn descriptors_exhausted(&self) -> bool;
 
-    /// Returns a permit to open a connection, or `None` if no descriptor is available. An idle connection may be
+    /// Returns a permit to open a connection, or `None` if no descriptor is available. Another connection may be
     /// evicted for it.
     fn connect_permit(&self) -> Option<ConnectPermit>;
 
-    /// Takes an idle connection to an endpoint from the pool.
+    /// Takes an idle connection to an endpoint from the pool. Returns `None` if there is none that can be used.
     fn take_connection(&self, endpoint: &EndpointId) -> Option<EndpointConnection>;
 
-    /// Returns a connection whose exchange is complete to the pool, or closes it if its endpoint takes no more work.
-    fn return_connection(&self, connection: EndpointConnection, target: &Target);
+    /// Puts a connection whose exchange is complete into the pool, or closes it if its endpoint takes no more attempts.
+    fn return_connection(&self, connection: EndpointConnection, target: &EndpointProcess);
 
     /// Returns whether an attempt may still be written. It is called just before the first byte, because the request
     /// and the endpoint may have changed while the connection was established.
     fn may_write(&self, spec: &AttemptSpec) -> bool;
 
     /// Reports that an endpoint refused a connection or reset an idle one, which means that its process has ended.
-    fn process_ended(&self, target: &Target);
+    fn process_ended(&self, target: &EndpointProcess);
 
-    /// Returns a guard for a connection that was just opened, if it is known to reach the process that the endpoint
-    /// list names.
-    fn known_process(&self, target: &Target) -> Option<KnownProcess>;
+    /// Returns a guard for a connection that was just opened, if the connection is known to reach the process that the
+    /// endpoint list names.
+    fn known_process_guard(&self, target: &EndpointProcess) -> Option<KnownProcessGuard>;
 
     /// Returns whether attempts may be written only on connections to known processes, because the endpoint list is
     /// overdue.
     fn requires_known_process(&self) -> bool;
 
-    /// Reports that an attempt's connection reaches an unknown process although a known one is required.
+    /// Reports that an attempt was not written, because its connection does not reach a known process.
     fn unknown_process_reached(&self);
 
     /// Reports that an attempt has ended.
     fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult);
 
     /// Reports that a health check has ended.
-    fn health_check_ended(&self, target: &Target, elapsed: Duration, result: AttemptResult);
+    fn health_check_ended(
+        &self,
+        target: &EndpointProcess,
+        elapsed: Duration,
+        result: AttemptResult,
+    );
 
     /// Returns the current time of the sidecar's clock.
     fn now(&self) -> Timestamp {
--- a/src/sidecar/listener_handover/old_process.rs
+++ b/src/sidecar/listener_handover/old_process.rs
@@ -3,7 +3,7 @@
 use super::descriptor_passing::send_listener;
 use super::message_exchange::exchange_messages;
 use crate::sidecar::hot_restart::{ProcessRole, SharedDirectory};
-use crate::sidecar::node::{NodeHandle, TakeoverEnd};
+use crate::sidecar::node::{AcceptStatus, NodeHandle};
 use crate::sidecar::server;
 use std::io;
 use std::net::TcpListener;
@@ -28,20 +28,20 @@
     loop {
         let socket = match &bound {
             Ok(socket) => socket,
-            Err(error) => return log!("hot restart: not possible from this process: {error}"),
+            Err(error) => return log!("hot restart: socket for new processes not bound: {error}"),
         };
         let stream = hand_over_to_next(socket, &listener).await;
         let (process, messages) = node.add_process(ProcessRole::New);
         node.send_disabled_endpoints();
         exchange_messages(&node, process, stream, messages).await;
         node.other_process_ended(process);
-        match node.takeover_ended() {
+        match node.new_process_ended() {
             // This may be the last descriptor of the listener. No other process would then accept its backlog.
-            TakeoverEnd::ShuttingDown => return server::accept_backlog(&node, listener),
-            TakeoverEnd::Resumed => {
+            AcceptStatus::ShuttingDown => return server::accept_backlog(&node, listener),
+            AcceptStatus::Resumed => {
                 log!("hot restart: the new process has ended; accepting callers again");
             }
-            TakeoverEnd::NeverSuspended => log!("hot restart: the new process has ended"),
+            AcceptStatus::AlreadyAccepting => log!("hot restart: the new process has ended"),
         }
         // The new process may have replaced this process's socket by renaming its own.
         bound = bind(&directory);
--- a/src/sidecar/node/active_configuration.rs
+++ b/src/sidecar/node/active_configuration.rs
@@ -6,52 +6,53 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after a reload a request may still have been sent under the replaced settings.
+/// The time after a reload for which arriving requests may still have been sent under the replaced settings.
 const RELOAD_GRACE: Duration = Duration::from_secs(1);
 
-/// Settings, and the balancer's ids of their request classes.
+/// Settings, with the ids that the balancer has given their request classes.
 #[derive(Debug)]
-pub struct ActiveSettings {
+pub struct ResolvedSettings {
     /// The settings.
-    pub settings: Settings,
-    /// The ids, in the order of the settings' classes.
-    pub classes: Vec<ClassId>,
+    pub values: Settings,
+    /// The ids of the classes, in the order of the settings.
+    pub class_ids: Vec<ClassId>,
 }
 
-/// The parts of the configuration in force that a reload changes or compares with the next configuration.
+/// The parts of the configuration in force that a reload replaces or compares with those of the next configuration.
 pub struct ActiveConfiguration {
-    settings: Rc<ActiveSettings>,
+    settings: Rc<ResolvedSettings>,
     replaced: Option<ReplacedSettings>,
-    /// The settings and limits with which the next file is compared.
+    /// The settings and limits as the file in force states them, with which those of the next file are compared.
     reload_baseline: ReloadBaseline,
-    /// Values that only a restart changes.
+    /// The values that only a restart changes.
     restart_values: RestartValues,
 }
 
 struct ReplacedSettings {
-    settings: Rc<ActiveSettings>,
+    settings: Rc<ResolvedSettings>,
     replaced_at: Instant,
 }
 
-/// The settings under which a request may have been sent.
+/// The settings under which a request may have been sent, depending on whether it was sent before the last reload.
 #[derive(Debug)]
-pub struct RequestSettings {
+pub struct CandidateSettings {
     /// The settings in force.
-    pub current: Rc<ActiveSettings>,
-    /// The settings before the last reload, for a request that arrived within [`RELOAD_GRACE`] after it.
-    pub previous: Option<Rc<ActiveSettings>>,
+    pub current: Rc<ResolvedSettings>,
+    /// The settings before the last reload. Set for a request whose first byte arrived before the reload or within
+    /// [`RELOAD_GRACE`] after it.
+    pub previous: Option<Rc<ResolvedSettings>>,
 }
 
 impl ActiveConfiguration {
-    /// Creates it from the configuration that the process starts with.
+    /// Creates it from the configuration with which the process starts.
     pub fn new(
-        settings: Settings,
+        values: Settings,
         reload_baseline: ReloadBaseline,
         restart_values: RestartValues,
     ) -> Self {
-        let classes = (0..settings.classes.len()).map(ClassId).collect();
+        let class_ids = (0..values.classes.len()).map(ClassId).collect();
         ActiveConfiguration {
-            settings: Rc::new(ActiveSettings { settings, classes }),
+            settings: Rc::new(ResolvedSettings { values, class_ids }),
             replaced: None,
             reload_baseline,
             restart_values,
@@ -60,16 +61,16 @@
 
     /// Returns the settings in force.
     pub fn settings(&self) -> &Settings {
-        &self.settings.settings
+        &self.settings.values
     }
 
-    /// Returns the settings for a request whose first byte arrived at `first_byte_at`.
-    pub fn settings_for_request(&self, first_byte_at: Instant) -> RequestSettings {
+    /// Returns the settings that may apply to a request whose first byte arrived at `first_byte_at`.
+    pub fn settings_for_request(&self, first_byte_at: Instant) -> CandidateSettings {
         let replaced = self
             .replaced
             .as_ref()
             .filter(|replaced| first_byte_at < replaced.replaced_at + RELOAD_GRACE);
-        RequestSettings {
+        CandidateSettings {
             current: self.settings.clone(),
             previous: replaced.map(|replaced| replaced.settings.clone()),
         }
@@ -90,12 +91,12 @@
         self.restart_values.differences(&next.restart_values)
     }
 
-    /// Replaces the settings by those of the next configuration. `classes` are the balancer's ids of its request
+    /// Replaces the settings by those of the next configuration. `class_ids` are the balancer's ids of its request
     /// classes.
-    pub fn replace_settings(&mut self, next: &Config, classes: Vec<ClassId>) {
-        let settings = Rc::new(ActiveSettings {
-            settings: next.settings.clone(),
-            classes,
+    pub fn replace_settings(&mut self, next: &Config, class_ids: Vec<ClassId>) {
+        let settings = Rc::new(ResolvedSettings {
+            values: next.settings.clone(),
+            class_ids,
         });
         self.replaced = Some(ReplacedSettings {
             settings: std::mem::replace(&mut self.settings, settings),
--- a/src/sidecar/node/endpoint_host.rs
+++ b/src/sidecar/node/endpoint_host.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::policy::{EndpointId, Event, Timestamp};
 use crate::sidecar::endpoint::{
-    AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, KnownProcess,
-    SweepTask, Target,
+    AttemptResult, AttemptSpec, ConnectPermit, EndpointConnection, EndpointHost, EndpointProcess,
+    KnownProcessGuard, SweepTask,
 };
 use crate::sidecar::memory::MemoryBudget;
 use std::collections::HashSet;
@@ -37,11 +37,11 @@
 
     fn connect_permit(&self) -> Option<ConnectPermit> {
         let mut node = self.borrow();
-        let descriptor = node.connections.permit_for_endpoint()?;
+        let descriptor = node.connections.endpoint_connection_permit()?;
         node.counters.connection_opened();
         Some(ConnectPermit {
             descriptor,
-            attempts_written: node.metrics.written_attempts(),
+            written_attempts: node.metrics.written_attempts(),
         })
     }
 
@@ -49,7 +49,7 @@
         self.borrow().connections.take_idle(endpoint)
     }
 
-    fn return_connection(&self, connection: EndpointConnection, target: &Target) {
+    fn return_connection(&self, connection: EndpointConnection, target: &EndpointProcess) {
         let mut node = self.borrow();
         if !node.takes_work(target) {
             return;
@@ -71,7 +71,7 @@
             && node.clock.now() < spec.deadline
     }
 
-    fn process_ended(&self, target: &Target) {
+    fn process_ended(&self, target: &EndpointProcess) {
         if self.borrow().endpoints.is_same_process(target) {
             self.handle(Event::ProcessEnded {
                 endpoint: target.endpoint.clone(),
@@ -79,7 +79,7 @@
         }
     }
 
-    fn known_process(&self, target: &Target) -> Option<KnownProcess> {
+    fn known_process_guard(&self, target: &EndpointProcess) -> Option<KnownProcessGuard> {
         let node = self.borrow();
         let now = node.clock.now();
         let is_known = node.balancer.new_connection_proves_listed_process(now)
@@ -92,13 +92,13 @@
         node.balancer.is_list_overdue(node.clock.now())
     }
 
-    /// Gives the balancer all endpoints with known processes at once, which keeps it from trying the others one by one.
+    /// Gives the balancer all endpoints with known processes at once, so that it does not try the others one by one.
     fn unknown_process_reached(&self) {
         let endpoints = self.borrow().endpoints_with_known_process();
         self.handle(Event::KnownProcessesReported { endpoints });
     }
 
-    /// The response of the first served attempt is the request's final answer.
+    /// Ends an attempt. The response of the first served attempt is the request's final answer.
     fn attempt_ended(&self, spec: &AttemptSpec, result: AttemptResult) {
         let request = &spec.request;
         let Some(event) = self.borrow().end_attempt(spec, result) else {
@@ -113,7 +113,12 @@
         self.borrow().requests.remove_if_finished(request);
     }
 
-    fn health_check_ended(&self, target: &Target, elapsed: Duration, result: AttemptResult) {
+    fn health_check_ended(
+        &self,
+        target: &EndpointProcess,
+        elapsed: Duration,
+        result: AttemptResult,
+    ) {
         let AttemptResult {
             outcome, report, ..
         } = result;
@@ -133,10 +138,10 @@
 }
 
 impl Node {
-    /// Returns the endpoints at which the process that the list names is known to run.
+    /// Returns the serving endpoints whose listed processes are known.
     fn endpoints_with_known_process(&self) -> HashSet<EndpointId> {
         let serving = self.endpoints.serving();
-        let targets = serving.filter_map(|endpoint| self.endpoints.target(endpoint));
+        let targets = serving.filter_map(|endpoint| self.endpoints.listed_process(endpoint));
         targets
             .filter(|target| self.connections.is_known_process(target))
             .map(|target| target.endpoint)
@@ -164,7 +169,8 @@
         ))
     }
 
-    /// Returns when an attempt's streamed upload was complete. The endpoint's response time is measured from then on.
+    /// Returns the time at which an attempt's upload was complete. The endpoint's response time is measured from then
+    /// on.
     fn upload_completed_at(&self, spec: &AttemptSpec) -> Option<Timestamp> {
         let upload = spec.forwarded.upload.as_ref()?;
         let completed_at = upload.completed_at()?;
--- a/src/sidecar/node/report.rs
+++ b/src/sidecar/node/report.rs
@@ -1,4 +1,4 @@
-//! The node's state and counts, for the log and the operators' metrics.
+//! The node's state and counters, for the log and the operators' metrics.
 
 use super::state::Node;
 use crate::policy::BalancerStatus;
@@ -6,33 +6,33 @@
 use crate::sidecar::counters::Counters;
 use crate::sidecar::counters::CountersLine;
 use crate::sidecar::descriptors::OpenConnections;
-use crate::sidecar::metrics::{ListMetrics, MemberCounts};
+use crate::sidecar::metrics::{EndpointCounts, ListMetrics};
 
 /// The figures of the log's counters line.
 pub struct NodeReport {
     /// The counters since the last line.
     pub counters: CountersLine,
-    /// The balancer's present state.
+    /// The balancer's current state.
     pub status: BalancerStatus,
-    /// How current the endpoint list is.
+    /// The state of the endpoint list.
     pub list: ListMetrics,
     /// The connections open now.
     pub connections: OpenConnections,
 }
 
 impl Node {
-    /// Writes the metrics, one per line.
+    /// Appends the metrics to `text`, one per line.
     pub fn write_metrics(&self, text: &mut String) {
         let status = self.balancer_status();
-        let members = MemberCounts {
+        let endpoints = EndpointCounts {
             listed: self.endpoints.len(),
             unavailable: status.unavailable,
             suspended: status.suspended,
         };
-        self.metrics.write(&members, &self.list_metrics(), text);
+        self.metrics.write(&endpoints, &self.list_metrics(), text);
     }
 
-    /// Returns the present state and the counters since the last report, and resets the counters.
+    /// Returns the current state and the counters since the last report, and resets the counters.
     pub fn take_report(&mut self) -> NodeReport {
         let answered = self.metrics.answered();
         NodeReport {
--- a/src/sidecar/server/listener.rs
+++ b/src/sidecar/server/listener.rs
@@ -53,19 +53,19 @@
     drop(listener);
 }
 
-/// Serves a connection. Rejects its requests, or closes it, if there are no descriptors for it.
+/// Starts to serve a connection. If there is no descriptor for it, its requests are rejected, or it is closed unread.
 fn start_serving(node: &NodeHandle, stream: TcpStream) {
     let Some(admitted) = node.borrow().admit_caller() else {
-        return; // closed unread: no request on it is accepted yet, and accepted ones need the remaining descriptors
+        return; // closed unread: none of its requests is accepted yet, and accepted ones need the remaining descriptors
     };
-    let accepted = admitted.accepted;
+    let added = admitted.added;
     let connection = CallerConnection {
         node: node.clone(),
-        number: accepted.number,
-        state: accepted.state,
+        number: added.number,
+        state: added.state,
         admission: admitted.admission,
         _permit: admitted.permit,
     };
-    let served = connection::serve(connection, stream, accepted.close, accepted.persistence);
+    let served = connection::serve(connection, stream, added.close, added.persistence);
     spawn_local(served);
 }
--- a/src/sidecar/server/parsed_request.rs
+++ b/src/sidecar/server/parsed_request.rs
@@ -8,7 +8,7 @@
 use crate::sidecar::caller::Persistence;
 use crate::sidecar::endpoint::{ForwardedRequest, end_to_end_headers};
 use crate::sidecar::memory::MemoryReservation;
-use crate::sidecar::node::{ActiveSettings, NodeHandle};
+use crate::sidecar::node::{NodeHandle, ResolvedSettings};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use std::rc::Rc;
@@ -20,9 +20,9 @@
     /// The request in the form that the balancer takes.
     pub request: PolicyRequest,
     /// The settings under which the head was parsed.
-    settings: Rc<ActiveSettings>,
-    /// The position of its class in `settings`.
-    class: usize,
+    settings: Rc<ResolvedSettings>,
+    /// The position of its class among the classes of `settings`.
+    class_position: usize,
     /// The time for which the client waits after the request's last byte.
     pub time_left: Duration,
 }
@@ -32,7 +32,7 @@
     /// reload or shortly after it, parses it under the previous settings.
     ///
     /// # Errors
-    /// The head is invalid under the current settings.
+    /// The head is invalid under the current settings, and under the previous ones if they may apply.
     pub fn parse(
         node: &NodeHandle,
         head: &Parts,
@@ -45,15 +45,15 @@
                 node.configuration().settings_for_request(started_at),
             )
         };
-        let parse_under = |settings: Rc<ActiveSettings>| -> Result<ParsedRequest, RequestError> {
-            let mut request = parse_request(&head.method, &head.headers, &settings.settings, now)?;
-            let class = request.class.0;
-            request.class = settings.classes[class];
+        let parse_under = |settings: Rc<ResolvedSettings>| -> Result<ParsedRequest, RequestError> {
+            let mut request = parse_request(&head.method, &head.headers, &settings.values, now)?;
+            let class_position = request.class.0;
+            request.class = settings.class_ids[class_position];
             let time_left = request.deadline.since(now);
             Ok(ParsedRequest {
                 request,
                 settings,
-                class,
+                class_position,
                 time_left,
             })
         };
@@ -63,14 +63,14 @@
         })
     }
 
-    /// Returns the request's class in its settings.
+    /// Returns the request's class, as its settings describe it.
     pub fn class(&self) -> &Class {
-        &self.settings.settings.classes[self.class]
+        &self.settings.values.classes[self.class_position]
     }
 
     /// Returns the time to wait for the response. `persistence` is that of the connection once an upload is complete.
     pub fn response_timeout(&self, node: &NodeHandle, persistence: Persistence) -> ResponseTimeout {
-        let slack = self.settings.settings.rules.answer_slack;
+        let slack = self.settings.values.rules.answer_slack;
         let answer_deadline = node.borrow().clock().instant(self.request.deadline) + slack;
         ResponseTimeout {
             answer_deadline,
