--- a/fleet-lab/tests/caller.rs
+++ b/fleet-lab/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The open-loop callers against a stub server.
+//! Open-loop callers that send their load to a stub server.
 
 use fleet_lab::caller::{LoadPlan, LoadTarget, TargetResult, run};
 use std::collections::BTreeSet;
@@ -9,15 +9,17 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How long a test waits for anything at most.
+/// The longest time that a test waits for a state.
 const TIMEOUT: Duration = Duration::from_secs(20);
-const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
-/// A received request, with its number on its connection and over all connections.
+/// A received request.
 #[derive(Clone, Debug)]
 struct Request {
-    on_connection: usize,
-    overall: usize,
+    /// The number of the request on its connection, from 0.
+    number_on_connection: usize,
+    /// The number of the request over all connections, from 0.
+    number: usize,
     head: String,
     body: String,
 }
@@ -28,49 +30,55 @@
             .head
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
-        line.expect("the header is there")
+        line.expect("the request has the header")
     }
 }
 
-/// The reaction of the server to a request.
+/// The reaction of the stub server to a request.
 enum Reaction {
-    Answer(String),
-    AnswerAndClose(String),
+    Respond(String),
+    RespondAndClose(String),
     Close,
-    NoAnswer,
+    NoResponse,
 }
 
-/// All requests that the server has received.
+/// All requests that the stub server has received.
 #[derive(Default)]
-struct Requests {
+struct ReceivedRequests {
     list: Mutex<Vec<Request>>,
     changed: Condvar,
 }
 
-impl Requests {
+impl ReceivedRequests {
     fn wait_for(&self, count: usize) {
-        let list = self.list.lock().expect("the list");
+        let list = self
+            .list
+            .lock()
+            .expect("the list of requests is not poisoned");
         let (_list, timeout) = self
             .changed
             .wait_timeout_while(list, TIMEOUT, |list| list.len() < count)
-            .expect("the list");
+            .expect("the list of requests is not poisoned");
         assert!(!timeout.timed_out(), "{count} requests were not received");
     }
 }
 
+/// A server that treats each request as a test defines. Dropping it stops the server.
 struct StubServer {
     address: SocketAddr,
-    requests: Arc<Requests>,
+    requests: Arc<ReceivedRequests>,
     stop: Arc<AtomicBool>,
     acceptor: Option<JoinHandle<()>>,
 }
 
 impl StubServer {
-    fn start(react: impl Fn(&Request, &Requests) -> Reaction + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+    fn start(
+        react: impl Fn(&Request, &ReceivedRequests) -> Reaction + Send + Sync + 'static,
+    ) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let (requests, stop) = (
-            Arc::new(Requests::default()),
+            Arc::new(ReceivedRequests::default()),
             Arc::new(AtomicBool::new(false)),
         );
         let (react, received, stop_flag) = (Arc::new(react), requests.clone(), stop.clone());
@@ -92,50 +100,62 @@
     }
 
     fn received(&self) -> Vec<Request> {
-        self.requests.list.lock().expect("the list").clone()
+        self.requests
+            .list
+            .lock()
+            .expect("the list of requests is not poisoned")
+            .clone()
     }
 }
 
 impl Drop for StubServer {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        let _ = TcpStream::connect(self.address); // wakes the acceptor
-        let _ = self.acceptor.take().expect("it is joined once").join();
+        let _ = TcpStream::connect(self.address); // ends the wait of the acceptor thread for a connection
+        let _ = self
+            .acceptor
+            .take()
+            .expect("the acceptor thread is joined once")
+            .join();
     }
 }
 
 fn serve_connection(
     stream: TcpStream,
-    react: &dyn Fn(&Request, &Requests) -> Reaction,
-    received: &Requests,
+    react: &dyn Fn(&Request, &ReceivedRequests) -> Reaction,
+    received: &ReceivedRequests,
 ) {
     let mut reader = BufReader::new(stream);
-    for on_connection in 0.. {
+    for number_on_connection in 0.. {
         let Some((head, body)) = read_request(&mut reader) else {
             return;
         };
-        let mut list = received.list.lock().expect("the list");
+        let mut list = received
+            .list
+            .lock()
+            .expect("the list of requests is not poisoned");
         let request = Request {
-            on_connection,
-            overall: list.len(),
+            number_on_connection,
+            number: list.len(),
             head,
             body,
         };
         list.push(request.clone());
         received.changed.notify_all();
         drop(list);
-        let (answer, closes) = match react(&request, received) {
-            Reaction::Answer(answer) => (answer, false),
-            Reaction::AnswerAndClose(answer) => (answer, true),
+        let (response, closes) = match react(&request, received) {
+            Reaction::Respond(response) => (response, false),
+            Reaction::RespondAndClose(response) => (response, true),
             Reaction::Close => return,
-            Reaction::NoAnswer => continue, // the next read returns at the end of the connection
+            Reaction::NoResponse => continue, // the next read returns when the caller closes the connection
         };
-        if reader.get_mut().write_all(answer.as_bytes()).is_err() || closes {
+        if reader.get_mut().write_all(response.as_bytes()).is_err() || closes {
             return;
         }
     }
 }
 
+/// Reads a request and returns its head and its body, or `None` at the end of the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -147,11 +167,17 @@
     let length = head
         .lines()
         .find_map(|line| line.strip_prefix("Content-Length: "));
-    let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a length"))];
+    let mut body = vec![
+        0;
+        length.map_or(0, |length| length
+            .parse()
+            .expect("Content-Length is a number"))
+    ];
     reader.read_exact(&mut body).ok()?;
-    Some((head, String::from_utf8(body).expect("text")))
+    Some((head, String::from_utf8(body).expect("the body is UTF-8")))
 }
 
+/// Returns a target with safe requests of the class `browse`.
 fn target(address: SocketAddr) -> LoadTarget {
     LoadTarget {
         address,
@@ -162,6 +188,7 @@
     }
 }
 
+/// Runs a load without a warm-up and checks the sums of its results.
 fn run_load(targets: Vec<LoadTarget>) -> Vec<TargetResult> {
     let plan = LoadPlan {
         targets,
@@ -169,7 +196,7 @@
         duration: Duration::from_millis(300),
         seed: 7,
     };
-    let results = run(&plan).expect("the load runs");
+    let results = run(&plan).expect("the load runs to its end");
     for result in &results {
         assert!(result.sent > 0);
         assert_eq!(
@@ -186,8 +213,9 @@
     run_load(vec![target]).remove(0)
 }
 
+/// Guards the mapping of status codes to the counts of served, rejected and failed requests.
 #[test]
-fn answers_are_counted_by_their_status() {
+fn counts_responses_by_status() {
     let statuses = [
         "200 OK",
         "503 Service Unavailable",
@@ -195,23 +223,24 @@
         "500 Internal Server Error",
     ];
     let server = StubServer::start(move |request, _| {
-        let status = statuses[request.overall % statuses.len()];
-        Reaction::Answer(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nok"))
+        let status = statuses[request.number % statuses.len()];
+        Reaction::Respond(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nok"))
     });
-    let always = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
-    let results = run_load(vec![target(server.address), target(always.address)]);
+    let serving = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
+    let results = run_load(vec![target(server.address), target(serving.address)]);
     let received = server.received().len();
     assert_eq!(results[0].sent as usize, received);
     assert_eq!(results[0].served as usize, received.div_ceil(4));
     assert_eq!(results[0].failed as usize, received / 4);
     assert_eq!(results[0].unanswered, 0);
     assert_eq!(results[1].served, results[1].sent);
-    assert_eq!(results[1].sent as usize, always.received().len());
+    assert_eq!(results[1].sent as usize, serving.received().len());
 }
 
+/// Guards the method, the headers and the body of safe and unsafe requests.
 #[test]
-fn requests_have_the_published_form() {
-    let server = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
+fn requests_match_protocol() {
+    let server = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
     let mut order = target(server.address);
     order.class = "order".into();
     order.is_unsafe = true;
@@ -222,7 +251,7 @@
         .iter()
         .map(|request| request.header("X-Request-Id"))
         .collect();
-    assert_eq!(ids.len(), received.len(), "each id is there once");
+    assert_eq!(ids.len(), received.len(), "a request id was used twice");
     let (orders, browses): (Vec<_>, Vec<_>) = received
         .iter()
         .partition(|request| request.header("X-Class") == "order");
@@ -242,9 +271,10 @@
     }
 }
 
+/// Two loads with one seed have the same number of arrivals, but no request id in common.
 #[test]
-fn loads_with_the_same_seed_have_the_same_arrivals() {
-    let server = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
+fn same_seed_gives_same_arrivals() {
+    let server = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
     let counts = [(); 2].map(|()| {
         let results = run_load(vec![target(server.address), target(server.address)]);
         results.iter().map(|result| result.sent).collect::<Vec<_>>()
@@ -255,12 +285,16 @@
         .iter()
         .map(|request| request.header("X-Request-Id").into())
         .collect();
-    assert_eq!(ids.len(), server.received().len(), "ids are not used again");
+    assert_eq!(
+        ids.len(),
+        server.received().len(),
+        "a request id was used again"
+    );
 }
 
 #[test]
-fn requests_of_the_warm_up_are_not_counted() {
-    let server = StubServer::start(|_, _| Reaction::Answer(SERVED.into()));
+fn warm_up_requests_are_not_counted() {
+    let server = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
     let targets = vec![target(server.address)];
     let (warm_up, duration) = (Duration::from_millis(300), Duration::from_millis(100));
     let results = run(&LoadPlan {
@@ -269,25 +303,26 @@
         duration,
         seed: 7,
     })
-    .expect("the load runs");
+    .expect("the load runs to its end");
     assert!(results[0].sent > 0);
     assert!((results[0].sent as usize) < server.received().len());
     assert_eq!(results[0].served, results[0].sent);
 }
 
+/// The first response is held back until 20 other requests have arrived.
 #[test]
-fn a_slow_answer_does_not_delay_other_requests() {
+fn slow_response_does_not_delay_other_requests() {
     const OTHERS: usize = 20;
     let server = StubServer::start(|request, received| {
-        if request.overall == 0 {
+        if request.number == 0 {
             received.wait_for(1 + OTHERS);
         }
-        Reaction::Answer(SERVED.into())
+        Reaction::Respond(OK_RESPONSE.into())
     });
     let result = run_one(target(server.address));
     assert!(
         result.sent as usize > OTHERS,
-        "the schedule has drawn {}",
+        "the schedule has only {} requests",
         result.sent
     );
     assert_eq!(result.served, result.sent);
@@ -295,9 +330,9 @@
 }
 
 #[test]
-fn an_answer_that_closes_its_connection_is_served() {
+fn connection_close_response_is_served() {
     let closing = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone";
-    let server = StubServer::start(move |_, _| Reaction::AnswerAndClose(closing.into()));
+    let server = StubServer::start(move |_, _| Reaction::RespondAndClose(closing.into()));
     let result = run_one(target(server.address));
     assert_eq!(
         (result.served, result.connections),
@@ -305,10 +340,11 @@
     );
 }
 
+/// The server closes each connection at its second request. The caller must send that request again with the same id.
 #[test]
-fn a_request_on_a_reused_connection_that_is_closed_is_sent_again() {
-    let server = StubServer::start(|request, _| match request.on_connection {
-        0 => Reaction::Answer(SERVED.into()),
+fn request_on_closed_reused_connection_is_resent() {
+    let server = StubServer::start(|request, _| match request.number_on_connection {
+        0 => Reaction::Respond(OK_RESPONSE.into()),
         _ => Reaction::Close,
     });
     let result = run_one(target(server.address));
@@ -324,13 +360,13 @@
         result.connections as usize,
         received
             .iter()
-            .filter(|request| request.on_connection == 0)
+            .filter(|request| request.number_on_connection == 0)
             .count()
     );
 }
 
 #[test]
-fn a_request_on_a_new_connection_that_is_closed_fails() {
+fn request_on_closed_new_connection_fails() {
     let server = StubServer::start(|_, _| Reaction::Close);
     let result = run_one(target(server.address));
     assert_eq!(result.failed, result.sent);
@@ -338,8 +374,8 @@
 }
 
 #[test]
-fn requests_without_an_answer_expire() {
-    let server = StubServer::start(|_, _| Reaction::NoAnswer);
+fn requests_without_response_expire() {
+    let server = StubServer::start(|_, _| Reaction::NoResponse);
     let mut target = target(server.address);
     target.deadline = Duration::from_millis(50);
     let result = run_one(target);
@@ -350,12 +386,12 @@
 }
 
 #[test]
-fn refused_connections_and_chunked_answers_are_failures() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let refusing_address = listener.local_addr().expect("an address");
+fn refused_connections_and_chunked_responses_fail() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let refusing_address = listener.local_addr().expect("the listener has an address");
     drop(listener);
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n";
-    let server = StubServer::start(move |_, _| Reaction::Answer(chunked.into()));
+    let server = StubServer::start(move |_, _| Reaction::Respond(chunked.into()));
     let results = run_load(vec![target(refusing_address), target(server.address)]);
     assert!(results.iter().all(|result| result.failed == result.sent));
 }
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -1,11 +1,11 @@
-//! The discovery service over real sockets: lists, watches, capacity, outages and partitions.
+//! The simulated discovery service over real sockets: lists, watches, capacity, outages and partitions.
 
 #[path = "support/discovery_client.rs"]
 mod discovery_client;
 #[path = "support/wait.rs"]
 mod wait;
 
-use discovery_client::{Client, LIST, TIMEOUT, summarize, zones};
+use discovery_client::{Client, LIST_PATH, TIMEOUT, summarize, zones};
 use fleet_lab::discovery::{
     DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus, ListSnapshot, WatchOnChange,
 };
@@ -48,12 +48,13 @@
     DiscoveryServer::start(options, &zones(), vec![serving("a"), serving("b")]).unwrap()
 }
 
+/// Guards the fields of an entry, the version, and the removal of deleted entries.
 #[test]
-fn the_full_list_has_the_published_form() {
+fn full_list_matches_protocol() {
     let server = start(options());
     let mut client = Client::connect(&server, 0);
-    client.get(LIST);
-    let (status, body) = client.answer();
+    client.get(LIST_PATH);
+    let (status, body) = client.response();
     assert_eq!(status, 200);
     let message: Value = serde_json::from_str(&body).unwrap();
     let first = serde_json::json!({
@@ -64,8 +65,11 @@
     assert_eq!(summarize(&body), "1 list a=SERVING b=SERVING");
 
     server.publish(vec![entry("a", EndpointStatus::Deleted), serving("c")]);
-    client.get(LIST);
-    assert_eq!(summarize(&client.answer().1), "2 list b=SERVING c=SERVING");
+    client.get(LIST_PATH);
+    assert_eq!(
+        summarize(&client.response().1),
+        "2 list b=SERVING c=SERVING"
+    );
     let snapshot = ListSnapshot {
         version: 2,
         endpoints: vec![serving("b"), serving("c")],
@@ -78,8 +82,9 @@
     );
 }
 
+/// A watch from an older version first gets one message with the changes since that version.
 #[test]
-fn a_watch_sends_the_changes_since_its_version_and_then_each_change_in_order() {
+fn watch_sends_past_and_new_changes_in_order() {
     let server = start(options());
     server.publish(vec![serving("c"), entry("a", EndpointStatus::Draining)]);
     server.publish(vec![entry("a", EndpointStatus::Deleted)]);
@@ -114,7 +119,7 @@
 }
 
 #[test]
-fn a_watch_from_an_unretained_version_gets_the_full_list() {
+fn watch_from_unretained_version_gets_full_list() {
     let server = start(options());
     for _ in 0..4 {
         server.publish(vec![entry("b", EndpointStatus::Draining)]);
@@ -131,8 +136,9 @@
     assert_eq!(Client::watch(&server, 0, "&since=2").message(), retained);
 }
 
+/// A heartbeat is an empty line. Its bytes are counted in the usage.
 #[test]
-fn a_watch_gets_an_empty_line_each_heartbeat_and_all_bytes_are_counted() {
+fn idle_watch_gets_heartbeats() {
     let server = start(DiscoveryOptions {
         heartbeat: Duration::from_millis(5),
         ..options()
@@ -150,29 +156,30 @@
     );
 }
 
+/// A watch that reads too slowly skips versions. It must get the full list in their place, and no version twice.
 #[test]
-fn a_lagging_watch_gets_the_full_list_and_resumes_from_it() {
+fn lagging_watch_resumes_from_full_list() {
     const VERSIONS: u64 = 3_000;
     let server = start(options());
     let mut watch = Client::watch(&server, 0, "&since=1");
-    let long = EndpointEntry {
+    let long_entry = EndpointEntry {
         kind: "x".repeat(20 << 10),
         ..serving("a")
     };
     for _ in 2..=VERSIONS {
-        server.publish(vec![long.clone()]);
+        server.publish(vec![long_entry.clone()]);
     }
     let (mut version, mut lists) = (1, 0);
     while version < VERSIONS {
         let message = watch.message();
-        let (index, rest) = message.split_once(' ').unwrap();
-        let index: u64 = index.parse().unwrap();
+        let (message_version, rest) = message.split_once(' ').unwrap();
+        let message_version: u64 = message_version.parse().unwrap();
         let is_list = rest == "list a=SERVING b=SERVING";
         assert!(
-            index == version + 1 || (is_list && index > version),
+            message_version == version + 1 || (is_list && message_version > version),
             "{message} after {version}"
         );
-        version = index;
+        version = message_version;
         lists += u64::from(is_list);
     }
     assert!(lists > 0);
@@ -184,7 +191,7 @@
 }
 
 #[test]
-fn calls_beyond_the_capacity_are_rejected() {
+fn calls_beyond_capacity_are_rejected() {
     const CALLERS: u64 = 40;
     let queue_timeout = Duration::from_millis(100);
     let server = start(DiscoveryOptions {
@@ -194,24 +201,27 @@
     });
     let mut clients: Vec<_> = (0..CALLERS).map(|_| Client::connect(&server, 0)).collect();
     for client in &mut clients {
-        client.get(LIST);
+        client.get(LIST_PATH);
     }
-    let answers: Vec<u16> = clients.iter_mut().map(|client| client.answer().0).collect();
-    let count = |status| answers.iter().filter(|answer| **answer == status).count() as u64;
+    let codes: Vec<u16> = clients
+        .iter_mut()
+        .map(|client| client.response().0)
+        .collect();
+    let count = |status| codes.iter().filter(|code| **code == status).count() as u64;
     let usage = server.usage();
     assert_eq!((usage.lists, usage.rejected), (count(200), count(503)));
     assert_eq!(usage.lists + usage.rejected, CALLERS);
     assert!(usage.lists > 0 && usage.rejected > 0, "{usage:?}");
     assert!((1..CALLERS).contains(&usage.max_queue_length), "{usage:?}");
-    // A connection can be used again after a rejection.
-    wait_until("a list again", TIMEOUT, || {
-        clients[0].get(LIST);
-        clients[0].answer().0 == 200
+    // A rejection leaves the connection open.
+    wait_until("a call is handled again", TIMEOUT, || {
+        clients[0].get(LIST_PATH);
+        clients[0].response().0 == 200
     });
 }
 
 #[test]
-fn a_changed_capacity_applies_to_later_calls() {
+fn changed_capacity_applies_to_later_calls() {
     let queue_timeout = Duration::from_millis(100);
     let server = start(DiscoveryOptions {
         queue_timeout,
@@ -219,8 +229,8 @@
     });
     let mut client = Client::connect(&server, 0);
     let mut list_status = || {
-        client.get(LIST);
-        client.answer().0
+        client.get(LIST_PATH);
+        client.response().0
     };
     assert_eq!([list_status(), list_status()], [200, 200]);
     server.set_capacity(0.01, None).unwrap();
@@ -229,8 +239,8 @@
 }
 
 #[test]
-fn a_price_for_entries_delays_later_calls() {
-    // Two entries take 0.2 s, longer than a call may be queued.
+fn entry_rate_delays_later_calls() {
+    // Two entries take 0.2 s, which is longer than the queue timeout.
     let server = start(DiscoveryOptions {
         entries_per_second: Some(10.0),
         queue_timeout: Duration::from_millis(100),
@@ -238,21 +248,22 @@
     });
     let mut client = Client::connect(&server, 0);
     let mut list_status = || {
-        client.get(LIST);
-        client.answer().0
+        client.get(LIST_PATH);
+        client.response().0
     };
     assert_eq!([list_status(), list_status()], [200, 503]);
 }
 
+/// With `EndWatch`, a watch can resume only from the current version.
 #[test]
-fn a_watch_that_ends_on_changes_is_followed_by_the_full_list() {
+fn watch_after_ended_watch_gets_full_list() {
     let server = start(DiscoveryOptions {
         on_change: WatchOnChange::Ends,
         ..options()
     });
     let _watch = Client::watch(&server, 0, "&since=1");
     server.publish(vec![serving("c")]);
-    wait_until("the watch ends", TIMEOUT, || {
+    wait_until("the watch has ended", TIMEOUT, || {
         server.usage().watches_open == 0
     });
     let mut next = Client::watch(&server, 0, "&since=1");
@@ -261,25 +272,26 @@
     current.assert_is_quiet();
 }
 
+/// The call of a client that disconnects is counted, and the calls behind it do not move up.
 #[test]
-fn a_client_that_disconnects_while_queued_is_counted_and_uses_its_slot() {
+fn disconnected_queued_call_keeps_its_slot() {
     let server = start(DiscoveryOptions {
         calls_per_second: 1.0,
         ..options()
     });
     let [mut first, mut disconnecting, mut last] = [(); 3].map(|()| Client::connect(&server, 0));
-    first.get(LIST);
-    assert_eq!(first.answer().0, 200);
-    disconnecting.get(LIST);
+    first.get(LIST_PATH);
+    assert_eq!(first.response().0, 200);
+    disconnecting.get(LIST_PATH);
     wait_until("one call is queued", TIMEOUT, || {
         server.usage().max_queue_length == 1
     });
-    last.get(LIST);
+    last.get(LIST_PATH);
     wait_until("two calls are queued", TIMEOUT, || {
         server.usage().max_queue_length == 2
     });
     drop(disconnecting);
-    assert_eq!(last.answer().0, 200);
+    assert_eq!(last.response().0, 200);
     assert_eq!(
         (
             server.usage().lists,
@@ -291,7 +303,7 @@
 }
 
 #[test]
-fn an_outage_resets_connections_and_refuses_new_ones_until_its_end() {
+fn outage_resets_and_refuses_connections() {
     let server = start(options());
     let address = server.address(&zones()[0]);
     let mut watch = Client::watch(&server, 0, "&since=1");
@@ -312,34 +324,35 @@
     assert_eq!(again.message(), "2 changes c=SERVING");
 }
 
+/// Connections of the zone stay open without traffic and are reset when the partition heals.
 #[test]
-fn a_partitioned_zone_has_no_traffic_and_its_connections_are_reset_when_it_heals() {
+fn partitioned_zone_has_no_traffic_until_healed() {
     let server = start(options());
-    let [cut, other] = [&zones()[0], &zones()[1]];
-    let mut cut_watch = Client::watch(&server, 0, "&since=1");
+    let [partitioned, other] = [&zones()[0], &zones()[1]];
+    let mut partitioned_watch = Client::watch(&server, 0, "&since=1");
     let mut other_watch = Client::watch(&server, 1, "&since=1");
-    server.partition_zone(cut);
+    server.partition_zone(partitioned);
     assert_eq!(server.publish(vec![serving("c")]), 2);
     let change = "2 changes c=SERVING";
     assert_eq!(other_watch.message(), change);
-    let mut new = Client::connect(&server, 0);
-    new.get(LIST);
+    let mut new_client = Client::connect(&server, 0);
+    new_client.get(LIST_PATH);
     wait_until("the new connection is accepted", TIMEOUT, || {
         server.usage().connections == 3
     });
-    cut_watch.assert_is_quiet();
-    new.assert_is_quiet();
+    partitioned_watch.assert_is_quiet();
+    new_client.assert_is_quiet();
     assert_eq!(
         (
-            server.watches_by_zone()[cut],
+            server.watches_by_zone()[partitioned],
             server.watches_by_zone()[other]
         ),
         (0, 1)
     );
 
-    server.heal_zone(cut);
-    cut_watch.assert_is_reset();
-    new.assert_is_reset();
+    server.heal_zone(partitioned);
+    partitioned_watch.assert_is_reset();
+    new_client.assert_is_reset();
     assert_eq!(Client::watch(&server, 0, "&since=1").message(), change);
     server.publish(vec![serving("d")]);
     assert_eq!(other_watch.message(), "3 changes d=SERVING");
@@ -348,8 +361,11 @@
 #[test]
 fn malformed_and_unknown_requests_are_rejected() {
     let server = start(options());
-    let long_header = format!("GET {LIST} HTTP/1.1\r\nX: {}\r\n", "x".repeat(20 << 10));
-    let bad = [
+    let long_header = format!(
+        "GET {LIST_PATH} HTTP/1.1\r\nX: {}\r\n",
+        "x".repeat(20 << 10)
+    );
+    let invalid = [
         "what is this\r\n\r\n",
         "GET /v1/endpoints HTTP/1.0\r\n\r\n",
         "DELETE /v1/endpoints HTTP/1.1\r\n\r\n",
@@ -358,25 +374,25 @@
         "GET /v1/endpoints HTTP/1.1\r\nContent-Length: 4\r\n\r\n",
         long_header.as_str(),
     ];
-    for request in bad {
+    for request in invalid {
         let mut client = Client::connect(&server, 0);
         client.send(request);
-        assert_eq!(client.answer().0, 400, "{request}");
-        assert_eq!(client.ending().unwrap(), 0, "{request}");
+        assert_eq!(client.response().0, 400, "{request}");
+        assert_eq!(client.read_once().unwrap(), 0, "{request}");
     }
     let mut client = Client::connect(&server, 0);
     client.get("/v1/elsewhere");
-    assert_eq!(client.answer().0, 404);
+    assert_eq!(client.response().0, 404);
     client.send("GET /v1/endpoints HTTP/1.1\r\nConnection: close\r\n\r\n");
-    assert_eq!(client.answer().0, 200);
-    assert_eq!(client.ending().unwrap(), 0);
+    assert_eq!(client.response().0, 200);
+    assert_eq!(client.read_once().unwrap(), 0);
     assert_eq!((server.usage().lists, server.usage().rejected), (1, 0));
 }
 
 #[test]
 fn invalid_options_are_rejected() {
     let rates = [0.0, -1.0, f64::NAN, 1e-300];
-    let bad_rates = rates.map(|calls_per_second| DiscoveryOptions {
+    let invalid_rates = rates.map(|calls_per_second| DiscoveryOptions {
         calls_per_second,
         ..options()
     });
@@ -384,13 +400,14 @@
         heartbeat: Duration::ZERO,
         ..options()
     };
-    for options in bad_rates.into_iter().chain([no_heartbeat]) {
+    for options in invalid_rates.into_iter().chain([no_heartbeat]) {
         assert!(DiscoveryServer::start(options, &zones(), Vec::new()).is_err());
     }
 }
 
+/// Sidecars use a hyper client too.
 #[tokio::test]
-async fn a_hyper_client_like_that_of_the_sidecars_follows_a_watch() {
+async fn hyper_client_follows_watch() {
     use http_body_util::{BodyExt, Empty};
     use hyper::Request;
     use hyper::body::Bytes;
@@ -407,7 +424,7 @@
             .body(Empty::<Bytes>::new())
     };
     let list = sender
-        .send_request(call(LIST).unwrap())
+        .send_request(call(LIST_PATH).unwrap())
         .await
         .unwrap()
         .into_body();
@@ -417,7 +434,7 @@
         "1 list a=SERVING b=SERVING"
     );
 
-    let target = format!("{LIST}?follow=1&since=1");
+    let target = format!("{LIST_PATH}?follow=1&since=1");
     let mut watch: Incoming = sender
         .send_request(call(&target).unwrap())
         .await
@@ -432,8 +449,11 @@
     drop(watch);
     drop(sender);
     let ended = tokio::time::timeout(TIMEOUT, connection).await;
-    assert!(ended.is_ok(), "the client's connection ends with the call");
-    wait_until("the watch's end", TIMEOUT, || {
+    assert!(
+        ended.is_ok(),
+        "the client's connection did not end with the watch"
+    );
+    wait_until("the watch has ended", TIMEOUT, || {
         server.usage().watches_open == 0
     });
 }
--- a/fleet-lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints over real loopback connections: answers, queues, health checks, stops, hangs and calls to the next tier.
+//! Endpoints over real loopback connections: responses, queues, health checks, stops, hangs and calls to the next tier.
 
 #[path = "support/http_connection.rs"]
 mod http_connection;
@@ -8,7 +8,7 @@
 use fleet_lab::endpoint::{
     EndpointHandle, EndpointHost, EndpointOptions, EndpointUsage, ServiceTime, SlowStart,
 };
-use http_connection::{Connection, Message, TIMEOUT, check_health, get};
+use http_connection::{Connection, Message, TIMEOUT, check_health, get_request};
 use std::collections::HashSet;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,7 +19,7 @@
 const SEED: u64 = 7;
 
 /// Work that does not end within a test.
-const ENDLESS: ServiceTime = ServiceTime::Fixed {
+const ENDLESS_WORK: ServiceTime = ServiceTime::Fixed {
     milliseconds: 3_600_000.0,
 };
 
@@ -48,16 +48,17 @@
         .unwrap()
 }
 
-fn load(endpoint: &EndpointHandle) -> String {
+fn load_report(endpoint: &EndpointHandle) -> String {
     String::from_utf8(check_health(endpoint.entry().address, "/status/load").body).unwrap()
 }
 
+/// A request without an id gets status 404, and one whose deadline has passed gets status 503.
 #[test]
-fn requests_with_an_id_are_served_and_others_are_not() {
+fn requests_need_id_and_remaining_time() {
     let host = host();
     let endpoint = add(&host, options(), None);
     let mut connection = Connection::open(endpoint.entry().address);
-    let served = connection.call(&get("1f"));
+    let served = connection.call(&get_request("1f"));
     assert_eq!((served.status(), served.body.len()), ("200", 32));
     assert_eq!(
         served.header("x-load"),
@@ -84,61 +85,64 @@
     };
     assert_eq!(endpoint.usage(), expected);
     drop(connection);
-    wait_until("connection closed", TIMEOUT, || {
+    wait_until("the connection is closed", TIMEOUT, || {
         endpoint.usage().connections_open == 0
     });
 }
 
 #[test]
-fn requests_are_served_once_their_body_is_complete_and_chunked_ones_are_rejected() {
+fn request_body_must_be_complete_and_not_chunked() {
     let host = host();
     let endpoint = add(&host, options(), None);
     let mut connection = Connection::open(endpoint.entry().address);
     connection.send("POST /api HTTP/1.1\r\nX-Request-Id: 1f\r\nContent-Length: 10\r\n\r\n01234");
-    assert_eq!(load(&endpoint), "TEXT inflight=0, queue=0, util=0.00");
+    assert_eq!(
+        load_report(&endpoint),
+        "TEXT inflight=0, queue=0, util=0.00"
+    );
     assert_eq!(endpoint.usage().requests, 0);
     assert_eq!(connection.call("56789").status(), "200");
-    assert_eq!(connection.call(&get("2f")).status(), "200");
+    assert_eq!(connection.call(&get_request("2f")).status(), "200");
     let chunked =
         "POST /api HTTP/1.1\r\nX-Request-Id: 3f\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(connection.call(chunked).status(), "411");
 }
 
 #[test]
-fn a_full_queue_rejects_and_a_client_that_disconnects_frees_its_slot() {
+fn full_queue_rejects_until_queued_client_disconnects() {
     let host = host();
     let endpoint = add(
         &host,
         EndpointOptions {
-            service_time: ENDLESS,
+            service_time: ENDLESS_WORK,
             ..options()
         },
         None,
     );
     let address = endpoint.entry().address;
-    let mut working = Connection::open(address);
-    working.send(&get("1f"));
-    wait_until("one request in work", TIMEOUT, || {
-        load(&endpoint).starts_with("TEXT inflight=1, queue=0")
+    let mut in_flight = Connection::open(address);
+    in_flight.send(&get_request("1f"));
+    wait_until("one request is in flight", TIMEOUT, || {
+        load_report(&endpoint).starts_with("TEXT inflight=1, queue=0")
     });
     let mut queued = Connection::open(address);
-    queued.send(&get("2f"));
-    wait_until("one request queued", TIMEOUT, || {
-        load(&endpoint).starts_with("TEXT inflight=1, queue=1")
+    queued.send(&get_request("2f"));
+    wait_until("one request is queued", TIMEOUT, || {
+        load_report(&endpoint).starts_with("TEXT inflight=1, queue=1")
     });
-    let rejected = Connection::open(address).call(&get("3f"));
+    let rejected = Connection::open(address).call(&get_request("3f"));
     assert_eq!(
         (rejected.status(), rejected.header("x-not-run")),
         ("503", Some("1"))
     );
     drop(queued);
-    wait_until("no request queued", TIMEOUT, || {
-        load(&endpoint).starts_with("TEXT inflight=1, queue=0")
+    wait_until("no request is queued", TIMEOUT, || {
+        load_report(&endpoint).starts_with("TEXT inflight=1, queue=0")
     });
-    let mut next = Connection::open(address);
-    next.send(&get("4f"));
-    wait_until("the next request queued", TIMEOUT, || {
-        load(&endpoint).starts_with("TEXT inflight=1, queue=1")
+    let mut next_queued = Connection::open(address);
+    next_queued.send(&get_request("4f"));
+    wait_until("the next request is queued", TIMEOUT, || {
+        load_report(&endpoint).starts_with("TEXT inflight=1, queue=1")
     });
     let usage = endpoint.usage();
     assert_eq!(
@@ -147,23 +151,24 @@
     );
 }
 
-/// Sends four requests one after another and returns the queue lengths in their answers, if three of them were queued.
-fn queue_lengths_at_answers(endpoint: &EndpointHandle) -> Option<Vec<u32>> {
+/// Sends four requests one after another. Returns the queue lengths in their responses, or `None` unless three of them
+/// were queued at the same time.
+fn queue_lengths_in_responses(endpoint: &EndpointHandle) -> Option<Vec<u32>> {
     let earlier_requests = endpoint.usage().requests;
     let mut connections = Vec::new();
     for number in 1..=4 {
         let mut connection = Connection::open(endpoint.entry().address);
-        connection.send(&get(&format!("{number}f")));
+        connection.send(&get_request(&format!("{number}f")));
         wait_until("request read", TIMEOUT, || {
             endpoint.usage().requests == earlier_requests + number
         });
         connections.push(connection);
     }
-    let all_queued = load(endpoint).contains("queue=3,");
+    let all_queued = load_report(endpoint).contains("queue=3,");
     let queue_length = |connection: &mut Connection| {
-        let answer = connection.receive().unwrap();
-        assert_eq!(answer.status(), "200");
-        let (_, queue) = answer
+        let response = connection.receive().unwrap();
+        assert_eq!(response.status(), "200");
+        let (_, queue) = response
             .header("x-load")
             .unwrap()
             .split_once("queue=")
@@ -174,8 +179,9 @@
     all_queued.then_some(queue_lengths)
 }
 
+/// Repeats the four requests until three of them were queued at the same time.
 #[test]
-fn queued_requests_are_served_in_order_of_arrival() {
+fn queued_requests_are_served_in_order() {
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 50.0 };
     let endpoint = add(
@@ -189,12 +195,12 @@
     );
     let started = Instant::now();
     let queue_lengths = loop {
-        if let Some(queue_lengths) = queue_lengths_at_answers(&endpoint) {
+        if let Some(queue_lengths) = queue_lengths_in_responses(&endpoint) {
             break queue_lengths;
         }
         assert!(
             started.elapsed() < TIMEOUT,
-            "the requests were never queued together"
+            "three requests were never queued at the same time"
         );
     };
     assert!(
@@ -206,7 +212,7 @@
 }
 
 #[test]
-fn health_checks_are_answered_only_by_endpoints_with_load_reports() {
+fn health_checks_need_load_reports() {
     let host = host();
     let endpoint = add(&host, options(), None);
     assert_eq!(
@@ -231,12 +237,12 @@
     for path in ["/health", "/status/load"] {
         assert_eq!(check_health(endpoint.entry().address, path).status(), "404");
     }
-    let served = Connection::open(endpoint.entry().address).call(&get("1f"));
+    let served = Connection::open(endpoint.entry().address).call(&get_request("1f"));
     assert_eq!((served.status(), served.header("x-load")), ("200", None));
 }
 
 #[test]
-fn a_warming_endpoint_works_longer_than_a_warm_one() {
+fn slow_start_lengthens_service_time() {
     let host = host();
     let service_time = ServiceTime::Fixed { milliseconds: 20.0 };
     let slow_start = Some(SlowStart {
@@ -262,26 +268,27 @@
     );
     assert!(warming.entry().since_ms > 0);
     assert_eq!(warm.entry().since_ms, 0);
-    Connection::open(warming.entry().address).send(&get("1f"));
-    wait_until("the warming endpoint works", TIMEOUT, || {
-        load(&warming).starts_with("TEXT inflight=1")
+    Connection::open(warming.entry().address).send(&get_request("1f"));
+    wait_until("the warming endpoint is busy", TIMEOUT, || {
+        load_report(&warming).starts_with("TEXT inflight=1")
     });
     assert_eq!(
         Connection::open(warm.entry().address)
-            .call(&get("2f"))
+            .call(&get_request("2f"))
             .status(),
         "200"
     );
-    assert!(load(&warming).starts_with("TEXT inflight=1"));
+    assert!(load_report(&warming).starts_with("TEXT inflight=1"));
 }
 
+/// Stopping resets open connections. A restarted endpoint has the same address.
 #[test]
-fn a_stopped_endpoint_resets_and_refuses_connections_until_it_is_restarted_at_its_address() {
+fn stopped_endpoint_refuses_connections_until_restart() {
     let host = host();
     let endpoint = add(&host, options(), None);
     let address = endpoint.entry().address;
     let mut connection = Connection::open(address);
-    assert_eq!(connection.call(&get("1f")).status(), "200");
+    assert_eq!(connection.call(&get_request("1f")).status(), "200");
     endpoint.stop();
     assert_eq!(
         connection.receive().err().unwrap().kind(),
@@ -295,35 +302,42 @@
     endpoint.restart().unwrap();
     assert_eq!(endpoint.entry().address, address);
     assert!(endpoint.entry().since_ms > 0);
-    assert_eq!(Connection::open(address).call(&get("2f")).status(), "200");
+    assert_eq!(
+        Connection::open(address).call(&get_request("2f")).status(),
+        "200"
+    );
     assert_eq!(endpoint.usage().served, 2);
     drop(host);
     assert!(endpoint.restart().is_err());
 }
 
+/// Resuming resets the connections with a pending request and keeps the idle ones.
 #[test]
-fn a_hanging_endpoint_reads_requests_and_answers_none_until_it_resumes() {
+fn hanging_endpoint_does_not_respond_until_resumed() {
     let host = host();
     let endpoint = add(&host, options(), None);
     let address = endpoint.entry().address;
     let mut idle = Connection::open(address);
-    assert_eq!(idle.call(&get("1f")).status(), "200");
+    assert_eq!(idle.call(&get_request("1f")).status(), "200");
     endpoint.hang();
     let mut pending = Connection::open(address);
-    pending.send(&get("2f"));
+    pending.send(&get_request("2f"));
     wait_until("request read", TIMEOUT, || endpoint.usage().requests == 2);
     endpoint.resume();
     assert_eq!(
         pending.receive().err().unwrap().kind(),
         io::ErrorKind::ConnectionReset
     );
-    assert_eq!(idle.call(&get("3f")).status(), "200");
-    assert_eq!(Connection::open(address).call(&get("4f")).status(), "200");
+    assert_eq!(idle.call(&get_request("3f")).status(), "200");
+    assert_eq!(
+        Connection::open(address).call(&get_request("4f")).status(),
+        "200"
+    );
     assert_eq!(endpoint.usage().served, 3);
 }
 
 #[test]
-fn an_error_rate_of_one_fails_all_requests() {
+fn error_rate_of_one_fails_all_requests() {
     let host = host();
     let endpoint = add(
         &host,
@@ -335,14 +349,14 @@
     );
     let mut connection = Connection::open(endpoint.entry().address);
     for id in ["1f", "2f"] {
-        assert_eq!(connection.call(&get(id)).status(), "500");
+        assert_eq!(connection.call(&get_request(id)).status(), "500");
     }
     let usage = endpoint.usage();
     assert_eq!((usage.requests, usage.served, usage.failed), (2, 0, 0));
 }
 
 #[test]
-fn hundreds_of_endpoints_answer_at_addresses_of_their_own() {
+fn endpoints_have_distinct_addresses() {
     let host = host();
     let endpoints: Vec<_> = (0..500).map(|_| add(&host, options(), None)).collect();
     let addresses: HashSet<_> = endpoints
@@ -353,7 +367,7 @@
     for endpoint in &endpoints {
         assert_eq!(
             Connection::open(endpoint.entry().address)
-                .call(&get("1f"))
+                .call(&get_request("1f"))
                 .status(),
             "200"
         );
@@ -361,38 +375,39 @@
     }
 }
 
-/// The reaction of a stub sidecar to its next request.
-enum Step {
-    /// Forwards it to an endpoint, and returns that endpoint's status.
+/// The action of a stub sidecar for its next request.
+enum StubAction {
+    /// Forwards the request to an endpoint and responds with the endpoint's status.
     Forward(SocketAddr),
-    /// Answers with these bytes.
-    Answer(&'static str),
-    /// Closes the connection without an answer.
-    HangUp,
+    /// Responds with these bytes.
+    Respond(&'static str),
+    /// Closes the connection without a response.
+    CloseConnection,
 }
 
-/// Starts a stub sidecar that serves requests on one connection at a time and returns them at the end.
-fn start_stub_sidecar(steps: Vec<Step>) -> (SocketAddr, JoinHandle<Vec<Message>>) {
+/// Starts a stub sidecar that handles requests on one connection at a time. Its thread returns the requests when it has
+/// done all actions.
+fn start_stub_sidecar(actions: Vec<StubAction>) -> (SocketAddr, JoinHandle<Vec<Message>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let serve = move || {
         let mut open_connection = None;
         let mut requests = Vec::new();
-        for step in steps {
+        for action in actions {
             let connection = open_connection
                 .get_or_insert_with(|| Connection::new(listener.accept().unwrap().0));
             let request = connection.receive().unwrap();
-            match step {
-                Step::Forward(endpoint) => {
+            match action {
+                StubAction::Forward(endpoint) => {
                     let id = request.header("x-request-id").unwrap();
-                    let answer = Connection::open(endpoint).call(&get(id));
+                    let response = Connection::open(endpoint).call(&get_request(id));
                     connection.send(&format!(
                         "HTTP/1.1 {} -\r\nContent-Length: 0\r\n\r\n",
-                        answer.status()
+                        response.status()
                     ));
                 }
-                Step::Answer(bytes) => connection.send(bytes),
-                Step::HangUp => open_connection = None,
+                StubAction::Respond(bytes) => connection.send(bytes),
+                StubAction::CloseConnection => open_connection = None,
             }
             requests.push(request);
         }
@@ -402,26 +417,26 @@
 }
 
 #[test]
-fn a_call_to_the_next_tier_has_a_new_id_and_the_remaining_time() {
+fn next_tier_call_has_new_id_and_remaining_time() {
     let host = host();
     let last = add(&host, options(), None);
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let rejected = "HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
-    let steps = vec![
-        Step::Forward(last.entry().address),
-        Step::Answer(chunked),
-        Step::HangUp,
-        Step::Answer(rejected),
+    let actions = vec![
+        StubAction::Forward(last.entry().address),
+        StubAction::Respond(chunked),
+        StubAction::CloseConnection,
+        StubAction::Respond(rejected),
     ];
-    let (sidecar, stub) = start_stub_sidecar(steps);
+    let (sidecar, stub) = start_stub_sidecar(actions);
     let first = add(&host, options(), Some(sidecar));
     let mut connection = Connection::open(first.entry().address);
-    assert_eq!(connection.call(&get("1f")).body.len(), 32);
+    assert_eq!(connection.call(&get_request("1f")).body.len(), 32);
     let post =
         "POST /api HTTP/1.1\r\nX-Request-Id: 2f\r\nX-Class: buy\r\nContent-Length: 2\r\n\r\nhi";
     assert_eq!(connection.call(post).status(), "200");
     // The stub closes the reused connection; the call is sent again on a new one and is rejected there.
-    assert_eq!(connection.call(&get("3f")).status(), "500");
+    assert_eq!(connection.call(&get_request("3f")).status(), "500");
 
     let calls = stub.join().unwrap();
     let ids: Vec<_> = calls
--- a/fleet-lab/tests/loopback_tier.rs
+++ b/fleet-lab/tests/loopback_tier.rs
@@ -1,4 +1,4 @@
-//! The command `tier`: a sidecar serves requests with the configuration that the command writes.
+//! The command `tier`, and a sidecar with the configuration that the command writes.
 
 #[path = "support/sidecar_program.rs"]
 mod sidecar_program;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use wait::wait_until;
 
-/// How long a test waits for anything at most.
+/// The longest time that a test waits for a state.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A process that is killed when the test ends.
@@ -28,6 +28,7 @@
     }
 }
 
+/// Starts the command `tier` with two endpoints. It writes a sidecar's configuration to this path.
 fn start_tier(configuration: &Path) -> KillOnDrop {
     let tier = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .args([
@@ -58,24 +59,32 @@
         .expect("the sidecar listens")
 }
 
+/// Sends a request and returns everything that is received until the connection is closed.
 fn call(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("the sidecar listens");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
-    stream.write_all(request.as_bytes()).expect("it reads");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    answer
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout is set");
+    stream
+        .write_all(request.as_bytes())
+        .expect("the request is written");
+    let mut response = String::new();
+    stream
+        .read_to_string(&mut response)
+        .expect("the sidecar responds");
+    response
 }
 
+/// At the end, SIGINT must end the tier with exit code 130.
 #[test]
-fn a_sidecar_with_the_written_configuration_serves_requests_and_sigint_ends_the_tier() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn sidecar_serves_with_written_configuration() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let configuration = folder.path().join("sidecar.json");
     let mut tier = start_tier(&configuration);
     wait_until("the configuration is written", TIMEOUT, || {
         configuration.exists()
     });
-    let text = fs::read_to_string(&configuration).expect("it is whole");
+    let text = fs::read_to_string(&configuration).expect("the configuration is readable");
     assert_eq!(text.matches("\"endpoint-").count(), 2, "{text}");
 
     let sidecar = Command::new(sidecar_program())
@@ -84,12 +93,21 @@
         .stderr(Stdio::piped())
         .spawn();
     let mut sidecar = KillOnDrop(sidecar.expect("the sidecar starts"));
-    let address = callers_address(sidecar.0.stderr.take().expect("its log"));
+    let address = callers_address(
+        sidecar
+            .0
+            .stderr
+            .take()
+            .expect("the sidecar's standard error is piped"),
+    );
     let request = "GET /api HTTP/1.1\r\nHost: s\r\nConnection: close\r\nX-Request-Id: 1\r\nX-Class: browse\r\n\
                    X-Deadline: 10\r\n\r\n";
-    let answer = call(address, request);
-    assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
+    let response = call(address, request);
+    assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
 
-    kill_process(Pid::from_child(&tier.0), Signal::INT).expect("the tier runs");
-    assert_eq!(tier.0.wait().expect("it ends").code(), Some(130));
+    kill_process(Pid::from_child(&tier.0), Signal::INT).expect("the tier process runs");
+    assert_eq!(
+        tier.0.wait().expect("the tier process ends").code(),
+        Some(130)
+    );
 }
--- a/fleet-lab/tests/measure.rs
+++ b/fleet-lab/tests/measure.rs
@@ -1,10 +1,10 @@
-//! Slopes, and the resources that a process uses.
+//! Slopes, and the resource usage of processes and threads.
 
 use fleet_lab::measure::{Point, ProcessUsage, Slope, thread_processor_time};
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-/// The largest rounding error of a value.
+/// The largest accepted rounding error.
 const ROUNDING: f64 = 1e-9;
 
 fn points(values: &[(f64, f64)]) -> Vec<Point> {
@@ -18,18 +18,18 @@
 }
 
 fn fit(values: &[(f64, f64)]) -> Slope {
-    Slope::fit(&points(values)).expect("a line")
+    Slope::fit(&points(values)).expect("there are two distinct sizes")
 }
 
 fn assert_near(value: f64, expected: f64) {
     assert!(
         (value - expected).abs() < ROUNDING,
-        "{value} is not {expected}"
+        "{value} differs from {expected} by more than {ROUNDING}"
     );
 }
 
 #[test]
-fn points_on_a_line_are_explained_completely() {
+fn fits_points_on_line() {
     let line = fit(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (8.0, 19.0)]);
     assert_near(line.intercept, 3.0);
     assert_near(line.per_unit, 2.0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn noise_is_the_unexplained_fraction() {
+fn noise_is_unexplained_fraction() {
     // The line is 2.2 + 0.6 x; its residuals are -0.8, 0.6, 1.0, -0.6 and -0.2.
     let line = fit(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 4.0), (5.0, 5.0)]);
     assert_near(line.intercept, 2.2);
@@ -48,8 +48,9 @@
     assert_near(line.largest_residual, 1.0);
 }
 
+/// The total variance is zero, by which the fit must not divide.
 #[test]
-fn constant_values_are_explained_completely() {
+fn fits_constant_values() {
     let line = fit(&[(1.0, 4.0), (2.0, 4.0), (3.0, 4.0)]);
     assert_eq!(
         (line.intercept, line.per_unit, line.unexplained),
@@ -58,14 +59,14 @@
 }
 
 #[test]
-fn fewer_than_two_sizes_have_no_slope() {
+fn slope_needs_two_distinct_sizes() {
     assert_eq!(Slope::fit(&[]), None);
     assert_eq!(Slope::fit(&points(&[(1.0, 2.0)])), None);
     assert_eq!(Slope::fit(&points(&[(3.0, 2.0), (3.0, 4.0)])), None);
 }
 
 #[test]
-fn the_usage_of_this_process_is_positive() {
+fn usage_of_own_process_is_positive() {
     let usage = ProcessUsage::of(std::process::id()).expect("this process runs");
     assert!(usage.processor_time > Duration::ZERO);
     assert!(usage.anonymous_bytes > 0 && usage.anonymous_bytes <= usage.resident_bytes);
@@ -73,18 +74,18 @@
 }
 
 #[test]
-fn reading_the_usage_of_an_ended_process_fails() {
+fn usage_of_ended_process_fails() {
     let mut child = Command::new("true")
         .stdin(Stdio::null())
         .spawn()
-        .expect("it starts");
+        .expect("the child process starts");
     let process = child.id();
-    child.wait().expect("it ends");
+    child.wait().expect("the child process ends");
     assert!(ProcessUsage::of(process).is_err());
 }
 
 #[test]
-fn the_processor_time_of_a_working_thread_grows() {
+fn thread_processor_time_grows() {
     let before = thread_processor_time();
     while thread_processor_time() == before {
         std::hint::spin_loop();
--- a/fleet-lab/tests/report.rs
+++ b/fleet-lab/tests/report.rs
@@ -1,4 +1,4 @@
-//! Reports: their Markdown, and their files.
+//! Markdown and files of reports.
 
 use fleet_lab::measure::{Point, Slope};
 use fleet_lab::report::{ExperimentReport, Metric, Report};
@@ -90,12 +90,12 @@
 }
 
 #[test]
-fn a_report_has_the_expected_markdown() {
+fn renders_markdown() {
     assert_eq!(report().markdown(), MARKDOWN);
 }
 
 #[test]
-fn a_written_report_replaces_the_previous_one() {
+fn write_replaces_previous_report() {
     let folder = tempfile::tempdir().unwrap();
     let output = folder.path().join("new").join("folder");
     let mut report = report();
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -1,4 +1,4 @@
-//! Configurations of sidecars, and real sidecars as processes.
+//! Configurations of sidecars, and processes of the sidecar program.
 
 #[path = "support/sidecar_program.rs"]
 mod sidecar_program;
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a test waits for anything at most.
+/// The longest time that a test waits for a state.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn class(name: &str, is_unsafe: bool) -> RequestClass {
@@ -69,29 +69,29 @@
     }
 }
 
-/// Accepts connections in its backlog and never answers on them.
+/// Returns a listener that accepts connections into its backlog and never responds.
 fn unresponsive_listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a port")
+    TcpListener::bind("127.0.0.1:0").expect("a loopback port is free")
 }
 
 fn address_of(listener: &TcpListener) -> SocketAddr {
-    listener.local_addr().expect("an address")
+    listener.local_addr().expect("the listener has an address")
 }
 
-/// Starts an endpoint that answers each request until this process ends.
+/// Starts an endpoint that responds to each request until this process ends.
 fn start_endpoint() -> SocketAddr {
     let listener = unresponsive_listener();
     let address = address_of(&listener);
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            thread::spawn(move || answer_requests(stream));
+            thread::spawn(move || serve_requests(stream));
         }
     });
     address
 }
 
-fn answer_requests(mut stream: TcpStream) {
-    let reader = BufReader::new(stream.try_clone().expect("a second handle"));
+fn serve_requests(mut stream: TcpStream) {
+    let reader = BufReader::new(stream.try_clone().expect("the stream is cloned"));
     for line in reader.lines().map_while(Result::ok) {
         if line.is_empty()
             && stream
@@ -103,10 +103,12 @@
     }
 }
 
-/// Sends a request and returns the status line of the answer.
+/// Sends a request and returns the status line of the response.
 fn call(sidecar: SocketAddr) -> String {
     let mut stream = TcpStream::connect(sidecar).expect("the sidecar accepts");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout is set");
     let request = "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: 1\r\nX-Class: browse\r\nX-Deadline: 10\r\n\r\n";
     stream
         .write_all(request.as_bytes())
@@ -114,15 +116,16 @@
     let mut status = String::new();
     BufReader::new(stream)
         .read_line(&mut status)
-        .expect("a status line");
+        .expect("the response has a status line");
     status.trim_end().into()
 }
 
 #[test]
-fn the_settings_are_valid_and_have_the_configured_values() {
+fn settings_have_configured_values() {
     let mut configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
-    let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
-    settings.validate().expect("settings that make sense");
+    let settings =
+        parse_settings(&configuration.settings().to_string()).expect("the settings are parsed");
+    settings.validate().expect("the settings are valid");
     assert_eq!(
         (settings.balancers, settings.peer_id.0, settings.zones),
         (3, 1, 2)
@@ -145,17 +148,19 @@
 
     configuration.discovery_mode = DiscoveryMode::Pushed;
     configuration.load_reports = LoadReports::WithHealthChecks;
-    let settings = parse_settings(&configuration.settings().to_string()).expect("settings");
+    let settings =
+        parse_settings(&configuration.settings().to_string()).expect("the settings are parsed");
     assert_eq!(settings.discovery, DiscoveryMode::Pushed);
     assert_eq!(settings.reporting, Reporting::WithHealthChecks);
     assert!(settings.limits.health_checks);
 }
 
 #[test]
-fn a_sidecar_starts_serves_and_is_killed() {
+fn sidecar_serves_until_killed() {
     let discovery = unresponsive_listener();
     let configuration = configuration(address_of(&discovery), vec![entry(start_endpoint())]);
-    let sidecar = SidecarProcess::start(sidecar_program(), &configuration).expect("it starts");
+    let sidecar =
+        SidecarProcess::start(sidecar_program(), &configuration).expect("the sidecar starts");
     assert!(
         sidecar.wait_until_ready(TIMEOUT).is_some(),
         "{:?}",
@@ -168,33 +173,36 @@
     assert_eq!(sidecar.metric("members"), Some(1));
     assert_eq!(sidecar.metric("no_such_figure"), None);
 
-    let usage = sidecar.usage().expect("it runs");
+    let usage = sidecar.usage().expect("the sidecar process runs");
     assert!(usage.processor_time > Duration::ZERO);
     assert!(usage.anonymous_bytes > 0 && usage.anonymous_bytes <= usage.resident_bytes);
     assert!(usage.descriptors > 0);
 
     let address = sidecar.address();
     sidecar.kill();
-    assert!(TcpStream::connect(address).is_err(), "it still listens");
+    assert!(
+        TcpStream::connect(address).is_err(),
+        "the killed sidecar still listens"
+    );
 }
 
 #[test]
-fn a_valid_configuration_is_reloaded_and_an_invalid_one_is_rejected() {
+fn reload_applies_valid_and_rejects_invalid_configuration() {
     let discovery = unresponsive_listener();
     let first = configuration(address_of(&discovery), vec![entry(start_endpoint())]);
-    let sidecar = SidecarProcess::start(sidecar_program(), &first).expect("it starts");
+    let sidecar = SidecarProcess::start(sidecar_program(), &first).expect("the sidecar starts");
     let mut second = first.clone();
     second.classes.push(class("search", false));
-    sidecar.reload(&second).expect("it is taken");
+    sidecar.reload(&second).expect("the reload is applied");
     assert_eq!(sidecar.metric("completed{lane=\"search\"}"), Some(0));
-    sidecar.reload(&first).expect("it is taken");
+    sidecar.reload(&first).expect("the reload is applied");
     assert_eq!(sidecar.metric("config_reloads"), Some(2));
 
     let mut without_classes = first;
     without_classes.classes.clear();
     let error = sidecar
         .reload(&without_classes)
-        .expect_err("no instance can work with it");
+        .expect_err("a reload without request classes is rejected");
     assert!(
         error.to_string().contains("the reload was rejected"),
         "{error}"
@@ -204,22 +212,21 @@
 }
 
 #[test]
-fn the_error_of_a_program_that_ends_quotes_its_log() {
+fn start_error_quotes_log() {
     let configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
-    let failure = SidecarProcess::start(Path::new("true"), &configuration).expect_err("it ends");
+    let error = SidecarProcess::start(Path::new("true"), &configuration)
+        .expect_err("the program ends without listening");
     assert!(
-        failure.to_string().contains("ended before it listened"),
-        "{failure}"
+        error.to_string().contains("ended before it listened"),
+        "{error}"
     );
 
     let mut without_classes = configuration;
     without_classes.classes.clear();
     let started = SidecarProcess::start(sidecar_program(), &without_classes);
-    let failure = started.expect_err("settings without a class are rejected");
+    let error = started.expect_err("settings without request classes are rejected");
     assert!(
-        failure
-            .to_string()
-            .contains("settings.categories: is empty"),
-        "{failure}"
+        error.to_string().contains("settings.categories: is empty"),
+        "{error}"
     );
 }
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! Simulated fleets over the discovery service: the states that they reach, and their counters.
+//! Simulated fleets with a discovery service: the states that their sidecars reach, and their counters.
 
 #[path = "support/wait.rs"]
 mod wait;
@@ -17,9 +17,9 @@
 
 const SIDECARS: u32 = 8;
 const THREADS: usize = 2;
-/// How long a test waits for anything at most.
+/// The longest time that a test waits for a state.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a state must not be reached.
+/// A state must not be reached within this time.
 const QUIET_TIME: Duration = Duration::from_millis(300);
 const LOAD: SimulatedLoad = SimulatedLoad {
     calls_per_second: 20.0,
@@ -42,7 +42,7 @@
     let endpoints = (0..endpoints)
         .map(|number| endpoint(number, EndpointStatus::Serving))
         .collect();
-    DiscoveryServer::start(options, &[zone()], endpoints).expect("a discovery service")
+    DiscoveryServer::start(options, &[zone()], endpoints).expect("the discovery service starts")
 }
 
 fn endpoint(number: u32, status: EndpointStatus) -> EndpointEntry {
@@ -50,7 +50,7 @@
         name: format!("endpoint-{number}"),
         address: format!("127.0.0.1:{}", 20_000 + number)
             .parse()
-            .expect("an address"),
+            .expect("the address is valid"),
         zone: zone(),
         kind: "m2".into(),
         group: 0,
@@ -96,7 +96,7 @@
     let configurations: Vec<_> = (0..SIDECARS)
         .map(|number| configuration(number, discovery, discovery_mode))
         .collect();
-    SimulatedFleet::start(&configurations, LOAD, THREADS).expect("a fleet")
+    SimulatedFleet::start(&configurations, LOAD, THREADS).expect("the fleet starts")
 }
 
 fn assert_all_reached(times: &ConvergenceTimes) {
@@ -116,21 +116,21 @@
 
 fn wait_until_watching(fleet: &SimulatedFleet, discovery: &DiscoveryServer) {
     assert_all_reached(&fleet.wait_until_watching(Instant::now(), TIMEOUT));
-    wait_until("a watch of each", TIMEOUT, || {
+    wait_until("each sidecar has an open watch", TIMEOUT, || {
         discovery.usage().watches_open == u64::from(SIDECARS)
     });
 }
 
-/// Waits until no call is pending, as the counts add up only then.
+/// Waits until no call is pending. Only then the counts of served and unserved calls add up to that of all calls.
 fn wait_until_calls_add_up(fleet: &SimulatedFleet) -> FleetUsage {
-    wait_until("every call is answered", TIMEOUT, || {
+    wait_until("every call has ended", TIMEOUT, || {
         let usage = fleet.usage();
         usage.calls > 0 && usage.served + usage.unserved == usage.calls
     });
     fleet.usage()
 }
 
-fn assert_lists_reach_all_sidecars(discovery_mode: DiscoveryMode) {
+fn assert_versions_reach_all_sidecars(discovery_mode: DiscoveryMode) {
     let discovery = discovery(8);
     let started = Instant::now();
     let fleet = fleet(&discovery, discovery_mode);
@@ -149,7 +149,7 @@
         (u64::from(SIDECARS), u64::from(SIDECARS))
     );
     assert_eq!(fleet.usage().discovery_failures, 0);
-    // A version that was received before counts as zero.
+    // The time of a version that was received before is zero.
     let earlier = fleet.wait_for_version(1, Instant::now(), TIMEOUT);
     assert_eq!(
         earlier.reached_after,
@@ -159,16 +159,16 @@
 
 #[test]
 fn pushed_versions_reach_all_sidecars() {
-    assert_lists_reach_all_sidecars(DiscoveryMode::Pushed);
+    assert_versions_reach_all_sidecars(DiscoveryMode::Pushed);
 }
 
 #[test]
 fn requested_versions_reach_all_sidecars() {
-    assert_lists_reach_all_sidecars(DiscoveryMode::OnRequest);
+    assert_versions_reach_all_sidecars(DiscoveryMode::OnRequest);
 }
 
 #[test]
-fn calls_are_served_and_their_counts_add_up() {
+fn call_counts_add_up() {
     let discovery = discovery(16);
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     wait_until("100 calls are served", TIMEOUT, || {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_sidecar_with_a_cached_list_is_ready_and_serves_while_discovery_is_down() {
+fn cached_list_serves_calls_during_outage() {
     let discovery = discovery(4);
     discovery.begin_outage();
     let cached_list = Some(discovery.snapshot());
@@ -196,15 +196,16 @@
             ..configuration(number, &discovery, DiscoveryMode::OnRequest)
         })
         .collect();
-    let fleet = SimulatedFleet::start(&configurations, LOAD, THREADS).expect("a fleet");
+    let fleet = SimulatedFleet::start(&configurations, LOAD, THREADS).expect("the fleet starts");
     assert_all_reached(&fleet.wait_until_ready(Instant::now(), TIMEOUT));
     assert_all_reached(&fleet.wait_for_version(1, Instant::now(), TIMEOUT));
     assert_none_reached(&fleet.wait_until_watching(Instant::now(), QUIET_TIME));
     wait_until("calls are served", TIMEOUT, || fleet.usage().served > 0);
 }
 
+/// Without a cached list, a sidecar is not ready before discovery has sent a list.
 #[test]
-fn a_sidecar_without_a_cached_list_gets_its_first_call_once_it_is_ready() {
+fn first_call_waits_until_sidecar_is_ready() {
     let discovery = discovery(4);
     discovery.begin_outage();
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
@@ -230,7 +231,7 @@
     wait_until_calls_add_up(&fleet);
 }
 
-fn assert_changes_during_an_outage_arrive_after_it(discovery_mode: DiscoveryMode) {
+fn assert_change_arrives_after_outage(discovery_mode: DiscoveryMode) {
     let discovery = discovery(4);
     let fleet = fleet(&discovery, discovery_mode);
     wait_until_watching(&fleet, &discovery);
@@ -246,48 +247,48 @@
 }
 
 #[test]
-fn a_pushed_change_during_an_outage_arrives_after_it() {
-    assert_changes_during_an_outage_arrive_after_it(DiscoveryMode::Pushed);
+fn pushed_change_arrives_after_outage() {
+    assert_change_arrives_after_outage(DiscoveryMode::Pushed);
 }
 
 #[test]
-fn a_requested_change_during_an_outage_arrives_after_it() {
-    assert_changes_during_an_outage_arrive_after_it(DiscoveryMode::OnRequest);
+fn requested_change_arrives_after_outage() {
+    assert_change_arrives_after_outage(DiscoveryMode::OnRequest);
 }
 
 #[test]
-fn sidecars_watch_the_discovery_of_their_reloaded_configuration() {
+fn reloaded_sidecars_watch_new_discovery() {
     let (first, second) = (discovery(4), discovery(4));
     let fleet = fleet(&first, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &first);
-    let moved = [0, 3, 5];
-    fleet.reload(&moved, |index| {
-        let number = u32::try_from(index).expect("a small number");
+    let reloaded = [0, 3, 5];
+    fleet.reload(&reloaded, |index| {
+        let number = u32::try_from(index).expect("the index fits into u32");
         configuration(number, &second, DiscoveryMode::Pushed)
     });
     assert_all_reached(&fleet.wait_until_watching(Instant::now(), TIMEOUT));
-    wait_until("the watches have moved", TIMEOUT, || {
+    wait_until("three watches have moved", TIMEOUT, || {
         (first.usage().watches_open, second.usage().watches_open) == (5, 3)
     });
     let version = second.publish(vec![endpoint(0, EndpointStatus::Draining)]);
-    wait_until("the moved sidecars have the version", TIMEOUT, || {
+    wait_until("the reloaded sidecars have the version", TIMEOUT, || {
         fleet
             .wait_for_version(version, Instant::now(), Duration::ZERO)
             .reached_after
             .len()
-            == moved.len()
+            == reloaded.len()
     });
 }
 
 #[test]
-fn calls_are_unserved_while_the_only_endpoint_is_unreachable() {
+fn unreachable_endpoint_serves_no_calls() {
     let discovery = discovery(1);
     let fleet = fleet(&discovery, DiscoveryMode::Pushed);
     wait_until("calls are served", TIMEOUT, || fleet.usage().served >= 20);
-    let only: [EndpointName; 1] = ["endpoint-0".into()];
-    fleet.make_unreachable(&only);
+    let only_endpoint: [EndpointName; 1] = ["endpoint-0".into()];
+    fleet.make_unreachable(&only_endpoint);
     let unserved = fleet.usage().unserved;
-    wait_until("calls are not served", TIMEOUT, || {
+    wait_until("more calls are not served", TIMEOUT, || {
         fleet.usage().unserved >= unserved + 10
     });
     let served = fleet.usage().served;
@@ -295,15 +296,16 @@
         fleet.usage().unserved >= unserved + 60
     });
     assert_eq!(fleet.usage().served, served);
-    fleet.make_reachable(&only);
+    fleet.make_reachable(&only_endpoint);
     wait_until("calls are served again", TIMEOUT, || {
         fleet.usage().served >= served + 20
     });
     wait_until_calls_add_up(&fleet);
 }
 
+/// Attempts take 60 ms on average, so some are in flight when the endpoint becomes unreachable.
 #[test]
-fn attempts_in_flight_when_their_endpoint_becomes_unreachable_are_unserved() {
+fn unreachable_endpoint_loses_attempts_in_flight() {
     let discovery = discovery(1);
     let configurations: Vec<_> = (0..SIDECARS)
         .map(|number| configuration(number, &discovery, DiscoveryMode::Pushed))
@@ -312,16 +314,19 @@
         mean_service_time: Duration::from_millis(60),
         ..LOAD
     };
-    let fleet = SimulatedFleet::start(&configurations, slow, THREADS).expect("a fleet");
+    let fleet = SimulatedFleet::start(&configurations, slow, THREADS).expect("the fleet starts");
     wait_until("calls are served", TIMEOUT, || fleet.usage().served >= 20);
     fleet.make_unreachable(&["endpoint-0".into()]);
     let FleetUsage {
         served, unserved, ..
     } = fleet.usage();
-    wait_until("calls are not served", TIMEOUT, || {
+    wait_until("more calls are not served", TIMEOUT, || {
         fleet.usage().unserved >= unserved + 60
     });
     // About ten attempts were in flight. Each thread may still have counted one that had already been answered.
     let served_since = fleet.usage().served - served;
-    assert!(served_since <= THREADS as u64, "{served_since} were served");
+    assert!(
+        served_since <= THREADS as u64,
+        "{served_since} calls were served after the endpoint became unreachable"
+    );
 }
--- a/fleet-lab/tests/small_run.rs
+++ b/fleet-lab/tests/small_run.rs
@@ -11,10 +11,10 @@
 use std::path::Path;
 
 #[test]
-fn all_changes_reach_all_sidecars() {
+fn propagation_reaches_all_sidecars() {
     let report = run("propagation");
 
-    assert_names(
+    assert_labels(
         &report,
         "change known",
         &["half", "99 in 100", "last", "missing"],
@@ -31,16 +31,16 @@
     for metric in &report.metrics {
         assert_eq!(sizes(metric), [40.0], "{}", metric.name);
     }
-    // A heartbeat is an empty line, a change at least the endpoint's name.
+    // A heartbeat is an empty line. A change contains at least the endpoint's name.
     assert!(values(&report, "idle bytes").all(|bytes| bytes > 0.0));
     assert!(values(&report, "bytes of a change").all(|bytes| bytes > "endpoint-0".len() as f64));
 }
 
 #[test]
-fn all_sidecars_are_current_after_an_outage() {
+fn outage_leaves_no_sidecar_outdated() {
     let report = run("outage");
 
-    assert_names(
+    assert_labels(
         &report,
         "list current after the outage",
         &["half", "9 in 10", "last", "missing"],
@@ -54,20 +54,21 @@
     for (watches, connections) in watches.zip(connections) {
         assert!(
             watches >= 1.0,
-            "every sidecar has lost its watch: {watches}"
+            "every sidecar lost its watch, but there are {watches} new watches a sidecar"
         );
         assert!(
             connections >= 1.0,
-            "every sidecar has lost its connection: {connections}"
+            "every sidecar lost its connection, but there are {connections} new connections a sidecar"
         );
     }
 }
 
+/// Discovery ends the watches at each change.
 #[test]
-fn all_versions_reach_all_sidecars_of_a_discovery_that_ends_its_watches() {
+fn crowded_discovery_reaches_all_sidecars() {
     let report = run("crowded-discovery");
 
-    assert_names(
+    assert_labels(
         &report,
         "version known",
         &["half", "9 in 10", "99 in 100", "last", "missing"],
@@ -77,21 +78,22 @@
     for watches in watches {
         assert!(
             watches >= 1.0,
-            "every sidecar has lost its watch: {watches}"
+            "every sidecar lost its watch, but there are {watches} new watches a sidecar"
         );
     }
 }
 
+/// A quantile that includes missing sidecars is only a lower bound. It must have a note and no slope.
 #[test]
-fn missing_sidecars_count_with_the_timeout_and_omit_the_slope() {
+fn missing_sidecars_count_with_timeout() {
     let report = run("outage-cut-short");
 
-    // Discovery answers one call at once and the next after ten seconds.
+    // Discovery handles one call at once and the next after ten seconds, which is later than the timeout.
     let missing: Vec<f64> = values(&report, "list current after the outage: missing").collect();
     for (missing, sidecars) in missing.iter().zip([3.0, 6.0, 9.0]) {
         assert!(
             [sidecars - 1.0, sidecars].contains(missing),
-            "{missing} of {sidecars}"
+            "{missing} of {sidecars} sidecars are missing"
         );
     }
     let last = metric(&report, "list current after the outage: last");
@@ -108,15 +110,15 @@
 }
 
 #[test]
-fn all_sidecars_are_ready_and_watch_after_a_restart() {
+fn fleet_restart_ends_with_all_sidecars_watching() {
     let report = run("fleet-restart");
 
-    for what in [
+    for state in [
         "ready, endpoints known",
         "ready, none known",
         "watching, endpoints known",
     ] {
-        assert_names(&report, what, &["half", "9 in 10", "last", "missing"]);
+        assert_labels(&report, state, &["half", "9 in 10", "last", "missing"]);
     }
     assert_none_missing(&report);
     for metric in &report.metrics {
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn all_faults_are_injected_and_end() {
+fn failures_are_injected_and_end() {
     let report = run("failures");
 
     let faults: Vec<f64> = (0..=5).map(f64::from).collect();
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn added_latency_is_measured_through_a_real_sidecar() {
+fn added_latency_uses_real_sidecar() {
     let report = run("added-latency");
 
     for metric in &report.metrics {
@@ -179,10 +181,10 @@
     );
 }
 
-/// Runs the experiment of a file and checks what holds for all experiments.
+/// Runs the experiment of a file. Checks the name, the seed and the absence of problems in its report.
 fn run(name: &str) -> ExperimentReport {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/small/{name}.toml"));
-    let experiment = Experiment::load(&file).expect("the file is an experiment");
+    let experiment = Experiment::load(&file).expect("the experiment file is valid");
     let context = RunContext {
         program: sidecar_program().to_owned(),
     };
@@ -193,13 +195,13 @@
     report
 }
 
-/// Asserts the labels of the metrics about `what`, in this order.
-fn assert_names(report: &ExperimentReport, what: &str, labels: &[&str]) {
+/// Asserts that the metrics named `state` have exactly these labels, in this order. A label follows `: ` in the name.
+fn assert_labels(report: &ExperimentReport, state: &str, labels: &[&str]) {
     let names = report.metrics.iter().map(|metric| metric.name.as_str());
     let about: Vec<&str> = names
-        .filter_map(|name| name.strip_prefix(what)?.strip_prefix(": "))
+        .filter_map(|name| name.strip_prefix(state)?.strip_prefix(": "))
         .collect();
-    assert_eq!(about, labels, "{what}");
+    assert_eq!(about, labels, "{state}");
 }
 
 fn assert_none_missing(report: &ExperimentReport) {
@@ -229,7 +231,7 @@
 
 fn metric<'a>(report: &'a ExperimentReport, name: &str) -> &'a Metric {
     let found = report.metrics.iter().find(|metric| metric.name == name);
-    found.unwrap_or_else(|| panic!("no figure {name:?}"))
+    found.unwrap_or_else(|| panic!("the report has no metric {name:?}"))
 }
 
 fn sizes(metric: &Metric) -> Vec<f64> {
--- a/fleet-lab/tests/support/http_connection.rs
+++ b/fleet-lab/tests/support/http_connection.rs
@@ -4,10 +4,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a test waits for anything at most.
+/// The longest time that a test waits for a state.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request or an answer.
+/// A request or a response.
 pub struct Message {
     /// The words of the first line.
     pub first_line: Vec<String>,
@@ -17,7 +17,7 @@
 }
 
 impl Message {
-    /// Returns an answer's status.
+    /// Returns the status of a response.
     pub fn status(&self) -> &str {
         &self.first_line[1]
     }
@@ -31,7 +31,7 @@
     }
 }
 
-/// A connection that sends text as it is and receives complete messages.
+/// A connection that sends text without changes and receives complete messages.
 pub struct Connection(TcpStream);
 
 impl Connection {
@@ -40,13 +40,13 @@
         Self::new(TcpStream::connect(address).unwrap())
     }
 
-    /// Wraps a stream, and sets its read timeout.
+    /// Wraps a stream and sets its read timeout.
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Connection(stream)
     }
 
-    /// Sends text as it is.
+    /// Sends text without changes.
     pub fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).unwrap();
     }
@@ -54,7 +54,7 @@
     /// Reads the next message.
     ///
     /// # Errors
-    /// Fails where the connection ends, or nothing is received for [`TIMEOUT`].
+    /// Fails if the connection ends or nothing is received for [`TIMEOUT`].
     pub fn receive(&mut self) -> io::Result<Message> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -87,15 +87,15 @@
         Ok(message)
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads its response.
     pub fn call(&mut self, text: &str) -> Message {
         self.send(text);
         self.receive().unwrap()
     }
 }
 
-/// Returns a request with an id.
-pub fn get(id: &str) -> String {
+/// Returns a `GET` request of the class `browse` with this id.
+pub fn get_request(id: &str) -> String {
     format!(
         "GET /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: browse\r\nX-Deadline: 5.000\r\n\r\n"
     )
--- a/fleet-lab/tests/topology.rs
+++ b/fleet-lab/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Topologies: counts, fractions and names, and the parts that faults affect.
+//! Topologies: counts and names, and the impact of faults.
 
 use fleet_lab::fault::{Fault, Impact};
 use fleet_lab::topology::{Placement, Topology, TopologySize};
@@ -20,6 +20,7 @@
     Topology::generate(&topology_size(), SEED)
 }
 
+/// Counts the placements by one of their names.
 fn count_by<'a>(
     topology: &'a Topology,
     name: impl Fn(&'a Placement) -> &'a str,
@@ -31,19 +32,21 @@
     counts
 }
 
-fn placements_of<'a>(topology: &'a Topology, impact: &Impact) -> Vec<&'a Placement> {
-    let is_hit = |placement: &&Placement| impact.endpoints.contains(&placement.endpoint);
-    topology.placements.iter().filter(is_hit).collect()
+/// Returns the placements of the endpoints that a fault affects.
+fn affected_placements<'a>(topology: &'a Topology, impact: &Impact) -> Vec<&'a Placement> {
+    let is_affected = |placement: &&Placement| impact.endpoints.contains(&placement.endpoint);
+    topology.placements.iter().filter(is_affected).collect()
 }
 
 #[test]
-fn the_same_seed_gives_the_same_topology_and_another_one_does_not() {
+fn topology_depends_on_seed() {
     assert_eq!(topology(), topology());
     assert_ne!(topology(), Topology::generate(&topology_size(), SEED + 1));
 }
 
+/// The distribution is even over zones and racks, and uneven over services.
 #[test]
-fn endpoints_are_spread_evenly_over_zones_and_racks_and_unevenly_over_services() {
+fn endpoints_are_distributed_over_zones_racks_and_services() {
     let topology = topology();
     assert_eq!(topology.zones.len(), 8);
     assert_eq!(topology.zones[5].as_str(), "r2-z2");
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn the_names_of_a_placement_are_consistent() {
+fn placement_names_are_consistent() {
     for placement in &topology().placements {
         assert!(
             placement
@@ -102,12 +105,12 @@
 }
 
 #[test]
-fn small_and_empty_sizes_give_small_and_empty_topologies() {
-    let few = TopologySize {
+fn small_and_empty_topologies_are_generated() {
+    let few_endpoints = TopologySize {
         endpoints: 3,
         ..topology_size()
     };
-    assert_eq!(Topology::generate(&few, SEED).placements.len(), 3);
+    assert_eq!(Topology::generate(&few_endpoints, SEED).placements.len(), 3);
     let no_racks = TopologySize {
         racks_per_zone: 0,
         ..topology_size()
@@ -130,7 +133,7 @@
 }
 
 #[test]
-fn machine_faults_affect_their_number_of_distinct_endpoints() {
+fn machine_faults_affect_distinct_endpoints() {
     let topology = topology();
     for fault in [
         Fault::Machines { count: 32 },
@@ -140,20 +143,21 @@
         assert_eq!(impact, fault.impact(&topology, SEED));
         assert_ne!(impact, fault.impact(&topology, SEED + 1));
         assert_eq!(impact.endpoints.iter().collect::<BTreeSet<_>>().len(), 32);
-        assert_eq!(placements_of(&topology, &impact).len(), 32);
+        assert_eq!(affected_placements(&topology, &impact).len(), 32);
         assert!(impact.partitioned_zones.is_empty());
     }
     let all = Fault::Machines { count: 1_000 }.impact(&topology, SEED);
     assert_eq!(all.endpoints.len(), 500);
 }
 
+/// A zone fault also partitions the zone from discovery.
 #[test]
-fn a_rack_or_zone_fault_affects_exactly_its_endpoints_and_a_zone_fault_partitions_the_zone() {
+fn rack_and_zone_faults_affect_all_their_endpoints() {
     let topology = topology();
     let rack = Fault::Rack.impact(&topology, SEED);
     let in_rack = |placement: &&Placement| Some(&placement.rack) == rack.rack.as_ref();
     assert_eq!(
-        placements_of(&topology, &rack),
+        affected_placements(&topology, &rack),
         topology
             .placements
             .iter()
@@ -165,7 +169,7 @@
     let zone = Fault::Zone.impact(&topology, SEED);
     let in_zone = |placement: &&Placement| zone.partitioned_zones == [placement.zone.clone()];
     assert_eq!(
-        placements_of(&topology, &zone),
+        affected_placements(&topology, &zone),
         topology
             .placements
             .iter()
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn a_region_partition_affects_no_endpoints_and_partitions_all_zones_of_the_region() {
+fn region_partition_affects_zones_but_no_endpoints() {
     let topology = topology();
     let impact = Fault::RegionPartition.impact(&topology, SEED);
     let region = impact.region.clone().unwrap();
