--- a/fleet-lab/src/caller/event_loop.rs
+++ b/fleet-lab/src/caller/event_loop.rs
@@ -127,7 +127,7 @@
         let is_measured = arrival.due >= self.plan.warm_up;
         if is_measured {
             let result = &mut self.results[arrival.target];
-            result.sent += 1;
+            result.requests += 1;
             result.max_send_delay = result.max_send_delay.max(now - arrival.due);
             self.measured_in_flight += 1;
         }
--- a/fleet-lab/src/caller/result.rs
+++ b/fleet-lab/src/caller/result.rs
@@ -14,7 +14,7 @@
     /// The latencies of served requests in nanoseconds, measured from their arrival times.
     pub latencies: Histogram<u64>,
     /// Requests that were due. This is the sum of the four following counts.
-    pub sent: u64,
+    pub requests: u64,
     /// Requests with the response status 200.
     pub served: u64,
     /// Requests with the response status 429 or 503.
@@ -34,7 +34,7 @@
     pub(super) fn new() -> Self {
         TargetResult {
             latencies: empty_histogram(),
-            sent: 0,
+            requests: 0,
             served: 0,
             rejected: 0,
             failed: 0,
--- a/fleet-lab/src/command/check.rs
+++ b/fleet-lab/src/command/check.rs
@@ -17,7 +17,7 @@
         Ok(())
     } else {
         Err(CommandError::Check {
-            faulty: errors.len(),
+            unusable: errors.len(),
             checked: files.len(),
         })
     }
--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -101,8 +101,8 @@
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     /// Some of the checked files cannot be used. The reasons were printed.
-    #[error("{faulty} of {checked} files cannot be used")]
-    Check { faulty: usize, checked: usize },
+    #[error("{unusable} of {checked} files cannot be used")]
+    Check { unusable: usize, checked: usize },
     /// The folder contains no experiments.
     #[error("{} contains no experiments", .0.display())]
     NoExperiments(PathBuf),
--- a/fleet-lab/src/command/tier.rs
+++ b/fleet-lab/src/command/tier.rs
@@ -1,7 +1,7 @@
 //! The command `tier`.
 
 use super::{CommandError, TierOptions};
-use fleet_lab::discovery::{DiscoveryOptions, WatchOnChange};
+use fleet_lab::discovery::{DiscoveryOptions, ListChangeAction};
 use fleet_lab::endpoint::{EndpointHost, EndpointOptions, ServiceTime};
 use fleet_lab::loopback_tier::{LoopbackTier, LoopbackTierOptions};
 use fleet_lab::sidecar::configuration::{
@@ -44,7 +44,7 @@
     queue_timeout: Duration::from_secs(5),
     heartbeat: Duration::from_secs(2),
     entries_per_second: None,
-    on_change: WatchOnChange::Sends,
+    on_change: ListChangeAction::SendChange,
     retained_changes: 100,
 };
 
--- a/fleet-lab/src/discovery/connection.rs
+++ b/fleet-lab/src/discovery/connection.rs
@@ -1,6 +1,6 @@
 //! An accepted connection. Its requests are served one after another until one of them opens a watch.
 
-use super::options::WatchOnChange;
+use super::options::ListChangeAction;
 use super::protocol::{self, Call, Request};
 use super::registry::Change;
 use super::service::{CountGuard, QueueOutcome, Service};
@@ -134,10 +134,10 @@
     }
 
     /// Returns the version from which a watch may resume; `None` if it has to start with the full list. With
-    /// [`WatchOnChange::Ends`], a watch can resume only from the current version.
+    /// [`ListChangeAction::EndWatch`], a watch can resume only from the current version.
     fn resume_version(&self, since: Option<u64>) -> Option<u64> {
         let version = self.service.registry.borrow().version();
-        let sends_changes = self.service.on_change == WatchOnChange::Sends;
+        let sends_changes = self.service.on_change == ListChangeAction::SendChange;
         since.filter(|since| sends_changes || *since == version)
     }
 
@@ -174,7 +174,7 @@
                 None => self.write_heartbeat().await?,
                 // The change is part of the full list that was written after the watch had lagged.
                 Some(Ok(Change { version, .. })) if version <= written_version => continue,
-                Some(Ok(_)) if self.service.on_change == WatchOnChange::Ends => {
+                Some(Ok(_)) if self.service.on_change == ListChangeAction::EndWatch => {
                     // The client sees from the missing last chunk that the response is incomplete.
                     return Err(io::ErrorKind::ConnectionAborted.into());
                 }
--- a/fleet-lab/src/discovery/mod.rs
+++ b/fleet-lab/src/discovery/mod.rs
@@ -19,5 +19,5 @@
 
 pub use entry::{EndpointEntry, EndpointStatus, ListSnapshot};
 pub use handle::DiscoveryServer;
-pub use options::{DiscoveryOptions, WatchOnChange};
+pub use options::{DiscoveryOptions, ListChangeAction};
 pub use usage::DiscoveryUsage;
--- a/fleet-lab/src/discovery/service.rs
+++ b/fleet-lab/src/discovery/service.rs
@@ -3,7 +3,7 @@
 
 use super::call_queue::{Admission, CallQueue, CallTimes};
 use super::entry::EndpointEntry;
-use super::options::{DiscoveryOptions, WatchOnChange};
+use super::options::{DiscoveryOptions, ListChangeAction};
 use super::registry::{Change, Registry};
 use super::usage::DiscoveryUsage;
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
     /// The endpoints and their version.
     pub(super) registry: RefCell<Registry>,
     /// The effect of a change of the list on open watches.
-    pub(super) on_change: WatchOnChange,
+    pub(super) on_change: ListChangeAction,
     /// The counters. Open watches and processor time are not kept here but read on demand.
     pub(super) usage: RefCell<DiscoveryUsage>,
     call_queue: RefCell<CallQueue>,
--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -2,7 +2,7 @@
 
 mod check;
 
-use crate::discovery::WatchOnChange;
+use crate::discovery::ListChangeAction;
 use crate::endpoint::EndpointOptions;
 use crate::fault::Fault;
 use crate::topology::TopologySize;
@@ -156,7 +156,7 @@
     pub entries_per_second: Option<f64>,
     /// How an open watch handles a change of the list.
     #[serde(default)]
-    pub on_change: WatchOnChange,
+    pub on_change: ListChangeAction,
 }
 
 /// A fleet of simulated sidecars.
--- a/fleet-lab/src/loopback_tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -112,7 +112,7 @@
             discovery_mode: DiscoveryMode::Pushed,
             cached_list: Some(self.discovery.snapshot()),
             classes,
-            load_reports: LoadReports::WithAnswers,
+            load_reports: LoadReports::WithResponses,
             seed: seed ^ (u64::from(position.tier) << 32) ^ u64::from(position.number),
             limits,
         }
--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -139,5 +139,5 @@
         let endpoint = start_endpoint(host, &format!("straight-{tier}"), options, address)?;
         address = Some(endpoint.entry().address);
     }
-    address.ok_or_else(|| ScenarioError::NotReached("a chain needs at least one tier".into()))
+    address.ok_or_else(|| ScenarioError::Incomplete("a chain needs at least one tier".into()))
 }
--- a/fleet-lab/src/scenario/client_connections.rs
+++ b/fleet-lab/src/scenario/client_connections.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// The longest time without data while an answer is read.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// The largest number of headers of an answer.
 const MAX_HEADERS: usize = 32;
 /// The largest answer in bytes, including its head.
-const MAX_ANSWER_BYTES: usize = 16 << 10;
+const MAX_RESPONSE_BYTES: usize = 16 << 10;
 
 /// Connections to one sidecar, which are closed when this value is dropped.
 pub(super) struct ClientConnections {
@@ -46,7 +46,7 @@
             let request = self.request("GET", SAFE_CLASS);
             let mut connection = self.connect()?;
             connection.write_all(request.as_bytes())?;
-            read_answer(&mut connection)?;
+            read_response(&mut connection)?;
             self.connections.push(connection);
         }
         Ok(())
@@ -55,7 +55,7 @@
     fn connect(&self) -> io::Result<TcpStream> {
         let connection = TcpStream::connect(self.address)?;
         connection.set_nodelay(true)?;
-        connection.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+        connection.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(connection)
     }
 
@@ -75,38 +75,38 @@
 }
 
 /// Reads one answer. It must have status 200 and a `Content-Length`.
-fn read_answer(connection: &mut TcpStream) -> io::Result<()> {
-    let mut answer = Vec::new();
+fn read_response(connection: &mut TcpStream) -> io::Result<()> {
+    let mut response = Vec::new();
     let mut chunk = [0; 4096];
     loop {
         let read = connection.read(&mut chunk)?;
         if read == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        answer.extend_from_slice(&chunk[..read]);
-        if answer_length(&answer)?.is_some_and(|length| answer.len() >= length) {
+        response.extend_from_slice(&chunk[..read]);
+        if response_length(&response)?.is_some_and(|length| response.len() >= length) {
             return Ok(());
         }
-        if answer.len() > MAX_ANSWER_BYTES {
+        if response.len() > MAX_RESPONSE_BYTES {
             return Err(io::Error::other("the sidecar's answer is too long"));
         }
     }
 }
 
 /// Returns the length of an answer including its head, or `None` while the head is incomplete.
-fn answer_length(answer: &[u8]) -> io::Result<Option<usize>> {
+fn response_length(response: &[u8]) -> io::Result<Option<usize>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut response = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(head) = response.parse(answer).map_err(io::Error::other)? else {
+    let mut parsed = httparse::Response::new(&mut headers);
+    let httparse::Status::Complete(head) = parsed.parse(response).map_err(io::Error::other)? else {
         return Ok(None);
     };
-    if response.code != Some(200) {
+    if parsed.code != Some(200) {
         return Err(io::Error::other(format!(
             "the sidecar answered with status {}, not 200",
-            response.code.unwrap_or_default()
+            parsed.code.unwrap_or_default()
         )));
     }
-    let length = response
+    let length = parsed
         .headers
         .iter()
         .find(|header| header.name.eq_ignore_ascii_case("content-length"));
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -51,7 +51,7 @@
     context: &RunContext,
     period: Duration,
 ) -> Result<Vec<Metric>, ScenarioError> {
-    let single_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
+    let single_sidecar = start(plan.endpoints, LoadReports::WithResponses, seed, context)?;
     thread::sleep(SETTLE_TIME);
     let idle = Cost::measure(&single_sidecar, || {
         thread::sleep(period);
@@ -211,7 +211,7 @@
             cost.milliseconds_beyond(idle),
         );
     }
-    table.note(
+    table.add_note(
         "processor time for reloads",
         "With the calls to the operators' address that wait for each reload.",
     );
@@ -227,7 +227,7 @@
     outcome: &mut ScenarioOutcome,
 ) -> Result<(), ScenarioError> {
     let checking_sidecar = start(plan.endpoints, LoadReports::WithHealthChecks, seed, context)?;
-    let reporting_sidecar = start(plan.endpoints, LoadReports::WithAnswers, seed, context)?;
+    let reporting_sidecar = start(plan.endpoints, LoadReports::WithResponses, seed, context)?;
     let mut table = MetricTable::with_size_unit("calls/s");
     for rate in &plan.health_check_rates {
         let with_checks = measure_call_cost(
@@ -300,10 +300,10 @@
     let mut calls = 0;
     let cost = Cost::measure(single_sidecar, || {
         for result in run_load(&load)? {
-            calls += result.sent;
+            calls += result.requests;
             let measurement = match single_sidecar.configuration.load_reports {
                 LoadReports::WithHealthChecks => "with health checks",
-                LoadReports::WithAnswers => "without health checks",
+                LoadReports::WithResponses => "without health checks",
             };
             problems.extend(describe_unserved(
                 &format!("{measurement} at {rate} calls/s"),
--- a/fleet-lab/src/scenario/depth.rs
+++ b/fleet-lab/src/scenario/depth.rs
@@ -38,7 +38,7 @@
         };
         let results = run_load(&load)?;
         let [direct, proxied] = &results[..] else {
-            return Err(ScenarioError::NotReached("a target has no result".into()));
+            return Err(ScenarioError::Incomplete("a target has no result".into()));
         };
         add_latencies(&mut table, f64::from(*depth), direct, proxied);
         problems.extend(describe_unserved(
@@ -107,7 +107,11 @@
             seed,
         };
         let results = run_load(&load)?;
-        let calls = results.iter().map(|result| result.sent).sum::<u64>().max(1) as f64;
+        let calls = results
+            .iter()
+            .map(|result| result.requests)
+            .sum::<u64>()
+            .max(1) as f64;
         let served = results.iter().map(|result| result.served).sum::<u64>() as f64;
         let size = f64::from(*depth);
         table.add(
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -49,7 +49,7 @@
         );
         descriptions.push(format!("{number}: {}", describe_fault(fault, &impact)));
     }
-    table.note_all(&format!("{}.", descriptions.join("; ")));
+    table.add_note_to_all(&format!("{}.", descriptions.join("; ")));
     Ok(ScenarioOutcome {
         metrics: table.without_slopes(),
         problems: Vec::new(),
@@ -99,12 +99,13 @@
     let from = fleet.current_second();
     let last_version = injector.inject(fault, impact);
     let ended = Instant::now();
-    let current = fleet
-        .sidecars
-        .wait_for_version(last_version, ended, CONVERGENCE_TIMEOUT);
+    let convergence_times =
+        fleet
+            .sidecars
+            .wait_for_version(last_version, ended, CONVERGENCE_TIMEOUT);
     thread::sleep(pause.saturating_sub(ended.elapsed()));
     FaultCost {
-        current: Some(current),
+        convergence_times: Some(convergence_times),
         ..FaultCost::from_seconds(&fleet.seconds_since(from))
     }
 }
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -28,7 +28,7 @@
     pub seconds_until_recovered: usize,
     /// The times at which the sidecars received the last change, counted from the end of the fault. `None` if there was
     /// no fault.
-    pub current: Option<ConvergenceTimes>,
+    pub convergence_times: Option<ConvergenceTimes>,
 }
 
 impl FaultCost {
@@ -48,7 +48,7 @@
                 .map(|second| retries_per_call(second.attempts, second.calls))
                 .fold(0.0, f64::max),
             seconds_until_recovered: last_unrecovered.map_or(0, |index| index + 1),
-            current: None,
+            convergence_times: None,
         }
     }
 }
@@ -101,13 +101,13 @@
         "a call",
         cost.worst_retries_per_call,
     );
-    if let Some(current) = &cost.current {
+    if let Some(convergence_times) = &cost.convergence_times {
         add_convergence_times(
             table,
             "list current after the fault's end",
             &[("last", 1.0)],
             number,
-            current,
+            convergence_times,
             CONVERGENCE_TIMEOUT,
         );
     }
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -129,7 +129,7 @@
                 "{} of {size} sidecars had no open watch before the timeout of the start",
                 watching.missing
             );
-            return Err(ScenarioError::NotReached(problem));
+            return Err(ScenarioError::Incomplete(problem));
         }
         discovery
             .set_capacity(
@@ -176,7 +176,7 @@
                 discovery_mode: self.discovery_mode,
                 cached_list: cached_list.clone(),
                 classes: vec![request_class()],
-                load_reports: LoadReports::WithAnswers,
+                load_reports: LoadReports::WithResponses,
                 seed: self.seed.wrapping_add(u64::from(number)),
                 limits: SIDECAR_LIMITS,
             })
@@ -248,6 +248,6 @@
     if sidecar.is_multiple_of(BUSY_SIDECAR_INTERVAL) {
         return BUSY_RATE_MULTIPLE;
     }
-    let every = BUSY_SIDECAR_INTERVAL as f64;
-    (every - BUSY_RATE_MULTIPLE) / (every - 1.0)
+    let interval = BUSY_SIDECAR_INTERVAL as f64;
+    (interval - BUSY_RATE_MULTIPLE) / (interval - 1.0)
 }
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -25,7 +25,7 @@
         let time = quantile(times, *fraction).unwrap_or(timeout);
         table.add(&name, "ms", size, milliseconds(time));
         if times.missing > 0 {
-            table.note(&name, MISSING_NOTE);
+            table.add_note(&name, MISSING_NOTE);
             table.omit_slope(&name);
         }
     }
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -28,7 +28,7 @@
         }
     }
     for (label, _) in QUANTILES {
-        table.note(&format!("ready, endpoints known: {label}"), READY_NOTE);
+        table.add_note(&format!("ready, endpoints known: {label}"), READY_NOTE);
     }
     Ok(ScenarioOutcome {
         metrics: table.with_slopes(),
--- a/fleet-lab/src/scenario/latency.rs
+++ b/fleet-lab/src/scenario/latency.rs
@@ -27,7 +27,7 @@
         endpoints: plan.endpoints,
         endpoint: &plan.endpoint,
         deadline: CALLER_DEADLINE,
-        load_reports: LoadReports::WithAnswers,
+        load_reports: LoadReports::WithResponses,
         seed,
     };
     let single_sidecar = SingleSidecar::start(&options, context)?;
@@ -48,19 +48,19 @@
 }
 
 fn add_notes(table: &mut MetricTable) {
-    table.note(
+    table.add_note(
         "through p99.9",
         "The maximum where fewer than 1,000 calls were measured.",
     );
-    table.note(
+    table.add_note(
         "unsafe added p99",
         "The maximum where fewer than 100 unsafe calls were measured.",
     );
-    table.note(
+    table.add_note(
         "processor time a call",
         "Over warm-up and measurement, divided by the attempts that the sidecar made.",
     );
-    table.note(
+    table.add_note(
         "resident memory",
         "It grows with the open connections, see `descriptors`.",
     );
@@ -122,7 +122,7 @@
     let mut next = || {
         results
             .next()
-            .ok_or_else(|| ScenarioError::NotReached("a target has no result".into()))
+            .ok_or_else(|| ScenarioError::Incomplete("a target has no result".into()))
     };
     Ok(Measured {
         direct: next()?,
--- a/fleet-lab/src/scenario/load.rs
+++ b/fleet-lab/src/scenario/load.rs
@@ -36,18 +36,18 @@
 }
 
 /// Describes the calls of a measurement that were not served. Returns `None` if all were served.
-pub(super) fn describe_unserved(measurement: &str, result: &TargetResult) -> Option<String> {
+pub(super) fn describe_unserved(label: &str, result: &TargetResult) -> Option<String> {
     let TargetResult {
-        sent,
+        requests,
         served,
         rejected,
         failed,
         unanswered,
         ..
     } = result;
-    (served < sent).then(|| {
+    (served < requests).then(|| {
         format!(
-            "{measurement}: of {sent} calls {rejected} were rejected, {failed} failed and {unanswered} were unanswered"
+            "{label}: of {requests} calls {rejected} were rejected, {failed} failed and {unanswered} were unanswered"
         )
     })
 }
--- a/fleet-lab/src/scenario/memory.rs
+++ b/fleet-lab/src/scenario/memory.rs
@@ -158,7 +158,7 @@
         endpoints,
         endpoint: &endpoint,
         deadline,
-        load_reports: LoadReports::WithAnswers,
+        load_reports: LoadReports::WithResponses,
         seed,
     };
     SingleSidecar::start(&options, context)
--- a/fleet-lab/src/scenario/metric_table.rs
+++ b/fleet-lab/src/scenario/metric_table.rs
@@ -44,7 +44,7 @@
     }
 
     /// Adds a note to a metric, unless the metric already has the note or does not exist.
-    pub(super) fn note(&mut self, name: &str, note: &str) {
+    pub(super) fn add_note(&mut self, name: &str, note: &str) {
         let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) else {
             return;
         };
@@ -61,14 +61,14 @@
     }
 
     /// Adds a note to all metrics.
-    pub(super) fn note_all(&mut self, note: &str) {
+    pub(super) fn add_note_to_all(&mut self, note: &str) {
         let names: Vec<String> = self
             .metrics
             .iter()
             .map(|metric| metric.name.clone())
             .collect();
         for name in &names {
-            self.note(name, note);
+            self.add_note(name, note);
         }
     }
 
--- a/fleet-lab/src/scenario/outcome.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -34,7 +34,7 @@
     Fleet(#[from] FleetError),
     /// A state was not reached or a result is missing that the experiment needs.
     #[error("{0}")]
-    NotReached(String),
+    Incomplete(String),
 }
 
 impl ScenarioError {
--- a/fleet-lab/src/scenario/single_sidecar.rs
+++ b/fleet-lab/src/scenario/single_sidecar.rs
@@ -3,7 +3,7 @@
 use super::context::RunContext;
 use super::load::{SAFE_CLASS, UNSAFE_CLASS};
 use super::outcome::ScenarioError;
-use crate::discovery::{DiscoveryOptions, WatchOnChange};
+use crate::discovery::{DiscoveryOptions, ListChangeAction};
 use crate::endpoint::{EndpointHandle, EndpointHost, EndpointOptions};
 use crate::loopback_tier::{LoopbackTier, LoopbackTierOptions, start_endpoint};
 use crate::measure::ProcessUsage;
@@ -25,7 +25,7 @@
     queue_timeout: Duration::from_secs(5),
     heartbeat: Duration::from_secs(2),
     entries_per_second: None,
-    on_change: WatchOnChange::Sends,
+    on_change: ListChangeAction::SendChange,
     retained_changes: 1_000,
 };
 /// The number of threads that run the endpoints.
@@ -109,7 +109,7 @@
     /// Returns one metric of the sidecar by its name without the `app_` prefix.
     pub(super) fn metric(&self, name: &str) -> Result<u64, ScenarioError> {
         let missing =
-            || ScenarioError::NotReached(format!("the sidecar did not return the metric {name}"));
+            || ScenarioError::Incomplete(format!("the sidecar did not return the metric {name}"));
         self.sidecar.metric(name).ok_or_else(missing)
     }
 
@@ -155,7 +155,7 @@
 /// Waits until a sidecar is ready.
 pub(super) fn wait_until_ready(sidecar: &SidecarProcess) -> Result<(), ScenarioError> {
     let timed_out =
-        || ScenarioError::NotReached(format!("a sidecar was not ready after {START_TIMEOUT:?}"));
+        || ScenarioError::Incomplete(format!("a sidecar was not ready after {START_TIMEOUT:?}"));
     sidecar
         .wait_until_ready(START_TIMEOUT)
         .map(drop)
--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -47,7 +47,7 @@
         let log_reader = child
             .stderr
             .take()
-            .map(|stderr| log.clone().read(stderr, sender));
+            .map(|stderr| log.clone().spawn_reader(stderr, sender));
         Ok(LoggedChild {
             child,
             log,
@@ -115,7 +115,7 @@
 
 impl LogTail {
     /// Starts a thread that reads the log to its end, and that sends the addresses once both have been logged.
-    fn read(self, stderr: ChildStderr, sender: Sender<Addresses>) -> JoinHandle<()> {
+    fn spawn_reader(self, stderr: ChildStderr, sender: Sender<Addresses>) -> JoinHandle<()> {
         thread::spawn(move || {
             let mut sender = Some(sender);
             let mut admin = None;
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -20,7 +20,7 @@
 /// The largest number of pending requests of a sidecar.
 const MAX_PENDING: u32 = 10_000;
 /// The time after a deadline within which an answer still counts.
-const ANSWER_SLACK: Duration = Duration::from_millis(5);
+const RESPONSE_SLACK: Duration = Duration::from_millis(5);
 /// The longest time between two calls to discovery.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// The time within which a sidecar must stop sending new requests to a draining endpoint.
@@ -35,7 +35,7 @@
 /// The time for which the load must exceed [`OVERLOAD_MULTIPLE`] until the endpoint fails.
 const OVERLOAD_TIME: Duration = Duration::from_secs(2);
 /// The shortest time between two batches of events for the decision module.
-const TICK: Duration = Duration::from_millis(1);
+const EVENT_BATCH_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A request class of a sidecar's settings.
 #[derive(Clone, Debug, PartialEq)]
@@ -86,7 +86,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
     /// Endpoints send load reports with their answers, and the sidecar may not make health checks.
-    WithAnswers,
+    WithResponses,
     /// Endpoints send load reports only with their answers to health checks.
     WithHealthChecks,
 }
@@ -133,7 +133,7 @@
             "dcs": zones,
             "tier": self.position.tier,
             "stages": stages,
-            "granularityNs": nanoseconds(TICK),
+            "granularityNs": nanoseconds(EVENT_BATCH_INTERVAL),
             "discovery": discovery_mode_name(self.discovery_mode),
             "weightSource": "off",
             "worthBy": "request",
@@ -180,7 +180,7 @@
     /// Returns the settings of load reports.
     fn report(&self) -> Value {
         let how = match self.load_reports {
-            LoadReports::WithAnswers => "inline",
+            LoadReports::WithResponses => "inline",
             LoadReports::WithHealthChecks => "on_probe",
         };
         json!({"fields": ["concurrent", "depth", "load_share"], "how": how})
@@ -231,7 +231,7 @@
 /// Returns the settings of the timing rules.
 fn rules() -> Value {
     json!({
-        "answerSlackNs": nanoseconds(ANSWER_SLACK),
+        "answerSlackNs": nanoseconds(RESPONSE_SLACK),
         "askWithinNs": nanoseconds(POLL_INTERVAL),
         "coldFrom": INITIAL_CAPACITY,
         "drainGraceNs": nanoseconds(DRAIN_GRACE),
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -92,8 +92,8 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let request = "GET /ready HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n";
-        let answer = send_request(self.address(), request).unwrap_or_default();
-        answer.split(' ').nth(1) == Some("200")
+        let response = send_request(self.address(), request).unwrap_or_default();
+        response.split(' ').nth(1) == Some("200")
     }
 
     /// Waits until `GET /ready` is answered with status 200. Returns the time that this took, or `None` after the
@@ -108,8 +108,8 @@
     /// do not contain it.
     #[must_use]
     pub fn metric(&self, name: &str) -> Option<u64> {
-        let answer = send_request(self.admin_address(), "STATS\n").ok()?;
-        let value = answer.lines().find_map(|line| {
+        let response = send_request(self.admin_address(), "STATS\n").ok()?;
+        let value = response.lines().find_map(|line| {
             let metric = line.strip_prefix("app_")?;
             metric.strip_prefix(name)?.strip_prefix(' ')
         })?;
@@ -214,9 +214,9 @@
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     stream.set_write_timeout(Some(CALL_TIMEOUT))?;
     stream.write_all(request.as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    Ok(answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response)
 }
 
 /// Waits until a condition holds and returns true, or returns false after the timeout.
--- a/fleet-lab/src/sidecar/simulated/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -10,12 +10,12 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// How long an endpoint takes to answer a health check.
-const HEALTH_CHECK_ANSWER_TIME: Duration = Duration::from_millis(1);
+const HEALTH_CHECK_RESPONSE_TIME: Duration = Duration::from_millis(1);
 /// Timeout of a health check. The real sidecar has the same one.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The receiver of the results of attempts and health checks.
-pub(super) trait AttemptOwner {
+pub(super) trait AttemptObserver {
     /// Handles the end of an attempt.
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult);
 
@@ -54,7 +54,7 @@
 }
 
 impl AttemptResult {
-    fn without_answer(outcome: Outcome) -> Self {
+    fn without_response(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
             report: None,
@@ -64,12 +64,12 @@
 
 /// Simulates an attempt and reports its result.
 pub(super) async fn run_attempt(
-    owner: impl AttemptOwner,
+    observer: impl AttemptObserver,
     fleet: Arc<FleetState>,
     attempt: Attempt,
 ) {
     let result = attempt.run(&fleet).await;
-    owner.attempt_ended(&attempt.request, attempt.number, result);
+    observer.attempt_ended(&attempt.request, attempt.number, result);
 }
 
 impl Attempt {
@@ -77,19 +77,19 @@
         let started = Instant::now();
         if self.endpoint.is_unreachable() {
             sleep_until(self.deadline.min(started + self.connect_timeout)).await;
-            return AttemptResult::without_answer(Outcome::ConnectFailed);
+            return AttemptResult::without_response(Outcome::ConnectFailed);
         }
         fleet
             .endpoints
             .count_attempt(&self.endpoint, fleet.counters.second());
         let outages = self.endpoint.outages();
         let in_flight = self.endpoint.start_request();
-        let finished = started + self.service_time;
-        sleep_until(finished.min(self.deadline)).await;
+        let finishes_at = started + self.service_time;
+        sleep_until(finishes_at.min(self.deadline)).await;
         drop(in_flight);
-        if finished > self.deadline || self.endpoint.outages() != outages {
+        if finishes_at > self.deadline || self.endpoint.outages() != outages {
             sleep_until(self.deadline).await;
-            return AttemptResult::without_answer(Outcome::TimedOut);
+            return AttemptResult::without_response(Outcome::TimedOut);
         }
         let reports = self.reporting == Reporting::WithAnswers;
         AttemptResult {
@@ -100,19 +100,19 @@
 }
 
 /// Simulates a health check and reports its result.
-pub(super) async fn run_health_check(owner: impl AttemptOwner, health_check: HealthCheck) {
+pub(super) async fn run_health_check(observer: impl AttemptObserver, health_check: HealthCheck) {
     let sent = Instant::now();
     let result = health_check.run().await;
-    owner.health_check_ended(&health_check, sent.elapsed(), result);
+    observer.health_check_ended(&health_check, sent.elapsed(), result);
 }
 
 impl HealthCheck {
     async fn run(&self) -> AttemptResult {
         if self.simulated_endpoint.is_unreachable() {
             sleep(self.connect_timeout.min(HEALTH_CHECK_TIMEOUT)).await;
-            return AttemptResult::without_answer(Outcome::ConnectFailed);
+            return AttemptResult::without_response(Outcome::ConnectFailed);
         }
-        sleep(HEALTH_CHECK_ANSWER_TIME).await;
+        sleep(HEALTH_CHECK_RESPONSE_TIME).await;
         let reports = self.reporting != Reporting::Off;
         AttemptResult {
             outcome: Outcome::Served,
--- a/fleet-lab/src/sidecar/simulated/pending_calls.rs
+++ b/fleet-lab/src/sidecar/simulated/pending_calls.rs
@@ -104,7 +104,7 @@
     }
 
     /// Ends an attempt and drops its task. Returns `None` if the attempt is unknown or has already ended. A served
-    /// attempt counts as the answer of its call in the returned value; [`PendingCalls::answer`] marks the call.
+    /// attempt counts as the answer of its call in the returned value; [`PendingCalls::mark_answered`] marks the call.
     pub fn end_attempt(
         &mut self,
         request: &RequestId,
@@ -121,7 +121,7 @@
     }
 
     /// Marks a call as answered. Returns false if the call was already answered or is not pending.
-    pub fn answer(&mut self, request: &RequestId) -> bool {
+    pub fn mark_answered(&mut self, request: &RequestId) -> bool {
         match self.0.get_mut(request) {
             Some(call) if !call.is_answered => {
                 call.is_answered = true;
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -4,7 +4,7 @@
 mod actions;
 mod discovery;
 
-use super::attempts::{AttemptOwner, AttemptResult, HealthCheck};
+use super::attempts::{AttemptObserver, AttemptResult, HealthCheck};
 use super::fleet_state::FleetState;
 use super::pending_calls::{CallTarget, PendingCalls};
 use super::sidecar_plan::SidecarPlan;
@@ -192,7 +192,7 @@
     }
 }
 
-impl AttemptOwner for SidecarHandle {
+impl AttemptObserver for SidecarHandle {
     /// Handles the end of an attempt. The first served attempt answers its call.
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult) {
         let mut sidecar = self.borrow();
@@ -200,7 +200,7 @@
         let Some(ended) = sidecar.pending_calls.end_attempt(request, attempt, served) else {
             return;
         };
-        if served && sidecar.pending_calls.answer(request) {
+        if served && sidecar.pending_calls.mark_answered(request) {
             sidecar.fleet.counters.count_served();
         }
         let event = Event::AttemptEnded(AttemptEnd {
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -114,7 +114,7 @@
 
     /// Answers a call as rejected or failed, unless it is already answered.
     fn end_unserved(&mut self, request: &RequestId) {
-        if self.pending_calls.answer(request) {
+        if self.pending_calls.mark_answered(request) {
             self.fleet.counters.count_unserved(1);
             self.pending_calls.remove_if_complete(request);
         }
--- a/fleet-lab/tests/caller.rs
+++ b/fleet-lab/tests/caller.rs
@@ -198,9 +198,9 @@
     };
     let results = run(&plan).expect("the load runs to its end");
     for result in &results {
-        assert!(result.sent > 0);
+        assert!(result.requests > 0);
         assert_eq!(
-            result.sent,
+            result.requests,
             result.served + result.rejected + result.failed + result.unanswered
         );
         assert_eq!(result.latencies.len(), result.served);
@@ -229,12 +229,12 @@
     let serving = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
     let results = run_load(vec![target(server.address), target(serving.address)]);
     let received = server.received().len();
-    assert_eq!(results[0].sent as usize, received);
+    assert_eq!(results[0].requests as usize, received);
     assert_eq!(results[0].served as usize, received.div_ceil(4));
     assert_eq!(results[0].failed as usize, received / 4);
     assert_eq!(results[0].unanswered, 0);
-    assert_eq!(results[1].served, results[1].sent);
-    assert_eq!(results[1].sent as usize, serving.received().len());
+    assert_eq!(results[1].served, results[1].requests);
+    assert_eq!(results[1].requests as usize, serving.received().len());
 }
 
 /// Guards the method, the headers and the body of safe and unsafe requests.
@@ -277,7 +277,10 @@
     let server = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
     let counts = [(); 2].map(|()| {
         let results = run_load(vec![target(server.address), target(server.address)]);
-        results.iter().map(|result| result.sent).collect::<Vec<_>>()
+        results
+            .iter()
+            .map(|result| result.requests)
+            .collect::<Vec<_>>()
     });
     assert_eq!(counts[0], counts[1]);
     let ids: BTreeSet<String> = server
@@ -304,9 +307,9 @@
         seed: 7,
     })
     .expect("the load runs to its end");
-    assert!(results[0].sent > 0);
-    assert!((results[0].sent as usize) < server.received().len());
-    assert_eq!(results[0].served, results[0].sent);
+    assert!(results[0].requests > 0);
+    assert!((results[0].requests as usize) < server.received().len());
+    assert_eq!(results[0].served, results[0].requests);
 }
 
 /// The first response is held back until 20 other requests have arrived.
@@ -321,11 +324,11 @@
     });
     let result = run_one(target(server.address));
     assert!(
-        result.sent as usize > OTHERS,
+        result.requests as usize > OTHERS,
         "the schedule has only {} requests",
-        result.sent
+        result.requests
     );
-    assert_eq!(result.served, result.sent);
+    assert_eq!(result.served, result.requests);
     assert!(result.connections >= 2);
 }
 
@@ -336,7 +339,7 @@
     let result = run_one(target(server.address));
     assert_eq!(
         (result.served, result.connections),
-        (result.sent, result.sent)
+        (result.requests, result.requests)
     );
 }
 
@@ -348,13 +351,13 @@
         _ => Reaction::Close,
     });
     let result = run_one(target(server.address));
-    assert_eq!(result.served, result.sent);
+    assert_eq!(result.served, result.requests);
     let received = server.received();
     let ids: BTreeSet<&str> = received
         .iter()
         .map(|request| request.header("X-Request-Id"))
         .collect();
-    assert_eq!(ids.len() as u64, result.sent);
+    assert_eq!(ids.len() as u64, result.requests);
     assert!(received.len() > ids.len(), "no request was sent again");
     assert_eq!(
         result.connections as usize,
@@ -369,8 +372,8 @@
 fn request_on_closed_new_connection_fails() {
     let server = StubServer::start(|_, _| Reaction::Close);
     let result = run_one(target(server.address));
-    assert_eq!(result.failed, result.sent);
-    assert_eq!(server.received().len() as u64, result.sent);
+    assert_eq!(result.failed, result.requests);
+    assert_eq!(server.received().len() as u64, result.requests);
 }
 
 #[test]
@@ -381,7 +384,7 @@
     let result = run_one(target);
     assert_eq!(
         (result.unanswered, result.connections),
-        (result.sent, result.sent)
+        (result.requests, result.requests)
     );
 }
 
@@ -393,5 +396,9 @@
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n";
     let server = StubServer::start(move |_, _| Reaction::Respond(chunked.into()));
     let results = run_load(vec![target(refusing_address), target(server.address)]);
-    assert!(results.iter().all(|result| result.failed == result.sent));
+    assert!(
+        results
+            .iter()
+            .all(|result| result.failed == result.requests)
+    );
 }
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -7,7 +7,8 @@
 
 use discovery_client::{Client, LIST_PATH, TIMEOUT, summarize, zones};
 use fleet_lab::discovery::{
-    DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus, ListSnapshot, WatchOnChange,
+    DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus, ListChangeAction,
+    ListSnapshot,
 };
 use hyper::body::Incoming;
 use serde_json::Value;
@@ -22,7 +23,7 @@
         queue_timeout: TIMEOUT,
         heartbeat: TIMEOUT,
         entries_per_second: None,
-        on_change: WatchOnChange::Sends,
+        on_change: ListChangeAction::SendChange,
         retained_changes: 3,
     }
 }
@@ -258,7 +259,7 @@
 #[test]
 fn watch_after_ended_watch_gets_full_list() {
     let server = start(DiscoveryOptions {
-        on_change: WatchOnChange::Ends,
+        on_change: ListChangeAction::EndWatch,
         ..options()
     });
     let _watch = Client::watch(&server, 0, "&since=1");
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -47,7 +47,7 @@
             endpoints,
         }),
         classes: vec![class("browse", false), class("order", true)],
-        load_reports: LoadReports::WithAnswers,
+        load_reports: LoadReports::WithResponses,
         seed: 7,
         limits: ResourceLimits {
             memory_mb: 128,
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -5,7 +5,7 @@
 
 use balancer_sidecar::policy::DiscoveryMode;
 use fleet_lab::discovery::{
-    DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus, WatchOnChange,
+    DiscoveryOptions, DiscoveryServer, EndpointEntry, EndpointStatus, ListChangeAction,
 };
 use fleet_lab::sidecar::configuration::{
     LoadReports, RequestClass, ResourceLimits, SidecarConfiguration, TierPosition,
@@ -36,7 +36,7 @@
         queue_timeout: Duration::from_secs(2),
         heartbeat: Duration::from_secs(1),
         entries_per_second: None,
-        on_change: WatchOnChange::Sends,
+        on_change: ListChangeAction::SendChange,
         retained_changes: 16,
     };
     let endpoints = (0..endpoints)
@@ -83,7 +83,7 @@
             priority_weight: 1.0,
             deadline: Duration::from_millis(300),
         }],
-        load_reports: LoadReports::WithAnswers,
+        load_reports: LoadReports::WithResponses,
         seed: u64::from(number) + 1,
         limits: ResourceLimits {
             memory_mb: 64,
