--- a/fleet-lab/src/caller/result.rs
+++ b/fleet-lab/src/caller/result.rs
@@ -13,7 +13,7 @@
 pub struct TargetResult {
     /// The latencies of served requests in nanoseconds, measured from their arrival times.
     pub latencies: Histogram<u64>,
-    /// Requests that were due. This is the sum of the four following counts.
+    /// Requests that were due during the measurement. This is the sum of the four following counts.
     pub requests: u64,
     /// Requests with the response status 200.
     pub served: u64,
--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -94,7 +94,7 @@
     label: Option<String>,
 }
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// An experiment cannot be used.
--- a/fleet-lab/src/command/run.rs
+++ b/fleet-lab/src/command/run.rs
@@ -88,7 +88,7 @@
     })
 }
 
-/// Runs one experiment. Returns its report and whether it failed.
+/// Runs one experiment. Returns its report, and true if it failed.
 fn run_one(experiment: &Experiment, context: &RunContext) -> (ExperimentReport, bool) {
     info!(experiment = %experiment.name, "experiment started");
     let started = Instant::now();
--- a/fleet-lab/src/discovery/service.rs
+++ b/fleet-lab/src/discovery/service.rs
@@ -30,7 +30,7 @@
     pub(super) heartbeat: Duration,
     /// The endpoints and their version.
     pub(super) registry: RefCell<Registry>,
-    /// The effect of a change of the list on open watches.
+    /// The action on open watches when the list changes.
     pub(super) on_change: ListChangeAction,
     /// The counters. Open watches and processor time are not kept here but read on demand.
     pub(super) usage: RefCell<DiscoveryUsage>,
--- a/fleet-lab/src/discovery/usage.rs
+++ b/fleet-lab/src/discovery/usage.rs
@@ -14,7 +14,7 @@
     pub watches_opened: u64,
     /// Watches that are open now, without those of partitioned zones.
     pub watches_open: u64,
-    /// Calls that were answered 503 after the queue timeout.
+    /// Calls that got status 503 after the queue timeout.
     pub rejected: u64,
     /// Calls whose client disconnected while they were queued. A queued call uses its slot all the same.
     #[serde(rename = "abandoned")]
--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -59,14 +59,14 @@
 pub struct AddedLatency {
     /// The number of listed endpoints.
     pub endpoints: u32,
-    /// Rates in calls a second, one measurement each.
+    /// Rates in calls per second, one measurement each.
     pub rates: Vec<f64>,
-    /// List changes a second during the measurements.
+    /// List changes per second during the measurements.
     pub changes_per_second: f64,
     /// The fraction of calls that are unsafe to repeat.
     #[serde(rename = "unsafe_share")]
     pub unsafe_fraction: f64,
-    /// How the endpoints behave.
+    /// The behaviour of the endpoints.
     pub endpoint: EndpointOptions,
     /// Seconds before each measurement.
     pub warm_up_seconds: f64,
@@ -82,9 +82,9 @@
     pub depths: Vec<u32>,
     /// The number of endpoints in each tier.
     pub endpoints_per_tier: u32,
-    /// Calls a second at the first tier.
+    /// Calls per second at the first tier.
     pub calls_per_second: f64,
-    /// How the endpoints behave.
+    /// The behaviour of the endpoints.
     pub endpoint: EndpointOptions,
     /// Seconds before each measurement.
     pub warm_up_seconds: f64,
@@ -100,12 +100,12 @@
     pub depths: Vec<u32>,
     /// The number of endpoints in each tier.
     pub endpoints_per_tier: u32,
-    /// Calls a second at the first tier.
+    /// Calls per second at the first tier.
     pub calls_per_second: f64,
     /// The fraction of requests that the last tier answers with status 500.
     #[serde(rename = "error_share")]
     pub error_rate: f64,
-    /// How the endpoints behave.
+    /// The behaviour of the endpoints.
     pub endpoint: EndpointOptions,
     /// Seconds of each measurement.
     pub seconds: f64,
@@ -133,8 +133,8 @@
     pub changes: Vec<u32>,
     /// Numbers of reloads, one measurement each. The reloads are spread evenly over the measurement.
     pub reloads: Vec<u32>,
-    /// Rates in calls a second. Each is measured with a sidecar whose load reports come from health checks and with one
-    /// whose load reports come with answers.
+    /// Rates in calls per second. Each is measured with a sidecar whose load reports come from health checks, and with
+    /// one whose load reports come with responses.
     #[serde(rename = "probing_rates")]
     pub health_check_rates: Vec<f64>,
     /// Seconds of each measurement.
@@ -145,16 +145,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryCapacity {
-    /// Calls that discovery handles a second.
+    /// Calls that discovery handles per second.
     pub calls_per_second: f64,
-    /// Seconds that a call may be queued before it is answered with status 503.
+    /// Seconds that a call may be queued before it gets status 503.
     #[serde(rename = "longest_wait_seconds")]
     pub queue_timeout_seconds: f64,
-    /// List entries that discovery writes a second, in addition to the time for each call. `None` means that entries
+    /// List entries that discovery writes per second, in addition to the time for each call. `None` means that entries
     /// take no time.
     #[serde(default)]
     pub entries_per_second: Option<f64>,
-    /// How an open watch handles a change of the list.
+    /// The action on open watches when the list changes.
     #[serde(default)]
     pub on_change: ListChangeAction,
 }
@@ -167,9 +167,9 @@
     pub sizes: Vec<u32>,
     /// The number of listed endpoints.
     pub endpoints: u32,
-    /// Mean calls a second of each sidecar.
+    /// Mean calls per second of each sidecar.
     pub calls_per_second: f64,
-    /// Whether an agent pushes lists. Otherwise the decision module requests them.
+    /// True if an agent pushes lists. Otherwise the decision module requests them.
     pub lists_are_pushed: bool,
     /// The capacity of discovery.
     pub discovery: DiscoveryCapacity,
@@ -234,7 +234,7 @@
 pub struct Failures {
     /// The size of the topology.
     pub topology: TopologySize,
-    /// Mean calls a second of each sidecar.
+    /// Mean calls per second of each sidecar.
     pub calls_per_second: f64,
     /// The capacity of discovery.
     pub discovery: DiscoveryCapacity,
@@ -247,7 +247,7 @@
     pub pause_seconds: f64,
 }
 
-/// Why an experiment file cannot be used.
+/// The reason why an experiment file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// The file cannot be read.
@@ -282,7 +282,7 @@
 pub struct InvalidValue {
     /// The path of the field, such as `measure.endpoints`.
     pub field: String,
-    /// Why the value is invalid.
+    /// The reason why the value is invalid.
     pub problem: String,
 }
 
--- a/fleet-lab/src/experiment/check.rs
+++ b/fleet-lab/src/experiment/check.rs
@@ -23,9 +23,9 @@
 const MAX_TIERS: u32 = 32;
 /// The largest number of list changes, list versions or reloads of a measurement.
 const MAX_EVENTS: u32 = 10_000;
-/// The highest rate of calls a second.
+/// The highest rate of calls per second.
 const MAX_CALLS_PER_SECOND: f64 = 100_000.0;
-/// The highest rate of list entries a second that discovery writes.
+/// The highest rate of list entries per second that discovery writes.
 const MAX_ENTRIES_PER_SECOND: f64 = 1e9;
 /// The longest duration, in seconds.
 const MAX_SECONDS: f64 = 600.0;
--- a/fleet-lab/src/loopback_tier.rs
+++ b/fleet-lab/src/loopback_tier.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum TierError {
     /// An endpoint could not be started.
-    #[error("start {name}: {source}")]
+    #[error("could not start {name}: {source}")]
     Endpoint {
         /// The endpoint.
         name: EndpointName,
@@ -50,7 +50,7 @@
         source: io::Error,
     },
     /// The discovery service could not be started.
-    #[error("start discovery: {0}")]
+    #[error("could not start discovery: {0}")]
     Discovery(#[source] io::Error),
 }
 
--- a/fleet-lab/src/scenario/chain.rs
+++ b/fleet-lab/src/scenario/chain.rs
@@ -18,9 +18,9 @@
     pub(super) depth: u32,
     /// The number of endpoints in each tier.
     pub(super) endpoints_per_tier: u32,
-    /// How the endpoints of all tiers except the last behave.
+    /// The behaviour of the endpoints in all tiers except the last.
     pub(super) endpoint: &'a EndpointOptions,
-    /// How the endpoints of the last tier behave.
+    /// The behaviour of the endpoints in the last tier.
     pub(super) last_endpoint: &'a EndpointOptions,
     /// Seed of all random numbers.
     pub(super) seed: u64,
--- a/fleet-lab/src/scenario/client_connections.rs
+++ b/fleet-lab/src/scenario/client_connections.rs
@@ -1,15 +1,15 @@
-//! Connections that clients keep open to a sidecar. A connection has a pending request or is idle.
+//! Connections that clients keep open to a sidecar, each with a pending request or idle.
 
 use super::load::{SAFE_CLASS, UNSAFE_CLASS};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The longest time without data while an answer is read.
+/// The longest time without data while a response is read.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest number of headers of an answer.
+/// The largest number of headers of a response.
 const MAX_HEADERS: usize = 32;
-/// The largest answer in bytes, including its head.
+/// The largest length of a response in bytes, including its head.
 const MAX_RESPONSE_BYTES: usize = 16 << 10;
 
 /// Connections to one sidecar, which are closed when this value is dropped.
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Opens connections until there are `count`, each idle after one answered request.
+    /// Opens connections until there are `count`, each idle after one response.
     pub(super) fn open_idle(&mut self, count: usize) -> io::Result<()> {
         while self.connections.len() < count {
             let request = self.request("GET", SAFE_CLASS);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads one answer. It must have status 200 and a `Content-Length`.
+/// Reads one response. It must have status 200 and a `Content-Length`.
 fn read_response(connection: &mut TcpStream) -> io::Result<()> {
     let mut response = Vec::new();
     let mut chunk = [0; 4096];
@@ -88,12 +88,12 @@
             return Ok(());
         }
         if response.len() > MAX_RESPONSE_BYTES {
-            return Err(io::Error::other("the sidecar's answer is too long"));
+            return Err(io::Error::other("the sidecar's response is too long"));
         }
     }
 }
 
-/// Returns the length of an answer including its head, or `None` while the head is incomplete.
+/// Returns the length of a response including its head, or `None` while the head is incomplete.
 fn response_length(response: &[u8]) -> io::Result<Option<usize>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -102,7 +102,7 @@
     };
     if parsed.code != Some(200) {
         return Err(io::Error::other(format!(
-            "the sidecar answered with status {}, not 200",
+            "the sidecar responded with status {}, not 200",
             parsed.code.unwrap_or_default()
         )));
     }
@@ -113,5 +113,5 @@
     let length = length.and_then(|header| str::from_utf8(header.value).ok()?.parse::<usize>().ok());
     length
         .map(|length| Some(head + length))
-        .ok_or_else(|| io::Error::other("the sidecar's answer has no valid Content-Length"))
+        .ok_or_else(|| io::Error::other("the sidecar's response has no valid Content-Length"))
 }
--- a/fleet-lab/src/scenario/control_cost.rs
+++ b/fleet-lab/src/scenario/control_cost.rs
@@ -16,7 +16,7 @@
 
 /// The priority weight that every second reload gives the class of safe requests.
 const CHANGED_PRIORITY_WEIGHT: f64 = 0.9;
-/// How long a sidecar runs before its idle state is measured.
+/// The time for which a sidecar runs before its idle state is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// Endpoints that answer immediately, with load reports.
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -1,9 +1,9 @@
-//! Cost and duration of each fault that the operators plan for, in a fleet.
+//! Cost and duration of faults in a fleet. The experiment lists the faults that the operators plan for.
 //!
 //! There is one simulated sidecar for each endpoint. The model has two simplifications:
 //!
 //! - Sidecars on failed machines continue to call until they are restarted with their machines. A lost zone therefore
-//!   costs more calls than in the operators' plan.
+//!   costs more calls than the operators expect in production.
 //! - All sidecars reach the same endpoints. A partitioned region therefore loses discovery, but not the endpoints of
 //!   the other region.
 
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -8,7 +8,7 @@
 /// The longest time until all sidecars have the current list after a fault.
 pub(super) const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The fleet counts as recovered in a second with a smaller fraction of unserved calls.
+/// The fleet counts as recovered in a second if the fraction of unserved calls is smaller than this.
 const RECOVERED_FRACTION: f64 = 0.01;
 
 /// The cost of a fault for the fleet's callers, and the time until all sidecars have the current list.
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the fraction of a second's calls that were unserved, at most 1. Unserved calls count in the second in which
-/// they end, and may have started in the previous one.
+/// Returns the fraction of a second's calls that were unserved, at most 1. An unserved call counts in the second in
+/// which it ends, and may have started in the previous one.
 fn unserved_fraction(second: &SecondCounts) -> f64 {
     ratio(second.unserved, second.calls).min(1.0)
 }
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -17,7 +17,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// Zones of a fleet whose experiment has no topology. The operators' plan has the same number of zones.
+/// Zones of a fleet whose experiment has no topology. The operators plan for the same number of zones.
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 /// Time between the empty lines on an idle watch, as in the discovery protocol.
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -27,7 +27,7 @@
 const FLEET_THREADS: usize = 2;
 /// Mean service time of the endpoints.
 const MEAN_SERVICE_TIME: Duration = Duration::from_millis(5);
-/// Each sidecar whose number is a multiple of this value is busy: it receives more calls than the others.
+/// A sidecar is busy if its number is a multiple of this value. Busy sidecars receive more calls than the others.
 const BUSY_SIDECAR_INTERVAL: usize = 10;
 /// The rate of calls of a busy sidecar, as a multiple of the mean rate.
 const BUSY_RATE_MULTIPLE: f64 = 3.0;
@@ -38,8 +38,8 @@
     memory_mb: 128,
     descriptors: 1024,
 };
-/// Calls that discovery handles a second during the start. The experiment's capacity applies only afterwards because a
-/// start with that capacity would take minutes.
+/// Calls that discovery handles per second during the start. The experiment's capacity applies only afterwards,
+/// because a start with that capacity would take minutes.
 const START_CALLS_PER_SECOND: f64 = 1000.0;
 /// The longest time until all sidecars have an open watch.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
@@ -66,9 +66,9 @@
     pub sidecar_zones: Vec<ZoneName>,
     /// The cached list in the sidecars' configurations.
     pub cached_list: CachedList,
-    /// Mean calls a second of each sidecar.
+    /// Mean calls per second of each sidecar.
     pub calls_per_second: f64,
-    /// Whether an agent pushes lists or the decision module requests them.
+    /// The way in which sidecars get lists: an agent pushes them, or the decision module requests them.
     pub discovery_mode: DiscoveryMode,
     /// The capacity of discovery.
     pub capacity: DiscoveryCapacity,
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -11,7 +11,7 @@
     so the value may be a lower bound.";
 
 /// Adds quantiles of convergence times, and the number of sidecars that were missing at the timeout. A missing sidecar
-/// counts with the timeout, so the quantiles get a note and no slope.
+/// counts with the timeout. If any is missing, the quantiles get a note and no slope.
 pub(in crate::scenario) fn add_convergence_times(
     table: &mut MetricTable,
     state: &str,
--- a/fleet-lab/src/scenario/load.rs
+++ b/fleet-lab/src/scenario/load.rs
@@ -35,7 +35,7 @@
     latencies.value_at_quantile(quantile) as f64 / NANOSECONDS_PER_MILLISECOND
 }
 
-/// Describes the calls of a measurement that were not served. Returns `None` if all were served.
+/// Describes the calls that were not served, with the label of their measurement. Returns `None` if all were served.
 pub(super) fn describe_unserved(label: &str, result: &TargetResult) -> Option<String> {
     let TargetResult {
         requests,
--- a/fleet-lab/src/scenario/metric_table.rs
+++ b/fleet-lab/src/scenario/metric_table.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Omits the slope of a metric. For metrics whose values are bounds rather than measurements.
+    /// Omits the slope of a metric whose values are bounds rather than measurements.
     pub(super) fn omit_slope(&mut self, name: &str) {
         self.names_without_slope.insert(name.to_owned());
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the metrics without slopes. For sizes that are not quantities.
+    /// Returns the metrics without slopes, for tables whose sizes are not quantities.
     pub(super) fn without_slopes(self) -> Vec<Metric> {
         self.metrics
     }
--- a/fleet-lab/src/scenario/mod.rs
+++ b/fleet-lab/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! The scenario of each kind of experiment: the order in which it starts, loads, fails and measures the systems.
+//! The scenario of each kind of experiment: the steps that start the systems, load them, inject faults and measure.
 
 mod chain;
 mod client_connections;
--- a/fleet-lab/src/scenario/outcome.rs
+++ b/fleet-lab/src/scenario/outcome.rs
@@ -15,7 +15,7 @@
     pub problems: Vec<String>,
 }
 
-/// Why an experiment could not be run to its end.
+/// The reason why an experiment could not be run to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// A step failed.
@@ -32,7 +32,7 @@
     /// A simulated fleet could not be started.
     #[error("could not start the simulated sidecars: {0}")]
     Fleet(#[from] FleetError),
-    /// A state was not reached or a result is missing that the experiment needs.
+    /// A state was not reached, or a result or parameter that the experiment needs is missing.
     #[error("{0}")]
     Incomplete(String),
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Why a step failed.
+/// The cause of a failed step.
 #[derive(Debug, thiserror::Error)]
 pub enum StepError {
     /// An operation on a file, a thread or a socket failed.
--- a/fleet-lab/src/scenario/single_sidecar.rs
+++ b/fleet-lab/src/scenario/single_sidecar.rs
@@ -37,7 +37,7 @@
 pub(super) struct SingleSidecarOptions<'a> {
     /// The number of listed endpoints.
     pub(super) endpoints: u32,
-    /// How the endpoints behave.
+    /// The behaviour of the endpoints.
     pub(super) endpoint: &'a EndpointOptions,
     /// The deadline of the calls.
     pub(super) deadline: Duration,
@@ -47,8 +47,8 @@
     pub(super) seed: u64,
 }
 
-/// One sidecar that is ready, and the tier that it sends to. Its configuration states as many sidecars as
-/// endpoints, which gives the sidecar a subset as small as in a fleet.
+/// One sidecar that is ready, and the tier that it sends to. Its configuration gives the number of endpoints
+/// as the number of sidecars. The sidecar therefore has a subset as small as in a fleet.
 pub(super) struct SingleSidecar {
     pub(super) sidecar: SidecarProcess,
     pub(super) configuration: SidecarConfiguration,
--- a/fleet-lab/src/scenario/weight_change.rs
+++ b/fleet-lab/src/scenario/weight_change.rs
@@ -7,7 +7,7 @@
 /// The weight that every second change gives an endpoint.
 const CHANGED_WEIGHT: f64 = 0.9;
 
-/// Changes an endpoint's weight, or restores the initial one. Returns a copy of the changed entry.
+/// Sets an endpoint's weight to [`CHANGED_WEIGHT`], or back to [`INITIAL_WEIGHT`]. Returns a copy of the changed entry.
 pub(super) fn toggle_weight(entry: &mut EndpointEntry) -> EndpointEntry {
     entry.weight = if entry.weight == CHANGED_WEIGHT {
         INITIAL_WEIGHT
--- a/fleet-lab/src/sidecar/child.rs
+++ b/fleet-lab/src/sidecar/child.rs
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Returns whether the process has ended.
+    /// Returns true if the process has ended.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -19,7 +19,7 @@
 const MAX_ATTEMPTS: u32 = 3;
 /// The largest number of pending requests of a sidecar.
 const MAX_PENDING: u32 = 10_000;
-/// The time after a deadline within which an answer still counts.
+/// A response that arrives within this time after the deadline still counts.
 const RESPONSE_SLACK: Duration = Duration::from_millis(5);
 /// The longest time between two calls to discovery.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
@@ -42,7 +42,7 @@
 pub struct RequestClass {
     /// The name of the class.
     pub name: String,
-    /// Whether requests of the class must never run twice.
+    /// True if requests of the class must never run twice.
     pub is_unsafe: bool,
     /// The priority weight of each request.
     pub priority_weight: f64,
@@ -85,9 +85,9 @@
 /// The source of a sidecar's load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// Endpoints send load reports with their answers, and the sidecar may not make health checks.
+    /// Endpoints send load reports with all responses, and the sidecar may not make health checks.
     WithResponses,
-    /// Endpoints send load reports only with their answers to health checks.
+    /// Endpoints send load reports only with their responses to health checks.
     WithHealthChecks,
 }
 
@@ -104,7 +104,7 @@
     pub position: TierPosition,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Whether an agent pushes lists or the decision module requests them.
+    /// The way in which the sidecar gets lists: an agent pushes them, or the decision module requests them.
     pub discovery_mode: DiscoveryMode,
     /// The list that the sidecar uses until discovery has sent one.
     pub cached_list: Option<ListSnapshot>,
--- a/fleet-lab/src/sidecar/error.rs
+++ b/fleet-lab/src/sidecar/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// Why an operation on a sidecar process failed.
+/// The reason why an operation on a sidecar process failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SidecarError {
     /// An operation on a file, a process or a signal failed.
--- a/fleet-lab/src/sidecar/process.rs
+++ b/fleet-lab/src/sidecar/process.rs
@@ -88,7 +88,7 @@
         self.child.log()
     }
 
-    /// Returns whether `GET /ready` is answered with status 200.
+    /// Returns true if `GET /ready` gets status 200.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let request = "GET /ready HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n";
@@ -96,7 +96,7 @@
         response.split(' ').nth(1) == Some("200")
     }
 
-    /// Waits until `GET /ready` is answered with status 200. Returns the time that this took, or `None` after the
+    /// Waits until `GET /ready` gets status 200. Returns the time that this took, or `None` after the
     /// timeout.
     #[must_use]
     pub fn wait_until_ready(&self, timeout: Duration) -> Option<Duration> {
@@ -195,7 +195,7 @@
     command
 }
 
-/// Returns whether the name has the prefix of the program's environment variables.
+/// Returns true if the name has the prefix of the program's environment variables.
 fn is_program_variable(name: &OsStr) -> bool {
     name.as_encoded_bytes()
         .starts_with(ENVIRONMENT_PREFIX.as_bytes())
--- a/fleet-lab/src/sidecar/simulated/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long an endpoint takes to answer a health check.
+/// The time that an endpoint takes to respond to a health check.
 const HEALTH_CHECK_RESPONSE_TIME: Duration = Duration::from_millis(1);
-/// Timeout of a health check. The real sidecar has the same one.
+/// Timeout of a health check, which is the same as in the real sidecar.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The receiver of the results of attempts and health checks.
@@ -28,7 +28,7 @@
     pub request: RequestId,
     pub number: AttemptNumber,
     pub endpoint: Arc<SimulatedEndpoint>,
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub deadline: Instant,
     pub connect_timeout: Duration,
     /// The time that the endpoint takes to process the request.
--- a/fleet-lab/src/sidecar/simulated/endpoints.rs
+++ b/fleet-lab/src/sidecar/simulated/endpoints.rs
@@ -22,7 +22,7 @@
 pub(super) struct SimulatedEndpoint {
     in_flight: AtomicU64,
     is_unreachable: AtomicBool,
-    /// How often the endpoint has become unreachable.
+    /// The number of times that the endpoint has become unreachable.
     outages: AtomicU64,
     attempts: Mutex<AttemptsInSecond>,
 }
@@ -67,7 +67,7 @@
 }
 
 impl SimulatedEndpoint {
-    /// Makes the endpoint unreachable. Requests that are in flight will not be answered.
+    /// Makes the endpoint unreachable. Requests that are in flight get no response.
     pub fn make_unreachable(&self) {
         let was_unreachable = self.is_unreachable.swap(true, Ordering::Relaxed);
         if !was_unreachable {
@@ -80,18 +80,18 @@
         self.is_unreachable.store(false, Ordering::Relaxed);
     }
 
-    /// Returns whether new attempts cannot connect.
+    /// Returns true while new attempts cannot connect.
     pub fn is_unreachable(&self) -> bool {
         self.is_unreachable.load(Ordering::Relaxed)
     }
 
-    /// Returns how often the endpoint has become unreachable. An attempt gets no answer if this number changes during
-    /// the attempt.
+    /// Returns the number of times that the endpoint has become unreachable. An attempt gets no response if this number
+    /// changes during the attempt.
     pub fn outages(&self) -> u64 {
         self.outages.load(Ordering::Relaxed)
     }
 
-    /// Returns the load report for answers to requests and to health checks.
+    /// Returns the load report for responses to requests and to health checks.
     pub fn load_report(&self) -> LoadReport {
         let in_flight = self.in_flight.load(Ordering::Relaxed);
         let queued = in_flight.saturating_sub(CORES_PER_ENDPOINT);
--- a/fleet-lab/src/sidecar/simulated/error.rs
+++ b/fleet-lab/src/sidecar/simulated/error.rs
@@ -4,7 +4,7 @@
 use balancer_sidecar::policy::SettingsError;
 use std::io;
 
-/// Why a fleet could not be started.
+/// The reason why a fleet could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The settings of a sidecar are invalid.
@@ -20,7 +20,7 @@
     Thread(#[from] io::Error),
 }
 
-/// Why settings are invalid.
+/// The reason why settings are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSettings {
     /// The settings object is malformed.
--- a/fleet-lab/src/sidecar/simulated/milestones.rs
+++ b/fleet-lab/src/sidecar/simulated/milestones.rs
@@ -9,16 +9,16 @@
 /// them.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// The milestones of one sidecar since its last start. Each record carries a number of restarts, and records of earlier
-/// starts are ignored.
+/// The milestones of one sidecar since its last start. Each record carries a number of restarts. Records of
+/// earlier starts are ignored.
 #[derive(Debug, Default)]
 pub(super) struct Milestones(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    /// How often the sidecar has been restarted.
+    /// The number of times that the sidecar has been restarted.
     restarts: u64,
-    /// The generation of the discovery source: how often its address has changed since the last start.
+    /// The generation of the discovery source: the number of changes of its address since the last start.
     generation: u64,
     /// The received versions, in the order in which they were received.
     versions: Vec<ReceivedVersion>,
@@ -63,8 +63,8 @@
         });
     }
 
-    /// Records whether the sidecar is ready. A sidecar that stays ready keeps the time at which it
-    /// became ready.
+    /// Records that the sidecar is ready or not ready. A sidecar that stays ready keeps the time at which it became
+    /// ready.
     pub fn record_readiness(&self, restarts: u64, is_ready: bool) {
         self.record(restarts, |state, now| {
             state.ready_at = is_ready.then(|| state.ready_at.unwrap_or(now));
--- a/fleet-lab/src/sidecar/simulated/pending_calls.rs
+++ b/fleet-lab/src/sidecar/simulated/pending_calls.rs
@@ -18,7 +18,7 @@
     fn call(&self);
 }
 
-/// Generates calls in an open loop: the times between calls do not depend on answers. Returns only if there are no
+/// Generates calls in an open loop: the times between calls do not depend on responses. Returns only if there are no
 /// calls.
 pub(super) async fn generate_calls(target: impl CallTarget) {
     let mut due = Instant::now();
@@ -54,14 +54,14 @@
 
 /// An attempt that has just ended.
 pub(super) struct EndedAttempt {
-    /// When the attempt was sent.
+    /// The time at which the attempt was sent.
     pub sent: Timestamp,
-    /// Whether the call has its final answer.
+    /// True if the call has its final response.
     pub call_is_answered: bool,
 }
 
 impl PendingCall {
-    /// Returns whether the call is answered and has no attempts in flight.
+    /// Returns true if the call is answered and has no attempts in flight.
     fn is_complete(&self) -> bool {
         let has_attempts_in_flight = self.attempts.iter().any(|record| record.task.is_some());
         self.is_answered && !has_attempts_in_flight
@@ -81,7 +81,7 @@
         );
     }
 
-    /// Returns the number of calls without an answer.
+    /// Returns the number of calls without a final response.
     pub fn unanswered_count(&self) -> u64 {
         self.0.values().filter(|call| !call.is_answered).count() as u64
     }
@@ -103,8 +103,9 @@
         }
     }
 
-    /// Ends an attempt and drops its task. Returns `None` if the attempt is unknown or has already ended. A served
-    /// attempt counts as the answer of its call in the returned value; [`PendingCalls::mark_answered`] marks the call.
+    /// Ends an attempt and drops its task. Returns `None` if the attempt is unknown or has already ended. In the
+    /// returned value, the call of a served attempt counts as answered. [`PendingCalls::mark_answered`] marks the call
+    /// itself.
     pub fn end_attempt(
         &mut self,
         request: &RequestId,
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -44,7 +44,7 @@
     subscription: Subscription,
     pending_calls: PendingCalls,
     calls_started: u64,
-    /// Whether calls are generated. This starts when the sidecar first becomes ready.
+    /// True if calls are generated, which starts when the sidecar first becomes ready.
     callers_started: bool,
     /// Seed of this incarnation's random numbers.
     seed: u64,
@@ -193,7 +193,7 @@
 }
 
 impl AttemptObserver for SidecarHandle {
-    /// Handles the end of an attempt. The first served attempt answers its call.
+    /// Handles the end of an attempt. A call is answered by its first served attempt.
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult) {
         let mut sidecar = self.borrow();
         let served = result.outcome == Outcome::Served;
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Starts an attempt, unless its call is answered or its endpoint is not listed. Such an attempt ends as not sent.
+    /// Starts an attempt. If its call is answered or its endpoint is not listed, the attempt ends as not sent.
     fn send(
         &mut self,
         handle: &SidecarHandle,
@@ -112,7 +112,7 @@
         self.pending_calls.remove_if_complete(request);
     }
 
-    /// Answers a call as rejected or failed, unless it is already answered.
+    /// Marks a call as answered and counts it as unserved, unless it is already answered.
     fn end_unserved(&mut self, request: &RequestId) {
         if self.pending_calls.mark_answered(request) {
             self.fleet.counters.count_unserved(1);
