--- a/fleet-lab/tests/caller.rs
+++ b/fleet-lab/tests/caller.rs
@@ -178,7 +178,7 @@
 }
 
 /// Returns a target with safe requests of the class `browse`.
-fn target(address: SocketAddr) -> LoadTarget {
+fn browse_target(address: SocketAddr) -> LoadTarget {
     LoadTarget {
         address,
         calls_per_second: 200.0,
@@ -227,7 +227,10 @@
         Reaction::Respond(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nok"))
     });
     let serving = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
-    let results = run_load(vec![target(server.address), target(serving.address)]);
+    let results = run_load(vec![
+        browse_target(server.address),
+        browse_target(serving.address),
+    ]);
     let received = server.received().len();
     assert_eq!(results[0].requests as usize, received);
     assert_eq!(results[0].served as usize, received.div_ceil(4));
@@ -241,11 +244,11 @@
 #[test]
 fn requests_match_protocol() {
     let server = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
-    let mut order = target(server.address);
+    let mut order = browse_target(server.address);
     order.class = "order".into();
     order.is_unsafe = true;
     order.deadline = Duration::from_millis(2500);
-    run_load(vec![target(server.address), order]);
+    run_load(vec![browse_target(server.address), order]);
     let received = server.received();
     let ids: BTreeSet<&str> = received
         .iter()
@@ -276,7 +279,10 @@
 fn same_seed_gives_same_arrivals() {
     let server = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
     let counts = [(); 2].map(|()| {
-        let results = run_load(vec![target(server.address), target(server.address)]);
+        let results = run_load(vec![
+            browse_target(server.address),
+            browse_target(server.address),
+        ]);
         results
             .iter()
             .map(|result| result.requests)
@@ -298,7 +304,7 @@
 #[test]
 fn warm_up_requests_are_not_counted() {
     let server = StubServer::start(|_, _| Reaction::Respond(OK_RESPONSE.into()));
-    let targets = vec![target(server.address)];
+    let targets = vec![browse_target(server.address)];
     let (warm_up, duration) = (Duration::from_millis(300), Duration::from_millis(100));
     let results = run(&LoadPlan {
         targets,
@@ -322,7 +328,7 @@
         }
         Reaction::Respond(OK_RESPONSE.into())
     });
-    let result = run_one(target(server.address));
+    let result = run_one(browse_target(server.address));
     assert!(
         result.requests as usize > OTHERS,
         "the schedule has only {} requests",
@@ -336,7 +342,7 @@
 fn connection_close_response_is_served() {
     let closing = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone";
     let server = StubServer::start(move |_, _| Reaction::RespondAndClose(closing.into()));
-    let result = run_one(target(server.address));
+    let result = run_one(browse_target(server.address));
     assert_eq!(
         (result.served, result.connections),
         (result.requests, result.requests)
@@ -350,7 +356,7 @@
         0 => Reaction::Respond(OK_RESPONSE.into()),
         _ => Reaction::Close,
     });
-    let result = run_one(target(server.address));
+    let result = run_one(browse_target(server.address));
     assert_eq!(result.served, result.requests);
     let received = server.received();
     let ids: BTreeSet<&str> = received
@@ -371,7 +377,7 @@
 #[test]
 fn request_on_closed_new_connection_fails() {
     let server = StubServer::start(|_, _| Reaction::Close);
-    let result = run_one(target(server.address));
+    let result = run_one(browse_target(server.address));
     assert_eq!(result.failed, result.requests);
     assert_eq!(server.received().len() as u64, result.requests);
 }
@@ -379,7 +385,7 @@
 #[test]
 fn requests_without_response_expire() {
     let server = StubServer::start(|_, _| Reaction::NoResponse);
-    let mut target = target(server.address);
+    let mut target = browse_target(server.address);
     target.deadline = Duration::from_millis(50);
     let result = run_one(target);
     assert_eq!(
@@ -395,7 +401,10 @@
     drop(listener);
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n";
     let server = StubServer::start(move |_, _| Reaction::Respond(chunked.into()));
-    let results = run_load(vec![target(refusing_address), target(server.address)]);
+    let results = run_load(vec![
+        browse_target(refusing_address),
+        browse_target(server.address),
+    ]);
     assert!(
         results
             .iter()
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -45,14 +45,15 @@
     entry(name, EndpointStatus::Serving)
 }
 
-fn start(options: DiscoveryOptions) -> DiscoveryServer {
+/// Starts a discovery service with the serving endpoints `a` and `b`.
+fn start_server(options: DiscoveryOptions) -> DiscoveryServer {
     DiscoveryServer::start(options, &zones(), vec![serving("a"), serving("b")]).unwrap()
 }
 
 /// Guards the fields of an entry, the version, and the removal of deleted entries.
 #[test]
 fn full_list_matches_protocol() {
-    let server = start(options());
+    let server = start_server(options());
     let mut client = Client::connect(&server, 0);
     client.get(LIST_PATH);
     let (status, body) = client.response();
@@ -86,7 +87,7 @@
 /// A watch from an older version first gets one message with the changes since that version.
 #[test]
 fn watch_sends_past_and_new_changes_in_order() {
-    let server = start(options());
+    let server = start_server(options());
     server.publish(vec![serving("c"), entry("a", EndpointStatus::Draining)]);
     server.publish(vec![entry("a", EndpointStatus::Deleted)]);
     let mut behind = Client::watch(&server, 0, "&since=1");
@@ -121,7 +122,7 @@
 
 #[test]
 fn watch_from_unretained_version_gets_full_list() {
-    let server = start(options());
+    let server = start_server(options());
     for _ in 0..4 {
         server.publish(vec![entry("b", EndpointStatus::Draining)]);
     }
@@ -140,7 +141,7 @@
 /// A heartbeat is an empty line. Its bytes are counted in the usage.
 #[test]
 fn idle_watch_gets_heartbeats() {
-    let server = start(DiscoveryOptions {
+    let server = start_server(DiscoveryOptions {
         heartbeat: Duration::from_millis(5),
         ..options()
     });
@@ -161,7 +162,7 @@
 #[test]
 fn lagging_watch_resumes_from_full_list() {
     const VERSIONS: u64 = 3_000;
-    let server = start(options());
+    let server = start_server(options());
     let mut watch = Client::watch(&server, 0, "&since=1");
     let long_entry = EndpointEntry {
         kind: "x".repeat(20 << 10),
@@ -195,7 +196,7 @@
 fn calls_beyond_capacity_are_rejected() {
     const CALLERS: u64 = 40;
     let queue_timeout = Duration::from_millis(100);
-    let server = start(DiscoveryOptions {
+    let server = start_server(DiscoveryOptions {
         calls_per_second: 2.0,
         queue_timeout,
         ..options()
@@ -224,7 +225,7 @@
 #[test]
 fn changed_capacity_applies_to_later_calls() {
     let queue_timeout = Duration::from_millis(100);
-    let server = start(DiscoveryOptions {
+    let server = start_server(DiscoveryOptions {
         queue_timeout,
         ..options()
     });
@@ -242,7 +243,7 @@
 #[test]
 fn entry_rate_delays_later_calls() {
     // Two entries take 0.2 s, which is longer than the queue timeout.
-    let server = start(DiscoveryOptions {
+    let server = start_server(DiscoveryOptions {
         entries_per_second: Some(10.0),
         queue_timeout: Duration::from_millis(100),
         ..options()
@@ -258,7 +259,7 @@
 /// With `EndWatch`, a watch can resume only from the current version.
 #[test]
 fn watch_after_ended_watch_gets_full_list() {
-    let server = start(DiscoveryOptions {
+    let server = start_server(DiscoveryOptions {
         on_change: ListChangeAction::EndWatch,
         ..options()
     });
@@ -276,7 +277,7 @@
 /// The call of a client that disconnects is counted, and the calls behind it do not move up.
 #[test]
 fn disconnected_queued_call_keeps_its_slot() {
-    let server = start(DiscoveryOptions {
+    let server = start_server(DiscoveryOptions {
         calls_per_second: 1.0,
         ..options()
     });
@@ -305,7 +306,7 @@
 
 #[test]
 fn outage_resets_and_refuses_connections() {
-    let server = start(options());
+    let server = start_server(options());
     let address = server.address(&zones()[0]);
     let mut watch = Client::watch(&server, 0, "&since=1");
     let mut idle = Client::connect(&server, 1);
@@ -328,7 +329,7 @@
 /// Connections of the zone stay open without traffic and are reset when the partition heals.
 #[test]
 fn partitioned_zone_has_no_traffic_until_healed() {
-    let server = start(options());
+    let server = start_server(options());
     let [partitioned, other] = [&zones()[0], &zones()[1]];
     let mut partitioned_watch = Client::watch(&server, 0, "&since=1");
     let mut other_watch = Client::watch(&server, 1, "&since=1");
@@ -361,7 +362,7 @@
 
 #[test]
 fn malformed_and_unknown_requests_are_rejected() {
-    let server = start(options());
+    let server = start_server(options());
     let long_header = format!(
         "GET {LIST_PATH} HTTP/1.1\r\nX: {}\r\n",
         "x".repeat(20 << 10)
@@ -412,7 +413,7 @@
     use http_body_util::{BodyExt, Empty};
     use hyper::Request;
     use hyper::body::Bytes;
-    let server = start(options());
+    let server = start_server(options());
     let stream = tokio::net::TcpStream::connect(server.address(&zones()[0]))
         .await
         .unwrap();
--- a/fleet-lab/tests/endpoint.rs
+++ b/fleet-lab/tests/endpoint.rs
@@ -35,11 +35,12 @@
     }
 }
 
-fn host() -> EndpointHost {
+fn start_host() -> EndpointHost {
     EndpointHost::start(2, SEED).unwrap()
 }
 
-fn add(
+/// Starts an endpoint. With a `next_sidecar`, it calls the next tier through that sidecar.
+fn add_endpoint(
     host: &EndpointHost,
     options: EndpointOptions,
     next_sidecar: Option<SocketAddr>,
@@ -55,8 +56,8 @@
 /// A request without an id gets status 404, and one whose deadline has passed gets status 503.
 #[test]
 fn requests_need_id_and_remaining_time() {
-    let host = host();
-    let endpoint = add(&host, options(), None);
+    let host = start_host();
+    let endpoint = add_endpoint(&host, options(), None);
     let mut connection = Connection::open(endpoint.entry().address);
     let served = connection.call(&get_request("1f"));
     assert_eq!((served.status(), served.body.len()), ("200", 32));
@@ -92,8 +93,8 @@
 
 #[test]
 fn request_body_must_be_complete_and_not_chunked() {
-    let host = host();
-    let endpoint = add(&host, options(), None);
+    let host = start_host();
+    let endpoint = add_endpoint(&host, options(), None);
     let mut connection = Connection::open(endpoint.entry().address);
     connection.send("POST /api HTTP/1.1\r\nX-Request-Id: 1f\r\nContent-Length: 10\r\n\r\n01234");
     assert_eq!(
@@ -110,8 +111,8 @@
 
 #[test]
 fn full_queue_rejects_until_queued_client_disconnects() {
-    let host = host();
-    let endpoint = add(
+    let host = start_host();
+    let endpoint = add_endpoint(
         &host,
         EndpointOptions {
             service_time: ENDLESS_WORK,
@@ -182,9 +183,9 @@
 /// Repeats the four requests until three of them were queued at the same time.
 #[test]
 fn queued_requests_are_served_in_order() {
-    let host = host();
+    let host = start_host();
     let service_time = ServiceTime::Fixed { milliseconds: 50.0 };
-    let endpoint = add(
+    let endpoint = add_endpoint(
         &host,
         EndpointOptions {
             service_time,
@@ -213,8 +214,8 @@
 
 #[test]
 fn health_checks_need_load_reports() {
-    let host = host();
-    let endpoint = add(&host, options(), None);
+    let host = start_host();
+    let endpoint = add_endpoint(&host, options(), None);
     assert_eq!(
         check_health(endpoint.entry().address, "/health").status(),
         "200"
@@ -226,7 +227,7 @@
         (2, 0)
     );
 
-    let endpoint = add(
+    let endpoint = add_endpoint(
         &host,
         EndpointOptions {
             load_reports: false,
@@ -243,13 +244,13 @@
 
 #[test]
 fn slow_start_lengthens_service_time() {
-    let host = host();
+    let host = start_host();
     let service_time = ServiceTime::Fixed { milliseconds: 20.0 };
     let slow_start = Some(SlowStart {
         initial_capacity: 1e-6,
         warm_up_milliseconds: 3_600_000_000,
     });
-    let warming = add(
+    let warming = add_endpoint(
         &host,
         EndpointOptions {
             service_time,
@@ -258,7 +259,7 @@
         },
         None,
     );
-    let warm = add(
+    let warm = add_endpoint(
         &host,
         EndpointOptions {
             service_time,
@@ -284,8 +285,8 @@
 /// Stopping resets open connections. A restarted endpoint has the same address.
 #[test]
 fn stopped_endpoint_refuses_connections_until_restart() {
-    let host = host();
-    let endpoint = add(&host, options(), None);
+    let host = start_host();
+    let endpoint = add_endpoint(&host, options(), None);
     let address = endpoint.entry().address;
     let mut connection = Connection::open(address);
     assert_eq!(connection.call(&get_request("1f")).status(), "200");
@@ -314,8 +315,8 @@
 /// Resuming resets the connections with a pending request and keeps the idle ones.
 #[test]
 fn hanging_endpoint_does_not_respond_until_resumed() {
-    let host = host();
-    let endpoint = add(&host, options(), None);
+    let host = start_host();
+    let endpoint = add_endpoint(&host, options(), None);
     let address = endpoint.entry().address;
     let mut idle = Connection::open(address);
     assert_eq!(idle.call(&get_request("1f")).status(), "200");
@@ -338,8 +339,8 @@
 
 #[test]
 fn error_rate_of_one_fails_all_requests() {
-    let host = host();
-    let endpoint = add(
+    let host = start_host();
+    let endpoint = add_endpoint(
         &host,
         EndpointOptions {
             error_rate: 1.0,
@@ -357,8 +358,10 @@
 
 #[test]
 fn endpoints_have_distinct_addresses() {
-    let host = host();
-    let endpoints: Vec<_> = (0..500).map(|_| add(&host, options(), None)).collect();
+    let host = start_host();
+    let endpoints: Vec<_> = (0..500)
+        .map(|_| add_endpoint(&host, options(), None))
+        .collect();
     let addresses: HashSet<_> = endpoints
         .iter()
         .map(|endpoint| endpoint.entry().address)
@@ -418,8 +421,8 @@
 
 #[test]
 fn next_tier_call_has_new_id_and_remaining_time() {
-    let host = host();
-    let last = add(&host, options(), None);
+    let host = start_host();
+    let last = add_endpoint(&host, options(), None);
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let rejected = "HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
     let actions = vec![
@@ -429,7 +432,7 @@
         StubAction::Respond(rejected),
     ];
     let (sidecar, stub) = start_stub_sidecar(actions);
-    let first = add(&host, options(), Some(sidecar));
+    let first = add_endpoint(&host, options(), Some(sidecar));
     let mut connection = Connection::open(first.entry().address);
     assert_eq!(connection.call(&get_request("1f")).body.len(), 32);
     let post =
--- a/fleet-lab/tests/report.rs
+++ b/fleet-lab/tests/report.rs
@@ -56,7 +56,7 @@
     }
 }
 
-fn report() -> Report {
+fn sample_report() -> Report {
     let slope = Slope {
         intercept: 100.0,
         per_unit: 1.5,
@@ -91,14 +91,14 @@
 
 #[test]
 fn renders_markdown() {
-    assert_eq!(report().markdown(), MARKDOWN);
+    assert_eq!(sample_report().markdown(), MARKDOWN);
 }
 
 #[test]
 fn write_replaces_previous_report() {
     let folder = tempfile::tempdir().unwrap();
     let output = folder.path().join("new").join("folder");
-    let mut report = report();
+    let mut report = sample_report();
     report.write(&output).unwrap();
     report.program = "later".into();
     report.write(&output).unwrap();
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -29,7 +29,10 @@
     }
 }
 
-fn configuration(discovery: SocketAddr, endpoints: Vec<EndpointEntry>) -> SidecarConfiguration {
+fn sidecar_configuration(
+    discovery: SocketAddr,
+    endpoints: Vec<EndpointEntry>,
+) -> SidecarConfiguration {
     SidecarConfiguration {
         name: "n0".into(),
         zone: "a".into(),
@@ -122,7 +125,8 @@
 
 #[test]
 fn settings_have_configured_values() {
-    let mut configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
+    let mut configuration =
+        sidecar_configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
     let settings =
         parse_settings(&configuration.settings().to_string()).expect("the settings are parsed");
     settings.validate().expect("the settings are valid");
@@ -158,7 +162,8 @@
 #[test]
 fn sidecar_serves_until_killed() {
     let discovery = unresponsive_listener();
-    let configuration = configuration(address_of(&discovery), vec![entry(start_endpoint())]);
+    let configuration =
+        sidecar_configuration(address_of(&discovery), vec![entry(start_endpoint())]);
     let sidecar =
         SidecarProcess::start(sidecar_program(), &configuration).expect("the sidecar starts");
     assert!(
@@ -189,7 +194,7 @@
 #[test]
 fn reload_applies_valid_and_rejects_invalid_configuration() {
     let discovery = unresponsive_listener();
-    let first = configuration(address_of(&discovery), vec![entry(start_endpoint())]);
+    let first = sidecar_configuration(address_of(&discovery), vec![entry(start_endpoint())]);
     let sidecar = SidecarProcess::start(sidecar_program(), &first).expect("the sidecar starts");
     let mut second = first.clone();
     second.classes.push(class("search", false));
@@ -213,7 +218,7 @@
 
 #[test]
 fn start_error_quotes_log() {
-    let configuration = configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
+    let configuration = sidecar_configuration(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
     let error = SidecarProcess::start(Path::new("true"), &configuration)
         .expect_err("the program ends without listening");
     assert!(
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -30,7 +30,8 @@
     "north".into()
 }
 
-fn discovery(endpoints: u32) -> DiscoveryServer {
+/// Starts a discovery service that lists this number of serving endpoints.
+fn start_discovery(endpoints: u32) -> DiscoveryServer {
     let options = DiscoveryOptions {
         calls_per_second: 400.0,
         queue_timeout: Duration::from_secs(2),
@@ -92,7 +93,8 @@
     }
 }
 
-fn fleet(discovery: &DiscoveryServer, discovery_mode: DiscoveryMode) -> SimulatedFleet {
+/// Starts a fleet of [`SIDECARS`] sidecars without cached lists.
+fn start_fleet(discovery: &DiscoveryServer, discovery_mode: DiscoveryMode) -> SimulatedFleet {
     let configurations: Vec<_> = (0..SIDECARS)
         .map(|number| configuration(number, discovery, discovery_mode))
         .collect();
@@ -114,6 +116,7 @@
     );
 }
 
+/// Waits until all sidecars have an open watch, according to the fleet and to discovery.
 fn wait_until_watching(fleet: &SimulatedFleet, discovery: &DiscoveryServer) {
     assert_all_reached(&fleet.wait_until_watching(Instant::now(), TIMEOUT));
     wait_until("each sidecar has an open watch", TIMEOUT, || {
@@ -131,9 +134,9 @@
 }
 
 fn assert_versions_reach_all_sidecars(discovery_mode: DiscoveryMode) {
-    let discovery = discovery(8);
+    let discovery = start_discovery(8);
     let started = Instant::now();
-    let fleet = fleet(&discovery, discovery_mode);
+    let fleet = start_fleet(&discovery, discovery_mode);
     assert_all_reached(&fleet.wait_until_ready(started, TIMEOUT));
     wait_until_watching(&fleet, &discovery);
     assert_none_reached(&fleet.wait_for_version(2, started, QUIET_TIME));
@@ -169,8 +172,8 @@
 
 #[test]
 fn call_counts_add_up() {
-    let discovery = discovery(16);
-    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
+    let discovery = start_discovery(16);
+    let fleet = start_fleet(&discovery, DiscoveryMode::Pushed);
     wait_until("100 calls are served", TIMEOUT, || {
         fleet.usage().served >= 100
     });
@@ -187,7 +190,7 @@
 
 #[test]
 fn cached_list_serves_calls_during_outage() {
-    let discovery = discovery(4);
+    let discovery = start_discovery(4);
     discovery.begin_outage();
     let cached_list = Some(discovery.snapshot());
     let configurations: Vec<_> = (0..SIDECARS)
@@ -206,9 +209,9 @@
 /// Without a cached list, a sidecar is not ready before discovery has sent a list.
 #[test]
 fn first_call_waits_until_sidecar_is_ready() {
-    let discovery = discovery(4);
+    let discovery = start_discovery(4);
     discovery.begin_outage();
-    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
+    let fleet = start_fleet(&discovery, DiscoveryMode::Pushed);
     assert_none_reached(&fleet.wait_until_ready(Instant::now(), QUIET_TIME));
     assert_eq!(fleet.usage().calls, 0);
     discovery.end_outage();
@@ -218,8 +221,8 @@
 
 #[test]
 fn restarted_sidecars_open_new_watches() {
-    let discovery = discovery(4);
-    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
+    let discovery = start_discovery(4);
+    let fleet = start_fleet(&discovery, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &discovery);
     fleet.restart(&[1, 4]);
     assert_all_reached(&fleet.wait_until_ready(Instant::now(), TIMEOUT));
@@ -232,8 +235,8 @@
 }
 
 fn assert_change_arrives_after_outage(discovery_mode: DiscoveryMode) {
-    let discovery = discovery(4);
-    let fleet = fleet(&discovery, discovery_mode);
+    let discovery = start_discovery(4);
+    let fleet = start_fleet(&discovery, discovery_mode);
     wait_until_watching(&fleet, &discovery);
     discovery.begin_outage();
     let version = discovery.publish(vec![endpoint(0, EndpointStatus::Draining)]);
@@ -258,8 +261,8 @@
 
 #[test]
 fn reloaded_sidecars_watch_new_discovery() {
-    let (first, second) = (discovery(4), discovery(4));
-    let fleet = fleet(&first, DiscoveryMode::Pushed);
+    let (first, second) = (start_discovery(4), start_discovery(4));
+    let fleet = start_fleet(&first, DiscoveryMode::Pushed);
     wait_until_watching(&fleet, &first);
     let reloaded = [0, 3, 5];
     fleet.reload(&reloaded, |index| {
@@ -282,8 +285,8 @@
 
 #[test]
 fn unreachable_endpoint_serves_no_calls() {
-    let discovery = discovery(1);
-    let fleet = fleet(&discovery, DiscoveryMode::Pushed);
+    let discovery = start_discovery(1);
+    let fleet = start_fleet(&discovery, DiscoveryMode::Pushed);
     wait_until("calls are served", TIMEOUT, || fleet.usage().served >= 20);
     let only_endpoint: [EndpointName; 1] = ["endpoint-0".into()];
     fleet.make_unreachable(&only_endpoint);
@@ -306,7 +309,7 @@
 /// Attempts take 60 ms on average, so some are in flight when the endpoint becomes unreachable.
 #[test]
 fn unreachable_endpoint_loses_attempts_in_flight() {
-    let discovery = discovery(1);
+    let discovery = start_discovery(1);
     let configurations: Vec<_> = (0..SIDECARS)
         .map(|number| configuration(number, &discovery, DiscoveryMode::Pushed))
         .collect();
--- a/fleet-lab/tests/topology.rs
+++ b/fleet-lab/tests/topology.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn topology() -> Topology {
+fn generate_topology() -> Topology {
     Topology::generate(&topology_size(), SEED)
 }
 
@@ -40,14 +40,17 @@
 
 #[test]
 fn topology_depends_on_seed() {
-    assert_eq!(topology(), topology());
-    assert_ne!(topology(), Topology::generate(&topology_size(), SEED + 1));
+    assert_eq!(generate_topology(), generate_topology());
+    assert_ne!(
+        generate_topology(),
+        Topology::generate(&topology_size(), SEED + 1)
+    );
 }
 
 /// The distribution is even over zones and racks, and uneven over services.
 #[test]
 fn endpoints_are_distributed_over_zones_racks_and_services() {
-    let topology = topology();
+    let topology = generate_topology();
     assert_eq!(topology.zones.len(), 8);
     assert_eq!(topology.zones[5].as_str(), "r2-z2");
     assert_eq!(
@@ -82,7 +85,7 @@
 
 #[test]
 fn placement_names_are_consistent() {
-    for placement in &topology().placements {
+    for placement in &generate_topology().placements {
         assert!(
             placement
                 .zone
@@ -99,7 +102,7 @@
         );
     }
     assert_eq!(
-        topology().placements[122].endpoint.as_str(),
+        generate_topology().placements[122].endpoint.as_str(),
         "endpoint-0123"
     );
 }
@@ -134,7 +137,7 @@
 
 #[test]
 fn machine_faults_affect_distinct_endpoints() {
-    let topology = topology();
+    let topology = generate_topology();
     for fault in [
         Fault::Machines { count: 32 },
         Fault::RollingRestart { count: 32, wave: 4 },
@@ -153,7 +156,7 @@
 /// A zone fault also partitions the zone from discovery.
 #[test]
 fn rack_and_zone_faults_affect_all_their_endpoints() {
-    let topology = topology();
+    let topology = generate_topology();
     let rack = Fault::Rack.impact(&topology, SEED);
     let in_rack = |placement: &&Placement| Some(&placement.rack) == rack.rack.as_ref();
     assert_eq!(
@@ -181,7 +184,7 @@
 
 #[test]
 fn region_partition_affects_zones_but_no_endpoints() {
-    let topology = topology();
+    let topology = generate_topology();
     let impact = Fault::RegionPartition.impact(&topology, SEED);
     let region = impact.region.clone().unwrap();
     assert!(impact.endpoints.is_empty());
