--- a/fleet-lab/src/command/mod.rs
+++ b/fleet-lab/src/command/mod.rs
@@ -94,15 +94,15 @@
     label: Option<String>,
 }
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// An experiment cannot be used.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     /// Some of the checked files cannot be used. The reasons were printed.
-    #[error("{faulty} of {checked} files cannot be used")]
-    Check { faulty: usize, checked: usize },
+    #[error("{unusable} of {checked} files cannot be used")]
+    Check { unusable: usize, checked: usize },
     /// The folder contains no experiments.
     #[error("{} contains no experiments", .0.display())]
     NoExperiments(PathBuf),
--- a/fleet-lab/src/scenario/failures.rs
+++ b/fleet-lab/src/scenario/failures.rs
@@ -1,9 +1,9 @@
-//! Cost and duration of each fault that the operators plan for, in a fleet.
+//! Cost and duration of faults in a fleet. The experiment lists the faults that the operators plan for.
 //!
 //! There is one simulated sidecar for each endpoint. The model has two simplifications:
 //!
 //! - Sidecars on failed machines continue to call until they are restarted with their machines. A lost zone therefore
-//!   costs more calls than in the operators' plan.
+//!   costs more calls than the operators expect in production.
 //! - All sidecars reach the same endpoints. A partitioned region therefore loses discovery, but not the endpoints of
 //!   the other region.
 
@@ -49,7 +49,7 @@
         );
         descriptions.push(format!("{number}: {}", describe_fault(fault, &impact)));
     }
-    table.note_all(&format!("{}.", descriptions.join("; ")));
+    table.add_note_to_all(&format!("{}.", descriptions.join("; ")));
     Ok(ScenarioOutcome {
         metrics: table.without_slopes(),
         problems: Vec::new(),
@@ -99,12 +99,13 @@
     let from = fleet.current_second();
     let last_version = injector.inject(fault, impact);
     let ended = Instant::now();
-    let current = fleet
-        .sidecars
-        .wait_for_version(last_version, ended, CONVERGENCE_TIMEOUT);
+    let convergence_times =
+        fleet
+            .sidecars
+            .wait_for_version(last_version, ended, CONVERGENCE_TIMEOUT);
     thread::sleep(pause.saturating_sub(ended.elapsed()));
     FaultCost {
-        current: Some(current),
+        convergence_times: Some(convergence_times),
         ..FaultCost::from_seconds(&fleet.seconds_since(from))
     }
 }
--- a/fleet-lab/src/scenario/failures/cost.rs
+++ b/fleet-lab/src/scenario/failures/cost.rs
@@ -8,7 +8,7 @@
 /// The longest time until all sidecars have the current list after a fault.
 pub(super) const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The fleet counts as recovered in a second with a smaller fraction of unserved calls.
+/// The fleet counts as recovered in a second if the fraction of unserved calls is smaller than this.
 const RECOVERED_FRACTION: f64 = 0.01;
 
 /// The cost of a fault for the fleet's callers, and the time until all sidecars have the current list.
@@ -28,7 +28,7 @@
     pub seconds_until_recovered: usize,
     /// The times at which the sidecars received the last change, counted from the end of the fault. `None` if there was
     /// no fault.
-    pub current: Option<ConvergenceTimes>,
+    pub convergence_times: Option<ConvergenceTimes>,
 }
 
 impl FaultCost {
@@ -48,13 +48,13 @@
                 .map(|second| retries_per_call(second.attempts, second.calls))
                 .fold(0.0, f64::max),
             seconds_until_recovered: last_unrecovered.map_or(0, |index| index + 1),
-            current: None,
+            convergence_times: None,
         }
     }
 }
 
-/// Returns the fraction of a second's calls that were unserved, at most 1. Unserved calls count in the second in which
-/// they end, and may have started in the previous one.
+/// Returns the fraction of a second's calls that were unserved, at most 1. An unserved call counts in the second in
+/// which it ends, and may have started in the previous one.
 fn unserved_fraction(second: &SecondCounts) -> f64 {
     ratio(second.unserved, second.calls).min(1.0)
 }
@@ -101,13 +101,13 @@
         "a call",
         cost.worst_retries_per_call,
     );
-    if let Some(current) = &cost.current {
+    if let Some(convergence_times) = &cost.convergence_times {
         add_convergence_times(
             table,
             "list current after the fault's end",
             &[("last", 1.0)],
             number,
-            current,
+            convergence_times,
             CONVERGENCE_TIMEOUT,
         );
     }
--- a/fleet-lab/src/scenario/fleet/metrics.rs
+++ b/fleet-lab/src/scenario/fleet/metrics.rs
@@ -11,7 +11,7 @@
     so the value may be a lower bound.";
 
 /// Adds quantiles of convergence times, and the number of sidecars that were missing at the timeout. A missing sidecar
-/// counts with the timeout, so the quantiles get a note and no slope.
+/// counts with the timeout. If any is missing, the quantiles get a note and no slope.
 pub(in crate::scenario) fn add_convergence_times(
     table: &mut MetricTable,
     state: &str,
@@ -25,7 +25,7 @@
         let time = quantile(times, *fraction).unwrap_or(timeout);
         table.add(&name, "ms", size, milliseconds(time));
         if times.missing > 0 {
-            table.note(&name, MISSING_NOTE);
+            table.add_note(&name, MISSING_NOTE);
             table.omit_slope(&name);
         }
     }
--- a/fleet-lab/src/scenario/metric_table.rs
+++ b/fleet-lab/src/scenario/metric_table.rs
@@ -44,7 +44,7 @@
     }
 
     /// Adds a note to a metric, unless the metric already has the note or does not exist.
-    pub(super) fn note(&mut self, name: &str, note: &str) {
+    pub(super) fn add_note(&mut self, name: &str, note: &str) {
         let Some(metric) = self.metrics.iter_mut().find(|metric| metric.name == name) else {
             return;
         };
@@ -55,24 +55,24 @@
         }
     }
 
-    /// Omits the slope of a metric. For metrics whose values are bounds rather than measurements.
+    /// Omits the slope of a metric whose values are bounds rather than measurements.
     pub(super) fn omit_slope(&mut self, name: &str) {
         self.names_without_slope.insert(name.to_owned());
     }
 
     /// Adds a note to all metrics.
-    pub(super) fn note_all(&mut self, note: &str) {
+    pub(super) fn add_note_to_all(&mut self, note: &str) {
         let names: Vec<String> = self
             .metrics
             .iter()
             .map(|metric| metric.name.clone())
             .collect();
         for name in &names {
-            self.note(name, note);
+            self.add_note(name, note);
         }
     }
 
-    /// Returns the metrics without slopes. For sizes that are not quantities.
+    /// Returns the metrics without slopes, for tables whose sizes are not quantities.
     pub(super) fn without_slopes(self) -> Vec<Metric> {
         self.metrics
     }
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -4,7 +4,7 @@
 mod actions;
 mod discovery;
 
-use super::attempts::{AttemptOwner, AttemptResult, HealthCheck};
+use super::attempts::{AttemptObserver, AttemptResult, HealthCheck};
 use super::fleet_state::FleetState;
 use super::pending_calls::{CallTarget, PendingCalls};
 use super::sidecar_plan::SidecarPlan;
@@ -44,7 +44,7 @@
     subscription: Subscription,
     pending_calls: PendingCalls,
     calls_started: u64,
-    /// Whether calls are generated. This starts when the sidecar first becomes ready.
+    /// True if calls are generated, which starts when the sidecar first becomes ready.
     callers_started: bool,
     /// Seed of this incarnation's random numbers.
     seed: u64,
@@ -192,15 +192,15 @@
     }
 }
 
-impl AttemptOwner for SidecarHandle {
-    /// Handles the end of an attempt. The first served attempt answers its call.
+impl AttemptObserver for SidecarHandle {
+    /// Handles the end of an attempt. A call is answered by its first served attempt.
     fn attempt_ended(&self, request: &RequestId, attempt: AttemptNumber, result: AttemptResult) {
         let mut sidecar = self.borrow();
         let served = result.outcome == Outcome::Served;
         let Some(ended) = sidecar.pending_calls.end_attempt(request, attempt, served) else {
             return;
         };
-        if served && sidecar.pending_calls.answer(request) {
+        if served && sidecar.pending_calls.mark_answered(request) {
             sidecar.fleet.counters.count_served();
         }
         let event = Event::AttemptEnded(AttemptEnd {
--- a/fleet-lab/tests/report.rs
+++ b/fleet-lab/tests/report.rs
@@ -1,4 +1,4 @@
-//! Reports: their Markdown, and their files.
+//! Markdown and files of reports.
 
 use fleet_lab::measure::{Point, Slope};
 use fleet_lab::report::{ExperimentReport, Metric, Report};
@@ -56,7 +56,7 @@
     }
 }
 
-fn report() -> Report {
+fn sample_report() -> Report {
     let slope = Slope {
         intercept: 100.0,
         per_unit: 1.5,
@@ -90,15 +90,15 @@
 }
 
 #[test]
-fn a_report_has_the_expected_markdown() {
-    assert_eq!(report().markdown(), MARKDOWN);
+fn renders_markdown() {
+    assert_eq!(sample_report().markdown(), MARKDOWN);
 }
 
 #[test]
-fn a_written_report_replaces_the_previous_one() {
+fn write_replaces_previous_report() {
     let folder = tempfile::tempdir().unwrap();
     let output = folder.path().join("new").join("folder");
-    let mut report = report();
+    let mut report = sample_report();
     report.write(&output).unwrap();
     report.program = "later".into();
     report.write(&output).unwrap();
