--- a/src/command_line/configuration_file.rs
+++ b/src/command_line/configuration_file.rs
@@ -1,22 +1,22 @@
 //! Reads the configuration files that are named on the command line.
 
-use super::output::{Outcome, print_error, report_bad_input};
+use super::output::{CommandOutcome, print_error, report_bad_input};
 use crate::configuration::{self, ParsedConfiguration};
 use std::fs;
 use std::path::Path;
 
 /// Reads the text of a file. If that fails, prints the reason.
-pub(super) fn read_text(path: &Path) -> Result<String, Outcome> {
+pub(super) fn read_text(path: &Path) -> Result<String, CommandOutcome> {
     fs::read_to_string(path)
         .map_err(|error| report_bad_input(&format!("{}: {error}", path.display())))
 }
 
 /// Parses the text of a configuration. If it is invalid, prints every error on a line of its own.
-pub(super) fn parse(text: &str) -> Result<ParsedConfiguration, Outcome> {
+pub(super) fn parse(text: &str) -> Result<ParsedConfiguration, CommandOutcome> {
     configuration::parse(text).map_err(|errors| {
         for error in &errors.0 {
             print_error(error);
         }
-        Outcome::BadInput
+        CommandOutcome::BadInput
     })
 }
--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -1,12 +1,12 @@
 //! The command `diff`.
 
-use super::output::{Outcome, print_line, print_result, report_bad_input};
+use super::output::{CommandOutcome, print_line, print_result, report_bad_input};
 use crate::configuration::{ChangeEffect, Config, differences};
 use std::path::Path;
 
 /// Shows the changes that another configuration would make in a running sidecar. Fails if a reload would reject that
 /// configuration.
-pub(super) fn diff(running_path: &Path, next_path: &Path) -> Outcome {
+pub(super) fn diff(running_path: &Path, next_path: &Path) -> CommandOutcome {
     let (running, next) = match (
         Config::from_file(running_path),
         Config::from_file(next_path),
@@ -25,8 +25,8 @@
         .iter()
         .any(|difference| difference.effect == ChangeEffect::Rejected);
     if is_rejected {
-        Outcome::Failure
+        CommandOutcome::Failure
     } else {
-        Outcome::Success
+        CommandOutcome::Success
     }
 }
--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -1,12 +1,12 @@
 //! The command `explain`.
 
 use super::configuration_file;
-use super::output::{Outcome, print_line, report_bad_input};
+use super::output::{CommandOutcome, print_line, report_bad_input};
 use crate::configuration::{Config, effective_values};
 use std::path::Path;
 
 /// Shows the effective value of each key with its unit and origin.
-pub(super) fn explain(path: &Path) -> Outcome {
+pub(super) fn explain(path: &Path) -> CommandOutcome {
     let text = configuration_file::read_text(path);
     let parsed = match text.and_then(|text| configuration_file::parse(&text)) {
         Ok(parsed) => parsed,
@@ -19,5 +19,5 @@
     for value in &effective_values(&parsed, admin_address) {
         print_line(value);
     }
-    Outcome::Success
+    CommandOutcome::Success
 }
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -13,7 +13,7 @@
 use clap_complete::Shell;
 use clap_mangen::Man;
 use operator_commands::OperatorOptions;
-use output::Outcome;
+use output::CommandOutcome;
 use std::io::{self, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -97,7 +97,7 @@
     }
 }
 
-fn run(command: Command) -> Outcome {
+fn run(command: Command) -> CommandOutcome {
     match command {
         Command::Check(options) => check::check(&options.config),
         Command::Explain(options) => explain::explain(&options.config),
@@ -117,17 +117,17 @@
     }
 }
 
-fn write_completions(shell: Shell) -> Outcome {
+fn write_completions(shell: Shell) -> CommandOutcome {
     let mut arguments = Arguments::command();
     clap_complete::generate(shell, &mut arguments, PROGRAM_NAME, &mut io::stdout());
-    Outcome::Success
+    CommandOutcome::Success
 }
 
-fn write_manual_page() -> Outcome {
+fn write_manual_page() -> CommandOutcome {
     let mut page = Vec::new();
     let rendered = Man::new(Arguments::command()).render(&mut page);
     match rendered.and_then(|()| io::stdout().write_all(&page)) {
-        Ok(()) => Outcome::Success,
+        Ok(()) => CommandOutcome::Success,
         Err(error) => output::report_failure(&error),
     }
 }
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,6 +1,6 @@
 //! Commands that are sent to the operators' address of a running sidecar.
 
-use super::output::{Outcome, print_line, print_result, report_bad_input, report_failure};
+use super::output::{CommandOutcome, print_line, print_result, report_bad_input, report_failure};
 use crate::configuration::{Config, ConfigError, FILE_VARIABLE};
 use crate::sidecar::OperatorCommand;
 use clap::Args;
@@ -46,7 +46,7 @@
 }
 
 impl CommandError {
-    fn report(&self) -> Outcome {
+    fn report(&self) -> CommandOutcome {
         match self {
             CommandError::NoAddress | CommandError::Config(_) => report_bad_input(self),
             CommandError::Connection { .. } => report_failure(self),
@@ -55,7 +55,7 @@
 }
 
 /// Sends one command and prints the answer. Fails if the answer does not report success.
-pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> Outcome {
+pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> CommandOutcome {
     match operators_address(options).and_then(|address| exchange(address, command)) {
         Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print_result(&answer.trim_end()),
         Ok(answer) => report_failure(&answer.trim_end()),
@@ -64,7 +64,7 @@
 }
 
 /// Prints the readiness of the sidecar and its metrics.
-pub(super) fn status(options: &OperatorOptions) -> Outcome {
+pub(super) fn status(options: &OperatorOptions) -> CommandOutcome {
     let answers = operators_address(options).and_then(|address| {
         let readiness = exchange(address, OperatorCommand::Ready)?;
         let metrics = exchange(address, OperatorCommand::Stats)?;
@@ -78,7 +78,7 @@
     for metric in metrics.lines().filter(|line| *line != METRICS_END) {
         print_line(&metric);
     }
-    Outcome::Success
+    CommandOutcome::Success
 }
 
 fn operators_address(options: &OperatorOptions) -> Result<SocketAddr, CommandError> {
--- a/src/command_line/output.rs
+++ b/src/command_line/output.rs
@@ -11,7 +11,7 @@
 
 /// The result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outcome {
+pub(super) enum CommandOutcome {
     /// The command succeeded.
     Success,
     /// The command failed, or the sidecar's answer does not report success.
@@ -20,13 +20,13 @@
     BadInput,
 }
 
-impl Outcome {
+impl CommandOutcome {
     /// Returns the exit code: 0, 1 or 2.
     pub(super) fn exit_code(self) -> ExitCode {
         match self {
-            Outcome::Success => ExitCode::SUCCESS,
-            Outcome::Failure => FAILURE_CODE.into(),
-            Outcome::BadInput => BAD_INPUT_CODE.into(),
+            CommandOutcome::Success => ExitCode::SUCCESS,
+            CommandOutcome::Failure => FAILURE_CODE.into(),
+            CommandOutcome::BadInput => BAD_INPUT_CODE.into(),
         }
     }
 }
@@ -42,19 +42,19 @@
 }
 
 /// Prints the result of a command and returns success.
-pub(super) fn print_result(text: &dyn Display) -> Outcome {
+pub(super) fn print_result(text: &dyn Display) -> CommandOutcome {
     print_line(text);
-    Outcome::Success
+    CommandOutcome::Success
 }
 
 /// Prints an error and returns that the command failed.
-pub(super) fn report_failure(error: &dyn Display) -> Outcome {
+pub(super) fn report_failure(error: &dyn Display) -> CommandOutcome {
     print_error(error);
-    Outcome::Failure
+    CommandOutcome::Failure
 }
 
 /// Prints an error and returns that the input is invalid.
-pub(super) fn report_bad_input(error: &dyn Display) -> Outcome {
+pub(super) fn report_bad_input(error: &dyn Display) -> CommandOutcome {
     print_error(error);
-    Outcome::BadInput
+    CommandOutcome::BadInput
 }
