--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -44,7 +44,7 @@
     pub entries: Vec<EndpointEntry>,
     /// The endpoints that accept no more requests or whose process was replaced. Idle connections to them must be
     /// closed.
-    pub stale_endpoints: Vec<EndpointId>,
+    pub close_idle_connections_to: Vec<EndpointId>,
 }
 
 impl Membership {
@@ -132,9 +132,9 @@
     /// Applies a list and returns its effect.
     pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
         let entries: Vec<EndpointEntry> = list.endpoints.iter().map(EndpointEntry::from).collect();
-        let mut stale_endpoints = Vec::new();
+        let mut close_idle_connections_to = Vec::new();
         if kind != ListKind::Changes {
-            self.remove_unlisted(&entries, &mut stale_endpoints);
+            self.remove_unlisted(&entries, &mut close_idle_connections_to);
         }
         for (ListEntry { address, .. }, entry) in list.endpoints.iter().zip(&entries) {
             let member = Member {
@@ -142,11 +142,11 @@
                 readiness: entry.readiness,
                 started_at: entry.started_at,
             };
-            self.apply_entry(&entry.endpoint, member, &mut stale_endpoints);
+            self.apply_entry(&entry.endpoint, member, &mut close_idle_connections_to);
         }
         ListUpdate {
             entries,
-            stale_endpoints,
+            close_idle_connections_to,
         }
     }
 
@@ -154,13 +154,13 @@
     fn remove_unlisted(
         &mut self,
         entries: &[EndpointEntry],
-        stale_endpoints: &mut Vec<EndpointId>,
+        close_idle_connections_to: &mut Vec<EndpointId>,
     ) {
         let listed: HashSet<&EndpointId> = entries.iter().map(|entry| &entry.endpoint).collect();
         let unlisted = self
             .members
             .extract_if(|endpoint, _| !listed.contains(endpoint));
-        stale_endpoints.extend(unlisted.map(|(endpoint, _)| endpoint));
+        close_idle_connections_to.extend(unlisted.map(|(endpoint, _)| endpoint));
     }
 
     /// Applies one entry of a list.
@@ -168,14 +168,14 @@
         &mut self,
         endpoint: &EndpointId,
         member: Member,
-        stale_endpoints: &mut Vec<EndpointId>,
+        close_idle_connections_to: &mut Vec<EndpointId>,
     ) {
         let is_same_process = self
             .members
             .get(endpoint)
             .is_some_and(|previous| previous.is_same_process(&member));
         if member.readiness != Readiness::Serving || !is_same_process {
-            stale_endpoints.push(endpoint.clone());
+            close_idle_connections_to.push(endpoint.clone());
         }
         if member.readiness == Readiness::Removed {
             self.members.remove(endpoint);
@@ -198,7 +198,7 @@
         for (endpoint, _) in self.members.extract_if(|_, member| is_replaced(member)) {
             update.entries.retain(|entry| entry.endpoint != endpoint);
             update.entries.push(removal_entry(endpoint.clone()));
-            update.stale_endpoints.push(endpoint);
+            update.close_idle_connections_to.push(endpoint);
         }
     }
 
--- a/src/sidecar/node/discovery.rs
+++ b/src/sidecar/node/discovery.rs
@@ -16,7 +16,7 @@
         let mut node = self.borrow();
         let update = node.endpoints.update(list, kind);
         log_list(list, kind, node.endpoints.len());
-        for endpoint in &update.stale_endpoints {
+        for endpoint in &update.close_idle_connections_to {
             node.connections.close_idle(endpoint);
         }
         drop(node);
