--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -193,12 +193,12 @@
         "the watch on discovery is open after {:.3} s",
         (opened_at - called_at).as_secs_f64()
     ));
-    let mut events = WatchEvents::new(opened_at);
-    let Err(error) = events.receive(consumer, source, body).await;
+    let mut receiver = WatchReceiver::new(opened_at);
+    let Err(error) = receiver.receive(consumer, source, body).await;
     let stage = WatchStage::Open {
         duration: opened_at.elapsed(),
-        list_count: events.list_count,
-        last_received_at: events.last_received_at,
+        list_count: receiver.list_count,
+        last_received_at: receiver.last_received_at,
     };
     WatchEnd { error, stage }
 }
@@ -230,7 +230,7 @@
 }
 
 /// The receiver of the events of an open watch.
-struct WatchEvents {
+struct WatchReceiver {
     decoder: ListDecoder,
     /// The number of lists received.
     list_count: u64,
@@ -242,9 +242,9 @@
     last_part_at: Instant,
 }
 
-impl WatchEvents {
+impl WatchReceiver {
     fn new(opened_at: Instant) -> Self {
-        WatchEvents {
+        WatchReceiver {
             decoder: ListDecoder::default(),
             list_count: 0,
             last_received_at: opened_at,
