--- a/src/configuration/json_text.rs
+++ b/src/configuration/json_text.rs
@@ -1,25 +1,25 @@
-//! Reads JSON text and checks it for duplicate keys.
+//! Parses JSON text and checks it for duplicate keys.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 use std::cell::Cell;
 use std::fmt;
 
-/// The result of reading a JSON text.
-pub(super) struct JsonText {
+/// The result of parsing a JSON text.
+pub(super) struct ParsedJson {
     /// The value. If a key is duplicated, its last value is kept.
     pub value: Value,
     /// Whether any object in the text has a duplicate key. The value does not show that.
     pub has_duplicate_keys: bool,
 }
 
-/// Reads a JSON text.
-pub(super) fn read_json(text: &str) -> Result<JsonText, serde_json::Error> {
+/// Parses a JSON text.
+pub(super) fn parse_json(text: &str) -> Result<ParsedJson, serde_json::Error> {
     let has_duplicate_keys = Cell::new(false);
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let value = ValueReader(&has_duplicate_keys).deserialize(&mut deserializer)?;
     deserializer.end()?;
-    Ok(JsonText {
+    Ok(ParsedJson {
         value,
         has_duplicate_keys: has_duplicate_keys.get(),
     })
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -1,7 +1,7 @@
 //! Reads and validates the text of a configuration, at the start, on SIGHUP and in the commands.
 
 use super::document::ConfigurationDocument;
-use super::json_text::{JsonText, read_json};
+use super::json_text::{ParsedJson, parse_json};
 use super::schema::schema_errors;
 use super::settings_document::document_key_path;
 use super::validation::{ValidationError, ValidationErrors};
@@ -37,7 +37,7 @@
 /// Returns every error in the text.
 pub fn parse(text: &str) -> Result<ParsedConfiguration, ValidationErrors> {
     let json =
-        read_json(text).map_err(|error| ValidationErrors(vec![json_syntax_error(&error)]))?;
+        parse_json(text).map_err(|error| ValidationErrors(vec![json_syntax_error(&error)]))?;
     let document = read_document(text, &json)?;
     let settings = Settings::try_from(document.settings.clone())
         .map_err(|error| ValidationErrors(vec![settings_conversion_error(error.to_string())]))?;
@@ -73,7 +73,7 @@
 ///
 /// The parsed value has neither the positions in the text nor duplicate keys. If the conversion fails or there is a
 /// duplicate key, the text is read again for a complete error message.
-fn read_document(text: &str, json: &JsonText) -> Result<ConfigurationDocument, ValidationErrors> {
+fn read_document(text: &str, json: &ParsedJson) -> Result<ConfigurationDocument, ValidationErrors> {
     match ConfigurationDocument::deserialize(&json.value) {
         Ok(document) if !json.has_duplicate_keys => Ok(document),
         _ => read_document_text(text)
