--- a/src/discovery/list_decoder_tests.rs
+++ b/src/discovery/list_decoder_tests.rs
@@ -38,7 +38,7 @@
 /// Guards the silence time-out. A heartbeat must count as received data between lists, but not within an incomplete
 /// list.
 #[test]
-fn heartbeat_within_an_incomplete_list_adds_nothing() {
+fn heartbeat_within_a_list_is_no_progress() {
     let mut decoder = ListDecoder::default();
     let (_, content) = decode(&mut decoder, "\n");
     assert_eq!(content.expect("well-formed"), ChunkContent::ListOrHeartbeat);
@@ -52,7 +52,7 @@
 /// Guards against a time-out of long lists that arrive slowly. Each part of a list must count as received data, even if
 /// it completes no list.
 #[test]
-fn part_of_an_incomplete_list_counts() {
+fn part_of_a_list_is_progress() {
     let mut decoder = ListDecoder::default();
     for part in ["{\"index\":1,", "\"snapshot\":", "true,\"endpoints\":["] {
         let (versions, content) = decode(&mut decoder, part);
@@ -69,7 +69,7 @@
 /// Guards against quadratic processing time for lists of thousands of endpoints in small chunks. Each list must be
 /// parsed once, not again with each chunk.
 #[test]
-fn long_list_in_small_pieces_is_parsed_once() {
+fn list_in_small_chunks_is_parsed_once() {
     let entry = "{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\",\
                  \"group\":0,\"status\":\"SERVING\",\"weight\":1.0,\"since_ms\":0}";
     let entries = [entry; 200].join(",");
@@ -85,21 +85,21 @@
 /// Guards against results that depend on the chunks. Every division of a stream, with brackets and quotes in strings,
 /// must give the same lists.
 #[test]
-fn lists_do_not_depend_on_how_the_stream_is_split() {
+fn lists_do_not_depend_on_the_chunk_size() {
     let entry = "{\"name\":\"a}]\\\"{[\",\"address\":\"127.0.0.1:1\",\"zone\":\"\\\\\",\"type\":\"m\",\
                  \"group\":0,\"status\":\"SERVING\",\"weight\":1.5,\"since_ms\":0}";
     let list = format!("{{\"index\":3 ,\n \"snapshot\": true,\"endpoints\":[{entry}, {entry}]}}");
     let stream = format!("\n{FIRST_LIST}{list}\r\n{SECOND_LIST}");
-    for chunk_bytes in 1..stream.len() {
+    for chunk_size in 1..stream.len() {
         let mut decoder = ListDecoder::default();
         let mut versions = Vec::new();
-        for chunk in stream.as_bytes().chunks(chunk_bytes) {
+        for chunk in stream.as_bytes().chunks(chunk_size) {
             let text = std::str::from_utf8(chunk).expect("ASCII");
             let (received, content) = decode(&mut decoder, text);
             content.expect("well-formed");
             versions.extend(received);
         }
-        assert_eq!(versions, [1, 3, 2], "{chunk_bytes} bytes a chunk");
+        assert_eq!(versions, [1, 3, 2], "{chunk_size} bytes a chunk");
     }
 }
 
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -23,11 +23,11 @@
         check(&directory, &valid_configuration()),
         (Some(0), vec![], vec![])
     );
-    let mut other = valid_configuration();
-    other["settings"]["weightSource"] = Value::Null;
-    other["settings"]["worthBy"] = Value::Null;
+    let mut changed = valid_configuration();
+    changed["settings"]["weightSource"] = Value::Null;
+    changed["settings"]["worthBy"] = Value::Null;
     assert_eq!(
-        check(&directory, &other),
+        check(&directory, &changed),
         (Some(0), vec![], vec![]),
         "null counts as absent"
     );
@@ -186,15 +186,15 @@
         (Some(0), "nothing changes\n".into())
     );
 
-    let mut other = valid_configuration();
-    other["settings"]["rules"]["coldFrom"] = json!(0.5);
-    other["discovery"] = json!("127.0.0.1:2");
-    other["limits"]["memory_mb"] = json!(128);
-    other["seed"] = json!("1");
+    let mut changed = valid_configuration();
+    changed["settings"]["rules"]["coldFrom"] = json!(0.5);
+    changed["discovery"] = json!("127.0.0.1:2");
+    changed["limits"]["memory_mb"] = json!(128);
+    changed["seed"] = json!("1");
     let expected = "SIGHUP changes discovery: \"127.0.0.1:1\" to \"127.0.0.1:2\"\n\
                     only a restart changes limits.memory_mb: 64 to 128\n\
                     SIGHUP changes settings.rules.coldFrom: 0.3 to 0.5\n";
-    assert_eq!(diff_with(&other), (Some(0), expected.into()));
+    assert_eq!(diff_with(&changed), (Some(0), expected.into()));
 
     let mut incomplete = valid_configuration();
     incomplete["settings"]["rules"]
--- a/tests/command_line/operator_commands.rs
+++ b/tests/command_line/operator_commands.rs
@@ -11,16 +11,16 @@
 fn fake_sidecar(answers: &'static [&'static str]) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let calls = thread::spawn(move || {
+    let received_lines = thread::spawn(move || {
         answers
             .iter()
-            .map(|answer| answer_one_call(&listener, answer))
+            .map(|answer| answer_one_connection(&listener, answer))
             .collect()
     });
-    (address, calls)
+    (address, received_lines)
 }
 
-fn answer_one_call(listener: &TcpListener, answer: &str) -> String {
+fn answer_one_connection(listener: &TcpListener, answer: &str) -> String {
     let (mut stream, _) = listener.accept().expect("a call");
     let reader = stream.try_clone().expect("a reader");
     let mut line = String::new();
@@ -35,35 +35,38 @@
 /// answer does not report success.
 #[test]
 fn commands_send_one_line_and_report_the_answer() {
-    for (arguments, call) in [
+    for (arguments, expected_line) in [
         (vec!["drain"], "DRAIN\n"),
         (vec!["undrain"], "UNDRAIN\n"),
         (vec!["disable", "e0"], "DISABLE e0\n"),
         (vec!["enable", "e0"], "ENABLE e0\n"),
     ] {
-        let (address, calls) = fake_sidecar(&["YES\n", "NO no such endpoint is listed\n"]);
+        let (address, received_lines) = fake_sidecar(&["YES\n", "NO no such endpoint is listed\n"]);
         let address = address.to_string();
         let arguments: Vec<&str> = arguments.into_iter().chain(["--admin", &address]).collect();
 
-        let positive = run_program(&arguments);
+        let success = run_program(&arguments);
         assert_eq!(
-            (positive.status.code(), stdout(&positive).as_str()),
+            (success.status.code(), stdout(&success).as_str()),
             (Some(0), "YES\n")
         );
 
-        let negative = run_program(&arguments);
+        let failure = run_program(&arguments);
         assert_eq!(
-            (negative.status.code(), stderr(&negative).as_str()),
+            (failure.status.code(), stderr(&failure).as_str()),
             (Some(1), "NO no such endpoint is listed\n")
         );
-        assert_eq!(calls.join().expect("two calls"), [call, call]);
+        assert_eq!(
+            received_lines.join().expect("two calls"),
+            [expected_line, expected_line]
+        );
     }
 }
 
 /// Guards the output of `status`, and that it takes the operators' address from the configuration.
 #[test]
 fn status_shows_readiness_and_metrics() {
-    let (address, calls) = fake_sidecar(&["YES\n", "app_pending 3\napp_members 2\nEND\n"]);
+    let (address, received_lines) = fake_sidecar(&["YES\n", "app_pending 3\napp_members 2\nEND\n"]);
     let directory = TestDirectory::new("status");
     let mut document = valid_configuration();
     document["admin_addr"] = json!(address.to_string());
@@ -76,7 +79,10 @@
         stdout(&output),
         "ready: YES\napp_pending 3\napp_members 2\n"
     );
-    assert_eq!(calls.join().expect("two calls"), ["READY\n", "STATS\n"]);
+    assert_eq!(
+        received_lines.join().expect("two calls"),
+        ["READY\n", "STATS\n"]
+    );
 }
 
 /// Guards against failures without a message. A missing address is invalid input (exit code 2), and an unreachable
