--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExponentialBackoff {
     /// The mean delay after the first failure, in seconds. The mean is never shorter.
-    pub(crate) initial_mean: f64,
+    pub(crate) initial_mean_seconds: f64,
     /// The maximum number of times that the mean doubles.
     pub(crate) max_doublings: u32,
 }
@@ -16,12 +16,17 @@
     /// Returns the delay in seconds after `earlier_failures` consecutive failures before the latest one. `random` is
     /// from 0 to 1.
     ///
-    /// The delay exceeds `max_delay` only if the initial mean does not leave room for jitter below it.
-    pub(crate) fn delay(&self, earlier_failures: u32, max_delay: f64, random: f64) -> f64 {
+    /// The delay exceeds `max_delay_seconds` only if the initial mean does not leave room for jitter below it.
+    pub(crate) fn delay_seconds(
+        &self,
+        earlier_failures: u32,
+        max_delay_seconds: f64,
+        random: f64,
+    ) -> f64 {
         let doublings = earlier_failures.min(self.max_doublings);
-        let doubled_mean = self.initial_mean * f64::from(1 << doublings);
-        let max_mean = max_delay / MAX_JITTER_FACTOR;
-        let mean = doubled_mean.min(max_mean).max(self.initial_mean);
+        let doubled_mean = self.initial_mean_seconds * f64::from(1 << doublings);
+        let max_mean = max_delay_seconds / MAX_JITTER_FACTOR;
+        let mean = doubled_mean.min(max_mean).max(self.initial_mean_seconds);
         mean * (MAX_JITTER_FACTOR - 1.0 + random)
     }
 }
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -8,7 +8,7 @@
 /// The backoff after failures: the mean delay is 0.3 s after the first consecutive failure and doubles at most twice,
 /// up to [`MAX_DELAY`].
 const FAILURE_BACKOFF: ExponentialBackoff = ExponentialBackoff {
-    initial_mean: 0.3,
+    initial_mean_seconds: 0.3,
     max_doublings: 2,
 };
 /// The maximum delay after an immediate failure. It leaves the next call the full [`DISCOVERY_TIMEOUT`] for its
@@ -50,7 +50,7 @@
     /// mean, so that the next call begins within [`MAX_CALL_INTERVAL`] of the start of the failed one.
     pub fn delay_after(&mut self, call_duration: Duration) -> Duration {
         let max_delay = MAX_DELAY.min(MAX_CALL_INTERVAL.saturating_sub(call_duration));
-        let delay = FAILURE_BACKOFF.delay(
+        let delay = FAILURE_BACKOFF.delay_seconds(
             self.consecutive_failures,
             max_delay.as_secs_f64(),
             self.random.unit_interval(),
--- a/src/policy/discovery_calls.rs
+++ b/src/policy/discovery_calls.rs
@@ -58,7 +58,7 @@
             .poll_interval
             .min(MAX_BACKOFF_POLL_INTERVAL);
         let backoff = ExponentialBackoff {
-            initial_mean: poll_interval.as_secs_f64() * INITIAL_BACKOFF_FRACTION,
+            initial_mean_seconds: poll_interval.as_secs_f64() * INITIAL_BACKOFF_FRACTION,
             max_doublings: MAX_DOUBLINGS,
         };
         let schedule = &self.discovery_schedule;
@@ -66,7 +66,7 @@
         let max_delay = MAX_CALL_INTERVAL
             .saturating_sub(since_last_failure)
             .as_secs_f64();
-        backoff.delay(
+        backoff.delay_seconds(
             schedule.failures_in_row,
             max_delay,
             self.random.unit_interval(),
