--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -7,7 +7,7 @@
 mod operator_commands;
 mod output;
 
-use crate::configuration::FILE_VARIABLE;
+use crate::configuration::CONFIGURATION_FILE_VARIABLE;
 use crate::sidecar::OperatorCommand;
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
@@ -80,7 +80,7 @@
 #[derive(Args)]
 struct ConfigurationOptions {
     /// The configuration file.
-    #[arg(long, value_name = "FILE", env = FILE_VARIABLE)]
+    #[arg(long, value_name = "FILE", env = CONFIGURATION_FILE_VARIABLE)]
     config: PathBuf,
 }
 
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,7 +1,7 @@
 //! Commands that are sent to the operators' address of a running sidecar.
 
 use super::output::{CommandOutcome, print_line, print_result, report_bad_input, report_failure};
-use crate::configuration::{Config, ConfigError, FILE_VARIABLE};
+use crate::configuration::{CONFIGURATION_FILE_VARIABLE, Config, ConfigError};
 use crate::sidecar::OperatorCommand;
 use clap::Args;
 use std::io::{self, Read, Write};
@@ -25,7 +25,7 @@
     #[arg(long, value_name = "ADDRESS")]
     admin: Option<SocketAddr>,
     /// The configuration file.
-    #[arg(long, value_name = "FILE", env = FILE_VARIABLE)]
+    #[arg(long, value_name = "FILE", env = CONFIGURATION_FILE_VARIABLE)]
     config: Option<PathBuf>,
 }
 
--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -5,7 +5,7 @@
 use super::reload_baseline::ReloadBaseline;
 use super::restart_values::RestartValues;
 use super::validation::ValidationErrors;
-use super::variables::{ADMIN_VARIABLE, FILE_VARIABLE};
+use super::variables::{ADMIN_ADDRESS_VARIABLE, CONFIGURATION_FILE_VARIABLE};
 use crate::discovery::EndpointList;
 use crate::policy::Settings;
 use serde_json::Value;
@@ -48,7 +48,7 @@
     /// Returns an error if no file is named, if the file cannot be read, if its content is invalid, or if
     /// `ROUTER_ADMIN_ADDR` is not an IP address and port.
     pub fn from_environment() -> Result<Self, ConfigError> {
-        let path = std::env::var_os(FILE_VARIABLE)
+        let path = std::env::var_os(CONFIGURATION_FILE_VARIABLE)
             .map(PathBuf::from)
             .ok_or(ConfigError::NoFile)?;
         let mut config = Self::from_file(&path)?;
@@ -78,7 +78,8 @@
     /// # Errors
     /// Returns an error if the value of `ROUTER_ADMIN_ADDR` is not an IP address and port.
     pub fn admin_address_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
-        let Some(text) = std::env::var_os(ADMIN_VARIABLE).filter(|text| !text.is_empty()) else {
+        let Some(text) = std::env::var_os(ADMIN_ADDRESS_VARIABLE).filter(|text| !text.is_empty())
+        else {
             return Ok(None);
         };
         match text.to_str().and_then(|text| text.parse().ok()) {
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -2,7 +2,7 @@
 
 use super::leaf_values::leaf_values;
 use super::parse::ParsedConfiguration;
-use super::variables::ADMIN_VARIABLE;
+use super::variables::ADMIN_ADDRESS_VARIABLE;
 use crate::discovery::EndpointList;
 use serde_json::Value;
 use std::collections::HashSet;
@@ -117,7 +117,7 @@
         f.write_str(match self {
             ValueOrigin::File => "file",
             ValueOrigin::Default => "default",
-            ValueOrigin::Environment => ADMIN_VARIABLE,
+            ValueOrigin::Environment => ADMIN_ADDRESS_VARIABLE,
         })
     }
 }
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -1,7 +1,7 @@
 //! Errors of loading a configuration.
 
 use super::validation::ValidationErrors;
-use super::variables::{ADMIN_VARIABLE, FILE_VARIABLE};
+use super::variables::{ADMIN_ADDRESS_VARIABLE, CONFIGURATION_FILE_VARIABLE};
 use std::ffi::OsString;
 use std::io;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The environment names no file.
-    #[error("{FILE_VARIABLE} is not set")]
+    #[error("{CONFIGURATION_FILE_VARIABLE} is not set")]
     NoFile,
     /// The file cannot be read.
     #[error("{path}: {source}", path = path.display())]
@@ -29,6 +29,6 @@
         source: ValidationErrors,
     },
     /// The value of `ROUTER_ADMIN_ADDR` is not an IP address and port.
-    #[error("{ADMIN_VARIABLE} is not an IP address and port: {text}", text = .0.display())]
+    #[error("{ADMIN_ADDRESS_VARIABLE} is not an IP address and port: {text}", text = .0.display())]
     AdminAddress(OsString),
 }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -26,4 +26,4 @@
 pub use restart_values::RestartValues;
 pub use schema::schema;
 pub use validation::{ValidationError, ValidationErrors};
-pub use variables::{ADMIN_VARIABLE, FILE_VARIABLE};
+pub use variables::{ADMIN_ADDRESS_VARIABLE, CONFIGURATION_FILE_VARIABLE};
