--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -190,7 +190,7 @@
     backoff.reset();
     let opened_at = Instant::now();
     consumer.log(format_args!(
-        "the watch on discovery is open after {:.3} s",
+        "the watch on discovery opened after {:.3} s",
         (opened_at - called_at).as_secs_f64()
     ));
     let mut receiver = WatchReceiver::new(opened_at);
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -266,7 +266,7 @@
     let log = sidecar.log();
     let expected_lines = [
         "balancer-sidecar: counts ",
-        "balancer-sidecar: the watch on discovery is open after ",
+        "balancer-sidecar: the watch on discovery opened after ",
     ];
     let is_expected = |line: &String| expected_lines.iter().any(|start| line.starts_with(start));
     assert!(log.iter().all(is_expected), "{log:?}");
