--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,16 +1,16 @@
-//! The clock that supplies a host's balancer with the time.
+//! The clock of a host, which passes the time to its balancer.
 
 use crate::policy::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The maximum time from now that a timer or a deadline may lie ahead. Longer times are reduced to it so that no sum
-/// overflows.
+/// The maximum time from now to a timer or a deadline. Longer times are reduced to it, because a sum of times could
+/// otherwise overflow.
 pub const MAX_TIME_AHEAD: Duration = Duration::from_secs(3600);
 
 /// A monotonic clock that is set to Unix time at its start and advances by the time elapsed since.
 ///
-/// Discovery gives the start times of endpoints in Unix time. They can be compared with this clock without conversion.
+/// Endpoint lists give the start times of endpoints in Unix time, too. They need no conversion.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_instant: Instant,
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -5,8 +5,8 @@
 use crate::policy::{CHANGE_PROPAGATION_DEADLINE, DISCOVERY_TIMEOUT, MAX_CALL_INTERVAL};
 use std::time::Duration;
 
-/// The backoff after failures: the mean delay is 0.3 s after the first consecutive failure and doubles at most twice,
-/// up to [`MAX_DELAY`].
+/// The backoff after failures. The mean delay is 0.3 s after the first consecutive failure and doubles at most twice.
+/// With jitter the delay is at most [`MAX_DELAY`].
 const FAILURE_BACKOFF: ExponentialBackoff = ExponentialBackoff {
     initial_mean_seconds: 0.3,
     max_doublings: 2,
@@ -14,15 +14,15 @@
 /// The maximum delay after an immediate failure. It leaves the next call the full [`DISCOVERY_TIMEOUT`] for its
 /// response before the [`CHANGE_PROPAGATION_DEADLINE`] of a change.
 ///
-/// Longer delays would reduce the load only on a discovery that rejects calls, and would slow down the recovery of all
-/// sidecars after an outage.
+/// Longer delays would reduce the load only on a discovery service that rejects calls, and would slow down the recovery
+/// of all sidecars after an outage.
 const MAX_DELAY: Duration = CHANGE_PROPAGATION_DEADLINE.saturating_sub(DISCOVERY_TIMEOUT);
 
-/// Schedules calls of discovery: with exponential backoff after a failure, and with a hedge delay while a call has no
-/// response.
+/// Computes the delays between calls of discovery: an exponential backoff after a failure, and a hedge delay while a
+/// call has no response.
 ///
-/// Each sidecar uses a seed of its own. Sidecars that lose discovery at the same moment therefore call it again at
-/// different moments.
+/// Each sidecar uses a seed of its own. Sidecars that lose discovery at the same time therefore call it again at
+/// different times.
 #[derive(Debug)]
 pub struct Backoff {
     random: SeededRandom,
@@ -46,8 +46,9 @@
 
     /// Records the failure of a call that took `call_duration`, and returns the delay before the next call.
     ///
-    /// The mean delay doubles with each consecutive failure up to a maximum. It is shortened, but not below the initial
-    /// mean, so that the next call begins within [`MAX_CALL_INTERVAL`] of the start of the failed one.
+    /// The mean delay doubles with each consecutive failure up to a maximum. The next call is to begin at most
+    /// [`MAX_CALL_INTERVAL`] after the start of the failed one. The mean delay is shortened for that, but not below the
+    /// initial mean.
     pub fn delay_after(&mut self, call_duration: Duration) -> Duration {
         let max_delay = MAX_DELAY.min(MAX_CALL_INTERVAL.saturating_sub(call_duration));
         let delay = FAILURE_BACKOFF.delay_seconds(
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -20,7 +20,7 @@
 const LIST_PATH: &str = "/v1/endpoints";
 
 /// Watches the changes after `known_version` until the watch fails, and reports the failure to the consumer. The
-/// consumer's decision module schedules the next call.
+/// consumer's balancer schedules the next call.
 pub(super) async fn watch<C: ListConsumer>(
     consumer: C,
     source: Source,
@@ -35,8 +35,8 @@
 
 /// Watches an agent that pushes lists, and reopens the watch with backoff whenever it fails.
 ///
-/// The decision module neither schedules these calls nor is notified of failures. Time-outs are not logged, because an
-/// agent is silent while discovery is down.
+/// The balancer neither schedules these calls nor is notified of failures. Time-outs are not logged, because an agent
+/// is silent while discovery is down.
 pub(super) async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
     loop {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The maximum time to receive one list. After it, a new call would return a newer list.
+/// The maximum time to receive one list. A list that takes longer is abandoned, because a new call returns a newer one.
 const MAX_LIST_TRANSFER_TIME: Duration = Duration::from_secs(30);
 
 /// Fetches the full list once, and reports a failure to the consumer.
@@ -98,7 +98,7 @@
     Ok(list)
 }
 
-/// The end of a watch.
+/// The cause of the end of a watch, and the stage that the watch had reached.
 struct WatchEnd {
     error: DiscoveryError,
     stage: WatchStage,
@@ -108,7 +108,7 @@
 enum WatchStage {
     /// The watch had not been opened.
     Opening {
-        /// The known version, from which the watch was to resume; `None` if the full list had to be fetched first.
+        /// The version from which the watch was to resume, or `None` if the full list had to be fetched first.
         since: Option<u64>,
         /// The time from the first call to the failure.
         elapsed: Duration,
@@ -119,13 +119,14 @@
         duration: Duration,
         /// The number of lists received on the watch.
         list_count: u64,
-        /// The time at which a list or a heartbeat was last received on the watch, or else the time of its opening.
+        /// The time at which a list or a heartbeat was last received on the watch. Initially the time at which the
+        /// watch was opened.
         last_received_at: Instant,
     },
 }
 
 impl WatchEnd {
-    /// Classifies the failure for the schedule of the next call.
+    /// Returns the kind of the failure, which determines the schedule of the next call.
     fn failure(&self) -> DiscoveryFailure {
         match self.stage {
             WatchStage::Opening { .. } => self.error.call_failure(),
@@ -206,7 +207,7 @@
 /// Opens a watch on the changes after `known_version`.
 ///
 /// Without a known version the full list is fetched first. A watch from version 0 might return only the changes that
-/// this discovery service still stores.
+/// the discovery service still stores.
 async fn open_watch<C: ListConsumer>(
     consumer: &C,
     source: Source,
@@ -229,7 +230,7 @@
     Ok(body)
 }
 
-/// The receiver of the events of an open watch.
+/// Receives the events of an open watch.
 struct WatchReceiver {
     decoder: ListDecoder,
     /// The number of lists received.
@@ -254,8 +255,9 @@
 
     /// Receives the events of a watch until it fails, ends or is silent for [`DISCOVERY_TIMEOUT`].
     ///
-    /// While a list is incomplete, heartbeats count as silence, because the rest of the list may never come. Further
-    /// parts of the list end the silence, for at most [`MAX_LIST_TRANSFER_TIME`].
+    /// While a list is incomplete, heartbeats count as silence, because the rest of the list may never arrive. Further
+    /// parts of the list end the silence, but only within [`MAX_LIST_TRANSFER_TIME`] of the last complete list or of
+    /// the last heartbeat before the incomplete list.
     async fn receive<C: ListConsumer>(
         &mut self,
         consumer: &C,
@@ -285,6 +287,7 @@
         }
     }
 
+    /// Returns the time at which the watch fails unless data arrives before.
     fn silence_deadline(&self) -> Instant {
         let last_progress_at = self.last_received_at.max(self.last_part_at);
         let latest = self.last_received_at + MAX_LIST_TRANSFER_TIME;
--- a/src/discovery/consumer.rs
+++ b/src/discovery/consumer.rs
@@ -6,13 +6,12 @@
 use std::fmt;
 use tokio::time::Instant;
 
-/// Receives the results of the discovery client's calls.
+/// Receives the results of the discovery client's calls, and passes them to a [`Balancer`](crate::policy::Balancer).
 ///
-/// The client invokes the methods from tasks on the current thread. Each method takes the source that it concerns,
-/// because a reload may have moved discovery since the client's call began.
+/// The client invokes the methods from tasks on the current thread. Most methods take the source of the result, because
+/// a reload may have changed the source since the client's call began.
 pub trait ListConsumer: Clone + 'static {
-    /// Returns the version of the last list from a source, from which a watch can resume. Returns `None` if there is no
-    /// such list.
+    /// Returns the version of the last list from a source, or `None` if there is no such list. A watch resumes from it.
     fn known_version(&self, source: Source) -> Option<u64>;
 
     /// Receives the full list or a watch event.
@@ -25,19 +24,21 @@
     /// Records that a watch has been opened.
     fn watch_opened(&self, source: Source);
 
-    /// Records that a call failed or a watch was lost. The decision module schedules the next call.
+    /// Records that a call failed or a watch was lost. The balancer schedules the next call.
     ///
-    /// The client does not invoke it for watches on agents, which it reopens without the decision module.
+    /// The client does not invoke this method for watches on agents, which it reopens without the balancer.
     fn discovery_failed(&self, source: Source, failure: DiscoveryFailure);
 
     /// Records that the list is current because a list or a heartbeat was received on the open watch.
     fn list_confirmed(&self, _source: Source) {}
 
-    /// Records that a watch, which may be one on an agent, was lost or could not be opened. `last_received_at` is the
-    /// time at which a list or a heartbeat was last received on the watch, or `None` if it could not be opened.
+    /// Records that a watch was lost or could not be opened. Watches on agents are included.
+    ///
+    /// `last_received_at` is the time at which a list or a heartbeat was last received on the watch. It is `None` if
+    /// the watch could not be opened.
     fn watch_ended(&self, _source: Source, _last_received_at: Option<Instant>) {}
 
-    /// Records that a fetch of the full list failed, for consumers that count failures.
+    /// Records that a fetch of the full list failed. Consumers may count such failures.
     fn fetch_failed(&self, _source: Source) {}
 
     /// Records that a call without a response is hedged by another one. `is_reached` is true if discovery has accepted
--- a/src/discovery/error.rs
+++ b/src/discovery/error.rs
@@ -4,7 +4,7 @@
 use hyper::StatusCode;
 use std::io;
 
-/// The error that a list is rejected because its version is older than that of the last list from the same source.
+/// The error for a list whose version is older than that of the last list from the same source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the list is older than the previous one")]
 pub struct StaleListError;
@@ -54,7 +54,7 @@
 }
 
 impl DiscoveryError {
-    /// Classifies the failure of a call for the schedule of the next one.
+    /// Returns the kind of a call's failure, which determines the schedule of the next call.
     ///
     /// An error status and a reset connection count as rejections, because an overloaded discovery service answers with
     /// them.
--- a/src/discovery/hedged_call.rs
+++ b/src/discovery/hedged_call.rs
@@ -1,9 +1,9 @@
-//! Calls of discovery with hedging: a call without a response keeps its place in discovery's queue, and a hedged call
-//! is made beside it.
+//! Hedged calls of discovery. A call without a response keeps its place in discovery's queue, and a further call is
+//! made beside it.
 //!
-//! Discovery handles the calls of all sidecars in order of arrival and spends time on abandoned calls, too. If all
-//! sidecars abandoned their calls before discovery reached them and repeated them at the end of the queue, discovery
-//! would handle only abandoned calls for as long as the overload lasts (congestion collapse).
+//! Discovery handles the calls of all sidecars in order of arrival and spends time on abandoned calls, too. Suppose
+//! that all sidecars abandoned their calls before discovery reached them, and repeated them at the end of the queue.
+//! Discovery would then handle only abandoned calls for as long as the overload lasts (congestion collapse).
 //!
 //! On the other hand, a call without a response may have been lost in the network. The oldest call is therefore kept
 //! for its place in the queue, and the newest one tests whether discovery can be reached.
@@ -27,20 +27,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// The maximum number of outstanding calls: the oldest, which is the first of them in discovery's queue, and the
-/// newest.
+/// The maximum number of outstanding calls: the oldest, which is ahead in discovery's queue, and the newest.
 const MAX_CONCURRENT_CALLS: usize = 2;
-/// The age from which a newer call replaces a call without a response, because the old one may have been lost in the
-/// network. While the old one is kept, each new call replaces the only other one, and none of them may ever reach the
-/// front of a long queue.
+/// The maximum age of a call that is kept when a further call is made. An older call may have been lost in the network.
+///
+/// The limit is needed because each further call replaces the newer of two calls. If the older one has been lost, none
+/// of the others may ever reach the front of a long queue.
 ///
 /// The value exceeds the time that 500 sidecars wait for a discovery service that answers 20 calls per second.
 const MAX_CALL_AGE: Duration = Duration::from_secs(30);
 
 /// Sends a GET request to discovery and returns the body of the first successful response.
 ///
-/// While there is no response, a further call is made after each [`Backoff::hedge_delay`]. `on_hedge` is then called;
-/// its argument is true if discovery has accepted the connection of an outstanding call.
+/// While there is no response, a further call is made after each [`Backoff::hedge_delay`]. Before each further call,
+/// `on_hedge` is invoked. Its argument is true if discovery has accepted the connection of an outstanding call.
 ///
 /// # Errors
 /// Returns the last error once all outstanding calls have failed.
@@ -74,7 +74,7 @@
 struct OutstandingCalls(VecDeque<Call>);
 
 impl OutstandingCalls {
-    /// Starts a call. Of the other calls it keeps only the oldest that still has a place in discovery's queue.
+    /// Starts a call. Of the outstanding calls, keeps only the oldest that may still have a place in discovery's queue.
     fn start(&mut self, address: SocketAddr, path: &str) {
         self.0.retain(Call::is_queued);
         self.0.truncate(MAX_CONCURRENT_CALLS - 1);
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One message of discovery: the full endpoint list, or the changes since an earlier version.
+/// One message of discovery: the full endpoint list, or the entries that have changed since an earlier version.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub struct EndpointList {
     /// The version of the list, which grows with each change.
     #[serde(rename = "index")]
     pub version: u64,
-    /// Whether `endpoints` is the full list. Otherwise it contains only the entries that have changed.
+    /// True if `endpoints` is the full list. Otherwise it contains only the entries that have changed.
     #[serde(rename = "snapshot")]
     pub is_full: bool,
     /// All endpoints, or only those that have changed.
@@ -19,7 +19,7 @@
 }
 
 impl EndpointList {
-    /// Returns the kind of the list in the decision module's terms.
+    /// Returns the kind of the list as the balancer's type.
     #[must_use]
     pub fn kind(&self) -> ListKind {
         if self.is_full {
@@ -45,7 +45,7 @@
     pub kind: String,
     /// The number of the endpoint's group.
     pub group: u64,
-    /// Whether the endpoint accepts requests.
+    /// The status of the endpoint.
     pub status: EntryStatus,
     /// The endpoint's weight relative to the others.
     pub weight: f64,
@@ -53,7 +53,7 @@
     pub since_ms: u64,
 }
 
-/// Whether an endpoint accepts requests, according to discovery.
+/// The status of an endpoint according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EntryStatus {
@@ -76,8 +76,8 @@
 }
 
 impl ListEntry {
-    /// Returns the time of the endpoint's last start, or `None` if it started long ago. The decision module's clock is
-    /// set to Unix time, so the value needs no conversion.
+    /// Returns the time of the endpoint's last start, or `None` if it started long ago. The value needs no conversion,
+    /// because the balancer's clock is in Unix time.
     #[must_use]
     pub fn started_at(&self) -> Option<Timestamp> {
         (self.since_ms > 0).then(|| Timestamp::from_nanos(self.since_ms.saturating_mul(1_000_000)))
--- a/src/discovery/list_decoder.rs
+++ b/src/discovery/list_decoder.rs
@@ -8,7 +8,7 @@
 /// The maximum size of a list, in bytes. It is several times the size of the list of the largest fleet.
 pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Decodes a stream of JSON lists, regardless of its division into lines and chunks.
+/// Decodes a stream of endpoint lists in JSON, regardless of its division into lines and chunks.
 ///
 /// Each byte is scanned once and each list is parsed once. The cost of a long list therefore does not depend on the
 /// number of its chunks.
@@ -22,7 +22,7 @@
     pub(super) parse_count: usize,
 }
 
-/// The content of a chunk, as far as the silence time-out depends on it.
+/// The content of a chunk with regard to the silence time-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChunkContent {
     /// The chunk completed a list, or it is a heartbeat between lists.
@@ -37,8 +37,9 @@
     /// Decodes a chunk and passes each list that it completes to `receive`, in order.
     ///
     /// # Errors
-    /// Returns an error if the stream is malformed, a list is too long, or `receive` rejects a list. Earlier lists of
-    /// the chunk have been passed on by then. After an error the decoder must not be used again.
+    /// Returns an error if the stream is malformed, if an incomplete list exceeds [`MAX_LIST_BYTES`], or if `receive`
+    /// rejects a list. Earlier lists of the chunk have been passed on by then. After an error the decoder must not be
+    /// used again.
     pub(super) fn decode(
         &mut self,
         chunk: &[u8],
@@ -74,7 +75,7 @@
         })
     }
 
-    /// Parses the list that has been completed.
+    /// Parses the completed list and clears the buffer.
     fn parse_list(&mut self) -> Result<EndpointList, DiscoveryError> {
         #[cfg(test)]
         {
--- a/src/discovery/list_scanner.rs
+++ b/src/discovery/list_scanner.rs
@@ -5,31 +5,33 @@
 pub(super) enum ScannedByte {
     /// White space between two objects.
     BetweenObjects,
-    /// A byte of an object other than white space between its values.
+    /// A byte of an object other than white space between its tokens.
     Content,
-    /// White space between the values of an object.
+    /// White space between the tokens of an object.
     Whitespace,
     /// The last byte of an object.
     ObjectEnd,
 }
 
-/// The error that a stream is not a sequence of JSON objects.
+/// The error for a stream that is not a sequence of JSON objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed stream: not a sequence of JSON objects")]
 pub(super) struct MalformedStreamError;
 
 /// Scans a sequence of JSON objects.
 ///
-/// It checks the order of brackets, strings and separators only so far that it detects an object that broke off and is
-/// followed by another one. A parser has to check each complete object.
+/// It checks the order of tokens only far enough to detect a truncated object that is followed by another one. A parser
+/// has to check each complete object.
 #[derive(Debug, Default)]
 pub(super) struct ListScanner {
+    /// The number of open braces and brackets.
     depth: usize,
     string: StringState,
+    /// The last token outside a string, if there was one.
     last_token: Option<Token>,
 }
 
-/// The state of the scanner with regard to strings.
+/// The position of the scanner relative to strings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum StringState {
     #[default]
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -8,14 +8,14 @@
 
 /// The listed endpoints with their addresses, and the version of the list.
 ///
-/// The decision module has its own endpoint table, without addresses. [`Membership::update`] returns the changes to
-/// report to it.
+/// The [`Balancer`](crate::policy::Balancer) has an endpoint table of its own, without addresses.
+/// [`Membership::update`] returns the changes to pass to it.
 #[derive(Debug, Default)]
 pub struct Membership {
     members: HashMap<EndpointId, Member>,
     /// The version of the last list from the current source. Versions of different sources are not comparable.
     version: Option<u64>,
-    /// Whether the last list from the current source was a full list that was rejected as stale.
+    /// True if the last list from the current source was a full list that was rejected as stale.
     has_rejected_stale_full_list: bool,
 }
 
@@ -24,7 +24,7 @@
 pub struct Member {
     /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Whether the endpoint accepts requests.
+    /// The readiness of the endpoint, from its status in the list.
     pub readiness: Readiness,
     /// The time at which the endpoint's process started, or `None` if it started long ago.
     pub started_at: Option<Timestamp>,
@@ -40,10 +40,10 @@
 /// The effect of a list on the membership.
 #[derive(Debug)]
 pub struct ListUpdate {
-    /// The changed endpoints, as entries for the decision module.
+    /// The changed endpoints, as entries for the balancer.
     pub entries: Vec<EndpointEntry>,
-    /// The endpoints that accept no more requests or whose process was replaced. Idle connections to them must be
-    /// closed.
+    /// The endpoints to which idle connections must be closed. They accept no more requests, were not listed before, or
+    /// run in another process than before.
     pub close_idle_connections_to: Vec<EndpointId>,
 }
 
@@ -93,11 +93,11 @@
 
     /// Checks a list's version against the last one and records it.
     ///
-    /// A stale list is rejected at first, because it may come from a replica that lags behind. If the next list is a
-    /// stale full list again, discovery itself was reset to an older state, and the list is accepted.
+    /// A stale list is rejected, because it may come from a replica that lags behind. Two stale full lists in
+    /// succession show that discovery itself was reset to an older state, and the second one is accepted.
     ///
-    /// In the first list of a source, and in the first list accepted after a reset, draining endpoints keep that status
-    /// even if the list says that they are serving.
+    /// In the first list of a source, and in the first list accepted after a reset, endpoints that are known to be
+    /// draining keep that status even if the list says that they are serving.
     ///
     /// # Errors
     /// Returns [`StaleListError`] if the list is rejected and must not be applied.
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Applies a list and returns its effect.
+    /// Applies an accepted list and returns its effect.
     pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
         let entries: Vec<EndpointEntry> = list.endpoints.iter().map(EndpointEntry::from).collect();
         let mut close_idle_connections_to = Vec::new();
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Returns the latest start of a serving process for each address. A start of `None` was long ago and is the
-    /// earliest.
+    /// Returns the latest start of a serving process for each address. `None` stands for a start long ago, and is
+    /// earlier than any time.
     fn latest_start_by_address(&self) -> HashMap<SocketAddr, Option<Timestamp>> {
         let mut latest_starts: HashMap<SocketAddr, Option<Timestamp>> = HashMap::new();
         let is_serving = |member: &&Member| member.readiness == Readiness::Serving;
@@ -215,7 +215,7 @@
     }
 }
 
-/// Returns the entry that removes an endpoint; its other fields have no meaning.
+/// Returns the entry that removes an endpoint. The values of its other fields are not used.
 fn removal_entry(endpoint: EndpointId) -> EndpointEntry {
     EndpointEntry {
         endpoint,
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -6,32 +6,33 @@
 //! each on a connection of its own:
 //!
 //! - A **fetch** returns the **full list**. Endpoints that it does not name have been removed.
-//! - A **watch** names the last known version. Its response stays open and is a stream of events, each of which holds the
-//!   changes since the previous one; the first may be the full list instead. Heartbeats are empty lines. If no version is
-//!   known, the client fetches the full list before it opens the watch.
+//! - A **watch** names the last known version. Its response stays open and is a stream of events, each of which holds
+//!   the changes since the previous one; the first may be the full list instead. Heartbeats are empty lines. If no
+//!   version is known, the client fetches the full list before it opens the watch.
 //!
 //! A watch is lost when its connection ends, an event is malformed or stale, or nothing is received for
 //! [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT) (**silence time-out**). A long list may take longer than the
-//! time-out, as long as further parts of it arrive. A new watch resumes from the last known version, so no change is
-//! missed (**resync**).
+//! time-out if further parts of it keep arriving. A new watch resumes from the last known version, so no change is
+//! missed.
 //!
 //! # Hedging
 //!
-//! A call without a response is not abandoned after a time-out. It keeps its place in discovery's queue, and a hedged call
-//! is made beside it; the first successful response counts. At most two calls are outstanding at a time.
+//! A call without a response is not abandoned after a time-out. It keeps its place in discovery's queue, and a hedged
+//! call is made beside it; the first successful response counts. At most two calls are outstanding at a time.
 //!
 //! # Failures
 //!
-//! A call fails once it and all its hedged calls have failed. The schedule of the next call depends on the mode:
+//! A call fails once it and all its hedged calls have failed. The schedule of the next call depends on the
+//! [`DiscoveryMode`](crate::policy::DiscoveryMode):
 //!
 //! - If lists are sent only on request, a fetch or a watch reports its failure to the [`ListConsumer`] and ends. The
-//!   decision module schedules the next call with its own backoff.
-//! - If an agent pushes lists, the client reopens the watch with a [`Backoff`], without the decision module, for as
-//!   long as the subscription lasts.
+//!   [`Balancer`](crate::policy::Balancer) schedules the next call with its own backoff.
+//! - If an agent pushes lists, the client reopens the watch with a [`Backoff`], without the balancer, for as long as
+//!   the subscription lasts.
 //!
 //! # State
 //!
-//! The calls keep no list. They pass received lists to a [`ListConsumer`], which keeps a [`Subscription`]. The
+//! The calls store no list. They pass received lists to a [`ListConsumer`], which owns a [`Subscription`]. The
 //! subscription holds the current [`Source`], the watch on it, and the [`Membership`], which checks versions and
 //! rejects stale lists.
 //!
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -19,7 +19,7 @@
     source: Source,
     membership: Membership,
     watch: Option<Task>,
-    /// The watch on the previous source. It is set after a move, until the current source has sent a list.
+    /// The watch on a previous source, after a move until the current source has sent a list.
     previous_watch: Option<Task>,
 }
 
@@ -30,7 +30,7 @@
     Current,
     /// The previous source sent it, and the current one has sent no list yet. The list must be applied.
     Previous,
-    /// An earlier source sent it, but the current one has already sent a list. The list must be ignored.
+    /// A previous source sent it, but the current one has already sent a list. The list must be ignored.
     Superseded,
 }
 
@@ -107,7 +107,8 @@
         self.watch = None;
     }
 
-    /// Checks a list that a source has sent. A list of the current source ends the watch on the previous one.
+    /// Checks a list and returns its origin. A list from the current source is checked by [`Membership::accept`] and
+    /// ends the watch on the previous source.
     ///
     /// # Errors
     /// Returns [`StaleListError`] if the list is older than the last one from the current source.
@@ -129,8 +130,8 @@
 
     /// Moves to the discovery service at an address, unless it is the current source.
     ///
-    /// If the current source has sent a list, the watch on it continues as the watch on the previous source. Otherwise
-    /// that watch ends, and a watch on an earlier source continues.
+    /// If the version of the list is known, the watch on the current source continues as the watch on the previous one.
+    /// Otherwise the watch on the current source ends, and the watch on the previous one, if any, continues.
     pub fn move_to(&mut self, address: SocketAddr) -> SourceChange {
         if address == self.source.address {
             return SourceChange::Unchanged;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | [`policy`] | the decision module, without I/O: a [`policy::Balancer`] takes events and returns actions |
+//! | [`policy`] | the load-balancing decisions, without I/O: a [`policy::Balancer`] takes events and returns actions |
 //! | [`discovery`] | the client of the discovery service |
 //! | [`configuration`] | the format, validation and JSON Schema of the configuration |
 //! | [`command_line`] | the commands of the program |
 //! | [`simulator`] | the simulator's protocol and the adapter that serves it |
-//! | [`sidecar`] | the host of the decision module: sockets, HTTP, connection pools, timers |
-//! | [`clock`] | the clock that supplies a host's balancer with the time |
+//! | [`sidecar`] | the host that runs a balancer: sockets, HTTP, connection pools, timers |
+//! | [`clock`] | the clock of a host, in Unix time |
 //! | [`task`] | tasks on the current thread that are aborted when dropped |
 //!
 //! ```
--- a/src/task.rs
+++ b/src/task.rs
@@ -19,7 +19,7 @@
         self.0.is_finished()
     }
 
-    /// Aborts the task and waits until all that it owned has been dropped.
+    /// Aborts the task and waits until everything that it owns has been dropped.
     pub async fn stop(self) {
         self.0.abort();
         while !self.is_finished() {
