--- a/src/command_line/check.rs
+++ b/src/command_line/check.rs
@@ -5,7 +5,7 @@
 use crate::configuration::unknown_keys;
 use std::path::Path;
 
-/// Reports every error in a configuration and warns of keys that the sidecar does not read.
+/// Prints every error in a configuration file and a warning for each key that the sidecar does not read.
 pub(super) fn check(path: &Path) -> CommandOutcome {
     let text = match configuration_file::read_text(path) {
         Ok(text) => text,
--- a/src/command_line/configuration_file.rs
+++ b/src/command_line/configuration_file.rs
@@ -5,13 +5,13 @@
 use std::fs;
 use std::path::Path;
 
-/// Reads the text of a file. If that fails, prints the reason.
+/// Returns the text of a file. Prints an error if the file cannot be read.
 pub(super) fn read_text(path: &Path) -> Result<String, CommandOutcome> {
     fs::read_to_string(path)
         .map_err(|error| report_bad_input(&format!("{}: {error}", path.display())))
 }
 
-/// Parses the text of a configuration. If it is invalid, prints every error on a line of its own.
+/// Parses the text of a configuration. Prints every error on a line of its own if the text is invalid.
 pub(super) fn parse(text: &str) -> Result<ParsedConfiguration, CommandOutcome> {
     configuration::parse(text).map_err(|errors| {
         for error in &errors.0 {
--- a/src/command_line/diff.rs
+++ b/src/command_line/diff.rs
@@ -4,8 +4,8 @@
 use crate::configuration::{ChangeEffect, Config, differences};
 use std::path::Path;
 
-/// Shows the changes that another configuration would make in a running sidecar. Fails if a reload would reject that
-/// configuration.
+/// Prints the differences between the configuration file of a running sidecar and the next one. Fails if a reload would
+/// reject the next file.
 pub(super) fn diff(running_path: &Path, next_path: &Path) -> CommandOutcome {
     let (running, next) = match (
         Config::from_file(running_path),
--- a/src/command_line/explain.rs
+++ b/src/command_line/explain.rs
@@ -5,7 +5,7 @@
 use crate::configuration::{Config, effective_values};
 use std::path::Path;
 
-/// Shows the effective value of each key with its unit and origin.
+/// Prints the effective value of each key with its unit and origin.
 pub(super) fn explain(path: &Path) -> CommandOutcome {
     let text = configuration_file::read_text(path);
     let parsed = match text.and_then(|text| configuration_file::parse(&text)) {
--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -87,7 +87,7 @@
 /// Runs the command that the arguments name, or the sidecar if they name none.
 #[must_use]
 pub fn main() -> ExitCode {
-    // Without arguments, clap is not called: its parser would take memory in the sidecar's process.
+    // Without arguments, clap is not used, because its parser would take memory in the sidecar's process.
     if std::env::args_os().len() <= 1 {
         return crate::sidecar::main();
     }
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,4 +1,5 @@
-//! Commands that are sent to the operators' address of a running sidecar.
+//! The commands `status`, `drain`, `undrain`, `disable` and `enable`, which are sent to the operators' address of a
+//! running sidecar.
 
 use super::output::{CommandOutcome, print_line, print_result, report_bad_input, report_failure};
 use crate::configuration::{CONFIGURATION_FILE_VARIABLE, Config, ConfigError};
@@ -29,7 +30,7 @@
     config: Option<PathBuf>,
 }
 
-/// The reason why a command could not be sent.
+/// The reason why a command has no answer.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(
@@ -46,6 +47,7 @@
 }
 
 impl CommandError {
+    /// Prints the error and returns the result of the command.
     fn report(&self) -> CommandOutcome {
         match self {
             CommandError::NoAddress | CommandError::Config(_) => report_bad_input(self),
@@ -54,7 +56,7 @@
     }
 }
 
-/// Sends one command and prints the answer. Fails if the answer does not report success.
+/// Sends a command to the sidecar and prints the answer. Fails if the answer does not report success.
 pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> CommandOutcome {
     match operators_address(options).and_then(|address| exchange(address, command)) {
         Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print_result(&answer.trim_end()),
--- a/src/command_line/output.rs
+++ b/src/command_line/output.rs
@@ -6,7 +6,7 @@
 
 /// The exit code of a command that failed.
 const FAILURE_CODE: u8 = 1;
-/// The exit code for invalid input; the same as clap's for invalid arguments.
+/// The exit code for invalid input. It is the same as that of clap for invalid arguments.
 const BAD_INPUT_CODE: u8 = 2;
 
 /// The result of a command.
@@ -16,7 +16,7 @@
     Success,
     /// The command failed, or the sidecar's answer does not report success.
     Failure,
-    /// The input is invalid.
+    /// The arguments, a configuration file or an environment variable is invalid, or a file cannot be read.
     BadInput,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Prints a line to standard output. Write errors are ignored: the reader may have closed the pipe on purpose.
+/// Prints a line to standard output. Write errors are ignored, because the reader may have closed the pipe on purpose.
 pub(super) fn print_line(text: &dyn Display) {
     let _ = writeln!(io::stdout(), "{text}");
 }
@@ -41,19 +41,19 @@
     let _ = writeln!(io::stderr(), "{error}");
 }
 
-/// Prints the result of a command and returns success.
+/// Prints the result of a command and returns [`CommandOutcome::Success`].
 pub(super) fn print_result(text: &dyn Display) -> CommandOutcome {
     print_line(text);
     CommandOutcome::Success
 }
 
-/// Prints an error and returns that the command failed.
+/// Prints an error and returns [`CommandOutcome::Failure`].
 pub(super) fn report_failure(error: &dyn Display) -> CommandOutcome {
     print_error(error);
     CommandOutcome::Failure
 }
 
-/// Prints an error and returns that the input is invalid.
+/// Prints an error and returns [`CommandOutcome::BadInput`].
 pub(super) fn report_bad_input(error: &dyn Display) -> CommandOutcome {
     print_error(error);
     CommandOutcome::BadInput
--- a/src/configuration/config.rs
+++ b/src/configuration/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the process, which is loaded at the start and again on SIGHUP.
+//! The configuration of a sidecar, which is loaded at the start and again on SIGHUP.
 
 use super::error::ConfigError;
 use super::parse::{ParsedConfiguration, parse};
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A loaded configuration. Its settings are converted to the types of the decision module.
+/// A loaded configuration. Its settings are converted to the types of the balancer.
 #[derive(Debug)]
 pub struct Config {
     /// The name of the sidecar.
@@ -29,13 +29,13 @@
     pub max_descriptors: usize,
     /// The maximum memory of this process, in MB.
     pub max_memory_mb: usize,
-    /// The cached list from before the start, which may be out of date.
+    /// The endpoint list that was cached before the start, which may be out of date.
     pub cached_list: Option<EndpointList>,
-    /// The settings of the decision module.
+    /// The settings of the balancer.
     pub settings: Settings,
     /// The values that only a restart changes.
     pub restart_values: RestartValues,
-    /// The settings and limits of the file, with which the next file is compared at a reload.
+    /// The settings and limits of the file, for the comparison with the next file at a reload.
     pub reload_baseline: ReloadBaseline,
     /// The content of the file.
     pub file_content: Value,
@@ -56,7 +56,7 @@
         Ok(config)
     }
 
-    /// Reads a file.
+    /// Reads a configuration file.
     ///
     /// # Errors
     /// Returns an error if the file cannot be read or if its content is invalid.
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Reads the text of a configuration.
+    /// Parses the text of a configuration.
     ///
     /// # Errors
     /// Returns every error in the text.
--- a/src/configuration/difference.rs
+++ b/src/configuration/difference.rs
@@ -13,14 +13,14 @@
     Reload,
     /// Only a restart applies the change.
     Restart,
-    /// Nothing applies the change: a reload rejects the whole file.
+    /// Neither applies the change, because a reload rejects the whole file.
     Rejected,
 }
 
 /// One value that differs between the configurations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The path in the document.
+    /// The path of the value in the file, such as `settings.categories[0].worth`.
     pub path: String,
     /// The value in the running configuration, if any.
     pub running: Option<Value>,
@@ -30,9 +30,9 @@
     pub effect: ChangeEffect,
 }
 
-/// Returns the differences between the configuration that a sidecar runs with and the next one.
+/// Returns the differences between a sidecar's running configuration and the next one.
 ///
-/// If the next one lacks a key without which a reload rejects the whole file, this key is the only difference.
+/// If a reload would reject the next one because a key is missing, only this key is returned.
 #[must_use]
 pub fn differences(running: &Config, next: &Config) -> Vec<Difference> {
     if let Some(path) = running.reload_baseline.missing_key(&next.reload_baseline) {
@@ -65,8 +65,8 @@
     leaf_values(document).into_iter().collect()
 }
 
-/// Returns how a change of the value takes effect. Returns `None` for values that a process uses only at its start
-/// (`known`, `seed`).
+/// Returns the effect of a change of the value at a path. Returns `None` for `known` and `seed`, which a process uses
+/// only at its start, and for unknown keys.
 fn effect(path: &str) -> Option<ChangeEffect> {
     match path.split(['.', '[']).next() {
         Some("settings" | "discovery") => Some(ChangeEffect::Reload),
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -27,7 +27,7 @@
     pub seed: Seed,
     /// The resource limits of the process.
     pub limits: ProcessLimitsDocument,
-    /// The cached endpoint list from before the start, which may be out of date.
+    /// The endpoint list that was cached before the start, which may be out of date.
     #[serde(rename = "known", skip_serializing_if = "Option::is_none")]
     pub cached_list: Option<EndpointList>,
     /// The settings of the load balancer.
@@ -44,7 +44,7 @@
     #[serde(rename = "memory_mb")]
     pub max_memory_mb: usize,
     /// The number of processor cores. It has no effect.
-    // The field exists so that a reload notices if the key is missing.
+    // The field exists because a reload has to detect that the key is missing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cores: Option<f64>,
 }
@@ -55,7 +55,7 @@
 #[schemars(with = "String", extend("pattern" = "^[0-9a-fA-F]{1,16}$"))]
 pub struct Seed(pub u64);
 
-/// The error that the text of a seed is not a hexadecimal number of 64 bits.
+/// The error for the text of a seed that is not a hexadecimal number of 64 bits.
 #[derive(Debug, thiserror::Error)]
 #[error("seed {text}: {source}")]
 pub struct SeedError {
--- a/src/configuration/effective_value.rs
+++ b/src/configuration/effective_value.rs
@@ -24,17 +24,17 @@
 /// One effective value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveValue {
-    /// The path in the document.
+    /// The path of the value in the file, such as `settings.categories[0].worth`.
     pub path: String,
     /// The value.
     pub value: Value,
-    /// The unit. For times it is followed by the value in a readable form.
+    /// The unit. For a time, it is followed by the time in a readable form, such as `ns, 5s`.
     pub unit: Option<String>,
     /// The origin of the value.
     pub origin: ValueOrigin,
 }
 
-/// The units of values other than times, by the suffix of their path.
+/// The units of values other than times. Each unit applies to paths with a certain suffix.
 const UNITS: [(&str, &str); 6] = [
     ("memory_mb", "MB"),
     ("limits.sockets", "descriptors"),
@@ -43,14 +43,14 @@
     ("sendCap", "attempts"),
     ("maxOpen", "requests"),
 ];
-/// The suffix of keys whose values are times in nanoseconds.
+/// The suffix of the keys of times in nanoseconds.
 const NANOSECONDS_SUFFIX: &str = "Ns";
 /// The key of the operators' address.
 const ADMIN_KEY: &str = "admin_addr";
-/// The key of the cached endpoint list. Only its size is shown.
+/// The key of the cached endpoint list. Only the list's size and version are shown.
 const CACHED_LIST_KEY: &str = "known";
 
-/// Returns all effective values. An operators' address from the environment replaces that of the file.
+/// Returns all effective values. An operators' address from the environment replaces that in the file.
 #[must_use]
 pub fn effective_values(
     parsed: &ParsedConfiguration,
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -9,7 +9,7 @@
 /// The reason why a configuration cannot be loaded. The message fits on one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// `ROUTER_CONFIG`, which names the file, is not set.
     #[error("{CONFIGURATION_FILE_VARIABLE} is not set")]
     NoFile,
     /// The file cannot be read.
--- a/src/configuration/json_text.rs
+++ b/src/configuration/json_text.rs
@@ -9,7 +9,7 @@
 pub(super) struct ParsedJson {
     /// The value. If a key is duplicated, its last value is kept.
     pub value: Value,
-    /// Whether any object in the text has a duplicate key. The value does not show that.
+    /// True if any object in the text has a duplicate key. The value does not show that.
     pub has_duplicate_keys: bool,
 }
 
--- a/src/configuration/leaf_values.rs
+++ b/src/configuration/leaf_values.rs
@@ -2,8 +2,9 @@
 
 use serde_json::Value;
 
-/// Returns the values of a document that neither are nor contain objects, each with its path, such as
-/// `settings.categories[0].worth`.
+/// Returns the leaf values of a document, each with its path, such as `settings.categories[0].worth`.
+///
+/// A leaf is a value that is neither an object nor an array with objects as elements.
 pub(super) fn leaf_values(document: &Value) -> Vec<(String, Value)> {
     let mut leaves = Vec::new();
     collect_leaves("", document, &mut leaves);
--- a/src/configuration/missing_key.rs
+++ b/src/configuration/missing_key.rs
@@ -2,8 +2,8 @@
 
 use serde_json::Value;
 
-/// The keys of the settings that a later document may lack. If any other key is missing, the file counts as damaged,
-/// even if the key has a default at the start.
+/// The keys of the settings that a later document may lack. If another key is missing, the file counts as damaged, even
+/// if the key has a default.
 const OPTIONAL_KEYS: [&str; 5] = [
     "aimStretch",
     "passesDeadline",
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns the first element, reduced to the keys that all elements have. Returns null if one of several elements is
-/// not an object, and `None` if there are no elements.
+/// Returns the first element, reduced to the keys that all elements have. Returns `None` if there are no elements, and
+/// null if there are several elements and one of them is not an object.
 fn object_of_common_keys(elements: &[Value]) -> Option<Value> {
     elements
         .iter()
--- a/src/configuration/parse.rs
+++ b/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! Reads and validates the text of a configuration, at the start, on SIGHUP and in the commands.
+//! Parses and validates the text of a configuration: at the start, on SIGHUP and in the commands.
 
 use super::document::ConfigurationDocument;
 use super::json_text::{ParsedJson, parse_json};
@@ -13,11 +13,11 @@
 /// A valid configuration.
 #[derive(Debug)]
 pub struct ParsedConfiguration {
-    /// The document. Keys that the file lacks have their defaults.
+    /// The document. Fields whose keys are missing in the file have their defaults.
     pub document: ConfigurationDocument,
     /// The content of the file.
     pub file_content: Value,
-    /// The settings, converted to the types of the decision module.
+    /// The settings, converted to the types of the balancer.
     pub settings: Settings,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Reads and validates the text of a configuration.
+/// Parses and validates the text of a configuration.
 ///
 /// # Errors
 /// Returns every error in the text.
@@ -71,8 +71,8 @@
 
 /// Converts a parsed text to the document type.
 ///
-/// The parsed value has neither the positions in the text nor duplicate keys. If the conversion fails or there is a
-/// duplicate key, the text is read again for a complete error message.
+/// If the conversion fails or there is a duplicate key, the text is parsed again, because the parsed value has neither
+/// duplicate keys nor the positions that the error message shows.
 fn read_document(text: &str, json: &ParsedJson) -> Result<ConfigurationDocument, ValidationErrors> {
     match ConfigurationDocument::deserialize(&json.value) {
         Ok(document) if !json.has_duplicate_keys => Ok(document),
@@ -94,8 +94,8 @@
 
 /// Returns all errors of a document.
 ///
-/// Reading ends at the first error, so all errors are taken from a check against the schema. If the schema finds none,
-/// the error of reading is returned.
+/// Deserialization ends at the first error, `reading_error`. All errors are therefore taken from a check against the
+/// schema. If this check finds none, only `reading_error` is returned.
 fn all_errors(value: &Value, reading_error: ValidationError) -> Vec<ValidationError> {
     let errors = schema_errors(value);
     if errors.is_empty() {
--- a/src/configuration/reload_baseline.rs
+++ b/src/configuration/reload_baseline.rs
@@ -1,4 +1,4 @@
-//! The part of a configuration file with which the next file is compared at a reload.
+//! The part of a configuration file that is compared with the next file at a reload.
 
 use super::document::ProcessLimitsDocument;
 use super::missing_key::missing_key;
@@ -9,8 +9,10 @@
 pub struct ReloadBaseline(Value);
 
 impl ReloadBaseline {
-    /// Creates the baseline of a file. It holds the settings as they are written in the file, without defaults. A key
-    /// that the next file lacks therefore counts as missing even if it has a default.
+    /// Creates the baseline of a file.
+    ///
+    /// It holds the settings as they are written in the file, without defaults. A key that the next file lacks
+    /// therefore counts as missing even if it has a default.
     pub(super) fn new(file_content: &Value, limits: &ProcessLimitsDocument) -> Self {
         ReloadBaseline(json!({
             "settings": file_content["settings"],
--- a/src/configuration/restart_values.rs
+++ b/src/configuration/restart_values.rs
@@ -1,4 +1,4 @@
-//! The values that change only with a restart.
+//! The values of a configuration that only a restart changes.
 
 use super::document::ConfigurationDocument;
 use serde_json::{Value, json};
--- a/src/configuration/schema.rs
+++ b/src/configuration/schema.rs
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// Converts a JSON pointer, `/a/0/b`, to a path, `a[0].b`.
+/// Converts a JSON pointer, such as `/a/0/b`, to a path, such as `a[0].b`.
 fn dotted_path(pointer: &str) -> String {
     let mut path = String::new();
     for segment in pointer.split('/').skip(1) {
--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -1,4 +1,4 @@
-//! Converts the document types to the settings of the decision module.
+//! Converts the document types to the settings of the balancer, [`crate::policy::Settings`].
 
 use super::error::SettingsDocumentError;
 use super::types::{
--- a/src/configuration/settings_document/key_path.rs
+++ b/src/configuration/settings_document/key_path.rs
@@ -1,6 +1,6 @@
-//! Converts paths of fields in the decision module's settings to paths of keys in the document.
+//! Converts paths of fields in the balancer's settings to paths of keys in the settings document.
 
-/// The fields of the decision module's settings whose key in the document has another name, each with that key.
+/// The fields of the balancer's settings whose key in the document has another name, each with that key.
 const RENAMED_KEYS: [(&str, &str); 31] = [
     ("classes", "categories"),
     ("objective_per_work", "aimStretch"),
@@ -34,10 +34,10 @@
     ("health_checks", "probes"),
     ("health_check", "probe"),
 ];
-/// The field of a class whose inner fields are direct keys of the class in the document.
+/// The prefix of the fields inside a class's idempotency. In the document, they are direct keys of the class.
 const FLATTENED_FIELD: &str = "idempotency.";
 
-/// Returns the path in the settings document of a field of the decision module's settings.
+/// Returns the path in the settings document of a field of the balancer's settings.
 ///
 /// For example, `classes[0].priority_weight` becomes `categories[0].worth`.
 #[must_use]
--- a/src/configuration/settings_document/mod.rs
+++ b/src/configuration/settings_document/mod.rs
@@ -1,5 +1,5 @@
-//! The settings as JSON: `params` of the simulator's first message to an instance, and `settings` in a sidecar's
-//! configuration.
+//! The balancer's settings as JSON: `settings` in a sidecar's configuration, and `params` of the simulator's message
+//! that starts an instance.
 //!
 //! The keys of this format are the terms that the operators use. Only this module converts them to the terms of the
 //! code: each field of the document types has the code's name, and its `serde` name is the key in the document.
@@ -37,7 +37,7 @@
 
 use crate::policy::Settings;
 
-/// Reads a settings document. [`Settings::validate`] checks the ranges of the values.
+/// Parses a settings document. The ranges of the values are not checked; [`Settings::validate`] does that.
 ///
 /// # Errors
 /// Returns an error if the text is not JSON, if a value is missing or has the wrong type, or if a keyed class has no
--- a/src/configuration/settings_document/types.rs
+++ b/src/configuration/settings_document/types.rs
@@ -1,7 +1,7 @@
 //! The types of the settings document. Their doc comments are the descriptions in the published JSON Schema.
 //!
-//! Variants of enums have ordinary comments. With doc comments, the schema would describe each variant by a schema of
-//! its own, and the error for an invalid value would no longer list the allowed ones.
+//! The variants of enums have ordinary comments. Doc comments would give each variant a schema of its own, and the
+//! error for an invalid value would no longer list the allowed ones.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -21,7 +21,7 @@
     /// The behaviour of clients.
     #[serde(default, rename = "clientHabits")]
     pub(super) clients: ClientsDocument,
-    /// The tenants that requests belong to; may be empty.
+    /// The tenants of requests. The list may be empty.
     #[serde(default, rename = "customers")]
     pub(super) tenants: Vec<TenantDocument>,
     /// The names of the zones.
@@ -52,7 +52,7 @@
     /// The names of the tiers.
     #[serde(default, rename = "stages")]
     pub(super) tiers: Vec<String>,
-    /// The tier that this sidecar sends requests to, counted from 0.
+    /// The number of the tier to which this sidecar sends requests, counted from 0.
     #[serde(default)]
     pub(super) tier: usize,
     /// The meaning of an endpoint's size: `nominal` (its capacity as registered), `rough` (approximately its capacity
@@ -107,12 +107,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct LimitsDocument {
-    /// Whether attempts may be cancelled.
+    /// True if attempts may be cancelled.
     pub(super) cancel: bool,
     /// The idle time after which endpoints close a connection, in nanoseconds.
     #[serde(rename = "connIdleNs")]
     pub(super) idle_timeout_ns: u64,
-    /// The maximum time to establish a connection, in nanoseconds. After it, the connection has failed.
+    /// The maximum time to establish a connection, in nanoseconds. The attempt to connect fails after it.
     pub(super) connect_timeout_ns: u64,
     /// The maximum number of pending requests of one sidecar.
     pub(super) max_open: u64,
@@ -122,16 +122,16 @@
     /// The maximum number of concurrent attempts on one connection.
     #[serde(rename = "maxStreams")]
     pub(super) streams_per_connection: u64,
-    /// Whether sidecars may send messages to each other.
+    /// True if sidecars may send messages to each other.
     #[serde(rename = "mayTell")]
     pub(super) peers: bool,
-    /// Whether a request may have two attempts in flight at once.
+    /// True if a request may have two attempts in flight at once.
     #[serde(rename = "parallelTries")]
     pub(super) parallel_attempts: bool,
-    /// Whether the sidecar may send health checks to endpoints.
+    /// True if the sidecar may send health checks to endpoints.
     #[serde(rename = "probes")]
     pub(super) health_checks: bool,
-    /// Whether clients obey the Retry-After of a rejection.
+    /// True if clients obey the Retry-After of a rejection.
     pub(super) retry_after: bool,
     /// The maximum number of attempts of a request, above 0.
     #[serde(rename = "sendCap")]
@@ -144,31 +144,31 @@
 pub(super) struct ClassDocument {
     /// The name of the class.
     pub(super) name: String,
-    /// Whether endpoints may run a request more than once: `free` (any number of times), `guarded` (endpoints drop
-    /// repeats) or `single_shot` (never twice).
+    /// The idempotency of requests: `free` (endpoints may run a request any number of times), `guarded` (endpoints drop
+    /// repeats) or `single_shot` (endpoints must never run a request twice).
     #[serde(rename = "effect")]
     pub(super) idempotency: IdempotencyDocument,
     /// The time after which a client gives up, in nanoseconds, above 0.
     #[serde(rename = "hardLimitNs")]
     pub(super) deadline_ns: u64,
-    /// The latency objective: an answer within this time has full value. In nanoseconds, above 0.
+    /// The latency objective, in nanoseconds, above 0. An answer within this time has full value.
     pub(super) objective_ns: u64,
-    /// The endpoints that drop each other's repeats of a guarded request: `all`, those of one `zone`, or those of one
-    /// `cell` (group of endpoints). Required for guarded requests.
+    /// The endpoints that drop each other's repeats of a guarded request: `all` endpoints, those of one `zone`, or
+    /// those of one `cell` (group of endpoints). Required for guarded requests.
     pub(super) key_scope: Option<KeyScopeDocument>,
     /// The time for which endpoints drop repeats of a guarded request, in nanoseconds.
     #[serde(default, rename = "memorySpanNs")]
     pub(super) deduplication_window_ns: u64,
-    /// The fraction of its value that an answer keeps if it comes after the objective, from 0 to 1.
+    /// The fraction of its value that an answer after the objective keeps, from 0 to 1.
     #[serde(default, rename = "lateShare")]
     pub(super) late_value: f64,
-    /// The growth of the objective, as a multiple of the request's work.
+    /// The growth of the objective with a request's work, as a multiple of the work.
     #[serde(default, rename = "aimStretch")]
     pub(super) objective_per_work: f64,
-    /// Whether the answer is a stream.
+    /// True if the answer is a stream.
     #[serde(default)]
     pub(super) stream: bool,
-    /// Whether requests with the same key are sent one at a time, in order of arrival.
+    /// True if requests with the same key are sent one at a time, in order of arrival.
     #[serde(default, rename = "byArrival")]
     pub(super) is_key_ordered: bool,
     /// The value of one request, which orders the classes by priority.
@@ -176,13 +176,13 @@
     pub(super) priority_weight: f64,
 }
 
-/// Whether endpoints may run a request more than once.
+/// The idempotency of the requests of a class.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) enum IdempotencyDocument {
-    // Any number of times.
+    // Endpoints may run a request any number of times.
     #[serde(rename = "free")]
     Idempotent,
-    // Never twice.
+    // Endpoints must never run a request twice.
     #[serde(rename = "single_shot")]
     Unsafe,
     // Endpoints drop repeats.
@@ -207,7 +207,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct ClientsDocument {
-    /// Whether clients mark their retries.
+    /// True if clients mark their retries.
     pub(super) marks_retry: bool,
 }
 
@@ -217,10 +217,10 @@
 pub(super) struct TenantDocument {
     /// The name of the tenant.
     pub(super) name: String,
-    /// The fraction of the service that is agreed with the tenant, from 0 to 1.
+    /// The quota share: the fraction of the service that is agreed with the tenant, from 0 to 1.
     #[serde(rename = "portion")]
     pub(super) quota_share: f64,
-    /// The rate of requests within that share, per second, over all sidecars of the tier.
+    /// The rate of requests within the quota share, per second, summed over all sidecars of the tier.
     #[serde(default)]
     pub(super) quota_per_s: f64,
 }
@@ -229,10 +229,10 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct ServiceDocument {
-    /// Whether calls carry the remaining time of the request.
+    /// True if calls carry the remaining time of the request.
     #[serde(rename = "passesDeadline")]
     pub(super) propagates_deadline: bool,
-    /// Whether a request takes less work at an endpoint that has recently served a request with the same key.
+    /// True if a request takes less work at an endpoint that has recently served a request with the same key.
     pub(super) warm_keys: bool,
 }
 
@@ -262,22 +262,22 @@
 /// The load reports of endpoints.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) struct ReportingDocument {
-    /// When endpoints report their load: `inline` (with each answer and health check), `on_probe` (with health checks
-    /// only) or `off` (never).
+    /// The exchanges in which endpoints report their load: `inline` (answers and health checks), `on_probe` (health
+    /// checks only) or `off` (none).
     #[serde(rename = "how")]
     pub(super) mode: ReportingModeDocument,
 }
 
-/// When endpoints report their load.
+/// The exchanges in which endpoints report their load.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) enum ReportingModeDocument {
-    // With answers and health checks.
+    // Answers and health checks.
     #[serde(rename = "inline")]
     WithAnswers,
-    // With health checks only.
+    // Health checks only.
     #[serde(rename = "on_probe")]
     WithHealthChecks,
-    // Never.
+    // None.
     #[serde(rename = "off")]
     Off,
 }
@@ -301,15 +301,16 @@
     /// The time within which a sidecar must stop sending requests to an endpoint after the notice of its drain or
     /// removal, in nanoseconds.
     pub(super) drain_grace_ns: u64,
-    /// The overload that makes a warming endpoint fail, as a multiple of its present capacity. The endpoint fails if it
-    /// is sent more than that for `fallNs`.
+    /// The load beyond which an endpoint that is warming up fails, as a multiple of its present capacity. The endpoint
+    /// fails if the load exceeds this for `fallNs`.
     #[serde(rename = "fallMultiple")]
     pub(super) overload_multiple: f64,
-    /// The time after which overload beyond `fallMultiple` makes a warming endpoint fail, in nanoseconds.
+    /// The time for which the load must exceed `fallMultiple` before an endpoint that is warming up fails, in
+    /// nanoseconds.
     #[serde(rename = "fallNs")]
     pub(super) overload_window_ns: u64,
-    /// The time for which a key is not used after an attempt that may still be running, in nanoseconds. Absent: there
-    /// is no such rule.
+    /// The time for which no request with the same key is sent after an attempt that may still be running, in
+    /// nanoseconds. Absent: there is no such rule.
     #[serde(rename = "orderPauseNs")]
     pub(super) key_cooldown_ns: Option<u64>,
     /// The time after its start within which an endpoint reaches its full capacity, in nanoseconds.
--- a/src/configuration/validation.rs
+++ b/src/configuration/validation.rs
@@ -5,13 +5,13 @@
 /// One error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ValidationError {
-    /// The path in the document, such as `settings.categories[0].worth`; empty for the document itself.
+    /// The path of the value in the file, such as `settings.categories[0].worth`. Empty for an error of the whole file.
     pub path: String,
-    /// The value found there and the values allowed.
+    /// The reason why the value is invalid.
     pub message: String,
 }
 
-/// The errors in a configuration; never empty.
+/// The errors in a configuration. There is at least one.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ValidationErrors(pub Vec<ValidationError>);
 
--- a/src/simulator/action.rs
+++ b/src/simulator/action.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use std::fmt::{self, Write as _};
 
-/// The value of the field `data` in a peer message without data.
+/// The value of the field `data` for a peer message without data.
 const NO_DATA: &str = "-";
 /// The value of the field `neighbourId` in a message to all peers.
 const ALL_PEERS: i64 = -1;
@@ -109,7 +109,7 @@
     }
 }
 
-/// Appends the report of a panic in the decision module.
+/// Appends the line that reports a panic in a balancer.
 pub(super) fn format_internal_error(
     reply: &mut String,
     InstanceNumber(instance): InstanceNumber,
@@ -123,7 +123,7 @@
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
 
-/// Replaces line breaks, which would end the message, by spaces.
+/// Replaces line breaks by spaces, because a line break would end the message.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,5 +1,5 @@
-//! Hosts many instances of the decision module: reads the simulator's lines, passes the events on and writes the
-//! replies.
+//! Hosts many instances of the balancer: reads the simulator's lines, passes events to the instances and writes their
+//! actions as replies.
 
 use super::action::{format_action, format_internal_error};
 use super::endpoint_lists::EndpointLists;
@@ -90,12 +90,13 @@
     Complete,
 }
 
-/// One instance of the decision module.
+/// One instance of the balancer, with the IDs of its classes and tenants.
 struct Instance {
     balancer: Balancer,
     ids: IdTable,
 }
 
+/// The running instances, the endpoint lists, and the state of the current batch.
 #[derive(Default)]
 struct Adapter {
     instances: HashMap<InstanceNumber, Instance>,
--- a/src/simulator/endpoint_lists.rs
+++ b/src/simulator/endpoint_lists.rs
@@ -5,9 +5,10 @@
 use crate::policy::EndpointEntry;
 use std::sync::Arc;
 
-/// The complete lists, and the one whose entries are still being received.
+/// The complete lists, and the list whose entries are still being received.
 #[derive(Debug, Default)]
 pub(super) struct EndpointLists {
+    /// The complete lists, indexed by their numbers.
     complete: [Option<Arc<[EndpointEntry]>>; LIST_COUNT],
     partial: Option<PartialList>,
 }
@@ -21,7 +22,7 @@
 }
 
 impl EndpointLists {
-    /// Starts a list with this number of entries. It replaces an earlier list of the same number.
+    /// Starts a list of `entry_count` entries. Once complete, it replaces an earlier list of the same number.
     pub(super) fn start(&mut self, number: usize, entry_count: usize) {
         self.partial = Some(PartialList {
             number,
@@ -42,7 +43,7 @@
         Ok(())
     }
 
-    /// Returns an error if the last list is incomplete. Only entries may follow until it is complete.
+    /// Returns an error if the list that was started last is incomplete. Until it is complete, only entries may follow.
     pub(super) fn require_complete(&self) -> Result<(), MessageError> {
         match &self.partial {
             Some(partial) => Err(MessageError::IncompleteList {
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,4 +1,4 @@
-//! Errors in messages from the simulator.
+//! The errors in messages from the simulator.
 
 use super::instance::InstanceNumber;
 use crate::configuration::settings_document::SettingsDocumentError;
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -1,4 +1,4 @@
-//! Parses the events of an instance. Class and tenant names are resolved with the settings of the instance.
+//! Parses the events of an instance. Converts class and tenant names to the IDs of the instance's settings.
 
 use super::error::MessageError;
 use super::message_fields::MessageFields;
@@ -8,11 +8,11 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The bit of a request's attributes that marks its cost hint as valid.
+/// The bit in a request's attributes that marks its cost hint as valid.
 const HAS_COST_HINT: u64 = 1;
-/// The bit of a request's attributes that marks a retry by the client.
+/// The bit in a request's attributes that marks a retry by the client.
 const IS_CLIENT_RETRY: u64 = 2;
-/// The bit of a request's attributes that marks a write.
+/// The bit in a request's attributes that marks a write.
 const IS_WRITE: u64 = 4;
 /// The tenant name of a request without a tenant.
 const NO_TENANT: &str = "0";
@@ -25,7 +25,7 @@
 }
 
 impl IdTable {
-    /// Returns the table for the settings of an instance.
+    /// Creates the table for the settings of an instance.
     pub(super) fn from_settings(settings: &Settings) -> Self {
         let classes = settings
             .classes
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -6,7 +6,7 @@
 use crate::configuration::settings_document::parse_settings;
 use crate::policy::{EndpointEntry, GroupId, ListKind, Readiness, Settings, Timestamp};
 
-/// The number of endpoint lists that the adapter stores, numbered from 0.
+/// The maximum number of endpoint lists that the adapter stores. They are numbered from 0.
 pub(super) const LIST_COUNT: usize = 16;
 
 /// One message, which is one line of the input.
@@ -50,7 +50,7 @@
     },
     /// `members` with `kind=X`: a discovery call of an instance has failed.
     DiscoveryFailed(InstanceNumber),
-    /// Any other event for an instance. `parse_event` parses it with the class and tenant names of the instance.
+    /// Any other event for an instance. `parse_event` parses its fields.
     Event(InstanceNumber, MessageFields<'a>),
     /// `go`: the batch is complete.
     BatchEnd,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Parses the seed of 64 bits, which may be written as an unsigned or a signed number.
+/// Parses a seed of 64 bits, which may be written as an unsigned or a signed number.
 fn parse_seed(fields: &MessageFields<'_>) -> Result<u64, MessageError> {
     let text = fields.text("nonce64")?;
     let signed = || text.parse::<i64>().ok().map(i64::cast_unsigned);
--- a/src/simulator/message_fields.rs
+++ b/src/simulator/message_fields.rs
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Returns a parsed value, or an error if parsing failed.
+    /// Returns `parsed`, or the error for a value that cannot be parsed if it is `None`.
     pub(super) fn require_parsed<T>(
         &self,
         field: &'static str,
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Parses an integer of the type.
+    /// Parses the value of a field as a number of the requested type.
     pub(super) fn number<T: FromStr>(&self, field: &'static str) -> Result<T, MessageError> {
         let value = self.text(field)?;
         self.require_parsed(field, value, value.parse().ok())
     }
 
-    /// Parses an integer. Returns 0 if the field is missing.
+    /// Parses the value of a field as an integer. Returns 0 if the field is missing.
     pub(super) fn number_or_zero(&self, field: &'static str) -> Result<u64, MessageError> {
         if self.find(field).is_some() {
             self.number(field)
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Parses 0 or 1.
+    /// Parses the value of a field as 0 (false) or 1 (true).
     pub(super) fn flag(&self, field: &'static str) -> Result<bool, MessageError> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -126,12 +126,12 @@
         }
     }
 
-    /// Parses a time in nanoseconds.
+    /// Parses the value of a field as a time in nanoseconds.
     pub(super) fn timestamp(&self, field: &'static str) -> Result<Timestamp, MessageError> {
         Ok(Timestamp::from_nanos(self.number(field)?))
     }
 
-    /// Parses the instance that the message is for.
+    /// Parses the number of the instance to which the message is addressed.
     pub(super) fn instance(&self) -> Result<InstanceNumber, MessageError> {
         let value = self.text("sidecarId")?;
         let number = value
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,10 +1,11 @@
-//! The simulator's protocol and its adapter, which hosts many instances of the decision module in one process.
+//! The simulator's protocol and its adapter, which hosts many instances of the [`Balancer`](crate::policy::Balancer) in
+//! one process.
 //!
 //! The protocol consists of lines of text, `message name=value name=value`. Messages come in batches, from `frame` to
 //! `go`. Each batch gets one reply: a line for each action, then `ok`.
 //!
 //! The names in the messages are the terms that the operators use. `message`, `event` and `message_fields` convert them
-//! to the terms of the decision module, and `action` converts those back.
+//! to the terms of the balancer, and `action` converts those back.
 
 mod action;
 mod adapter;
