--- a/src/discovery/list_decoder_tests.rs
+++ b/src/discovery/list_decoder_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decoder of a watch's stream.
+//! Tests of the decoder for the stream of lists on a watch.
 
 use super::error::{DiscoveryError, StaleListError};
 use super::list_decoder::{ChunkContent, ListDecoder, MAX_LIST_BYTES};
@@ -20,7 +20,7 @@
 }
 
 /// Guards the decoding of lists that are split between chunks. A list must be passed on with the chunk that completes
-/// it, and an incomplete list must have no effect.
+/// it, and not before.
 #[test]
 fn list_is_decoded_with_its_last_chunk() {
     let mut decoder = ListDecoder::default();
@@ -49,8 +49,8 @@
     assert_eq!(content.expect("well-formed"), ChunkContent::NothingNew);
 }
 
-/// Guards against a time-out of long lists that arrive slowly. Each part of a list must count as received data, even if
-/// it completes no list.
+/// Guards against a time-out during long lists that arrive slowly. Each part of a list must count as received data,
+/// even if it does not complete the list.
 #[test]
 fn part_of_a_list_is_progress() {
     let mut decoder = ListDecoder::default();
@@ -82,8 +82,8 @@
     assert_eq!(decoder.parse_count, 1);
 }
 
-/// Guards against results that depend on the chunks. Every division of a stream, with brackets and quotes in strings,
-/// must give the same lists.
+/// Guards against results that depend on the division into chunks. Every chunk size must give the same lists, also if
+/// strings contain brackets and quotes.
 #[test]
 fn lists_do_not_depend_on_the_chunk_size() {
     let entry = "{\"name\":\"a}]\\\"{[\",\"address\":\"127.0.0.1:1\",\"zone\":\"\\\\\",\"type\":\"m\",\
@@ -103,8 +103,8 @@
     }
 }
 
-/// Guards against a list that breaks off and is followed by others. At any position, the break must be detected at the
-/// latest with the second list after it.
+/// Guards against a truncated list that goes unnoticed because others follow it. It must be detected by the end of the
+/// second list after it, for every length of the truncated list.
 #[test]
 fn truncated_list_is_detected() {
     let list = "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"group\":12}]}";
--- a/src/discovery/subscription_tests.rs
+++ b/src/discovery/subscription_tests.rs
@@ -46,7 +46,8 @@
     assert_eq!(subscription.known_version(previous), None);
 }
 
-/// Guards the first list after a move. Versions of the previous source must not apply to the current one.
+/// Guards against a version of the previous source that is used for the current one. After a move, no version must be
+/// known.
 #[test]
 fn version_is_unknown_after_a_move() {
     let mut subscription = Subscription::new(address(1));
--- a/tests/command_line/configuration.rs
+++ b/tests/command_line/configuration.rs
@@ -3,7 +3,7 @@
 use super::{TestDirectory, path_text, run_program, stderr, stdout, valid_configuration};
 use serde_json::{Value, json};
 
-/// Runs `check` on a document. Returns the exit code, the errors and the warnings.
+/// Runs `check` on a document. Returns the exit code, the lines of errors and the lines of warnings.
 fn check(directory: &TestDirectory, document: &Value) -> (Option<i32>, Vec<String>, Vec<String>) {
     let file = directory.write_file("config.json", &document.to_string());
     let output = run_program(&["check", "--config", path_text(&file)]);
@@ -15,7 +15,7 @@
     )
 }
 
-/// Guards against errors of `check` for a valid configuration.
+/// Guards against errors that `check` reports for a valid configuration.
 #[test]
 fn check_accepts_a_valid_configuration() {
     let directory = TestDirectory::new("check-good");
@@ -33,8 +33,8 @@
     );
 }
 
-/// Guards against errors of which only the first is reported. All must be reported at once, each with its path, the
-/// value found and the values allowed.
+/// Guards against a report that ends at the first error. All errors must be reported at once, each with its path and
+/// reason.
 #[test]
 fn check_reports_all_errors_at_once() {
     let directory = TestDirectory::new("check-errors");
@@ -90,7 +90,7 @@
 }
 
 /// Guards against missing reports of errors that the schema does not cover: invalid addresses, files that are not JSON,
-/// missing files, and no named file.
+/// missing files, and a command without a file.
 #[test]
 fn check_reports_errors_that_the_schema_does_not_cover() {
     let directory = TestDirectory::new("check-text");
@@ -137,7 +137,7 @@
     );
 }
 
-/// Guards against misspelt keys that go unnoticed. They must cause a warning, but no error.
+/// Guards against misspelt keys that go unnoticed. An unknown key must cause a warning, but no error.
 #[test]
 fn check_warns_of_unknown_keys() {
     let directory = TestDirectory::new("check-unknown");
@@ -213,7 +213,7 @@
     assert_eq!(diff_with(&incomplete), (Some(1), expected.into()));
 }
 
-/// Guards against an outdated published schema. `balancer-sidecar schema` prints the present one.
+/// Guards against a published schema that is out of date. `balancer-sidecar schema` prints the current schema.
 #[test]
 fn published_schema_is_up_to_date() {
     let output = run_program(&["schema"]);
--- a/tests/command_line/help.rs
+++ b/tests/command_line/help.rs
@@ -1,4 +1,4 @@
-//! Tests of the help, the version, the completions and the manual page, which are generated from the same definitions.
+//! Tests of the help, the version, the completions, the manual page and the exit code for invalid arguments.
 
 use super::{run_program, stdout};
 
@@ -49,7 +49,8 @@
     );
 }
 
-/// Guards against a program that serves when its arguments are invalid. Scripts depend on the exit code 2.
+/// Guards against a program that runs as the sidecar although its arguments are invalid. Scripts depend on the exit
+/// code 2.
 #[test]
 fn invalid_arguments_are_bad_input() {
     for arguments in [
--- a/tests/command_line/main.rs
+++ b/tests/command_line/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the commands of the built program.
+//! Tests of the commands of the program `balancer-sidecar`.
 
 mod configuration;
 mod help;
@@ -60,7 +60,7 @@
     })
 }
 
-/// Runs the program with arguments, without the environment variables that it reads.
+/// Runs the program with arguments. The environment variables that it reads are not set.
 #[must_use]
 pub fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-sidecar"));
--- a/tests/command_line/operator_commands.rs
+++ b/tests/command_line/operator_commands.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Guards the output of `status`, and that it takes the operators' address from the configuration.
+/// Guards the output of `status`, and the use of the operators' address from the configuration file.
 #[test]
 fn status_shows_readiness_and_metrics() {
     let (address, received_lines) = fake_sidecar(&["YES\n", "app_pending 3\napp_members 2\nEND\n"]);
@@ -85,8 +85,8 @@
     );
 }
 
-/// Guards against failures without a message. A missing address is invalid input (exit code 2), and an unreachable
-/// sidecar is a failure (exit code 1).
+/// Guards against failures without a message. A missing address must give exit code 2 (invalid input), and an
+/// unreachable sidecar exit code 1 (failure).
 #[test]
 fn commands_report_a_missing_address_and_an_unreachable_sidecar() {
     let output = run_program(&["status"]);
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -5,12 +5,15 @@
 use std::ops::Range;
 use std::time::Duration;
 
+/// The seeds with which each test runs.
 const SEEDS: Range<u64> = 0..200;
+/// The number of consecutive failures in each sequence of delays.
 const FAILURES: usize = 20;
 /// The duration of a call that fails immediately.
 const IMMEDIATE: Duration = Duration::ZERO;
-/// The bounds of the delay after the first consecutive failure.
+/// The minimum delay after the first consecutive failure.
 const MIN_FIRST_DELAY: Duration = Duration::from_millis(150);
+/// The maximum delay after the first consecutive failure.
 const MAX_FIRST_DELAY: Duration = Duration::from_millis(450);
 
 /// Returns the delays after consecutive failures of calls that each took `call_duration`.
@@ -21,15 +24,15 @@
         .collect()
 }
 
-/// Returns the mean over all seeds of the delay that follows this number of earlier failures.
+/// Returns the mean delay, over all seeds, after a failure that follows `earlier_failures` consecutive failures.
 fn mean_delay(earlier_failures: usize, call_duration: Duration) -> Duration {
     let delays = SEEDS.map(|seed| delays(seed, call_duration)[earlier_failures]);
     delays.sum::<Duration>() / SEEDS.end as u32
 }
 
-/// Guards against a next call that is too late to meet the propagation deadline of changes. It must begin early enough
-/// after the failed call began, or soon after a failed call that took longer. After an immediate failure it must have
-/// time for the full time-out. Delays also have a minimum.
+/// Guards against delays that are too long to meet the propagation deadline of changes. The next call must begin within
+/// [`MAX_CALL_INTERVAL`] of the start of the failed call, or else within the maximum first delay of its end. The delay
+/// and the full time-out must fit within the deadline. Delays also have a minimum.
 #[test]
 fn delay_stays_within_its_bounds() {
     for call_duration in [
@@ -57,7 +60,7 @@
 }
 
 /// Guards against overload of discovery by repeated calls during an outage. The mean delay must double up to four times
-/// the first one, and start again after a response.
+/// the first mean delay. After a response, delays must start again from the first.
 #[test]
 fn delays_grow_until_a_response_resets_them() {
     for earlier_failures in 1..3 {
@@ -76,8 +79,8 @@
     }
 }
 
-/// Guards against sidecars that call at the same moments. Each seed must give delays of its own, and the same ones each
-/// time.
+/// Guards against sidecars that call at the same times. Different seeds must give different delays, and the same seed
+/// must always give the same delays.
 #[test]
 fn jitter_differs_by_seed_and_is_reproducible() {
     for seed in SEEDS {
@@ -97,8 +100,8 @@
     }
 }
 
-/// Guards the time at which a call is hedged. The call must have the full time-out first, and the hedged call must
-/// begin in time, regardless of the number of earlier ones.
+/// Guards the time at which a call is hedged. It must be after the full time-out and within [`MAX_CALL_INTERVAL`],
+/// regardless of the number of earlier hedged calls.
 #[test]
 fn hedge_delay_stays_within_its_bounds() {
     for seed in SEEDS {
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,9 +1,9 @@
-//! Tests of the built adapter: input and replies of whole runs, and errors for malformed input.
+//! Tests of the program `simulator-adapter`: its replies, and its errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Returns the settings of an instance that sends requests to a tier.
+/// Returns the settings document of an instance that sends requests to a tier. It includes keys that are not known.
 fn settings_document(tier: usize) -> String {
     format!(
         r#"{{"balancers": 4, "bounds": {{"cancel": true, "connIdleNs": 5000000000, "connectTimeoutNs": 250000000, "cpuUsPerRequest": 0.0, "cpuUsPerS": 1076120, "maxOpen": 43044, "maxRetryAfterNs": 2000000000, "maxStreams": 1, "mayTell": true, "parallelTries": false, "probes": true, "retryAfter": true, "sendCap": 3}}, "categories": [{{"effect": "free", "hardLimitNs": 900000000, "keyScope": "all", "lateShare": 0.0, "memorySpanNs": 5000000000, "name": "look", "objectiveNs": 300000000, "stream": false, "worth": 1.0}}, {{"effect": "guarded", "hardLimitNs": 900000000, "keyScope": "cell", "lateShare": 0.5, "memorySpanNs": 5000000000, "name": "book", "objectiveNs": 300000000, "stream": true, "worth": 3.0}}], "clientHabits": {{"marksRetry": false}}, "customers": [{{"name": "north", "portion": 0.5, "quotaPerS": 50.0}}], "dcs": ["z1", "z2"], "discovery": "subscribe", "family": "chain", "familyInfo": {{"passesDeadline": true, "newKey": 3}}, "fees": {{"crossZone": 0.015, "waste": 0.05, "fleet": 1}}, "granularityNs": 5000000, "models": ["fast"], "myNumber": 0, "overShareWorth": 0.05, "report": {{"fields": ["err_ps", "depth"], "how": "inline"}}, "rules": {{"answerSlackNs": 20000000, "askWithinNs": 10000000000, "coldFrom": 0.38, "drainGraceNs": 2000000000, "fallMultiple": 3.0, "fallNs": 1000000000, "warmWithinNs": 8900000000}}, "scoringMix": {{"whole": 1.0}}, "stages": ["front", "back"], "tier": {tier}, "weightSource": "rough", "worthBy": "request", "zone": "z1", "unheardOf": [1, 2]}}"#
@@ -27,7 +27,8 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// Runs the adapter on a valid input. Returns its replies, one per batch, and the empty text after the last one.
+/// Runs the adapter on a valid input. Returns its replies without `ok`, one per batch, and then the empty text that
+/// follows the last `ok`.
 fn replies(input: &str) -> Vec<String> {
     let output = run_adapter(input);
     assert!(
@@ -52,7 +53,7 @@
     )
 }
 
-/// Returns the line of a request.
+/// Returns the line of a request, with an unknown field.
 fn request(instance: usize, id: &str, class: &str, deadline_ns: u64) -> String {
     format!(
         "call sidecarId=sidecar/{instance} xid={id} priority={class} org=north key=k:a validUntilNs={deadline_ns} \
@@ -129,6 +130,8 @@
     );
 }
 
+/// Guards against an instance that receives a later list of the same number. The list that was complete at the time of
+/// `members` must apply.
 #[test]
 fn list_number_is_reused_within_one_batch() {
     let list = |endpoint: &str| {
@@ -154,6 +157,7 @@
     );
 }
 
+/// Guards against state that outlives an instance. The end of an attempt of the previous instance must have no effect.
 #[test]
 fn restarted_instance_forgets_its_requests() {
     let mut input = format!(
@@ -170,6 +174,7 @@
     assert!(!replies(&input)[2].contains("r1"));
 }
 
+/// Guards against state that instances share in one process. Each instance must act as it does in another process.
 #[test]
 fn actions_do_not_depend_on_other_instances() {
     let run = |instances: &[usize]| {
@@ -212,6 +217,7 @@
     }
 }
 
+/// Guards against malformed input that is accepted, causes a panic, or leads to a partial reply.
 #[test]
 fn malformed_input_is_reported_without_actions() {
     let started = format!("frame momentNs=1000000000\n{}", instance_start(0));
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,4 +1,4 @@
-//! Tests of the source layout: files are short, all are declared, and their modules have no import cycles.
+//! Tests of the source layout: files are short, every file is declared as a module, and modules have no import cycles.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -12,18 +12,19 @@
 /// The path of a module in its crate.
 type ModulePath = Vec<String>;
 
-/// The source files of one crate by the paths of their modules.
+/// The source files of one crate, by the paths of their modules.
 struct CrateFiles(BTreeMap<ModulePath, PathBuf>);
 
 impl CrateFiles {
-    /// Returns all files below the folder that contains the root module, `lib.rs`. The programs in it are not modules.
+    /// Returns all source files of modules below the folder that contains the root module, `lib.rs`. Programs are not
+    /// included.
     fn in_folder(source: &Path) -> Self {
         let mut files = BTreeMap::new();
         collect_files(source, &Vec::new(), &mut files);
         CrateFiles(files)
     }
 
-    /// Returns the module that a path names or whose item it names.
+    /// Returns the module that a path names, or the module of the item that it names.
     fn module_at(&self, path: &[String]) -> Option<&ModulePath> {
         let lengths = (0..=path.len()).rev();
         lengths
@@ -42,6 +43,8 @@
         resolved.filter(|imported| imported != module).collect()
     }
 
+    /// Returns the module that a path in a `use` declaration of `module` refers to. Returns `None` for paths in other
+    /// crates.
     fn resolve(&self, module: &ModulePath, path: &[String]) -> Option<ModulePath> {
         let mut base = module.clone();
         let mut rest = path;
@@ -89,7 +92,7 @@
     }
 }
 
-/// The paths in a file's `use` declarations, except those in inline modules, which hold its tests.
+/// The paths in a file's `use` declarations, except those in inline modules, which contain tests.
 #[derive(Default)]
 struct UsedPaths(Vec<ModulePath>);
 
@@ -120,10 +123,9 @@
     }
 }
 
-/// Returns the modules on import cycles, with the modules that they import. Modules between two cycles are returned,
-/// too.
+/// Returns the modules on import cycles, with the modules that they import. Modules between two cycles are included.
 ///
-/// It repeatedly removes the modules that import nothing from the rest.
+/// First removes, again and again, the modules that import none of the remaining modules.
 fn import_cycles(
     mut imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
 ) -> BTreeMap<ModulePath, BTreeSet<ModulePath>> {
@@ -141,7 +143,7 @@
             imported.retain(|module| !leaves.contains(module));
         }
     }
-    // Removes the modules that nothing in the rest imports.
+    // Removes, again and again, the modules that no remaining module imports.
     loop {
         let imported: BTreeSet<ModulePath> = imports.values().flatten().cloned().collect();
         let before = imports.len();
@@ -204,7 +206,7 @@
     }
 }
 
-/// Guards against files that no module declares: the compiler would ignore them.
+/// Guards against files that no module declares. The compiler ignores them.
 #[test]
 fn every_source_file_is_declared() {
     for source in source_folders() {
