--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -82,23 +82,23 @@
     input += "go\nframe momentNs=1010000000\n\
         report_back xid=5d3a91c4-f723-4cdb-ab99-2b0a2499a382 sidecarId=sidecar/0 attempt=0 \
         endpoint=endpoint.aa ending=254 timeTakenNs=5000000 terminal=0 pressure=err_ps:0.5,depth:3,odd:1\ngo\n";
-    let all = replies(&input);
+    let all_replies = replies(&input);
     assert!(
-        all[0].contains("notify_me sidecarId=sidecar/0 instantNs="),
+        all_replies[0].contains("notify_me sidecarId=sidecar/0 instantNs="),
         "{}",
-        all[0]
+        all_replies[0]
     );
     let send =
         "send sidecarId=sidecar/0 xid=5d3a91c4-f723-4cdb-ab99-2b0a2499a382 endpoint=endpoint.aa";
     assert!(
-        all[1].starts_with(send),
+        all_replies[1].starts_with(send),
         "an endpoint in the own zone is preferred: {}",
-        all[1]
+        all_replies[1]
     );
     assert!(
-        !all[2].contains("endpoint.aa"),
+        !all_replies[2].contains("endpoint.aa"),
         "the endpoint that rejected the request is avoided: {}",
-        all[2]
+        all_replies[2]
     );
 }
 
@@ -150,10 +150,10 @@
     input += &(request(0, "r1", "look", 1_900_000_000)
         + &request(2, "r2", "look", 1_900_000_000)
         + "go\n");
-    let all = replies(&input);
+    let all_replies = replies(&input);
     assert!(
-        all[1].contains("xid=r1 endpoint=endpoint.cc")
-            && all[1].contains("xid=r2 endpoint=endpoint.dd")
+        all_replies[1].contains("xid=r1 endpoint=endpoint.cc")
+            && all_replies[1].contains("xid=r2 endpoint=endpoint.dd")
     );
 }
 
