--- a/src/command_line/mod.rs
+++ b/src/command_line/mod.rs
@@ -7,13 +7,13 @@
 mod operator_commands;
 mod output;
 
-use crate::configuration::FILE_VARIABLE;
+use crate::configuration::CONFIGURATION_FILE_VARIABLE;
 use crate::sidecar::OperatorCommand;
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use clap_mangen::Man;
 use operator_commands::OperatorOptions;
-use output::Outcome;
+use output::CommandOutcome;
 use std::io::{self, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -80,14 +80,14 @@
 #[derive(Args)]
 struct ConfigurationOptions {
     /// The configuration file.
-    #[arg(long, value_name = "FILE", env = FILE_VARIABLE)]
+    #[arg(long, value_name = "FILE", env = CONFIGURATION_FILE_VARIABLE)]
     config: PathBuf,
 }
 
 /// Runs the command that the arguments name, or the sidecar if they name none.
 #[must_use]
 pub fn main() -> ExitCode {
-    // Without arguments, clap is not called: its parser would take memory in the sidecar's process.
+    // Without arguments, clap is not used, because its parser would take memory in the sidecar's process.
     if std::env::args_os().len() <= 1 {
         return crate::sidecar::main();
     }
@@ -97,7 +97,7 @@
     }
 }
 
-fn run(command: Command) -> Outcome {
+fn run(command: Command) -> CommandOutcome {
     match command {
         Command::Check(options) => check::check(&options.config),
         Command::Explain(options) => explain::explain(&options.config),
@@ -117,17 +117,17 @@
     }
 }
 
-fn write_completions(shell: Shell) -> Outcome {
+fn write_completions(shell: Shell) -> CommandOutcome {
     let mut arguments = Arguments::command();
     clap_complete::generate(shell, &mut arguments, PROGRAM_NAME, &mut io::stdout());
-    Outcome::Success
+    CommandOutcome::Success
 }
 
-fn write_manual_page() -> Outcome {
+fn write_manual_page() -> CommandOutcome {
     let mut page = Vec::new();
     let rendered = Man::new(Arguments::command()).render(&mut page);
     match rendered.and_then(|()| io::stdout().write_all(&page)) {
-        Ok(()) => Outcome::Success,
+        Ok(()) => CommandOutcome::Success,
         Err(error) => output::report_failure(&error),
     }
 }
--- a/src/command_line/operator_commands.rs
+++ b/src/command_line/operator_commands.rs
@@ -1,7 +1,8 @@
-//! Commands that are sent to the operators' address of a running sidecar.
+//! The commands `status`, `drain`, `undrain`, `disable` and `enable`, which are sent to the operators' address of a
+//! running sidecar.
 
-use super::output::{Outcome, print_line, print_result, report_bad_input, report_failure};
-use crate::configuration::{Config, ConfigError, FILE_VARIABLE};
+use super::output::{CommandOutcome, print_line, print_result, report_bad_input, report_failure};
+use crate::configuration::{CONFIGURATION_FILE_VARIABLE, Config, ConfigError};
 use crate::sidecar::OperatorCommand;
 use clap::Args;
 use std::io::{self, Read, Write};
@@ -25,11 +26,11 @@
     #[arg(long, value_name = "ADDRESS")]
     admin: Option<SocketAddr>,
     /// The configuration file.
-    #[arg(long, value_name = "FILE", env = FILE_VARIABLE)]
+    #[arg(long, value_name = "FILE", env = CONFIGURATION_FILE_VARIABLE)]
     config: Option<PathBuf>,
 }
 
-/// The reason why a command could not be sent.
+/// The reason why a command has no answer.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(
@@ -46,7 +47,8 @@
 }
 
 impl CommandError {
-    fn report(&self) -> Outcome {
+    /// Prints the error and returns the result of the command.
+    fn report(&self) -> CommandOutcome {
         match self {
             CommandError::NoAddress | CommandError::Config(_) => report_bad_input(self),
             CommandError::Connection { .. } => report_failure(self),
@@ -54,8 +56,8 @@
     }
 }
 
-/// Sends one command and prints the answer. Fails if the answer does not report success.
-pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> Outcome {
+/// Sends a command to the sidecar and prints the answer. Fails if the answer does not report success.
+pub(super) fn send(options: &OperatorOptions, command: OperatorCommand<'_>) -> CommandOutcome {
     match operators_address(options).and_then(|address| exchange(address, command)) {
         Ok(answer) if answer.starts_with(SUCCESS_PREFIX) => print_result(&answer.trim_end()),
         Ok(answer) => report_failure(&answer.trim_end()),
@@ -64,7 +66,7 @@
 }
 
 /// Prints the readiness of the sidecar and its metrics.
-pub(super) fn status(options: &OperatorOptions) -> Outcome {
+pub(super) fn status(options: &OperatorOptions) -> CommandOutcome {
     let answers = operators_address(options).and_then(|address| {
         let readiness = exchange(address, OperatorCommand::Ready)?;
         let metrics = exchange(address, OperatorCommand::Stats)?;
@@ -78,7 +80,7 @@
     for metric in metrics.lines().filter(|line| *line != METRICS_END) {
         print_line(&metric);
     }
-    Outcome::Success
+    CommandOutcome::Success
 }
 
 fn operators_address(options: &OperatorOptions) -> Result<SocketAddr, CommandError> {
--- a/src/discovery/membership.rs
+++ b/src/discovery/membership.rs
@@ -8,14 +8,14 @@
 
 /// The listed endpoints with their addresses, and the version of the list.
 ///
-/// The decision module has its own endpoint table, without addresses. [`Membership::update`] returns the changes to
-/// report to it.
+/// The [`Balancer`](crate::policy::Balancer) has an endpoint table of its own, without addresses.
+/// [`Membership::update`] returns the changes to pass to it.
 #[derive(Debug, Default)]
 pub struct Membership {
     members: HashMap<EndpointId, Member>,
     /// The version of the last list from the current source. Versions of different sources are not comparable.
     version: Option<u64>,
-    /// Whether the last list from the current source was a full list that was rejected as stale.
+    /// True if the last list from the current source was a full list that was rejected as stale.
     has_rejected_stale_full_list: bool,
 }
 
@@ -24,7 +24,7 @@
 pub struct Member {
     /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Whether the endpoint accepts requests.
+    /// The readiness of the endpoint, from its status in the list.
     pub readiness: Readiness,
     /// The time at which the endpoint's process started, or `None` if it started long ago.
     pub started_at: Option<Timestamp>,
@@ -40,11 +40,11 @@
 /// The effect of a list on the membership.
 #[derive(Debug)]
 pub struct ListUpdate {
-    /// The changed endpoints, as entries for the decision module.
+    /// The changed endpoints, as entries for the balancer.
     pub entries: Vec<EndpointEntry>,
-    /// The endpoints that accept no more requests or whose process was replaced. Idle connections to them must be
-    /// closed.
-    pub stale_endpoints: Vec<EndpointId>,
+    /// The endpoints to which idle connections must be closed. They accept no more requests, were not listed before, or
+    /// run in another process than before.
+    pub close_idle_connections_to: Vec<EndpointId>,
 }
 
 impl Membership {
@@ -93,11 +93,11 @@
 
     /// Checks a list's version against the last one and records it.
     ///
-    /// A stale list is rejected at first, because it may come from a replica that lags behind. If the next list is a
-    /// stale full list again, discovery itself was reset to an older state, and the list is accepted.
+    /// A stale list is rejected, because it may come from a replica that lags behind. Two stale full lists in
+    /// succession show that discovery itself was reset to an older state, and the second one is accepted.
     ///
-    /// In the first list of a source, and in the first list accepted after a reset, draining endpoints keep that status
-    /// even if the list says that they are serving.
+    /// In the first list of a source, and in the first list accepted after a reset, endpoints that are known to be
+    /// draining keep that status even if the list says that they are serving.
     ///
     /// # Errors
     /// Returns [`StaleListError`] if the list is rejected and must not be applied.
@@ -129,12 +129,12 @@
         }
     }
 
-    /// Applies a list and returns its effect.
+    /// Applies an accepted list and returns its effect.
     pub fn update(&mut self, list: &EndpointList, kind: ListKind) -> ListUpdate {
         let entries: Vec<EndpointEntry> = list.endpoints.iter().map(EndpointEntry::from).collect();
-        let mut stale_endpoints = Vec::new();
+        let mut close_idle_connections_to = Vec::new();
         if kind != ListKind::Changes {
-            self.remove_unlisted(&entries, &mut stale_endpoints);
+            self.remove_unlisted(&entries, &mut close_idle_connections_to);
         }
         for (ListEntry { address, .. }, entry) in list.endpoints.iter().zip(&entries) {
             let member = Member {
@@ -142,11 +142,11 @@
                 readiness: entry.readiness,
                 started_at: entry.started_at,
             };
-            self.apply_entry(&entry.endpoint, member, &mut stale_endpoints);
+            self.apply_entry(&entry.endpoint, member, &mut close_idle_connections_to);
         }
         ListUpdate {
             entries,
-            stale_endpoints,
+            close_idle_connections_to,
         }
     }
 
@@ -154,13 +154,13 @@
     fn remove_unlisted(
         &mut self,
         entries: &[EndpointEntry],
-        stale_endpoints: &mut Vec<EndpointId>,
+        close_idle_connections_to: &mut Vec<EndpointId>,
     ) {
         let listed: HashSet<&EndpointId> = entries.iter().map(|entry| &entry.endpoint).collect();
         let unlisted = self
             .members
             .extract_if(|endpoint, _| !listed.contains(endpoint));
-        stale_endpoints.extend(unlisted.map(|(endpoint, _)| endpoint));
+        close_idle_connections_to.extend(unlisted.map(|(endpoint, _)| endpoint));
     }
 
     /// Applies one entry of a list.
@@ -168,14 +168,14 @@
         &mut self,
         endpoint: &EndpointId,
         member: Member,
-        stale_endpoints: &mut Vec<EndpointId>,
+        close_idle_connections_to: &mut Vec<EndpointId>,
     ) {
         let is_same_process = self
             .members
             .get(endpoint)
             .is_some_and(|previous| previous.is_same_process(&member));
         if member.readiness != Readiness::Serving || !is_same_process {
-            stale_endpoints.push(endpoint.clone());
+            close_idle_connections_to.push(endpoint.clone());
         }
         if member.readiness == Readiness::Removed {
             self.members.remove(endpoint);
@@ -198,12 +198,12 @@
         for (endpoint, _) in self.members.extract_if(|_, member| is_replaced(member)) {
             update.entries.retain(|entry| entry.endpoint != endpoint);
             update.entries.push(removal_entry(endpoint.clone()));
-            update.stale_endpoints.push(endpoint);
+            update.close_idle_connections_to.push(endpoint);
         }
     }
 
-    /// Returns the latest start of a serving process for each address. A start of `None` was long ago and is the
-    /// earliest.
+    /// Returns the latest start of a serving process for each address. `None` stands for a start long ago, and is
+    /// earlier than any time.
     fn latest_start_by_address(&self) -> HashMap<SocketAddr, Option<Timestamp>> {
         let mut latest_starts: HashMap<SocketAddr, Option<Timestamp>> = HashMap::new();
         let is_serving = |member: &&Member| member.readiness == Readiness::Serving;
@@ -215,7 +215,7 @@
     }
 }
 
-/// Returns the entry that removes an endpoint; its other fields have no meaning.
+/// Returns the entry that removes an endpoint. The values of its other fields are not used.
 fn removal_entry(endpoint: EndpointId) -> EndpointEntry {
     EndpointEntry {
         endpoint,
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,9 +1,9 @@
-//! Tests of the built adapter: input and replies of whole runs, and errors for malformed input.
+//! Tests of the program `simulator-adapter`: its replies, and its errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Returns the settings of an instance that sends requests to a tier.
+/// Returns the settings document of an instance that sends requests to a tier. It includes keys that are not known.
 fn settings_document(tier: usize) -> String {
     format!(
         r#"{{"balancers": 4, "bounds": {{"cancel": true, "connIdleNs": 5000000000, "connectTimeoutNs": 250000000, "cpuUsPerRequest": 0.0, "cpuUsPerS": 1076120, "maxOpen": 43044, "maxRetryAfterNs": 2000000000, "maxStreams": 1, "mayTell": true, "parallelTries": false, "probes": true, "retryAfter": true, "sendCap": 3}}, "categories": [{{"effect": "free", "hardLimitNs": 900000000, "keyScope": "all", "lateShare": 0.0, "memorySpanNs": 5000000000, "name": "look", "objectiveNs": 300000000, "stream": false, "worth": 1.0}}, {{"effect": "guarded", "hardLimitNs": 900000000, "keyScope": "cell", "lateShare": 0.5, "memorySpanNs": 5000000000, "name": "book", "objectiveNs": 300000000, "stream": true, "worth": 3.0}}], "clientHabits": {{"marksRetry": false}}, "customers": [{{"name": "north", "portion": 0.5, "quotaPerS": 50.0}}], "dcs": ["z1", "z2"], "discovery": "subscribe", "family": "chain", "familyInfo": {{"passesDeadline": true, "newKey": 3}}, "fees": {{"crossZone": 0.015, "waste": 0.05, "fleet": 1}}, "granularityNs": 5000000, "models": ["fast"], "myNumber": 0, "overShareWorth": 0.05, "report": {{"fields": ["err_ps", "depth"], "how": "inline"}}, "rules": {{"answerSlackNs": 20000000, "askWithinNs": 10000000000, "coldFrom": 0.38, "drainGraceNs": 2000000000, "fallMultiple": 3.0, "fallNs": 1000000000, "warmWithinNs": 8900000000}}, "scoringMix": {{"whole": 1.0}}, "stages": ["front", "back"], "tier": {tier}, "weightSource": "rough", "worthBy": "request", "zone": "z1", "unheardOf": [1, 2]}}"#
@@ -27,7 +27,8 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// Runs the adapter on a valid input. Returns its replies, one per batch, and the empty text after the last one.
+/// Runs the adapter on a valid input. Returns its replies without `ok`, one per batch, and then the empty text that
+/// follows the last `ok`.
 fn replies(input: &str) -> Vec<String> {
     let output = run_adapter(input);
     assert!(
@@ -52,7 +53,7 @@
     )
 }
 
-/// Returns the line of a request.
+/// Returns the line of a request, with an unknown field.
 fn request(instance: usize, id: &str, class: &str, deadline_ns: u64) -> String {
     format!(
         "call sidecarId=sidecar/{instance} xid={id} priority={class} org=north key=k:a validUntilNs={deadline_ns} \
@@ -81,23 +82,23 @@
     input += "go\nframe momentNs=1010000000\n\
         report_back xid=5d3a91c4-f723-4cdb-ab99-2b0a2499a382 sidecarId=sidecar/0 attempt=0 \
         endpoint=endpoint.aa ending=254 timeTakenNs=5000000 terminal=0 pressure=err_ps:0.5,depth:3,odd:1\ngo\n";
-    let all = replies(&input);
+    let all_replies = replies(&input);
     assert!(
-        all[0].contains("notify_me sidecarId=sidecar/0 instantNs="),
+        all_replies[0].contains("notify_me sidecarId=sidecar/0 instantNs="),
         "{}",
-        all[0]
+        all_replies[0]
     );
     let send =
         "send sidecarId=sidecar/0 xid=5d3a91c4-f723-4cdb-ab99-2b0a2499a382 endpoint=endpoint.aa";
     assert!(
-        all[1].starts_with(send),
+        all_replies[1].starts_with(send),
         "an endpoint in the own zone is preferred: {}",
-        all[1]
+        all_replies[1]
     );
     assert!(
-        !all[2].contains("endpoint.aa"),
+        !all_replies[2].contains("endpoint.aa"),
         "the endpoint that rejected the request is avoided: {}",
-        all[2]
+        all_replies[2]
     );
 }
 
@@ -129,6 +130,8 @@
     );
 }
 
+/// Guards against an instance that receives a later list of the same number. The list that was complete at the time of
+/// `members` must apply.
 #[test]
 fn list_number_is_reused_within_one_batch() {
     let list = |endpoint: &str| {
@@ -147,13 +150,14 @@
     input += &(request(0, "r1", "look", 1_900_000_000)
         + &request(2, "r2", "look", 1_900_000_000)
         + "go\n");
-    let all = replies(&input);
+    let all_replies = replies(&input);
     assert!(
-        all[1].contains("xid=r1 endpoint=endpoint.cc")
-            && all[1].contains("xid=r2 endpoint=endpoint.dd")
+        all_replies[1].contains("xid=r1 endpoint=endpoint.cc")
+            && all_replies[1].contains("xid=r2 endpoint=endpoint.dd")
     );
 }
 
+/// Guards against state that outlives an instance. The end of an attempt of the previous instance must have no effect.
 #[test]
 fn restarted_instance_forgets_its_requests() {
     let mut input = format!(
@@ -170,6 +174,7 @@
     assert!(!replies(&input)[2].contains("r1"));
 }
 
+/// Guards against state that instances share in one process. Each instance must act as it does in another process.
 #[test]
 fn actions_do_not_depend_on_other_instances() {
     let run = |instances: &[usize]| {
@@ -212,6 +217,7 @@
     }
 }
 
+/// Guards against malformed input that is accepted, causes a panic, or leads to a partial reply.
 #[test]
 fn malformed_input_is_reported_without_actions() {
     let started = format!("frame momentNs=1000000000\n{}", instance_start(0));
