--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -243,8 +243,8 @@
             );
         }
     }
-    drop(discovery.next_watch());
-    discovery.next_watch();
+    drop(discovery.next_call());
+    discovery.next_call();
     let log = sidecar.log().join("\n");
     assert!(!log.contains("could not be accepted"), "{log}");
     for stream in &flood {
--- a/tests/sidecar/cancellation_support/queueing_sidecar.rs
+++ b/tests/sidecar/cancellation_support/queueing_sidecar.rs
@@ -9,7 +9,7 @@
     pub sidecar: Sidecar,
     /// The endpoint that is not listed yet.
     pub endpoint: Endpoint,
-    watch: Watch,
+    watch: StreamedCall,
     discovery: Discovery,
 }
 
@@ -36,7 +36,7 @@
             });
         configure(&mut config);
         let sidecar = start(&config);
-        let watch = discovery.next_watch();
+        let watch = discovery.next_call();
         QueueingSidecar {
             sidecar,
             endpoint: Endpoint::start(|_| respond_ok("x")),
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -25,7 +25,7 @@
 fn disabled_endpoint_receives_nothing_until_enabled() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let (sidecar, discovery) = Sidecar::start_with_admin(&[&endpoints[0], &endpoints[1]]);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     assert!(count_received(&sidecar, &endpoints[0], 30) > 0);
     assert!(sidecar.call_is_yes("DISABLE e0"));
     endpoints[0].next_connection_close();
@@ -41,7 +41,7 @@
     ));
     drop(watch);
     assert!(
-        discovery.next_watch().request_line.contains("since=42 "),
+        discovery.next_call().request_line.contains("since=42 "),
         "the list has been received"
     );
     assert_eq!(count_received(&sidecar, &endpoints[0], 30), 0);
--- a/tests/sidecar/endpoint_churn.rs
+++ b/tests/sidecar/endpoint_churn.rs
@@ -9,7 +9,7 @@
 fn memory_does_not_grow_with_removed_endpoints() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     // Each request uses a new connection, because a connection that is idle while the lists are read may reach its idle
     // timeout.
     let request_status =
@@ -74,7 +74,7 @@
     let mut new_entry = entry("new", endpoint.address, "SERVING");
     new_entry["since_ms"] = json!(2_000_000);
     discovery
-        .next_watch()
+        .next_call()
         .write_line(&list(42, false, &[new_entry]));
     assert_eq!(
         endpoint.next_connection_close(),
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -14,7 +14,7 @@
     for status in listed_statuses {
         let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
         let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoints[0], &endpoints[1]]);
-        let mut watch = discovery.next_watch();
+        let mut watch = discovery.next_call();
         assert!(
             watch
                 .request_line
@@ -47,13 +47,13 @@
 fn malformed_event_ends_the_watch_and_has_no_effect() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     watch.write_line(&list(57, true, &[entry("e0", endpoint.address, "SERVING")]));
 
     watch.write_line(r#"{"index":58,"snapshot":false,"endpoints":[{"name":"e0"}]}"#);
 
     assert!(
-        discovery.next_watch().request_line.contains("since=57 "),
+        discovery.next_call().request_line.contains("since=57 "),
         "version 58 was not applied"
     );
     sidecar.wait_for_log("watch on discovery ended");
@@ -72,7 +72,7 @@
     );
     config["settings"]["discovery"] = json!(PUSHED_MODE);
     let sidecar = Sidecar::start(&config);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 
     watch.write_line(&list(
@@ -85,7 +85,7 @@
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
     assert_eq!(endpoints[1].take_request_count(), 1);
     drop(watch);
-    assert!(discovery.next_watch().request_line.contains("since=42 "));
+    assert!(discovery.next_call().request_line.contains("since=42 "));
 }
 
 /// Guards against a discovery whose machine is gone: it sends nothing, and its connection stays open.
@@ -93,8 +93,8 @@
 fn silent_watch_is_reopened() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (_sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
-    let _silent = discovery.next_watch();
-    assert!(discovery.next_watch().request_line.contains("since=41 "));
+    let _silent = discovery.next_call();
+    assert!(discovery.next_call().request_line.contains("since=41 "));
 }
 
 /// Guards the check before the first byte of a request is written: if the endpoint starts to drain while the connection
@@ -111,7 +111,7 @@
     config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
     config["settings"]["categories"][1]["objectiveNs"] = json!(15_000_000_000u64);
     let sidecar = Sidecar::start(&config);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     let mut client = sidecar.client();
     client.write(&post_request("unsafe", "15", "x"));
     // The sidecar has accepted the request before it answers a later caller.
@@ -120,7 +120,7 @@
     watch.write_line(&list(42, false, &[entry("e0", address, "DRAINING")]));
     drop(watch);
     assert!(
-        discovery.next_watch().request_line.contains("since=42 "),
+        discovery.next_call().request_line.contains("since=42 "),
         "the drain is known"
     );
     let backlog_addresses: Vec<_> = backlog
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -143,7 +143,7 @@
     scripted: ScriptedEndpoint,
     sidecar: Sidecar,
     discovery: Discovery,
-    watch: Watch,
+    watch: StreamedCall,
     config: Value,
     path: PathBuf,
 }
@@ -157,7 +157,7 @@
         ));
         let path = temporary_file(&config.to_string());
         let sidecar = Sidecar::start_with_file(&path);
-        let watch = discovery.next_watch();
+        let watch = discovery.next_call();
         scripted.earn_retries(&mut sidecar.client());
         ReloadableSidecar {
             scripted,
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -37,7 +37,7 @@
 
     /// Sends the full list on the next watch.
     fn send_full_list(&self) {
-        let mut watch = self.discovery.next_watch();
+        let mut watch = self.discovery.next_call();
         watch.write_line(&list(41, true, &self.cached_entries));
         watch.finish();
     }
@@ -106,11 +106,11 @@
     let mut deployment = Deployment::with_endpoints(&[&endpoint]);
     let mut old_process = deployment.start(None);
     deployment.send_full_list();
-    let _watch = deployment.discovery.next_watch();
+    let _watch = deployment.discovery.next_call();
     deployment.cached_entries[0]["status"] = json!("DRAINING");
     let mut new_process = deployment.start(Some(old_process.address));
     deployment.send_full_list();
-    let mut watch = deployment.discovery.next_watch();
+    let mut watch = deployment.discovery.next_call();
     assert!(
         !new_process.call_is_yes("READY"),
         "the only endpoint that it knows is draining"
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -192,7 +192,7 @@
             accepted.join().expect("the listener is handed over"),
         )
     });
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
 
     old_process.expect_line(golden_messages().serving);
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -29,7 +29,7 @@
     assert!(!sidecar.call_is_yes("READY"));
     let endpoint = Endpoint::start(|_| respond_ok(""));
     discovery
-        .next_watch()
+        .next_call()
         .write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
     wait_until("the sidecar is ready", || sidecar.call_is_yes("READY"));
 }
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -174,10 +174,10 @@
     let mut client = Client::connect(address.expect("it logs where it listens"));
     assert_eq!(client.exchange(&get_request("5")).status(), 200);
     for _ in 0..2 {
-        drop(discovery.next_watch()); // each lost watch is logged
+        drop(discovery.next_call()); // each lost watch is logged
     }
     send_signal(&child, "HUP");
-    discovery.next_watch();
+    discovery.next_call();
     send_signal(&child, "TERM");
     assert_eq!(
         client.exchange(&get_request("5")).status(),
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -39,14 +39,14 @@
         .to_string(),
     );
     let sidecar = Sidecar::start_with_file(&path);
-    let mut old_watch = old.next_watch();
+    let mut old_watch = old.next_call();
     let mut pending_client = sidecar.client();
     pending_client.write(&post_request("unsafe", "15", "x"));
     slow_endpoint.next_request();
 
     write_config(&path, &config(new.address, &entries_with_first("SERVING")));
     sidecar.send_signal("HUP");
-    let mut new_watch = new.next_watch();
+    let mut new_watch = new.next_call();
     assert!(
         new_watch.request_line.starts_with("GET /v1/endpoints "),
         "a fetch of the full list: {}",
@@ -58,7 +58,7 @@
     while client.exchange(&get_request("2")).status() != 200 {}
     new_watch.write_line(&list(7, true, &entries_with_first("SERVING")));
     new_watch.finish();
-    let mut new_watch = new.next_watch();
+    let mut new_watch = new.next_call();
     assert!(
         new_watch.request_line.contains("?follow=1&since=7 "),
         "the new discovery's version is in force: {}",
@@ -78,7 +78,7 @@
     );
     new_watch.write_line(&list(8, false, &[]));
     drop(new_watch);
-    assert!(new.next_watch().request_line.contains("since=8 "));
+    assert!(new.next_call().request_line.contains("since=8 "));
 
     opener.release_one();
     assert_eq!(
@@ -103,7 +103,7 @@
     );
     let path = temporary_file(&valid.to_string());
     let sidecar = Sidecar::start_with_file(&path);
-    let _watch = discovery.next_watch();
+    let _watch = discovery.next_call();
     std::fs::write(&path, "{").expect("the file is written");
     sidecar.send_signal("HUP");
     sidecar.wait_for_log("reload rejected, the configuration is unchanged");
@@ -148,7 +148,7 @@
     write_config(&path, &config(new.address, &cached_entries));
     sidecar.send_signal("HUP");
     assert!(
-        new.next_watch()
+        new.next_call()
             .request_line
             .starts_with("GET /v1/endpoints ")
     );
@@ -385,7 +385,7 @@
     sidecar.send_signal("HUP");
     assert!(
         other_discovery
-            .next_watch()
+            .next_call()
             .request_line
             .starts_with("GET /v1/endpoints "),
         "the whole configuration is applied"
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -138,7 +138,7 @@
         &[&scripted_endpoint.endpoint],
         Duration::from_secs(10),
     ));
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     let mut client = sidecar.client();
     scripted_endpoint.earn_retries(&mut client);
     let send = |request: String| {
@@ -347,7 +347,7 @@
     config["settings"]["categories"][0]["objectiveNs"] = json!(2_000_000_000u64);
     config["settings"]["categories"][0]["lateShare"] = json!(0.5);
     let sidecar = Sidecar::start(&config);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     let [mut answered_client, mut in_flight_client] = [0, 1].map(|already_pending| {
         let mut client = sidecar.client();
         client.write(&get_request("9"));
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -21,11 +21,11 @@
 /// A discovery that answers every call with the head of a chunked response, and hands the calls over in their order.
 pub struct Discovery {
     pub address: SocketAddr,
-    watches: Receiver<Watch>,
+    calls: Receiver<StreamedCall>,
 }
 
 /// A call of discovery: a watch, or a fetch of the full list. The head of its response has been written.
-pub struct Watch {
+pub struct StreamedCall {
     pub request_line: String,
     stream: TcpStream,
 }
@@ -34,37 +34,37 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
         let address = listener.local_addr().expect("a bound address");
-        let (opened, watches) = channel();
+        let (opened, calls) = channel();
         thread::spawn(move || accept_calls(&listener, &opened));
-        Discovery { address, watches }
+        Discovery { address, calls }
     }
 
     /// Waits for the next call.
-    pub fn next_watch(&self) -> Watch {
-        self.watches
+    pub fn next_call(&self) -> StreamedCall {
+        self.calls
             .recv_timeout(TEST_TIMEOUT)
             .expect("the sidecar opens a watch")
     }
 }
 
-fn accept_calls(listener: &TcpListener, opened: &Sender<Watch>) {
+fn accept_calls(listener: &TcpListener, opened: &Sender<StreamedCall>) {
     for stream in listener.incoming().map_while(Result::ok) {
-        let Some(mut watch) = Watch::read(stream) else {
+        let Some(mut call) = StreamedCall::read(stream) else {
             continue;
         };
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if watch.stream.write_all(head).is_ok() && opened.send(watch).is_err() {
+        if call.stream.write_all(head).is_ok() && opened.send(call).is_err() {
             break;
         }
     }
 }
 
-impl Watch {
+impl StreamedCall {
     /// Reads the request on a connection. Returns `None` if the connection ends before the request is complete.
     fn read(stream: TcpStream) -> Option<Self> {
         let mut reader = BufReader::new(stream);
         let request_line = read_message(&mut reader)?.start_line;
-        Some(Watch {
+        Some(StreamedCall {
             request_line,
             stream: reader.into_inner(),
         })
@@ -82,7 +82,7 @@
     /// there.
     pub fn write_line_reconnecting(&mut self, discovery: &Discovery, line: &str) {
         if !self.is_open() {
-            *self = discovery.next_watch();
+            *self = discovery.next_call();
         }
         self.write_line(line);
     }
