--- a/tests/sidecar/cancellation_support/lifecycle.rs
+++ b/tests/sidecar/cancellation_support/lifecycle.rs
@@ -43,11 +43,13 @@
         return Some(new_process);
     }
     if change == LifecycleChange::Drain {
-        assert!(sidecar.call_is_yes("DRAIN"));
+        assert!(sidecar.admin_answers_yes("DRAIN"));
     } else {
         sidecar.terminate();
     }
-    wait_until("the sidecar is not ready", || !sidecar.call_is_yes("READY"));
+    wait_until("the sidecar is not ready", || {
+        !sidecar.admin_answers_yes("READY")
+    });
     None
 }
 
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -81,7 +81,7 @@
         let kinds = [
             (IDLE_CLIENTS, sidecar.address, readiness_check),
             (SILENT_CLIENTS, sidecar.address, ""),
-            (INCOMPLETE_OPERATOR_CALLS, sidecar.admin(), "STA"),
+            (INCOMPLETE_OPERATOR_CALLS, sidecar.admin_address(), "STA"),
         ];
         let clients = kinds.into_iter().flat_map(|(count, address, request)| {
             (0..count).map(move |_| ReconnectingClient::new(address, request))
@@ -182,7 +182,7 @@
 
 /// Asserts that operators' calls are answered while the open requests are pending.
 fn assert_operators_are_answered(sidecar: &Sidecar) {
-    assert!(sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("READY"));
     assert_eq!(sidecar.metric("pending"), Some(OPEN_REQUESTS as u64));
 }
 
@@ -302,7 +302,7 @@
     wait_until("all clients are answered or closed", || {
         clients.iter().all(|client| !client.is_silent())
     });
-    assert!(sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("READY"));
     assert!(sidecar.descriptor_count() < DESCRIPTOR_LIMIT);
     let log = sidecar.log().join("\n");
     assert!(!log.contains("Too many open files"), "{log}");
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -27,7 +27,7 @@
     let (sidecar, discovery) = Sidecar::start_with_admin(&[&endpoints[0], &endpoints[1]]);
     let mut watch = discovery.next_call();
     assert!(count_received(&sidecar, &endpoints[0], 30) > 0);
-    assert!(sidecar.call_is_yes("DISABLE e0"));
+    assert!(sidecar.admin_answers_yes("DISABLE e0"));
     endpoints[0].next_connection_close();
     assert_eq!(count_received(&sidecar, &endpoints[0], 30), 0);
     assert_eq!(
@@ -45,8 +45,8 @@
         "the list has been received"
     );
     assert_eq!(count_received(&sidecar, &endpoints[0], 30), 0);
-    assert!(sidecar.call_is_yes("DISABLE e0"));
-    assert!(sidecar.call_is_yes("ENABLE e0"));
+    assert!(sidecar.admin_answers_yes("DISABLE e0"));
+    assert!(sidecar.admin_answers_yes("ENABLE e0"));
     assert!(
         count_received(&sidecar, &endpoints[0], 10) > 0,
         "it receives requests again"
@@ -59,7 +59,7 @@
         "DISABLE",
         "ENABLE  ",
     ] {
-        assert!(!sidecar.call_is_yes(call), "{call}");
+        assert!(!sidecar.admin_answers_yes(call), "{call}");
     }
     assert_eq!(
         sidecar.metric("members_unavailable"),
@@ -73,8 +73,8 @@
 fn sidecar_with_all_endpoints_disabled_is_not_ready() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    assert!(sidecar.call_is_yes("DISABLE e0") && !sidecar.call_is_yes("READY"));
-    assert!(sidecar.call_is_yes("ENABLE e0") && sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("DISABLE e0") && !sidecar.admin_answers_yes("READY"));
+    assert!(sidecar.admin_answers_yes("ENABLE e0") && sidecar.admin_answers_yes("READY"));
     assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
 }
 
@@ -99,7 +99,7 @@
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let endpoints_in_order = [&endpoints[0], &endpoints[1], &endpoints[2]];
     let mut old_process = start_process(&shared_directory, &discovery, &endpoints_in_order, None);
-    assert!(old_process.call_is_yes("DISABLE e0"));
+    assert!(old_process.admin_answers_yes("DISABLE e0"));
     let new_process = start_process(
         &shared_directory,
         &discovery,
@@ -107,18 +107,18 @@
         Some(&old_process),
     );
     wait_until("the new process is ready", || {
-        new_process.call_is_yes("READY")
+        new_process.admin_answers_yes("READY")
     });
     assert_eq!(
         new_process.metric("members_unavailable"),
         Some(1),
         "as stored"
     );
-    assert!(old_process.call_is_yes("DISABLE e1"));
+    assert!(old_process.admin_answers_yes("DISABLE e1"));
     wait_until("the new process applies the command", || {
         new_process.metric("members_unavailable") == Some(2)
     });
-    assert!(new_process.call_is_yes("ENABLE e0"));
+    assert!(new_process.admin_answers_yes("ENABLE e0"));
     wait_until("the old process applies the command", || {
         old_process.metric("members_unavailable") == Some(1)
     });
@@ -129,7 +129,7 @@
     let last_process = start_process(&shared_directory, &discovery, &endpoints_in_order, None);
     assert_eq!(last_process.metric("members_unavailable"), Some(1));
     assert_eq!(count_received(&last_process, &endpoints[1], 30), 0);
-    assert!(last_process.call_is_yes("ENABLE e1"));
+    assert!(last_process.admin_answers_yes("ENABLE e1"));
     std::fs::remove_dir_all(shared_directory).expect("it is removed");
 }
 
@@ -158,7 +158,7 @@
     second.wait_for_log("the new process accepts callers");
     let unavailable = |sidecar: &Sidecar| sidecar.metric("members_unavailable");
     for (index, process) in [&first, &second, &third].into_iter().enumerate() {
-        assert!(process.call_is_yes(&format!("DISABLE e{index}")));
+        assert!(process.admin_answers_yes(&format!("DISABLE e{index}")));
         let have_all_applied_it = || {
             [&first, &second, &third]
                 .into_iter()
@@ -171,7 +171,7 @@
     }
     drop(first);
     second.wait_for_log("the old process has ended");
-    assert!(second.call_is_yes("ENABLE e2"));
+    assert!(second.admin_answers_yes("ENABLE e2"));
     wait_until("the third process applies the command", || {
         unavailable(&third) == Some(2)
     });
@@ -201,8 +201,8 @@
     ] {
         std::fs::write(shared_directory.join("pipittray.disabled"), text).expect("a file");
         let sidecar = start_process(&shared_directory, &discovery, &[&endpoint], None);
-        assert!(sidecar.call_is_yes("READY"));
-        assert!(sidecar.call_is_yes("DISABLE e0") && sidecar.call_is_yes("ENABLE e0"));
+        assert!(sidecar.admin_answers_yes("READY"));
+        assert!(sidecar.admin_answers_yes("DISABLE e0") && sidecar.admin_answers_yes("ENABLE e0"));
         let stored = std::fs::read_to_string(shared_directory.join("pipittray.disabled"))
             .expect("it is written anew");
         assert_eq!(stored, "[]");
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -24,13 +24,13 @@
     assert_eq!(readiness_client.exchange(READY_REQUEST).status(), 200);
     waiting.write(&post_request("unsafe", "15", "x"));
     while endpoint.next_request().message.header("x-class") != Some("unsafe") {}
-    assert!(sidecar.call_is_yes("DRAIN"));
+    assert!(sidecar.admin_answers_yes("DRAIN"));
     let started_at = Instant::now();
     assert!(
-        sidecar.call_is_yes("DRAIN"),
+        sidecar.admin_answers_yes("DRAIN"),
         "a second command changes nothing"
     );
-    assert!(!sidecar.call_is_yes("READY"));
+    assert!(!sidecar.admin_answers_yes("READY"));
     assert_eq!(readiness_client.exchange(READY_REQUEST).status(), 503);
     assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 503);
     // The caller sends requests until a response closes its connection.
@@ -62,8 +62,8 @@
     assert_eq!(waiting.read().expect("a response").status(), 200);
     assert!(waiting.is_closed());
 
-    assert!(sidecar.call_is_yes("UNDRAIN"));
-    assert!(sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("UNDRAIN"));
+    assert!(sidecar.admin_answers_yes("READY"));
     let mut client = sidecar.client();
     assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     for _ in 0..3 {
@@ -80,17 +80,17 @@
 fn undrain_cancels_remaining_drain_steps() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("UNDRAIN") && sidecar.admin_answers_yes("READY"));
     let mut idle = sidecar.client();
     assert_eq!(idle.exchange(READY_REQUEST).status(), 200);
-    assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
-    assert!(sidecar.call_is_yes("UNDRAIN") && sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("DRAIN") && !sidecar.admin_answers_yes("READY"));
+    assert!(sidecar.admin_answers_yes("UNDRAIN") && sidecar.admin_answers_yes("READY"));
     std::thread::sleep(Duration::from_secs(3)); // past all steps of the cancelled drain
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
     assert!(
-        !sidecar.call_is_yes("DRAIN NOW")
-            && !sidecar.call_is_yes("UNDRAIN e0")
-            && sidecar.call_is_yes("READY")
+        !sidecar.admin_answers_yes("DRAIN NOW")
+            && !sidecar.admin_answers_yes("UNDRAIN e0")
+            && sidecar.admin_answers_yes("READY")
     );
 }
 
@@ -101,7 +101,7 @@
     let (mut sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     let mut idle = sidecar.client();
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
-    assert!(sidecar.call_is_yes("DRAIN"));
+    assert!(sidecar.admin_answers_yes("DRAIN"));
     sidecar.terminate();
     assert!(idle.is_closed());
     assert!(sidecar.wait().success());
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -79,7 +79,7 @@
         for _ in 0..2 {
             let new_process = deployment.start(Some(address));
             wait_until("the new process is ready", || {
-                new_process.call_is_yes("READY")
+                new_process.admin_answers_yes("READY")
             });
             wait_until("callers come to the new process", || {
                 new_process
@@ -112,7 +112,7 @@
     deployment.send_full_list();
     let mut watch = deployment.discovery.next_call();
     assert!(
-        !new_process.call_is_yes("READY"),
+        !new_process.admin_answers_yes("READY"),
         "the only endpoint that it knows is draining"
     );
     assert_eq!(
@@ -122,7 +122,7 @@
     assert_eq!(new_process.requests_ended("completed", "safe"), Some(0));
     watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
     wait_until("the new process is ready", || {
-        new_process.call_is_yes("READY")
+        new_process.admin_answers_yes("READY")
     });
     old_process.wait_for_log("the new process accepts callers");
     // Once the old process has ended, a new one takes over even if it knows no endpoint that serves.
@@ -135,7 +135,7 @@
     new_process.wait_for_log("stops before it has taken over");
     let last_process = deployment.start(Some(old_process.address));
     deployment.send_full_list();
-    assert!(!last_process.call_is_yes("READY"));
+    assert!(!last_process.admin_answers_yes("READY"));
     old_process.kill();
     last_process.wait_for_log("takes over from the old process");
     assert_eq!(
@@ -197,7 +197,10 @@
     let mut old_process = deployment.start(None);
     deployment.send_full_list();
     let new_process = deployment.start(Some(old_process.address));
-    assert!(!new_process.call_is_yes("READY"), "discovery sends no list");
+    assert!(
+        !new_process.admin_answers_yes("READY"),
+        "discovery sends no list"
+    );
     old_process.terminate();
     wait_until("the new process serves", || {
         assert_eq!(
@@ -265,9 +268,9 @@
     let deployment = Deployment::with_endpoints(&[&endpoint]);
     let socket = deployment.shared_directory.join("pipittray.sock");
     std::fs::write(&socket, "no socket").expect("a file");
-    assert!(deployment.start(None).call_is_yes("READY"));
+    assert!(deployment.start(None).admin_answers_yes("READY"));
     // The socket that the last process left is stale.
-    assert!(deployment.start(None).call_is_yes("READY"));
+    assert!(deployment.start(None).admin_answers_yes("READY"));
     std::fs::remove_file(&socket).expect("it is removed");
     let silent_socket = UnixListener::bind(&socket).expect("a socket");
     let sidecar = deployment.start(None);
@@ -284,7 +287,7 @@
     ));
     assert!(
         Sidecar::start_in_directory(&deployment.shared_directory.join("nowhere"), &config)
-            .call_is_yes("READY")
+            .admin_answers_yes("READY")
     );
 }
 
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -149,9 +149,9 @@
     /// Makes a sidecar send a message of each kind that both old and new processes send, and expects the golden bytes.
     fn expect_messages_of(&mut self, sidecar: &Sidecar) {
         let golden = golden_messages();
-        assert!(sidecar.call_is_yes("DISABLE e0"));
+        assert!(sidecar.admin_answers_yes("DISABLE e0"));
         self.expect_line(golden.disabled);
-        assert!(sidecar.call_is_yes("ENABLE e0"));
+        assert!(sidecar.admin_answers_yes("ENABLE e0"));
         self.expect_line(golden.enabled);
         let mut client = sidecar.client();
         assert_eq!(client.exchange(&get_request("5")).status(), 200);
@@ -324,7 +324,7 @@
         directory.socket().exists()
     });
 
-    assert!(sidecar.call_is_yes("DISABLE e1") && sidecar.call_is_yes("DISABLE e0"));
+    assert!(sidecar.admin_answers_yes("DISABLE e1") && sidecar.admin_answers_yes("DISABLE e0"));
 
     assert_eq!(directory.file_names(), FILE_NAMES);
     let stored = std::fs::read(directory.disabled_file()).expect("the stored file");
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -39,7 +39,7 @@
     /// Asserts that the sidecar is ready, over HTTP and at the operators' address, and serves a request.
     fn assert_serves(&self, mode: &str) {
         assert!(self.is_ready(), "{mode}: {:?}", self.sidecar.log());
-        assert!(self.sidecar.call_is_yes("READY"));
+        assert!(self.sidecar.admin_answers_yes("READY"));
         assert_eq!(
             self.sidecar.client().exchange(&get_request("5")).status(),
             200
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -12,13 +12,13 @@
 fn ready_turns_to_no_on_sigterm() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    assert!(sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("READY"));
     let mut waiting_client = sidecar.client();
     waiting_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
     wait_until("the sidecar is not ready once it shuts down", || {
-        !sidecar.call_is_yes("READY")
+        !sidecar.admin_answers_yes("READY")
     });
 }
 
@@ -26,12 +26,14 @@
 #[test]
 fn sidecar_without_endpoints_is_not_ready() {
     let (sidecar, discovery) = Sidecar::start_with_admin(&[]);
-    assert!(!sidecar.call_is_yes("READY"));
+    assert!(!sidecar.admin_answers_yes("READY"));
     let endpoint = Endpoint::start(|_| respond_ok(""));
     discovery
         .next_call()
         .write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
-    wait_until("the sidecar is ready", || sidecar.call_is_yes("READY"));
+    wait_until("the sidecar is ready", || {
+        sidecar.admin_answers_yes("READY")
+    });
 }
 
 /// Each request is counted under one outcome of its class, as its client saw it. Each attempt is counted as endpoints
@@ -145,14 +147,14 @@
         b"DISABLE\n",
         b"ENABLE\n",
     ] {
-        let response = sidecar.call_raw(bytes);
+        let response = sidecar.exchange_admin_bytes(bytes);
         assert!(
             response.starts_with("NO") && response.lines().count() == 1,
             "{bytes:?}: {response:?}"
         );
     }
     // The connection of so long a line may be reset when it is closed, which can lose the response.
-    let mut stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
+    let mut stream = TcpStream::connect(sidecar.admin_address()).expect("it accepts");
     let _ = stream.write_all(&long_line);
     let mut response = String::new();
     let _ = stream.read_to_string(&mut response);
@@ -160,7 +162,7 @@
         response.is_empty() || response.starts_with("NO"),
         "{response:?}"
     );
-    let mut half_closed_stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
+    let mut half_closed_stream = TcpStream::connect(sidecar.admin_address()).expect("it accepts");
     half_closed_stream.write_all(b"STA").expect("it is open");
     half_closed_stream
         .shutdown(std::net::Shutdown::Write)
@@ -174,7 +176,7 @@
         .expect("a complete response");
     assert!(response.starts_with("NO"), "{response:?}");
     assert_eq!(
-        sidecar.call_raw(b"READY\r\n"),
+        sidecar.exchange_admin_bytes(b"READY\r\n"),
         "YES\n",
         "a line may end in CRLF"
     );
@@ -192,10 +194,10 @@
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 96);
     let mut idle_connections = Vec::new();
     for _ in 0..200 {
-        let mut stream = TcpStream::connect(sidecar.admin()).expect("it accepts");
+        let mut stream = TcpStream::connect(sidecar.admin_address()).expect("it accepts");
         let _ = stream.write_all(b"STA");
         idle_connections.push(stream);
-        assert!(sidecar.call_is_yes("READY"));
+        assert!(sidecar.admin_answers_yes("READY"));
     }
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
     assert!(
@@ -230,8 +232,8 @@
             .env("ROUTER_CONFIG", &path)
             .env("ROUTER_ADMIN_ADDR", "127.0.0.1:0"),
     );
-    assert!(sidecar.call_is_yes("READY"));
-    for unusable_address in [sidecar.admin().to_string(), "nowhere".into()] {
+    assert!(sidecar.admin_answers_yes("READY"));
+    for unusable_address in [sidecar.admin_address().to_string(), "nowhere".into()] {
         let output = sidecar_command()
             .env("ROUTER_CONFIG", &path)
             .env("ROUTER_ADMIN_ADDR", &unusable_address)
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -40,9 +40,9 @@
         partial_requests.push((client, &request[split_at..]));
     }
     sidecar.terminate();
-    assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("DRAIN") && !sidecar.admin_answers_yes("READY"));
     assert!(
-        sidecar.call_is_yes("UNDRAIN") && !sidecar.call_is_yes("READY"),
+        sidecar.admin_answers_yes("UNDRAIN") && !sidecar.admin_answers_yes("READY"),
         "the shutdown continues"
     );
     assert!(idle_client.is_closed(), "idle connections close");
@@ -232,7 +232,7 @@
         std::fs::write(&disabled_file, text).expect("the file is written");
         assert_eq!(unavailable(), Some(1));
         if !command.is_empty() {
-            assert!(sidecar.call_is_yes(command));
+            assert!(sidecar.admin_answers_yes(command));
         }
         drop(new_process);
     };
@@ -242,7 +242,7 @@
     connect_store_and_die("[]", "");
     wait_until("the endpoint is enabled", || unavailable() == Some(0));
     // Each of the two processes receives a command at the same time.
-    assert!(sidecar.call_is_yes("DISABLE e1"));
+    assert!(sidecar.admin_answers_yes("DISABLE e1"));
     connect_store_and_die("[\"e0\",\"e1\"]", "ENABLE e1");
     sidecar.wait_for_log("endpoint e0 is disabled by the operators");
     assert_eq!(unavailable(), Some(1));
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -20,7 +20,7 @@
 pub struct Sidecar {
     pub address: SocketAddr,
     /// The address for operators' calls, if it has one.
-    admin: Option<SocketAddr>,
+    admin_address: Option<SocketAddr>,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
 }
@@ -102,10 +102,10 @@
             line.split_once(text)
                 .and_then(|(_, address)| address.parse().ok())
         };
-        let mut admin = None;
+        let mut admin_address = None;
         let address = lines
             .find_map(|line| {
-                admin = admin.or(address_after(&line, "serves operators on "));
+                admin_address = admin_address.or(address_after(&line, "serves operators on "));
                 address_after(&line, "listens on ")
             })
             .expect("the log says where it listens");
@@ -116,7 +116,7 @@
         });
         Sidecar {
             address,
-            admin,
+            admin_address,
             child,
             log,
         }
@@ -150,15 +150,15 @@
     }
 
     /// Returns the address for operators' calls.
-    pub fn admin(&self) -> SocketAddr {
-        self.admin
+    pub fn admin_address(&self) -> SocketAddr {
+        self.admin_address
             .expect("the sidecar has an address for operators' calls")
     }
 
     /// Writes these bytes on a new connection to the operators' address. Returns the text that is read until it is
     /// closed.
-    pub fn call_raw(&self, bytes: &[u8]) -> String {
-        let mut stream = TcpStream::connect(self.admin()).expect("the sidecar accepts");
+    pub fn exchange_admin_bytes(&self, bytes: &[u8]) -> String {
+        let mut stream = TcpStream::connect(self.admin_address()).expect("the sidecar accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("the timeout is set");
@@ -169,23 +169,23 @@
     }
 
     /// Makes an operators' call, a command and for some an endpoint's id. Returns the answer.
-    pub fn call(&self, call: &str) -> String {
-        self.call_raw(format!("{call}\n").as_bytes())
+    pub fn admin_command(&self, command: &str) -> String {
+        self.exchange_admin_bytes(format!("{command}\n").as_bytes())
     }
 
     /// Makes an operators' call and returns whether the answer is `YES` and not `NO`.
-    pub fn call_is_yes(&self, call: &str) -> bool {
-        let answer = self.call(call);
+    pub fn admin_answers_yes(&self, command: &str) -> bool {
+        let answer = self.admin_command(command);
         assert!(
             answer.starts_with("YES") || answer.starts_with("NO"),
-            "{call}: {answer:?}"
+            "{command}: {answer:?}"
         );
         answer.starts_with("YES")
     }
 
     /// Returns the value of a metric, named without the prefix `app_`, if it is in the answer to `STATS`.
     pub fn metric(&self, name: &str) -> Option<u64> {
-        let stats = self.call("STATS");
+        let stats = self.admin_command("STATS");
         assert!(stats.ends_with("\nEND\n"), "{stats}");
         let value = stats.lines().find_map(|line| {
             line.strip_prefix("app_")?
