--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -133,7 +133,7 @@
     assert_eq!(sidecar.metric("upstream_requests"), Some(1));
     let ends: u64 = ["completed", "failed"]
         .iter()
-        .filter_map(|how| sidecar.requests_ended(how, "unsafe"))
+        .filter_map(|outcome| sidecar.ended_request_count(outcome, "unsafe"))
         .sum();
     assert_eq!(ends, 1);
 }
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -83,7 +83,7 @@
             });
             wait_until("callers come to the new process", || {
                 new_process
-                    .requests_ended("completed", "safe")
+                    .ended_request_count("completed", "safe")
                     .is_some_and(|count| count > 20)
             });
             serving_process.wait_for_log("the new process accepts callers");
@@ -119,7 +119,10 @@
         old_process.client().exchange(&get_request("5")).status(),
         200
     );
-    assert_eq!(new_process.requests_ended("completed", "safe"), Some(0));
+    assert_eq!(
+        new_process.ended_request_count("completed", "safe"),
+        Some(0)
+    );
     watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
     wait_until("the new process is ready", || {
         new_process.admin_answers_yes("READY")
@@ -207,7 +210,7 @@
             old_process.client().exchange(&get_request("9")).status(),
             200
         );
-        new_process.requests_ended("completed", "safe") > Some(0)
+        new_process.ended_request_count("completed", "safe") > Some(0)
     });
     assert!(old_process.wait().success());
     assert_eq!(
@@ -242,7 +245,7 @@
             old_process.client().exchange(&get_request("9")).status(),
             200
         );
-        old_process.requests_ended("completed", "safe") > Some(0)
+        old_process.ended_request_count("completed", "safe") > Some(0)
     });
     assert_eq!(
         new_process.metric("pending"),
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -94,7 +94,7 @@
             assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
         }
     }
-    assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(3));
+    assert_eq!(sidecar.ended_request_count("completed", "keyed"), Some(3));
 }
 
 /// A client that waits for `100 Continue` gets it, and its body is forwarded.
@@ -159,7 +159,7 @@
             (1, Some(0)),
             "{class}"
         );
-        assert_eq!(sidecar.requests_ended("rejected", class), Some(1));
+        assert_eq!(sidecar.ended_request_count("rejected", class), Some(1));
     }
 }
 
@@ -190,7 +190,7 @@
     }
     assert!(
         sidecar
-            .requests_ended("completed", "keyed")
+            .ended_request_count("completed", "keyed")
             .is_some_and(|count| count >= 6)
     );
 }
@@ -266,7 +266,7 @@
     wait_until("no request is pending", || {
         sidecar.metric("pending") == Some(0)
     });
-    assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(0));
+    assert_eq!(sidecar.ended_request_count("completed", "keyed"), Some(0));
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -80,7 +80,7 @@
             "{framing}"
         );
         wait_until("the request is served", || {
-            sidecar.requests_ended("completed", "safe") == Some(number as u64 + 1)
+            sidecar.ended_request_count("completed", "safe") == Some(number as u64 + 1)
         });
     }
     assert_eq!(
@@ -130,7 +130,7 @@
         }
     }
     wait_until("all requests are served", || {
-        sidecar.requests_ended("completed", "safe") == Some(8)
+        sidecar.ended_request_count("completed", "safe") == Some(8)
     });
 }
 
@@ -164,7 +164,7 @@
         assert_eq!(status(&head), "200");
         assert_eq!(read_body(&head, &mut client), None, "{framing}");
         wait_until("the request is counted", || {
-            sidecar.requests_ended("failed", "safe") == Some(1)
+            sidecar.ended_request_count("failed", "safe") == Some(1)
         });
         assert_eq!(
             endpoints
@@ -210,6 +210,6 @@
         assert!(read_body(&head, &mut client).expect("a complete body") == **body);
     }
     wait_until("the requests are served", || {
-        sidecar.requests_ended("completed", "safe") == Some(3)
+        sidecar.ended_request_count("completed", "safe") == Some(3)
     });
 }
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -51,7 +51,7 @@
     });
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
     assert_eq!(
-        sidecar.requests_ended("completed", "keyed"),
+        sidecar.ended_request_count("completed", "keyed"),
         Some(0),
         "zero before the first request"
     );
@@ -81,8 +81,11 @@
     opener.release_one();
     assert_eq!(waiting_client.read().expect("an answer").status(), 200);
     let ended = |outcome| {
-        ["safe", "unsafe", "keyed"]
-            .map(|class| sidecar.requests_ended(outcome, class).expect("a count"))
+        ["safe", "unsafe", "keyed"].map(|class| {
+            sidecar
+                .ended_request_count(outcome, class)
+                .expect("a count")
+        })
     };
     assert_eq!(ended("completed"), [3, 0, 1]);
     assert_eq!(ended("rejected"), [0, 1, 0]);
@@ -125,8 +128,8 @@
         .write(&post_request("unsafe", "10", "whole").replace("Length: 5", "Length: 50"));
     assert_eq!(sidecar.metric("pending"), Some(0), "its body is incomplete");
     drop(incomplete_client);
-    assert_eq!(sidecar.requests_ended("failed", "safe"), Some(0));
-    assert_eq!(sidecar.requests_ended("failed", "unsafe"), Some(0));
+    assert_eq!(sidecar.ended_request_count("failed", "safe"), Some(0));
+    assert_eq!(sidecar.ended_request_count("failed", "unsafe"), Some(0));
 }
 
 /// Input other than a one-line command is refused, or its connection is closed. Neither callers nor later commands are
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -225,7 +225,7 @@
     sidecar.send_signal("HUP");
     wait_until("the reload is applied", || reloads() == 1);
     sidecar.wait_for_log("settings change in bounds, categories");
-    assert_eq!(sidecar.requests_ended("completed", "new"), Some(0));
+    assert_eq!(sidecar.ended_request_count("completed", "new"), Some(0));
     assert_eq!(
         client
             .exchange(&get_request("5").replace("safe", "new"))
@@ -262,7 +262,7 @@
     );
     assert!(
         sidecar
-            .requests_ended("completed", "safe")
+            .ended_request_count("completed", "safe")
             .is_some_and(|n| n >= 1),
         "its count stays"
     );
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -377,7 +377,7 @@
         200,
         "no second response came first"
     );
-    let outcomes =
-        ["completed", "rejected", "failed"].map(|outcome| sidecar.requests_ended(outcome, "safe"));
+    let outcomes = ["completed", "rejected", "failed"]
+        .map(|outcome| sidecar.ended_request_count(outcome, "safe"));
     assert_eq!(outcomes, [Some(2), Some(0), Some(0)]);
 }
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -196,8 +196,8 @@
     }
 
     /// Returns how many requests of a class ended with this result: `completed`, `rejected` or `failed`.
-    pub fn requests_ended(&self, result: &str, class: &str) -> Option<u64> {
-        self.metric(&format!("{result}{{lane=\"{class}\"}}"))
+    pub fn ended_request_count(&self, outcome: &str, class: &str) -> Option<u64> {
+        self.metric(&format!("{outcome}{{lane=\"{class}\"}}"))
     }
 
     /// Sends a signal such as `TERM`.
