--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -10,7 +10,7 @@
 fn config_with_descriptor_limit(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
     let mut config = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     config["limits"]["sockets"] = json!(limit);
     config
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -28,8 +28,8 @@
     }
 
     /// Returns the endpoint's entry in the endpoint list.
-    pub fn entry(&self) -> Value {
-        entry(
+    pub fn list_entry(&self) -> Value {
+        list_entry(
             "late",
             self.listener.local_addr().expect("a bound address"),
             "SERVING",
--- a/tests/sidecar/cancellation_support/queueing_sidecar.rs
+++ b/tests/sidecar/cancellation_support/queueing_sidecar.rs
@@ -67,7 +67,11 @@
 
     /// Lists the endpoint, which causes queued requests to be sent there.
     pub fn list_endpoint(&mut self) {
-        self.write_list(&list(42, false, &serving_entries(&[&self.endpoint])));
+        self.write_list(&endpoint_list(
+            42,
+            false,
+            &serving_entries(&[&self.endpoint]),
+        ));
     }
 
     /// Takes the ids of the requests that the endpoint has received.
--- a/tests/sidecar/cancellation_support/tcp_table.rs
+++ b/tests/sidecar/cancellation_support/tcp_table.rs
@@ -37,7 +37,7 @@
 /// Counts the connections to the endpoint that are being established.
 pub fn count_connecting(endpoint: &FullBacklogEndpoint) -> usize {
     const SYN_SENT: &str = "02";
-    let entry = endpoint.entry();
+    let entry = endpoint.list_entry();
     let address: SocketAddr = entry["address"]
         .as_str()
         .and_then(|text| text.parse().ok())
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -138,7 +138,7 @@
     /// Lists an endpoint to which retries can be sent.
     fn list_other_endpoint(&mut self, entry: Value) {
         let queueing = &mut self.sidecar.queueing;
-        queueing.write_list(&list(42, false, &[entry]));
+        queueing.write_list(&endpoint_list(42, false, &[entry]));
         queueing.wait_until("the endpoint is listed", |sidecar| {
             sidecar.metric("members") == Some(2)
         });
@@ -146,7 +146,7 @@
 
     fn list_unused_endpoint(&mut self) {
         let address = self.sidecar.queueing.endpoint.address;
-        self.list_other_endpoint(entry("other", address, "SERVING"));
+        self.list_other_endpoint(list_entry("other", address, "SERVING"));
     }
 
     /// Asserts that the other endpoint serves the retry of the client that stays, and that no other attempt is made.
@@ -215,7 +215,7 @@
             let mut requests = FirstAttempts::start(cancel);
             requests.reject_both();
             let full_backlog_endpoint = FullBacklogEndpoint::start();
-            requests.list_other_endpoint(full_backlog_endpoint.entry());
+            requests.list_other_endpoint(full_backlog_endpoint.list_entry());
             wait_until("both retries are connecting", || {
                 count_connecting(&full_backlog_endpoint) == 2
             });
@@ -423,7 +423,7 @@
             config["settings"]["stages"] = json!(["one", "two"]);
         });
         let discovery = Discovery::start();
-        let known = [entry("later", later.sidecar.address, "SERVING")];
+        let known = [list_entry("later", later.sidecar.address, "SERVING")];
         let mut earlier = Sidecar::start(&with_admin_address(config(discovery.address, &known)));
         let closing = WaitingClient::send(&earlier, &get_request("10"));
         later.wait_for_pending(1);
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -217,8 +217,10 @@
     for cancel in [true, false] {
         let full_backlog_endpoint = FullBacklogEndpoint::start();
         let discovery = Discovery::start();
-        let mut config =
-            with_admin_address(config(discovery.address, &[full_backlog_endpoint.entry()]));
+        let mut config = with_admin_address(config(
+            discovery.address,
+            &[full_backlog_endpoint.list_entry()],
+        ));
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start(&config);
@@ -300,9 +302,9 @@
     let names = [("e0", &failing), ("other", &queueing.endpoint)];
     let all: Vec<Value> = names
         .iter()
-        .map(|(name, endpoint)| entry(name, endpoint.address, "SERVING"))
+        .map(|(name, endpoint)| list_entry(name, endpoint.address, "SERVING"))
         .collect();
-    queueing.write_list(&list(42, false, &all));
+    queueing.write_list(&endpoint_list(42, false, &all));
     queueing.wait_until("the other endpoint is listed", |sidecar| {
         sidecar.metric("members") == Some(2)
     });
@@ -368,8 +370,10 @@
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| respond_ok("x"));
         let full_backlog_endpoint = FullBacklogEndpoint::start();
-        let mut config =
-            with_admin_address(config(discovery.address, &[full_backlog_endpoint.entry()]));
+        let mut config = with_admin_address(config(
+            discovery.address,
+            &[full_backlog_endpoint.list_entry()],
+        ));
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start_in_directory(&directory, &config);
         let pending = |n| {
--- a/tests/sidecar/crowded_discovery.rs
+++ b/tests/sidecar/crowded_discovery.rs
@@ -28,9 +28,9 @@
         let restartable = RestartableEndpoint::start(after_response);
         let others = Endpoint::start(|_| respond_ok(""));
         let discovery = ManualDiscovery::start();
-        let mut cached_entries = vec![entry("e0", restartable.address, "SERVING")];
+        let mut cached_entries = vec![list_entry("e0", restartable.address, "SERVING")];
         for number in 1..=OTHER_ENDPOINTS {
-            cached_entries.push(entry(&format!("e{number}"), others.address, "SERVING"));
+            cached_entries.push(list_entry(&format!("e{number}"), others.address, "SERVING"));
         }
         let mut config = with_admin_address(config(discovery.address(), &cached_entries));
         config["settings"]["discovery"] = json!(mode);
@@ -71,7 +71,7 @@
 
     /// The list entry of the restarted endpoint's new process.
     fn restarted_entry(&self) -> Value {
-        let mut entry = entry("e0", self.restartable.address, "SERVING");
+        let mut entry = list_entry("e0", self.restartable.address, "SERVING");
         entry["since_ms"] = json!(1_700_000_000_000u64);
         entry
     }
@@ -81,7 +81,7 @@
     fn expect_requests_once_listed(&self) {
         let mut watch = self.discovery.next_call();
         watch.open_watch();
-        watch.write_line(&list(42, false, &[self.restarted_entry()]));
+        watch.write_line(&endpoint_list(42, false, &[self.restarted_entry()]));
         let mut client = self.sidecar.client();
         wait_until("the new process gets a request", || {
             assert_eq!(client.exchange(&get_request("5")).status(), 200);
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -214,12 +214,12 @@
     assert_operators_are_answered(&sidecar);
     assert_request_is_served(&sidecar);
     let new_endpoint = Endpoint::start(|_| respond_ok(""));
-    let changed: Vec<Value> = vec![entry("started", new_endpoint.address, "SERVING")];
+    let changed: Vec<Value> = vec![list_entry("started", new_endpoint.address, "SERVING")];
     let discovery = ManualDiscovery::start_at(address);
     let mut watch = discovery.next_open_call();
     assert!(watch.is_watch_since(41), "{}", watch.request_line);
     watch.open_watch();
-    watch.write_line(&list(42, true, &changed));
+    watch.write_line(&endpoint_list(42, true, &changed));
     wait_until("the list is current", || {
         sidecar.metric("members") == Some(1)
     });
@@ -274,7 +274,7 @@
         watch = discovery.next_open_call();
         watch.open_watch();
     }
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         false,
         &serving_entries(&endpoints.iter().collect::<Vec<_>>()),
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -34,7 +34,7 @@
         ["members", "members_unavailable"].map(|metric| sidecar.metric(metric)),
         [Some(2), Some(1)]
     );
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         true,
         &serving_entries(&[&endpoints[0], &endpoints[1]]),
--- a/tests/sidecar/discovery_hedging.rs
+++ b/tests/sidecar/discovery_hedging.rs
@@ -36,8 +36,8 @@
     /// Answers a call with a watch whose first event drains the endpoint, and waits until the drain is applied.
     fn drain_endpoint_on(&self, call: &mut DiscoveryCall) {
         call.open_watch();
-        let draining = entry("e0", self.endpoint.address, "DRAINING");
-        call.write_line(&list(42, false, &[draining]));
+        let draining = list_entry("e0", self.endpoint.address, "DRAINING");
+        call.write_line(&endpoint_list(42, false, &[draining]));
         wait_for_unavailable(&self.sidecar, 1);
     }
 }
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -87,16 +87,16 @@
     /// The entries that change: the first endpoint is draining, and the third one is new.
     fn changed_entries(&self) -> [Value; 2] {
         [
-            entry("e0", self.endpoints[0].address, "DRAINING"),
-            entry("e2", self.endpoints[2].address, "SERVING"),
+            list_entry("e0", self.endpoints[0].address, "DRAINING"),
+            list_entry("e2", self.endpoints[2].address, "SERVING"),
         ]
     }
 
     /// The full list after the change.
     fn full_list(&self, version: u64) -> String {
         let [draining, new] = self.changed_entries();
-        let unchanged = entry("e1", self.endpoints[1].address, "SERVING");
-        list(version, true, &[draining, unchanged, new])
+        let unchanged = list_entry("e1", self.endpoints[1].address, "SERVING");
+        endpoint_list(version, true, &[draining, unchanged, new])
     }
 
     /// Waits until the change is applied: the third endpoint gets requests, and the first one does not.
@@ -146,7 +146,7 @@
 
 /// Rejects a call with a list as the body, which must not be applied.
 fn reject_with_list(call: &mut DiscoveryCall) {
-    let body = list(99, true, &[]);
+    let body = endpoint_list(99, true, &[]);
     call.write(&format!(
         "HTTP/1.1 503 No\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -165,7 +165,7 @@
 
         let discovery = stopped.start();
         let mut watch = open_next_watch(&discovery, 41);
-        watch.write_line(&list(42, false, &fixture.changed_entries()));
+        watch.write_line(&endpoint_list(42, false, &fixture.changed_entries()));
 
         fixture.wait_for_change();
     }
@@ -189,7 +189,7 @@
     let unanswered = discovery.next_call();
     let silent = open_next_watch(&discovery, 41);
     let mut watch = open_next_watch(&discovery, 41);
-    watch.write_line(&list(51, false, &fixture.changed_entries()));
+    watch.write_line(&endpoint_list(51, false, &fixture.changed_entries()));
 
     fixture.wait_for_change();
     drop((rejected, malformed, unanswered, silent));
@@ -213,7 +213,7 @@
         let mut watch = next_call.expect("a call");
         assert!(watch.is_watch_since(41), "{}", watch.request_line);
         watch.open_watch();
-        watch.write_line(&list(51, false, &fixture.changed_entries()));
+        watch.write_line(&endpoint_list(51, false, &fixture.changed_entries()));
 
         fixture.wait_for_change();
     }
@@ -295,14 +295,14 @@
         fixture.sidecar.suspend();
         fixture.move_discovery(stopped.address());
         outstanding.open_watch();
-        outstanding.write_line(&list(42, false, &fixture.changed_entries()));
+        outstanding.write_line(&endpoint_list(42, false, &fixture.changed_entries()));
         fixture.sidecar.resume();
         fixture.sidecar.wait_for_log("configuration reloaded");
         fixture.wait_for_change();
 
         let new = stopped.start();
         let all_entries = serving_entries(&fixture.endpoints.each_ref());
-        next_fetch(&new).respond_with_list(&list(7, true, &all_entries));
+        next_fetch(&new).respond_with_list(&endpoint_list(7, true, &all_entries));
         let _watch = open_next_watch(&new, 7);
         fixture.wait_for_change();
     }
--- a/tests/sidecar/discovery_watch.rs
+++ b/tests/sidecar/discovery_watch.rs
@@ -12,8 +12,8 @@
 }
 
 /// A list in JSON that spans many lines.
-fn indented_list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
-    let list = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
+fn indented_list(version: u64, is_snapshot: bool, endpoints: &[Value]) -> String {
+    let list = json!({"index": version, "snapshot": is_snapshot, "endpoints": endpoints});
     format!("{}\n", serde_json::to_string_pretty(&list).expect("JSON"))
 }
 
@@ -29,7 +29,7 @@
     watch.open_watch();
     let draining_list = |number: usize, version| {
         let name = format!("e{number}");
-        let entry = entry(&name, endpoints[number].address, "DRAINING");
+        let entry = list_entry(&name, endpoints[number].address, "DRAINING");
         indented_list(version, false, &[entry])
     };
     let first = draining_list(0, 42);
@@ -97,10 +97,10 @@
     let mut recovered = discovery.next_call();
     assert!(recovered.is_watch_since(41), "{}", recovered.request_line);
     recovered.open_watch();
-    recovered.write_line(&list(
+    recovered.write_line(&endpoint_list(
         60,
         false,
-        &[entry("e0", endpoints[0].address, "DRAINING")],
+        &[list_entry("e0", endpoints[0].address, "DRAINING")],
     ));
 
     wait_for_unavailable(&sidecar, 1);
@@ -153,10 +153,10 @@
     new_entries.truncate(2); // the third is removed
     let mut watch = discovery.next_call();
     watch.open_watch();
-    watch.write_line(&list(50, true, &new_entries));
+    watch.write_line(&endpoint_list(50, true, &new_entries));
     wait_for_unavailable(&sidecar, 1);
 
-    watch.write_line(&list(45, false, &old_entries));
+    watch.write_line(&endpoint_list(45, false, &old_entries));
     let mut lagging_watch = discovery.next_call();
     assert!(
         lagging_watch.is_watch_since(50),
@@ -165,8 +165,8 @@
     );
     lagging_watch.open_watch();
     // Changes of the same version are not stale, but the full list that follows them is.
-    lagging_watch.write_line(&list(50, false, &[]));
-    lagging_watch.write_line(&list(44, true, &old_entries));
+    lagging_watch.write_line(&endpoint_list(50, false, &[]));
+    lagging_watch.write_line(&endpoint_list(44, true, &old_entries));
     let mut watch_after_reset = discovery.next_call();
     assert!(
         watch_after_reset.is_watch_since(50),
@@ -177,7 +177,7 @@
     wait_for_unavailable(&sidecar, 1);
 
     watch_after_reset.open_watch();
-    watch_after_reset.write_line(&list(44, true, &old_entries));
+    watch_after_reset.write_line(&endpoint_list(44, true, &old_entries));
     wait_until("the list is accepted", || {
         sidecar.metric("members") == Some(3)
     });
@@ -205,10 +205,10 @@
     sidecar.send_signal("HUP");
     let mut fetch = new.next_call();
     assert!(fetch.is_fetch(), "{}", fetch.request_line);
-    fetch.respond_with_list(&list(7, true, &new_entries));
+    fetch.respond_with_list(&endpoint_list(7, true, &new_entries));
     let _watch = new.next_call();
     wait_for_unavailable(&sidecar, 1);
-    outstanding.try_write_late_watch(&list(99, true, &old_entries));
+    outstanding.try_write_late_watch(&endpoint_list(99, true, &old_entries));
 
     for _ in 0..20 {
         assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
@@ -242,7 +242,7 @@
     assert_ne!(sidecar.metric("list_unconfirmed_ms"), Some(0));
 
     watch.open_watch();
-    watch.write_line(&list(42, false, &[]));
+    watch.write_line(&endpoint_list(42, false, &[]));
     wait_until("the list is current", || {
         sidecar.metric("list_unconfirmed_ms") == Some(0)
     });
@@ -279,9 +279,9 @@
 fn long_list(endpoint: &Endpoint) -> String {
     let names = (0..LONG_LIST_ENTRIES).map(|number| format!("e{number}"));
     let entries: Vec<Value> = names
-        .map(|name| entry(&name, endpoint.address, "SERVING"))
+        .map(|name| list_entry(&name, endpoint.address, "SERVING"))
         .collect();
-    list(50, true, &entries)
+    endpoint_list(50, true, &entries)
 }
 
 /// Guards lists of thousands of endpoints: one that arrives slowly but steadily on a watch is received. The watch is
--- a/tests/sidecar/endpoint_churn.rs
+++ b/tests/sidecar/endpoint_churn.rs
@@ -21,7 +21,7 @@
         for batch_number in from..to {
             let batch = |batch_number: usize, status: &str| -> Vec<Value> {
                 let entry = |number| {
-                    entry(
+                    list_entry(
                         &format!("endpoint-number-{batch_number}-{number}"),
                         "127.0.0.1:1".parse().expect("an address"),
                         status,
@@ -31,23 +31,23 @@
             };
             let removed = batch(batch_number - 1, "DELETED");
             // They are listed as draining from the start and therefore get no requests.
-            watch.write_line(&list(
+            watch.write_line(&endpoint_list(
                 version(),
                 false,
                 &[removed, batch(batch_number, "DRAINING")].concat(),
             ));
         }
         // Once this change affects requests, all lists before it have been read.
-        watch.write_line(&list(
+        watch.write_line(&endpoint_list(
             version(),
             false,
-            &[entry("e0", endpoint.address, "DRAINING")],
+            &[list_entry("e0", endpoint.address, "DRAINING")],
         ));
         while request_status("0.6") == 200 {}
-        watch.write_line(&list(
+        watch.write_line(&endpoint_list(
             version(),
             false,
-            &[entry("e0", endpoint.address, "SERVING")],
+            &[list_entry("e0", endpoint.address, "SERVING")],
         ));
         while request_status("2") != 200 {}
         sidecar.memory_kb()
@@ -65,17 +65,17 @@
 fn reused_address_gets_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
-    let mut old_entry = entry("old", endpoint.address, "SERVING");
+    let mut old_entry = list_entry("old", endpoint.address, "SERVING");
     old_entry["since_ms"] = json!(1_000);
     let sidecar = Sidecar::start(&config(discovery.address, &[old_entry]));
     let mut client = sidecar.client();
     assert_eq!(client.exchange(&get_request("2")).status(), 200);
     assert_eq!(endpoint.next_request().connection, 0);
-    let mut new_entry = entry("new", endpoint.address, "SERVING");
+    let mut new_entry = list_entry("new", endpoint.address, "SERVING");
     new_entry["since_ms"] = json!(2_000_000);
     discovery
         .next_call()
-        .write_line(&list(42, false, &[new_entry]));
+        .write_line(&endpoint_list(42, false, &[new_entry]));
     assert_eq!(
         endpoint.next_connection_close(),
         0,
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -29,8 +29,14 @@
 
         watch.write_line("");
         watch.write_line(&match status {
-            Some(status) => list(42, false, &[entry("e0", endpoints[0].address, status)]),
-            None => list(42, true, &[entry("e1", endpoints[1].address, "SERVING")]),
+            Some(status) => {
+                endpoint_list(42, false, &[list_entry("e0", endpoints[0].address, status)])
+            }
+            None => endpoint_list(
+                42,
+                true,
+                &[list_entry("e1", endpoints[1].address, "SERVING")],
+            ),
         });
 
         endpoints[0].next_connection_close();
@@ -48,7 +54,11 @@
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, discovery) = Sidecar::start_with_endpoints(&[&endpoint]);
     let mut watch = discovery.next_call();
-    watch.write_line(&list(57, true, &[entry("e0", endpoint.address, "SERVING")]));
+    watch.write_line(&endpoint_list(
+        57,
+        true,
+        &[list_entry("e0", endpoint.address, "SERVING")],
+    ));
 
     watch.write_line(r#"{"index":58,"snapshot":false,"endpoints":[{"name":"e0"}]}"#);
 
@@ -68,17 +78,17 @@
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
-        &[entry("e0", endpoints[0].address, "SERVING")],
+        &[list_entry("e0", endpoints[0].address, "SERVING")],
     );
     config["settings"]["discovery"] = json!(PUSHED_MODE);
     let sidecar = Sidecar::start(&config);
     let mut watch = discovery.next_call();
     assert_eq!(sidecar.client().exchange(&get_request("2")).status(), 200);
 
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         true,
-        &[entry("e1", endpoints[1].address, "SERVING")],
+        &[list_entry("e1", endpoints[1].address, "SERVING")],
     ));
 
     assert_eq!(endpoints[0].next_connection_close(), 0);
@@ -107,7 +117,7 @@
     let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
     let backlog: Vec<TcpStream> = std::iter::from_fn(|| connect().ok()).collect();
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[entry("e0", address, "SERVING")]);
+    let mut config = config(discovery.address, &[list_entry("e0", address, "SERVING")]);
     config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
     config["settings"]["categories"][1]["objectiveNs"] = json!(15_000_000_000u64);
     let sidecar = Sidecar::start(&config);
@@ -117,7 +127,11 @@
     // The sidecar has accepted the request before it answers a later caller.
     assert_eq!(sidecar.client().exchange(READY_REQUEST).status(), 200);
 
-    watch.write_line(&list(42, false, &[entry("e0", address, "DRAINING")]));
+    watch.write_line(&endpoint_list(
+        42,
+        false,
+        &[list_entry("e0", address, "DRAINING")],
+    ));
     drop(watch);
     assert!(
         discovery.next_call().request_line.contains("since=42 "),
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -14,7 +14,7 @@
 /// connections and closes them.
 fn raw_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let endpoint_entry = entry("raw", listener.local_addr().expect("an address"), "SERVING");
+    let endpoint_entry = list_entry("raw", listener.local_addr().expect("an address"), "SERVING");
     (listener, endpoint_entry)
 }
 
@@ -219,7 +219,7 @@
         Endpoint::start(|_| respond_ok("other")),
     );
     let mut client = reloadable.send_to_endpoint(&post_request("unsafe", "9", "x"));
-    reloadable.write_list(&list(
+    reloadable.write_list(&endpoint_list(
         42,
         true,
         &serving_entries(&[&reloadable.scripted.endpoint, &other]),
@@ -251,10 +251,10 @@
         reloadable.send_to_endpoint(&keyed()),
         reloadable.send_to_endpoint(&keyed()),
     );
-    reloadable.write_list(&list(
+    reloadable.write_list(&endpoint_list(
         42,
         false,
-        &[entry(
+        &[list_entry(
             "e0",
             reloadable.scripted.endpoint.address,
             "DRAINING",
@@ -274,7 +274,11 @@
     });
     (0..2).for_each(|_| reloadable.fail_next_attempt());
     std::thread::sleep(Duration::from_millis(100)); // the retry is queued
-    reloadable.write_list(&list(43, false, &[entry("e1", other.address, "SERVING")]));
+    reloadable.write_list(&endpoint_list(
+        43,
+        false,
+        &[list_entry("e1", other.address, "SERVING")],
+    ));
     let answer = client.read().expect("an answer");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -78,7 +78,7 @@
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     config["settings"]["bounds"]["connectTimeoutNs"] = json!(CONNECT_TIMEOUT.as_nanos() as u64);
     (Sidecar::start(&config), discovery)
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -38,7 +38,7 @@
     /// Sends the full list on the next watch.
     fn send_full_list(&self) {
         let mut watch = self.discovery.next_call();
-        watch.write_line(&list(41, true, &self.cached_entries));
+        watch.write_line(&endpoint_list(41, true, &self.cached_entries));
         watch.finish();
     }
 }
@@ -123,7 +123,7 @@
         new_process.ended_request_count("completed", "safe"),
         Some(0)
     );
-    watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
+    watch.write_line(&endpoint_list(42, true, &serving_entries(&[&endpoint])));
     wait_until("the new process is ready", || {
         new_process.admin_answers_yes("READY")
     });
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -193,7 +193,7 @@
         )
     });
     let mut watch = discovery.next_call();
-    watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
+    watch.write_line(&endpoint_list(42, true, &serving_entries(&[&endpoint])));
 
     old_process.expect_line(golden_messages().serving);
 
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -198,7 +198,7 @@
     let discovery = Discovery::start();
     let mut config = with_admin_address(config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     ));
     config["limits"]["memory_mb"] = serde_json::json!(0);
     let sidecar = Sidecar::start(&config);
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -156,7 +156,7 @@
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&config(
             discovery.address,
-            &[entry("e0", address, "SERVING")],
+            &[list_entry("e0", address, "SERVING")],
         ));
         let mut client = sidecar.client();
         // The second request is pipelined after the first, and is sent as soon as the first has its response.
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -137,12 +137,12 @@
         assert!(watch.is_watch_since(41), "{mode}: {}", watch.request_line);
         member.assert_serves(mode);
         watch.open_watch();
-        let new_entry = entry(
+        let new_entry = list_entry(
             "started",
             Endpoint::start(|_| respond_ok("")).address,
             "SERVING",
         );
-        watch.write_line(&list(42, false, &[new_entry]));
+        watch.write_line(&endpoint_list(42, false, &[new_entry]));
         wait_until("the list is current", || {
             member.sidecar.metric("members") == Some(2)
         });
@@ -178,7 +178,7 @@
         assert!(call.is_fetch(), "{mode}: {}", call.request_line);
         let ready_count = fleet.iter().filter(|member| member.is_ready()).count();
         assert_eq!(ready_count, responses);
-        call.respond_with_list(&list(42, true, &serving_entries(&[&endpoint])));
+        call.respond_with_list(&endpoint_list(42, true, &serving_entries(&[&endpoint])));
         wait_until("the sidecar is ready", || member.is_ready());
         assert_eq!(
             member.sidecar.client().exchange(&get_request("5")).status(),
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -28,9 +28,11 @@
     let (sidecar, discovery) = Sidecar::start_with_admin(&[]);
     assert!(!sidecar.admin_answers_yes("READY"));
     let endpoint = Endpoint::start(|_| respond_ok(""));
-    discovery
-        .next_call()
-        .write_line(&list(42, true, &[entry("e0", endpoint.address, "SERVING")]));
+    discovery.next_call().write_line(&endpoint_list(
+        42,
+        true,
+        &[list_entry("e0", endpoint.address, "SERVING")],
+    ));
     wait_until("the sidecar is ready", || {
         sidecar.admin_answers_yes("READY")
     });
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -12,7 +12,7 @@
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     config["limits"]["sockets"] = json!(48);
     let sidecar = Sidecar::start(&config);
@@ -84,7 +84,7 @@
         let discovery = Discovery::start();
         let mut config = config(
             discovery.address,
-            &[entry("e0", endpoint.address, "SERVING")],
+            &[list_entry("e0", endpoint.address, "SERVING")],
         );
         config["settings"]["report"]["how"] = json!("on_probe");
         config["settings"]["bounds"]["probes"] = json!(allowed);
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -26,7 +26,7 @@
     let entries_with_first = |status: &str| {
         let names = ["e0", "e1"].iter().zip(&endpoints);
         let mut entries: Vec<Value> = names
-            .map(|(name, endpoint)| entry(name, endpoint.address, "SERVING"))
+            .map(|(name, endpoint)| list_entry(name, endpoint.address, "SERVING"))
             .collect();
         entries[0]["status"] = json!(status);
         entries
@@ -34,7 +34,7 @@
     let path = temporary_file(
         &config(
             old.address,
-            &[entry("slow", slow_endpoint.address, "SERVING")],
+            &[list_entry("slow", slow_endpoint.address, "SERVING")],
         )
         .to_string(),
     );
@@ -53,10 +53,10 @@
         new_watch.request_line
     );
     // The old discovery still sends a change.
-    old_watch.write_line(&list(42, true, &entries_with_first("DRAINING")));
+    old_watch.write_line(&endpoint_list(42, true, &entries_with_first("DRAINING")));
     let mut client = sidecar.client();
     while client.exchange(&get_request("2")).status() != 200 {}
-    new_watch.write_line(&list(7, true, &entries_with_first("SERVING")));
+    new_watch.write_line(&endpoint_list(7, true, &entries_with_first("SERVING")));
     new_watch.finish();
     let mut new_watch = new.next_call();
     assert!(
@@ -76,7 +76,7 @@
         0,
         "it drains, whatever an older list or the file says"
     );
-    new_watch.write_line(&list(8, false, &[]));
+    new_watch.write_line(&endpoint_list(8, false, &[]));
     drop(new_watch);
     assert!(new.next_call().request_line.contains("since=8 "));
 
@@ -99,7 +99,7 @@
     let discovery = Discovery::start();
     let valid = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     let path = temporary_file(&valid.to_string());
     let sidecar = Sidecar::start_with_file(&path);
@@ -130,7 +130,7 @@
         respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
-    let cached_entries = [entry("e0", endpoint.address, "SERVING")];
+    let cached_entries = [list_entry("e0", endpoint.address, "SERVING")];
     let path = temporary_file(&config(old.address, &cached_entries).to_string());
     let mut sidecar = Sidecar::start_with_file(&path);
     let mut idle_client = sidecar.client();
@@ -190,7 +190,7 @@
     });
     let discovery = Discovery::start();
     let mut cached_entries = serving_entries(&[&endpoints[0], &endpoints[1]]);
-    cached_entries.push(entry("slow", slow_endpoint.address, "SERVING"));
+    cached_entries.push(list_entry("slow", slow_endpoint.address, "SERVING"));
     let mut config = with_admin_address(config(discovery.address, &cached_entries));
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_file(&path);
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -231,7 +231,7 @@
     let closed = connection.local_addr().expect("a bound address");
     let sidecar = Sidecar::start(&config(
         discovery.address,
-        &[entry("dead", closed, "SERVING")],
+        &[list_entry("dead", closed, "SERVING")],
     ));
     assert_eq!(
         sidecar
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -150,10 +150,14 @@
     scripted_endpoint.endpoint.next_request();
     let mut in_flight_client = send(post_request("unsafe", "9", "x"));
     scripted_endpoint.endpoint.next_request();
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         false,
-        &[entry("e0", scripted_endpoint.endpoint.address, "DRAINING")],
+        &[list_entry(
+            "e0",
+            scripted_endpoint.endpoint.address,
+            "DRAINING",
+        )],
     ));
     wait_until("the endpoint is draining", || {
         sidecar.metric("members_unavailable") == Some(1)
@@ -170,10 +174,10 @@
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
     ));
     scripted_endpoint.respond_next(respond_ok("out"));
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         43,
         false,
-        &[entry("e1", other_endpoint.address, "SERVING")],
+        &[list_entry("e1", other_endpoint.address, "SERVING")],
     ));
     // Either of the two requests at the endpoint may be answered first. The expected bodies depend on its class.
     for (client, bodies) in [
@@ -356,7 +360,7 @@
         });
         client
     });
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         false,
         &serving_entries(&[&scripted_endpoint.endpoint]),
@@ -365,8 +369,8 @@
     scripted_endpoint.respond_next(respond_ok("x"));
     assert_eq!(answered_client.read().expect("an answer").status(), 200);
     std::thread::sleep(Duration::from_millis(2_500)); // both queue deadlines are past
-    let draining_entry = entry("e1", "127.0.0.1:1".parse().expect("an address"), "DRAINING");
-    watch.write_line(&list(43, false, &[draining_entry]));
+    let draining_entry = list_entry("e1", "127.0.0.1:1".parse().expect("an address"), "DRAINING");
+    watch.write_line(&endpoint_list(43, false, &[draining_entry]));
     wait_until("the balancer has handled its timers", || {
         sidecar.metric("members") == Some(2)
     });
--- a/tests/sidecar/stubs/config.rs
+++ b/tests/sidecar/stubs/config.rs
@@ -47,7 +47,7 @@
     endpoints
         .iter()
         .enumerate()
-        .map(|(number, endpoint)| entry(&format!("e{number}"), endpoint.address, "SERVING"))
+        .map(|(number, endpoint)| list_entry(&format!("e{number}"), endpoint.address, "SERVING"))
         .collect()
 }
 
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -8,14 +8,14 @@
 use std::thread;
 
 /// An entry of an endpoint list.
-pub fn entry(name: &str, address: SocketAddr, status: &str) -> Value {
+pub fn list_entry(name: &str, address: SocketAddr, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "m", "group": 0,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
 /// An endpoint list of the version `index`: the full list if it is a snapshot, else a list of changes.
-pub fn list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
-    json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
+pub fn endpoint_list(version: u64, is_snapshot: bool, endpoints: &[Value]) -> String {
+    json!({"index": version, "snapshot": is_snapshot, "endpoints": endpoints}).to_string()
 }
 
 /// A discovery that answers every call with the head of a chunked response, and hands the calls over in their order.
--- a/tests/sidecar/stubs/raw_http.rs
+++ b/tests/sidecar/stubs/raw_http.rs
@@ -119,7 +119,7 @@
     let entries: Vec<_> = addresses
         .iter()
         .enumerate()
-        .map(|(number, address)| entry(&format!("e{number}"), *address, "SERVING"))
+        .map(|(number, address)| list_entry(&format!("e{number}"), *address, "SERVING"))
         .collect();
     let config = with_admin_address(config(discovery.address, &entries));
     (Sidecar::start(&config), discovery)
--- a/tests/sidecar/warming_endpoint.rs
+++ b/tests/sidecar/warming_endpoint.rs
@@ -53,7 +53,7 @@
         .collect();
     let warming_endpoint = Endpoint::start(|_| respond_ok(""));
     let mut entries = serving_entries(&warm_endpoints.iter().collect::<Vec<_>>());
-    let mut warming_entry = entry("cold", warming_endpoint.address, "SERVING");
+    let mut warming_entry = list_entry("cold", warming_endpoint.address, "SERVING");
     warming_entry["since_ms"] = json!(now_ms());
     entries.push(warming_entry);
     let start = |sidecar| Sidecar::start(&sidecar_config(sidecar, &discovery, &entries));
