--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -383,7 +383,7 @@
                         exchange_readiness_check(&mut closing);
                     }
                     let from = closing.local_addr().expect("a bound address");
-                    sidecar.suspend();
+                    sidecar.pause();
                     closing
                         .write_all(text.as_bytes())
                         .expect("the connection is open");
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -257,7 +257,7 @@
         client
     };
     // All requests arrive before the sidecar reads the first.
-    sidecar.suspend();
+    sidecar.pause();
     let mut clients: Vec<Client> = (0..DESCRIPTOR_LIMIT).map(connect).collect();
     sidecar.resume();
     // By then each client is queued, or was rejected or closed.
@@ -296,7 +296,7 @@
         client.write(&post_request("no-class", "5", "half").replace("Length: 4", "Length: 50"));
         client
     };
-    sidecar.suspend();
+    sidecar.pause();
     let clients: Vec<Client> = (0..2 * DESCRIPTOR_LIMIT).map(connect).collect();
     sidecar.resume();
     wait_until("all clients are answered or closed", || {
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -292,7 +292,7 @@
         let mut fixture = Fixture::start(mode, old.address());
         let mut outstanding = old.next_call();
 
-        fixture.sidecar.suspend();
+        fixture.sidecar.pause();
         fixture.move_discovery(stopped.address());
         outstanding.open_watch();
         outstanding.write_line(&endpoint_list(42, false, &fixture.changed_entries()));
@@ -317,7 +317,7 @@
         let mut fixture = Fixture::start(mode, old.address());
         fixture.sidecar.wait_for_log("refused");
 
-        fixture.sidecar.suspend();
+        fixture.sidecar.pause();
         fixture.move_discovery(stopped.address());
         let new = stopped.start();
         fixture.sidecar.resume();
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -53,7 +53,7 @@
         let mut client = sidecar.client();
         client.write(&post_request("unsafe", "9", "x"));
         let (_, mut stream) = accept_request(&listener);
-        sidecar.suspend();
+        sidecar.pause();
         stream.write_all(text.as_bytes()).expect("it is open");
         reset(stream);
         sidecar.resume();
@@ -114,7 +114,7 @@
     let mut client = sidecar.client();
     client.write(&post_request("unsafe", "1", "x"));
     let (_, mut stream) = accept_request(&listener);
-    sidecar.suspend();
+    sidecar.pause();
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         .expect("it is open");
@@ -311,7 +311,7 @@
     for client in &mut idle_clients {
         assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     }
-    sidecar.suspend();
+    sidecar.pause();
     let mut new_connections: Vec<TcpStream> = (0..24)
         .map(|_| TcpStream::connect(sidecar.address).expect("the backlog has room"))
         .collect();
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -63,7 +63,7 @@
         start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
     sidecar.terminate();
     assert!(idle_client.is_closed(), "idle connections are being closed");
-    sidecar.suspend();
+    sidecar.pause();
     let mut late_clients: Vec<Client> = (0..12)
         .map(|_| {
             let mut client = sidecar.client();
@@ -98,7 +98,7 @@
             start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
         sidecar.terminate();
         assert!(idle_client.is_closed(), "idle connections are being closed");
-        sidecar.suspend();
+        sidecar.pause();
         let descriptors_before = sidecar.descriptor_count();
         let mut late_clients: Vec<Client> = (0..12).map(|_| sidecar.client()).collect();
         let mut silent_client = sidecar.client();
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -206,7 +206,7 @@
     }
 
     /// Stops the process until [`Sidecar::resume`]. It then finds all that has arrived meanwhile at once.
-    pub fn suspend(&self) {
+    pub fn pause(&self) {
         self.send_signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         wait_until("the process is stopped", || {
