--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -12,7 +12,7 @@
 
 /// Returns a listener in the place of an endpoint, and its entry in the endpoint list. The test itself writes to its
 /// connections and closes them.
-fn raw_endpoint() -> (TcpListener, Value) {
+fn listen_as_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let endpoint_entry = list_entry("raw", listener.local_addr().expect("an address"), "SERVING");
     (listener, endpoint_entry)
@@ -44,7 +44,7 @@
         (&complete[..complete.len() - 1], 502),
         ("", 502),
     ] {
-        let (listener, endpoint_entry) = raw_endpoint();
+        let (listener, endpoint_entry) = listen_as_endpoint();
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&with_admin_address(config(
             discovery.address,
@@ -73,7 +73,7 @@
             "HTTP/1.1 200 OK\r\n\r\nbegun",
             "HTTP/1.0 200 OK\r\n\r\nbegun",
         ] {
-            let (listener, endpoint_entry) = raw_endpoint();
+            let (listener, endpoint_entry) = listen_as_endpoint();
             let discovery = Discovery::start();
             let sidecar = Sidecar::start(&with_admin_address(config(
                 discovery.address,
@@ -106,7 +106,7 @@
 /// is sent again. The connection on which the timeout occurred is not reused.
 #[test]
 fn timeout_racing_the_response_ends_the_request_once() {
-    let (listener, endpoint_entry) = raw_endpoint();
+    let (listener, endpoint_entry) = listen_as_endpoint();
     let discovery = Discovery::start();
     let mut config = config_with_deadline(&discovery, &[], Duration::from_secs(1));
     config["known"]["endpoints"] = json!([endpoint_entry]);
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -12,13 +12,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// An endpoint whose accept queue is full: no further connection is established until it accepts some.
-struct FullQueueEndpoint {
+struct LateAcceptingEndpoint {
     listener: TcpListener,
     address: SocketAddr,
     _queued: TcpStream,
 }
 
-impl FullQueueEndpoint {
+impl LateAcceptingEndpoint {
     fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -29,7 +29,7 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("a bound address");
         let queued = TcpStream::connect(address).expect("the queue takes one");
-        FullQueueEndpoint {
+        LateAcceptingEndpoint {
             listener,
             address,
             _queued: queued,
@@ -74,7 +74,7 @@
     requests
 }
 
-fn start_sidecar(endpoint: &FullQueueEndpoint) -> (Sidecar, Discovery) {
+fn start_sidecar(endpoint: &LateAcceptingEndpoint) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
@@ -89,7 +89,7 @@
 #[test]
 fn request_is_sent_once_on_first_established_dial() {
     for request in [get_request("5"), post_request("unsafe", "5", "hello")] {
-        let endpoint = FullQueueEndpoint::start();
+        let endpoint = LateAcceptingEndpoint::start();
         let (sidecar, _discovery) = start_sidecar(&endpoint);
         let mut client = sidecar.client();
         client.write(&request);
@@ -115,7 +115,7 @@
 /// the connect timeout.
 #[test]
 fn dials_are_limited_in_number_and_time() {
-    let endpoint = FullQueueEndpoint::start();
+    let endpoint = LateAcceptingEndpoint::start();
     let (mut sidecar, _discovery) = start_sidecar(&endpoint);
     let sent_at = Instant::now();
     assert_eq!(
