--- a/tests/sidecar/crowded_discovery.rs
+++ b/tests/sidecar/crowded_discovery.rs
@@ -107,7 +107,7 @@
 /// the process at its address is a different one, about which the outdated list says nothing. No connection is idle, so
 /// the refusal is the only sign that the process has ended.
 #[test]
-fn endpoint_is_suspended_after_a_refused_connection() {
+fn refused_connection_suspends_endpoint() {
     in_each_mode(|mode| {
         let mut fixture = Fixture::start(mode, AfterResponse::Close);
         fixture.use_restartable_endpoint();
@@ -130,7 +130,7 @@
 /// Guards against the same fault when no request is sent while the endpoint is down: the reset of its idle connections
 /// is the only sign that the process has ended.
 #[test]
-fn endpoint_is_suspended_after_its_idle_connections_were_reset() {
+fn reset_of_idle_connections_suspends_endpoint() {
     in_each_mode(|mode| {
         let mut fixture = Fixture::start(mode, AfterResponse::KeepOpen);
         fixture.use_restartable_endpoint();
@@ -154,7 +154,7 @@
 /// attempted. Once any change would be in force, the list is overdue. From then on only a process with a connection
 /// from before is known to be the one that the list names.
 #[test]
-fn endpoint_without_a_connection_is_suspended_while_the_list_is_overdue() {
+fn overdue_list_suspends_unconnected_endpoint() {
     let mut fixture = Fixture::start(ON_REQUEST_MODE, AfterResponse::Close);
     fixture.use_restartable_endpoint();
     fixture.restartable.end();
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -94,7 +94,7 @@
 /// A new process starts with the stored state. While two processes run, each applies the commands that the other
 /// receives. A later process starts with the state that they stored.
 #[test]
-fn disabled_endpoints_stay_disabled_over_a_hot_restart() {
+fn hot_restart_keeps_disabled_endpoints() {
     let (shared_directory, discovery) = (temporary_directory(), Discovery::start());
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let endpoints_in_order = [&endpoints[0], &endpoints[1], &endpoints[2]];
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -222,7 +222,7 @@
 /// Guards an outstanding call against a reload that leaves discovery unchanged: the call stays open, and its response
 /// is applied without another call.
 #[test]
-fn outstanding_call_survives_a_reload_that_keeps_discovery() {
+fn outstanding_call_survives_reload() {
     for mode in DISCOVERY_MODES {
         let discovery = ManualDiscovery::start();
         let mut fixture = Fixture::start(mode, discovery.address());
@@ -311,7 +311,7 @@
 /// Guards a discovery that starts before the reload that moves to it is handled, while calls to the old discovery are
 /// refused and another one is due.
 #[test]
-fn new_discovery_may_start_before_the_reload_is_handled() {
+fn new_discovery_started_before_the_reload_is_called() {
     for mode in DISCOVERY_MODES {
         let (old, stopped) = (StoppedDiscovery::reserve(), StoppedDiscovery::reserve());
         let mut fixture = Fixture::start(mode, old.address());
--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -9,7 +9,7 @@
 /// From the command on the sidecar is not ready. Callers that still come are served. Later, busy connections close with
 /// their responses, and idle ones close too. A request in flight is answered. `UNDRAIN` undoes all of this.
 #[test]
-fn drained_sidecar_closes_connections_and_answers_every_request() {
+fn drain_closes_connections_and_answers_requests() {
     let (opener, gate) = response_gate();
     let endpoint = Endpoint::start(move |message| {
         if message.header("x-class") == Some("unsafe") {
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -111,7 +111,7 @@
 /// is being established, nothing is written and the request counts as not run. The endpoint's backlog is full, and the
 /// connection waits for a slot in it.
 #[test]
-fn nothing_is_written_to_an_endpoint_that_drains_during_the_connect() {
+fn drain_during_the_connect_prevents_the_write() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -301,7 +301,7 @@
 /// Guards an eviction that races the next request on the connection: each caller gets a complete response, or a close
 /// without any byte of a response. In the second case its request was not sent.
 #[test]
-fn eviction_racing_the_next_request_answers_it_or_sends_nothing() {
+fn eviction_does_not_truncate_a_response() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -156,7 +156,7 @@
 
 /// Guards service while the log is closed: lines that cannot be written are dropped, and the shutdown is graceful.
 #[test]
-fn sidecar_serves_while_nobody_reads_its_log() {
+fn sidecar_serves_with_its_log_closed() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let path = temporary_file(
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -15,7 +15,7 @@
 /// nothing there. The old one is followed until the new one has sent a list; then its watch is closed. Neither an older
 /// list of the new discovery nor the cached list of the file ends a drain. Requests are served throughout.
 #[test]
-fn previous_discovery_is_followed_until_the_new_one_has_sent_a_list() {
+fn previous_discovery_is_followed_until_the_first_new_list() {
     let (opener, gate) = response_gate();
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let slow_endpoint = Endpoint::start(move |_| {
