--- a/tests/sidecar/cancellation_support/connection_close.rs
+++ b/tests/sidecar/cancellation_support/connection_close.rs
@@ -1,4 +1,4 @@
-//! How a client closes its connection.
+//! The ways in which a client closes its connection.
 
 use socket2::SockRef;
 use std::net::{Shutdown, TcpStream};
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -6,7 +6,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An endpoint whose backlog is full: further connections are not established until the test accepts some.
+/// An endpoint whose backlog is full: further connections are not established until the test accepts some. Unlike the
+/// `LateAcceptingEndpoint` of `hedged_dials.rs`, it has a backlog of usual length, and does not respond.
 pub struct FullBacklogEndpoint {
     listener: TcpListener,
     /// The connections that fill the backlog.
--- a/tests/sidecar/cancellation_support/lifecycle.rs
+++ b/tests/sidecar/cancellation_support/lifecycle.rs
@@ -53,12 +53,12 @@
     None
 }
 
-/// The lifecycle change between a request and its client's close: `None`, or one of [`LIFECYCLE_CHANGES`].
+/// Returns the phases that a client may close in: after none of the lifecycle changes, or after one of them.
 fn phases() -> impl Iterator<Item = Option<LifecycleChange>> {
     std::iter::once(None).chain(LIFECYCLE_CHANGES.map(Some))
 }
 
-/// Runs a test concurrently for every phase. It starts a sidecar of its own in each.
+/// Runs a test concurrently for every phase. The test starts a sidecar of its own for each.
 pub fn in_every_lifecycle_phase(test: impl Fn(Option<LifecycleChange>) + Sync) {
     thread::scope(|scope| {
         for phase in phases() {
@@ -78,7 +78,7 @@
 }
 
 impl LifecycleSidecar {
-    /// Starts the sidecar with a configuration that `configure` has changed.
+    /// Starts the sidecar after `configure` has changed its configuration.
     pub fn start(configure: impl FnOnce(&mut Value)) -> Self {
         let directory = temporary_directory();
         let queueing = QueueingSidecar::start(configure, |config| {
--- a/tests/sidecar/cancellation_support/mod.rs
+++ b/tests/sidecar/cancellation_support/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers for the tests of clients that disconnect while their request waits.
+//! Helpers for `client_cancellation.rs` and `client_disconnects.rs`, the tests of clients that disconnect while their
+//! request waits.
 
 mod connection_close;
 mod full_backlog_endpoint;
--- a/tests/sidecar/cancellation_support/queueing_sidecar.rs
+++ b/tests/sidecar/cancellation_support/queueing_sidecar.rs
@@ -1,9 +1,9 @@
-//! A sidecar that queues requests until the test lists an endpoint.
+//! A sidecar that queues all requests until discovery lists an endpoint.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 
-/// A sidecar without endpoints, which therefore queues all requests, and an endpoint that the test can list.
+/// A sidecar that queues all requests because it has no endpoint, and an endpoint that the stub of discovery can list.
 pub struct QueueingSidecar {
     /// The sidecar under test.
     pub sidecar: Sidecar,
@@ -14,12 +14,12 @@
 }
 
 impl QueueingSidecar {
-    /// Starts the sidecar with a configuration that `configure` has changed.
+    /// Starts the sidecar after `configure` has changed its configuration.
     pub fn with_config(configure: impl FnOnce(&mut Value)) -> Self {
         Self::start(configure, Sidecar::start)
     }
 
-    /// Starts the sidecar by `start`, with a configuration that `configure` has changed.
+    /// Starts the sidecar by `start`, after `configure` has changed its configuration.
     pub fn start(
         configure: impl FnOnce(&mut Value),
         start: impl FnOnce(&Value) -> Sidecar,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Waits until a condition is met, while discovery sends heartbeats.
+    /// Waits until a condition is met. Meanwhile discovery sends heartbeats.
     pub fn wait_until(&mut self, description: &str, is_met: impl Fn(&Sidecar) -> bool) {
         wait_until(description, || {
             self.watch.write_line_reconnecting(&self.discovery, "");
@@ -53,7 +53,7 @@
         });
     }
 
-    /// Has discovery send a list.
+    /// Sends a list from discovery.
     pub fn write_list(&mut self, line: &str) {
         self.watch.write_line_reconnecting(&self.discovery, line);
     }
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Lists the endpoint, which causes queued requests to be sent there.
+    /// Sends a list with the endpoint, to which the queued requests are then sent.
     pub fn list_endpoint(&mut self) {
         self.write_list(&endpoint_list(
             42,
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -6,16 +6,16 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How a client disconnects, and the bytes that it has written after its request by then.
+/// How a client disconnects, and the bytes that it writes after its request before it does.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
-    /// It closes the connection.
+    /// It closes the connection, which sends a FIN.
     ByFin(PipelinedBytes),
     /// It resets the connection.
     ByReset(PipelinedBytes),
 }
 
-/// The bytes that a client has written after its request when it disconnects.
+/// The bytes that a client writes after its request before it disconnects.
 #[derive(Clone, Copy, Debug)]
 pub enum PipelinedBytes {
     /// No bytes.
@@ -24,7 +24,7 @@
     PartialHead,
     /// A second request.
     CompleteRequest,
-    /// More than the sidecar buffers while it answers a request.
+    /// More bytes than the sidecar buffers while it answers a request.
     MoreThanBuffer,
 }
 
--- a/tests/sidecar/stubs/caller.rs
+++ b/tests/sidecar/stubs/caller.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Writes a request, or some of one.
+    /// Writes a request or a part of one.
     pub fn write(&mut self, text: &str) {
         self.stream
             .get_mut()
@@ -46,8 +46,8 @@
         is_open_and_silent(self.stream.get_ref())
     }
 
-    /// Reads until the sidecar closes the connection. Returns whether it does so in order, without sending anything
-    /// more.
+    /// Waits until the sidecar closes the connection. Returns whether it does so by FIN, not by a reset, and without
+    /// sending anything before.
     pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         self.stream.read_to_end(&mut rest).is_ok() && rest.is_empty()
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that answers every call at once with the head of a chunked response. The test writes the lines after it.
+//! A stub of discovery that answers every call at once with the head of a chunked response. The test writes the body.
 
 use super::message::*;
 use serde_json::{Value, json};
@@ -7,24 +7,26 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// An entry of an endpoint list.
+/// Returns an entry of an endpoint list.
 pub fn list_entry(name: &str, address: SocketAddr, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "m", "group": 0,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// An endpoint list of the version `index`: the full list if it is a snapshot, else a list of changes.
+/// Returns an endpoint list with this version as JSON: a full list if `is_snapshot`, else a list of changes.
 pub fn endpoint_list(version: u64, is_snapshot: bool, endpoints: &[Value]) -> String {
     json!({"index": version, "snapshot": is_snapshot, "endpoints": endpoints}).to_string()
 }
 
-/// A discovery that answers every call with the head of a chunked response, and hands the calls over in their order.
+/// A stub of discovery that answers every call with the head of a chunked response, and hands the calls to the test in
+/// the order of their arrival.
 pub struct Discovery {
     pub address: SocketAddr,
     calls: Receiver<StreamedCall>,
 }
 
-/// A call of discovery: a watch, or a fetch of the full list. The head of its response has been written.
+/// A call of discovery, either a watch or a fetch of the full list, whose response is being streamed: the head has been
+/// written, and the test writes the body.
 pub struct StreamedCall {
     pub request_line: String,
     stream: TcpStream,
@@ -43,7 +45,7 @@
     pub fn next_call(&self) -> StreamedCall {
         self.calls
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the sidecar opens a watch")
+            .expect("the sidecar calls discovery")
     }
 }
 
@@ -70,7 +72,7 @@
         })
     }
 
-    /// Waits until the sidecar closes the watch, and returns whether it has done so in time.
+    /// Waits until the sidecar closes the connection, and returns whether it does so within [`TEST_TIMEOUT`].
     pub fn is_closed(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(TEST_TIMEOUT))
@@ -78,8 +80,8 @@
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    /// Writes a line. If the sidecar has closed this watch because it was silent, waits for the next one and writes it
-    /// there.
+    /// Writes a line. If the sidecar has closed this watch because it was silent, waits for the next one and writes the
+    /// line on that one.
     pub fn write_line_reconnecting(&mut self, discovery: &Discovery, line: &str) {
         if !self.is_open() {
             *self = discovery.next_call();
@@ -99,11 +101,11 @@
             .expect("the connection is open");
     }
 
-    /// Writes a line of the watch, empty for a heartbeat.
+    /// Writes a list as a line of the response. An empty line is a heartbeat.
     pub fn write_line(&mut self, line: &str) {
         let length = line.len() + 1;
         self.stream
             .write_all(format!("{length:x}\r\n{line}\n\r\n").as_bytes())
-            .expect("the watch is open");
+            .expect("the connection is open");
     }
 }
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Takes the requests that have arrived and were not taken yet, and returns their number. Drops all other events so
-    /// far.
+    /// Takes the requests that have arrived and were not taken yet, and returns their number. Drops the other events
+    /// that have occurred.
     pub fn take_request_count(&self) -> usize {
         self.take_requests().len()
     }
 
-    /// Takes the requests that have arrived and were not taken yet. Drops all other events so far.
+    /// Takes the requests that have arrived and were not taken yet. Drops the other events that have occurred.
     pub fn take_requests(&self) -> Vec<Message> {
         let requests = |event| match event {
             EndpointEvent::Request(request) => Some(request.message),
--- a/tests/sidecar/stubs/manual_discovery.rs
+++ b/tests/sidecar/stubs/manual_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery whose calls the test answers one by one.
+//! A stub of discovery whose calls the test answers one by one.
 
 use super::message::*;
 use super::program::*;
@@ -7,15 +7,16 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The value of the setting `discovery` with which lists are fetched on request.
+/// The value of the setting `discovery` for lists that are sent on request.
 pub const ON_REQUEST_MODE: &str = "subscribe";
-/// The value of the setting `discovery` with which an agent pushes lists.
+/// The value of the setting `discovery` for an agent that pushes lists.
 pub const PUSHED_MODE: &str = "automatic";
+/// Both values of the setting `discovery`.
 pub const DISCOVERY_MODES: [&str; 2] = [ON_REQUEST_MODE, PUSHED_MODE];
 
 const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A discovery that accepts calls and leaves their answers to the test.
+/// A stub of discovery. It accepts calls, and the test writes the responses.
 pub struct ManualDiscovery(TcpListener);
 
 /// A call of discovery and its connection, which is closed on drop.
@@ -29,6 +30,7 @@
         Self::start_at("127.0.0.1:0".parse().expect("an address"))
     }
 
+    /// Listens on this address.
     pub fn start_at(address: SocketAddr) -> Self {
         Self::from_listener(TcpListener::bind(address).expect("the port is bound"))
     }
@@ -51,7 +53,7 @@
         calls.into_iter().filter(DiscoveryCall::is_open).collect()
     }
 
-    /// Waits for calls that the sidecar has not closed, and returns the newest. Drops the others.
+    /// Waits until the sidecar has open calls. Returns the newest, and closes the others.
     pub fn next_open_call(&self) -> DiscoveryCall {
         let mut call = None;
         wait_until("a call", || {
@@ -125,7 +127,7 @@
         self.write(WATCH_RESPONSE_HEAD);
     }
 
-    /// Opens and ends the watch in one write.
+    /// Opens the watch and ends it, in one write.
     pub fn open_and_end_watch(&mut self) {
         self.write(&format!("{WATCH_RESPONSE_HEAD}0\r\n\r\n"));
     }
--- a/tests/sidecar/stubs/message.rs
+++ b/tests/sidecar/stubs/message.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest time of a wait, far longer than any step of a test takes. A wait that times out fails the test.
+/// The maximum time of a wait, far longer than any step of a test takes. A wait that times out fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How often a condition is checked while it is waited for.
--- a/tests/sidecar/stubs/program.rs
+++ b/tests/sidecar/stubs/program.rs
@@ -32,7 +32,7 @@
     command
 }
 
-/// Isolates a sidecar from this process's environment and standard streams. Its log is captured.
+/// Isolates a sidecar from this process's environment and standard streams. Its log is written to a pipe.
 fn isolate(command: &mut Command) {
     for name in ["ROUTER_CONFIG", "ROUTER_ADMIN_ADDR", "TMPDIR"] {
         command.env_remove(name);
@@ -65,7 +65,7 @@
         Self::spawn(sidecar_command().env("ROUTER_CONFIG", path))
     }
 
-    /// Starts a sidecar that shares a directory with the processes of its hot restarts.
+    /// Starts a sidecar with this shared directory, which the processes of a hot restart have in common.
     pub fn start_in_directory(directory: &Path, config: &Value) -> Self {
         let path = temporary_file(&config.to_string());
         let sidecar = Self::spawn(
@@ -77,7 +77,7 @@
         sidecar
     }
 
-    /// Starts a sidecar whose process may open this number of descriptors.
+    /// Starts a sidecar whose process may open at most this number of descriptors.
     pub fn start_with_descriptor_limit(path: &Path, descriptors: usize) -> Self {
         let script = format!(
             "ulimit -n {descriptors}; exec {}",
@@ -93,7 +93,7 @@
         Self::from_child(command.spawn().expect("the program starts"))
     }
 
-    /// Takes over a process that has been started, and waits until it listens.
+    /// Waits until a process that has been started listens.
     pub fn from_child(mut child: Child) -> Self {
         let mut lines = BufReader::new(child.stderr.take().expect("the log is piped"))
             .lines()
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Starts a sidecar with an address for operators' calls and these endpoints in its cached list, and a discovery
-    /// that sends nothing.
+    /// Starts a sidecar with an address for operators' calls and with these endpoints in its cached list, and a stub of
+    /// discovery that writes no list by itself.
     pub fn start_with_admin(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
@@ -135,7 +135,7 @@
         )
     }
 
-    /// Starts a sidecar with these endpoints in its cached list, and a discovery that sends nothing.
+    /// Starts a sidecar with these endpoints in its cached list, and a stub of discovery that writes no list by itself.
     pub fn start_with_endpoints(endpoints: &[&Endpoint]) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (
@@ -155,8 +155,8 @@
             .expect("the sidecar has an address for operators' calls")
     }
 
-    /// Writes these bytes on a new connection to the operators' address. Returns the text that is read until it is
-    /// closed.
+    /// Writes these bytes on a new connection to the operators' address. Returns the text that is read until the
+    /// sidecar closes the connection.
     pub fn exchange_admin_bytes(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.admin_address()).expect("the sidecar accepts");
         stream
@@ -168,12 +168,12 @@
         String::from_utf8(answer).expect("text")
     }
 
-    /// Makes an operators' call, a command and for some an endpoint's id. Returns the answer.
+    /// Sends an operators' command with its argument, if it has one. Returns the answer.
     pub fn admin_command(&self, command: &str) -> String {
         self.exchange_admin_bytes(format!("{command}\n").as_bytes())
     }
 
-    /// Makes an operators' call and returns whether the answer is `YES` and not `NO`.
+    /// Sends an operators' command. Returns true if the answer is `YES`, and false if it is `NO`.
     pub fn admin_answers_yes(&self, command: &str) -> bool {
         let answer = self.admin_command(command);
         assert!(
@@ -183,7 +183,8 @@
         answer.starts_with("YES")
     }
 
-    /// Returns the value of a metric, named without the prefix `app_`, if it is in the answer to `STATS`.
+    /// Returns the value of a metric in the answer to `STATS`, or `None` if it is missing. The name is given without
+    /// the prefix `app_`.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let stats = self.admin_command("STATS");
         assert!(stats.ends_with("\nEND\n"), "{stats}");
@@ -195,7 +196,7 @@
         value.map(|value| value.parse().expect("a number"))
     }
 
-    /// Returns how many requests of a class ended with this result: `completed`, `rejected` or `failed`.
+    /// Returns how many requests of a class ended with this outcome: `completed`, `rejected` or `failed`.
     pub fn ended_request_count(&self, outcome: &str, class: &str) -> Option<u64> {
         self.metric(&format!("{outcome}{{lane=\"{class}\"}}"))
     }
@@ -205,18 +206,18 @@
         send_signal(&self.child, name);
     }
 
-    /// Stops the process until [`Sidecar::resume`]. It then finds all that has arrived meanwhile at once.
+    /// Pauses the process by SIGSTOP. After [`Sidecar::resume`] it finds everything that has arrived meanwhile at once.
     pub fn pause(&self) {
         self.send_signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        wait_until("the process is stopped", || {
+        wait_until("the process is paused", || {
             std::fs::read_to_string(&stat)
                 .expect("the process exists")
                 .contains(") T ")
         });
     }
 
-    /// Lets a suspended process go on.
+    /// Resumes a paused process by SIGCONT.
     pub fn resume(&self) {
         self.send_signal("CONT");
     }
@@ -249,7 +250,7 @@
             .count()
     }
 
-    /// Returns the process's resident memory.
+    /// Returns the process's resident memory in kB.
     pub fn memory_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("the process runs");
--- a/tests/sidecar/stubs/raw_http.rs
+++ b/tests/sidecar/stubs/raw_http.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
-/// An endpoint that hands each connection to the test once a request's head has arrived on it.
+/// An endpoint that passes the head of each request, and its connection, to a function of the test.
 pub struct RawEndpoint {
     /// The address that the endpoint listens on.
     pub address: SocketAddr,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Returns bytes in which any omission, duplication or reordering shows.
+/// Returns bytes in which any omission, duplication or reordering can be detected.
 pub fn pattern(length: usize) -> Vec<u8> {
     (0..length.div_ceil(4))
         .flat_map(|word| (word as u32).wrapping_mul(2_654_435_761).to_le_bytes())
@@ -113,7 +113,8 @@
         .collect()
 }
 
-/// Starts a sidecar that knows endpoints at these addresses, with a discovery that sends nothing.
+/// Starts a sidecar with endpoints at these addresses in its cached list, and a stub of discovery that writes no list
+/// by itself.
 pub fn start_sidecar(addresses: &[SocketAddr]) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
     let entries: Vec<_> = addresses
--- a/tests/sidecar/stubs/restartable_endpoint.rs
+++ b/tests/sidecar/stubs/restartable_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose process can end and start again at its address.
+//! An endpoint whose process can end and start again at the same address.
 
 use super::message::*;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -9,7 +9,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the threads of a process check if it has ended.
+/// How often the threads of an endpoint's process check if it has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// An endpoint that answers each request with 200 while it runs. When it ends, its connections are reset and new ones
@@ -29,7 +29,7 @@
     Close,
 }
 
-/// The thread that stands in for one process of the endpoint.
+/// One process of the endpoint, simulated by threads.
 struct EndpointProcess {
     state: Arc<ProcessState>,
     accepting: JoinHandle<()>,
--- a/tests/sidecar/stubs/scripted_endpoint.rs
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -9,10 +9,11 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// A readiness check of the front end, which sends callers to the sidecars that are ready.
+/// A readiness check over HTTP. A load balancer in front of the sidecars sends it, to send callers only to the sidecars
+/// that are ready.
 pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
-/// The number of requests that add a few retries to the retry budget.
+/// The number of requests that earn a few retries for the retry budget.
 const REQUESTS_THAT_EARN_RETRIES: usize = 10;
 
 /// An endpoint that responds to each request once the test has set the response.
@@ -40,7 +41,7 @@
         self.actions.send(action).expect("the endpoint waits");
     }
 
-    /// Serves enough requests to earn a few retries.
+    /// Serves enough requests to earn a few retries for the sidecar's retry budget.
     pub fn earn_retries(&self, client: &mut Client) {
         for _ in 0..REQUESTS_THAT_EARN_RETRIES {
             client.write(&get_request("5"));
