--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Callers that send invalid, incomplete or oversized requests or none at all, and callers that are too many.
+//! Callers that send invalid, incomplete or oversized requests, callers that send nothing, and too many callers.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -16,7 +16,8 @@
     config
 }
 
-/// Writes a text on a new connection and reads until its end. Returns an error if the connection is reset.
+/// Writes a text on a new connection and reads until the sidecar closes it. Returns an error if the connection is
+/// reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
@@ -26,7 +27,7 @@
     Ok(String::from_utf8_lossy(&read).into_owned())
 }
 
-/// The head of an unsafe request with further header lines.
+/// Returns the head of an unsafe request with further header lines.
 fn head(lines: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: r\r\nX-Class: unsafe\r\nX-Deadline: 5\r\n{lines}\r\n"
@@ -216,7 +217,7 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the descriptors against clients that connect and send nothing or part of a request. With hundreds of them
+/// Guards the descriptors against hundreds of clients that connect and send nothing, or a part of a request. Other
 /// callers are still served, over new connections to endpoints, and the watch can be opened again.
 #[test]
 fn requests_are_served_during_connection_flood() {
@@ -284,8 +285,9 @@
     assert_eq!(&answer, b"HTTP/1.1 200");
 }
 
-/// Guards new callers among many idle clients. As long as others are idle, callers that connect at the same time do not
-/// evict each other before their requests arrive. A stall of the machine may spoil one round, but not all five.
+/// Guards new callers among many idle clients. Callers that connect at the same time do not evict each other before
+/// their requests arrive, as long as other clients are idle. All requests of at least one of five rounds must be
+/// served, because a stall of the machine may make a round fail.
 #[test]
 fn eviction_spares_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -1,10 +1,10 @@
-//! Cancellation by the client: once it has closed its connection no attempt of its request begins, neither the first
-//! nor a retry.
+//! Cancellation by the client: once it has closed its connection, no attempt of its request begins, neither the first
+//! one nor a retry.
 //!
 //! `client_disconnects.rs` covers first attempts that are queued or connecting. This file covers retries, requests that
 //! wait for the gap of a throttled endpoint, closes that arrive together with the request, and callers in an earlier
-//! tier that end. Each test has a second request in the same place whose client stays. That request is served, which
-//! shows that the wait was over.
+//! tier that end. In each test a second request waits in the same way, and its client stays connected. That this
+//! request is served shows that the other one was not sent although its wait was over as well.
 
 use crate::cancellation_support::{
     CLOSE_KINDS, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
@@ -23,7 +23,7 @@
 
 const NOT_RUN_RESPONSE: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// The number of safe requests that earn a test's retry budget.
+/// The number of safe requests that earn the retries of a test for the retry budget.
 const RETRY_EARNING_REQUESTS: usize = 20;
 
 /// An endpoint that rejects requests with [`CLOSING_BODY`] or [`STAYING_BODY`] when the test releases them, and serves
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Rejects the request of the client that closes. The response has been written when this returns.
+    /// Rejects the request of the client that closes its connection. Returns once the response has been written.
     fn reject_closing(&self) {
         self.closing.send(()).expect("the endpoint waits");
         self.endpoint.next_connection_close();
@@ -80,7 +80,7 @@
 struct FirstAttempts {
     sidecar: LifecycleSidecar,
     rejecting: RejectingEndpoint,
-    /// The client that closes its connection; `None` once it has.
+    /// The client that closes its connection; `None` after the close.
     closing: Option<WaitingClient>,
     staying: WaitingClient,
     staying_id: String,
@@ -161,7 +161,7 @@
     }
 }
 
-/// Guards a retry that is queued for lack of an endpoint when its client closes.
+/// Guards a retry that is queued for lack of an endpoint when its client closes its connection.
 #[test]
 fn client_close_cancels_queued_retry() {
     in_every_lifecycle_phase(|phase| {
@@ -176,7 +176,8 @@
     });
 }
 
-/// Guards a first attempt that may not be cancelled: it fails after its client has closed, and is not retried.
+/// Guards a first attempt that may not be cancelled. It fails after its client has closed its connection, and is not
+/// retried.
 #[test]
 fn client_close_prevents_retry_of_failed_attempt() {
     in_every_lifecycle_phase(|phase| {
@@ -206,8 +207,8 @@
     String::from_utf8(all).expect("text")
 }
 
-/// Guards a retry whose connection is established after the close: nothing is written on it, with or without permission
-/// to cancel attempts.
+/// Guards a retry whose connection to the endpoint is established after the client's close. Nothing is written on it,
+/// whether attempts may be cancelled or not.
 #[test]
 fn client_close_cancels_connecting_retry() {
     in_every_lifecycle_phase(|phase| {
@@ -247,14 +248,15 @@
 
 // ---- Waiting for a gap -----------------------------------------------------------------------------------
 
-/// A response whose load report puts the class of the higher priority into the gapping state, short of discarding.
+/// A response whose load report puts the class of the higher priority into the gapping state, but not into the
+/// discarding state.
 const THROTTLING_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\
                          X-Load: TEXT concurrent=3, depth=2.3, load_share=0.5\r\n\r\nx";
 
 /// After this time without a request the sidecar measures a low rate, which makes gaps last some seconds.
 const QUIET_TIME: Duration = Duration::from_secs(3);
 
-/// Guards requests that wait for the end of the only endpoint's gap.
+/// Guards requests that wait for the end of a gap of the only endpoint.
 #[test]
 fn client_close_cancels_request_waiting_for_gap() {
     in_every_lifecycle_phase(|phase| {
@@ -308,7 +310,7 @@
 
 // ---- Closes that arrive together with the request --------------------------------------------------------
 
-/// Descriptions and texts of the bytes that arrive on a connection at once, directly before the close.
+/// Returns the texts that arrive on a connection at once, directly before the close, each with a description.
 fn texts_before_close() -> Vec<(&'static str, String)> {
     let chunked = |end: &str| {
         let head = post_request("unsafe", "60", "")
@@ -360,8 +362,8 @@
     assert_eq!(answer.status(), 200);
 }
 
-/// Guards a request that is read when its client's close has already arrived: no attempt is written. The client's
-/// connection is new or reused, and attempts may be cancelled or not.
+/// Guards a request that is read only after its client's close has arrived: no attempt is written. This holds for new
+/// and reused connections of the client, and whether attempts may be cancelled or not.
 #[test]
 fn request_read_with_client_close_is_not_sent() {
     for cancel in [true, false] {
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request waits. It is not sent, wherever it waits, and other requests are served.
+//! Clients that disconnect while their request waits. Wherever it waits, it is not sent, and other requests are served.
 
 use crate::cancellation_support::{
     ALL_DISCONNECTS, Disconnect, FullBacklogEndpoint, LIFECYCLE_CHANGES, PipelinedBytes,
@@ -67,8 +67,8 @@
     assert_disconnect_cancels_queued_request(|_| {});
 }
 
-/// Guards later tiers, whose client is an endpoint that drops its call, and settings that do not allow attempts to be
-/// cancelled.
+/// Guards queued requests in a later tier, in which the client is an endpoint of the tier before that cancels its call.
+/// The settings do not allow attempts to be cancelled.
 #[test]
 fn disconnect_cancels_queued_request_in_later_tier() {
     assert_disconnect_cancels_queued_request(|config| {
@@ -126,8 +126,8 @@
     assert_eq!(received_request_ids, [request_id(&request)]);
 }
 
-/// Guards two kinds of requests: those with an unread or incomplete body, for which no read notices the disconnect, and
-/// chunked ones, which are read together with the bytes after them.
+/// Guards two kinds of requests: those with an unread or incomplete body, whose disconnect no read of the sidecar
+/// notices, and chunked ones, which are read together with the bytes after them.
 #[test]
 fn disconnect_cancels_request_with_unread_or_partial_body() {
     let mut queueing = QueueingSidecar::with_config(|_| {});
@@ -210,8 +210,8 @@
     assert_eq!(queueing.received_request_ids(), [request_id(&request)]);
 }
 
-/// Guards attempts whose connection is established late: nothing is written on it once the client has disconnected,
-/// with or without permission to cancel attempts.
+/// Guards attempts whose connection is established late. Nothing is written on it once the client has disconnected,
+/// whether attempts may be cancelled or not.
 #[test]
 fn disconnect_cancels_connecting_request() {
     for cancel in [true, false] {
@@ -261,7 +261,8 @@
     }
 }
 
-/// Guards a queued retry: a request that failed once waits for another endpoint when its client disconnects.
+/// Guards a queued retry: the client disconnects while its request, whose first attempt failed, waits for another
+/// endpoint.
 #[test]
 fn disconnect_cancels_queued_retry() {
     let failing = Endpoint::start(|message| match message.header("x-class") {
@@ -273,7 +274,7 @@
     let mut queueing = QueueingSidecar::with_config(|config| {
         config["known"]["endpoints"] = json!(serving_entries(&[&failing]));
     });
-    // These requests earn the retry budget.
+    // These requests earn retries for the retry budget.
     let mut earning_client = queueing.sidecar.client();
     for _ in 0..20 {
         assert_eq!(
--- a/tests/sidecar/crowded_discovery.rs
+++ b/tests/sidecar/crowded_discovery.rs
@@ -1,21 +1,22 @@
-//! A crowded discovery, which accepts every call and rejects it: the sidecar's endpoint list becomes outdated.
+//! An overloaded, or crowded, discovery, which accepts every connection and rejects the call with 503. The sidecar's
+//! endpoint list becomes outdated.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
 use std::thread;
 use std::time::Duration;
 
-/// Discovery calls that are rejected after an endpoint has restarted. Meanwhile the endpoint's only failure decays, and
-/// outlier detection lets requests through again.
+/// The number of discovery calls that are rejected after an endpoint has restarted. They take long enough for the
+/// endpoint's only failure to decay, after which outlier detection lets requests through again.
 const REJECTED_CALLS: usize = 14;
-/// Endpoints in addition to the one that is restarted. With many endpoints, a single failure makes an endpoint an
-/// outlier for a few seconds only.
+/// The number of endpoints in addition to the one that is restarted. With many endpoints, a single failure makes an
+/// endpoint an outlier for a few seconds only.
 const OTHER_ENDPOINTS: usize = 10;
-/// The pause between two requests: short enough for every endpoint to get requests, long enough to leave the processor
-/// to others.
+/// The pause between two requests: short enough for every endpoint to get requests, and long enough to leave processor
+/// time to other tests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A sidecar with several endpoints, of which the first can be restarted, and its discovery.
+/// A sidecar with its discovery and several endpoints, one of which can be restarted.
 struct Fixture {
     restartable: RestartableEndpoint,
     _others: Endpoint,
@@ -69,7 +70,7 @@
         call.map(reject).is_some()
     }
 
-    /// The list entry of the restarted endpoint's new process.
+    /// Returns the list entry of the restarted endpoint's new process.
     fn restarted_entry(&self) -> Value {
         let mut entry = list_entry("e0", self.restartable.address, "SERVING");
         entry["since_ms"] = json!(1_700_000_000_000u64);
@@ -103,9 +104,9 @@
     });
 }
 
-/// Guards against requests to a removed endpoint while discovery is crowded. Once an endpoint has refused a connection,
-/// the process at its address is a different one, about which the outdated list says nothing. No connection is idle, so
-/// the refusal is the only sign that the process has ended.
+/// Guards against requests to a removed endpoint while discovery is overloaded. After an endpoint has refused a
+/// connection, the process at its address is a different one, about which the outdated list says nothing. The refusal
+/// is the only sign that the process has ended, because no connection to it is idle.
 #[test]
 fn refused_connection_suspends_endpoint() {
     in_each_mode(|mode| {
@@ -144,15 +145,15 @@
     });
 }
 
-/// The time after which any change of the list would be in force, in milliseconds: 6 s, and the `drainGraceNs` of the
-/// test's settings.
+/// The time in milliseconds within which a change of the list must be in force: the 6 s of
+/// `CHANGE_PROPAGATION_DEADLINE`, and the 0.25 s of `drainGraceNs` in the test's settings.
 const CHANGE_IN_FORCE_DEADLINE_MS: u64 = 6_250;
-/// Requests that are sent while the list is overdue.
+/// The number of requests that are sent while the list is overdue.
 const REQUESTS_UNDER_AN_OVERDUE_LIST: usize = 300;
 
 /// Guards against the same fault when there is no sign that the process has ended: no connection was open, and none was
-/// attempted. Once any change would be in force, the list is overdue. From then on only a process with a connection
-/// from before is known to be the one that the list names.
+/// attempted. The list is overdue once the [`CHANGE_IN_FORCE_DEADLINE_MS`] is over. From then on, a process is known to
+/// be the one that the list names only if a connection to it has stayed open.
 #[test]
 fn overdue_list_suspends_unconnected_endpoint() {
     let mut fixture = Fixture::start(ON_REQUEST_MODE, AfterResponse::Close);
--- a/tests/sidecar/descriptor_pressure.rs
+++ b/tests/sidecar/descriptor_pressure.rs
@@ -1,4 +1,4 @@
-//! A sidecar that is short of descriptors: many idle clients and pending requests hold as many as they may.
+//! A sidecar that is short of descriptors: many idle clients and pending requests hold as many descriptors as they may.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -11,7 +11,7 @@
 
 /// The limit on the process's descriptors, both in its configuration and in the system.
 const DESCRIPTOR_LIMIT: usize = 256;
-/// Requests that stay in flight. Each holds its caller's connection and the one to the endpoint.
+/// The number of requests that stay in flight. Each holds its caller's connection and the one to the endpoint.
 const OPEN_REQUESTS: usize = 100;
 /// The number of endpoints, enough for each to get only a few of the open requests.
 const ENDPOINTS: usize = 50;
@@ -20,16 +20,16 @@
 /// The number of descriptors in use at which the sidecar is saturated: idle clients hold all that the open requests
 /// leave.
 const SATURATED_DESCRIPTORS: usize = 205;
-/// Clients that connect, send one request and stay. There are more of them than fit.
+/// The number of clients that connect, send one request and stay. It exceeds the number of descriptors for them.
 const IDLE_CLIENTS: usize = 150;
-/// Clients that connect and send nothing.
+/// The number of clients that connect and send nothing.
 const SILENT_CLIENTS: usize = 50;
-/// Connections to the operators' address with an incomplete call. If there were as many as fit, each new one would
-/// close another, possibly one with a complete call that is written slowly.
+/// The number of connections to the operators' address with an incomplete call. If they used up the limit on such
+/// connections, each new one would evict another, possibly one with a complete call that is written slowly.
 const INCOMPLETE_OPERATOR_CALLS: usize = 12;
-/// The number of reconnects after which every freed descriptor is certainly taken again.
+/// The number of reconnects after which clients have certainly taken every freed descriptor again.
 const SATURATION_RECONNECTS: usize = 300;
-/// Pause between two rounds over the connections, which leaves processor time to the sidecar.
+/// The pause between two rounds over the connections, which leaves processor time to the sidecar.
 const ROUND_PAUSE: Duration = Duration::from_millis(5);
 /// The body of a request that stays open.
 const OPEN_REQUEST_BODY: &[u8] = b"stays";
@@ -68,7 +68,7 @@
     }
 }
 
-/// Clients that take every descriptor that the sidecar grants them, until this is dropped.
+/// Clients that take every descriptor that they can get from the sidecar. They end when this is dropped.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     connected: Arc<AtomicUsize>,
@@ -146,7 +146,7 @@
     sidecar
 }
 
-/// Sends requests that their endpoints do not answer.
+/// Sends requests that the endpoints do not answer, and waits until all have arrived there.
 fn open_requests(sidecar: &Sidecar, endpoints: &[Endpoint]) -> Vec<Client> {
     let text = std::str::from_utf8(OPEN_REQUEST_BODY).expect("text");
     let open = |_| {
@@ -186,9 +186,9 @@
     assert_eq!(sidecar.metric("pending"), Some(OPEN_REQUESTS as u64));
 }
 
-/// Asserts that the descriptors that callers cannot take suffice for all other uses. While discovery is down, clients
-/// take all the rest, also the one of the watch. Operators' calls, requests and endpoints get descriptors throughout,
-/// and the watch gets one once discovery is back.
+/// Asserts that the descriptors that are reserved from callers suffice for all other uses. While discovery is down,
+/// clients take all that is not reserved, also the descriptor that the watch had. Operators' calls, requests and
+/// endpoints get descriptors throughout, and the watch gets one once discovery is back.
 fn assert_reserved_descriptors_suffice(network_address: &str, mode: &str) {
     // No other test uses this network address: the port stays free while discovery is down.
     let start = format!("{network_address}:0").parse().expect("an address");
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -18,7 +18,7 @@
     endpoint.take_request_count()
 }
 
-/// Once `DISABLE` is answered, the endpoint receives nothing, whatever its list entry says, and its idle connections
+/// Once `DISABLE` is answered, the endpoint receives no request, whatever its list entry says, and its idle connections
 /// are closed. A second `DISABLE` changes nothing. The metrics count the endpoint as unavailable. `ENABLE` undoes all
 /// of this.
 #[test]
--- a/tests/sidecar/discovery_hedging.rs
+++ b/tests/sidecar/discovery_hedging.rs
@@ -1,5 +1,5 @@
 //! Hedged calls to a discovery that responds late: the oldest call keeps its place in discovery's queue. The tests run
-//! for lists that are fetched and for lists that an agent pushes.
+//! for lists that are sent on request and for lists that an agent pushes.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -65,8 +65,8 @@
     }
 }
 
-/// Guards the case that only new calls reach discovery: the response to the hedged call is applied and closes the first
-/// call.
+/// Guards the case in which only new calls reach discovery: the response to the hedged call is applied, and the first
+/// call is closed.
 #[test]
 fn response_to_the_hedged_call_closes_the_first_call() {
     for mode in DISCOVERY_MODES {
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -1,5 +1,5 @@
 //! Recovery from failures of discovery: after any kind of failure, changes are applied once discovery can be reached.
-//! The tests run for lists that are fetched and for lists that an agent pushes.
+//! The tests run for lists that are sent on request and for lists that an agent pushes.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -84,7 +84,7 @@
         });
     }
 
-    /// The entries that change: the first endpoint is draining, and the third one is new.
+    /// Returns the entries that change: the first endpoint is draining, and the third one is new.
     fn changed_entries(&self) -> [Value; 2] {
         [
             list_entry("e0", self.endpoints[0].address, "DRAINING"),
@@ -92,7 +92,7 @@
         ]
     }
 
-    /// The full list after the change.
+    /// Returns the full list after the change.
     fn full_list(&self, version: u64) -> String {
         let [draining, new] = self.changed_entries();
         let unchanged = list_entry("e1", self.endpoints[1].address, "SERVING");
@@ -173,7 +173,7 @@
 
 /// Guards the watch on an agent against each kind of failure: a 503, a reset, an end before the response or within a
 /// list, malformed JSON, and silence before and after the head of the response. `discovery_watch.rs` covers lists that
-/// are fetched.
+/// are sent on request.
 #[test]
 fn agent_watch_is_reopened_after_each_kind_of_failure() {
     let discovery = ManualDiscovery::start();
@@ -283,8 +283,9 @@
     }
 }
 
-/// Guards a reload that moves away from a discovery that recovers at that moment. Its response to the outstanding call
-/// is in force until the new discovery has sent a list, and an older list of the new one does not undo the drain.
+/// Guards a reload that moves to a new discovery just as the old one recovers. The old one's response to the
+/// outstanding call is in force until the new one has sent a list. An older list of the new one does not undo the
+/// drain.
 #[test]
 fn response_of_the_previous_discovery_is_applied_before_a_new_list() {
     for mode in DISCOVERY_MODES {
@@ -308,8 +309,8 @@
     }
 }
 
-/// Guards a discovery that starts before the reload that moves to it is handled, while calls to the old discovery are
-/// refused and another one is due.
+/// Guards a reload that moves to a new discovery while calls to the old one are refused and the next call is due. The
+/// new one is called even if it starts before the reload is handled.
 #[test]
 fn new_discovery_started_before_the_reload_is_called() {
     for mode in DISCOVERY_MODES {
--- a/tests/sidecar/discovery_watch.rs
+++ b/tests/sidecar/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery when its events are split, late, stale or missing.
+//! The watch on discovery when its lists are split into chunks, late, stale or missing.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -11,7 +11,7 @@
     )))
 }
 
-/// A list in JSON that spans many lines.
+/// Returns a list as JSON that spans many lines.
 fn indented_list(version: u64, is_snapshot: bool, endpoints: &[Value]) -> String {
     let list = json!({"index": version, "snapshot": is_snapshot, "endpoints": endpoints});
     format!("{}\n", serde_json::to_string_pretty(&list).expect("JSON"))
@@ -139,9 +139,9 @@
     assert!(delay < Duration::from_millis(3_500), "{delay:?}");
 }
 
-/// Guards the list against older versions in late changes or in the full list of a replica that lags behind: they have
-/// no effect, and the watch is reopened. A stale full list that is sent again shows that discovery was reset: it is
-/// accepted, but draining endpoints keep draining.
+/// Guards the list against older versions, which late changes have, or the full list of a replica that lags behind.
+/// They have no effect, and the watch is reopened. A stale full list that is sent a second time shows that discovery
+/// was reset: it is accepted, but draining endpoints keep draining.
 #[test]
 fn stale_list_is_accepted_only_when_sent_again() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -6,8 +6,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Guards rule 3 of `tests/policy/legal_model.rs`: when an endpoint is listed as draining or is removed, its idle
-/// connections are closed and it gets no new request.
+/// Guards rules 3 and 6 of `tests/policy/random_sequences.rs`: when an endpoint is listed as draining or is removed, it
+/// gets no new request and its idle connections are closed.
 #[test]
 fn draining_or_removed_endpoint_gets_no_request() {
     let listed_statuses = [Some("DRAINING"), Some("DELETED"), None];
@@ -98,7 +98,7 @@
     assert!(discovery.next_call().request_line.contains("since=42 "));
 }
 
-/// Guards against a discovery whose machine is gone: it sends nothing, and its connection stays open.
+/// Guards against a discovery whose machine has failed: it sends nothing, and its connection stays open.
 #[test]
 fn silent_watch_is_reopened() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -1,6 +1,7 @@
 //! Races between two events, each in its less usual order. `docs/event-races.md` lists them.
 //!
-//! The order is forced: a stub waits for the test before a step, or the sidecar is suspended while the events arrive.
+//! The order is forced: a stub waits for the test before a step, or the sidecar's process is paused while the events
+//! arrive.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -10,8 +11,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Returns a listener in the place of an endpoint, and its entry in the endpoint list. The test itself writes to its
-/// connections and closes them.
+/// Listens in the place of an endpoint. Returns the listener and its list entry. The test itself accepts the
+/// connections, writes on them and closes them.
 fn listen_as_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let endpoint_entry = list_entry("raw", listener.local_addr().expect("an address"), "SERVING");
@@ -63,8 +64,8 @@
     }
 }
 
-/// Guards responses without a length, which end when the connection is closed. A reset is no such end: the request
-/// fails, whatever has arrived by then.
+/// Guards responses without a length, which end when the connection is closed. A reset does not end such a response:
+/// the request fails, whatever has arrived by then.
 #[test]
 fn reset_fails_a_response_without_a_length() {
     for (is_reset, status) in [(true, 502), (false, 200)] {
@@ -103,7 +104,7 @@
 }
 
 /// Guards a timeout that races the response: one of the two ends the request, the client gets one response, and nothing
-/// is sent again. The connection on which the timeout occurred is not reused.
+/// is sent again. The next request of the client gets a response of its own.
 #[test]
 fn timeout_racing_the_response_ends_the_request_once() {
     let (listener, endpoint_entry) = listen_as_endpoint();
@@ -138,7 +139,7 @@
     assert_eq!(ends, 1);
 }
 
-/// A sidecar whose settings can be reloaded, with a scripted endpoint and retry budget for a few retries.
+/// A sidecar whose settings can be reloaded, with a scripted endpoint, and with a few retries in its retry budget.
 struct ReloadableSidecar {
     scripted: ScriptedEndpoint,
     sidecar: Sidecar,
@@ -298,8 +299,8 @@
     );
 }
 
-/// Guards an eviction that races the next request on the connection: each caller gets a complete response, or a close
-/// without any byte of a response. In the second case its request was not sent.
+/// Guards an eviction that races the next request on the same connection: the caller gets either a complete response,
+/// or a close without any byte of a response. In the second case its request was not sent.
 #[test]
 fn eviction_does_not_truncate_a_response() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -8,10 +8,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Less than the time after which the kernel repeats the handshake by itself, which is 1 s.
+/// The connect timeout of the tests. It is shorter than the time after which the kernel repeats the handshake by
+/// itself, which is 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// An endpoint whose accept queue is full: no further connection is established until it accepts some.
+/// An endpoint that accepts late. Until it accepts connections, its backlog of one connection is full, and no further
+/// connection is established.
 struct LateAcceptingEndpoint {
     listener: TcpListener,
     address: SocketAddr,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Accepts connections and responds to their requests for the given time. Returns the number of requests.
+    /// Accepts connections for the given time, and responds to the requests on them. Returns the number of requests.
     fn accept_and_respond(self, time: Duration) -> usize {
         let deadline = Instant::now() + time;
         self.listener
@@ -111,8 +113,8 @@
     }
 }
 
-/// A request makes three dials at most, which keeps dials from flooding endpoints and descriptors. It is rejected at
-/// the connect timeout.
+/// A request makes three dials at most, so that dials neither overload endpoints nor use up descriptors. It is rejected
+/// at the connect timeout.
 #[test]
 fn dials_are_limited_in_number_and_time() {
     let endpoint = LateAcceptingEndpoint::start();
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sends requests until `done`. Like other clients, it uses one connection until a response closes it.
+/// Sends requests until `done`. Like most clients, it reuses its connection until a response closes it.
 fn send_requests_until(address: SocketAddr, done: &AtomicBool, served: &AtomicUsize) {
     let mut client = Client::connect(address);
     while !done.load(Ordering::Relaxed) {
@@ -263,8 +263,8 @@
     );
 }
 
-/// A process starts whatever is in the shared directory at the path of the socket: a plain file, a stale or silent
-/// socket, or a directory. It also starts if the shared directory does not exist.
+/// A process starts regardless of what the path of the socket in the shared directory holds: a plain file, a stale or
+/// silent socket, or a directory. It also starts if the shared directory does not exist.
 #[test]
 fn process_starts_with_foreign_files_in_shared_directory() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -72,7 +72,7 @@
         self.0.join(golden_file_names().0)
     }
 
-    /// The names of its files, one per line, sorted.
+    /// Returns the names of its files, one per line, sorted.
     fn file_names(&self) -> String {
         let entries = std::fs::read_dir(&self.0).expect("a directory");
         let mut names: Vec<String> = entries
@@ -162,7 +162,7 @@
     }
 }
 
-/// The test acts as the new process.
+/// Guards the messages of an old process. The test acts as the new process.
 #[test]
 fn old_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -175,7 +175,7 @@
     new_process.expect_messages_of(&sidecar);
 }
 
-/// The test acts as the old process.
+/// Guards the messages of a new process. The test acts as the old process.
 #[test]
 fn new_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -200,7 +200,7 @@
     old_process.expect_messages_of(&sidecar);
 }
 
-/// The test acts as the new process and observes the effect of each message.
+/// Guards the effect of each message on an old process. The test acts as the new process.
 /// `golden_connection_count_reduces_the_budget` covers the number of connections.
 #[test]
 fn golden_messages_are_understood() {
@@ -295,8 +295,8 @@
     }
 }
 
-/// The effect of the message with the number of connections: the other process's connections and its reserve are
-/// deducted from the limit that both share.
+/// Guards the effect of the message with the number of connections: the other process's connections and its reserve are
+/// deducted from the limit that both processes share.
 #[test]
 fn golden_connection_count_reduces_the_budget() {
     let alone = LoadedSidecar::start(&[]);
@@ -313,6 +313,7 @@
     }
 }
 
+/// Guards the names of the files in the shared directory, and the content of the stored file.
 #[test]
 fn shared_directory_has_golden_files() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -331,6 +332,7 @@
     assert_eq!(stored, DISABLED_FILE);
 }
 
+/// Guards the effect of the stored file on a process that starts.
 #[test]
 fn golden_disabled_file_is_understood() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -125,8 +125,9 @@
     }
 }
 
-/// Once part of a body that is not buffered has been forwarded there is no second attempt, whatever the class. The
-/// request never ran and is therefore rejected: trying again is harmless.
+/// A body that is too large to be buffered cannot be sent twice: once a part of it has been forwarded, there is no
+/// second attempt, whatever the class. The incomplete request did not run. It is therefore rejected, which tells the
+/// caller that trying again is harmless.
 #[test]
 fn partly_forwarded_request_is_not_retried() {
     for class in ["keyed", "unsafe"] {
@@ -233,8 +234,8 @@
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
-/// When a client stops in the middle of a large body, sends a malformed chunk or disconnects, its request ends, and so
-/// does the connection to the endpoint.
+/// When a client stops in the middle of a large body, sends a malformed chunk or disconnects, its request ends and the
+/// connection to the endpoint is closed.
 #[test]
 fn incomplete_large_request_ends_its_attempt() {
     let (endpoint, is_complete) = endpoint_reporting_completeness();
@@ -270,7 +271,7 @@
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
-/// A large body at 64 kB a second is received, although it takes longer than a small one may.
+/// A large body that arrives at 64 kB a second is received, although it takes longer than a small one may.
 #[test]
 fn slow_client_above_minimum_rate_is_served() {
     let body = Arc::new(pattern(320_000));
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -134,8 +134,8 @@
     });
 }
 
-/// When a response breaks off after its beginning was forwarded, the client gets a truncated body. The request is
-/// counted as failed and not tried again.
+/// When a response ends early after its beginning was forwarded, the client gets a truncated body. The request is
+/// counted as failed and is not tried again.
 #[test]
 fn truncated_large_response_fails_its_request() {
     for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
@@ -177,7 +177,7 @@
     }
 }
 
-/// Without memory to buffer it, a response is streamed and arrives complete.
+/// If the memory budget leaves no room to buffer a response, it is streamed and arrives complete.
 #[test]
 fn exhausted_memory_budget_streams_responses() {
     let body = Arc::new(pattern(50_000));
--- a/tests/sidecar/malformed_responses.rs
+++ b/tests/sidecar/malformed_responses.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// The end of these responses cannot be known or is not worth waiting for, and the request may have run. It fails at
+/// The end of each of these responses is unknown or not worth waiting for, and the request may have run. It fails at
 /// once and not at its timeout, and the connection is closed.
 #[test]
 fn malformed_response_fails_its_request_at_once() {
@@ -118,8 +118,8 @@
     }
 }
 
-/// Once a response has reached the client, its endpoint sends a second one or closes the connection. The next request
-/// is sent at that moment and must not be on that connection.
+/// Once a response has reached the client, the endpoint sends a second one or closes the connection. The next request,
+/// which is sent at that moment, must not be written on that connection.
 #[test]
 fn late_second_response_does_not_reach_next_request() {
     for closes_connection in [false, true] {
--- a/tests/sidecar/mass_restart.rs
+++ b/tests/sidecar/mass_restart.rs
@@ -1,5 +1,5 @@
-//! Many sidecars that restart at the same time while discovery answers few calls: no sidecar becomes ready later
-//! because of the others' calls, and none makes more calls than necessary.
+//! Many sidecars that restart at the same time while discovery answers few calls. The calls of one sidecar do not delay
+//! the readiness of another, and no sidecar makes more calls than necessary.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
     }
 
     /// Waits for a call, and asserts that it is the sidecar's only outstanding one. A second call would cost discovery
-    /// a response without any use.
+    /// a useless response.
     fn expect_only_call(&self) -> DiscoveryCall {
         let mut calls = Vec::new();
         wait_until("a call", || {
@@ -69,9 +69,9 @@
 
 /// Starts a fleet whose discovery calls have not been answered.
 ///
-/// Each test needs a network address of its own, which keeps the port of a killed process free for its restart:
-/// processes with an operators' address share listening ports, and another process that took the port would go
-/// unnoticed.
+/// Each test needs a network address of its own, which keeps the port of a killed process free for its restart.
+/// Processes with an operators' address share listening ports: if another process took the port, the test would not
+/// notice.
 fn start_fleet(network_address: &str, mode: &str, cached_list: &Value) -> Vec<FleetMember> {
     let discoveries: Vec<ManualDiscovery> =
         (0..SIDECARS).map(|_| ManualDiscovery::start()).collect();
@@ -165,7 +165,7 @@
     assert_cached_list_suffices("127.20.0.2", ON_REQUEST_MODE);
 }
 
-/// Guards the start without a cached list: each sidecar is ready once its only fetch is answered, without waiting for
+/// Guards the start without a cached list: each sidecar is ready once its only fetch is answered, and does not wait for
 /// the watch that follows. Each response therefore makes one sidecar ready.
 fn assert_one_fetch_suffices(network_address: &str, mode: &str) {
     let endpoint = Endpoint::start(|_| respond_ok(""));
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -38,8 +38,8 @@
     });
 }
 
-/// Each request is counted under one outcome of its class, as its client saw it. Each attempt is counted as endpoints
-/// saw it, and a request counts as pending for as long as it is.
+/// Each request is counted once in its class, under the outcome that its client got. `upstream_requests` counts the
+/// attempts that endpoints got, and `pending` the requests that wait for their response.
 #[test]
 fn metrics_count_each_request_under_one_outcome() {
     let (opener, gate) = response_gate();
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -1,4 +1,4 @@
-//! Limits, the log's counters, the start and the graceful shutdown.
+//! The life of a process: its start, limits, health checks, the counters in its log, and its graceful shutdown.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -64,9 +64,9 @@
     assert!(sidecar.wait().success());
 }
 
-/// Guards load reports that arrive only in responses to health checks. Health checks are sent to the path for load
-/// reports, without a request id, and the reports in their responses reach the balancer. If the settings forbid health
-/// checks, none is sent.
+/// Guards settings under which load reports arrive only in responses to health checks. Health checks are sent to the
+/// path for load reports, without a request id, and the reports in their responses reach the balancer. If the settings
+/// forbid health checks, none is sent.
 #[test]
 fn health_checks_collect_load_reports() {
     for (allowed, report) in [
@@ -188,8 +188,9 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards callers while another sidecar is down as well: after SIGTERM the sidecar is not ready, but it serves
-/// connections for a while. Requests on them are answered well before the process may be killed.
+/// Guards callers that cannot move to another sidecar, because that one is down as well. After SIGTERM the sidecar is
+/// not ready, but it serves connections for a while. Requests on them are answered well before the process may be
+/// killed.
 #[test]
 fn connections_are_served_for_a_while_after_sigterm() {
     let endpoint = Endpoint::start(|message| {
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -11,9 +11,10 @@
     std::fs::write(path, config.to_string()).expect("the file is written");
 }
 
-/// Guards the move to another discovery. The new one is asked for the full list, because versions of the old one mean
-/// nothing there. The old one is followed until the new one has sent a list; then its watch is closed. Neither an older
-/// list of the new discovery nor the cached list of the file ends a drain. Requests are served throughout.
+/// Guards a reload that moves to a new discovery. The full list is fetched from the new one, because versions of the
+/// old one mean nothing there. The watch on the old one stays open until the new one has sent a list, and is then
+/// closed. Neither an older list of the new discovery nor the cached list of the file ends a drain. Requests are served
+/// throughout.
 #[test]
 fn previous_discovery_is_followed_until_the_first_new_list() {
     let (opener, gate) = response_gate();
@@ -91,8 +92,8 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the log: a configuration that cannot be read, and one that only a restart can apply, are logged with one line
-/// each, and the old one stays in force. Two signals in a row count as one.
+/// Guards the log of reloads. A configuration that cannot be read is logged, and the old one stays in force. A change
+/// that only a restart can apply is logged together with the changes that are applied, here after two signals in a row.
 #[test]
 fn reload_logs_changes_that_it_cannot_apply() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -176,8 +177,8 @@
     class
 }
 
-/// Guards changed settings: an added class is served. A removed class is not served but keeps its count. A stricter
-/// effect holds for later requests, and open requests keep the settings under which they arrived.
+/// Guards reloads that change request classes. An added class is served. A removed class is not served, but keeps its
+/// count. A stricter effect holds for later requests, and open requests keep the settings under which they arrived.
 #[test]
 fn changed_settings_apply_to_later_requests_only() {
     let (opener, gate) = response_gate();
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -41,7 +41,7 @@
     assert!(time_left > 0.0 && time_left <= 2.5, "{time_left}");
 }
 
-/// A connection that has carried an attempt is reused for the next request that may be sent twice.
+/// A connection that has carried an attempt is reused for the next request, if that one may be sent twice.
 #[test]
 fn repeatable_request_reuses_idle_connection() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
@@ -58,7 +58,8 @@
     }
 }
 
-/// The connections that a burst needed carry the next burst. Once the endpoint is quiet the surplus ones are closed.
+/// The connections of a burst of requests are reused for the next burst. Once the endpoint gets no requests, the
+/// surplus connections are closed.
 #[test]
 fn burst_connections_are_reused_until_endpoint_is_quiet() {
     const BURST: usize = 8;
@@ -102,7 +103,7 @@
     assert!(remaining.is_subset(&burst()), "the others are still used");
 }
 
-/// A closed connection does not stay in the pool: an unsafe request that is written to one would be lost.
+/// A closed connection does not stay in the connection pool: an unsafe request that is written on one would be lost.
 #[test]
 fn closed_connection_is_not_reused() {
     let endpoint = Endpoint::start(|_| EndpointAction::RespondThenClose(OK_RESPONSE.into()));
@@ -117,8 +118,8 @@
     }
 }
 
-/// An endpoint may close an idle connection when the next request arrives on it, which may have run by then. A request
-/// that must not run twice is therefore never written on an idle connection.
+/// An endpoint may close an idle connection just as the next request arrives on it, and that request may have run by
+/// then. A request that must not run twice is therefore never written on an idle connection.
 #[test]
 fn unsafe_request_gets_new_connection() {
     let endpoint =
@@ -272,7 +273,7 @@
     assert!(log.iter().all(is_expected), "{log:?}");
 }
 
-/// When a client disconnects its attempt is cancelled, which closes the attempt's connection.
+/// When a client disconnects, its attempt is cancelled, which closes the attempt's connection.
 #[test]
 fn client_disconnect_cancels_attempt() {
     for request in [get_request("10"), post_request("unsafe", "10", "x")] {
--- a/tests/sidecar/settings_isolation.rs
+++ b/tests/sidecar/settings_isolation.rs
@@ -1,5 +1,5 @@
-//! Two sets of settings that have little in common. Each determines all behaviour, and a reload keeps nothing of the
-//! previous one.
+//! Two sets of settings that have little in common. The set in force determines all behaviour, and a reload keeps
+//! nothing of the previous set.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -151,8 +151,8 @@
 }
 
 /// Guards against names or values of one deployment in the code. Each of two unlike sets of settings is checked from
-/// the start and after a reload from the other by SIGHUP. Only an open request keeps its class. Idle connections are
-/// kept for the time that the new settings allow.
+/// the start, and after a reload that replaces the other set. Only an open request keeps its class. Idle connections
+/// are kept for the time that the new settings allow.
 #[test]
 fn reload_replaces_all_settings() {
     let (opener, gate) = response_gate();
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -85,9 +85,9 @@
     assert!(sidecar.wait().success());
 }
 
-/// The process is suspended until the time is over in which its shutdown accepts connections. Callers that connected
-/// meanwhile, and send a request soon after the process resumes, are answered. A caller that sends none does not delay
-/// the shutdown.
+/// The process is paused until the time is over in which its shutdown accepts connections. Callers that connected
+/// meanwhile and send a request soon after the process resumes are answered. A caller that sends no request does not
+/// delay the shutdown.
 #[test]
 fn shutdown_answers_requests_sent_after_a_late_accept() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -257,9 +257,9 @@
     std::fs::remove_dir_all(shared_directory).expect("it is removed");
 }
 
-/// Starts a replaceable sidecar, and shuts it down while an attempt is in flight, which keeps it from ending.
-/// Returns the sidecar and the client of the attempt once the sidecar has accepted its last caller and closed its own
-/// descriptor of the listener.
+/// Starts a sidecar that a new process can replace, and shuts it down while an attempt is in flight, which keeps it
+/// from ending. Returns the sidecar and the client of the attempt once the sidecar has accepted its last caller and
+/// closed its own descriptor of the listener.
 fn shut_down_with_request_in_flight(
     scripted_endpoint: &ScriptedEndpoint,
     discovery: &Discovery,
@@ -303,8 +303,8 @@
     assert!(sidecar.wait().success());
 }
 
-/// The new process dies while the old one shuts down: the old one accepts and answers the connections in the backlog of
-/// the listener that both processes have. The test acts as the new process.
+/// The new process dies while the old one shuts down. The old one accepts and answers the connections in the backlog of
+/// the listener that both processes had open. The test acts as the new process.
 #[test]
 fn shutdown_answers_the_backlog_of_a_new_process_that_died() {
     let (scripted_endpoint, discovery) = (ScriptedEndpoint::start(), Discovery::start());
--- a/tests/sidecar/warming_endpoint.rs
+++ b/tests/sidecar/warming_endpoint.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Slow start limits what all sidecars together send: of a burst that the warm endpoints serve, a warming one gets some
-/// requests, but no more than its capacity.
+/// Slow start limits what all sidecars together send. In a burst of requests, the warming endpoint gets some, but at
+/// most the overload multiple of its capacity, with a margin for random variation.
 #[test]
 fn slow_start_holds_for_several_sidecars_together() {
     let discovery = Discovery::start();
