--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -191,7 +191,7 @@
         .next_request()
         .message
         .header("x-deadline")
-        .and_then(|d| d.parse::<f64>().ok());
+        .and_then(|seconds| seconds.parse::<f64>().ok());
     assert!(time_left.expect("a deadline") <= 10.0, "{time_left:?}");
 }
 
@@ -229,17 +229,17 @@
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
     let mut flood = Vec::new();
-    for n in 0..600 {
+    for number in 0..600 {
         let mut stream = TcpStream::connect(sidecar.address).expect("the backlog has room");
-        if n % 2 == 0 {
+        if number % 2 == 0 {
             let _ = stream.write_all(b"GET /api HTTP/1.1\r\nX-Ha");
         }
         flood.push(stream);
-        if n % 20 == 19 {
+        if number % 20 == 19 {
             assert_eq!(
                 sidecar.client().exchange(&get_request("5")).status(),
                 200,
-                "after {n}: {:?}",
+                "after {number}: {:?}",
                 sidecar.log()
             );
         }
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -55,7 +55,7 @@
         sidecar
             .log()
             .iter()
-            .any(|l| l.contains("now pending=0 queued=0 in_flight=0")),
+            .any(|line| line.contains("now pending=0 queued=0 in_flight=0")),
         "{:?}",
         sidecar.log()
     );
@@ -224,9 +224,9 @@
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start(&config);
-        let pending = |n| {
-            wait_until(&format!("{n} requests are pending"), || {
-                sidecar.metric("pending") == Some(n)
+        let wait_for_pending = |count| {
+            wait_until(&format!("{count} requests are pending"), || {
+                sidecar.metric("pending") == Some(count)
             });
         };
         let disconnecting: Vec<_> = ALL_DISCONNECTS
@@ -235,11 +235,11 @@
             .collect();
         let request = get_request("10");
         let staying_client = WaitingClient::send(&sidecar, &request);
-        pending(9);
+        wait_for_pending(9);
         for (how, client) in disconnecting {
             client.disconnect(how);
         }
-        pending(1);
+        wait_for_pending(1);
         // Without cancellation the connections of the others are established too, with nothing written on them.
         assert!(
             full_backlog_endpoint
@@ -257,7 +257,7 @@
         }
         assert_eq!(sidecar.metric("upstream_requests"), Some(1));
         drop(staying_client);
-        pending(0);
+        wait_for_pending(0);
     }
 }
 
@@ -377,9 +377,9 @@
         ));
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start_in_directory(&directory, &config);
-        let pending = |n| {
-            wait_until(&format!("{change:?}: {n} requests are pending"), || {
-                sidecar.metric("pending") == Some(n)
+        let wait_for_pending = |count| {
+            wait_until(&format!("{change:?}: {count} requests are pending"), || {
+                sidecar.metric("pending") == Some(count)
             });
         };
         let request = get_request("10");
@@ -388,12 +388,12 @@
             .into_iter()
             .map(|how| (how, WaitingClient::send(&sidecar, &get_request("10"))))
             .collect();
-        pending(9);
+        wait_for_pending(9);
         let new_process = apply_change(change, &sidecar, &directory, &endpoint);
         for (how, client) in disconnecting {
             client.disconnect(how);
         }
-        pending(1);
+        wait_for_pending(1);
         assert!(
             full_backlog_endpoint
                 .next_written_text()
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -105,7 +105,7 @@
             .take_requests()
             .into_iter()
             .filter(|message| message.header("x-request-id").is_none());
-        let health_checks: Vec<String> = health_checks.map(|m| m.start_line).collect();
+        let health_checks: Vec<String> = health_checks.map(|message| message.start_line).collect();
         assert!(
             health_checks
                 .iter()
@@ -265,8 +265,8 @@
             error.starts_with("balancer-sidecar: ") && error.lines().count() == 1,
             "{error}"
         );
-        path.filter(|p| p.is_file())
+        path.filter(|file| file.is_file())
             .iter()
-            .for_each(|p| std::fs::remove_file(p).expect("the file is removed"));
+            .for_each(|file| std::fs::remove_file(file).expect("the file is removed"));
     }
 }
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -215,7 +215,7 @@
         })
         .collect();
     wait_until("some requests are pending", || {
-        sidecar.metric("pending").is_some_and(|n| n > 0)
+        sidecar.metric("pending").is_some_and(|count| count > 0)
     });
 
     let new_class = copy_class("new", &classes_of(&mut config)[0]);
@@ -264,7 +264,7 @@
     assert!(
         sidecar
             .ended_request_count("completed", "safe")
-            .is_some_and(|n| n >= 1),
+            .is_some_and(|count| count >= 1),
         "its count stays"
     );
     // A reload of the unchanged file is applied and changes nothing.
