--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -293,7 +293,7 @@
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let config = config_with_descriptor_limit(&discovery, &endpoint, 96);
-    let served = |_| {
+    let count_served = |_| {
         let sidecar = Sidecar::start(&config);
         let mut idle: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
         for client in &mut idle {
@@ -318,6 +318,6 @@
             .filter_map(|stream| is_served(stream).then_some(()))
             .count()
     };
-    let rounds: Vec<usize> = (0..5).map(served).collect();
+    let rounds: Vec<usize> = (0..5).map(count_served).collect();
     assert!(rounds.contains(&12), "{rounds:?}");
 }
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -112,7 +112,7 @@
     assert_eq!(
         new_process.metric("members_unavailable"),
         Some(1),
-        "as stored"
+        "the new process starts with the stored state"
     );
     assert!(old_process.admin_answers_yes("DISABLE e1"));
     wait_until("the new process applies the command", || {
