--- a/tests/sidecar/client_cancellation.rs
+++ b/tests/sidecar/client_cancellation.rs
@@ -3,8 +3,8 @@
 //!
 //! `client_disconnects.rs` covers first attempts that are queued or connecting. This file covers retries, requests that
 //! wait for the gap of a throttled endpoint, closes that arrive together with the request, and callers in an earlier
-//! tier that end. In each test a second request waits in the same way, and its client stays connected. That this
-//! request is served shows that the other one was not sent although its wait was over as well.
+//! tier that end. In each test a second request waits in the same way, and its client stays connected. The second
+//! request is served, which shows that the wait of the first one was over too.
 
 use crate::cancellation_support::{
     CLOSE_KINDS, CloseKind, FullBacklogEndpoint, LifecycleSidecar, QueueingSidecar, WaitingClient,
@@ -23,7 +23,7 @@
 
 const NOT_RUN_RESPONSE: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// The number of safe requests that earn the retries of a test for the retry budget.
+/// The number of safe requests that earn enough retry budget for a test.
 const RETRY_EARNING_REQUESTS: usize = 20;
 
 /// An endpoint that rejects requests with [`CLOSING_BODY`] or [`STAYING_BODY`] when the test releases them, and serves
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -67,8 +67,8 @@
     assert_disconnect_cancels_queued_request(|_| {});
 }
 
-/// Guards queued requests in a later tier, in which the client is an endpoint of the tier before that cancels its call.
-/// The settings do not allow attempts to be cancelled.
+/// Guards queued requests in a later tier. Its clients are endpoints of the tier before it, which disconnect when they
+/// cancel a call. The settings do not allow attempts to be cancelled.
 #[test]
 fn disconnect_cancels_queued_request_in_later_tier() {
     assert_disconnect_cancels_queued_request(|config| {
@@ -126,8 +126,8 @@
     assert_eq!(received_request_ids, [request_id(&request)]);
 }
 
-/// Guards two kinds of requests: those with an unread or incomplete body, whose disconnect no read of the sidecar
-/// notices, and chunked ones, which are read together with the bytes after them.
+/// Guards two kinds of requests: those with an unread or incomplete body, for which the disconnect is not detected by a
+/// read, and chunked ones, which are read together with the bytes after them.
 #[test]
 fn disconnect_cancels_request_with_unread_or_partial_body() {
     let mut queueing = QueueingSidecar::with_config(|_| {});
@@ -274,7 +274,7 @@
     let mut queueing = QueueingSidecar::with_config(|config| {
         config["known"]["endpoints"] = json!(serving_entries(&[&failing]));
     });
-    // These requests earn retries for the retry budget.
+    // These requests earn retry budget.
     let mut earning_client = queueing.sidecar.client();
     for _ in 0..20 {
         assert_eq!(
--- a/tests/sidecar/discovery_watch.rs
+++ b/tests/sidecar/discovery_watch.rs
@@ -139,8 +139,8 @@
     assert!(delay < Duration::from_millis(3_500), "{delay:?}");
 }
 
-/// Guards the list against older versions, which late changes have, or the full list of a replica that lags behind.
-/// They have no effect, and the watch is reopened. A stale full list that is sent a second time shows that discovery
+/// Guards the list against older versions, in late changes or in the full list of a replica that lags behind. They
+/// have no effect, and the watch is reopened. A stale full list that is sent a second time shows that discovery
 /// was reset: it is accepted, but draining endpoints keep draining.
 #[test]
 fn stale_list_is_accepted_only_when_sent_again() {
--- a/tests/sidecar/stubs/scripted_endpoint.rs
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -9,11 +9,11 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// A readiness check over HTTP. A load balancer in front of the sidecars sends it, to send callers only to the sidecars
+/// A readiness check over HTTP. The load balancer in front of the sidecars sends it, and directs callers to the sidecars
 /// that are ready.
 pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
-/// The number of requests that earn a few retries for the retry budget.
+/// The number of requests that earn retry budget for a few retries.
 const REQUESTS_THAT_EARN_RETRIES: usize = 10;
 
 /// An endpoint that responds to each request once the test has set the response.
@@ -41,7 +41,7 @@
         self.actions.send(action).expect("the endpoint waits");
     }
 
-    /// Serves enough requests to earn a few retries for the sidecar's retry budget.
+    /// Serves enough requests to earn retry budget for a few retries.
     pub fn earn_retries(&self, client: &mut Client) {
         for _ in 0..REQUESTS_THAT_EARN_RETRIES {
             client.write(&get_request("5"));
