--- a/tests/sidecar/drains.rs
+++ b/tests/sidecar/drains.rs
@@ -45,9 +45,9 @@
             "no response closes the connection"
         );
     }
-    assert!(busy.is_closed());
+    assert!(busy.wait_for_clean_close());
     assert!(
-        idle.is_closed() && started_at.elapsed() < IDLE_CLOSE_DEADLINE,
+        idle.wait_for_clean_close() && started_at.elapsed() < IDLE_CLOSE_DEADLINE,
         "an idle connection closes in time"
     );
     let mut late = sidecar.client();
@@ -56,11 +56,11 @@
         200,
         "a late caller is served"
     );
-    assert!(late.is_closed());
+    assert!(late.wait_for_clean_close());
     assert_eq!(sidecar.metric("pending"), Some(1));
     opener.release_one();
     assert_eq!(waiting.read().expect("a response").status(), 200);
-    assert!(waiting.is_closed());
+    assert!(waiting.wait_for_clean_close());
 
     assert!(sidecar.admin_answers_yes("UNDRAIN"));
     assert!(sidecar.admin_answers_yes("READY"));
@@ -103,6 +103,6 @@
     assert_eq!(idle.exchange(&get_request("5")).status(), 200);
     assert!(sidecar.admin_answers_yes("DRAIN"));
     sidecar.terminate();
-    assert!(idle.is_closed());
+    assert!(idle.wait_for_clean_close());
     assert!(sidecar.wait().success());
 }
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -329,7 +329,7 @@
                 assert_eq!(answer.status(), 200);
                 answered += 1;
             }
-            None => assert!(client.is_closed(), "no byte of a response came"),
+            None => assert!(client.wait_for_clean_close(), "no byte of a response came"),
         }
     }
     assert_eq!(
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -22,7 +22,10 @@
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
         idle_clients.push(client);
     }
-    assert!(idle_clients[0].is_closed(), "the oldest was evicted");
+    assert!(
+        idle_clients[0].wait_for_clean_close(),
+        "the oldest was evicted"
+    );
 }
 
 /// Guards SIGTERM: open requests are answered, including those on connections accepted after it. Idle connections are
@@ -48,7 +51,10 @@
     pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "its connection was idle");
+    assert!(
+        idle_client.wait_for_clean_close(),
+        "its connection was idle"
+    );
     assert_eq!(
         sidecar.client().exchange(&get_request("2")).status(),
         200,
@@ -60,7 +66,7 @@
         (answer.status(), answer.body.as_slice()),
         (200, "late".as_bytes())
     );
-    assert!(pending_client.is_closed());
+    assert!(pending_client.wait_for_clean_close());
     assert!(sidecar.wait().success());
 }
 
@@ -229,7 +235,7 @@
         shutdown_begun.elapsed() < Duration::from_secs(9),
         "ahead of the request's own deadline"
     );
-    assert!(first_client.is_closed());
+    assert!(first_client.wait_for_clean_close());
     assert!(sidecar.wait().success());
 }
 
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -66,7 +66,7 @@
         new_watch.request_line
     );
     assert!(
-        old_watch.is_closed(),
+        old_watch.wait_for_close(),
         "the old watch ends once the new discovery has sent a list"
     );
     for _ in 0..20 {
@@ -145,7 +145,7 @@
     pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "the sidecar shuts down");
+    assert!(idle_client.wait_for_clean_close(), "the sidecar shuts down");
     write_config(&path, &config(new.address, &cached_entries));
     sidecar.send_signal("HUP");
     assert!(
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -45,11 +45,11 @@
         sidecar.admin_answers_yes("UNDRAIN") && !sidecar.admin_answers_yes("READY"),
         "the shutdown continues"
     );
-    assert!(idle_client.is_closed(), "idle connections close");
+    assert!(idle_client.wait_for_clean_close(), "idle connections close");
     for (client, rest) in &mut partial_requests {
         client.write(rest);
         assert_eq!(client.read().expect("an answer").status(), 200);
-        assert!(client.is_closed());
+        assert!(client.wait_for_clean_close());
     }
     assert!(sidecar.wait().success());
 }
@@ -62,7 +62,10 @@
     let (mut sidecar, mut idle_client) =
         start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "idle connections are being closed");
+    assert!(
+        idle_client.wait_for_clean_close(),
+        "idle connections are being closed"
+    );
     sidecar.pause();
     let mut late_clients: Vec<Client> = (0..12)
         .map(|_| {
@@ -97,7 +100,10 @@
         let (mut sidecar, mut idle_client) =
             start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
         sidecar.terminate();
-        assert!(idle_client.is_closed(), "idle connections are being closed");
+        assert!(
+            idle_client.wait_for_clean_close(),
+            "idle connections are being closed"
+        );
         sidecar.pause();
         let descriptors_before = sidecar.descriptor_count();
         let mut late_clients: Vec<Client> = (0..12).map(|_| sidecar.client()).collect();
@@ -120,7 +126,7 @@
                 sidecar.log()
             );
         }
-        assert!(silent_client.is_closed());
+        assert!(silent_client.wait_for_clean_close());
         assert!(sidecar.wait().success());
         in_time
     });
--- a/tests/sidecar/stubs/caller.rs
+++ b/tests/sidecar/stubs/caller.rs
@@ -48,7 +48,7 @@
 
     /// Waits until the sidecar closes the connection. Returns whether it does so by FIN, not by a reset, and without
     /// sending anything before.
-    pub fn is_closed(&mut self) -> bool {
+    pub fn wait_for_clean_close(&mut self) -> bool {
         let mut rest = Vec::new();
         self.stream.read_to_end(&mut rest).is_ok() && rest.is_empty()
     }
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -73,7 +73,7 @@
     }
 
     /// Waits until the sidecar closes the connection, and returns whether it does so within [`TEST_TIMEOUT`].
-    pub fn is_closed(&mut self) -> bool {
+    pub fn wait_for_close(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("the timeout is set");
