--- a/tests/sidecar/stubs/scripted_endpoint.rs
+++ b/tests/sidecar/stubs/scripted_endpoint.rs
@@ -9,8 +9,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// A readiness check over HTTP. The load balancer in front of the sidecars sends it, and directs callers to the sidecars
-/// that are ready.
+/// A readiness check over HTTP. The load balancer in front of the sidecars sends it, and directs callers to the
+/// sidecars that are ready.
 pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
 /// The number of requests that earn retry budget for a few retries.
