--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Callers that send invalid, incomplete or oversized requests or none at all, and callers that are too many.
+//! Callers that send invalid, incomplete or oversized requests, callers that send nothing, and too many callers.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -10,13 +10,14 @@
 fn config_with_descriptor_limit(discovery: &Discovery, endpoint: &Endpoint, limit: u64) -> Value {
     let mut config = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     config["limits"]["sockets"] = json!(limit);
     config
 }
 
-/// Writes a text on a new connection and reads until its end. Returns an error if the connection is reset.
+/// Writes a text on a new connection and reads until the sidecar closes it. Returns an error if the connection is
+/// reset.
 fn exchange(sidecar: &Sidecar, text: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(sidecar.address)?;
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
@@ -26,7 +27,7 @@
     Ok(String::from_utf8_lossy(&read).into_owned())
 }
 
-/// The head of an unsafe request with further header lines.
+/// Returns the head of an unsafe request with further header lines.
 fn head(lines: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-Id: r\r\nX-Class: unsafe\r\nX-Deadline: 5\r\n{lines}\r\n"
@@ -190,7 +191,7 @@
         .next_request()
         .message
         .header("x-deadline")
-        .and_then(|d| d.parse::<f64>().ok());
+        .and_then(|seconds| seconds.parse::<f64>().ok());
     assert!(time_left.expect("a deadline") <= 10.0, "{time_left:?}");
 }
 
@@ -216,7 +217,7 @@
     assert_eq!(endpoint.take_request_count(), 0);
 }
 
-/// Guards the descriptors against clients that connect and send nothing or part of a request. With hundreds of them
+/// Guards the descriptors against hundreds of clients that connect and send nothing, or a part of a request. Other
 /// callers are still served, over new connections to endpoints, and the watch can be opened again.
 #[test]
 fn requests_are_served_during_connection_flood() {
@@ -228,23 +229,23 @@
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_descriptor_limit(&path, 256);
     let mut flood = Vec::new();
-    for n in 0..600 {
+    for number in 0..600 {
         let mut stream = TcpStream::connect(sidecar.address).expect("the backlog has room");
-        if n % 2 == 0 {
+        if number % 2 == 0 {
             let _ = stream.write_all(b"GET /api HTTP/1.1\r\nX-Ha");
         }
         flood.push(stream);
-        if n % 20 == 19 {
+        if number % 20 == 19 {
             assert_eq!(
                 sidecar.client().exchange(&get_request("5")).status(),
                 200,
-                "after {n}: {:?}",
+                "after {number}: {:?}",
                 sidecar.log()
             );
         }
     }
-    drop(discovery.next_watch());
-    discovery.next_watch();
+    drop(discovery.next_call());
+    discovery.next_call();
     let log = sidecar.log().join("\n");
     assert!(!log.contains("could not be accepted"), "{log}");
     for stream in &flood {
@@ -284,14 +285,15 @@
     assert_eq!(&answer, b"HTTP/1.1 200");
 }
 
-/// Guards new callers among many idle clients. As long as others are idle, callers that connect at the same time do not
-/// evict each other before their requests arrive. A stall of the machine may spoil one round, but not all five.
+/// Guards new callers among many idle clients. Callers that connect at the same time do not evict each other before
+/// their requests arrive, as long as other clients are idle. All requests of at least one of five rounds must be
+/// served, because a stall of the machine may make a round fail.
 #[test]
 fn eviction_spares_new_connections() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let config = config_with_descriptor_limit(&discovery, &endpoint, 96);
-    let served = |_| {
+    let count_served = |_| {
         let sidecar = Sidecar::start(&config);
         let mut idle: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
         for client in &mut idle {
@@ -316,6 +318,6 @@
             .filter_map(|stream| is_served(stream).then_some(()))
             .count()
     };
-    let rounds: Vec<usize> = (0..5).map(served).collect();
+    let rounds: Vec<usize> = (0..5).map(count_served).collect();
     assert!(rounds.contains(&12), "{rounds:?}");
 }
--- a/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
+++ b/tests/sidecar/cancellation_support/full_backlog_endpoint.rs
@@ -6,7 +6,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An endpoint whose backlog is full: further connections are not established until the test accepts some.
+/// An endpoint whose backlog is full: further connections are not established until the test accepts some. Unlike the
+/// `LateAcceptingEndpoint` of `hedged_dials.rs`, it has a backlog of usual length, and does not respond.
 pub struct FullBacklogEndpoint {
     listener: TcpListener,
     /// The connections that fill the backlog.
@@ -28,8 +29,8 @@
     }
 
     /// Returns the endpoint's entry in the endpoint list.
-    pub fn entry(&self) -> Value {
-        entry(
+    pub fn list_entry(&self) -> Value {
+        list_entry(
             "late",
             self.listener.local_addr().expect("a bound address"),
             "SERVING",
--- a/tests/sidecar/client_disconnects.rs
+++ b/tests/sidecar/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request waits. It is not sent, wherever it waits, and other requests are served.
+//! Clients that disconnect while their request waits. Wherever it waits, it is not sent, and other requests are served.
 
 use crate::cancellation_support::{
     ALL_DISCONNECTS, Disconnect, FullBacklogEndpoint, LIFECYCLE_CHANGES, PipelinedBytes,
@@ -55,7 +55,7 @@
         sidecar
             .log()
             .iter()
-            .any(|l| l.contains("now pending=0 queued=0 in_flight=0")),
+            .any(|line| line.contains("now pending=0 queued=0 in_flight=0")),
         "{:?}",
         sidecar.log()
     );
@@ -67,8 +67,8 @@
     assert_disconnect_cancels_queued_request(|_| {});
 }
 
-/// Guards later tiers, whose client is an endpoint that drops its call, and settings that do not allow attempts to be
-/// cancelled.
+/// Guards queued requests in a later tier. Its clients are endpoints of the tier before it, which disconnect when they
+/// cancel a call. The settings do not allow attempts to be cancelled.
 #[test]
 fn disconnect_cancels_queued_request_in_later_tier() {
     assert_disconnect_cancels_queued_request(|config| {
@@ -126,8 +126,8 @@
     assert_eq!(received_request_ids, [request_id(&request)]);
 }
 
-/// Guards two kinds of requests: those with an unread or incomplete body, for which no read notices the disconnect, and
-/// chunked ones, which are read together with the bytes after them.
+/// Guards two kinds of requests: those with an unread or incomplete body, for which the disconnect is not detected by a
+/// read, and chunked ones, which are read together with the bytes after them.
 #[test]
 fn disconnect_cancels_request_with_unread_or_partial_body() {
     let mut queueing = QueueingSidecar::with_config(|_| {});
@@ -210,21 +210,23 @@
     assert_eq!(queueing.received_request_ids(), [request_id(&request)]);
 }
 
-/// Guards attempts whose connection is established late: nothing is written on it once the client has disconnected,
-/// with or without permission to cancel attempts.
+/// Guards attempts whose connection is established late. Nothing is written on it once the client has disconnected,
+/// whether attempts may be cancelled or not.
 #[test]
 fn disconnect_cancels_connecting_request() {
     for cancel in [true, false] {
         let full_backlog_endpoint = FullBacklogEndpoint::start();
         let discovery = Discovery::start();
-        let mut config =
-            with_admin_address(config(discovery.address, &[full_backlog_endpoint.entry()]));
+        let mut config = with_admin_address(config(
+            discovery.address,
+            &[full_backlog_endpoint.list_entry()],
+        ));
         config["settings"]["bounds"]["cancel"] = json!(cancel);
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start(&config);
-        let pending = |n| {
-            wait_until(&format!("{n} requests are pending"), || {
-                sidecar.metric("pending") == Some(n)
+        let wait_for_pending = |count| {
+            wait_until(&format!("{count} requests are pending"), || {
+                sidecar.metric("pending") == Some(count)
             });
         };
         let disconnecting: Vec<_> = ALL_DISCONNECTS
@@ -233,11 +235,11 @@
             .collect();
         let request = get_request("10");
         let staying_client = WaitingClient::send(&sidecar, &request);
-        pending(9);
+        wait_for_pending(9);
         for (how, client) in disconnecting {
             client.disconnect(how);
         }
-        pending(1);
+        wait_for_pending(1);
         // Without cancellation the connections of the others are established too, with nothing written on them.
         assert!(
             full_backlog_endpoint
@@ -255,11 +257,12 @@
         }
         assert_eq!(sidecar.metric("upstream_requests"), Some(1));
         drop(staying_client);
-        pending(0);
+        wait_for_pending(0);
     }
 }
 
-/// Guards a queued retry: a request that failed once waits for another endpoint when its client disconnects.
+/// Guards a queued retry: the client disconnects while its request, whose first attempt failed, waits for another
+/// endpoint.
 #[test]
 fn disconnect_cancels_queued_retry() {
     let failing = Endpoint::start(|message| match message.header("x-class") {
@@ -271,7 +274,7 @@
     let mut queueing = QueueingSidecar::with_config(|config| {
         config["known"]["endpoints"] = json!(serving_entries(&[&failing]));
     });
-    // These requests earn the retry budget.
+    // These requests earn retry budget.
     let mut earning_client = queueing.sidecar.client();
     for _ in 0..20 {
         assert_eq!(
@@ -300,9 +303,9 @@
     let names = [("e0", &failing), ("other", &queueing.endpoint)];
     let all: Vec<Value> = names
         .iter()
-        .map(|(name, endpoint)| entry(name, endpoint.address, "SERVING"))
+        .map(|(name, endpoint)| list_entry(name, endpoint.address, "SERVING"))
         .collect();
-    queueing.write_list(&list(42, false, &all));
+    queueing.write_list(&endpoint_list(42, false, &all));
     queueing.wait_until("the other endpoint is listed", |sidecar| {
         sidecar.metric("members") == Some(2)
     });
@@ -368,13 +371,15 @@
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| respond_ok("x"));
         let full_backlog_endpoint = FullBacklogEndpoint::start();
-        let mut config =
-            with_admin_address(config(discovery.address, &[full_backlog_endpoint.entry()]));
+        let mut config = with_admin_address(config(
+            discovery.address,
+            &[full_backlog_endpoint.list_entry()],
+        ));
         config["settings"]["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
         let sidecar = Sidecar::start_in_directory(&directory, &config);
-        let pending = |n| {
-            wait_until(&format!("{change:?}: {n} requests are pending"), || {
-                sidecar.metric("pending") == Some(n)
+        let wait_for_pending = |count| {
+            wait_until(&format!("{change:?}: {count} requests are pending"), || {
+                sidecar.metric("pending") == Some(count)
             });
         };
         let request = get_request("10");
@@ -383,12 +388,12 @@
             .into_iter()
             .map(|how| (how, WaitingClient::send(&sidecar, &get_request("10"))))
             .collect();
-        pending(9);
+        wait_for_pending(9);
         let new_process = apply_change(change, &sidecar, &directory, &endpoint);
         for (how, client) in disconnecting {
             client.disconnect(how);
         }
-        pending(1);
+        wait_for_pending(1);
         assert!(
             full_backlog_endpoint
                 .next_written_text()
--- a/tests/sidecar/disabled_endpoints.rs
+++ b/tests/sidecar/disabled_endpoints.rs
@@ -18,35 +18,35 @@
     endpoint.take_request_count()
 }
 
-/// Once `DISABLE` is answered, the endpoint receives nothing, whatever its list entry says, and its idle connections
+/// Once `DISABLE` is answered, the endpoint receives no request, whatever its list entry says, and its idle connections
 /// are closed. A second `DISABLE` changes nothing. The metrics count the endpoint as unavailable. `ENABLE` undoes all
 /// of this.
 #[test]
 fn disabled_endpoint_receives_nothing_until_enabled() {
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let (sidecar, discovery) = Sidecar::start_with_admin(&[&endpoints[0], &endpoints[1]]);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     assert!(count_received(&sidecar, &endpoints[0], 30) > 0);
-    assert!(sidecar.call_is_yes("DISABLE e0"));
+    assert!(sidecar.admin_answers_yes("DISABLE e0"));
     endpoints[0].next_connection_close();
     assert_eq!(count_received(&sidecar, &endpoints[0], 30), 0);
     assert_eq!(
         ["members", "members_unavailable"].map(|metric| sidecar.metric(metric)),
         [Some(2), Some(1)]
     );
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         true,
         &serving_entries(&[&endpoints[0], &endpoints[1]]),
     ));
     drop(watch);
     assert!(
-        discovery.next_watch().request_line.contains("since=42 "),
+        discovery.next_call().request_line.contains("since=42 "),
         "the list has been received"
     );
     assert_eq!(count_received(&sidecar, &endpoints[0], 30), 0);
-    assert!(sidecar.call_is_yes("DISABLE e0"));
-    assert!(sidecar.call_is_yes("ENABLE e0"));
+    assert!(sidecar.admin_answers_yes("DISABLE e0"));
+    assert!(sidecar.admin_answers_yes("ENABLE e0"));
     assert!(
         count_received(&sidecar, &endpoints[0], 10) > 0,
         "it receives requests again"
@@ -59,7 +59,7 @@
         "DISABLE",
         "ENABLE  ",
     ] {
-        assert!(!sidecar.call_is_yes(call), "{call}");
+        assert!(!sidecar.admin_answers_yes(call), "{call}");
     }
     assert_eq!(
         sidecar.metric("members_unavailable"),
@@ -73,8 +73,8 @@
 fn sidecar_with_all_endpoints_disabled_is_not_ready() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let (sidecar, _discovery) = Sidecar::start_with_admin(&[&endpoint]);
-    assert!(sidecar.call_is_yes("DISABLE e0") && !sidecar.call_is_yes("READY"));
-    assert!(sidecar.call_is_yes("ENABLE e0") && sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("DISABLE e0") && !sidecar.admin_answers_yes("READY"));
+    assert!(sidecar.admin_answers_yes("ENABLE e0") && sidecar.admin_answers_yes("READY"));
     assert_eq!(sidecar.client().exchange(&get_request("5")).status(), 200);
 }
 
@@ -94,12 +94,12 @@
 /// A new process starts with the stored state. While two processes run, each applies the commands that the other
 /// receives. A later process starts with the state that they stored.
 #[test]
-fn disabled_endpoints_stay_disabled_over_a_hot_restart() {
+fn hot_restart_keeps_disabled_endpoints() {
     let (shared_directory, discovery) = (temporary_directory(), Discovery::start());
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
     let endpoints_in_order = [&endpoints[0], &endpoints[1], &endpoints[2]];
     let mut old_process = start_process(&shared_directory, &discovery, &endpoints_in_order, None);
-    assert!(old_process.call_is_yes("DISABLE e0"));
+    assert!(old_process.admin_answers_yes("DISABLE e0"));
     let new_process = start_process(
         &shared_directory,
         &discovery,
@@ -107,18 +107,18 @@
         Some(&old_process),
     );
     wait_until("the new process is ready", || {
-        new_process.call_is_yes("READY")
+        new_process.admin_answers_yes("READY")
     });
     assert_eq!(
         new_process.metric("members_unavailable"),
         Some(1),
-        "as stored"
+        "the new process starts with the stored state"
     );
-    assert!(old_process.call_is_yes("DISABLE e1"));
+    assert!(old_process.admin_answers_yes("DISABLE e1"));
     wait_until("the new process applies the command", || {
         new_process.metric("members_unavailable") == Some(2)
     });
-    assert!(new_process.call_is_yes("ENABLE e0"));
+    assert!(new_process.admin_answers_yes("ENABLE e0"));
     wait_until("the old process applies the command", || {
         old_process.metric("members_unavailable") == Some(1)
     });
@@ -129,7 +129,7 @@
     let last_process = start_process(&shared_directory, &discovery, &endpoints_in_order, None);
     assert_eq!(last_process.metric("members_unavailable"), Some(1));
     assert_eq!(count_received(&last_process, &endpoints[1], 30), 0);
-    assert!(last_process.call_is_yes("ENABLE e1"));
+    assert!(last_process.admin_answers_yes("ENABLE e1"));
     std::fs::remove_dir_all(shared_directory).expect("it is removed");
 }
 
@@ -158,7 +158,7 @@
     second.wait_for_log("the new process accepts callers");
     let unavailable = |sidecar: &Sidecar| sidecar.metric("members_unavailable");
     for (index, process) in [&first, &second, &third].into_iter().enumerate() {
-        assert!(process.call_is_yes(&format!("DISABLE e{index}")));
+        assert!(process.admin_answers_yes(&format!("DISABLE e{index}")));
         let have_all_applied_it = || {
             [&first, &second, &third]
                 .into_iter()
@@ -171,7 +171,7 @@
     }
     drop(first);
     second.wait_for_log("the old process has ended");
-    assert!(second.call_is_yes("ENABLE e2"));
+    assert!(second.admin_answers_yes("ENABLE e2"));
     wait_until("the third process applies the command", || {
         unavailable(&third) == Some(2)
     });
@@ -201,8 +201,8 @@
     ] {
         std::fs::write(shared_directory.join("pipittray.disabled"), text).expect("a file");
         let sidecar = start_process(&shared_directory, &discovery, &[&endpoint], None);
-        assert!(sidecar.call_is_yes("READY"));
-        assert!(sidecar.call_is_yes("DISABLE e0") && sidecar.call_is_yes("ENABLE e0"));
+        assert!(sidecar.admin_answers_yes("READY"));
+        assert!(sidecar.admin_answers_yes("DISABLE e0") && sidecar.admin_answers_yes("ENABLE e0"));
         let stored = std::fs::read_to_string(shared_directory.join("pipittray.disabled"))
             .expect("it is written anew");
         assert_eq!(stored, "[]");
--- a/tests/sidecar/discovery_recovery.rs
+++ b/tests/sidecar/discovery_recovery.rs
@@ -1,5 +1,5 @@
 //! Recovery from failures of discovery: after any kind of failure, changes are applied once discovery can be reached.
-//! The tests run for lists that are fetched and for lists that an agent pushes.
+//! The tests run for lists that are sent on request and for lists that an agent pushes.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -84,19 +84,19 @@
         });
     }
 
-    /// The entries that change: the first endpoint is draining, and the third one is new.
+    /// Returns the entries that change: the first endpoint is draining, and the third one is new.
     fn changed_entries(&self) -> [Value; 2] {
         [
-            entry("e0", self.endpoints[0].address, "DRAINING"),
-            entry("e2", self.endpoints[2].address, "SERVING"),
+            list_entry("e0", self.endpoints[0].address, "DRAINING"),
+            list_entry("e2", self.endpoints[2].address, "SERVING"),
         ]
     }
 
-    /// The full list after the change.
+    /// Returns the full list after the change.
     fn full_list(&self, version: u64) -> String {
         let [draining, new] = self.changed_entries();
-        let unchanged = entry("e1", self.endpoints[1].address, "SERVING");
-        list(version, true, &[draining, unchanged, new])
+        let unchanged = list_entry("e1", self.endpoints[1].address, "SERVING");
+        endpoint_list(version, true, &[draining, unchanged, new])
     }
 
     /// Waits until the change is applied: the third endpoint gets requests, and the first one does not.
@@ -146,7 +146,7 @@
 
 /// Rejects a call with a list as the body, which must not be applied.
 fn reject_with_list(call: &mut DiscoveryCall) {
-    let body = list(99, true, &[]);
+    let body = endpoint_list(99, true, &[]);
     call.write(&format!(
         "HTTP/1.1 503 No\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -165,7 +165,7 @@
 
         let discovery = stopped.start();
         let mut watch = open_next_watch(&discovery, 41);
-        watch.write_line(&list(42, false, &fixture.changed_entries()));
+        watch.write_line(&endpoint_list(42, false, &fixture.changed_entries()));
 
         fixture.wait_for_change();
     }
@@ -173,7 +173,7 @@
 
 /// Guards the watch on an agent against each kind of failure: a 503, a reset, an end before the response or within a
 /// list, malformed JSON, and silence before and after the head of the response. `discovery_watch.rs` covers lists that
-/// are fetched.
+/// are sent on request.
 #[test]
 fn agent_watch_is_reopened_after_each_kind_of_failure() {
     let discovery = ManualDiscovery::start();
@@ -189,7 +189,7 @@
     let unanswered = discovery.next_call();
     let silent = open_next_watch(&discovery, 41);
     let mut watch = open_next_watch(&discovery, 41);
-    watch.write_line(&list(51, false, &fixture.changed_entries()));
+    watch.write_line(&endpoint_list(51, false, &fixture.changed_entries()));
 
     fixture.wait_for_change();
     drop((rejected, malformed, unanswered, silent));
@@ -213,7 +213,7 @@
         let mut watch = next_call.expect("a call");
         assert!(watch.is_watch_since(41), "{}", watch.request_line);
         watch.open_watch();
-        watch.write_line(&list(51, false, &fixture.changed_entries()));
+        watch.write_line(&endpoint_list(51, false, &fixture.changed_entries()));
 
         fixture.wait_for_change();
     }
@@ -222,7 +222,7 @@
 /// Guards an outstanding call against a reload that leaves discovery unchanged: the call stays open, and its response
 /// is applied without another call.
 #[test]
-fn outstanding_call_survives_a_reload_that_keeps_discovery() {
+fn outstanding_call_survives_reload() {
     for mode in DISCOVERY_MODES {
         let discovery = ManualDiscovery::start();
         let mut fixture = Fixture::start(mode, discovery.address());
@@ -283,8 +283,9 @@
     }
 }
 
-/// Guards a reload that moves away from a discovery that recovers at that moment. Its response to the outstanding call
-/// is in force until the new discovery has sent a list, and an older list of the new one does not undo the drain.
+/// Guards a reload that moves to a new discovery just as the old one recovers. The old one's response to the
+/// outstanding call is in force until the new one has sent a list. An older list of the new one does not undo the
+/// drain.
 #[test]
 fn response_of_the_previous_discovery_is_applied_before_a_new_list() {
     for mode in DISCOVERY_MODES {
@@ -292,32 +293,32 @@
         let mut fixture = Fixture::start(mode, old.address());
         let mut outstanding = old.next_call();
 
-        fixture.sidecar.suspend();
+        fixture.sidecar.pause();
         fixture.move_discovery(stopped.address());
         outstanding.open_watch();
-        outstanding.write_line(&list(42, false, &fixture.changed_entries()));
+        outstanding.write_line(&endpoint_list(42, false, &fixture.changed_entries()));
         fixture.sidecar.resume();
         fixture.sidecar.wait_for_log("configuration reloaded");
         fixture.wait_for_change();
 
         let new = stopped.start();
         let all_entries = serving_entries(&fixture.endpoints.each_ref());
-        next_fetch(&new).respond_with_list(&list(7, true, &all_entries));
+        next_fetch(&new).respond_with_list(&endpoint_list(7, true, &all_entries));
         let _watch = open_next_watch(&new, 7);
         fixture.wait_for_change();
     }
 }
 
-/// Guards a discovery that starts before the reload that moves to it is handled, while calls to the old discovery are
-/// refused and another one is due.
+/// Guards a reload that moves to a new discovery while calls to the old one are refused and the next call is due. The
+/// new one is called even if it starts before the reload is handled.
 #[test]
-fn new_discovery_may_start_before_the_reload_is_handled() {
+fn new_discovery_started_before_the_reload_is_called() {
     for mode in DISCOVERY_MODES {
         let (old, stopped) = (StoppedDiscovery::reserve(), StoppedDiscovery::reserve());
         let mut fixture = Fixture::start(mode, old.address());
         fixture.sidecar.wait_for_log("refused");
 
-        fixture.sidecar.suspend();
+        fixture.sidecar.pause();
         fixture.move_discovery(stopped.address());
         let new = stopped.start();
         fixture.sidecar.resume();
--- a/tests/sidecar/event_races.rs
+++ b/tests/sidecar/event_races.rs
@@ -1,6 +1,7 @@
 //! Races between two events, each in its less usual order. `docs/event-races.md` lists them.
 //!
-//! The order is forced: a stub waits for the test before a step, or the sidecar is suspended while the events arrive.
+//! The order is forced: a stub waits for the test before a step, or the sidecar's process is paused while the events
+//! arrive.
 
 use crate::stubs::*;
 use serde_json::{Value, json};
@@ -10,11 +11,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Returns a listener in the place of an endpoint, and its entry in the endpoint list. The test itself writes to its
-/// connections and closes them.
-fn raw_endpoint() -> (TcpListener, Value) {
+/// Listens in the place of an endpoint. Returns the listener and its list entry. The test itself accepts the
+/// connections, writes on them and closes them.
+fn listen_as_endpoint() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let endpoint_entry = entry("raw", listener.local_addr().expect("an address"), "SERVING");
+    let endpoint_entry = list_entry("raw", listener.local_addr().expect("an address"), "SERVING");
     (listener, endpoint_entry)
 }
 
@@ -44,7 +45,7 @@
         (&complete[..complete.len() - 1], 502),
         ("", 502),
     ] {
-        let (listener, endpoint_entry) = raw_endpoint();
+        let (listener, endpoint_entry) = listen_as_endpoint();
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&with_admin_address(config(
             discovery.address,
@@ -53,7 +54,7 @@
         let mut client = sidecar.client();
         client.write(&post_request("unsafe", "9", "x"));
         let (_, mut stream) = accept_request(&listener);
-        sidecar.suspend();
+        sidecar.pause();
         stream.write_all(text.as_bytes()).expect("it is open");
         reset(stream);
         sidecar.resume();
@@ -63,8 +64,8 @@
     }
 }
 
-/// Guards responses without a length, which end when the connection is closed. A reset is no such end: the request
-/// fails, whatever has arrived by then.
+/// Guards responses without a length, which end when the connection is closed. A reset does not end such a response:
+/// the request fails, whatever has arrived by then.
 #[test]
 fn reset_fails_a_response_without_a_length() {
     for (is_reset, status) in [(true, 502), (false, 200)] {
@@ -73,7 +74,7 @@
             "HTTP/1.1 200 OK\r\n\r\nbegun",
             "HTTP/1.0 200 OK\r\n\r\nbegun",
         ] {
-            let (listener, endpoint_entry) = raw_endpoint();
+            let (listener, endpoint_entry) = listen_as_endpoint();
             let discovery = Discovery::start();
             let sidecar = Sidecar::start(&with_admin_address(config(
                 discovery.address,
@@ -103,10 +104,10 @@
 }
 
 /// Guards a timeout that races the response: one of the two ends the request, the client gets one response, and nothing
-/// is sent again. The connection on which the timeout occurred is not reused.
+/// is sent again. The next request of the client gets a response of its own.
 #[test]
 fn timeout_racing_the_response_ends_the_request_once() {
-    let (listener, endpoint_entry) = raw_endpoint();
+    let (listener, endpoint_entry) = listen_as_endpoint();
     let discovery = Discovery::start();
     let mut config = config_with_deadline(&discovery, &[], Duration::from_secs(1));
     config["known"]["endpoints"] = json!([endpoint_entry]);
@@ -114,7 +115,7 @@
     let mut client = sidecar.client();
     client.write(&post_request("unsafe", "1", "x"));
     let (_, mut stream) = accept_request(&listener);
-    sidecar.suspend();
+    sidecar.pause();
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         .expect("it is open");
@@ -133,17 +134,17 @@
     assert_eq!(sidecar.metric("upstream_requests"), Some(1));
     let ends: u64 = ["completed", "failed"]
         .iter()
-        .filter_map(|how| sidecar.requests_ended(how, "unsafe"))
+        .filter_map(|outcome| sidecar.ended_request_count(outcome, "unsafe"))
         .sum();
     assert_eq!(ends, 1);
 }
 
-/// A sidecar whose settings can be reloaded, with a scripted endpoint and retry budget for a few retries.
+/// A sidecar whose settings can be reloaded, with a scripted endpoint, and with a few retries in its retry budget.
 struct ReloadableSidecar {
     scripted: ScriptedEndpoint,
     sidecar: Sidecar,
     discovery: Discovery,
-    watch: Watch,
+    watch: StreamedCall,
     config: Value,
     path: PathBuf,
 }
@@ -157,7 +158,7 @@
         ));
         let path = temporary_file(&config.to_string());
         let sidecar = Sidecar::start_with_file(&path);
-        let watch = discovery.next_watch();
+        let watch = discovery.next_call();
         scripted.earn_retries(&mut sidecar.client());
         ReloadableSidecar {
             scripted,
@@ -219,7 +220,7 @@
         Endpoint::start(|_| respond_ok("other")),
     );
     let mut client = reloadable.send_to_endpoint(&post_request("unsafe", "9", "x"));
-    reloadable.write_list(&list(
+    reloadable.write_list(&endpoint_list(
         42,
         true,
         &serving_entries(&[&reloadable.scripted.endpoint, &other]),
@@ -251,10 +252,10 @@
         reloadable.send_to_endpoint(&keyed()),
         reloadable.send_to_endpoint(&keyed()),
     );
-    reloadable.write_list(&list(
+    reloadable.write_list(&endpoint_list(
         42,
         false,
-        &[entry(
+        &[list_entry(
             "e0",
             reloadable.scripted.endpoint.address,
             "DRAINING",
@@ -274,7 +275,11 @@
     });
     (0..2).for_each(|_| reloadable.fail_next_attempt());
     std::thread::sleep(Duration::from_millis(100)); // the retry is queued
-    reloadable.write_list(&list(43, false, &[entry("e1", other.address, "SERVING")]));
+    reloadable.write_list(&endpoint_list(
+        43,
+        false,
+        &[list_entry("e1", other.address, "SERVING")],
+    ));
     let answer = client.read().expect("an answer");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -294,10 +299,10 @@
     );
 }
 
-/// Guards an eviction that races the next request on the connection: each caller gets a complete response, or a close
-/// without any byte of a response. In the second case its request was not sent.
+/// Guards an eviction that races the next request on the same connection: the caller gets either a complete response,
+/// or a close without any byte of a response. In the second case its request was not sent.
 #[test]
-fn eviction_racing_the_next_request_answers_it_or_sends_nothing() {
+fn eviction_does_not_truncate_a_response() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &serving_entries(&[&endpoint]));
@@ -307,7 +312,7 @@
     for client in &mut idle_clients {
         assert_eq!(client.exchange(READY_REQUEST).status(), 200);
     }
-    sidecar.suspend();
+    sidecar.pause();
     let mut new_connections: Vec<TcpStream> = (0..24)
         .map(|_| TcpStream::connect(sidecar.address).expect("the backlog has room"))
         .collect();
@@ -324,7 +329,7 @@
                 assert_eq!(answer.status(), 200);
                 answered += 1;
             }
-            None => assert!(client.is_closed(), "no byte of a response came"),
+            None => assert!(client.wait_for_clean_close(), "no byte of a response came"),
         }
     }
     assert_eq!(
--- a/tests/sidecar/hedged_dials.rs
+++ b/tests/sidecar/hedged_dials.rs
@@ -8,17 +8,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Less than the time after which the kernel repeats the handshake by itself, which is 1 s.
+/// The connect timeout of the tests. It is shorter than the time after which the kernel repeats the handshake by
+/// itself, which is 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// An endpoint whose accept queue is full: no further connection is established until it accepts some.
-struct FullQueueEndpoint {
+/// An endpoint that accepts late. Until it accepts connections, its backlog of one connection is full, and no further
+/// connection is established.
+struct LateAcceptingEndpoint {
     listener: TcpListener,
     address: SocketAddr,
     _queued: TcpStream,
 }
 
-impl FullQueueEndpoint {
+impl LateAcceptingEndpoint {
     fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -29,14 +31,14 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("a bound address");
         let queued = TcpStream::connect(address).expect("the queue takes one");
-        FullQueueEndpoint {
+        LateAcceptingEndpoint {
             listener,
             address,
             _queued: queued,
         }
     }
 
-    /// Accepts connections and responds to their requests for the given time. Returns the number of requests.
+    /// Accepts connections for the given time, and responds to the requests on them. Returns the number of requests.
     fn accept_and_respond(self, time: Duration) -> usize {
         let deadline = Instant::now() + time;
         self.listener
@@ -74,11 +76,11 @@
     requests
 }
 
-fn start_sidecar(endpoint: &FullQueueEndpoint) -> (Sidecar, Discovery) {
+fn start_sidecar(endpoint: &LateAcceptingEndpoint) -> (Sidecar, Discovery) {
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     config["settings"]["bounds"]["connectTimeoutNs"] = json!(CONNECT_TIMEOUT.as_nanos() as u64);
     (Sidecar::start(&config), discovery)
@@ -89,7 +91,7 @@
 #[test]
 fn request_is_sent_once_on_first_established_dial() {
     for request in [get_request("5"), post_request("unsafe", "5", "hello")] {
-        let endpoint = FullQueueEndpoint::start();
+        let endpoint = LateAcceptingEndpoint::start();
         let (sidecar, _discovery) = start_sidecar(&endpoint);
         let mut client = sidecar.client();
         client.write(&request);
@@ -111,11 +113,11 @@
     }
 }
 
-/// A request makes three dials at most, which keeps dials from flooding endpoints and descriptors. It is rejected at
-/// the connect timeout.
+/// A request makes three dials at most, so that dials neither overload endpoints nor use up descriptors. It is rejected
+/// at the connect timeout.
 #[test]
 fn dials_are_limited_in_number_and_time() {
-    let endpoint = FullQueueEndpoint::start();
+    let endpoint = LateAcceptingEndpoint::start();
     let (mut sidecar, _discovery) = start_sidecar(&endpoint);
     let sent_at = Instant::now();
     assert_eq!(
--- a/tests/sidecar/hot_restart.rs
+++ b/tests/sidecar/hot_restart.rs
@@ -37,8 +37,8 @@
 
     /// Sends the full list on the next watch.
     fn send_full_list(&self) {
-        let mut watch = self.discovery.next_watch();
-        watch.write_line(&list(41, true, &self.cached_entries));
+        let mut watch = self.discovery.next_call();
+        watch.write_line(&endpoint_list(41, true, &self.cached_entries));
         watch.finish();
     }
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sends requests until `done`. Like other clients, it uses one connection until a response closes it.
+/// Sends requests until `done`. Like most clients, it reuses its connection until a response closes it.
 fn send_requests_until(address: SocketAddr, done: &AtomicBool, served: &AtomicUsize) {
     let mut client = Client::connect(address);
     while !done.load(Ordering::Relaxed) {
@@ -79,11 +79,11 @@
         for _ in 0..2 {
             let new_process = deployment.start(Some(address));
             wait_until("the new process is ready", || {
-                new_process.call_is_yes("READY")
+                new_process.admin_answers_yes("READY")
             });
             wait_until("callers come to the new process", || {
                 new_process
-                    .requests_ended("completed", "safe")
+                    .ended_request_count("completed", "safe")
                     .is_some_and(|count| count > 20)
             });
             serving_process.wait_for_log("the new process accepts callers");
@@ -106,23 +106,26 @@
     let mut deployment = Deployment::with_endpoints(&[&endpoint]);
     let mut old_process = deployment.start(None);
     deployment.send_full_list();
-    let _watch = deployment.discovery.next_watch();
+    let _watch = deployment.discovery.next_call();
     deployment.cached_entries[0]["status"] = json!("DRAINING");
     let mut new_process = deployment.start(Some(old_process.address));
     deployment.send_full_list();
-    let mut watch = deployment.discovery.next_watch();
+    let mut watch = deployment.discovery.next_call();
     assert!(
-        !new_process.call_is_yes("READY"),
+        !new_process.admin_answers_yes("READY"),
         "the only endpoint that it knows is draining"
     );
     assert_eq!(
         old_process.client().exchange(&get_request("5")).status(),
         200
     );
-    assert_eq!(new_process.requests_ended("completed", "safe"), Some(0));
-    watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
+    assert_eq!(
+        new_process.ended_request_count("completed", "safe"),
+        Some(0)
+    );
+    watch.write_line(&endpoint_list(42, true, &serving_entries(&[&endpoint])));
     wait_until("the new process is ready", || {
-        new_process.call_is_yes("READY")
+        new_process.admin_answers_yes("READY")
     });
     old_process.wait_for_log("the new process accepts callers");
     // Once the old process has ended, a new one takes over even if it knows no endpoint that serves.
@@ -135,7 +138,7 @@
     new_process.wait_for_log("stops before it has taken over");
     let last_process = deployment.start(Some(old_process.address));
     deployment.send_full_list();
-    assert!(!last_process.call_is_yes("READY"));
+    assert!(!last_process.admin_answers_yes("READY"));
     old_process.kill();
     last_process.wait_for_log("takes over from the old process");
     assert_eq!(
@@ -197,14 +200,17 @@
     let mut old_process = deployment.start(None);
     deployment.send_full_list();
     let new_process = deployment.start(Some(old_process.address));
-    assert!(!new_process.call_is_yes("READY"), "discovery sends no list");
+    assert!(
+        !new_process.admin_answers_yes("READY"),
+        "discovery sends no list"
+    );
     old_process.terminate();
     wait_until("the new process serves", || {
         assert_eq!(
             old_process.client().exchange(&get_request("9")).status(),
             200
         );
-        new_process.requests_ended("completed", "safe") > Some(0)
+        new_process.ended_request_count("completed", "safe") > Some(0)
     });
     assert!(old_process.wait().success());
     assert_eq!(
@@ -239,7 +245,7 @@
             old_process.client().exchange(&get_request("9")).status(),
             200
         );
-        old_process.requests_ended("completed", "safe") > Some(0)
+        old_process.ended_request_count("completed", "safe") > Some(0)
     });
     assert_eq!(
         new_process.metric("pending"),
@@ -257,17 +263,17 @@
     );
 }
 
-/// A process starts whatever is in the shared directory at the path of the socket: a plain file, a stale or silent
-/// socket, or a directory. It also starts if the shared directory does not exist.
+/// A process starts regardless of what the path of the socket in the shared directory holds: a plain file, a stale or
+/// silent socket, or a directory. It also starts if the shared directory does not exist.
 #[test]
 fn process_starts_with_foreign_files_in_shared_directory() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let deployment = Deployment::with_endpoints(&[&endpoint]);
     let socket = deployment.shared_directory.join("pipittray.sock");
     std::fs::write(&socket, "no socket").expect("a file");
-    assert!(deployment.start(None).call_is_yes("READY"));
+    assert!(deployment.start(None).admin_answers_yes("READY"));
     // The socket that the last process left is stale.
-    assert!(deployment.start(None).call_is_yes("READY"));
+    assert!(deployment.start(None).admin_answers_yes("READY"));
     std::fs::remove_file(&socket).expect("it is removed");
     let silent_socket = UnixListener::bind(&socket).expect("a socket");
     let sidecar = deployment.start(None);
@@ -284,7 +290,7 @@
     ));
     assert!(
         Sidecar::start_in_directory(&deployment.shared_directory.join("nowhere"), &config)
-            .call_is_yes("READY")
+            .admin_answers_yes("READY")
     );
 }
 
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -72,7 +72,7 @@
         self.0.join(golden_file_names().0)
     }
 
-    /// The names of its files, one per line, sorted.
+    /// Returns the names of its files, one per line, sorted.
     fn file_names(&self) -> String {
         let entries = std::fs::read_dir(&self.0).expect("a directory");
         let mut names: Vec<String> = entries
@@ -149,9 +149,9 @@
     /// Makes a sidecar send a message of each kind that both old and new processes send, and expects the golden bytes.
     fn expect_messages_of(&mut self, sidecar: &Sidecar) {
         let golden = golden_messages();
-        assert!(sidecar.call_is_yes("DISABLE e0"));
+        assert!(sidecar.admin_answers_yes("DISABLE e0"));
         self.expect_line(golden.disabled);
-        assert!(sidecar.call_is_yes("ENABLE e0"));
+        assert!(sidecar.admin_answers_yes("ENABLE e0"));
         self.expect_line(golden.enabled);
         let mut client = sidecar.client();
         assert_eq!(client.exchange(&get_request("5")).status(), 200);
@@ -162,7 +162,7 @@
     }
 }
 
-/// The test acts as the new process.
+/// Guards the messages of an old process. The test acts as the new process.
 #[test]
 fn old_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -175,7 +175,7 @@
     new_process.expect_messages_of(&sidecar);
 }
 
-/// The test acts as the old process.
+/// Guards the messages of a new process. The test acts as the old process.
 #[test]
 fn new_process_sends_golden_messages() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -192,15 +192,15 @@
             accepted.join().expect("the listener is handed over"),
         )
     });
-    let mut watch = discovery.next_watch();
-    watch.write_line(&list(42, true, &serving_entries(&[&endpoint])));
+    let mut watch = discovery.next_call();
+    watch.write_line(&endpoint_list(42, true, &serving_entries(&[&endpoint])));
 
     old_process.expect_line(golden_messages().serving);
 
     old_process.expect_messages_of(&sidecar);
 }
 
-/// The test acts as the new process and observes the effect of each message.
+/// Guards the effect of each message on an old process. The test acts as the new process.
 /// `golden_connection_count_reduces_the_budget` covers the number of connections.
 #[test]
 fn golden_messages_are_understood() {
@@ -295,8 +295,8 @@
     }
 }
 
-/// The effect of the message with the number of connections: the other process's connections and its reserve are
-/// deducted from the limit that both share.
+/// Guards the effect of the message with the number of connections: the other process's connections and its reserve are
+/// deducted from the limit that both processes share.
 #[test]
 fn golden_connection_count_reduces_the_budget() {
     let alone = LoadedSidecar::start(&[]);
@@ -313,6 +313,7 @@
     }
 }
 
+/// Guards the names of the files in the shared directory, and the content of the stored file.
 #[test]
 fn shared_directory_has_golden_files() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
@@ -324,13 +325,14 @@
         directory.socket().exists()
     });
 
-    assert!(sidecar.call_is_yes("DISABLE e1") && sidecar.call_is_yes("DISABLE e0"));
+    assert!(sidecar.admin_answers_yes("DISABLE e1") && sidecar.admin_answers_yes("DISABLE e0"));
 
     assert_eq!(directory.file_names(), FILE_NAMES);
     let stored = std::fs::read(directory.disabled_file()).expect("the stored file");
     assert_eq!(stored, DISABLED_FILE);
 }
 
+/// Guards the effect of the stored file on a process that starts.
 #[test]
 fn golden_disabled_file_is_understood() {
     let endpoints = [0, 1, 2].map(|_| Endpoint::start(|_| respond_ok("")));
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -94,7 +94,7 @@
             assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
         }
     }
-    assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(3));
+    assert_eq!(sidecar.ended_request_count("completed", "keyed"), Some(3));
 }
 
 /// A client that waits for `100 Continue` gets it, and its body is forwarded.
@@ -125,8 +125,9 @@
     }
 }
 
-/// Once part of a body that is not buffered has been forwarded there is no second attempt, whatever the class. The
-/// request never ran and is therefore rejected: trying again is harmless.
+/// A body that is too large to be buffered cannot be sent twice: once a part of it has been forwarded, there is no
+/// second attempt, whatever the class. The incomplete request did not run. It is therefore rejected, which tells the
+/// caller that trying again is harmless.
 #[test]
 fn partly_forwarded_request_is_not_retried() {
     for class in ["keyed", "unsafe"] {
@@ -159,7 +160,7 @@
             (1, Some(0)),
             "{class}"
         );
-        assert_eq!(sidecar.requests_ended("rejected", class), Some(1));
+        assert_eq!(sidecar.ended_request_count("rejected", class), Some(1));
     }
 }
 
@@ -190,7 +191,7 @@
     }
     assert!(
         sidecar
-            .requests_ended("completed", "keyed")
+            .ended_request_count("completed", "keyed")
             .is_some_and(|count| count >= 6)
     );
 }
@@ -233,8 +234,8 @@
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
-/// When a client stops in the middle of a large body, sends a malformed chunk or disconnects, its request ends, and so
-/// does the connection to the endpoint.
+/// When a client stops in the middle of a large body, sends a malformed chunk or disconnects, its request ends and the
+/// connection to the endpoint is closed.
 #[test]
 fn incomplete_large_request_ends_its_attempt() {
     let (endpoint, is_complete) = endpoint_reporting_completeness();
@@ -266,11 +267,11 @@
     wait_until("no request is pending", || {
         sidecar.metric("pending") == Some(0)
     });
-    assert_eq!(sidecar.requests_ended("completed", "keyed"), Some(0));
+    assert_eq!(sidecar.ended_request_count("completed", "keyed"), Some(0));
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
-/// A large body at 64 kB a second is received, although it takes longer than a small one may.
+/// A large body that arrives at 64 kB a second is received, although it takes longer than a small one may.
 #[test]
 fn slow_client_above_minimum_rate_is_served() {
     let body = Arc::new(pattern(320_000));
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -80,7 +80,7 @@
             "{framing}"
         );
         wait_until("the request is served", || {
-            sidecar.requests_ended("completed", "safe") == Some(number as u64 + 1)
+            sidecar.ended_request_count("completed", "safe") == Some(number as u64 + 1)
         });
     }
     assert_eq!(
@@ -130,12 +130,12 @@
         }
     }
     wait_until("all requests are served", || {
-        sidecar.requests_ended("completed", "safe") == Some(8)
+        sidecar.ended_request_count("completed", "safe") == Some(8)
     });
 }
 
-/// When a response breaks off after its beginning was forwarded, the client gets a truncated body. The request is
-/// counted as failed and not tried again.
+/// When a response ends early after its beginning was forwarded, the client gets a truncated body. The request is
+/// counted as failed and is not tried again.
 #[test]
 fn truncated_large_response_fails_its_request() {
     for framing in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
@@ -164,7 +164,7 @@
         assert_eq!(status(&head), "200");
         assert_eq!(read_body(&head, &mut client), None, "{framing}");
         wait_until("the request is counted", || {
-            sidecar.requests_ended("failed", "safe") == Some(1)
+            sidecar.ended_request_count("failed", "safe") == Some(1)
         });
         assert_eq!(
             endpoints
@@ -177,7 +177,7 @@
     }
 }
 
-/// Without memory to buffer it, a response is streamed and arrives complete.
+/// If the memory budget leaves no room to buffer a response, it is streamed and arrives complete.
 #[test]
 fn exhausted_memory_budget_streams_responses() {
     let body = Arc::new(pattern(50_000));
@@ -198,7 +198,7 @@
     let discovery = Discovery::start();
     let mut config = with_admin_address(config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     ));
     config["limits"]["memory_mb"] = serde_json::json!(0);
     let sidecar = Sidecar::start(&config);
@@ -210,6 +210,6 @@
         assert!(read_body(&head, &mut client).expect("a complete body") == **body);
     }
     wait_until("the requests are served", || {
-        sidecar.requests_ended("completed", "safe") == Some(3)
+        sidecar.ended_request_count("completed", "safe") == Some(3)
     });
 }
--- a/tests/sidecar/process.rs
+++ b/tests/sidecar/process.rs
@@ -1,4 +1,4 @@
-//! Limits, the log's counters, the start and the graceful shutdown.
+//! The life of a process: its start, limits, health checks, the counters in its log, and its graceful shutdown.
 
 use crate::stubs::*;
 use serde_json::json;
@@ -12,7 +12,7 @@
     let discovery = Discovery::start();
     let mut config = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     config["limits"]["sockets"] = json!(48);
     let sidecar = Sidecar::start(&config);
@@ -22,7 +22,10 @@
         assert_eq!(client.exchange(&get_request("2")).status(), 200);
         idle_clients.push(client);
     }
-    assert!(idle_clients[0].is_closed(), "the oldest was evicted");
+    assert!(
+        idle_clients[0].wait_for_clean_close(),
+        "the oldest was evicted"
+    );
 }
 
 /// Guards SIGTERM: open requests are answered, including those on connections accepted after it. Idle connections are
@@ -48,7 +51,10 @@
     pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "its connection was idle");
+    assert!(
+        idle_client.wait_for_clean_close(),
+        "its connection was idle"
+    );
     assert_eq!(
         sidecar.client().exchange(&get_request("2")).status(),
         200,
@@ -60,13 +66,13 @@
         (answer.status(), answer.body.as_slice()),
         (200, "late".as_bytes())
     );
-    assert!(pending_client.is_closed());
+    assert!(pending_client.wait_for_clean_close());
     assert!(sidecar.wait().success());
 }
 
-/// Guards load reports that arrive only in responses to health checks. Health checks are sent to the path for load
-/// reports, without a request id, and the reports in their responses reach the balancer. If the settings forbid health
-/// checks, none is sent.
+/// Guards settings under which load reports arrive only in responses to health checks. Health checks are sent to the
+/// path for load reports, without a request id, and the reports in their responses reach the balancer. If the settings
+/// forbid health checks, none is sent.
 #[test]
 fn health_checks_collect_load_reports() {
     for (allowed, report) in [
@@ -84,7 +90,7 @@
         let discovery = Discovery::start();
         let mut config = config(
             discovery.address,
-            &[entry("e0", endpoint.address, "SERVING")],
+            &[list_entry("e0", endpoint.address, "SERVING")],
         );
         config["settings"]["report"]["how"] = json!("on_probe");
         config["settings"]["bounds"]["probes"] = json!(allowed);
@@ -105,7 +111,7 @@
             .take_requests()
             .into_iter()
             .filter(|message| message.header("x-request-id").is_none());
-        let health_checks: Vec<String> = health_checks.map(|m| m.start_line).collect();
+        let health_checks: Vec<String> = health_checks.map(|message| message.start_line).collect();
         assert!(
             health_checks
                 .iter()
@@ -156,7 +162,7 @@
 
 /// Guards service while the log is closed: lines that cannot be written are dropped, and the shutdown is graceful.
 #[test]
-fn sidecar_serves_while_nobody_reads_its_log() {
+fn sidecar_serves_with_its_log_closed() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
     let discovery = Discovery::start();
     let path = temporary_file(
@@ -174,10 +180,10 @@
     let mut client = Client::connect(address.expect("it logs where it listens"));
     assert_eq!(client.exchange(&get_request("5")).status(), 200);
     for _ in 0..2 {
-        drop(discovery.next_watch()); // each lost watch is logged
+        drop(discovery.next_call()); // each lost watch is logged
     }
     send_signal(&child, "HUP");
-    discovery.next_watch();
+    discovery.next_call();
     send_signal(&child, "TERM");
     assert_eq!(
         client.exchange(&get_request("5")).status(),
@@ -188,8 +194,9 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards callers while another sidecar is down as well: after SIGTERM the sidecar is not ready, but it serves
-/// connections for a while. Requests on them are answered well before the process may be killed.
+/// Guards callers that cannot move to another sidecar, because that one is down as well. After SIGTERM the sidecar is
+/// not ready, but it serves connections for a while. Requests on them are answered well before the process may be
+/// killed.
 #[test]
 fn connections_are_served_for_a_while_after_sigterm() {
     let endpoint = Endpoint::start(|message| {
@@ -228,7 +235,7 @@
         shutdown_begun.elapsed() < Duration::from_secs(9),
         "ahead of the request's own deadline"
     );
-    assert!(first_client.is_closed());
+    assert!(first_client.wait_for_clean_close());
     assert!(sidecar.wait().success());
 }
 
@@ -264,8 +271,8 @@
             error.starts_with("balancer-sidecar: ") && error.lines().count() == 1,
             "{error}"
         );
-        path.filter(|p| p.is_file())
+        path.filter(|file| file.is_file())
             .iter()
-            .for_each(|p| std::fs::remove_file(p).expect("the file is removed"));
+            .for_each(|file| std::fs::remove_file(file).expect("the file is removed"));
     }
 }
--- a/tests/sidecar/reload.rs
+++ b/tests/sidecar/reload.rs
@@ -11,11 +11,12 @@
     std::fs::write(path, config.to_string()).expect("the file is written");
 }
 
-/// Guards the move to another discovery. The new one is asked for the full list, because versions of the old one mean
-/// nothing there. The old one is followed until the new one has sent a list; then its watch is closed. Neither an older
-/// list of the new discovery nor the cached list of the file ends a drain. Requests are served throughout.
+/// Guards a reload that moves to a new discovery. The full list is fetched from the new one, because versions of the
+/// old one mean nothing there. The watch on the old one stays open until the new one has sent a list, and is then
+/// closed. Neither an older list of the new discovery nor the cached list of the file ends a drain. Requests are served
+/// throughout.
 #[test]
-fn previous_discovery_is_followed_until_the_new_one_has_sent_a_list() {
+fn previous_discovery_is_followed_until_the_first_new_list() {
     let (opener, gate) = response_gate();
     let endpoints = [0, 1].map(|_| Endpoint::start(|_| respond_ok("")));
     let slow_endpoint = Endpoint::start(move |_| {
@@ -26,7 +27,7 @@
     let entries_with_first = |status: &str| {
         let names = ["e0", "e1"].iter().zip(&endpoints);
         let mut entries: Vec<Value> = names
-            .map(|(name, endpoint)| entry(name, endpoint.address, "SERVING"))
+            .map(|(name, endpoint)| list_entry(name, endpoint.address, "SERVING"))
             .collect();
         entries[0]["status"] = json!(status);
         entries
@@ -34,38 +35,38 @@
     let path = temporary_file(
         &config(
             old.address,
-            &[entry("slow", slow_endpoint.address, "SERVING")],
+            &[list_entry("slow", slow_endpoint.address, "SERVING")],
         )
         .to_string(),
     );
     let sidecar = Sidecar::start_with_file(&path);
-    let mut old_watch = old.next_watch();
+    let mut old_watch = old.next_call();
     let mut pending_client = sidecar.client();
     pending_client.write(&post_request("unsafe", "15", "x"));
     slow_endpoint.next_request();
 
     write_config(&path, &config(new.address, &entries_with_first("SERVING")));
     sidecar.send_signal("HUP");
-    let mut new_watch = new.next_watch();
+    let mut new_watch = new.next_call();
     assert!(
         new_watch.request_line.starts_with("GET /v1/endpoints "),
         "a fetch of the full list: {}",
         new_watch.request_line
     );
     // The old discovery still sends a change.
-    old_watch.write_line(&list(42, true, &entries_with_first("DRAINING")));
+    old_watch.write_line(&endpoint_list(42, true, &entries_with_first("DRAINING")));
     let mut client = sidecar.client();
     while client.exchange(&get_request("2")).status() != 200 {}
-    new_watch.write_line(&list(7, true, &entries_with_first("SERVING")));
+    new_watch.write_line(&endpoint_list(7, true, &entries_with_first("SERVING")));
     new_watch.finish();
-    let mut new_watch = new.next_watch();
+    let mut new_watch = new.next_call();
     assert!(
         new_watch.request_line.contains("?follow=1&since=7 "),
         "the new discovery's version is in force: {}",
         new_watch.request_line
     );
     assert!(
-        old_watch.is_closed(),
+        old_watch.wait_for_close(),
         "the old watch ends once the new discovery has sent a list"
     );
     for _ in 0..20 {
@@ -76,9 +77,9 @@
         0,
         "it drains, whatever an older list or the file says"
     );
-    new_watch.write_line(&list(8, false, &[]));
+    new_watch.write_line(&endpoint_list(8, false, &[]));
     drop(new_watch);
-    assert!(new.next_watch().request_line.contains("since=8 "));
+    assert!(new.next_call().request_line.contains("since=8 "));
 
     opener.release_one();
     assert_eq!(
@@ -91,19 +92,19 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards the log: a configuration that cannot be read, and one that only a restart can apply, are logged with one line
-/// each, and the old one stays in force. Two signals in a row count as one.
+/// Guards the log of reloads. A configuration that cannot be read is logged, and the old one stays in force. A change
+/// that only a restart can apply is logged together with the changes that are applied, here after two signals in a row.
 #[test]
 fn reload_logs_changes_that_it_cannot_apply() {
     let endpoint = Endpoint::start(|_| respond_ok(""));
     let discovery = Discovery::start();
     let valid = config(
         discovery.address,
-        &[entry("e0", endpoint.address, "SERVING")],
+        &[list_entry("e0", endpoint.address, "SERVING")],
     );
     let path = temporary_file(&valid.to_string());
     let sidecar = Sidecar::start_with_file(&path);
-    let _watch = discovery.next_watch();
+    let _watch = discovery.next_call();
     std::fs::write(&path, "{").expect("the file is written");
     sidecar.send_signal("HUP");
     sidecar.wait_for_log("reload rejected, the configuration is unchanged");
@@ -130,7 +131,7 @@
         respond_ok("late")
     });
     let (old, new) = (Discovery::start(), Discovery::start());
-    let cached_entries = [entry("e0", endpoint.address, "SERVING")];
+    let cached_entries = [list_entry("e0", endpoint.address, "SERVING")];
     let path = temporary_file(&config(old.address, &cached_entries).to_string());
     let mut sidecar = Sidecar::start_with_file(&path);
     let mut idle_client = sidecar.client();
@@ -144,11 +145,11 @@
     pending_client.write(&post_request("unsafe", "10", "x"));
     endpoint.next_request();
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "the sidecar shuts down");
+    assert!(idle_client.wait_for_clean_close(), "the sidecar shuts down");
     write_config(&path, &config(new.address, &cached_entries));
     sidecar.send_signal("HUP");
     assert!(
-        new.next_watch()
+        new.next_call()
             .request_line
             .starts_with("GET /v1/endpoints ")
     );
@@ -176,8 +177,8 @@
     class
 }
 
-/// Guards changed settings: an added class is served. A removed class is not served but keeps its count. A stricter
-/// effect holds for later requests, and open requests keep the settings under which they arrived.
+/// Guards reloads that change request classes. An added class is served. A removed class is not served, but keeps its
+/// count. A stricter effect holds for later requests, and open requests keep the settings under which they arrived.
 #[test]
 fn changed_settings_apply_to_later_requests_only() {
     let (opener, gate) = response_gate();
@@ -190,7 +191,7 @@
     });
     let discovery = Discovery::start();
     let mut cached_entries = serving_entries(&[&endpoints[0], &endpoints[1]]);
-    cached_entries.push(entry("slow", slow_endpoint.address, "SERVING"));
+    cached_entries.push(list_entry("slow", slow_endpoint.address, "SERVING"));
     let mut config = with_admin_address(config(discovery.address, &cached_entries));
     let path = temporary_file(&config.to_string());
     let sidecar = Sidecar::start_with_file(&path);
@@ -214,7 +215,7 @@
         })
         .collect();
     wait_until("some requests are pending", || {
-        sidecar.metric("pending").is_some_and(|n| n > 0)
+        sidecar.metric("pending").is_some_and(|count| count > 0)
     });
 
     let new_class = copy_class("new", &classes_of(&mut config)[0]);
@@ -225,7 +226,7 @@
     sidecar.send_signal("HUP");
     wait_until("the reload is applied", || reloads() == 1);
     sidecar.wait_for_log("settings change in bounds, categories");
-    assert_eq!(sidecar.requests_ended("completed", "new"), Some(0));
+    assert_eq!(sidecar.ended_request_count("completed", "new"), Some(0));
     assert_eq!(
         client
             .exchange(&get_request("5").replace("safe", "new"))
@@ -262,8 +263,8 @@
     );
     assert!(
         sidecar
-            .requests_ended("completed", "safe")
-            .is_some_and(|n| n >= 1),
+            .ended_request_count("completed", "safe")
+            .is_some_and(|count| count >= 1),
         "its count stays"
     );
     // A reload of the unchanged file is applied and changes nothing.
@@ -385,7 +386,7 @@
     sidecar.send_signal("HUP");
     assert!(
         other_discovery
-            .next_watch()
+            .next_call()
             .request_line
             .starts_with("GET /v1/endpoints "),
         "the whole configuration is applied"
--- a/tests/sidecar/shutdown_races.rs
+++ b/tests/sidecar/shutdown_races.rs
@@ -40,16 +40,16 @@
         partial_requests.push((client, &request[split_at..]));
     }
     sidecar.terminate();
-    assert!(sidecar.call_is_yes("DRAIN") && !sidecar.call_is_yes("READY"));
+    assert!(sidecar.admin_answers_yes("DRAIN") && !sidecar.admin_answers_yes("READY"));
     assert!(
-        sidecar.call_is_yes("UNDRAIN") && !sidecar.call_is_yes("READY"),
+        sidecar.admin_answers_yes("UNDRAIN") && !sidecar.admin_answers_yes("READY"),
         "the shutdown continues"
     );
-    assert!(idle_client.is_closed(), "idle connections close");
+    assert!(idle_client.wait_for_clean_close(), "idle connections close");
     for (client, rest) in &mut partial_requests {
         client.write(rest);
         assert_eq!(client.read().expect("an answer").status(), 200);
-        assert!(client.is_closed());
+        assert!(client.wait_for_clean_close());
     }
     assert!(sidecar.wait().success());
 }
@@ -62,8 +62,11 @@
     let (mut sidecar, mut idle_client) =
         start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
     sidecar.terminate();
-    assert!(idle_client.is_closed(), "idle connections are being closed");
-    sidecar.suspend();
+    assert!(
+        idle_client.wait_for_clean_close(),
+        "idle connections are being closed"
+    );
+    sidecar.pause();
     let mut late_clients: Vec<Client> = (0..12)
         .map(|_| {
             let mut client = sidecar.client();
@@ -85,9 +88,9 @@
     assert!(sidecar.wait().success());
 }
 
-/// The process is suspended until the time is over in which its shutdown accepts connections. Callers that connected
-/// meanwhile, and send a request soon after the process resumes, are answered. A caller that sends none does not delay
-/// the shutdown.
+/// The process is paused until the time is over in which its shutdown accepts connections. Callers that connected
+/// meanwhile and send a request soon after the process resumes are answered. A caller that sends no request does not
+/// delay the shutdown.
 #[test]
 fn shutdown_answers_requests_sent_after_a_late_accept() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -97,8 +100,11 @@
         let (mut sidecar, mut idle_client) =
             start_with_idle_client(&discovery, &endpoint, Duration::from_secs(3));
         sidecar.terminate();
-        assert!(idle_client.is_closed(), "idle connections are being closed");
-        sidecar.suspend();
+        assert!(
+            idle_client.wait_for_clean_close(),
+            "idle connections are being closed"
+        );
+        sidecar.pause();
         let descriptors_before = sidecar.descriptor_count();
         let mut late_clients: Vec<Client> = (0..12).map(|_| sidecar.client()).collect();
         let mut silent_client = sidecar.client();
@@ -120,7 +126,7 @@
                 sidecar.log()
             );
         }
-        assert!(silent_client.is_closed());
+        assert!(silent_client.wait_for_clean_close());
         assert!(sidecar.wait().success());
         in_time
     });
@@ -138,7 +144,7 @@
         &[&scripted_endpoint.endpoint],
         Duration::from_secs(10),
     ));
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     let mut client = sidecar.client();
     scripted_endpoint.earn_retries(&mut client);
     let send = |request: String| {
@@ -150,10 +156,14 @@
     scripted_endpoint.endpoint.next_request();
     let mut in_flight_client = send(post_request("unsafe", "9", "x"));
     scripted_endpoint.endpoint.next_request();
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         false,
-        &[entry("e0", scripted_endpoint.endpoint.address, "DRAINING")],
+        &[list_entry(
+            "e0",
+            scripted_endpoint.endpoint.address,
+            "DRAINING",
+        )],
     ));
     wait_until("the endpoint is draining", || {
         sidecar.metric("members_unavailable") == Some(1)
@@ -170,10 +180,10 @@
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".into(),
     ));
     scripted_endpoint.respond_next(respond_ok("out"));
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         43,
         false,
-        &[entry("e1", other_endpoint.address, "SERVING")],
+        &[list_entry("e1", other_endpoint.address, "SERVING")],
     ));
     // Either of the two requests at the endpoint may be answered first. The expected bodies depend on its class.
     for (client, bodies) in [
@@ -232,7 +242,7 @@
         std::fs::write(&disabled_file, text).expect("the file is written");
         assert_eq!(unavailable(), Some(1));
         if !command.is_empty() {
-            assert!(sidecar.call_is_yes(command));
+            assert!(sidecar.admin_answers_yes(command));
         }
         drop(new_process);
     };
@@ -242,7 +252,7 @@
     connect_store_and_die("[]", "");
     wait_until("the endpoint is enabled", || unavailable() == Some(0));
     // Each of the two processes receives a command at the same time.
-    assert!(sidecar.call_is_yes("DISABLE e1"));
+    assert!(sidecar.admin_answers_yes("DISABLE e1"));
     connect_store_and_die("[\"e0\",\"e1\"]", "ENABLE e1");
     sidecar.wait_for_log("endpoint e0 is disabled by the operators");
     assert_eq!(unavailable(), Some(1));
@@ -253,9 +263,9 @@
     std::fs::remove_dir_all(shared_directory).expect("it is removed");
 }
 
-/// Starts a replaceable sidecar, and shuts it down while an attempt is in flight, which keeps it from ending.
-/// Returns the sidecar and the client of the attempt once the sidecar has accepted its last caller and closed its own
-/// descriptor of the listener.
+/// Starts a sidecar that a new process can replace, and shuts it down while an attempt is in flight, which keeps it
+/// from ending. Returns the sidecar and the client of the attempt once the sidecar has accepted its last caller and
+/// closed its own descriptor of the listener.
 fn shut_down_with_request_in_flight(
     scripted_endpoint: &ScriptedEndpoint,
     discovery: &Discovery,
@@ -299,8 +309,8 @@
     assert!(sidecar.wait().success());
 }
 
-/// The new process dies while the old one shuts down: the old one accepts and answers the connections in the backlog of
-/// the listener that both processes have. The test acts as the new process.
+/// The new process dies while the old one shuts down. The old one accepts and answers the connections in the backlog of
+/// the listener that both processes had open. The test acts as the new process.
 #[test]
 fn shutdown_answers_the_backlog_of_a_new_process_that_died() {
     let (scripted_endpoint, discovery) = (ScriptedEndpoint::start(), Discovery::start());
@@ -347,7 +357,7 @@
     config["settings"]["categories"][0]["objectiveNs"] = json!(2_000_000_000u64);
     config["settings"]["categories"][0]["lateShare"] = json!(0.5);
     let sidecar = Sidecar::start(&config);
-    let mut watch = discovery.next_watch();
+    let mut watch = discovery.next_call();
     let [mut answered_client, mut in_flight_client] = [0, 1].map(|already_pending| {
         let mut client = sidecar.client();
         client.write(&get_request("9"));
@@ -356,7 +366,7 @@
         });
         client
     });
-    watch.write_line(&list(
+    watch.write_line(&endpoint_list(
         42,
         false,
         &serving_entries(&[&scripted_endpoint.endpoint]),
@@ -365,8 +375,8 @@
     scripted_endpoint.respond_next(respond_ok("x"));
     assert_eq!(answered_client.read().expect("an answer").status(), 200);
     std::thread::sleep(Duration::from_millis(2_500)); // both queue deadlines are past
-    let draining_entry = entry("e1", "127.0.0.1:1".parse().expect("an address"), "DRAINING");
-    watch.write_line(&list(43, false, &[draining_entry]));
+    let draining_entry = list_entry("e1", "127.0.0.1:1".parse().expect("an address"), "DRAINING");
+    watch.write_line(&endpoint_list(43, false, &[draining_entry]));
     wait_until("the balancer has handled its timers", || {
         sidecar.metric("members") == Some(2)
     });
@@ -377,7 +387,7 @@
         200,
         "no second response came first"
     );
-    let outcomes =
-        ["completed", "rejected", "failed"].map(|outcome| sidecar.requests_ended(outcome, "safe"));
+    let outcomes = ["completed", "rejected", "failed"]
+        .map(|outcome| sidecar.ended_request_count(outcome, "safe"));
     assert_eq!(outcomes, [Some(2), Some(0), Some(0)]);
 }
--- a/tests/sidecar/stubs/discovery.rs
+++ b/tests/sidecar/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that answers every call at once with the head of a chunked response. The test writes the lines after it.
+//! A stub of discovery that answers every call at once with the head of a chunked response. The test writes the body.
 
 use super::message::*;
 use serde_json::{Value, json};
@@ -7,25 +7,27 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// An entry of an endpoint list.
-pub fn entry(name: &str, address: SocketAddr, status: &str) -> Value {
+/// Returns an entry of an endpoint list.
+pub fn list_entry(name: &str, address: SocketAddr, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "m", "group": 0,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// An endpoint list of the version `index`: the full list if it is a snapshot, else a list of changes.
-pub fn list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
-    json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
+/// Returns an endpoint list with this version as JSON: a full list if `is_snapshot`, else a list of changes.
+pub fn endpoint_list(version: u64, is_snapshot: bool, endpoints: &[Value]) -> String {
+    json!({"index": version, "snapshot": is_snapshot, "endpoints": endpoints}).to_string()
 }
 
-/// A discovery that answers every call with the head of a chunked response, and hands the calls over in their order.
+/// A stub of discovery that answers every call with the head of a chunked response, and hands the calls to the test in
+/// the order of their arrival.
 pub struct Discovery {
     pub address: SocketAddr,
-    watches: Receiver<Watch>,
+    calls: Receiver<StreamedCall>,
 }
 
-/// A call of discovery: a watch, or a fetch of the full list. The head of its response has been written.
-pub struct Watch {
+/// A call of discovery, either a watch or a fetch of the full list, whose response is being streamed: the head has been
+/// written, and the test writes the body.
+pub struct StreamedCall {
     pub request_line: String,
     stream: TcpStream,
 }
@@ -34,55 +36,55 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
         let address = listener.local_addr().expect("a bound address");
-        let (opened, watches) = channel();
+        let (opened, calls) = channel();
         thread::spawn(move || accept_calls(&listener, &opened));
-        Discovery { address, watches }
+        Discovery { address, calls }
     }
 
     /// Waits for the next call.
-    pub fn next_watch(&self) -> Watch {
-        self.watches
+    pub fn next_call(&self) -> StreamedCall {
+        self.calls
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the sidecar opens a watch")
+            .expect("the sidecar calls discovery")
     }
 }
 
-fn accept_calls(listener: &TcpListener, opened: &Sender<Watch>) {
+fn accept_calls(listener: &TcpListener, opened: &Sender<StreamedCall>) {
     for stream in listener.incoming().map_while(Result::ok) {
-        let Some(mut watch) = Watch::read(stream) else {
+        let Some(mut call) = StreamedCall::read(stream) else {
             continue;
         };
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if watch.stream.write_all(head).is_ok() && opened.send(watch).is_err() {
+        if call.stream.write_all(head).is_ok() && opened.send(call).is_err() {
             break;
         }
     }
 }
 
-impl Watch {
+impl StreamedCall {
     /// Reads the request on a connection. Returns `None` if the connection ends before the request is complete.
     fn read(stream: TcpStream) -> Option<Self> {
         let mut reader = BufReader::new(stream);
         let request_line = read_message(&mut reader)?.start_line;
-        Some(Watch {
+        Some(StreamedCall {
             request_line,
             stream: reader.into_inner(),
         })
     }
 
-    /// Waits until the sidecar closes the watch, and returns whether it has done so in time.
-    pub fn is_closed(&mut self) -> bool {
+    /// Waits until the sidecar closes the connection, and returns whether it does so within [`TEST_TIMEOUT`].
+    pub fn wait_for_close(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("the timeout is set");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    /// Writes a line. If the sidecar has closed this watch because it was silent, waits for the next one and writes it
-    /// there.
+    /// Writes a line. If the sidecar has closed this watch because it was silent, waits for the next one and writes the
+    /// line on that one.
     pub fn write_line_reconnecting(&mut self, discovery: &Discovery, line: &str) {
         if !self.is_open() {
-            *self = discovery.next_watch();
+            *self = discovery.next_call();
         }
         self.write_line(line);
     }
@@ -99,11 +101,11 @@
             .expect("the connection is open");
     }
 
-    /// Writes a line of the watch, empty for a heartbeat.
+    /// Writes a list as a line of the response. An empty line is a heartbeat.
     pub fn write_line(&mut self, line: &str) {
         let length = line.len() + 1;
         self.stream
             .write_all(format!("{length:x}\r\n{line}\n\r\n").as_bytes())
-            .expect("the watch is open");
+            .expect("the connection is open");
     }
 }
