--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -3,8 +3,8 @@
 use super::error::SettingsDocumentError;
 use super::types::{
     ClassDocument, DiscoveryModeDocument, IdempotencyDocument, KeyScopeDocument, LimitsDocument,
-    PricesDocument, ReportingModeDocument, RulesDocument, SettingsDocument, SizeMeaningDocument,
-    TenantDocument, ValueBasisDocument,
+    PricesDocument, ReportingModeDocument, RulesDocument, SettingsDocument, TenantDocument,
+    ValueBasisDocument, WeightSourceDocument,
 };
 use crate::policy::{
     Class, DiscoveryMode, Idempotency, KeyScope, Limits, PeerId, Prices, Reporting, Rules,
@@ -26,7 +26,7 @@
             tier: document.tier,
             tiers: document.tiers.len(),
             propagates_deadline: document.service.propagates_deadline,
-            endpoints_cache_by_key: document.service.warm_keys,
+            endpoints_cache_by_key: document.service.endpoints_cache_by_key,
             classes: classes.collect::<Result<_, _>>()?,
             tenants: tenants.collect(),
             over_share_value: document.over_share_value,
@@ -34,10 +34,10 @@
             rules: document.rules.into(),
             prices: document.prices.into(),
             discovery: document.discovery.into(),
-            weight_source: document.size_meaning.unwrap_or_default().into(),
+            weight_source: document.weight_source.unwrap_or_default().into(),
             reporting: document.reporting.mode.into(),
             value_basis: document.value_basis.unwrap_or_default().into(),
-            clients_mark_retries: document.clients.marks_retry,
+            clients_mark_retries: document.clients.mark_retries,
             tick: Duration::from_nanos(document.tick_ns),
         })
     }
@@ -103,12 +103,12 @@
         Limits {
             cancel: document.cancel,
             health_checks: document.health_checks,
-            peer_messages: document.peers,
+            peer_messages: document.peer_messages,
             parallel_attempts: document.parallel_attempts,
             retry_after: document.retry_after,
             max_retry_after: Duration::from_nanos(document.max_retry_after_ns),
             max_attempts: document.max_attempts,
-            max_open_requests: document.max_open,
+            max_open_requests: document.max_open_requests,
             streams_per_connection: document.streams_per_connection,
             idle_timeout: Duration::from_nanos(document.idle_timeout_ns),
             connect_timeout: Duration::from_nanos(document.connect_timeout_ns),
@@ -156,13 +156,13 @@
     }
 }
 
-impl From<SizeMeaningDocument> for WeightSource {
-    fn from(document: SizeMeaningDocument) -> Self {
+impl From<WeightSourceDocument> for WeightSource {
+    fn from(document: WeightSourceDocument) -> Self {
         match document {
-            SizeMeaningDocument::None => WeightSource::None,
-            SizeMeaningDocument::Nominal => WeightSource::Nominal,
-            SizeMeaningDocument::Rough => WeightSource::Rough,
-            SizeMeaningDocument::Live => WeightSource::Live,
+            WeightSourceDocument::None => WeightSource::None,
+            WeightSourceDocument::Nominal => WeightSource::Nominal,
+            WeightSourceDocument::Rough => WeightSource::Rough,
+            WeightSourceDocument::Live => WeightSource::Live,
         }
     }
 }
--- a/src/configuration/settings_document/mod.rs
+++ b/src/configuration/settings_document/mod.rs
@@ -13,13 +13,13 @@
 //! | `worth`, `lateShare`, `worthBy` | priority weight, late value, value basis |
 //! | `portion`, `overShareWorth` | quota share, value of a request beyond it |
 //! | `bounds`, `fees` | limits, prices |
-//! | `sendCap`, `parallelTries`, `maxOpen` | maximum attempts, parallel attempts, maximum pending requests |
+//! | `sendCap`, `parallelTries`, `maxOpen` | maximum attempts, parallel attempts, maximum unanswered requests |
 //! | `probes`, `probe`, `on_probe` | health checks |
-//! | `mayTell` | messages between peers |
+//! | `mayTell` | peer messages |
 //! | `dcs`, `stages`, `myNumber` | zones, tiers, peer ID |
 //! | `passesDeadline`, `byArrival` | deadline propagation, key order |
 //! | `discovery`: `automatic`, `subscribe` | lists pushed, lists on request |
-//! | `weightSource` | meaning of an endpoint's size |
+//! | `weightSource` | source of the endpoint weights |
 //! | `coldFrom`, `warmWithinNs` | initial capacity, warm-up time |
 //! | `fallMultiple`, `fallNs` | overload multiple, overload window |
 //! | `askWithinNs` | poll interval |
--- a/src/configuration/settings_document/types.rs
+++ b/src/configuration/settings_document/types.rs
@@ -55,10 +55,11 @@
     /// The number of the tier to which this sidecar sends requests, counted from 0.
     #[serde(default)]
     pub(super) tier: usize,
-    /// The meaning of an endpoint's size: `nominal` (its capacity as registered), `rough` (approximately its capacity
-    /// as registered), `live` (its capacity under its present load) or `off` (none). Default: `off`.
+    /// The source of the endpoint weights in a list: `nominal` (the registered capacity), `rough` (approximately the
+    /// registered capacity), `live` (the capacity under the present load) or `off` (no source; every weight is 1).
+    /// Default: `off`.
     #[serde(rename = "weightSource")]
-    pub(super) size_meaning: Option<SizeMeaningDocument>,
+    pub(super) weight_source: Option<WeightSourceDocument>,
     /// The basis of a request's value: `request` (the same value for all requests of a class) or `work` (a value that
     /// grows with the request's work). Default: `request`.
     #[serde(rename = "worthBy")]
@@ -78,19 +79,20 @@
     OnRequest,
 }
 
-/// The meaning of an endpoint's size.
+/// The source of the endpoint weights in a list.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum SizeMeaningDocument {
-    // Nothing.
+#[schemars(rename = "SizeMeaningDocument")]
+pub(super) enum WeightSourceDocument {
+    // No source: every weight is 1.
     #[default]
     #[serde(rename = "off")]
     None,
-    // Capacity as registered.
+    // The registered capacity.
     Nominal,
-    // Capacity approximately as registered.
+    // Approximately the registered capacity.
     Rough,
-    // Capacity under the present load.
+    // The capacity under the present load.
     Live,
 }
 
@@ -114,8 +116,9 @@
     pub(super) idle_timeout_ns: u64,
     /// The maximum time to establish a connection, in nanoseconds. The attempt to connect fails after it.
     pub(super) connect_timeout_ns: u64,
-    /// The maximum number of pending requests of one sidecar.
-    pub(super) max_open: u64,
+    /// The maximum number of unanswered requests at one sidecar.
+    #[serde(rename = "maxOpen")]
+    pub(super) max_open_requests: u64,
     /// The maximum Retry-After that clients obey, in nanoseconds.
     #[serde(default)]
     pub(super) max_retry_after_ns: u64,
@@ -124,7 +127,7 @@
     pub(super) streams_per_connection: u64,
     /// True if sidecars may send messages to each other.
     #[serde(rename = "mayTell")]
-    pub(super) peers: bool,
+    pub(super) peer_messages: bool,
     /// True if a request may have two attempts in flight at once.
     #[serde(rename = "parallelTries")]
     pub(super) parallel_attempts: bool,
@@ -208,7 +211,8 @@
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct ClientsDocument {
     /// True if clients mark their retries.
-    pub(super) marks_retry: bool,
+    #[serde(rename = "marksRetry")]
+    pub(super) mark_retries: bool,
 }
 
 /// A tenant.
@@ -233,7 +237,8 @@
     #[serde(rename = "passesDeadline")]
     pub(super) propagates_deadline: bool,
     /// True if a request takes less work at an endpoint that has recently served a request with the same key.
-    pub(super) warm_keys: bool,
+    #[serde(rename = "warmKeys")]
+    pub(super) endpoints_cache_by_key: bool,
 }
 
 /// The prices of the resources that the balancer uses, as fractions of the result.
--- a/src/sidecar/node/open_requests.rs
+++ b/src/sidecar/node/open_requests.rs
@@ -23,14 +23,14 @@
     /// Adds a request. Its final answer arrives on the returned channel.
     ///
     /// # Errors
-    /// `max_open` requests are unanswered already, or a request with this id is open.
+    /// `max_open_requests` requests are unanswered already, or a request with this id is open.
     pub fn insert(
         &mut self,
         request: &Request,
         forwarded: ForwardedRequest,
-        max_open: u64,
+        max_open_requests: u64,
     ) -> Result<oneshot::Receiver<FinalAnswer>, SubmitError> {
-        if self.unanswered >= max_open {
+        if self.unanswered >= max_open_requests {
             return Err(SubmitError::TooManyUnanswered);
         }
         if self.requests.contains_key(&request.id) {
--- a/src/sidecar/node/requests.rs
+++ b/src/sidecar/node/requests.rs
@@ -20,13 +20,15 @@
     ) -> Result<oneshot::Receiver<FinalAnswer>, SubmitError> {
         let mut node = self.borrow();
         let settings = node.configuration.settings();
-        let max_open = settings.limits.max_open_requests;
+        let max_open_requests = settings.limits.max_open_requests;
         // A request that was parsed under the settings before a reload may have a tenant that is not in the settings
         // in force.
         request
             .tenant
             .take_if(|tenant| tenant.0 >= settings.tenants.len());
-        let answer = node.requests.insert(&request, forwarded, max_open)?;
+        let answer = node
+            .requests
+            .insert(&request, forwarded, max_open_requests)?;
         node.counters.request_received();
         drop(node);
         self.handle(Event::Request(request));
