--- a/fleet-lab/src/discovery/entry.rs
+++ b/fleet-lab/src/discovery/entry.rs
@@ -36,7 +36,7 @@
     pub zone: ZoneName,
     /// Its machine type.
     #[serde(rename = "type")]
-    pub kind: String,
+    pub machine_type: String,
     /// The group of endpoints that it belongs to.
     pub group: u64,
     /// Its status.
--- a/fleet-lab/src/endpoint/handle.rs
+++ b/fleet-lab/src/endpoint/handle.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// The machine type of all endpoints.
-const MACHINE_KIND: &str = "model";
+const MACHINE_TYPE: &str = "model";
 
 /// Runs many endpoints on a few threads. Dropping it stops the endpoints and the threads.
 #[derive(Debug)]
@@ -85,7 +85,7 @@
             name: self.state.name.as_str().to_owned(),
             address: self.state.address.address(),
             zone: self.state.zone.clone(),
-            kind: MACHINE_KIND.to_owned(),
+            machine_type: MACHINE_TYPE.to_owned(),
             group: 0,
             status: EndpointStatus::Serving,
             weight: 1.0,
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -225,7 +225,7 @@
         name,
         address: SocketAddr::from((Ipv4Addr::new(127, 1, high, low), ENDPOINT_PORT)),
         zone,
-        kind: "m1".to_owned(),
+        machine_type: "m1".to_owned(),
         group: 0,
         status: EndpointStatus::Serving,
         weight: INITIAL_WEIGHT,
--- a/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -64,7 +64,7 @@
         name: entry.name.clone(),
         address: entry.address,
         zone: entry.zone.to_string(),
-        kind: entry.kind.clone(),
+        machine_type: entry.machine_type.clone(),
         group: entry.group,
         status: match entry.status {
             EndpointStatus::Serving => EntryStatus::Serving,
--- a/fleet-lab/tests/discovery.rs
+++ b/fleet-lab/tests/discovery.rs
@@ -33,7 +33,7 @@
         name: name.into(),
         address: SocketAddr::from(([127, 0, 0, 1], 7070)),
         zone: "r1-z1".into(),
-        kind: "m2".into(),
+        machine_type: "m2".into(),
         group: 3,
         status,
         weight: 1.0,
@@ -165,7 +165,7 @@
     let server = start_server(options());
     let mut watch = Client::watch(&server, 0, "&since=1");
     let long_entry = EndpointEntry {
-        kind: "x".repeat(20 << 10),
+        machine_type: "x".repeat(20 << 10),
         ..serving("a")
     };
     for _ in 2..=VERSIONS {
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -64,7 +64,7 @@
         name: "e0".into(),
         address,
         zone: "a".into(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         group: 0,
         status: EndpointStatus::Serving,
         weight: 1.0,
--- a/fleet-lab/tests/simulated_fleet.rs
+++ b/fleet-lab/tests/simulated_fleet.rs
@@ -53,7 +53,7 @@
             .parse()
             .expect("the address is valid"),
         zone: zone(),
-        kind: "m2".into(),
+        machine_type: "m2".into(),
         group: 0,
         status,
         weight: 1.0,
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -42,7 +42,7 @@
     pub zone: String,
     /// The machine type of the endpoint.
     #[serde(rename = "type")]
-    pub kind: String,
+    pub machine_type: String,
     /// The number of the endpoint's group.
     pub group: u64,
     /// The status of the endpoint.
@@ -89,7 +89,7 @@
         EndpointEntry {
             endpoint: entry.name.as_str().into(),
             zone: entry.zone.as_str().into(),
-            machine_type: entry.kind.as_str().into(),
+            machine_type: entry.machine_type.as_str().into(),
             group: GroupId(entry.group),
             readiness: entry.status.into(),
             weight: entry.weight,
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -442,14 +442,14 @@
             .collect::<Vec<_>>(),
         [false, true]
     );
-    let entry_kind = |line: &str| match parse_message(line).expect("an entry") {
+    let entry_machine_type = |line: &str| match parse_message(line).expect("an entry") {
         Message::ListEntry(entry) => entry.machine_type,
         other => panic!("{other:?}"),
     };
     let entry = "entry endpoint=e zone=z pack=0 readiness=U size=1 later=1";
-    assert_eq!(entry_kind(entry), "".into());
+    assert_eq!(entry_machine_type(entry), "".into());
     assert_eq!(
-        entry_kind(&format!("{entry} familyType=fast")),
+        entry_machine_type(&format!("{entry} familyType=fast")),
         "fast".into()
     );
 }
