--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -82,12 +82,12 @@
     pub descriptors: u32,
 }
 
-/// The source of a sidecar's load reports.
+/// The responses of endpoints that carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// Endpoints send load reports with all responses, and the sidecar may not make health checks.
+    /// All responses. The sidecar may not make health checks.
     WithResponses,
-    /// Endpoints send load reports only with their responses to health checks.
+    /// Only responses to health checks.
     WithHealthChecks,
 }
 
@@ -110,7 +110,7 @@
     pub cached_list: Option<ListSnapshot>,
     /// The request classes.
     pub classes: Vec<RequestClass>,
-    /// The source of load reports.
+    /// The responses of endpoints that carry load reports.
     pub load_reports: LoadReports,
     /// Seed of the sidecar's random numbers.
     pub seed: u64,
--- a/fleet-lab/src/sidecar/simulated/attempts.rs
+++ b/fleet-lab/src/sidecar/simulated/attempts.rs
@@ -96,7 +96,7 @@
             sleep_until(self.deadline).await;
             return AttemptResult::without_response(Outcome::TimedOut);
         }
-        let reports = self.reporting == Reporting::WithAnswers;
+        let reports = self.reporting == Reporting::WithResponses;
         AttemptResult {
             outcome: Outcome::Served,
             report: reports.then(|| self.endpoint.load_report()),
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -136,7 +136,7 @@
     );
     assert_eq!((settings.tier, settings.tiers), (0, 2));
     assert_eq!(settings.discovery, DiscoveryMode::OnRequest);
-    assert_eq!(settings.reporting, Reporting::WithAnswers);
+    assert_eq!(settings.reporting, Reporting::WithResponses);
     let classes: Vec<(&str, Idempotency)> = settings
         .classes
         .iter()
--- a/src/configuration/settings_document/conversion.rs
+++ b/src/configuration/settings_document/conversion.rs
@@ -170,7 +170,7 @@
 impl From<ReportingModeDocument> for Reporting {
     fn from(document: ReportingModeDocument) -> Self {
         match document {
-            ReportingModeDocument::WithAnswers => Reporting::WithAnswers,
+            ReportingModeDocument::WithResponses => Reporting::WithResponses,
             ReportingModeDocument::WithHealthChecks => Reporting::WithHealthChecks,
             ReportingModeDocument::Off => Reporting::Off,
         }
--- a/src/configuration/settings_document/types.rs
+++ b/src/configuration/settings_document/types.rs
@@ -267,19 +267,19 @@
 /// The load reports of endpoints.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) struct ReportingDocument {
-    /// The exchanges in which endpoints report their load: `inline` (answers and health checks), `on_probe` (health
-    /// checks only) or `off` (none).
+    /// The responses that carry load reports: `inline` (responses to requests and to health checks), `on_probe` (only
+    /// responses to health checks) or `off` (none).
     #[serde(rename = "how")]
     pub(super) mode: ReportingModeDocument,
 }
 
-/// The exchanges in which endpoints report their load.
+/// The responses that carry load reports.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 pub(super) enum ReportingModeDocument {
-    // Answers and health checks.
+    // Responses to requests and to health checks.
     #[serde(rename = "inline")]
-    WithAnswers,
-    // Health checks only.
+    WithResponses,
+    // Only responses to health checks.
     #[serde(rename = "on_probe")]
     WithHealthChecks,
     // None.
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -30,14 +30,14 @@
     Live,
 }
 
-/// The answers that carry load reports.
+/// The responses of endpoints that carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
-    /// Answers to requests and to health checks.
-    WithAnswers,
-    /// Only answers to health checks.
+    /// Responses to requests and to health checks.
+    WithResponses,
+    /// Only responses to health checks.
     WithHealthChecks,
-    /// No answers.
+    /// No responses.
     Off,
 }
 
@@ -86,7 +86,7 @@
     pub discovery: DiscoveryMode,
     /// The source of the endpoint weights in a list.
     pub weight_source: WeightSource,
-    /// The answers that carry load reports.
+    /// The responses of endpoints that carry load reports.
     pub reporting: Reporting,
     /// The basis on which the value of requests is counted.
     pub value_basis: ValueBasis,
@@ -97,7 +97,7 @@
 }
 
 impl Settings {
-    /// Creates the settings of a single balancer with pushed lists, load reports in answers and no prices; set the
+    /// Creates the settings of a single balancer with pushed lists, load reports in responses and no prices; set the
     /// other fields as needed.
     #[must_use]
     pub fn new(zone: ZoneId, classes: Vec<Class>) -> Self {
@@ -118,7 +118,7 @@
             prices: Prices::default(),
             discovery: DiscoveryMode::Pushed,
             weight_source: WeightSource::None,
-            reporting: Reporting::WithAnswers,
+            reporting: Reporting::WithResponses,
             value_basis: ValueBasis::Request,
             clients_mark_retries: false,
             tick: Duration::from_millis(1),
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -103,7 +103,7 @@
     assert_eq!(
         count(&mut Host::new(settings.clone(), endpoint_entries(4))),
         0,
-        "health checks although answers carry load reports"
+        "health checks although responses carry load reports"
     );
     (settings.limits.health_checks, settings.reporting) = (false, Reporting::WithHealthChecks);
     assert_eq!(
--- a/tests/policy/host.rs
+++ b/tests/policy/host.rs
@@ -81,7 +81,7 @@
         prices: Prices::default(),
         discovery: DiscoveryMode::Pushed,
         weight_source: WeightSource::None,
-        reporting: Reporting::WithAnswers,
+        reporting: Reporting::WithResponses,
         value_basis: ValueBasis::Request,
         clients_mark_retries: false,
         tick: ms(1),
