--- a/fleet-lab/src/experiment.rs
+++ b/fleet-lab/src/experiment.rs
@@ -169,7 +169,7 @@
     pub endpoints: u32,
     /// Mean calls per second of each sidecar.
     pub calls_per_second: f64,
-    /// True if an agent pushes lists. Otherwise the decision module requests them.
+    /// True if an agent pushes lists. Otherwise the balancer requests them.
     pub lists_are_pushed: bool,
     /// The capacity of discovery.
     pub discovery: DiscoveryCapacity,
--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -68,7 +68,7 @@
     pub cached_list: CachedList,
     /// Mean calls per second of each sidecar.
     pub calls_per_second: f64,
-    /// The way in which sidecars get lists: an agent pushes them, or the decision module requests them.
+    /// The way in which sidecars get lists: an agent pushes them, or the balancer requests them.
     pub discovery_mode: DiscoveryMode,
     /// The capacity of discovery.
     pub capacity: DiscoveryCapacity,
--- a/fleet-lab/src/scenario/fleet_restart.rs
+++ b/fleet-lab/src/scenario/fleet_restart.rs
@@ -17,7 +17,7 @@
 ];
 /// The note on the time until sidecars with a cached list are ready. It explains why that time is not zero.
 const READY_NOTE: &str =
-    "Includes the time in which all decision modules start, on two threads of one process.";
+    "Includes the time in which all balancers start, on two threads of one process.";
 
 pub(super) fn run(plan: &FleetRestart, seed: u64) -> Result<ScenarioOutcome, ScenarioError> {
     let mut table = MetricTable::with_size_unit("sidecars");
--- a/fleet-lab/src/scenario/single_sidecar.rs
+++ b/fleet-lab/src/scenario/single_sidecar.rs
@@ -41,7 +41,7 @@
     pub(super) endpoint: &'a EndpointOptions,
     /// The deadline of the calls.
     pub(super) deadline: Duration,
-    /// The source of the load reports.
+    /// The responses of endpoints that carry load reports.
     pub(super) load_reports: LoadReports,
     /// Seed of all random numbers.
     pub(super) seed: u64,
--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -17,8 +17,8 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// The largest number of attempts for a request.
 const MAX_ATTEMPTS: u32 = 3;
-/// The largest number of pending requests of a sidecar.
-const MAX_PENDING: u32 = 10_000;
+/// The largest number of unanswered requests at a sidecar.
+const MAX_OPEN_REQUESTS: u32 = 10_000;
 /// A response that arrives within this time after the deadline still counts.
 const RESPONSE_SLACK: Duration = Duration::from_millis(5);
 /// The longest time between two calls to discovery.
@@ -34,7 +34,7 @@
 const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// The time for which the load must exceed [`OVERLOAD_MULTIPLE`] until the endpoint fails.
 const OVERLOAD_TIME: Duration = Duration::from_secs(2);
-/// The shortest time between two batches of events for the decision module.
+/// The shortest time between two batches of events for the balancer.
 const EVENT_BATCH_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A request class of a sidecar's settings.
@@ -104,7 +104,7 @@
     pub position: TierPosition,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The way in which the sidecar gets lists: an agent pushes them, or the decision module requests them.
+    /// The way in which the sidecar gets lists: an agent pushes them, or the balancer requests them.
     pub discovery_mode: DiscoveryMode,
     /// The list that the sidecar uses until discovery has sent one.
     pub cached_list: Option<ListSnapshot>,
@@ -192,7 +192,7 @@
             "cancel": true,
             "connIdleNs": nanoseconds(IDLE_CLOSE),
             "connectTimeoutNs": nanoseconds(CONNECT_TIMEOUT),
-            "maxOpen": MAX_PENDING,
+            "maxOpen": MAX_OPEN_REQUESTS,
             "maxRetryAfterNs": nanoseconds(MAX_RETRY_AFTER),
             "maxStreams": 1,
             "mayTell": false,
--- a/fleet-lab/src/sidecar/simulated/error.rs
+++ b/fleet-lab/src/sidecar/simulated/error.rs
@@ -26,7 +26,7 @@
     /// The settings object is malformed.
     #[error(transparent)]
     Document(#[from] SettingsDocumentError),
-    /// The decision module rejects the settings.
+    /// The balancer rejects the settings.
     #[error(transparent)]
     Rejected(#[from] SettingsError),
 }
--- a/fleet-lab/src/sidecar/simulated/fleet.rs
+++ b/fleet-lab/src/sidecar/simulated/fleet.rs
@@ -32,7 +32,7 @@
     /// threads.
     ///
     /// # Errors
-    /// Fails if a thread cannot be started or the decision module rejects settings.
+    /// Fails if a thread cannot be started or the balancer rejects settings.
     pub fn start(
         configurations: &[SidecarConfiguration],
         load: SimulatedLoad,
@@ -123,7 +123,7 @@
     }
 
     /// Reloads the sidecars with these indices with new configurations, as SIGHUP does for a real sidecar. If the
-    /// decision module rejects a configuration, this is logged and the sidecar keeps its present one.
+    /// balancer rejects a configuration, this is logged and the sidecar keeps its present one.
     pub fn reload(&self, indices: &[usize], configuration: impl Fn(usize) -> SidecarConfiguration) {
         let mut plans = self.plans();
         for index in indices.iter().copied() {
--- a/fleet-lab/src/sidecar/simulated/mod.rs
+++ b/fleet-lab/src/sidecar/simulated/mod.rs
@@ -1,5 +1,5 @@
-//! Simulated sidecars, hundreds of them in one process. Each has the real decision module and the real discovery
-//! client, which uses loopback sockets. Calls and attempts are simulated in memory.
+//! Simulated sidecars, hundreds of them in one process. Each has the real balancer and the real discovery client,
+//! which uses loopback sockets. Calls and attempts are simulated in memory.
 
 mod attempts;
 mod convergence_times;
--- a/fleet-lab/src/sidecar/simulated/pending_calls.rs
+++ b/fleet-lab/src/sidecar/simulated/pending_calls.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Removes a call once it is answered and has no attempts in flight, as the decision module does.
+    /// Removes a call once it is answered and has no attempts in flight, as the balancer does.
     pub fn remove_if_complete(&mut self, request: &RequestId) {
         if self.0.get(request).is_some_and(PendingCall::is_complete) {
             self.0.remove(request);
--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -1,5 +1,5 @@
-//! One simulated sidecar: a decision module with its pending calls, attempts and timers. Only this Rust module and its
-//! submodules call the decision module.
+//! One simulated sidecar: a balancer with its pending calls, attempts and timers. Only this Rust module and its submodules
+//! call the balancer.
 
 mod actions;
 mod discovery;
@@ -38,7 +38,7 @@
     clock: Clock,
     settings: Settings,
     settings_document: serde_json::Value,
-    /// The decision module's ids of the request classes, in the order of the settings.
+    /// The balancer's ids of the request classes, in the order of the settings.
     classes: Vec<ClassId>,
     balancer: Balancer,
     subscription: Subscription,
@@ -60,10 +60,10 @@
 
 impl SidecarHandle {
     /// Starts a sidecar on the current set of local tasks. The sidecar applies its cached list. It starts a watch
-    /// immediately if lists are pushed or there is no cached list, and otherwise when the decision module requests one.
+    /// immediately if lists are pushed or there is no cached list, and otherwise when the balancer requests one.
     ///
     /// # Errors
-    /// Fails if the decision module rejects the settings.
+    /// Fails if the balancer rejects the settings.
     pub fn start(
         incarnation: Incarnation,
         fleet: Arc<FleetState>,
@@ -89,7 +89,7 @@
             events: VecDeque::new(),
             actions: Vec::new(),
         })));
-        // The decision module requests a list once its present one is too old. Without any list it never requests one.
+        // The balancer requests a list once its present one is too old. Without any list it never requests one.
         let watches_immediately =
             plan.cached_list.is_none() || plan.settings.discovery == DiscoveryMode::Pushed;
         if let Some(cached_list) = &plan.cached_list {
@@ -150,8 +150,8 @@
         self.0.borrow_mut()
     }
 
-    /// Passes an event to the decision module and executes the returned actions in order. Then does the same for the
-    /// events that the actions have queued.
+    /// Passes an event to the balancer and executes the returned actions in order. Then does the same for the events
+    /// that the actions have queued.
     fn handle_event(&self, event: Event) {
         let mut sidecar = self.borrow();
         sidecar.events.push_back(event);
--- a/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/actions.rs
@@ -1,4 +1,4 @@
-//! Execution of the actions that the decision module returns.
+//! Execution of the actions that the balancer returns.
 
 use super::super::attempts::{self, Attempt, HealthCheck};
 use super::super::pending_calls::NextAttempt;
@@ -16,7 +16,7 @@
 use tokio::time::sleep_until;
 
 impl SimulatedSidecar {
-    /// Executes an action. Events that the action causes immediately are queued for the decision module.
+    /// Executes an action. Events that the action causes immediately are queued for the balancer.
     pub(super) fn execute(&mut self, handle: &SidecarHandle, action: Action) {
         match action {
             Action::Send {
@@ -29,7 +29,7 @@
                 self.end_unserved(&request);
             }
             Action::SetTimer { at, token } => self.set_timer(handle, at, token),
-            // If an agent pushes lists, the watch does not depend on the decision module.
+            // If an agent pushes lists, the watch does not depend on the balancer.
             Action::Subscribe | Action::Unsubscribe
                 if self.settings.discovery == DiscoveryMode::Pushed => {}
             Action::Unsubscribe => self.stop_watch(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Schedules a timer event for the decision module.
+    /// Schedules a timer event for the balancer.
     fn set_timer(&self, handle: &SidecarHandle, at: Timestamp, token: u64) {
         let (handle, due) = (handle.clone(), self.clock.instant(at));
         spawn_local(async move {
--- a/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar/discovery.rs
@@ -70,8 +70,8 @@
         Ok(())
     }
 
-    /// Passes an empty list of changes to the decision module. The opening of a watch confirms the present version, and
-    /// the next list may come only with the next change.
+    /// Passes an empty list of changes to the balancer. The opening of a watch confirms the present version, and the
+    /// next list may come only with the next change.
     fn watch_opened(&self, source: Source) {
         let sidecar = self.borrow();
         sidecar.fleet.milestones[sidecar.incarnation.index]
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Passes a failure to the decision module, unless the sidecar no longer uses this source.
+    /// Passes a failure to the balancer, unless the sidecar no longer uses this source.
     fn discovery_failed(&self, source: Source, failure: DiscoveryFailure) {
         let mut sidecar = self.borrow();
         if source == sidecar.subscription.source() {
--- a/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar_plan.rs
@@ -1,4 +1,4 @@
-//! The configuration of a simulated sidecar, in the types of the decision module and the discovery client.
+//! The configuration of a simulated sidecar, in the types of the balancer and the discovery client.
 
 use super::error::{FleetError, InvalidSettings};
 use crate::discovery::{EndpointEntry, EndpointStatus, ListSnapshot};
@@ -24,7 +24,7 @@
     /// Converts a configuration and checks its settings.
     ///
     /// # Errors
-    /// Fails if the decision module rejects the settings.
+    /// Fails if the balancer rejects the settings.
     pub fn from_configuration(configuration: &SidecarConfiguration) -> Result<Self, FleetError> {
         let settings_document = configuration.settings();
         let settings =
--- a/fleet-lab/src/sidecar/simulated/usage.rs
+++ b/fleet-lab/src/sidecar/simulated/usage.rs
@@ -7,14 +7,14 @@
 pub struct FleetUsage {
     /// Calls that were received.
     pub calls: u64,
-    /// Attempts that the decision modules started.
+    /// Attempts that the balancers started.
     pub attempts: u64,
     /// Calls that were served.
     pub served: u64,
     /// Calls that were rejected or failed.
     #[serde(rename = "not_served")]
     pub unserved: u64,
-    /// Health checks that the decision modules started.
+    /// Health checks that the balancers started.
     #[serde(rename = "probes")]
     pub health_checks: u64,
     /// Failed calls to discovery and lost watches.
@@ -29,7 +29,7 @@
 pub struct SecondCounts {
     /// Calls that were received.
     pub calls: u64,
-    /// Attempts that the decision modules started.
+    /// Attempts that the balancers started.
     pub attempts: u64,
     /// Calls that were served.
     pub served: u64,
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of endpoints, sent within a budget if answers to requests carry no load reports.
+//! Health checks of endpoints, sent within a budget if responses to requests carry no load reports.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -20,7 +20,7 @@
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Balancer {
-    /// Adds the share of one request to the health check budget. The share is zero if answers carry load reports, and
+    /// Adds the share of one request to the health check budget. The share is zero if responses carry load reports, and
     /// small if health checks are costly.
     pub(super) fn earn_health_checks(&mut self) {
         let are_needed = self.settings.limits.health_checks
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -84,8 +84,8 @@
     );
 }
 
-/// Guards the cost of health checks: they are rarer at a high price, and none is sent if answers carry load reports or
-/// the limits forbid health checks.
+/// Guards the cost of health checks: they are rarer at a high price, and none is sent if responses carry load reports
+/// or the limits forbid health checks.
 #[test]
 fn health_check_rate_depends_on_price_and_settings() {
     let count =
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -244,7 +244,7 @@
 }
 
 /// An attempt without a response times out after the latency objective, closes its connection and is not repeated. The
-/// request is ended by the decision module and not by the fallback at the deadline, which would write a log line.
+/// request is ended by the balancer and not by the fallback at the deadline, which would write a log line.
 #[test]
 fn attempt_without_response_times_out_once() {
     let endpoint = Endpoint::start(|_| EndpointAction::Hang);
