--- a/fleet-lab/src/sidecar/simulated/sidecar.rs
+++ b/fleet-lab/src/sidecar/simulated/sidecar.rs
@@ -1,5 +1,5 @@
-//! One simulated sidecar: a balancer with its pending calls, attempts and timers. Only this Rust module and its submodules
-//! call the balancer.
+//! One simulated sidecar: a balancer with its pending calls, attempts and timers. Only this Rust module and its
+//! submodules call the balancer.
 
 mod actions;
 mod discovery;
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -35,7 +35,7 @@
 
 /// Watches an agent that pushes lists, and reopens the watch with backoff whenever it fails.
 ///
-/// The balancer neither schedules these calls nor is notified of failures. Time-outs are not logged, because an agent
+/// The balancer neither schedules these calls nor is notified of failures. Timeouts are not logged, because an agent
 /// is silent while discovery is down.
 pub(super) async fn watch_agent<C: ListConsumer>(consumer: C, source: Source) {
     let mut backoff = Backoff::new(consumer.jitter_seed());
--- a/src/discovery/list_decoder.rs
+++ b/src/discovery/list_decoder.rs
@@ -22,7 +22,7 @@
     pub(super) parse_count: usize,
 }
 
-/// The content of a chunk with regard to the silence time-out.
+/// The content of a chunk with regard to the silence timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChunkContent {
     /// The chunk completed a list, or it is a heartbeat between lists.
--- a/src/discovery/list_decoder_tests.rs
+++ b/src/discovery/list_decoder_tests.rs
@@ -35,7 +35,7 @@
     assert_eq!(content.expect("well-formed"), ChunkContent::ListOrHeartbeat);
 }
 
-/// Guards the silence time-out. A heartbeat must count as received data between lists, but not within an incomplete
+/// Guards the silence timeout. A heartbeat must count as received data between lists, but not within an incomplete
 /// list.
 #[test]
 fn heartbeat_within_a_list_is_no_progress() {
@@ -49,7 +49,7 @@
     assert_eq!(content.expect("well-formed"), ChunkContent::NothingNew);
 }
 
-/// Guards against a time-out during long lists that arrive slowly. Each part of a list must count as received data,
+/// Guards against a timeout during long lists that arrive slowly. Each part of a list must count as received data,
 /// even if it does not complete the list.
 #[test]
 fn part_of_a_list_is_progress() {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -11,13 +11,13 @@
 //!   version is known, the client fetches the full list before it opens the watch.
 //!
 //! A watch is lost when its connection ends, an event is malformed or stale, or nothing is received for
-//! [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT) (**silence time-out**). A long list may take longer than the
-//! time-out if further parts of it keep arriving. A new watch resumes from the last known version, so no change is
+//! [`DISCOVERY_TIMEOUT`](crate::policy::DISCOVERY_TIMEOUT) (**silence timeout**). A long list may take longer than the
+//! timeout if further parts of it keep arriving. A new watch resumes from the last known version, so no change is
 //! missed.
 //!
 //! # Hedging
 //!
-//! A call without a response is not abandoned after a time-out. It keeps its place in discovery's queue, and a hedged
+//! A call without a response is not abandoned after a timeout. It keeps its place in discovery's queue, and a hedged
 //! call is made beside it; the first successful response counts. At most two calls are outstanding at a time.
 //!
 //! # Failures
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -32,7 +32,7 @@
 
 /// Guards against delays that are too long to meet the propagation deadline of changes. The next call must begin within
 /// [`MAX_CALL_INTERVAL`] of the start of the failed call, or else within the maximum first delay of its end. The delay
-/// and the full time-out must fit within the deadline. Delays also have a minimum.
+/// and the full timeout must fit within the deadline. Delays also have a minimum.
 #[test]
 fn delay_stays_within_its_bounds() {
     for call_duration in [
@@ -100,7 +100,7 @@
     }
 }
 
-/// Guards the time at which a call is hedged. It must be after the full time-out and within [`MAX_CALL_INTERVAL`],
+/// Guards the time at which a call is hedged. It must be after the full timeout and within [`MAX_CALL_INTERVAL`],
 /// regardless of the number of earlier hedged calls.
 #[test]
 fn hedge_delay_stays_within_its_bounds() {
--- a/tests/sidecar/caller_limits.rs
+++ b/tests/sidecar/caller_limits.rs
@@ -254,7 +254,7 @@
     std::fs::remove_file(path).expect("the file is removed");
 }
 
-/// Guards slow callers among many idle clients: one whose head arrives in pieces is not evicted while others are idle.
+/// Guards slow callers among many idle clients: one whose head arrives in chunks is not evicted while others are idle.
 #[test]
 fn eviction_spares_slow_head() {
     let endpoint = Endpoint::start(|_| respond_ok("x"));
@@ -266,8 +266,8 @@
         .expect("the timeout is set");
     let request = get_request("5");
     let mut idle = Vec::new();
-    for piece in request.as_bytes().chunks(request.len().div_ceil(5)) {
-        slow.write_all(piece).expect("the connection is open");
+    for chunk in request.as_bytes().chunks(request.len().div_ceil(5)) {
+        slow.write_all(chunk).expect("the connection is open");
         // All rounds together open more connections than the callers' limit on descriptors.
         for _ in 0..20 {
             let mut client = sidecar.client();
--- a/tests/sidecar/discovery_watch.rs
+++ b/tests/sidecar/discovery_watch.rs
@@ -42,8 +42,8 @@
 
     let last_brace = second_rest.rfind('}').expect("a closing brace");
     let (second_middle, second_end) = second_rest.split_at(last_brace);
-    for piece in second_middle.as_bytes().chunks(7) {
-        watch.write_chunk(std::str::from_utf8(piece).expect("text"));
+    for chunk in second_middle.as_bytes().chunks(7) {
+        watch.write_chunk(std::str::from_utf8(chunk).expect("text"));
     }
     // The sidecar reads all of these chunks before it answers a later call.
     assert_eq!(sidecar.metric("members_unavailable"), Some(1));
@@ -262,17 +262,17 @@
 
 /// The number of entries in the list of the largest fleet.
 const LONG_LIST_ENTRIES: usize = 3_200;
-/// The number of pieces of a long list, and the pause after each. The pieces arrive steadily, but together they take
+/// The number of chunks of a long list, and the pause after each. The chunks arrive steadily, but together they take
 /// longer than a watch may be silent.
-const LONG_LIST_PIECES: usize = 7;
-const PAUSE_BETWEEN_PIECES: Duration = Duration::from_millis(900);
+const LONG_LIST_CHUNKS: usize = 7;
+const PAUSE_BETWEEN_CHUNKS: Duration = Duration::from_millis(900);
 
-/// Writes a text in pieces, with a pause after each.
+/// Writes a text in chunks, with a pause after each.
 fn write_slowly(text: &str, mut write: impl FnMut(&str)) {
-    let piece_bytes = text.len().div_ceil(LONG_LIST_PIECES);
-    for piece in text.as_bytes().chunks(piece_bytes) {
-        write(std::str::from_utf8(piece).expect("ASCII"));
-        std::thread::sleep(PAUSE_BETWEEN_PIECES);
+    let chunk_bytes = text.len().div_ceil(LONG_LIST_CHUNKS);
+    for chunk in text.as_bytes().chunks(chunk_bytes) {
+        write(std::str::from_utf8(chunk).expect("ASCII"));
+        std::thread::sleep(PAUSE_BETWEEN_CHUNKS);
     }
 }
 
@@ -294,7 +294,7 @@
     let mut watch = discovery.next_call();
     watch.open_watch();
 
-    write_slowly(&long_list(&endpoint), |piece| watch.write_chunk(piece));
+    write_slowly(&long_list(&endpoint), |chunk| watch.write_chunk(chunk));
 
     wait_until("the list is received", || {
         sidecar.metric("members") == Some(LONG_LIST_ENTRIES as u64)
@@ -318,7 +318,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
         list.len()
     ));
-    write_slowly(&list, |piece| fetch.write(piece));
+    write_slowly(&list, |chunk| fetch.write(chunk));
 
     wait_until("the list is received", || {
         sidecar.metric("members") == Some(LONG_LIST_ENTRIES as u64)
--- a/tests/sidecar/endpoint_lists.rs
+++ b/tests/sidecar/endpoint_lists.rs
@@ -151,7 +151,7 @@
     let mut written = Vec::new();
     sidecar_stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("a timeout");
     sidecar_stream
         .read_to_end(&mut written)
         .expect("the sidecar closes it");
--- a/tests/sidecar/hot_restart_formats.rs
+++ b/tests/sidecar/hot_restart_formats.rs
@@ -100,7 +100,7 @@
         let stream = UnixStream::connect(socket).expect("a connection");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         let mut byte = [0];
         (&stream).read_exact(&mut byte).expect("the hand-over byte");
         assert_eq!(byte, HANDOVER_BYTE);
@@ -112,7 +112,7 @@
         let (stream, _) = socket.accept().expect("the new process connects");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         let descriptors = [listener.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
--- a/tests/sidecar/large_requests.rs
+++ b/tests/sidecar/large_requests.rs
@@ -216,11 +216,11 @@
         &mut client,
         request_head("unsafe", "Transfer-Encoding: chunked").as_bytes(),
     );
-    let piece = chunk(&vec![b'x'; MB]);
+    let encoded_chunk = chunk(&vec![b'x'; MB]);
     let mut writer = client.get_ref().try_clone().expect("a second handle");
     let writing = thread::spawn(move || {
         (0..60)
-            .take_while(|_| writer.write_all(&piece).is_ok())
+            .take_while(|_| writer.write_all(&encoded_chunk).is_ok())
             .count()
     });
     assert_eq!(status(&read_head(&mut client).expect("a response")), "413");
@@ -271,7 +271,7 @@
     assert_eq!(sidecar.metric("upstream_requests"), Some(0));
 }
 
-/// A large body that arrives at 64 kB a second is received, although it takes longer than a small one may.
+/// A large body that arrives at 64 kB per second is received, although it takes longer than a small one may.
 #[test]
 fn slow_client_above_minimum_rate_is_served() {
     let body = Arc::new(pattern(320_000));
@@ -282,8 +282,8 @@
         &mut client,
         request_head("keyed", &format!("Content-Length: {}", body.len())).as_bytes(),
     );
-    for piece in body.chunks(6_400) {
-        send(&mut client, piece);
+    for body_chunk in body.chunks(6_400) {
+        send(&mut client, body_chunk);
         thread::sleep(Duration::from_millis(100));
     }
     assert_eq!(status(&read_head(&mut client).expect("a response")), "200");
--- a/tests/sidecar/large_responses.rs
+++ b/tests/sidecar/large_responses.rs
@@ -97,12 +97,12 @@
 fn unread_responses_are_not_buffered() {
     const LARGE: usize = 32 * MB;
     let endpoint = RawEndpoint::start(move |_, stream| {
-        let piece = vec![b'x'; MB];
+        let body_chunk = vec![b'x'; MB];
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
         let mut bytes_left = LARGE;
         let mut written = stream.get_mut().write_all(head.as_bytes());
         while written.is_ok() && bytes_left > 0 {
-            written = stream.get_mut().write_all(&piece);
+            written = stream.get_mut().write_all(&body_chunk);
             bytes_left -= MB;
         }
     });
@@ -123,10 +123,10 @@
     );
     let growth = sidecar.memory_kb() - memory_before;
     assert!(growth < 16 << 10, "{growth} kB for 256 MB");
-    let mut piece = vec![0; MB];
+    let mut body_chunk = vec![0; MB];
     for client in &mut clients {
         for _ in 0..LARGE / MB {
-            client.read_exact(&mut piece).expect("the rest");
+            client.read_exact(&mut body_chunk).expect("the rest");
         }
     }
     wait_until("all requests are served", || {
@@ -191,8 +191,8 @@
             )
             .as_bytes(),
         );
-        for piece in response_body.chunks(10_000) {
-            send(stream, piece);
+        for body_chunk in response_body.chunks(10_000) {
+            send(stream, body_chunk);
         }
     });
     let discovery = Discovery::start();
--- a/tests/sidecar/operators.rs
+++ b/tests/sidecar/operators.rs
@@ -174,7 +174,7 @@
         .expect("it is open");
     half_closed_stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("a timeout");
     response.clear();
     half_closed_stream
         .read_to_string(&mut response)
@@ -213,7 +213,7 @@
     for stream in &mut idle_connections {
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         let mut response = String::new();
         let _ = stream.read_to_string(&mut response); // the connection is closed or reset
         assert!(
