--- a/src/sidecar/node/reload.rs
+++ b/src/sidecar/node/reload.rs
@@ -13,7 +13,7 @@
     #[error("{0} is missing, which was there before")]
     MissingKey(String),
     /// The balancer cannot work with the settings.
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[source] SettingsError),
 }
 
--- a/src/sidecar/process.rs
+++ b/src/sidecar/process.rs
@@ -40,7 +40,7 @@
         address: SocketAddr,
         source: io::Error,
     },
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
     #[error("hot restart failed: {0}")]
     HotRestart(#[source] io::Error),
