--- a/src/configuration/settings_document/types.rs
+++ b/src/configuration/settings_document/types.rs
@@ -233,7 +233,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct ServiceDocument {
-    /// True if calls carry the remaining time of the request.
+    /// True if requests from the previous tier carry the time left until the deadline.
     #[serde(rename = "passesDeadline")]
     pub(super) propagates_deadline: bool,
     /// True if a request takes less work at an endpoint that has recently served a request with the same key.
@@ -249,7 +249,7 @@
     pub(super) connection: f64,
     /// The price of attempts that cross zones, per first attempt.
     pub(super) cross_zone: f64,
-    /// The price of 100 lines of endpoint lists, per first attempt.
+    /// The price of 100 entries of endpoint lists, per first attempt.
     pub(super) discovery: f64,
     /// The price of new connections, per first attempt.
     pub(super) handshake: f64,
@@ -291,7 +291,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct RulesDocument {
-    /// The time after a client's deadline within which a final answer still counts, in nanoseconds.
+    /// The time after a client's deadline within which a final answer still counts as in time, in nanoseconds.
     pub(super) answer_slack_ns: u64,
     /// The maximum time between two calls of discovery, in nanoseconds. If a sidecar has made no call for longer, it
     /// counts as notified of all changes.
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -13,7 +13,7 @@
         request: RequestId,
         /// The endpoint that it is sent to.
         endpoint: EndpointId,
-        /// How long to wait for the answer; `None` means until the request's deadline.
+        /// The maximum time to wait for the answer; `None` means until the request's deadline.
         timeout: Option<Duration>,
     },
     /// Cancel an attempt.
@@ -37,7 +37,7 @@
     },
     /// Report an [`Event::Timer`](super::Event::Timer) at or after a point in time.
     SetTimer {
-        /// When the timer expires.
+        /// The time at which the timer expires.
         at: Timestamp,
         /// The token that the event carries.
         token: u64,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -43,12 +43,12 @@
     /// The slow start clock, which counts sends. A request that no healthy endpoint can take is counted before it is
     /// sent.
     pub(super) slow_start_clock: f64,
-    /// When an unsafe request was last lost: its attempt failed and may have run.
+    /// The time at which an unsafe request was last lost: its attempt failed and may have run.
     pub(super) last_unsafe_loss: Option<Timestamp>,
     pub(super) discovery_schedule: DiscoverySchedule,
     /// The time since which no watch confirms that the list is current; `None` while one does.
     pub(super) list_unconfirmed_since: Option<Timestamp>,
-    /// When the timer that was last set at the host expires.
+    /// The time at which the timer that was last set at the host expires.
     pub(super) timer_expires_at: Option<Timestamp>,
 }
 
--- a/src/policy/class.rs
+++ b/src/policy/class.rs
@@ -9,7 +9,7 @@
 /// The priority level and the answer times of a class.
 #[derive(Clone, Debug)]
 pub(super) struct ClassState {
-    /// When the class was removed from the settings. Pending requests may still refer to a removed class.
+    /// The time at which the class was removed from the settings. Pending requests may still refer to a removed class.
     pub(super) retired_at: Option<Timestamp>,
     /// The priority level of its requests; 0 is the lowest.
     pub(super) level: usize,
--- a/src/policy/class_settings.rs
+++ b/src/policy/class_settings.rs
@@ -36,19 +36,19 @@
     pub name: String,
     /// The latency objective: an answer within it has full value.
     pub objective: Duration,
-    /// The extension of the objective, as a multiple of the cost hint of a request.
+    /// The growth of the objective with a request's work, as a multiple of its cost hint.
     pub objective_per_work: f64,
-    /// How long a client waits for an answer.
+    /// The time after which a client gives up.
     pub deadline: Duration,
     /// The value of one request, which orders the classes by priority.
     pub priority_weight: f64,
     /// The fraction of its value that an answer after the objective keeps.
     pub late_value: f64,
-    /// How often a request may run.
+    /// The idempotency of its requests.
     pub idempotency: Idempotency,
-    /// Whether the answer is streamed.
+    /// True if the answer is a stream.
     pub stream: bool,
-    /// Whether requests with the same key are sent one at a time, in order of arrival at this balancer.
+    /// True if requests with the same key are sent one at a time, in order of arrival at this balancer.
     pub is_key_ordered: bool,
 }
 
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -6,20 +6,20 @@
 /// The state of calls of discovery: failures, the age of the list, and the time of the next call.
 #[derive(Debug, Default)]
 pub(super) struct DiscoverySchedule {
-    /// When the balancer opens a watch again.
+    /// The time at which the balancer opens a watch again.
     pub(super) next_call: Option<Timestamp>,
-    /// When the last call failed or was rejected. The call after it starts later, at a time that is not known here,
-    /// because the host may also call discovery on its own.
+    /// The time at which the last call failed or was rejected. The call after it starts later, at a time that is not
+    /// known here, because the host may also call discovery on its own.
     pub(super) last_failure: Timestamp,
     /// The number of failed or rejected calls since the last list.
     pub(super) failures_in_row: u32,
-    /// When data was last received on the lost watch. Cleared when the failure is handled.
+    /// The time at which data was last received on the lost watch. Cleared when the failure is handled.
     pub(super) last_received_at: Option<Timestamp>,
     /// The time since which the list has been stale although discovery could be reached; `None` while it is current.
     pub(super) stale_since: Option<Timestamp>,
     /// A call has reached discovery since the list became stale, or since the last failed call.
     pub(super) is_discovery_reached: bool,
-    /// How long the list was stale before it last became current again.
+    /// The time for which the list was stale before it last became current again.
     pub(super) catch_up_time: Duration,
 }
 
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -34,14 +34,14 @@
     /// The list names it.
     pub(super) is_listed: bool,
     pub(super) started_at: Option<Timestamp>,
-    /// When the end of its process was last noticed, while the list still names that process.
+    /// The time at which the end of its process was last noticed, while the list still names that process.
     pub(super) process_ended_at: Option<Timestamp>,
     /// The list was overdue, and no connection proved that the listed process still runs.
     pub(super) is_process_unknown: bool,
     /// It is sent nothing, because its process has ended or is unknown and the list may be outdated.
     pub(super) is_suspended: bool,
-    /// When the operators last enabled it. It may have restarted while it was disabled, which the list shows only
-    /// later.
+    /// The time at which the operators last enabled it. It may have restarted while it was disabled, which the list
+    /// shows only later.
     pub(super) enabled_at: Option<Timestamp>,
     /// It was enabled and has been sent nothing since. The next request that it can take is sent to it.
     pub(super) awaits_first_send: bool,
@@ -57,10 +57,10 @@
     pub(super) gapping_levels: usize,
     /// The number of priority levels, from the lowest, for which it is discarding.
     pub(super) discarding_levels: usize,
-    /// When the overload state expires.
+    /// The time at which the overload state expires.
     pub(super) state_expires_at: Timestamp,
     pub(super) last_send: Timestamp,
-    /// When the gap after the last send ends.
+    /// The time at which the gap after the last send ends.
     pub(super) gap_ends_at: Timestamp,
     /// The value of the slow start clock at which it may be sent its next request while it is warming up.
     pub(super) slow_start_slot: f64,
@@ -68,7 +68,7 @@
     pub(super) next_health_check: Timestamp,
     /// The recent failure rate of each class.
     pub(super) failures: Vec<FailureRate>,
-    /// When it last served an unsafe request; `None` if an unsafe request has failed there since.
+    /// The time at which it last served an unsafe request; `None` if an unsafe request has failed there since.
     pub(super) unsafe_served_at: Option<Timestamp>,
 }
 
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -35,7 +35,7 @@
     pub readiness: Readiness,
     /// The relative number of requests that it can take. For its source, see [`WeightSource`](super::WeightSource).
     pub weight: f64,
-    /// When its process last started; `None` if that is long ago.
+    /// The time at which its process last started; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
 }
 
@@ -67,7 +67,7 @@
     pub errors_per_s: Option<f64>,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was served.
@@ -110,13 +110,13 @@
     pub tenant: Option<TenantId>,
     /// Its key, which identifies the object that it concerns.
     pub key: Option<Key>,
-    /// When the client stops waiting for an answer.
+    /// The time at which the client stops waiting for an answer.
     pub deadline: Timestamp,
     /// The work that it is expected to need.
     pub cost_hint: Option<Duration>,
-    /// Whether it is marked as a client's retry.
+    /// True if it is marked as a client's retry.
     pub client_retry: bool,
-    /// Whether it is a write.
+    /// True if it is a write.
     pub write: bool,
 }
 
@@ -127,11 +127,11 @@
     pub request: RequestId,
     /// The number of the attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
     /// The time since it was sent.
     pub elapsed: Duration,
-    /// Whether the request has ended, by this attempt or earlier.
+    /// True if the request has ended, by this attempt or earlier.
     pub request_ended: bool,
     /// The load report of the endpoint, if there was one.
     pub report: Option<LoadReport>,
@@ -159,7 +159,7 @@
     ListConfirmed,
     /// No watch confirms any longer that the list is current.
     ListUnconfirmed {
-        /// When data was last received on a watch.
+        /// The time at which data was last received on a watch.
         since: Timestamp,
     },
     /// The list is overdue, and an attempt reached an endpoint whose process is unknown. The process of an endpoint is
@@ -209,7 +209,7 @@
     HealthCheckEnded {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
         /// The time since it was sent.
         elapsed: Duration,
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -1,31 +1,32 @@
-//! The limits that the environment sets for a balancer and its host.
+//! The limits that the platform sets for a balancer and its host.
 
 use std::time::Duration;
 
-/// The limits that the environment sets for a balancer and its host.
+/// The limits that the platform sets for a balancer and its host.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Whether [`Action::Cancel`](super::Action::Cancel) is permitted.
+    /// True if [`Action::Cancel`](super::Action::Cancel) is permitted.
     pub cancel: bool,
-    /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) is permitted.
+    /// True if [`Action::HealthCheck`](super::Action::HealthCheck) is permitted.
     pub health_checks: bool,
-    /// Whether [`Action::SendPeerMessage`](super::Action::SendPeerMessage) is permitted.
+    /// True if [`Action::SendPeerMessage`](super::Action::SendPeerMessage) is permitted.
     pub peer_messages: bool,
-    /// Whether a request may have two attempts in flight.
+    /// True if a request may have two attempts in flight at once.
     pub parallel_attempts: bool,
-    /// Whether clients are sent the Retry-After value of [`Action::Reject`](super::Action::Reject).
+    /// True if clients obey the Retry-After value of [`Action::Reject`](super::Action::Reject). They are sent one only
+    /// then.
     pub retry_after: bool,
-    /// The longest Retry-After value that clients obey, which is also the one that they are sent.
+    /// The maximum Retry-After value that clients obey, which is also the one that they are sent.
     pub max_retry_after: Duration,
-    /// The highest number of attempts of a request.
+    /// The maximum number of attempts of a request.
     pub max_attempts: usize,
-    /// The highest number of unanswered requests at a host.
+    /// The maximum number of unanswered requests at a host.
     pub max_open_requests: u64,
-    /// The highest number of concurrent attempts on one connection.
+    /// The maximum number of concurrent attempts on one connection.
     pub streams_per_connection: u64,
-    /// The time after which idle connections close.
+    /// The idle time after which endpoints close a connection.
     pub idle_timeout: Duration,
-    /// The time after which an attempt to connect fails.
+    /// The maximum time to establish a connection. The attempt to connect fails after it.
     pub connect_timeout: Duration,
 }
 
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -5,16 +5,17 @@
 /// The parameters of the rules that a balancer must follow.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// How long after the client's deadline a final answer still counts as in time.
+    /// The time after a client's deadline within which a final answer still counts as in time.
     pub answer_slack: Duration,
-    /// The time within which sends to an endpoint must stop after a list has shown it as draining or removed.
+    /// The time within which a balancer must stop sending requests to an endpoint after a list has shown it as
+    /// draining or removed.
     pub drain_grace: Duration,
-    /// The longest time between calls of discovery if lists are fetched. A change of the list counts as received after
+    /// The maximum time between two calls of discovery if lists are fetched. A change of the list counts as received after
     /// this time.
     pub poll_interval: Duration,
     /// The lowest capacity of an endpoint at its start, as a fraction of its full capacity.
     pub initial_capacity: f64,
-    /// The longest time from an endpoint's start until it is warm.
+    /// The time after its start within which an endpoint reaches its full capacity.
     pub warm_up_time: Duration,
     /// The load above which a warming endpoint fails, as a multiple of its present capacity. The load has to last for
     /// the overload window.
@@ -23,7 +24,8 @@
     pub overload_window: Duration,
     /// The time within which idle connections to a draining endpoint must be closed; `None` if that is not required.
     pub drain_close: Option<Duration>,
-    /// The cooldown of a key after an attempt that may still run, for classes in key order.
+    /// The cooldown of a key: the time for which no request with the same key is sent after an attempt that may still
+    /// run. It applies to classes in key order.
     pub key_cooldown: Option<Duration>,
 }
 
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -7,7 +7,7 @@
 use super::rules::Rules;
 use std::time::Duration;
 
-/// How a balancer receives endpoint lists.
+/// The delivery of endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// An agent pushes lists without a request.
@@ -55,7 +55,7 @@
 pub struct Settings {
     /// The number of balancers in this tier.
     pub balancers: u32,
-    /// The number of this balancer within the tier.
+    /// The number of this balancer in its tier, counted from 0.
     pub peer_id: PeerId,
     /// The zone of this balancer.
     pub zone: ZoneId,
@@ -65,10 +65,10 @@
     pub tier: usize,
     /// The number of tiers.
     pub tiers: usize,
-    /// Whether requests from the previous tier carry the time left until the deadline. Otherwise they carry the whole
+    /// True if requests from the previous tier carry the time left until the deadline. Otherwise they carry the whole
     /// deadline of their class.
     pub propagates_deadline: bool,
-    /// Whether endpoints do less work for keys that they have seen recently.
+    /// True if a request takes less work at an endpoint that has recently served a request with the same key.
     pub endpoints_cache_by_key: bool,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -76,13 +76,13 @@
     pub tenants: Vec<Tenant>,
     /// The fraction of its value that a request beyond its tenant's quota share keeps.
     pub over_share_value: f64,
-    /// The limits that the environment sets.
+    /// The limits that the platform sets.
     pub limits: Limits,
     /// The parameters of the rules that the balancer must follow.
     pub rules: Rules,
     /// The prices of the resources that the balancer uses.
     pub prices: Prices,
-    /// How endpoint lists are received.
+    /// The delivery of endpoint lists.
     pub discovery: DiscoveryMode,
     /// The source of the endpoint weights in a list.
     pub weight_source: WeightSource,
@@ -90,9 +90,9 @@
     pub reporting: Reporting,
     /// The basis on which the value of requests is counted.
     pub value_basis: ValueBasis,
-    /// Whether clients mark their retries.
+    /// True if clients mark their retries.
     pub clients_mark_retries: bool,
-    /// The least time between two batches of events.
+    /// The minimum time between two batches of events.
     pub tick: Duration,
 }
 
--- a/tests/policy/sequence_rules.rs
+++ b/tests/policy/sequence_rules.rs
@@ -13,7 +13,7 @@
     (endpoint / 2) as u64
 }
 
-/// How and when an attempt ended.
+/// The outcome of an attempt and the time of its end.
 pub struct AttemptEnding {
     pub outcome: Outcome,
     pub at: Timestamp,
--- a/tests/sidecar/cancellation_support/connection_close.rs
+++ b/tests/sidecar/cancellation_support/connection_close.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// How a client closes its connection.
+/// The way in which a client closes its connection.
 #[derive(Clone, Copy, Debug)]
 pub enum CloseKind {
     /// Closes both directions by FIN, after the written bytes.
--- a/tests/sidecar/cancellation_support/waiting_client.rs
+++ b/tests/sidecar/cancellation_support/waiting_client.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How a client disconnects, and the bytes that it writes after its request before it does.
+/// The way in which a client disconnects, and the bytes that it writes after its request before it does.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
     /// It closes the connection, which sends a FIN.
--- a/tests/sidecar/stubs/endpoint.rs
+++ b/tests/sidecar/stubs/endpoint.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// How an endpoint reacts to a request.
+/// The reaction of an endpoint to a request.
 pub enum EndpointAction {
     /// Writes this response and keeps the connection open.
     Respond(String),
--- a/tests/sidecar/stubs/message.rs
+++ b/tests/sidecar/stubs/message.rs
@@ -8,7 +8,7 @@
 /// The maximum time of a wait, far longer than any step of a test takes. A wait that times out fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often a condition is checked while it is waited for.
+/// The interval at which a condition is checked while it is waited for.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Returns whether a connection is open and has no unread bytes.
--- a/tests/sidecar/stubs/restartable_endpoint.rs
+++ b/tests/sidecar/stubs/restartable_endpoint.rs
@@ -9,7 +9,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the threads of an endpoint's process check if it has ended.
+/// The interval at which the threads of an endpoint's process check if it has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// An endpoint that answers each request with 200 while it runs. When it ends, its connections are reset and new ones
@@ -22,7 +22,7 @@
     _reservation: Socket,
 }
 
-/// What the endpoint does with a connection after a response.
+/// The endpoint's treatment of a connection after a response.
 #[derive(Clone, Copy, PartialEq)]
 pub enum AfterResponse {
     KeepOpen,
