--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,4 +1,7 @@
 //! The sidecar's configuration: its file format, its validation, its JSON Schema and the effects of changes.
+//!
+//! The configuration is the whole file. Its key `settings` has the balancer's settings, in the format of
+//! [`settings_document`].
 
 mod config;
 mod difference;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! The decisions of a load balancer with overload control, without I/O. Each caller has one [`Balancer`].
+//! The decision module: the decisions of a load balancer with overload control, without I/O. An instance of it is a
+//! [`Balancer`], and each sidecar has one.
 //!
 //! Each endpoint has an overload state for each priority level: clear, gapping or discarding. The state follows from
 //! the endpoint's queue length and from three thresholds of the level: abatement, onset and discard. An endpoint
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -10,8 +10,8 @@
     /// The time within which a balancer must stop sending requests to an endpoint after a list has shown it as
     /// draining or removed.
     pub drain_grace: Duration,
-    /// The maximum time between two calls of discovery if lists are fetched. A change of the list counts as received after
-    /// this time.
+    /// The maximum time between two calls of discovery if lists are fetched. A change of the list counts as received
+    /// after this time.
     pub poll_interval: Duration,
     /// The lowest capacity of an endpoint at its start, as a fraction of its full capacity.
     pub initial_capacity: f64,
--- a/src/sidecar/node/mod.rs
+++ b/src/sidecar/node/mod.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | `state.rs` | the components below, the balancer, and the queue of events |
 //! | `open_requests.rs`, `open_request.rs` | open requests: replies, attempts in flight, deadlines |
-//! | `endpoints.rs` | the endpoints listed, the watches on discovery, the wait for the first list |
+//! | `endpoints.rs` | the listed endpoints, the watches on discovery, the wait for the first list |
 //! | `list_status.rs` | how current the list is, and how often discovery failed |
 //! | `connections.rs` | callers' connections and their drain, idle connections to endpoints, the descriptor budget |
 //! | `hot_restart.rs` | the other processes of this sidecar, and the shared directory |
