--- a/fleet-lab/src/sidecar/configuration.rs
+++ b/fleet-lab/src/sidecar/configuration.rs
@@ -10,32 +10,32 @@
 /// The loopback address with a port that the system chooses.
 const ANY_LOOPBACK_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// The time after which an idle connection to an endpoint is closed.
-const IDLE_CLOSE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Timeout of a connection to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The longest `Retry-After` that clients follow.
+/// The maximum Retry-After that clients obey.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// The largest number of attempts for a request.
+/// The maximum number of attempts of a request.
 const MAX_ATTEMPTS: u32 = 3;
-/// The largest number of unanswered requests at a sidecar.
+/// The maximum number of unanswered requests at one sidecar.
 const MAX_OPEN_REQUESTS: u32 = 10_000;
 /// A response that arrives within this time after the deadline still counts.
-const RESPONSE_SLACK: Duration = Duration::from_millis(5);
-/// The longest time between two calls to discovery.
+const ANSWER_SLACK: Duration = Duration::from_millis(5);
+/// The maximum time between two calls of discovery.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// The time within which a sidecar must stop sending new requests to a draining endpoint.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// The fraction of its full capacity that an endpoint has at its start.
 const INITIAL_CAPACITY: f64 = 0.3;
-/// The longest time from an endpoint's start until it is warm.
+/// The time after its start within which an endpoint reaches its full capacity.
 const WARM_UP_TIME: Duration = Duration::from_secs(10);
 /// An endpoint fails during its warm-up if its load exceeds this multiple of its present capacity for
-/// [`OVERLOAD_TIME`].
+/// [`OVERLOAD_WINDOW`].
 const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// The time for which the load must exceed [`OVERLOAD_MULTIPLE`] until the endpoint fails.
-const OVERLOAD_TIME: Duration = Duration::from_secs(2);
-/// The shortest time between two batches of events for the balancer.
-const EVENT_BATCH_INTERVAL: Duration = Duration::from_millis(1);
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
+/// The minimum time between two batches of events for the balancer.
+const TICK: Duration = Duration::from_millis(1);
 
 /// A request class of a sidecar's settings.
 #[derive(Clone, Debug, PartialEq)]
@@ -133,7 +133,7 @@
             "dcs": zones,
             "tier": self.position.tier,
             "stages": stages,
-            "granularityNs": nanoseconds(EVENT_BATCH_INTERVAL),
+            "granularityNs": nanoseconds(TICK),
             "discovery": discovery_mode_name(self.discovery_mode),
             "weightSource": "off",
             "worthBy": "request",
@@ -190,7 +190,7 @@
     fn bounds(&self) -> Value {
         json!({
             "cancel": true,
-            "connIdleNs": nanoseconds(IDLE_CLOSE),
+            "connIdleNs": nanoseconds(IDLE_TIMEOUT),
             "connectTimeoutNs": nanoseconds(CONNECT_TIMEOUT),
             "maxOpen": MAX_OPEN_REQUESTS,
             "maxRetryAfterNs": nanoseconds(MAX_RETRY_AFTER),
@@ -231,12 +231,12 @@
 /// Returns the settings of the timing rules.
 fn rules() -> Value {
     json!({
-        "answerSlackNs": nanoseconds(RESPONSE_SLACK),
+        "answerSlackNs": nanoseconds(ANSWER_SLACK),
         "askWithinNs": nanoseconds(POLL_INTERVAL),
         "coldFrom": INITIAL_CAPACITY,
         "drainGraceNs": nanoseconds(DRAIN_GRACE),
         "fallMultiple": OVERLOAD_MULTIPLE,
-        "fallNs": nanoseconds(OVERLOAD_TIME),
+        "fallNs": nanoseconds(OVERLOAD_WINDOW),
         "warmWithinNs": nanoseconds(WARM_UP_TIME),
     })
 }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -27,7 +27,7 @@
     pub endpoint: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
-    /// The type of machine that it runs on.
+    /// Its machine type.
     pub machine_type: MachineTypeId,
     /// The group that it belongs to.
     pub group: GroupId,
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -239,8 +239,8 @@
             .reduce(|a, b| self.less_loaded(now, a, b))
     }
 
-    /// Returns the endpoint with fewer attempts in flight relative to its weight. If both are equal, returns the one with
-    /// the shorter estimated wait.
+    /// Returns the endpoint with fewer attempts in flight relative to its weight. If both are equal, returns the one
+    /// with the shorter estimated wait.
     fn less_loaded(&self, now: Timestamp, a: EndpointIndex, b: EndpointIndex) -> EndpointIndex {
         let load = |index: EndpointIndex| {
             f64::from(self.endpoints[index].in_flight + 1) / self.endpoints[index].weight
