--- a/fleet-lab/src/scenario/fleet.rs
+++ b/fleet-lab/src/scenario/fleet.rs
@@ -68,7 +68,7 @@
     pub cached_list: CachedList,
     /// Mean calls per second of each sidecar.
     pub calls_per_second: f64,
-    /// The way in which sidecars get lists: an agent pushes them, or the decision module requests them.
+    /// The way in which sidecars get lists: an agent pushes them, or the balancer requests them.
     pub discovery_mode: DiscoveryMode,
     /// The capacity of discovery.
     pub capacity: DiscoveryCapacity,
@@ -225,7 +225,7 @@
         name,
         address: SocketAddr::from((Ipv4Addr::new(127, 1, high, low), ENDPOINT_PORT)),
         zone,
-        kind: "m1".to_owned(),
+        machine_type: "m1".to_owned(),
         group: 0,
         status: EndpointStatus::Serving,
         weight: INITIAL_WEIGHT,
--- a/fleet-lab/tests/sidecar_process.rs
+++ b/fleet-lab/tests/sidecar_process.rs
@@ -64,7 +64,7 @@
         name: "e0".into(),
         address,
         zone: "a".into(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         group: 0,
         status: EndpointStatus::Serving,
         weight: 1.0,
@@ -136,7 +136,7 @@
     );
     assert_eq!((settings.tier, settings.tiers), (0, 2));
     assert_eq!(settings.discovery, DiscoveryMode::OnRequest);
-    assert_eq!(settings.reporting, Reporting::WithAnswers);
+    assert_eq!(settings.reporting, Reporting::WithResponses);
     let classes: Vec<(&str, Idempotency)> = settings
         .classes
         .iter()
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -7,7 +7,7 @@
 use super::rules::Rules;
 use std::time::Duration;
 
-/// How a balancer receives endpoint lists.
+/// The delivery of endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// An agent pushes lists without a request.
@@ -30,14 +30,14 @@
     Live,
 }
 
-/// The answers that carry load reports.
+/// The responses of endpoints that carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
-    /// Answers to requests and to health checks.
-    WithAnswers,
-    /// Only answers to health checks.
+    /// Responses to requests and to health checks.
+    WithResponses,
+    /// Only responses to health checks.
     WithHealthChecks,
-    /// No answers.
+    /// No responses.
     Off,
 }
 
@@ -55,7 +55,7 @@
 pub struct Settings {
     /// The number of balancers in this tier.
     pub balancers: u32,
-    /// The number of this balancer within the tier.
+    /// The number of this balancer in its tier, counted from 0.
     pub peer_id: PeerId,
     /// The zone of this balancer.
     pub zone: ZoneId,
@@ -65,10 +65,10 @@
     pub tier: usize,
     /// The number of tiers.
     pub tiers: usize,
-    /// Whether requests from the previous tier carry the time left until the deadline. Otherwise they carry the whole
+    /// True if requests from the previous tier carry the time left until the deadline. Otherwise they carry the whole
     /// deadline of their class.
     pub propagates_deadline: bool,
-    /// Whether endpoints do less work for keys that they have seen recently.
+    /// True if a request takes less work at an endpoint that has recently served a request with the same key.
     pub endpoints_cache_by_key: bool,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -76,28 +76,28 @@
     pub tenants: Vec<Tenant>,
     /// The fraction of its value that a request beyond its tenant's quota share keeps.
     pub over_share_value: f64,
-    /// The limits that the environment sets.
+    /// The limits that the platform sets.
     pub limits: Limits,
     /// The parameters of the rules that the balancer must follow.
     pub rules: Rules,
     /// The prices of the resources that the balancer uses.
     pub prices: Prices,
-    /// How endpoint lists are received.
+    /// The delivery of endpoint lists.
     pub discovery: DiscoveryMode,
     /// The source of the endpoint weights in a list.
     pub weight_source: WeightSource,
-    /// The answers that carry load reports.
+    /// The responses of endpoints that carry load reports.
     pub reporting: Reporting,
     /// The basis on which the value of requests is counted.
     pub value_basis: ValueBasis,
-    /// Whether clients mark their retries.
+    /// True if clients mark their retries.
     pub clients_mark_retries: bool,
-    /// The least time between two batches of events.
+    /// The minimum time between two batches of events.
     pub tick: Duration,
 }
 
 impl Settings {
-    /// Creates the settings of a single balancer with pushed lists, load reports in answers and no prices; set the
+    /// Creates the settings of a single balancer with pushed lists, load reports in responses and no prices; set the
     /// other fields as needed.
     #[must_use]
     pub fn new(zone: ZoneId, classes: Vec<Class>) -> Self {
@@ -118,7 +118,7 @@
             prices: Prices::default(),
             discovery: DiscoveryMode::Pushed,
             weight_source: WeightSource::None,
-            reporting: Reporting::WithAnswers,
+            reporting: Reporting::WithResponses,
             value_basis: ValueBasis::Request,
             clients_mark_retries: false,
             tick: Duration::from_millis(1),
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -84,8 +84,8 @@
     );
 }
 
-/// Guards the cost of health checks: they are rarer at a high price, and none is sent if answers carry load reports or
-/// the limits forbid health checks.
+/// Guards the cost of health checks: they are rarer at a high price, and none is sent if responses carry load reports
+/// or the limits forbid health checks.
 #[test]
 fn health_check_rate_depends_on_price_and_settings() {
     let count =
@@ -103,7 +103,7 @@
     assert_eq!(
         count(&mut Host::new(settings.clone(), endpoint_entries(4))),
         0,
-        "health checks although answers carry load reports"
+        "health checks although responses carry load reports"
     );
     (settings.limits.health_checks, settings.reporting) = (false, Reporting::WithHealthChecks);
     assert_eq!(
